--- /dev/null
+++ b/tests/forms/published.py
@@ -0,0 +1,127 @@
+"""Names that operators' tools read: metrics, the operators' API, what the commands show, and their options."""
+
+from __future__ import annotations
+
+import asyncio
+from typing import Any
+
+import click
+
+from tests.forms.samples import CONTROL_STATE, SETTINGS, TURN_STATE, sequence_events
+from yarrowspindle.control.controller import Controller
+from yarrowspindle.control.messages import Named, Sum
+from yarrowspindle.control.settings import Machine
+from yarrowspindle.decisions.refusal import Refusal
+from yarrowspindle.program.control_command import control
+from yarrowspindle.program.metrics import Metrics
+from yarrowspindle.program.turn_command import turns
+from yarrowspindle.routing import messages
+from yarrowspindle.routing.ending import Ending
+from yarrowspindle.routing.reducer import Reducer
+from yarrowspindle.routing.state import Job, Phase
+from yarrowspindle.runtime.prober import Prober
+from yarrowspindle.telemetry import Telemetry
+from yarrowspindle.telemetry.guard import Rule
+from yarrowspindle.telemetry.trace import reason
+from yarrowspindle.turns import report
+from yarrowspindle.turns.core import Fleet, Turns
+from yarrowspindle.turns.state import Seen
+
+
+def effects() -> list[messages.Effect]:
+    """One of each, with each reason."""
+    address = ("10.1.0.18", 3000)
+    found: list[messages.Effect] = [
+        messages.Reach(1, 0, "s-1", address, 500.0),
+        messages.Ask(1, 0, 480.0),
+        messages.Join(1),
+        messages.Close(1, Ending.SERVED),
+        messages.Wake(5.0, "pulse"),
+        messages.Unwake("pulse"),
+        messages.Watch(41, address),
+        messages.Probe("s-1", address, 500.0),
+        messages.Unprobe("s-1"),
+        messages.NodeGone("s-1"),
+        messages.Note("text"),
+    ]
+    for refusal in (*Refusal, None):
+        found += [messages.Requeue(1, 0.0, refusal), messages.Deny(1, refusal), messages.Drop(1, 0, refusal)]
+    for ending in Ending:
+        found += [messages.Drop(1, 0, ending), messages.Move(1, ending)]
+    return found
+
+
+def probe_counters() -> list[str]:
+    async def ended() -> list[str]:
+        prober = Prober(SETTINGS.report, 1.0, lambda event: None, lambda text: None)
+        for ending in Ending:
+            prober._tell("s-1", ending, 0.0)
+        return sorted(prober.counts)
+
+    return asyncio.run(ended())
+
+
+def metrics() -> dict[str, list[str]]:
+    reducer = Reducer(SETTINGS, 7, 0.0)
+    for number, phase in enumerate(Phase):
+        reducer.jobs[number] = Job(number, 0.0, 1000.0)
+        reducer.jobs[number].phase = phase
+    counted = Metrics(reducer)
+    for event in sequence_events():
+        counted.event(event)
+    for effect in effects():
+        counted.effect(effect)
+    return {
+        "counters": sorted(counted.counters()),
+        "gauges": sorted(counted.gauges()),
+        "invariants": sorted(rule.value for rule in Rule),
+        "reasons of refusals": sorted(refusal.value for refusal in Refusal),
+        "reasons of endings": [reason(ending) for ending in Ending],
+        "probes": probe_counters(),
+    }
+
+
+def telemetry() -> list[str]:
+    """The operators' figures, as `GET /api/telemetry` gives them."""
+    reducer = Reducer(SETTINGS, 7, 0.0)
+    told = Telemetry(reducer, lambda number: f"class{number}")
+    for event in sequence_events():
+        told.event(event)
+    for effect in effects():
+        told.effect(effect)
+    told.reloaded(True)
+    told.reloaded(False)
+    return told.text().splitlines()
+
+
+def shown_turns() -> dict[str, Any]:
+    """What `turns show --json` gives, and the gauges."""
+    core = Turns("n1", "k1", TURN_STATE, "aa", TURN_STATE, 7, 0.0)
+    fleet = {"s-1": Seen(1, 1.0, True, 3), "s-2": Seen(0, 1.5, True, 4), "s-3": Seen(0, 1.0, False)}
+    core.step(1.0, Fleet(frozenset({"s-3"}), fleet, ("n1", "n2")))
+    return {"shown": report.show(core, 50.0, {7: 10.0}, {"n1"}), "gauges": report.gauges(core, 50.0)}
+
+
+def shown_control() -> dict[str, Any]:
+    """What `control show --json` gives of a controller's core."""
+    machines = tuple(Machine(name, ("127.0.0.1", 7000 + number)) for number, name in enumerate(("c1", "c2", "c3")))
+    core = Controller(machines[0], machines, CONTROL_STATE, "aa", CONTROL_STATE, 17, lambda entries: "", 7, 0.0)
+    return dict(core.shown(Sum(2, 12, [(1, 2), (2, 10)], [Named("n7", 1, 2500, "refused")], 3)))
+
+
+def options(command: click.Command) -> dict[str, Any]:
+    """The names and options of a command and of those below it, and what `--help` says of each."""
+    found: dict[str, Any] = {
+        "name": command.name,
+        "parameters": [
+            {"names": [*parameter.opts, *parameter.secondary_opts], "help": getattr(parameter, "help", None)}
+            for parameter in command.params
+        ],
+    }
+    if isinstance(command, click.Group):
+        found["commands"] = {name: options(below) for name, below in sorted(command.commands.items())}
+    return found
+
+
+def commands() -> dict[str, Any]:
+    return {"turns": options(turns), "control": options(control)}
--- /dev/null
+++ b/tests/forms/samples.py
@@ -0,0 +1,204 @@
+"""One value of each kind that reaches bytes: messages between processes, stored files, a recorded sequence."""
+
+from __future__ import annotations
+
+import io
+from typing import Any
+
+from yarrowspindle.control import codec as control_codec
+from yarrowspindle.control import messages as control
+from yarrowspindle.control.state import ControlState, Done, Order
+from yarrowspindle.interface import Effect, Group, ListKind, Others, RequestClass, Settings, State, Tenant
+from yarrowspindle.peers import codec as peers
+from yarrowspindle.rebalance import RebalanceSettings
+from yarrowspindle.replay.sequence import Recorder
+from yarrowspindle.routing import messages as routing
+from yarrowspindle.routing.ending import Ending
+from yarrowspindle.turns import codec as turns_codec
+from yarrowspindle.turns import core as turns
+from yarrowspindle.turns.parcels import Parcels
+from yarrowspindle.turns.register import Accept, Accepted, Kept, Prepare, Promise, Refused
+from yarrowspindle.turns.state import FEWEST, REFUSED, WARMING, Out, Request, TurnState, Wish
+
+OWNER, CLUSTER = "n3", "lisboa"
+
+WISH = Wish(("s-1", "s-2"), 2, 1, 3.5, 90.0, FEWEST, "kernel")
+TURN_STATE = TurnState(
+    voters={"n1": "aa", "n2": "bb", "n3": "cc"},
+    version=41,
+    epoch=2,
+    turn=7,
+    requests={
+        WISH.id: Request(WISH, ("s-2",)),
+        "0badc0ffee00": Request(Wish(("s-9",)), (), REFUSED, "s-9 is in another request", 12),
+    },
+    out={
+        "s-1": Out(6, WISH.id, 1, WARMING, frozenset({("n1", 3)})),
+        "s-3": Out(7, WISH.id, 0, confirmed=frozenset({("n2", 4)})),
+    },
+    relays={"n1": 3, "n2": 4},
+    keys={"n1": "k1", "n2": "k2"},
+    paused="a relay is down",
+    by_hand=True,
+)
+STEP = {"step_ms": "2", "limits": None}
+CONTROL_STATE = ControlState(
+    voters={"c1": "aa", "c2": "bb", "c3": "cc"},
+    version=2,
+    epoch=1,
+    entries={"step_ms": "2"},
+    takers={"c1": (1700000000000, 2)},
+    done=[Done(1, {"step_ms": "1", "limits": "{}"}, "", "c1", 1700000000000, 1), Done(2, STEP, "no", "c1", 17, 2)],
+)
+DIGEST = CONTROL_STATE.digest
+
+
+def register_messages(state: Any) -> list[Any]:
+    """Of the quorum register, on a state of either user."""
+    return [
+        Prepare((5, "n1 k1"), 2, "bb"),
+        Promise((5, "n1 k1"), "bb", (4, "n2 k2"), state),
+        Accept((5, "n1 k1"), 2, "bb", state),
+        Accepted((5, "n1 k1"), "bb"),
+        Refused((5, "n1 k1"), (6, "n3 k3"), state, True),
+        Refused((5, "n1 k1"), (6, "n3 k3")),
+    ]
+
+
+def turns_messages() -> list[Any]:
+    return [
+        *register_messages(TURN_STATE),
+        turns.Learn(TURN_STATE),
+        turns.Behind(40),
+        turns.Says(3, {"s-1": 6, "s-3": 7}),
+        turns.Enter("0123456789abcdef"),
+        turns.Newest(41),
+    ]
+
+
+def control_messages() -> list[Any]:
+    named = control.Named("n7", 1, 2500, "limits make no sense")
+    return [
+        control.Beat(2, DIGEST, 1, "limits make no sense", True, True, "c2"),
+        control.Newest(2, DIGEST),
+        control.Difference(1, 2, DIGEST, [STEP]),
+        control.Whole(2, DIGEST, {"step_ms": "2"}),
+        control.Leave(),
+        control.Moved("127.0.0.9", 7946, 1700000000000, 1234),
+        control.Later(1700000000001),
+        control.Sum(2, 12, [(1, 2), (2, 10)], [named], 3),
+        control.Learn(CONTROL_STATE),
+        Order("c1", 1700000000000, 3, STEP),
+        *register_messages(CONTROL_STATE),
+    ]
+
+
+def peers_datagrams() -> list[peers.Datagram]:
+    rumour = peers.Rumour("n2", "127.0.0.2", 7946, 1700000000000, 4, peers.SUSPECT, "n1")
+    bodies: list[Any] = [
+        peers.Ping(9, "n2", 123456789),
+        peers.Ack(9, 123456789, "n2"),
+        peers.PingFor(10, "n4", "127.0.0.4", 7946),
+        peers.Nack(10),
+        peers.Tell(True),
+        peers.Signal(3, 5, [11, 2, 3000], 1, 99, [12, 4, 5000], [13, 700], [14, 950, 6, 120]),
+        peers.Wanted(),
+        peers.Carried(b"carried"),
+    ]
+    return [
+        peers.Datagram(peers.VERSION, CLUSTER, "n1", "127.0.0.1", 7946, 1700000000000, 2, 5000, body, [rumour])
+        for body in bodies
+    ]
+
+
+def stored() -> dict[str, tuple[Any, Any]]:
+    """Name -> codec and value of each file."""
+    return {
+        "turns voter": (turns_codec.FILE, Kept("cc", (6, "n1 k1"), (5, "n2 k2"), TURN_STATE)),
+        "control voter": (control_codec.FILE, Kept("cc", (6, "c1 k1"), (5, "c2 k2"), CONTROL_STATE)),
+        "control settings of a relay": (control_codec.TAKEN, control.Keep(2, {"step_ms": "2"})),
+        "control state of a controller": (control_codec.AGREED, CONTROL_STATE),
+    }
+
+
+def parcels() -> list[bytes]:
+    """A message of three parts, and what asks for the missing ones."""
+    sender, receiver = Parcels(7), Parcels(100)
+    parts = sender.cut("n2", bytes(range(256)) * 8)
+    receiver.came(0.0, "n1", parts[1])
+    return [*parts, *(data for _, data in receiver.due(60.0))]
+
+
+SETTINGS = Settings(
+    classes=(
+        RequestClass(800.0, 4800.0, Effect.KEYED, Group.ZONE, 2500.0, 2.0, 120.0),
+        RequestClass(500.0, 2000.0),
+    ),
+    zone=1,
+    zones=3,
+    number=4,
+    balancers=12,
+    tenants=(Tenant(10.0, 200.0, 0.5),),
+    over_share_worth=0.1,
+    asks=True,
+    ask_within_ms=9000.0,
+    drain_grace_ms=400.0,
+    answer_slack_ms=50.0,
+    cold_share=0.2,
+    cold_ms=8000.0,
+    fall_multiple=2.0,
+    fall_ms=900.0,
+    connect_timeout_ms=260.0,
+    conn_idle_ms=31_000.0,
+    tick_ms=2.0,
+    max_attempts=3,
+    max_retry_after_ms=2000.0,
+    retry_after=True,
+    may_cancel=True,
+    may_probe=True,
+    may_tell=True,
+    cross_zone_price=0.05,
+    move_price=0.01,
+    probe_price=0.001,
+    tells_load=False,
+    tells_delay=False,
+    live_weights=True,
+    groups=True,
+    report=("x0", "rif"),
+    by_own_load=True,
+)
+
+
+def sequence_events() -> list[routing.Event]:
+    machine = routing.Machine("s-1", ("10.1.0.18", 3000), State.DRAINING, 1, 3, 2, 1.5, 1700000000000.0)
+    others = Others({11: (2, 3.0)}, {11: -1}, 4, 6, 120.0, frozenset({13}), {14: (0.95, 6.0, 120.0)}, 2)
+    return [
+        routing.ListTold(ListKind.FULL, [machine], 41, 250.0),
+        routing.JobArrived(1, 2000.0, 1, 0, 77, 3.5, 78, True, True, "s-1", "9b1f03aa5c7e2d41"),
+        routing.SubmitterLeft(1),
+        routing.OutOfTurn(1),
+        routing.NodeReached(1, 0),
+        routing.NodeUp(1, 0),
+        *(routing.AttemptOver(1, 0, ending) for ending in Ending),
+        routing.LoadTold(1, 2.5),
+        routing.FigureTold(1, 40.0),
+        routing.Asked(1, 2),
+        routing.Answered(1, 3),
+        routing.Woke("pulse"),
+        routing.Woke(7),
+        routing.Woke(("deadline", 1)),
+        routing.Stop(1500.0, False),
+        routing.Reloaded(("10.2.0.1", 8500)),
+        routing.Stalled(300.0),
+        routing.OthersTold(others),
+        routing.Rebalance(RebalanceSettings(), 9),
+        routing.Rebalance(None),
+    ]
+
+
+def sequence() -> bytes:
+    out = io.BytesIO()
+    recorder = Recorder(out, SETTINGS, 7, 1700000000000.0)
+    for number, event in enumerate(sequence_events()):
+        recorder.event(1700000000000.0 + number, event)
+    return out.getvalue()
