--- a/benchmarks/capacity/change.py
+++ b/benchmarks/capacity/change.py
@@ -80,22 +80,41 @@
         lost = change.answered_s < 0.0 and controller == self.world.died
         return change.in_force_s - (change.agreed_s if lost else change.at)
 
-    def row(self, what: str, broken: list[str], more: dict[str, Any] | None = None,
-            took: Iterable[float] | None = None, within_s: float = IN_FORCE_S) -> dict[str, Any]:  # fmt: skip
+    def row(
+        self,
+        what: str,
+        broken: list[str],
+        more: dict[str, Any] | None = None,
+        took: Iterable[float] | None = None,
+        within_s: float = IN_FORCE_S,
+    ) -> dict[str, Any]:
         """took: where something else than the orders in force is counted."""
         world = self.world
         # What a controller was told and did not say to anybody before it died is nobody's; the operator has no answer.
         gone = [c for name, c in self.asked if c.agreed_s < 0.0 and not world.hosts[name].alive or c.answered]
-        times = list(took) if took is not None else [
-            self.took_s(change, name) for name, change in self.asked if change not in gone]  # fmt: skip
+        times = (
+            list(took)
+            if took is not None
+            else [self.took_s(change, name) for name, change in self.asked if change not in gone]
+        )
         newest = world.newest()
         behind = sum(relay.taken < newest for relay in world.relays)
         never = sum(t < 0.0 for t in times)
         good = [t for t in times if t >= 0.0] or [0.0]
-        found = {"what": what, "relays": len(world.relays), "changes": len(times), "p50_s": round(median(good), 3),
-                 "max_s": round(max(good), 3), "never": never, "behind": behind, "older": world.checker.older,
-                 "two": world.checker.two, "violations": world.checker.violations[:3], "unanswered": len(gone),
-                 "seed": self.seed} | (more or {})  # fmt: skip
+        found = {
+            "what": what,
+            "relays": len(world.relays),
+            "changes": len(times),
+            "p50_s": round(median(good), 3),
+            "max_s": round(max(good), 3),
+            "never": never,
+            "behind": behind,
+            "older": world.checker.older,
+            "two": world.checker.two,
+            "violations": world.checker.violations[:3],
+            "unanswered": len(gone),
+            "seed": self.seed,
+        } | (more or {})
         if max(good) > within_s or never or behind:
             broken.append(
                 f"{what}, {found['relays']} relays: in force after {max(good):.2f} s at the latest "
@@ -141,8 +160,11 @@
                 if change.agreed_s < 0.0 and (name == world.died or change.answered):
                     unanswered += 1
                 elif name != world.died or not stands_ms or change.in_force_s >= 0.0:
-                    row.append(day.took_s(change, name) if name != world.died or not stands_ms
-                               else change.in_force_s - max(change.agreed_s, change.at))  # fmt: skip
+                    row.append(
+                        day.took_s(change, name)
+                        if name != world.died or not stands_ms
+                        else change.in_force_s - max(change.agreed_s, change.at)
+                    )
             if world.died and not stands_ms:
                 world.start(world.died)
                 world.run(1.5)
@@ -223,9 +245,17 @@
             f"regions: with the majority after {max(held):.2f} s, elsewhere {max(after):.2f} s after the "
             f"cut, operators there were told {told}"
         )
-    return day.row(f"regions cut for {for_s:g} s", broken, {
-        "majority_max_s": round(max(held), 3), "after_cut_max_s": round(max(after), 3), "versions_served_there": served,
-        "first_after_s": round(day.took_s(late, other[0]), 3)}, [*held, *after])  # fmt: skip
+    return day.row(
+        f"regions cut for {for_s:g} s",
+        broken,
+        {
+            "majority_max_s": round(max(held), 3),
+            "after_cut_max_s": round(max(after), 3),
+            "versions_served_there": served,
+            "first_after_s": round(day.took_s(late, other[0]), 3),
+        },
+        [*held, *after],
+    )
 
 
 def start(relays: int, seed: int, size: str, broken: list[str]) -> dict[str, Any]:
@@ -266,21 +296,34 @@
         for kind, cls in (("relay", RelayHost), ("controller", ControllerHost)):
             hosts = [host for host in world.hosts.values() if isinstance(host, cls)]
             sent, cores = _spent(hosts, over if what == "burst" else 13.0 * len(day.asked), kernel_s)
-            found |= {f"{kind}_{what}_bytes_per_s": round(fmean(sent)), f"{kind}_{what}_most_bytes_per_s":
-                      round(max(sent)), f"{kind}_{what}_cpu": round(fmean(cores), 6),
-                      f"{kind}_{what}_most_cpu": round(max(cores), 6)}  # fmt: skip
+            found |= {
+                f"{kind}_{what}_bytes_per_s": round(fmean(sent)),
+                f"{kind}_{what}_most_bytes_per_s": round(max(sent)),
+                f"{kind}_{what}_cpu": round(fmean(cores), 6),
+                f"{kind}_{what}_most_cpu": round(max(cores), 6),
+            }
         day.asked.clear()
-    for kind, host in (("relay", world.relays[0]), ("controller", max(
-            world.controllers, key=lambda one: len(one.core.relays)))):  # fmt: skip
+    for kind, host in (
+        ("relay", world.relays[0]),
+        ("controller", max(world.controllers, key=lambda one: len(one.core.relays))),
+    ):
         found[f"{kind}_kb"] = round(deep_kb([host.core, host.link]), 1)
     found["controller_relays"] = max(len(host.core.relays) for host in world.controllers)
     return found
 
 
 SCENARIOS: dict[str, Callable[[int, int, str, list[str]], dict[str, Any]]] = {
-    "burst": burst, "loss": loss, "restarts": restarts, "start": start}  # fmt: skip
+    "burst": burst,
+    "loss": loss,
+    "restarts": restarts,
+    "start": start,
+}
 FAULTS: dict[str, Callable[[int, int, str, list[str]], dict[str, Any]]] = {
-    "regions": regions, "dies": dies, "stops": stops, "zone": zone}  # fmt: skip
+    "regions": regions,
+    "dies": dies,
+    "stops": stops,
+    "zone": zone,
+}
 
 
 def one(task: tuple[str, int, int, str]) -> tuple[dict[str, Any], list[str]]:
@@ -289,8 +332,9 @@
     return (SCENARIOS | FAULTS | {"cost": cost})[name](relays, seed, size, broken), broken
 
 
-def played(pool: Executor, names: Iterable[str], relays: int, seed: int, size: str,
-           broken: list[str]) -> list[dict[str, Any]]:  # fmt: skip
+def played(
+    pool: Executor, names: Iterable[str], relays: int, seed: int, size: str, broken: list[str]
+) -> list[dict[str, Any]]:
     """The rows, printed as they come."""
     rows = list[dict[str, Any]]()
     for row, wrong in pool.map(one, [(name, relays, seed, size) for name in names]):
@@ -316,20 +360,29 @@
     """Of a relay: fitted without the largest fleet, checked there; and at most a tenth more there than in the least."""
     least, whole = costs[0], costs[-1]
     found = dict[str, Any]()
-    for key in ("relay_steady_bytes_per_s", "relay_burst_bytes_per_s", "relay_burst_cpu", "relay_kb",
-                "controller_burst_bytes_per_s", "controller_burst_cpu"):  # fmt: skip
+    for key in (
+        "relay_steady_bytes_per_s",
+        "relay_burst_bytes_per_s",
+        "relay_burst_cpu",
+        "relay_kb",
+        "controller_burst_bytes_per_s",
+        "controller_burst_cpu",
+    ):
         fit = fitted([row["relays"] for row in costs[:-1]], [row[key] for row in costs[:-1]])
         told, got = fit.at(whole["relays"]), whole[key]
         found[key] = {"form": fit.form, "told": round(told, 6), "measured": got, "error": round(told / got - 1.0, 3)}
-        print(f"{key}: {fit.form}, {told:.6g} told for {whole['relays']}, {got:.6g} measured"
-              + (", wrong" if abs(told / got - 1.0) > WRONG else ""))  # fmt: skip
+        print(
+            f"{key}: {fit.form}, {told:.6g} told for {whole['relays']}, {got:.6g} measured"
+            + (", wrong" if abs(told / got - 1.0) > WRONG else "")
+        )
         if key.startswith("relay") and got > (1.0 + FLAT) * least[key]:
             broken.append(f"{key}: {got:g} at {whole['relays']} relays, {least[key]:g} at {least['relays']}: not flat")
     return found
 
 
-def run(seed: int, size: str, relays: int | None, broken: list[str],
-        only: Sequence[str] = ("change", "faults")) -> dict[str, Any]:  # fmt: skip
+def run(
+    seed: int, size: str, relays: int | None, broken: list[str], only: Sequence[str] = ("change", "faults")
+) -> dict[str, Any]:
     """Keys: relays, in_force_p50_s, in_force_max_s, behind, older_after_newer; with "change" also bytes_per_s,
     cpu_share, memory_mb (of a relay, at 10 changes a second), control_cpu_share, control_bytes_per_s (of the busiest
     controller); rows, costs, fits."""
@@ -341,21 +394,29 @@
         if "change" in only:
             sizes = [n for n in SLOPES[size] if n < whole] + [whole]
             costs = [found for found, _ in pool.map(one, [("cost", n, seed, size) for n in reversed(sizes)])][::-1]
-    found = {"relays": whole, "in_force_p50_s": median(row["p50_s"] for row in rows),
-             "in_force_max_s": max(row["max_s"] for row in rows if row["what"] != "all relays start at once"),
-             "behind": sum(row["behind"] for row in rows), "older_after_newer": sum(row["older"] for row in rows),
-             "rows": rows} | days  # fmt: skip
+    found = {
+        "relays": whole,
+        "in_force_p50_s": median(row["p50_s"] for row in rows),
+        "in_force_max_s": max(row["max_s"] for row in rows if row["what"] != "all relays start at once"),
+        "behind": sum(row["behind"] for row in rows),
+        "older_after_newer": sum(row["older"] for row in rows),
+        "rows": rows,
+    } | days
     if "change" in only and size in SOCKETS:
         found["sockets"] = [sockets.play(*one, seed, broken) for one in SOCKETS[size]]
     for row in costs:
         print("  ".join(f"{key} {value}" for key, value in row.items()))
     if costs:
         last = costs[-1]
-        found |= {"bytes_per_s": last["relay_burst_most_bytes_per_s"], "cpu_share": last["relay_burst_cpu"],
-                  "memory_mb": round(last["relay_kb"] / 1024.0, 3), "control_cpu_share":
-                  last["controller_burst_most_cpu"], "control_bytes_per_s":
-                  last["controller_burst_most_bytes_per_s"], "costs": costs,
-                  "fits": flat(costs, broken) if len(costs) > 2 else {}}  # fmt: skip
+        found |= {
+            "bytes_per_s": last["relay_burst_most_bytes_per_s"],
+            "cpu_share": last["relay_burst_cpu"],
+            "memory_mb": round(last["relay_kb"] / 1024.0, 3),
+            "control_cpu_share": last["controller_burst_most_cpu"],
+            "control_bytes_per_s": last["controller_burst_most_bytes_per_s"],
+            "costs": costs,
+            "fits": flat(costs, broken) if len(costs) > 2 else {},
+        }
         _allowed("a relay's part in changes", found, whole, broken)
     return found
 
@@ -369,9 +430,11 @@
 def together(slopes: dict[str, Any], changes: dict[str, Any], broken: list[str]) -> None:
     """All of control at one relay: peers in a cell, and changes at 10 a second."""
     cell = slopes["cells"][-1]
-    whole = {"bytes_per_s": cell["most_bytes_per_s"] + changes["bytes_per_s"],
-             "cpu_share": cell["cpu_share"] + changes["cpu_share"],
-             "memory_mb": cell["memory_mb"] + changes["memory_mb"]}  # fmt: skip
+    whole = {
+        "bytes_per_s": cell["most_bytes_per_s"] + changes["bytes_per_s"],
+        "cpu_share": cell["cpu_share"] + changes["cpu_share"],
+        "memory_mb": cell["memory_mb"] + changes["memory_mb"],
+    }
     print("all of control at a relay: " + ", ".join(f"{key} {value:.5g}" for key, value in whole.items()))
     changes["together"] = whole
     _allowed("all of control at a relay", whole, changes["relays"], broken)
--- a/benchmarks/capacity/data.py
+++ b/benchmarks/capacity/data.py
@@ -81,8 +81,15 @@
         self.name, self.log = name, log
         with log.open("wb") as errors:
             self.child = subprocess.Popen(
-                [sys.executable, "-B", "-m", *arguments], cwd=ROOT, env=os.environ | environ, stdin=subprocess.PIPE,
-                stdout=subprocess.PIPE, stderr=errors, bufsize=0, preexec_fn=begin)  # fmt: skip
+                [sys.executable, "-B", "-m", *arguments],
+                cwd=ROOT,
+                env=os.environ | environ,
+                stdin=subprocess.PIPE,
+                stdout=subprocess.PIPE,
+                stderr=errors,
+                bufsize=0,
+                preexec_fn=begin,
+            )
 
     def tell(self, order: dict[str, Any]) -> None:
         assert self.child.stdin is not None
@@ -150,8 +157,11 @@
     def disturbed(self) -> bool:
         """Whether somebody other than the relay may have made lines late: a stand-in, or who shares the cores."""
         w = self.window
-        return max(w.nodes, w.submitters) > BUSY or max(w.hop_waits, w.stand_in_waits) > WAITS or (
-            self.sent["lag_ms"] > LAG_MS)  # fmt: skip
+        return (
+            max(w.nodes, w.submitters) > BUSY
+            or max(w.hop_waits, w.stand_in_waits) > WAITS
+            or (self.sent["lag_ms"] > LAG_MS)
+        )
 
     @property
     def holds(self) -> bool:
@@ -161,11 +171,12 @@
 
     def __str__(self) -> str:
         w, d = self.window, self.delays
-        return (f"  {self.what:14} {self.connections:6} {self.rate:8,.0f} {100 * w.hop:6.1f} {100 * w.nodes:6.1f} "
-                f"{100 * w.submitters:6.1f} {100 * w.hop_waits:6.1f} {100 * w.stand_in_waits:6.1f} "
-                f"{os.getloadavg()[0]:5.1f} {self.sent['lag_ms']:7.1f} "
-                f"{d['p50_ms']:7.1f} {d['p99_ms']:8.1f} {d['tail_p50_ms']:8.1f}" +
-                " disturbed" * self.disturbed)  # fmt: skip
+        return (
+            f"  {self.what:14} {self.connections:6} {self.rate:8,.0f} {100 * w.hop:6.1f} {100 * w.nodes:6.1f} "
+            f"{100 * w.submitters:6.1f} {100 * w.hop_waits:6.1f} {100 * w.stand_in_waits:6.1f} "
+            f"{os.getloadavg()[0]:5.1f} {self.sent['lag_ms']:7.1f} "
+            f"{d['p50_ms']:7.1f} {d['p99_ms']:8.1f} {d['tail_p50_ms']:8.1f}" + " disturbed" * self.disturbed
+        )
 
 
 HEAD = "  row             conns  lines/s  hop %  nod %  sub % hopw % stiw %  load  lag ms  p50 ms   p99 ms  tail ms"
@@ -250,8 +261,10 @@
             flush=True,
         )
         if done["standing"] != count or done["failed"] or broken:
-            self.broken.append(f"{self.hop.name} set-ups to {count}: {done['standing']} stand, {done['failed']} "
-                               f"failed, {broken} lost; {self.shares(window)}")  # fmt: skip
+            self.broken.append(
+                f"{self.hop.name} set-ups to {count}: {done['standing']} stand, {done['failed']} "
+                f"failed, {broken} lost; {self.shares(window)}"
+            )
         self.standing = done["standing"]
         return us
 
@@ -322,8 +335,10 @@
         row = self.lines(what, rate, at[-1] + 1.1, at)
         bursts: list[dict[str, Any]] = row.delays["bursts"]
         for number, burst in enumerate(bursts):
-            print(f"    burst {number}: the last of {burst['count']} after {burst['last_ms']:.1f} ms; p99 of the other "
-                  f"lines of that second {burst['others_p99_ms']:.1f} ms")  # fmt: skip
+            print(
+                f"    burst {number}: the last of {burst['count']} after {burst['last_ms']:.1f} ms; p99 of the other "
+                f"lines of that second {burst['others_p99_ms']:.1f} ms"
+            )
         if len(bursts) != len(at) or any(b["count"] != row.sent["burst_size"] for b in bursts):
             self.broken.append(f"{what}, {row.rate:,.0f} lines/s: a burst did not reach all of its group")
         return row, bursts
@@ -355,24 +370,46 @@
         return int(sock.getsockname()[1])
 
 
-def start_relay(folder: Path, discovery: Sequence[Any], known: dict[str, Any],
-                seed: int) -> tuple[Process, tuple[str, int]]:  # fmt: skip
+def start_relay(
+    folder: Path, discovery: Sequence[Any], known: dict[str, Any], seed: int
+) -> tuple[Process, tuple[str, int]]:
     """The program as operators start it, serving."""
     address = ("127.0.0.1", free_port())
     settings = SETTINGS | {
         # Long waits, so that a stand-in that others keep from its core is not taken for a node that is lost.
         "categories": [SETTINGS["categories"][0] | {"deadline_ms": WAIT_MS}],
         "limits": SETTINGS["limits"] | {"connect_timeout_ms": WAIT_MS},
-        "zone": 0, "balancers": 1, "slot_no": 0,
-        "obligations": {"drain_grace_ms": 1000.0, "answer_slack_ms": 50.0, "ask_within_ms": 200.0, "cold_share": 0.31,
-                        "cold_ms": 3000.0, "fall_multiple": 3.0, "fall_ms": 1500.0},
-    }  # fmt: skip
-    config = {"name": "n0", "listen": f"{address[0]}:{address[1]}", "discovery": f"{discovery[0]}:{discovery[1]}",
-              "seed": f"{seed:x}", "settings": settings, "known": known, "limits": {"sockets": 0}}  # fmt: skip
+        "zone": 0,
+        "balancers": 1,
+        "slot_no": 0,
+        "obligations": {
+            "drain_grace_ms": 1000.0,
+            "answer_slack_ms": 50.0,
+            "ask_within_ms": 200.0,
+            "cold_share": 0.31,
+            "cold_ms": 3000.0,
+            "fall_multiple": 3.0,
+            "fall_ms": 1500.0,
+        },
+    }
+    config = {
+        "name": "n0",
+        "listen": f"{address[0]}:{address[1]}",
+        "discovery": f"{discovery[0]}:{discovery[1]}",
+        "seed": f"{seed:x}",
+        "settings": settings,
+        "known": known,
+        "limits": {"sockets": 0},
+    }
     (folder / "config.json").write_text(json.dumps(config))
     (folder / "operator.toml").write_text("")
-    relay = Process("relay", ["yarrowspindle"], folder / "relay.log", ROUTER_CONFIG=str(folder / "config.json"),
-                    YARROWSPINDLE_OPERATOR=str(folder / "operator.toml"))  # fmt: skip
+    relay = Process(
+        "relay",
+        ["yarrowspindle"],
+        folder / "relay.log",
+        ROUTER_CONFIG=str(folder / "config.json"),
+        YARROWSPINDLE_OPERATOR=str(folder / "operator.toml"),
+    )
     return relay, address
 
 
@@ -407,11 +444,13 @@
     """Shares of one core at the asked size, by how long connections live."""
     us_life = found.us_setup[-1] + found.us_end
     beats, lines = ASKED_CONNECTIONS * us_beat / 1e6, ASKED_LINES_S * us_line / 1e6
-    print(f"EXTRAPOLATION, not measured: from {found.connections[-1]:,} connections on one relay to "
-          f"{ASKED_CONNECTIONS:,}, {ASKED_LINES_S:,.0f} lines/s\n  (set-up and end {us_life:.0f} us, line "
-          f"{us_line:.1f} us, rest {us_beat:.2f} us a connection and second; {ASKED_CONNECTIONS * kb / 1024:.0f} "
-          f"MB, {2 * ASKED_CONNECTIONS:,} descriptors)\n  life     set-ups/s  set-ups  lines  rest  share of a core  "
-          f"lines/s that one core carries")  # fmt: skip
+    print(
+        f"EXTRAPOLATION, not measured: from {found.connections[-1]:,} connections on one relay to "
+        f"{ASKED_CONNECTIONS:,}, {ASKED_LINES_S:,.0f} lines/s\n  (set-up and end {us_life:.0f} us, line "
+        f"{us_line:.1f} us, rest {us_beat:.2f} us a connection and second; {ASKED_CONNECTIONS * kb / 1024:.0f} "
+        f"MB, {2 * ASKED_CONNECTIONS:,} descriptors)\n  life     set-ups/s  set-ups  lines  rest  share of a core  "
+        f"lines/s that one core carries"
+    )
     shares, rates = {}, {}
     for name, life_s in LIVES:
         setups = ASKED_CONNECTIONS / life_s
@@ -434,13 +473,17 @@
     reach = (limit - SPARE) // 2
     counts = tuple(sorted({min(count, reach) for count in plan.connections}))
     short = f" instead of {plan.connections[-1]}" if counts[-1] < plan.connections[-1] else ""
-    print(f"lines of {line} bytes with CRLF; {NODES} execute nodes; descriptors: {limit}, so at most {reach} "
-          f"connections through one relay{short}")  # fmt: skip
+    print(
+        f"lines of {line} bytes with CRLF; {NODES} execute nodes; descriptors: {limit}, so at most {reach} "
+        f"connections through one relay{short}"
+    )
     group = min(GROUP, counts[-1])
-    print(f"cores {sorted(cores())} for relay or splicer, nodes and submitters, each of which runs on one at a time\n"
-          "hop: share of a core of the relay or splicer; hopw, stiw: part of the time that it, or a stand-in, waited\n"
-          "for a core while others had it; lag: how late lines left (99 %); tail: the median of the last quarter;\n"
-          "lines leave in ticks of 1 ms, on connections in turn; delays count from when a line was due")  # fmt: skip
+    print(
+        f"cores {sorted(cores())} for relay or splicer, nodes and submitters, each of which runs on one at a time\n"
+        "hop: share of a core of the relay or splicer; hopw, stiw: part of the time that it, or a stand-in, waited\n"
+        "for a core while others had it; lag: how late lines left (99 %); tail: the median of the last quarter;\n"
+        "lines leave in ticks of 1 ms, on connections in turn; delays count from when a line was due"
+    )
     with terminable(), tempfile.TemporaryDirectory(prefix="capacity-") as name, ExitStack() as stack:
         folder = Path(name)
 
@@ -488,9 +531,17 @@
     return report(found, plain, held, above, plain_row, bursts, plain_bursts, background, line)
 
 
-def report(found: Found, plain: Found, held: Row | None, above: Row | None, plain_row: Row,
-           bursts: list[dict[str, Any]], plain_bursts: list[dict[str, Any]], background: float,
-           line: int) -> dict[str, Any]:  # fmt: skip
+def report(
+    found: Found,
+    plain: Found,
+    held: Row | None,
+    above: Row | None,
+    plain_row: Row,
+    bursts: list[dict[str, Any]],
+    plain_bursts: list[dict[str, Any]],
+    background: float,
+    line: int,
+) -> dict[str, Any]:
     def each(one: Found) -> tuple[float, float]:
         """kB a connection, and microseconds of a resting connection and second."""
         return slope(one.connections, one.pss_kb), max(0.0, slope(one.connections, one.rest_us_s))
@@ -514,29 +565,48 @@
         ("us a line and its echo", found.us_echo, plain.us_echo),
         ("us at rest, connection and s", us_beat, plain_beat),
         ("p99 ms at the held rate", high.delays["p99_ms"], plain_row.delays["p99_ms"]),
-        ("last of the burst, worst, ms", max((b["last_ms"] for b in bursts), default=0.0),
-         max((b["last_ms"] for b in plain_bursts), default=0.0)),
-    ]:  # fmt: skip
+        (
+            "last of the burst, worst, ms",
+            max((b["last_ms"] for b in bursts), default=0.0),
+            max((b["last_ms"] for b in plain_bursts), default=0.0),
+        ),
+    ]:
         print(f"  {what:32} {own:7.2f} {bare:9.2f} " + (f"{own / bare:7.2f}" if bare > 0.005 else "      -"))
-    print(f"  {ASKED_LINES_S:,.0f} lines/s asked: p99 {asked.delays['p99_ms']:.0f} ms, " +
-          ("held" if asked.holds else "not held") + "; highest rate held: " +
-          (f"{held.rate:,.0f} lines/s, p99 {held.delays['p99_ms']:.0f} ms" if held else "none") +
-          f" (bound above it: {bound})")  # fmt: skip
+    print(
+        f"  {ASKED_LINES_S:,.0f} lines/s asked: p99 {asked.delays['p99_ms']:.0f} ms, "
+        + ("held" if asked.holds else "not held")
+        + "; highest rate held: "
+        + (f"{held.rate:,.0f} lines/s, p99 {held.delays['p99_ms']:.0f} ms" if held else "none")
+        + f" (bound above it: {bound})"
+    )
     return {
-        "line_bytes": line, "connections": found.connections, "kb_connection": round(kb, 2),
-        "pss_kb": found.pss_kb, "rss_kb": found.rss_kb, "us_line": [round(us, 2) for us in found.us_line],
-        "us_line_held": round(us_line_high, 2), "us_setup": [round(us, 1) for us in found.us_setup],
-        "us_end": round(found.us_end, 1), "us_echo": round(found.us_echo, 1), "us_beat": round(us_beat, 3),
-        "lines_s": round(held.rate) if held else 0, "p99_ms": round(held.delays["p99_ms"], 1) if held else None,
-        "bound": bound, "asked_held": asked.holds, "asked_p99_ms": round(asked.delays["p99_ms"], 1),
+        "line_bytes": line,
+        "connections": found.connections,
+        "kb_connection": round(kb, 2),
+        "pss_kb": found.pss_kb,
+        "rss_kb": found.rss_kb,
+        "us_line": [round(us, 2) for us in found.us_line],
+        "us_line_held": round(us_line_high, 2),
+        "us_setup": [round(us, 1) for us in found.us_setup],
+        "us_end": round(found.us_end, 1),
+        "us_echo": round(found.us_echo, 1),
+        "us_beat": round(us_beat, 3),
+        "lines_s": round(held.rate) if held else 0,
+        "p99_ms": round(held.delays["p99_ms"], 1) if held else None,
+        "bound": bound,
+        "asked_held": asked.holds,
+        "asked_p99_ms": round(asked.delays["p99_ms"], 1),
         "search": [[round(r.rate), round(r.delays["p99_ms"], 1), r.holds] for r in rows],
-        "burst_ms": [round(b["last_ms"], 1) for b in bursts], "burst_background_lines_s": round(background),
+        "burst_ms": [round(b["last_ms"], 1) for b in bursts],
+        "burst_background_lines_s": round(background),
         "burst_others_p99_ms": [round(b["others_p99_ms"], 1) for b in bursts],
-        "splicer_us_line": [round(us, 2) for us in plain.us_line], "splicer_us_line_held": round(plain_high, 2),
-        "splicer_kb_connection": round(plain_kb, 2), "splicer_us_setup": [round(us, 1) for us in plain.us_setup],
+        "splicer_us_line": [round(us, 2) for us in plain.us_line],
+        "splicer_us_line_held": round(plain_high, 2),
+        "splicer_kb_connection": round(plain_kb, 2),
+        "splicer_us_setup": [round(us, 1) for us in plain.us_setup],
         "splicer_p99_ms": round(plain_row.delays["p99_ms"], 1),
         "splicer_burst_ms": [round(b["last_ms"], 1) for b in plain_bursts],
-    } | extrapolate(found, kb, us_beat, us_line_high)  # fmt: skip
+    } | extrapolate(found, kb, us_beat, us_line_high)
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
--- a/benchmarks/capacity/hollow.py
+++ b/benchmarks/capacity/hollow.py
@@ -89,10 +89,17 @@
     sent, came, signals = counts["sent"], counts["came"], looks * others
     whole = counts["sent_bytes"] + counts["came_bytes"] + HEADER * (sent + came)
     members = 2 * (counts["sent_bytes"] - counts["signal_bytes"] + HEADER * (sent - signals))
-    return {key: value / seconds / relays for key, value in (
-        ("bytes_per_s", whole), ("sent_bytes_per_s", counts["sent_bytes"] + HEADER * sent),
-        ("came_bytes_per_s", counts["came_bytes"] + HEADER * came), ("datagrams_per_s", sent + came),
-        ("members_bytes_per_s", members), ("members_datagrams_per_s", 2 * (sent - signals)))}  # fmt: skip
+    return {
+        key: value / seconds / relays
+        for key, value in (
+            ("bytes_per_s", whole),
+            ("sent_bytes_per_s", counts["sent_bytes"] + HEADER * sent),
+            ("came_bytes_per_s", counts["came_bytes"] + HEADER * came),
+            ("datagrams_per_s", sent + came),
+            ("members_bytes_per_s", members),
+            ("members_datagrams_per_s", 2 * (sent - signals)),
+        )
+    }
 
 
 def play(day: Day) -> dict[str, float]:
@@ -119,11 +126,15 @@
     others = list(world.others.values())
     spent = min(played_again(peers[0].made, events, start) for _ in range(3)) / day.window_s
     untold = [sum(len(c.keys) for c in peer.core.signals.own.told if not c.times) for peer in peers]
-    found |= {"core_cpu": spent, "cpu_share": spent + counts["sent"] / day.relays / day.window_s * datagram_s(),
-              "memory_mb": deep_kb([peers[0].core.members.table, peers[0].core.signals, peers[0].core.pings]) / 1024.0,
-              "age_s": fmean(o.age_ms / 1000.0 for o in others), "heard": fmean(o.heard for o in others),
-              "untold": fmean(untold),  # changes that no word has told yet
-              "beat_s": day.window_s * day.relays / max(world.looks.total(), 1)}  # fmt: skip
+    found |= {
+        "core_cpu": spent,
+        "cpu_share": spent + counts["sent"] / day.relays / day.window_s * datagram_s(),
+        "memory_mb": deep_kb([peers[0].core.members.table, peers[0].core.signals, peers[0].core.pings]) / 1024.0,
+        "age_s": fmean(o.age_ms / 1000.0 for o in others),
+        "heard": fmean(o.heard for o in others),
+        "untold": fmean(untold),  # changes that no word has told yet
+        "beat_s": day.window_s * day.relays / max(world.looks.total(), 1),
+    }
     killed = range(day.relays - max(1, min(3, day.relays // CELL)), day.relays)
     names, knew, began = {peers[index].core.members.me.name for index in killed}, list[float](), world.clock.seconds
     for index in killed:
@@ -180,8 +191,9 @@
         self.holds: Holds = {node: (1, 100.0) for node in self.random.sample(range(1, NODES + 1), HELD)}
         self.front = Front(lambda data, source: self.pump.post(Came(data, source)))
         self.core = Peers(self.settings, f"r{index}", 1, self.random.randrange(1 << 32), self.now())
-        self.pump = PeerPump(self.core, self.now, self._after, self._send, self._own, lambda others: None,
-                             lambda text, bounded: None)  # fmt: skip
+        self.pump = PeerPump(
+            self.core, self.now, self._after, self._send, self._own, lambda others: None, lambda text, bounded: None
+        )
         self.looks = 0
         self.knew = -1.0  # when it knew that the silenced one has ended
 
@@ -258,12 +270,17 @@
         took, spent = time.monotonic() - began, time.process_time() - spent
         late.sort()
         found: dict[str, Any] = {
-            "counts": sum((relay.core.counts for relay in relays), Counter[str]()), "took": took, "cpu": spent,
+            "counts": sum((relay.core.counts for relay in relays), Counter[str]()),
+            "took": took,
+            "cpu": spent,
             "signals": sum(relay.looks * sockets.others(relay.index) for relay in relays),
-            "late_ms": late[int(0.99 * len(late))], "late_most_ms": late[-1],
+            "late_ms": late[int(0.99 * len(late))],
+            "late_most_ms": late[-1],
             "heard": [sum(heard.counted for heard in relay.core.signals.heard.values()) for relay in relays],
-            "ages": [h.age(relay.now()) / 1000.0 for relay in relays for h in relay.core.signals.heard.values()
-                     if h.counted]}  # fmt: skip
+            "ages": [
+                h.age(relay.now()) / 1000.0 for relay in relays for h in relay.core.signals.heard.values() if h.counted
+            ],
+        }
         silence = time.monotonic()
         for relay in relays:
             if relay.index == sockets.silenced:
@@ -295,13 +312,30 @@
         return runner.run(_held(*task))
 
 
-def on_sockets(relays: int, cells: int, processes: int, seed: int, warm_s: float, window_s: float,
-               changes: tuple[tuple[str, Any], ...] = ()) -> dict[str, Any]:  # fmt: skip
+def on_sockets(
+    relays: int,
+    cells: int,
+    processes: int,
+    seed: int,
+    warm_s: float,
+    window_s: float,
+    changes: tuple[tuple[str, Any], ...] = (),
+) -> dict[str, Any]:
     """Figures of one relay on real sockets, and how far the machine was from being the bottleneck. Raises OSError where
     an address is taken."""
     me, context = os.getpid(), get_context("spawn")
-    sockets = Sockets(relays, cells, processes, seed, warm_s, window_s, 16 + me % 200, 20_000 + me % 10_000,
-                      time.monotonic() + 1.2 + relays / 200.0, changes)  # fmt: skip
+    sockets = Sockets(
+        relays,
+        cells,
+        processes,
+        seed,
+        warm_s,
+        window_s,
+        16 + me % 200,
+        20_000 + me % 10_000,
+        time.monotonic() + 1.2 + relays / 200.0,
+        changes,
+    )
     with ProcessPoolExecutor(processes, context, _share, (context.Value("i", 0),)) as pool:
         parts = list(pool.map(held, [(sockets, part) for part in range(processes)]))
     counts = sum((part["counts"] for part in parts), Counter[str]())
@@ -313,14 +347,19 @@
     found: dict[str, Any] = {"relays": relays, "cells": cells, "processes": processes}
     found |= per_relay(counts, sum(part["signals"] for part in parts), relays, 1, took)
     return found | {
-        "cpu_share": cpu / took / relays, "age_s": fmean(ages) if ages else -1.0,
+        "cpu_share": cpu / took / relays,
+        "age_s": fmean(ages) if ages else -1.0,
         "heard": fmean(heard for part in parts for heard in part["heard"]),
         "known_s": max(knew) - silence if knew and min(knew) > 0.0 else -1.0,
-        "busiest": max(part["cpu"] / part["took"] for part in parts), "late_ms": late,
-        "late_most_ms": max(part["late_most_ms"] for part in parts), "load": os.getloadavg()[0],
-        "suspicions": counts["suspicions"], "lost": counts["sent"] - counts["came"],
+        "busiest": max(part["cpu"] / part["took"] for part in parts),
+        "late_ms": late,
+        "late_most_ms": max(part["late_most_ms"] for part in parts),
+        "load": os.getloadavg()[0],
+        "suspicions": counts["suspicions"],
+        "lost": counts["sent"] - counts["came"],
         "strangers": counts["dropped_another_cluster"],
-        "machine_bound": late > LATE_MOST_MS}  # fmt: skip
+        "machine_bound": late > LATE_MOST_MS,
+    }
 
 
 def cells_of(relays: int) -> list[int]:
--- a/benchmarks/capacity/slopes.py
+++ b/benchmarks/capacity/slopes.py
@@ -39,7 +39,11 @@
 WRONG, FLAT, PLAIN = 0.15, 0.10, 0.05
 QUANTITIES = ("bytes_per_s", "datagrams_per_s", "members_bytes_per_s", "cpu_share", "memory_mb", "age_s", "known_s")
 FORMS: dict[str, Callable[[float], float]] = {
-    "constant": lambda n: 0.0, "linear": float, "log n": log2, "n log n": lambda n: n * log2(n)}  # fmt: skip
+    "constant": lambda n: 0.0,
+    "linear": float,
+    "log n": log2,
+    "n log n": lambda n: n * log2(n),
+}
 PROCESSES = 3
 CELL_BYTES = 1800.0  # bytes_per_s of the peers' settings in a cell: with changes at 10 a second all fits in 8 KB/s
 CELL_CHANGES: tuple[tuple[str, Any], ...] = (("bytes_per_s", CELL_BYTES), ("cluster", "cell"))
@@ -49,12 +53,24 @@
 CELL_WINDOW_S = {"small": 6.0}
 LOST_RELAYS, LOST_CELL, LOST_SEEDS = 40, 10, 6
 # Relays, in cells or not, processes.
-SOCKETS = {"small": ((12, True, 2),), "machine": ((50, True, 2), (100, True, 2), (200, True, 4), (400, True, 8),
-           (800, True, 12), (50, False, 3), (100, False, 6), (200, False, 10))}  # fmt: skip
+SOCKETS = {
+    "small": ((12, True, 2),),
+    "machine": (
+        (50, True, 2),
+        (100, True, 2),
+        (200, True, 4),
+        (400, True, 8),
+        (800, True, 12),
+        (50, False, 3),
+        (100, False, 6),
+        (200, False, 10),
+    ),
+}
 TABLE_KEYS = (1000, 4000, 16_000, 64_000)
 for _name in list(signals.BASES):  # the same fleets with relays that hear a cell only
     signals.BASES[f"{_name}, cells"] = replace(
-        signals.BASES[_name], peer_keys=(("cell", LOST_CELL), ("bytes_per_s", CELL_BYTES)))  # fmt: skip
+        signals.BASES[_name], peer_keys=(("cell", LOST_CELL), ("bytes_per_s", CELL_BYTES))
+    )
 
 
 @dataclass(frozen=True, slots=True)
@@ -84,13 +100,20 @@
 def shown(rows: Sequence[dict[str, Any]], keys: Sequence[str]) -> None:
     print("  ".join(f"{key:>8}" for key in keys))
     for row in rows:
-        print("  ".join(f"{f'{v:.4g}' if isinstance(v := row.get(key, ''), float) else v!s:>{max(len(key), 8)}}"
-                        for key in keys), flush=True)  # fmt: skip
+        print(
+            "  ".join(
+                f"{f'{v:.4g}' if isinstance(v := row.get(key, ''), float) else v!s:>{max(len(key), 8)}}" for key in keys
+            ),
+            flush=True,
+        )
 
 
 def exceeded(what: str, row: dict[str, Any]) -> list[str]:
-    return [f"{what}: {key} is {row[key]:.4g}, {most:g} are allowed" for key, most in ALLOWED.items()
-            if key in row and row[key] > most]  # fmt: skip
+    return [
+        f"{what}: {key} is {row[key]:.4g}, {most:g} are allowed"
+        for key, most in ALLOWED.items()
+        if key in row and row[key] > most
+    ]
 
 
 def slopes(rows: list[dict[str, Any]]) -> dict[str, dict[str, Any]]:
@@ -100,10 +123,17 @@
         fit = fitted([row["relays"] for row in rows[:-1]], [row[key] for row in rows[:-1]])
         told = fit.at(check["relays"])
         error = told / check[key] - 1.0 if check[key] else 0.0
-        found[key] = {"form": fit.form, "first": fit.first, "slope": fit.slope, "residual": fit.residual,
-                      "told": told, "measured": check[key], "error": round(error, 4),
-                      "verdict": "wrong" if abs(error) > WRONG else "holds",
-                      "ahead": fit.at(AHEAD) if abs(error) <= WRONG else None}  # fmt: skip
+        found[key] = {
+            "form": fit.form,
+            "first": fit.first,
+            "slope": fit.slope,
+            "residual": fit.residual,
+            "told": told,
+            "measured": check[key],
+            "error": round(error, 4),
+            "verdict": "wrong" if abs(error) > WRONG else "holds",
+            "ahead": fit.at(AHEAD) if abs(error) <= WRONG else None,
+        }
     return found
 
 
@@ -116,11 +146,14 @@
             broken.append(f"each to all, {row['relays']} relays: not all know that one was killed")
     found = slopes(rows)
     print(f"\nFits; `ahead` is worked out at {AHEAD} relays, not measured, and only by a fit that holds")
-    shown([{"quantity": key} | fit for key, fit in found.items()],
-          ("quantity", "form", "first", "slope", "residual", "told", "measured", "error", "verdict",
-           "ahead"))  # fmt: skip
-    over += exceeded(f"each to all, {AHEAD} relays as the fits have it",
-                     {key: fit["ahead"] for key, fit in found.items() if fit["ahead"] is not None})  # fmt: skip
+    shown(
+        [{"quantity": key} | fit for key, fit in found.items()],
+        ("quantity", "form", "first", "slope", "residual", "told", "measured", "error", "verdict", "ahead"),
+    )
+    over += exceeded(
+        f"each to all, {AHEAD} relays as the fits have it",
+        {key: fit["ahead"] for key, fit in found.items() if fit["ahead"] is not None},
+    )
     return found
 
 
@@ -128,14 +161,22 @@
     rows = list[dict[str, Any]]()
     for relays, cells in played.items():
         row = {key: sum(cell[key] * cell["relays"] for cell in cells) / relays for key in cells[0]}
-        rows.append(row | {"relays": relays, "cells": len(cells), "load": cells[-1]["load"],
-                           "known_most_s": max(cell["known_most_s"] for cell in cells),
-                           "errors": {key: stdev([cell[key] for cell in cells]) / sqrt(len(cells)) for key in ALLOWED},
-                           "all_know": min(cell["known_most_s"] for cell in cells) >= 0.0,
-                           "most_bytes_per_s": max(cell["bytes_per_s"] for cell in cells)})  # fmt: skip
+        rows.append(
+            row
+            | {
+                "relays": relays,
+                "cells": len(cells),
+                "load": cells[-1]["load"],
+                "known_most_s": max(cell["known_most_s"] for cell in cells),
+                "errors": {key: stdev([cell[key] for cell in cells]) / sqrt(len(cells)) for key in ALLOWED},
+                "all_know": min(cell["known_most_s"] for cell in cells) >= 0.0,
+                "most_bytes_per_s": max(cell["bytes_per_s"] for cell in cells),
+            }
+        )
     print(f"\nIn cells of {CELL} at most on the virtual clock, bytes_per_s {CELL_BYTES:g}, one relay; all are played")
-    shown(rows, ("relays", "cells", *QUANTITIES, "known_most_s", "most_bytes_per_s", "heard", "beat_s", "untold",
-                 "load"))  # fmt: skip
+    shown(
+        rows, ("relays", "cells", *QUANTITIES, "known_most_s", "most_bytes_per_s", "heard", "beat_s", "untold", "load")
+    )
     for row in rows:
         name = f"cells, {row['relays']} relays"
         missed = exceeded(name, row) + exceeded(f"{name}, worst cell", {"bytes_per_s": row["most_bytes_per_s"]})
@@ -143,17 +184,24 @@
         broken += missed
         if not row["all_know"]:
             broken.append(f"{name}: not all know that one was killed")
-        broken += [f"{name}: {key} is {row[key]:.4g}, at {rows[0]['relays']} relays it is {rows[0][key]:.4g}: not flat"
-                   for key in ALLOWED if abs(row[key] - rows[0][key]) > FLAT * rows[0][key]
-                   + 2.0 * sqrt(row["errors"][key] ** 2 + rows[0]["errors"][key] ** 2)]  # fmt: skip
+        broken += [
+            f"{name}: {key} is {row[key]:.4g}, at {rows[0]['relays']} relays it is {rows[0][key]:.4g}: not flat"
+            for key in ALLOWED
+            if abs(row[key] - rows[0][key])
+            > FLAT * rows[0][key] + 2.0 * sqrt(row["errors"][key] ** 2 + rows[0]["errors"][key] ** 2)
+        ]
     return rows
 
 
 def lost(pool: Executor, seed: int, broken: list[str]) -> Callable[[], list[dict[str, Any]]]:
     """What hearing only a cell costs: the parts of the way from off to bound that are closed."""
     ways = (("", "off"), ("", "bound"), ("", "on"), (", cells", "on"))
-    tasks = [(name + cells, LOST_RELAYS, way, 1000 * seed + n) for name in ("asked", "probed") for cells, way in ways
-             for n in range(LOST_SEEDS)]  # fmt: skip
+    tasks = [
+        (name + cells, LOST_RELAYS, way, 1000 * seed + n)
+        for name in ("asked", "probed")
+        for cells, way in ways
+        for n in range(LOST_SEEDS)
+    ]
     days = [pool.submit(signals.one, task) for task in tasks]
 
     def told() -> list[dict[str, Any]]:
@@ -169,13 +217,28 @@
         for name in ("asked", "probed"):
             off, whole = mean[name, "off"], mean[name, "bound"] - mean[name, "off"]
             cells = (f"{name}, cells", "on")
-            parts = [(got - low) / (high - low) for got, low, high in zip(
-                figures[cells], figures[name, "off"], figures[name, "bound"], strict=True)]  # fmt: skip
-            rows.append({"fleet": name, "relays": LOST_RELAYS, "cell": LOST_CELL, "seeds": LOST_SEEDS, "off": off,
-                         "bound": mean[name, "bound"], "all": mean[name, "on"], "cells": mean[cells],
-                         "closed_all": (mean[name, "on"] - off) / whole, "closed_cells": (mean[cells] - off) / whole,
-                         "least": min(parts), "most": max(parts), "age_all_s": fmean(ages[name, "on"]),
-                         "age_cells_s": fmean(ages[cells])})  # fmt: skip
+            parts = [
+                (got - low) / (high - low)
+                for got, low, high in zip(figures[cells], figures[name, "off"], figures[name, "bound"], strict=True)
+            ]
+            rows.append(
+                {
+                    "fleet": name,
+                    "relays": LOST_RELAYS,
+                    "cell": LOST_CELL,
+                    "seeds": LOST_SEEDS,
+                    "off": off,
+                    "bound": mean[name, "bound"],
+                    "all": mean[name, "on"],
+                    "cells": mean[cells],
+                    "closed_all": (mean[name, "on"] - off) / whole,
+                    "closed_cells": (mean[cells] - off) / whole,
+                    "least": min(parts),
+                    "most": max(parts),
+                    "age_all_s": fmean(ages[name, "on"]),
+                    "age_cells_s": fmean(ages[cells]),
+                }
+            )
         print("\nWhat cells lose: share of the worth served; the part of the way from off to bound closed")
         shown(rows, tuple(rows[0]))
         return rows
@@ -221,14 +284,25 @@
             slope, first = linear_regression(sizes, values)
             off = sqrt(fmean((first + slope * n - value) ** 2 for n, value in zip(sizes, values, strict=True)))
             ahead = first + AHEAD * slope
-            rows.append({"bytes of": what, "machines out": machines} | dict(zip(map(str, sizes), values, strict=True)) |
-                        {"a relay": slope, "residual": off / fmean(values), "ahead": ahead,
-                         "datagrams": ceil(ahead / PART) if what == "message" else "",
-                         "told_mb": ahead * (AHEAD - 1) / 1e6 if what == "message" else ""})  # fmt: skip
+            rows.append(
+                {"bytes of": what, "machines out": machines}
+                | dict(zip(map(str, sizes), values, strict=True))
+                | {
+                    "a relay": slope,
+                    "residual": off / fmean(values),
+                    "ahead": ahead,
+                    "datagrams": ceil(ahead / PART) if what == "message" else "",
+                    "told_mb": ahead * (AHEAD - 1) / 1e6 if what == "message" else "",
+                }
+            )
     print(f"\nTurns' state, bytes over registered relays; `ahead` is worked out at {AHEAD} relays, not measured")
     shown(rows, tuple(rows[0]))
-    over += [f"turns, {AHEAD} relays, {row['machines out']} machines out: one change is {row['told_mb']:.0f} MB "
-             "from the relay that settles it" for row in rows if row["bytes of"] == "message"]  # fmt: skip
+    over += [
+        f"turns, {AHEAD} relays, {row['machines out']} machines out: one change is {row['told_mb']:.0f} MB "
+        "from the relay that settles it"
+        for row in rows
+        if row["bytes of"] == "message"
+    ]
     if AHEAD > RELAYS_MOST:
         over.append(f"turns: {RELAYS_MOST} relays may register, {AHEAD} are ahead")
     return rows
@@ -239,8 +313,10 @@
     node is one, and each group there one more."""
     rows = list[dict[str, Any]]()
     for nodes, groups in [(nodes, 0) for nodes in TABLE_KEYS] + [(1000, 4), (4000, 4)]:
-        keys = [*range(1, nodes + 1), *(group_key(node, group) for node in range(1, nodes + 1)
-                                        for group in range(1, groups + 1))]  # fmt: skip
+        keys = [
+            *range(1, nodes + 1),
+            *(group_key(node, group) for node in range(1, nodes + 1) for group in range(1, groups + 1)),
+        ]
         teller, hearer = OwnWord(), Signals()
         teller.signal(Own({key: (1 + key % 9, 100.0 + key % 500) for key in keys}), 0.0)
         words = teller.whole()
@@ -248,8 +324,16 @@
         for at, word in enumerate(words):
             hearer.told("r1", 1, at, word, float(at))
         hearer.others(float(len(words)), 2, 0)
-        rows.append({"nodes": nodes, "groups": groups, "keys": len(keys), "kept": len(hearer.heard["r1"].holds),
-                     "datagrams": len(words), "kb": deep_kb(hearer)})  # fmt: skip
+        rows.append(
+            {
+                "nodes": nodes,
+                "groups": groups,
+                "keys": len(keys),
+                "kept": len(hearer.heard["r1"].holds),
+                "datagrams": len(words),
+                "kb": deep_kb(hearer),
+            }
+        )
         if len(keys) > KEYS_MOST:
             over.append(f"signals: {len(keys)} keys, {rows[-1]['kept']} are told and kept")
     print("\nPeers' table of signals: one relay heard, all that it holds told once")
@@ -261,20 +345,39 @@
     return play(day) | {"relays": day.relays, "load": os.getloadavg()[0]}
 
 
-def run(seed: int, size: str, relays: int | None, plot: str | None, broken: list[str],
-        each: bool = True) -> dict[str, Any]:  # fmt: skip
+def run(
+    seed: int, size: str, relays: int | None, plot: str | None, broken: list[str], each: bool = True
+) -> dict[str, Any]:
     """relays: the size by which the fits are checked; an eighth, a quarter and a half of it are fitted. each: each to
     all is played as well, which takes most of the time."""
     over, points = list[str](), POINTS[size]
     if relays is not None:
         points = tuple(max(4, relays // part) for part in (8, 4, 2)) + (relays,)
-    day = Day(0, 1000 * seed, held=HELD_AT.get(size, HELD), window_s=3.0 if size == "small" else 8.0,
-              warm_s=3.0 if size == "small" else 6.0)  # fmt: skip
+    day = Day(
+        0,
+        1000 * seed,
+        held=HELD_AT.get(size, HELD),
+        window_s=3.0 if size == "small" else 8.0,
+        warm_s=3.0 if size == "small" else 6.0,
+    )
     with ProcessPoolExecutor(PROCESSES) as pool:
         alone = [pool.submit(timed, replace(day, relays=n)) for n in reversed(points)] if each else []
-        parts = {n: [pool.submit(timed, replace(day, relays=cell, seed=day.seed + 1 + number, changes=CELL_CHANGES,
-                                                window_s=CELL_WINDOW_S.get(size, 20.0)))
-                     for number, cell in enumerate(cells_of(n))] for n in CELLS[size]}  # fmt: skip
+        parts = {
+            n: [
+                pool.submit(
+                    timed,
+                    replace(
+                        day,
+                        relays=cell,
+                        seed=day.seed + 1 + number,
+                        changes=CELL_CHANGES,
+                        window_s=CELL_WINDOW_S.get(size, 20.0),
+                    ),
+                )
+                for number, cell in enumerate(cells_of(n))
+            ]
+            for n in CELLS[size]
+        }
         told = None if size == "small" else lost(pool, seed, broken)
         sockets = sockets_of(seed, size, over, broken) if size == "small" else []
         rows = [future.result() for future in reversed(alone)]
@@ -292,10 +395,22 @@
     if plot and each:
         draw(rows, fits, cells, plot)
     lists = {key: [round(row[key], 5) for row in rows] for key in QUANTITIES}
-    return {"relays": [row["relays"] for row in rows]} | lists | {
-        "control_memory_mb": lists["memory_mb"],  # the last line has the machine's under the other name
-        "fit_error": {key: fit["error"] for key, fit in fits.items()}, "fits": fits, "over": over, "all": rows,
-        "cells": cells, "lost": losses, "sockets": sockets, "turns_state": turns, "signal_table": table}  # fmt: skip
+    return (
+        {"relays": [row["relays"] for row in rows]}
+        | lists
+        | {
+            "control_memory_mb": lists["memory_mb"],  # the last line has the machine's under the other name
+            "fit_error": {key: fit["error"] for key, fit in fits.items()},
+            "fits": fits,
+            "over": over,
+            "all": rows,
+            "cells": cells,
+            "lost": losses,
+            "sockets": sockets,
+            "turns_state": turns,
+            "signal_table": table,
+        }
+    )
 
 
 def sockets_of(seed: int, size: str, over: list[str], broken: list[str], each: bool = True) -> list[dict[str, Any]]:
@@ -303,19 +418,40 @@
     for relays, celled, processes in [row for row in SOCKETS[size] if each or row[1]]:
         cells = len(cells_of(relays)) if celled else 1
         warm, window = (3.0, 2.0) if size == "small" else (6.0 + relays / cells / 20.0, 12.0)
-        row = on_sockets(relays, cells, processes, seed, warm, window,
-                         (("bytes_per_s", CELL_BYTES),) if celled else ())  # fmt: skip
+        row = on_sockets(relays, cells, processes, seed, warm, window, (("bytes_per_s", CELL_BYTES),) if celled else ())
         rows.append({"way": "cells" if celled else "each to all"} | row)
         real_sockets(row, celled, over, broken)
     return rows
 
 
 def shown_sockets(rows: list[dict[str, Any]]) -> None:
-    print("\nOn real sockets, one relay; `late_ms`: of the event loops, 99 of 100 looks; `busiest`: the greatest "
-          "share of a core\nthat one process took; `load`: of the machine, all that runs there")  # fmt: skip
-    shown(rows, ("way", "relays", "cells", "processes", "bytes_per_s", "datagrams_per_s", "members_bytes_per_s",
-                 "cpu_share", "age_s", "heard", "known_s", "busiest", "late_ms", "late_most_ms", "lost", "suspicions",
-                 "load", "machine_bound"))  # fmt: skip
+    print(
+        "\nOn real sockets, one relay; `late_ms`: of the event loops, 99 of 100 looks; `busiest`: the greatest "
+        "share of a core\nthat one process took; `load`: of the machine, all that runs there"
+    )
+    shown(
+        rows,
+        (
+            "way",
+            "relays",
+            "cells",
+            "processes",
+            "bytes_per_s",
+            "datagrams_per_s",
+            "members_bytes_per_s",
+            "cpu_share",
+            "age_s",
+            "heard",
+            "known_s",
+            "busiest",
+            "late_ms",
+            "late_most_ms",
+            "lost",
+            "suspicions",
+            "load",
+            "machine_bound",
+        ),
+    )
 
 
 def draw(rows: list[dict[str, Any]], fits: dict[str, dict[str, Any]], cells: list[dict[str, Any]], path: str) -> None:
--- a/benchmarks/capacity/sockets.py
+++ b/benchmarks/capacity/sockets.py
@@ -47,8 +47,10 @@
 
 def machines_at(port: int) -> tuple[Machine, ...]:
     """As in the model, on the loopback network."""
-    return tuple(Machine(m.name, (f"127.30.{n + 1}.1", port), m.zone, m.region, m.voter)
-                 for n, m in enumerate(controllers_of(11, 5)))  # fmt: skip
+    return tuple(
+        Machine(m.name, (f"127.30.{n + 1}.1", port), m.zone, m.region, m.voter)
+        for n, m in enumerate(controllers_of(11, 5))
+    )
 
 
 def relay_at(number: int, port: int) -> tuple[Address, str]:
@@ -140,9 +142,17 @@
             self.voter = Voter(kept, self.file.store, self.now)
         self.disk = ThreadPoolExecutor(1)
         self.answers: list[tuple[int, int, str, float]] = []
-        self.core = Controller(machine, machines, first, self.voter.kept.identity if self.voter else "",
-                               self.voter.kept.state if self.voter else first, self.link.life, check,
-                               int.from_bytes(os.urandom(4), "big"), self.now())  # fmt: skip
+        self.core = Controller(
+            machine,
+            machines,
+            first,
+            self.voter.kept.identity if self.voter else "",
+            self.voter.kept.state if self.voter else first,
+            self.link.life,
+            check,
+            int.from_bytes(os.urandom(4), "big"),
+            self.now(),
+        )
 
     def effect(self, effect: Any) -> None:
         if isinstance(effect, Vote) and self.voter is not None:
@@ -230,8 +240,9 @@
 
 def agents(pipe: Connection, first: int, count: int, port: int) -> None:
     machines = machines_at(port)
-    uvloop.run(_held(pipe, lambda network: [Relay(network, n, port, machines) for n in range(first, first + count)],
-                     first))  # fmt: skip
+    uvloop.run(
+        _held(pipe, lambda network: [Relay(network, n, port, machines) for n in range(first, first + count)], first)
+    )
 
 
 def controller(pipe: Connection, number: int, port: int, folder: str) -> None:
@@ -253,8 +264,9 @@
         each = -(-relays // processes)
         for number in range(11):
             self.control(number)
-        self.relays = [self._start(agents, first, min(each, relays - first), self.port)
-                       for first in range(0, relays, each)]  # fmt: skip
+        self.relays = [
+            self._start(agents, first, min(each, relays - first), self.port) for first in range(0, relays, each)
+        ]
         for pipe in [*self.relays, *self.controllers.values()]:
             self._hear(pipe)
 
@@ -309,8 +321,9 @@
         self.folder.cleanup()
 
 
-def play(relays: int, processes: int, seed: int, broken: list[str], changes: int = 10,
-         faults: Sequence[str] = FAULTS) -> dict[str, Any]:  # fmt: skip
+def play(
+    relays: int, processes: int, seed: int, broken: list[str], changes: int = 10, faults: Sequence[str] = FAULTS
+) -> dict[str, Any]:
     """Each fault in turn on one fleet; a change each half second by the controllers that live and hear a majority."""
     fleet, drawn, rows = Fleet(relays, processes), Random(f"sockets {seed}"), list[dict[str, Any]]()
     version = 0
@@ -341,22 +354,43 @@
         over = time.monotonic() - began
         told = fleet.asked("tell", fleet.relays)
         late = [one["late"][int(0.99 * len(one["late"]))] for one in told]
-        sent = [sum(count.get(key, 0) * times for key, times in (("sent_bytes", 1), ("came_bytes", 1), ("sent", 28),
-                ("came", 28))) / over for one in told for count in one["counts"]]  # fmt: skip
+        sent = [
+            sum(
+                count.get(key, 0) * times
+                for key, times in (("sent_bytes", 1), ("came_bytes", 1), ("sent", 28), ("came", 28))
+            )
+            / over
+            for one in told
+            for count in one["counts"]
+        ]
         cores = [(one["spent"] - was) / over for one, was in zip(told, spent, strict=True)]
     finally:
         fleet.close()
-    found = {"relays": relays, "processes": processes + 11, "bytes_per_s": round(sum(sent) / len(sent)),
-             "cpu_share": round(sum(cores) / relays, 6), "busiest_process": round(max(cores), 3),
-             "rss_mb_of_a_process": round(max(one["rss_kb"] for one in told) / 1024), "late_ms": round(max(late), 1),
-             "machine_bound": max(late) > LATE_MOST_MS or max(cores) > 0.7, "load": os.getloadavg()[0], "seed": seed,
-             "rows": rows}  # fmt: skip
+    found = {
+        "relays": relays,
+        "processes": processes + 11,
+        "bytes_per_s": round(sum(sent) / len(sent)),
+        "cpu_share": round(sum(cores) / relays, 6),
+        "busiest_process": round(max(cores), 3),
+        "rss_mb_of_a_process": round(max(one["rss_kb"] for one in told) / 1024),
+        "late_ms": round(max(late), 1),
+        "machine_bound": max(late) > LATE_MOST_MS or max(cores) > 0.7,
+        "load": os.getloadavg()[0],
+        "seed": seed,
+        "rows": rows,
+    }
     print("  ".join(f"{key} {value}" for key, value in found.items() if key != "rows"))
     return found
 
 
-def _row(fault: str, took: Sequence[Sequence[tuple[int, float]]], before: int, asked: Sequence[float],
-         healed: float, broken: list[str]) -> dict[str, Any]:  # fmt: skip
+def _row(
+    fault: str,
+    took: Sequence[Sequence[tuple[int, float]]],
+    before: int,
+    asked: Sequence[float],
+    healed: float,
+    broken: list[str],
+) -> dict[str, Any]:
     """healed: from when on the relays of the other region count; 0: at once."""
     last, times, older = before + len(asked), list[float](), 0
     for relay in took:
@@ -370,10 +404,18 @@
             whole.append(has - (max(at, healed) if other else at))
         times.append(max(whole))
     behind = sum(not relay or relay[-1][0] != last for relay in took)
-    row = {"fault": fault, "changes": len(asked), "p50_s": round(median(times), 3), "max_s": round(max(times), 3),
-           "behind": behind, "older": older}  # fmt: skip
+    row = {
+        "fault": fault,
+        "changes": len(asked),
+        "p50_s": round(median(times), 3),
+        "max_s": round(max(times), 3),
+        "behind": behind,
+        "older": older,
+    }
     print("  ".join(f"{key} {value}" for key, value in row.items()), flush=True)
     if max(times) > IN_FORCE_S or behind or older:
-        broken.append(f"sockets, {fault}: in force after {max(times):.2f} s at {len(took)} relays, {behind} behind, "
-                      f"{older} took an older version")  # fmt: skip
+        broken.append(
+            f"sockets, {fault}: in force after {max(times):.2f} s at {len(took)} relays, {behind} behind, "
+            f"{older} took an older version"
+        )
     return row
--- a/benchmarks/capacity/stand_in.py
+++ b/benchmarks/capacity/stand_in.py
@@ -85,8 +85,14 @@
                     if lags[-1] > LATEST_US and now_us() - now > LATEST_US:
                         break
             await asyncio.sleep(TICK_S if sent >= upto else 0)
-        return {"sent": sent, "missed": missed, "bursts": dues, "burst_size": len(group),
-                "took_s": (now_us() - start) / 1e6, "lag_ms": percentile(sorted(lags), 0.99) / 1000.0}  # fmt: skip
+        return {
+            "sent": sent,
+            "missed": missed,
+            "bursts": dues,
+            "burst_size": len(group),
+            "took_s": (now_us() - start) / 1e6,
+            "lag_ms": percentile(sorted(lags), 0.99) / 1000.0,
+        }
 
 
 class NodeEnd(End):
@@ -122,8 +128,11 @@
             known[f"n{n}"] = Node(f"n{n}", server.sockets[0].getsockname(), Random(n), 0.0)
         machines = MachineList(known, lambda relay, node: known[node].address)
         await machines.open("n0", ("127.0.0.1", 0))
-        return {"discovery": machines.servers[0].sockets[0].getsockname(), "list": machines.whole("n0"),
-                "addresses": [node.address for node in known.values()]}  # fmt: skip
+        return {
+            "discovery": machines.servers[0].sockets[0].getsockname(),
+            "list": machines.whole("n0"),
+            "addresses": [node.address for node in known.values()],
+        }
 
     async def send(self, **order: Any) -> dict[str, Any]:
         return await self.sender.send(**order)
@@ -203,8 +212,9 @@
     async def _one(self, host: str, port: int) -> bool:
         number, self.opened = self.opened, self.opened + 1
         name = GROUP if number < self.group else f"{self.random.getrandbits(60):x}"
-        first = (f"OPEN {self.random.getrandbits(64):016x} {self.random.getrandbits(64):016x} "
-                 f"c=chat,t=acme,d=8000,g={name}").encode() + END  # fmt: skip
+        first = (
+            f"OPEN {self.random.getrandbits(64):016x} {self.random.getrandbits(64):016x} c=chat,t=acme,d=8000,g={name}"
+        ).encode() + END
         end, source = SubmitterEnd(self, first), (f"127.0.0.{2 + number % 8}", 0)
         try:
             await asyncio.get_running_loop().create_connection(lambda: end, host, port, local_addr=source)
@@ -226,8 +236,12 @@
         return await self.sender.send(**order)
 
     async def standing(self) -> dict[str, Any]:
-        return {"standing": len(self.sender.ends), "broken": self.broken, "bad": self.bad,
-                "received": len(self.lines[0]) + sum(map(len, self.bursts.values()))}  # fmt: skip
+        return {
+            "standing": len(self.sender.ends),
+            "broken": self.broken,
+            "bad": self.bad,
+            "received": len(self.lines[0]) + sum(map(len, self.bursts.values())),
+        }
 
     async def begin(self) -> dict[str, Any]:
         self.lines, self.bursts = (array("q"), array("q")), {}
@@ -242,11 +256,20 @@
         bursts = []
         for at, delays in sorted(self.bursts.items()):
             others = sorted(delay for due, delay in zip(dues, taken, strict=True) if at <= due < at + 1_000_000)
-            bursts.append({"count": len(delays), "last_ms": max(delays) / 1000.0,
-                           "others_p99_ms": percentile(others, 0.99) / 1000.0})  # fmt: skip
-        return {"p50_ms": percentile(ordered, 0.5) / 1000.0, "p99_ms": percentile(ordered, 0.99) / 1000.0,
-                "tail_p50_ms": percentile(tail, 0.5) / 1000.0, "tail_p99_ms": percentile(tail, 0.99) / 1000.0,
-                "bursts": bursts}  # fmt: skip
+            bursts.append(
+                {
+                    "count": len(delays),
+                    "last_ms": max(delays) / 1000.0,
+                    "others_p99_ms": percentile(others, 0.99) / 1000.0,
+                }
+            )
+        return {
+            "p50_ms": percentile(ordered, 0.5) / 1000.0,
+            "p99_ms": percentile(ordered, 0.99) / 1000.0,
+            "tail_p50_ms": percentile(tail, 0.5) / 1000.0,
+            "tail_p99_ms": percentile(tail, 0.99) / 1000.0,
+            "bursts": bursts,
+        }
 
 
 class Spliced(asyncio.Protocol):
--- a/benchmarks/deployments.py
+++ b/benchmarks/deployments.py
@@ -21,8 +21,13 @@
 def sized(spec: FleetSpec, size: str) -> FleetSpec:
     if size != "large":
         return spec
-    return replace(spec, relays=LARGER * spec.relays, nodes=LARGER * spec.nodes, weights=LARGER * spec.weights,
-                   connections=LARGER * spec.connections)  # fmt: skip
+    return replace(
+        spec,
+        relays=LARGER * spec.relays,
+        nodes=LARGER * spec.nodes,
+        weights=LARGER * spec.weights,
+        connections=LARGER * spec.connections,
+    )
 
 
 def mean(spec: FleetSpec, trouble: str, seeds: range, broken: list[str]) -> dict[str, float]:
--- a/benchmarks/library.py
+++ b/benchmarks/library.py
@@ -92,8 +92,12 @@
     first = next((i for i, (a, b) in enumerate(zip(own, theirs, strict=False)) if a != b), None)
     if first is not None:
         print(f"first difference at choice {first}: library {own[first]}, daemon {theirs[first]}")
-    return {"identical": own == theirs, "choices": len(own), "daemon": daemon["answers"],
-            "library": played.counts()}, played  # fmt: skip
+    return {
+        "identical": own == theirs,
+        "choices": len(own),
+        "daemon": daemon["answers"],
+        "library": played.counts(),
+    }, played
 
 
 # --- a host that stalls -------------------------------------------------------------------------
@@ -148,8 +152,17 @@
 
 Scope = MutableMapping[str, Any]
 SCOPE: dict[str, Any] = {
-    "type": "http", "headers": [(b"accept", b"text/event-stream")], "path": "/", "raw_path": b"/", "query_string": b"",
-    "method": "GET", "root_path": "", "scheme": "http", "server": ("t", 80), "http_version": "1.1"}  # fmt: skip
+    "type": "http",
+    "headers": [(b"accept", b"text/event-stream")],
+    "path": "/",
+    "raw_path": b"/",
+    "query_string": b"",
+    "method": "GET",
+    "root_path": "",
+    "scheme": "http",
+    "server": ("t", 80),
+    "http_version": "1.1",
+}
 START = {"type": "http.response.start", "status": 200, "headers": []}
 
 
@@ -230,8 +243,12 @@
         "heavy=('starlette','fastapi','uvloop','httptools','msgspec');"
         "print(d*1e3,rss()-b,any(m in sys.modules for m in heavy))"
     )
-    rows = [subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, check=True, text=True)
-            .stdout.split() for _ in range(3)]  # fmt: skip
+    rows = [
+        subprocess.run(
+            [sys.executable, "-c", code], cwd=ROOT, capture_output=True, check=True, text=True
+        ).stdout.split()
+        for _ in range(3)
+    ]
     return min(float(r[0]) for r in rows), max(float(r[1]) for r in rows), any(r[2] == "True" for r in rows)
 
 
@@ -251,17 +268,28 @@
     kb, left = asyncio.run(memory(chosen.seed, 10_000))
     ms, mb, pulled = imports()
     result: dict[str, Any] = {
-        "sequence_events": events, "choices": same["choices"], "identical": same["identical"],
-        "daemon_answers": same["daemon"], "library_answers": same["library"],
+        "sequence_events": events,
+        "choices": same["choices"],
+        "identical": same["identical"],
+        "daemon_answers": same["daemon"],
+        "library_answers": same["library"],
         "second_answers": stalls["second_answers"] + same["daemon"]["second"] + same["library"]["second"],
-        "unanswered": stalls["unanswered"], "stalls": stalls["stalls"], "stall_jobs": stalls["jobs"],
-        "late_after_stall": stalls["late_after_stall"], "leaked_jobs": stalls["leaked_jobs"] + left,
-        "us_per_place": round(starlette[0], 1), "us_per_place_bare": round(starlette[1], 1),
-        "overhead_ratio": round(starlette[0] / starlette[1], 2), "us_per_place_empty": round(empty[0], 1),
-        "us_per_place_bare_empty": round(empty[1], 1), "overhead_ratio_empty": round(empty[0] / empty[1], 2),
+        "unanswered": stalls["unanswered"],
+        "stalls": stalls["stalls"],
+        "stall_jobs": stalls["jobs"],
+        "late_after_stall": stalls["late_after_stall"],
+        "leaked_jobs": stalls["leaked_jobs"] + left,
+        "us_per_place": round(starlette[0], 1),
+        "us_per_place_bare": round(starlette[1], 1),
+        "overhead_ratio": round(starlette[0] / starlette[1], 2),
+        "us_per_place_empty": round(empty[0], 1),
+        "us_per_place_bare_empty": round(empty[1], 1),
+        "overhead_ratio_empty": round(empty[0] / empty[1], 2),
         "kb_per_standing": round(kb, 2),
-        "import_ms": round(ms, 1), "import_mb": round(mb, 1), "import_pulls_framework": pulled,
-    }  # fmt: skip
+        "import_ms": round(ms, 1),
+        "import_mb": round(mb, 1),
+        "import_pulls_framework": pulled,
+    }
     for name, value in result.items():
         print(f"  {name:24} {value}")
     must = [
--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -27,9 +27,16 @@
     def __init__(self, nodes: int, seed: int, blind: bool) -> None:
         self.random, self.now, self.number = Random(seed), 1000.0, 0
         settings = Settings(
-            classes=(RequestClass(800.0, 4800.0, message_aim_ms=150.0),), max_attempts=3, retry_after=True,
-            max_retry_after_ms=2000.0, cold_share=0.31, cold_ms=9000.0, fall_multiple=3.0, fall_ms=1500.0,
-            tells_delay=not blind)  # fmt: skip
+            classes=(RequestClass(800.0, 4800.0, message_aim_ms=150.0),),
+            max_attempts=3,
+            retry_after=True,
+            max_retry_after_ms=2000.0,
+            cold_share=0.31,
+            cold_ms=9000.0,
+            fall_multiple=3.0,
+            fall_ms=1500.0,
+            tells_delay=not blind,
+        )
         self.reducer = Reducer(settings, seed, self.now)
         sizes = [self.random.choice((2.4, 4.8, 6.0)) for _ in range(nodes)]
         self.machines = [Machine(f"s-{n}", ("m", n), capacity=size) for n, size in enumerate(sizes)]
--- a/benchmarks/rebalance.py
+++ b/benchmarks/rebalance.py
@@ -55,8 +55,13 @@
         spec = replace(spec, never_back=0.85)
     if scenario == "large":
         full = size == "large"
-        spec = replace(spec, relays=100 if full else 10, nodes=2000 if full else 200,
-                       connections=200_000 if full else 20_000, load_every_s=120.0)  # fmt: skip
+        spec = replace(
+            spec,
+            relays=100 if full else 10,
+            nodes=2000 if full else 200,
+            connections=200_000 if full else 20_000,
+            load_every_s=120.0,
+        )
     return spec
 
 
@@ -161,26 +166,40 @@
     settings = RebalanceSettings()
     standing = spec.connections
     # Each relay: its rate and, at once, what one beat may take.
-    rates = [min(settings.moves_per_s, settings.share_per_s * 1.25 * standing * w / sum(fleet.weights))
-             for w in fleet.weights]  # fmt: skip
+    rates = [
+        min(settings.moves_per_s, settings.share_per_s * 1.25 * standing * w / sum(fleet.weights))
+        for w in fleet.weights
+    ]
     limit = sum(rate + max(1.0, rate * settings.beat_s) for rate in rates)
     peak = max(fleet.moves_at.values(), default=0)
     us = on.plan_s / max(on.plans, 1) * 1e6
     result: dict[str, Any] = {
-        "scenario": scenario, "relays": spec.relays, "nodes": spec.nodes, "connections": standing,
-        "imbalance": on.values, "off_imbalance": off.values or [], "at_event": round(on.at_event, 4),
-        "half_life_s": on.half_life_s, "off_half_life_s": off.half_life_s, "moves": on.moves,
-        "fewest_moves": on.fewest, "moves_per_s_peak": peak, "move_rate_limit": round(limit, 2),
-        "moves_per_submitter_max": fleet.moves_most, "fallen": fleet.counts["fallen"], "lost": fleet.lost(),
+        "scenario": scenario,
+        "relays": spec.relays,
+        "nodes": spec.nodes,
+        "connections": standing,
+        "imbalance": on.values,
+        "off_imbalance": off.values or [],
+        "at_event": round(on.at_event, 4),
+        "half_life_s": on.half_life_s,
+        "off_half_life_s": off.half_life_s,
+        "moves": on.moves,
+        "fewest_moves": on.fewest,
+        "moves_per_s_peak": peak,
+        "move_rate_limit": round(limit, 2),
+        "moves_per_submitter_max": fleet.moves_most,
+        "fallen": fleet.counts["fallen"],
+        "lost": fleet.lost(),
         "second_answers": fleet.rules.broken["one final answer"],
         "cold_ratio_peak": round(max(n.cold_ratio_peak for n in fleet.nodes.values()), 3),
         "off_cold_ratio_peak": round(max(n.cold_ratio_peak for n in off.fleet.nodes.values()), 3),
-        "served": round(on.served, 5), "off_served": round(off.served, 5) if off.values is not None else None,
+        "served": round(on.served, 5),
+        "off_served": round(off.served, 5) if off.values is not None else None,
         "us_per_plan": round(us, 1),
         "us_per_node_log_node": round(cost_growth(on), 4),
         "core_share": round(us / 1e6 / settings.beat_s, 6),
         "paused": {name: fleet.relay_counts(f"paused.{name}") for name in ("lost", "storm", "refusals", "no-effect")},
-    }  # fmt: skip
+    }
     return result, judge(scenario, result, fleet)
 
 
--- a/benchmarks/relay_cost.py
+++ b/benchmarks/relay_cost.py
@@ -76,11 +76,23 @@
         {"id": f"s-{n}", "host_port": f"127.0.0.1:{server.sockets[0].getsockname()[1]}", "phase": "ready"}
         for n, server in enumerate(backends)
     ]
-    obligations = {"drain_grace_ms": 400.0, "answer_slack_ms": 8.0, "cold_share": 0.3, "cold_ms": 9000.0,
-                   "fall_multiple": 3.0, "fall_ms": 1500.0}  # fmt: skip
+    obligations = {
+        "drain_grace_ms": 400.0,
+        "answer_slack_ms": 8.0,
+        "cold_share": 0.3,
+        "cold_ms": 9000.0,
+        "fall_multiple": 3.0,
+        "fall_ms": 1500.0,
+    }
     settings = SETTINGS | {"zone": 0, "balancers": 1, "slot_no": 0, "obligations": obligations}
-    config = {"name": "n0", "listen": f"127.0.0.1:{port}", "discovery": "127.0.0.1:9", "seed": "1",
-              "settings": settings, "known": {"revision": 1, "members": members}}  # fmt: skip
+    config = {
+        "name": "n0",
+        "listen": f"127.0.0.1:{port}",
+        "discovery": "127.0.0.1:9",
+        "seed": "1",
+        "settings": settings,
+        "known": {"revision": 1, "members": members},
+    }
     with tempfile.TemporaryDirectory() as folder:
         file = Path(folder) / "config.json"
         file.write_text(json.dumps(config))
@@ -136,8 +148,12 @@
         setup, line = f"{setup_us:.1f} us a set-up", f"{line_us:.2f} us a line there and back"
         print(f"{root}: {setup} ({setup_ratio:.3f}), {line} ({line_ratio:.3f})")
     if given.json:
-        print(json.dumps({"rounds": given.rounds, "rows": rows, "took_s": round(time.perf_counter() - started, 1)}
-                         | machine_size()))  # fmt: skip
+        print(
+            json.dumps(
+                {"rounds": given.rounds, "rows": rows, "took_s": round(time.perf_counter() - started, 1)}
+                | machine_size()
+            )
+        )
     return 0
 
 
--- a/benchmarks/signals.py
+++ b/benchmarks/signals.py
@@ -34,8 +34,17 @@
 SEEDS = {"small": {3: (16, 6), 10: (10, 5)}, "machine": {3: (80, 40), 10: (40, 24), 40: (10, 8)}, "large": {3: (16, 6)}}
 MEMBER_SEEDS = {"small": 60, "machine": 1000, "large": 200}
 # Loss and a stall of up to 3 s first, by which deaths are counted; relays by turns 3, 5 and 9.
-MEMBER_SETS = (("loss", "stall"), ("split", "loss"), ("cut", "kill"), ("oneway", "double", "reorder"), ("lost", "late"),
-               ("corrupt", "kill", "stall"), ("old",), ("mute",), ("restart", "loss"))  # fmt: skip
+MEMBER_SETS = (
+    ("loss", "stall"),
+    ("split", "loss"),
+    ("cut", "kill"),
+    ("oneway", "double", "reorder"),
+    ("lost", "late"),
+    ("corrupt", "kill", "stall"),
+    ("old",),
+    ("mute",),
+    ("restart", "loss"),
+)
 COST = {"small": (10, 100), "machine": (40, 400), "large": (200, 2000)}
 COST_S = 8.0
 CLOSED, CLOSED_LOSS, SAME = 0.7, 0.5, 0.01
@@ -44,8 +53,9 @@
 
 def sized(base: FleetSpec, relays: int) -> FleetSpec:
     times = 2 if relays > 20 else 1
-    return replace(base, relays=relays, nodes=12 * times, connections=base.connections * times, weights=(),
-                   filled=FILLED)  # fmt: skip
+    return replace(
+        base, relays=relays, nodes=12 * times, connections=base.connections * times, weights=(), filled=FILLED
+    )
 
 
 def day(deployment: str, relays: int, way: str, seed: int) -> tuple[float, float, float]:
@@ -175,38 +185,57 @@
     # One relay by itself is told again what it was told: beside 199 others its books would lie in no cache.
     # The kernel's part is added.
     spent = played_again(peers[0].made, events, start) / COST_S
-    return {"bytes": sent, "members": sent - signals, "datagrams": datagrams,
-            "cpu": spent + datagrams * datagram_s(),
-            "memory_kb": deep_kb([peers[0].core.members.table, peers[0].core.signals, peers[0].core.pings]),
-            "age_s": fmean(ages), "heard": fmean(others.heard for others in world.others.values())}  # fmt: skip
-
-
-def compared(found: dict[tuple[str, int, str, int], tuple[float, float, float]], deployment: str, relays: int,
-             broken: list[str]) -> dict[str, Any]:  # fmt: skip
+    return {
+        "bytes": sent,
+        "members": sent - signals,
+        "datagrams": datagrams,
+        "cpu": spent + datagrams * datagram_s(),
+        "memory_kb": deep_kb([peers[0].core.members.table, peers[0].core.signals, peers[0].core.pings]),
+        "age_s": fmean(ages),
+        "heard": fmean(others.heard for others in world.others.values()),
+    }
+
+
+def compared(
+    found: dict[tuple[str, int, str, int], tuple[float, float, float]], deployment: str, relays: int, broken: list[str]
+) -> dict[str, Any]:
     """One deployment at one size."""
     seeds = sorted({seed for d, n, _, seed in found if (d, n) == (deployment, relays)})
-    of = {way: [found[deployment, relays, way, s][0] for s in seeds if (deployment, relays, way, s) in found]
-          for way in WAYS}  # fmt: skip
+    of = {
+        way: [found[deployment, relays, way, s][0] for s in seeds if (deployment, relays, way, s) in found]
+        for way in WAYS
+    }
     mean = {way: fmean(values) for way, values in of.items()}
     whole = mean["bound"] - mean["off"]
 
     def closed(way: str, least: float) -> float:
         # Missed by how much, seed by seed, so that what the day brings all ways alike drops out.
-        missed = [off + least * (bound - off) - got
-                  for off, bound, got in zip(of["off"], of["bound"], of[way], strict=True)]  # fmt: skip
+        missed = [
+            off + least * (bound - off) - got for off, bound, got in zip(of["off"], of["bound"], of[way], strict=True)
+        ]
         error = stdev(missed) / sqrt(len(missed)) if len(missed) > 1 else 0.0
         if fmean(missed) > 2.0 * error:
-            broken.append(f"{deployment}, {relays} relays, {way}: {(mean[way] - mean['off']) / whole:.2f} of the way "
-                          f"closed, {least:g} is wanted")  # fmt: skip
+            broken.append(
+                f"{deployment}, {relays} relays, {way}: {(mean[way] - mean['off']) / whole:.2f} of the way "
+                f"closed, {least:g} is wanted"
+            )
         return (mean[way] - mean["off"]) / whole if abs(whole) > 1e-9 else 0.0
 
     herd = {way: fmean(found[deployment, relays, way, s][1] for s in seeds) for way in ("off", "on")}
-    return {"deployment": deployment, "relays": relays, "nodes": sized(BASES[deployment], relays).nodes,
-            "seeds": len(seeds), "off": round(mean["off"], 4), "on": round(mean["on"], 4),
-            "bound": round(mean["bound"], 4), "closed": round(closed("on", CLOSED), 3),
-            "closed_at_loss": round(closed("loss 0.3", CLOSED_LOSS), 3), "loss": 0.3,
-            "age_s": round(fmean(found[deployment, relays, "on", s][2] for s in seeds), 3),
-            "herd": round(herd["on"] / herd["off"], 3)}  # fmt: skip
+    return {
+        "deployment": deployment,
+        "relays": relays,
+        "nodes": sized(BASES[deployment], relays).nodes,
+        "seeds": len(seeds),
+        "off": round(mean["off"], 4),
+        "on": round(mean["on"], 4),
+        "bound": round(mean["bound"], 4),
+        "closed": round(closed("on", CLOSED), 3),
+        "closed_at_loss": round(closed("loss 0.3", CLOSED_LOSS), 3),
+        "loss": 0.3,
+        "age_s": round(fmean(found[deployment, relays, "on", s][2] for s in seeds), 3),
+        "herd": round(herd["on"] / herd["off"], 3),
+    }
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
@@ -214,12 +243,22 @@
     started, broken, rows = time.perf_counter(), list[str](), list[dict[str, Any]]()
     size, first = chosen.size, chosen.seed * 1000
     with ProcessPoolExecutor(len(os.sched_getaffinity(0))) as pool:
-        tasks = [(name, relays, way, first + n) for relays, (asked, probed) in sorted(SEEDS[size].items(), reverse=True)
-                 for name, seeds in (("asked", asked), ("probed", probed))
-                 for way in WAYS for n in range(seeds)]  # fmt: skip
+        tasks = [
+            (name, relays, way, first + n)
+            for relays, (asked, probed) in sorted(SEEDS[size].items(), reverse=True)
+            for name, seeds in (("asked", asked), ("probed", probed))
+            for way in WAYS
+            for n in range(seeds)
+        ]
         relays, nodes = COST[size]
-        costs = pool.map(cost, [(relays, nodes, chosen.seed, True), (relays, nodes, chosen.seed, False),
-                                (max(relays // 4, 3), nodes, chosen.seed, False)])  # fmt: skip
+        costs = pool.map(
+            cost,
+            [
+                (relays, nodes, chosen.seed, True),
+                (relays, nodes, chosen.seed, False),
+                (max(relays // 4, 3), nodes, chosen.seed, False),
+            ],
+        )
         same = pool.map(one, [(name, 3, way, first) for name in BASES for way in ("off", "mute", "old")])
         found: dict[tuple[str, int, str, int], tuple[float, float, float]] = {}
         for task, got in pool.map(one, tasks):
@@ -251,14 +290,20 @@
         broken.append(f"members do not agree {AGREE_MOST_S:g} s after the faults: seeds {late[:8]}")
     if min(detect) < 0.0 or max(detect) > DETECT_MOST_S:
         broken.append(f"a killed relay's part is gone after {max(detect):.1f} s: {DETECT_MOST_S:g} s at most")
-    print(f"{relays} relays, {nodes} nodes: {whole['bytes']:.0f} bytes/s sent by each, {whole['members']:.0f} for "
-          f"members, {whole['datagrams']:.0f} datagrams/s, {100 * whole['cpu']:.2f} % of a core, "
-          f"{whole['memory_kb']:.0f} kB, word {whole['age_s']:.2f} s old of {whole['heard']:.0f}")  # fmt: skip
-    print(f"members alone: {members['members']:.0f} bytes/s at {relays} relays, {fewer['members']:.0f} at "
-          f"{max(relays // 4, 3)}")  # fmt: skip
+    print(
+        f"{relays} relays, {nodes} nodes: {whole['bytes']:.0f} bytes/s sent by each, {whole['members']:.0f} for "
+        f"members, {whole['datagrams']:.0f} datagrams/s, {100 * whole['cpu']:.2f} % of a core, "
+        f"{whole['memory_kb']:.0f} kB, word {whole['age_s']:.2f} s old of {whole['heard']:.0f}"
+    )
+    print(
+        f"members alone: {members['members']:.0f} bytes/s at {relays} relays, {fewer['members']:.0f} at "
+        f"{max(relays // 4, 3)}"
+    )
     if size == "large" and (whole["bytes"] > BYTES_MOST or whole["cpu"] > CPU_MOST):
-        broken.append(f"{whole['bytes']:.0f} bytes/s and {100 * whole['cpu']:.2f} % of a core: "
-                      f"{BYTES_MOST:.0f} and {100 * CPU_MOST:g} % at most")  # fmt: skip
+        broken.append(
+            f"{whole['bytes']:.0f} bytes/s and {100 * whole['cpu']:.2f} % of a core: "
+            f"{BYTES_MOST:.0f} and {100 * CPU_MOST:g} % at most"
+        )
     agreed, worst = (max(agreed for _, agreed, _ in some) for some in (days, others))
     print(f"{len(others)} seeds of other sets of faults: all agree at most {worst:.1f} s after them")
     deaths = sum(deaths for *_, deaths in days)
@@ -267,10 +312,17 @@
         f"dead that ran or stood still; a killed relay's part is gone after {max(detect):.1f} s at most"
     )
     result = {key: [row[key] for row in rows] for key in rows[0]} | {
-        "bytes_per_s": round(whole["bytes"]), "members_bytes_per_s": round(members["members"]),
-        "cpu_share": round(whole["cpu"], 5), "memory_kb": round(whole["memory_kb"]), "cost_relays": relays,
-        "cost_nodes": nodes, "false_deaths": deaths, "member_seeds": len(days), "agreed_s": agreed,
-        "detect_s": max(detect)}  # fmt: skip
+        "bytes_per_s": round(whole["bytes"]),
+        "members_bytes_per_s": round(members["members"]),
+        "cpu_share": round(whole["cpu"], 5),
+        "memory_kb": round(whole["memory_kb"]),
+        "cost_relays": relays,
+        "cost_nodes": nodes,
+        "false_deaths": deaths,
+        "member_seeds": len(days),
+        "agreed_s": agreed,
+        "detect_s": max(detect),
+    }
     return finish(result, broken, started, chosen.json, chosen.seed, size)
 
 
--- a/benchmarks/soak/__main__.py
+++ b/benchmarks/soak/__main__.py
@@ -75,9 +75,15 @@
     found = ", ".join(f"{rule} {count}" for rule, count in totals.items() if count) or "none"
     covered = f"{len(pairs)} of {possible} pairs of troubles overlapped"
     print(f"{given.seeds} seeds, {requests} requests, {covered}; violations: {found}")
-    whole = {"seeds": given.seeds, "processes": given.processes, "requests": requests, "faults": dict(faults),
-             "pairs_covered": len(pairs), "pairs": sorted("+".join(sorted(pair)) for pair in pairs),
-             "violations": {rule: totals[rule] for rule in RULES}} | {rule: totals[rule] for rule in RULES}  # fmt: skip
+    whole = {
+        "seeds": given.seeds,
+        "processes": given.processes,
+        "requests": requests,
+        "faults": dict(faults),
+        "pairs_covered": len(pairs),
+        "pairs": sorted("+".join(sorted(pair)) for pair in pairs),
+        "violations": {rule: totals[rule] for rule in RULES},
+    } | {rule: totals[rule] for rule in RULES}
     whole |= {"seed": given.seed, "seconds": given.seconds, "planted": given.planted, "pairs_possible": possible}
     whole |= machine_size() | {"took_s": round(time.perf_counter() - started, 1)}
     if given.json:
--- a/benchmarks/soak/clients.py
+++ b/benchmarks/soak/clients.py
@@ -59,8 +59,9 @@
         self.number += 1
         name = f"{self.number & (1 << 64) - 1:016x}"
         wait_ms = cls["deadline_ms"] * self.random.choice((1.0, 1.0, 1.0, 0.5))
-        request = Request(name, relay.instance, cls["name"], cls["effect"], cls["group"], cls["window_ms"] / 1000.0,
-                          wait_ms / 1000.0)  # fmt: skip
+        request = Request(
+            name, relay.instance, cls["name"], cls["effect"], cls["group"], cls["window_ms"] / 1000.0, wait_ms / 1000.0
+        )
         tenant = self.random.choice(("acme", "zeta"))
         line = f"OPEN {name} {self.random.getrandbits(64):016x} c={cls['name']},t={tenant},d={wait_ms:.0f}"
         if settings["family_info"]["groups"]:
--- a/benchmarks/soak/oracle.py
+++ b/benchmarks/soak/oracle.py
@@ -201,12 +201,19 @@
                     continue
                 lag = self.lag(earlier.whole, attempt.whole)
                 if earlier.over > attempt.whole + LIMIT_SLACK_S + lag and not earlier.answered:
-                    self._broken(Rule.DUPLICATE, request.name, f"two attempts are out, at {earlier.backend} and "
-                                 f"{attempt.backend}")  # fmt: skip
+                    self._broken(
+                        Rule.DUPLICATE,
+                        request.name,
+                        f"two attempts are out, at {earlier.backend} and {attempt.backend}",
+                    )
                 elif earlier.answered != "BUSY" and not self._may_repeat(request, ran or earlier, attempt):
                     after = attempt.whole - earlier.whole
-                    self._broken(Rule.DUPLICATE, request.name, f"runs at {earlier.backend} ({earlier.answered or 'no'} "
-                                 f"answer) and {after:.3f} s later at {attempt.backend}")  # fmt: skip
+                    self._broken(
+                        Rule.DUPLICATE,
+                        request.name,
+                        f"runs at {earlier.backend} ({earlier.answered or 'no'} "
+                        f"answer) and {after:.3f} s later at {attempt.backend}",
+                    )
                     return
 
     def _may_repeat(self, request: Request, first: Attempt, attempt: Attempt) -> bool:
@@ -257,8 +264,11 @@
             window = [one for one in sent[: number + 1] if one[0] > at - budget.fall_s]
             if len(window) <= budget.allowed(at - start):
                 continue
-            told = [one for one in window if any(start <= when <= one[0]
-                    for when in self.start_told.get((one[1], backend), ()))]  # fmt: skip
+            told = [
+                one
+                for one in window
+                if any(start <= when <= one[0] for when in self.start_told.get((one[1], backend), ()))
+            ]
             if len(told) > START_SHARE * len(window):
                 what = f"{backend} got {len(window)} in {budget.fall_s:g} s, {at - start:.2f} s after its start, "
                 self._broken(Rule.SLOW_START, "", what + f"{budget.allowed(at - start):.1f} at most")
@@ -271,13 +281,18 @@
         request = self.requests.get(name)
         if request is None:
             return []
-        rows = [(request.sent, f"sent to {request.relay} class={request.cls} deadline {request.deadline_s:.3f} s"),
-                (request.left, "the client leaves"), (request.ended, "the relay ends the connection")]  # fmt: skip
+        rows = [
+            (request.sent, f"sent to {request.relay} class={request.cls} deadline {request.deadline_s:.3f} s"),
+            (request.left, "the client leaves"),
+            (request.ended, "the relay ends the connection"),
+        ]
         rows += [(at, f"answer {word}") for at, word in request.answers]
         for attempt in self.attempts.get(name, []):
-            rows += [(attempt.first_byte, f"first byte at {attempt.backend}"),
-                     (attempt.whole, f"whole at {attempt.backend}, which answers {attempt.answered or 'nothing'}"),
-                     (attempt.over, f"the attempt at {attempt.backend} is over")]  # fmt: skip
+            rows += [
+                (attempt.first_byte, f"first byte at {attempt.backend}"),
+                (attempt.whole, f"whole at {attempt.backend}, which answers {attempt.answered or 'nothing'}"),
+                (attempt.over, f"the attempt at {attempt.backend} is over"),
+            ]
         for start, end in self.asleep.get(request.relay, ()):
             rows += [(start, f"{request.relay} is stopped"), (end, f"{request.relay} goes on")]
         rows += [(at, f"{request.relay} is killed") for at in self.killed.get(request.relay, ())]
--- a/benchmarks/soak/play.py
+++ b/benchmarks/soak/play.py
@@ -42,9 +42,11 @@
 
     def lines(self) -> list[str]:
         plan = self.plan
-        head = (f"seed {plan.seed}: {plan.relays} relays, {plan.backends} backends, {self.requests} requests, "
-                f"{self.attempts} attempts, {self.retried} retried, {self.served} served, "
-                f"{self.answered} answered, late by {1000 * self.worst_lag_s:.0f} ms at most")  # fmt: skip
+        head = (
+            f"seed {plan.seed}: {plan.relays} relays, {plan.backends} backends, {self.requests} requests, "
+            f"{self.attempts} attempts, {self.retried} retried, {self.served} served, "
+            f"{self.answered} answered, late by {1000 * self.worst_lag_s:.0f} ms at most"
+        )
         found = [head] + [f"  {trouble}" for trouble in plan.troubles]
         for violation in self.violations[:SHOWN_MOST]:
             found.append(f"  VIOLATION {violation.rule.value} {violation.request}: {violation.what}")
@@ -110,8 +112,13 @@
         oracle, obligations = self.world.oracle, self.plan.settings["obligations"]
         attempts = [attempt for made in oracle.attempts.values() for attempt in made]
         warm = self.plan.per_relay_s * self.plan.relays / len(self.backends)
-        budget = Budget(obligations["cold_ms"] / 1000.0, obligations["cold_share"], obligations["fall_multiple"],
-                        obligations["fall_ms"] / 1000.0, 2.0 * warm)  # fmt: skip
+        budget = Budget(
+            obligations["cold_ms"] / 1000.0,
+            obligations["cold_share"],
+            obligations["fall_multiple"],
+            obligations["fall_ms"] / 1000.0,
+            2.0 * warm,
+        )
         found = oracle.judge(until, budget)
         first = [request.answers[0][1] for request in oracle.requests.values() if request.answers]
         report = Report(
--- a/benchmarks/soak/relays.py
+++ b/benchmarks/soak/relays.py
@@ -92,14 +92,18 @@
         if self.world.library is not None:
             self.page = Page(self.world.folder / f"{self.instance}.page")
             self.page.set(Field.WALL_NS, self.stepped_ms * 1_000_000)
-            env |= {"LD_PRELOAD": str(self.world.library), "SOAK_SHIM_PAGE": str(self.page.path),
-                    "SOAK_SHIM_FOLDER": str(self.world.folder / "kept")}  # fmt: skip
+            env |= {
+                "LD_PRELOAD": str(self.world.library),
+                "SOAK_SHIM_PAGE": str(self.page.path),
+                "SOAK_SHIM_FOLDER": str(self.world.folder / "kept"),
+            }
         command = run_command()
         if self.planted:
             command = f"exec {sys.executable} -B -m benchmarks.soak.planted {self.planted}"
         with self.log_path().open("wb") as log:
             self.process = await asyncio.create_subprocess_exec(
-                "/bin/sh", "-c", command, cwd=ROOT, env=env, stderr=log, stdout=log)  # fmt: skip
+                "/bin/sh", "-c", command, cwd=ROOT, env=env, stderr=log, stdout=log
+            )
         await self._ready()
 
     async def _ready(self) -> None:
--- a/benchmarks/subsets.py
+++ b/benchmarks/subsets.py
@@ -22,8 +22,11 @@
 from benchmarks.common import finish, options
 from yarrowspindle.subsets import Arcs
 
-SIZES = {"small": ((3, 10), (10, 100), (40, 400)), "machine": ((3, 10), (10, 100), (40, 400), (200, 90), (100, 1000)),
-         "large": ((3, 10), (10, 100), (40, 400), (200, 90), (200, 2000), (400, 4000))}  # fmt: skip
+SIZES = {
+    "small": ((3, 10), (10, 100), (40, 400)),
+    "machine": ((3, 10), (10, 100), (40, 400), (200, 90), (100, 1000)),
+    "large": ((3, 10), (10, 100), (40, 400), (200, 90), (200, 2000), (400, 4000)),
+}
 PART, LEAST = 0.1, 12
 A_NODE = 20  # connections held for each node
 COVER_MOST, LOAD_MOST, MOVED_MOST, REDRAW_MOST_US = 1.15, 0.05, 2.0, 5000.0
@@ -41,8 +44,10 @@
 
 def rendezvous(relays: list[str], nodes: list[str]) -> dict[str, dict[str, int]]:
     size = size_of(relays, nodes)
-    return {r: dict.fromkeys(nlargest(size, nodes, key=lambda n, r=r: number(f"{r} {n}")), 1)  # type: ignore[misc]
-            for r in relays}  # fmt: skip
+    return {
+        r: dict.fromkeys(nlargest(size, nodes, key=lambda n, r=r: number(f"{r} {n}")), 1)  # type: ignore[misc]
+        for r in relays
+    }
 
 
 def rounds(relays: list[str], nodes: list[str]) -> dict[str, dict[str, int]]:
@@ -123,13 +128,19 @@
         began = time.perf_counter()
         give(names, machines)
     took = time.perf_counter() - began
-    return {"way": way, "relays": relays, "nodes": nodes, "size": round(fmean(map(len, parts.values())), 1),
-            "coverage_max_over_mean": round(covered(parts, machines), 3),
-            "load_max_over_mean": round(loaded(parts, machines, seed), 3),
-            "load_all": round(loaded(whole, machines, seed), 3),
-            "moved_share": round(moved(parts, joined) / least, 2), "least_possible": least,
-            "moved_share_node": round(moved(parts, listed) / least_node, 2),
-            "took_us": round(1e6 * took / (1 if way == "arcs" else relays))}  # fmt: skip
+    return {
+        "way": way,
+        "relays": relays,
+        "nodes": nodes,
+        "size": round(fmean(map(len, parts.values())), 1),
+        "coverage_max_over_mean": round(covered(parts, machines), 3),
+        "load_max_over_mean": round(loaded(parts, machines, seed), 3),
+        "load_all": round(loaded(whole, machines, seed), 3),
+        "moved_share": round(moved(parts, joined) / least, 2),
+        "least_possible": least,
+        "moved_share_node": round(moved(parts, listed) / least_node, 2),
+        "took_us": round(1e6 * took / (1 if way == "arcs" else relays)),
+    }
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
@@ -143,8 +154,12 @@
             if way != "arcs":
                 continue
             where = f"{relays} relays, {nodes} nodes"
-            for key, most in (("coverage_max_over_mean", COVER_MOST), ("moved_share", MOVED_MOST),
-                              ("moved_share_node", MOVED_MOST), ("took_us", REDRAW_MOST_US)):  # fmt: skip
+            for key, most in (
+                ("coverage_max_over_mean", COVER_MOST),
+                ("moved_share", MOVED_MOST),
+                ("moved_share_node", MOVED_MOST),
+                ("took_us", REDRAW_MOST_US),
+            ):
                 if row[key] > most:
                     broken.append(f"{where}: {key} is {row[key]}, {most:g} at most")
             if row["load_max_over_mean"] > row["load_all"] + LOAD_MOST:
--- a/benchmarks/turns.py
+++ b/benchmarks/turns.py
@@ -38,8 +38,14 @@
 STATES_MOST = 2_000_000
 DEFECT_SEEDS = {"small": 0, "machine": 4000, "large": 4000}
 REAL_SEEDS = {"small": 1, "machine": 30, "large": 0}
-REAL_SETS = (("loss", "cut", "kill", "stall"), ("split", "double", "reorder"), ("oneway", "late", "kill"),
-             ("lost", "loss"), ("stall", "held", "stall"), ("kill", "kill", "loss"))  # fmt: skip
+REAL_SETS = (
+    ("loss", "cut", "kill", "stall"),
+    ("split", "double", "reorder"),
+    ("oneway", "late", "kill"),
+    ("lost", "loss"),
+    ("stall", "held", "stall"),
+    ("kill", "kill", "loss"),
+)
 AT_ONCE = 3  # real runs side by side
 SLOWER_MOST, WORTH_MOST = 1.5, 0.01
 
@@ -84,13 +90,32 @@
 def real_run(size: str, seed: int, words: tuple[str, ...], work: bool) -> TurnReport:
     big = size != "small"
     voters = (4 if words and seed % 4 == 0 else 5) if big else 3
-    run = Run(5 if big else 3, 12 if big else 4, 1000 if big else 120, seed, words, settle_s=6.0 if big else 3.0,
-              faults_s=30.0 if big else 6.0, stall_s=20.0 if big else 4.0, life_s=20.0, line_s=2.0, after_s=2.0,
-              voters=voters, moves_per_s=50.0, lose_file=seed % 2 == 1, work=work)  # fmt: skip
+    run = Run(
+        5 if big else 3,
+        12 if big else 4,
+        1000 if big else 120,
+        seed,
+        words,
+        settle_s=6.0 if big else 3.0,
+        faults_s=30.0 if big else 6.0,
+        stall_s=20.0 if big else 4.0,
+        life_s=20.0,
+        line_s=2.0,
+        after_s=2.0,
+        voters=voters,
+        moves_per_s=50.0,
+        lose_file=seed % 2 == 1,
+        work=work,
+    )
     faulty = bool(words) and big
-    wanted = Work(machines=0 if big else 2, reboot=seed % 3 == 0 and faulty, floor=run.nodes - 2.0,
-                  dies_s=8.0 if faulty and seed % 5 == 0 else -1.0, voter=run.voters < run.relays,
-                  within_s=180.0 if big else 90.0)  # fmt: skip
+    wanted = Work(
+        machines=0 if big else 2,
+        reboot=seed % 3 == 0 and faulty,
+        floor=run.nodes - 2.0,
+        dies_s=8.0 if faulty and seed % 5 == 0 else -1.0,
+        voter=run.voters < run.relays,
+        within_s=180.0 if big else 90.0,
+    )
     return uvloop.run(play_real(run, wanted))
 
 
@@ -108,8 +133,9 @@
         parser.error(f"--only takes some of {', '.join(PARTS)}")
     started, broken, size, first = time.perf_counter(), list[str](), chosen.size, chosen.seed * 100_000
     result: dict[str, Any] = {"relays": [3, 5, 9], "machines": 6}
-    result |= dict.fromkeys(("seeds", "violations", "stuck", "most_out", "floor_broken", "free_then_used", "moves",
-                             "rolled_back"), 0)  # fmt: skip
+    result |= dict.fromkeys(
+        ("seeds", "violations", "stuck", "most_out", "floor_broken", "free_then_used", "moves", "rolled_back"), 0
+    )
     result |= dict.fromkeys(("per_machine_s", "least_s", "served_off", "served_on"), 0.0)
     workers = len(os.sched_getaffinity(0))
     # Spawned: a fork would take along the loop of a run before it.
@@ -131,10 +157,18 @@
     bad, stuck = [d for d in days if d[1]], [d for d in days if d[2] and not d[1]]
     broken += [f"seed {seed}: {why[0]}" for seed, why, *_ in bad]
     broken += [f"seed {seed} is stuck: {why[0]}" for seed, _, why, *_ in stuck]
-    result |= {"seeds": seeds, "violations": len(bad), "stuck": len(stuck), "most_out": max(d[3] for d in days),
-               "rolled_back": sum(d[4] for d in days)}  # fmt: skip
-    print(f"virtual: {seeds} seeds, {len(bad)} violations, {len(stuck)} stuck, at most {result['most_out']} out, "
-          f"{result['rolled_back']} turns given back unemptied", flush=True)  # fmt: skip
+    result |= {
+        "seeds": seeds,
+        "violations": len(bad),
+        "stuck": len(stuck),
+        "most_out": max(d[3] for d in days),
+        "rolled_back": sum(d[4] for d in days),
+    }
+    print(
+        f"virtual: {seeds} seeds, {len(bad)} violations, {len(stuck)} stuck, at most {result['most_out']} out, "
+        f"{result['rolled_back']} turns given back unemptied",
+        flush=True,
+    )
 
 
 def steps(pool: ProcessPoolExecutor, seeds: int, first: int, result: dict[str, Any], broken: list[str]) -> None:
@@ -198,9 +232,15 @@
     print(f"real: {kept} of {count} seeds kept all rules", flush=True)
     each, least = fmean(run.per_machine_s for run in calm), fmean(run.least_s for run in calm)
     on = [run.report.served for run in calm]
-    result |= {"per_machine_s": round(each, 2), "least_s": round(least, 2), "real_seeds": count, "real_kept": kept,
-               "moves": sum(r.report.counts["move"] for r in calm) // len(calm),
-               "served_off": round(fmean(off), 4), "served_on": round(fmean(on), 4)}  # fmt: skip
+    result |= {
+        "per_machine_s": round(each, 2),
+        "least_s": round(least, 2),
+        "real_seeds": count,
+        "real_kept": kept,
+        "moves": sum(r.report.counts["move"] for r in calm) // len(calm),
+        "served_off": round(fmean(off), 4),
+        "served_on": round(fmean(on), 4),
+    }
     if each > SLOWER_MOST * least:
         broken.append(f"{each:.2f} s a machine, {SLOWER_MOST} times {least:.2f} s are allowed")
     if size != "small" and fmean(on) < fmean(off) - WORTH_MOST:
--- a/examples/asgi_host.py
+++ b/examples/asgi_host.py
@@ -10,8 +10,9 @@
 import httptools
 
 Message = MutableMapping[str, Any]
-App = Callable[[MutableMapping[str, Any], Callable[[], Awaitable[Message]], Callable[[Message], Awaitable[None]]],
-               Awaitable[None]]  # fmt: skip
+App = Callable[
+    [MutableMapping[str, Any], Callable[[], Awaitable[Message]], Callable[[Message], Awaitable[None]]], Awaitable[None]
+]
 HEAD_MOST, BODY_MOST = 32_768, 1 << 20
 
 
@@ -51,11 +52,20 @@
 
     def on_headers_complete(self) -> None:
         path, _, query = self.url.partition(b"?")
-        scope = {"type": "http", "asgi": {"version": "3.0", "spec_version": "2.3"}, "http_version": "1.1",
-                 "method": self.parser.get_method().decode(), "scheme": "http", "path": unquote(path.decode()),
-                 "raw_path": path, "query_string": query, "root_path": "", "headers": self.headers,
-                 "client": self.transport.get_extra_info("peername"),
-                 "server": self.transport.get_extra_info("sockname")}  # fmt: skip
+        scope = {
+            "type": "http",
+            "asgi": {"version": "3.0", "spec_version": "2.3"},
+            "http_version": "1.1",
+            "method": self.parser.get_method().decode(),
+            "scheme": "http",
+            "path": unquote(path.decode()),
+            "raw_path": path,
+            "query_string": query,
+            "root_path": "",
+            "headers": self.headers,
+            "client": self.transport.get_extra_info("peername"),
+            "server": self.transport.get_extra_info("sockname"),
+        }
         if self.task is None:
             self.task = asyncio.get_running_loop().create_task(self._run(scope))
             self.host.tasks.add(self.task)
--- a/tests/quic_stand_ins.py
+++ b/tests/quic_stand_ins.py
@@ -104,8 +104,9 @@
     def __init__(self, name: str, answers: bool = True, refuses: bool = False) -> None:
         super().__init__()
         self.name, self.answers, self.refuses = name, answers, refuses
-        self.configuration = QuicConfiguration(is_client=False, alpn_protocols=["t"],
-                                               connection_id_length=quic.ID_LENGTH)  # fmt: skip
+        self.configuration = QuicConfiguration(
+            is_client=False, alpn_protocols=["t"], connection_id_length=quic.ID_LENGTH
+        )
         self.configuration.certificate, self.configuration.private_key = certificate()
         self.links: dict[int, NodeConnection] = {}
         self.originals: dict[bytes, NodeConnection] = {}
@@ -123,8 +124,12 @@
             if self.refuses or not self.answers:
                 return
             number = len(self.links) + 1
-            connection = NodeConnection(node_number(self.name), number, configuration=self.configuration,
-                                        original_destination_connection_id=header.destination)  # fmt: skip
+            connection = NodeConnection(
+                node_number(self.name),
+                number,
+                configuration=self.configuration,
+                original_destination_connection_id=header.destination,
+            )
             self.links[number] = self.originals[header.destination] = connection
         if connection is not None and self.answers:
             connection.receive_datagram(data, addr, self.loop.time())
@@ -138,8 +143,9 @@
 class QuicClient(Endpoint):
     def __init__(self, relay: Address) -> None:
         super().__init__()
-        configuration = QuicConfiguration(is_client=True, alpn_protocols=["t"], verify_mode=ssl.CERT_NONE,
-                                          server_name="node.test")  # fmt: skip
+        configuration = QuicConfiguration(
+            is_client=True, alpn_protocols=["t"], verify_mode=ssl.CERT_NONE, server_name="node.test"
+        )
         self.connection, self.relay = QuicConnection(configuration=configuration), relay
         self.stream = 0
         self.got: asyncio.Queue[bytes] = asyncio.Queue()
--- a/tests/stand_ins.py
+++ b/tests/stand_ins.py
@@ -21,10 +21,19 @@
 WAIT_S = 10.0  # no test waits longer for anything; none waits for a time to pass
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"  # of the machine list's answer
 SETTINGS: dict[str, Any] = LAB | {
-    "zone": 0, "balancers": 1, "slot_no": 0,
-    "obligations": {"drain_grace_ms": 400.0, "answer_slack_ms": 8.0, "ask_within_ms": 200.0, "cold_share": 0.31,
-                    "cold_ms": 9000.0, "fall_multiple": 3.0, "fall_ms": 1500.0},
-}  # fmt: skip
+    "zone": 0,
+    "balancers": 1,
+    "slot_no": 0,
+    "obligations": {
+        "drain_grace_ms": 400.0,
+        "answer_slack_ms": 8.0,
+        "ask_within_ms": 200.0,
+        "cold_share": 0.31,
+        "cold_ms": 9000.0,
+        "fall_multiple": 3.0,
+        "fall_ms": 1500.0,
+    },
+}
 
 
 class Peer:
@@ -103,8 +112,16 @@
         self.watch: Peer
 
     def member(self, name: str, phase: str = "ready") -> dict[str, Any]:
-        return {"id": name, "host_port": f"127.0.0.1:{self.nodes[name].port}", "locality": "a", "flavor": "m",
-                "cell": 1, "phase": phase, "size": 1.0, "up_since_ms": 0}  # fmt: skip
+        return {
+            "id": name,
+            "host_port": f"127.0.0.1:{self.nodes[name].port}",
+            "locality": "a",
+            "flavor": "m",
+            "cell": 1,
+            "phase": phase,
+            "size": 1.0,
+            "up_since_ms": 0,
+        }
 
     def members(self, complete: bool, *members: dict[str, Any]) -> bytes:
         self.version += 1
@@ -176,9 +193,15 @@
         await server.open()
     world.port = free_port()
     known = {"revision": 1, "complete": True, "members": [world.member(n) for n in world.nodes]}
-    config = {"name": "n0", "listen": f"127.0.0.1:{world.port}", "discovery": f"127.0.0.1:{world.list.port}",
-              "seed": seed, "settings": SETTINGS | changes, "known": known,
-              "limits": {"sockets": sockets}}  # fmt: skip
+    config = {
+        "name": "n0",
+        "listen": f"127.0.0.1:{world.port}",
+        "discovery": f"127.0.0.1:{world.list.port}",
+        "seed": seed,
+        "settings": SETTINGS | changes,
+        "known": known,
+        "limits": {"sockets": sockets},
+    }
     world.file = tmp / "config.json"
     world.file.write_text(json.dumps(config))
     (tmp / "operator.toml").write_text(operator)
@@ -189,8 +212,15 @@
         resource.setrlimit(resource.RLIMIT_NOFILE, (sockets, sockets))
 
     world.process = await asyncio.create_subprocess_exec(
-        sys.executable, "-B", "-m", "yarrowspindle", cwd=ROOT, env=env, stderr=asyncio.subprocess.PIPE,
-        preexec_fn=limit if sockets else None)  # fmt: skip
+        sys.executable,
+        "-B",
+        "-m",
+        "yarrowspindle",
+        cwd=ROOT,
+        env=env,
+        stderr=asyncio.subprocess.PIPE,
+        preexec_fn=limit if sockets else None,
+    )
     said: list[str] = []
 
     async def read() -> None:
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -137,15 +137,30 @@
 
 def test_messages_come_back_as_they_were_and_nonsense_does_not() -> None:
     state = replace(after({"a": "1"}, {"a": None}), done=[Done(1, {"a": "1"}), Done(2, {"a": None})])
-    for message in (Beat(3, b"x" * 8, 2, "why", True, True, "c01"), Newest(3, b"x" * 8), Learn(state), Leave(),
-                    Difference(1, 2, b"x" * 8, [{"a": None}]), Whole(2, b"x" * 8, {"a": "1"}), Later(3),
-                    Moved("10.0.0.1", 1, 2, 3), Order("c01", 1, 2, {"a": None}),
-                    Promise((1, "c"), "i", NONE, state), Accept((1, "c"), 0, "i", state)):  # fmt: skip
+    for message in (
+        Beat(3, b"x" * 8, 2, "why", True, True, "c01"),
+        Newest(3, b"x" * 8),
+        Learn(state),
+        Leave(),
+        Difference(1, 2, b"x" * 8, [{"a": None}]),
+        Whole(2, b"x" * 8, {"a": "1"}),
+        Later(3),
+        Moved("10.0.0.1", 1, 2, 3),
+        Order("c01", 1, 2, {"a": None}),
+        Promise((1, "c"), "i", NONE, state),
+        Accept((1, "c"), 0, "i", state),
+    ):
         assert codec.decode(codec.encode(message)) == message
     whole = codec.encode(Newest(3, b"x" * 8))
-    for bad in (b"", whole[:-3], bytes((codec.VERSION + 1,)) + whole[1:], whole[:1] + b"\x77" + whole[2:],
-                codec.encode(Newest(-1, b"x" * 8)), codec.encode(Newest(1, b"x")),
-                codec.encode(Difference(0, 99, b"x" * 8, [{}] * (DONE_MOST + 1)))):  # fmt: skip
+    for bad in (
+        b"",
+        whole[:-3],
+        bytes((codec.VERSION + 1,)) + whole[1:],
+        whole[:1] + b"\x77" + whole[2:],
+        codec.encode(Newest(-1, b"x" * 8)),
+        codec.encode(Newest(1, b"x")),
+        codec.encode(Difference(0, 99, b"x" * 8, [{}] * (DONE_MOST + 1))),
+    ):
         with pytest.raises(BadMessage):
             codec.decode(bad)
 
@@ -275,9 +290,13 @@
 def test_nothing_older_and_nothing_over_a_gap_is_taken() -> None:
     relay = Relay()
     relay.came(whole(5, {"a": "5"}))
-    for message in (whole(4, {"a": "4"}), whole(5, {"a": "other"}), difference(3, {}, {"a": "4"}),
-                    difference(6, {"a": "5"}, {"a": "7"}),
-                    Difference(4, 9, digest(9, {"a": "9"}), [{"a": "9"}])):  # fmt: skip
+    for message in (
+        whole(4, {"a": "4"}),
+        whole(5, {"a": "other"}),
+        difference(3, {}, {"a": "4"}),
+        difference(6, {"a": "5"}, {"a": "7"}),
+        Difference(4, 9, digest(9, {"a": "9"}), [{"a": "9"}]),
+    ):
         relay.came(message)
         assert not relay.takes() and relay.agent.taken == 5, message
     assert relay.beats()[-1].known == 5, "it says from where on"
@@ -376,8 +395,17 @@
         machine = next(m for m in MACHINES if m.name == name)
         self.kept = kept or Kept("file", NONE, NONE, FIRST)
         self.me = Sender(name, machine.address, life)
-        self.core = Controller(machine, MACHINES, FIRST, self.kept.identity if machine.voter else "", self.kept.state,
-                               life, check, seed, 0.0)  # fmt: skip
+        self.core = Controller(
+            machine,
+            MACHINES,
+            FIRST,
+            self.kept.identity if machine.voter else "",
+            self.kept.state,
+            life,
+            check,
+            seed,
+            0.0,
+        )
         self.core.take_effects()
         self.voter = Voter(self.kept, lambda kept: None)
         self.now, self.at = 0.0, 0
@@ -484,9 +512,15 @@
     control, far = Control(), after({"a": "1"})
     for name in ("c99", "r0"):
         stranger = Sender(name, ("10.9.9.9", 1), 1)
-        for message in (Order(name, 1, 1, {"a": "1"}), Learn(far), Sum(9, 0, [], []), Leave(),
-                        Promise((1, "x"), "file", NONE, far),
-                        Moved(*RELAY.address, 9, 9), Prepare((99, name), 0, "file")):  # fmt: skip
+        for message in (
+            Order(name, 1, 1, {"a": "1"}),
+            Learn(far),
+            Sum(9, 0, [], []),
+            Leave(),
+            Promise((1, "x"), "file", NONE, far),
+            Moved(*RELAY.address, 9, 9),
+            Prepare((99, name), 0, "file"),
+        ):
             control.came(stranger, message)
             assert not [e for e in control.effects if not isinstance(e, Note)], message
     control.came(Sender("c01", MACHINES[1].address, 1), Order("c02", 1, 1, {"a": "1"}))
@@ -575,8 +609,11 @@
     ballots = set()
     for seed in (1, 2):
         control = Control(seed=seed)
-        ballots |= {e.message.ballot for e in control.core.step(500.0, Woke())
-                    if isinstance(e, Send) and isinstance(e.message, Prepare)}  # fmt: skip
+        ballots |= {
+            e.message.ballot
+            for e in control.core.step(500.0, Woke())
+            if isinstance(e, Send) and isinstance(e.message, Prepare)
+        }
     assert len(ballots) == 2 and len({number for number, _ in ballots}) == 1
 
 
@@ -701,15 +738,28 @@
 EVERY = tuple(f"r{n:04d}" for n in range(6))
 SMALL, LARGER = (3, 3, 6), (5, 5, 6)
 LOSS, DOUBLE = Fault("loss", 1.0, 9.0, 0.3), Fault("double", 1.0, 9.0, 0.5, 700.0)
-SPLITS = [LOSS, Fault("held", 1.0, 9.0, 0.25, 1500.0),
-          Fault("split", 2.0, 3.0, one=("c00", *EVERY), other=("c01", "c02")),
-          Fault("split", 5.5, 3.0, one=("c01", *EVERY), other=("c00", "c02"))]  # fmt: skip
-KILLS = [*(Fault("kill", 2.0 + n * 0.8, 0.4, one=(f"c{n % 3:02d}",)) for n in range(9)),
-         Fault("loss", 1.0, 9.0, 0.2), Fault("double", 1.0, 9.0, 0.5, 1500.0)]  # fmt: skip
-DISORDER = [Fault("reorder", 1.0, 9.0, 0.5, 700.0), LOSS, DOUBLE,
-            Fault("oneway", 1.0, 9.0, one=("c01",), other=("c00",))]  # fmt: skip
-STALLS = [*(Fault("stall", 2.0 + n * 1.2, 0.9, one=(f"c{n % 3:02d}",)) for n in range(6)),
-          Fault("loss", 1.0, 9.0, 0.2), Fault("late", 1.0, 9.0, late_ms=300.0)]  # fmt: skip
+SPLITS = [
+    LOSS,
+    Fault("held", 1.0, 9.0, 0.25, 1500.0),
+    Fault("split", 2.0, 3.0, one=("c00", *EVERY), other=("c01", "c02")),
+    Fault("split", 5.5, 3.0, one=("c01", *EVERY), other=("c00", "c02")),
+]
+KILLS = [
+    *(Fault("kill", 2.0 + n * 0.8, 0.4, one=(f"c{n % 3:02d}",)) for n in range(9)),
+    Fault("loss", 1.0, 9.0, 0.2),
+    Fault("double", 1.0, 9.0, 0.5, 1500.0),
+]
+DISORDER = [
+    Fault("reorder", 1.0, 9.0, 0.5, 700.0),
+    LOSS,
+    DOUBLE,
+    Fault("oneway", 1.0, 9.0, one=("c01",), other=("c00",)),
+]
+STALLS = [
+    *(Fault("stall", 2.0 + n * 1.2, 0.9, one=(f"c{n % 3:02d}",)) for n in range(6)),
+    Fault("loss", 1.0, 9.0, 0.2),
+    Fault("late", 1.0, 9.0, late_ms=300.0),
+]
 # What is to be found, and the day that finds it: a seed, and its faults where they are not the seed's own.
 FOUND: dict[str, tuple[int, tuple[int, int, int] | None, list[Fault] | None]] = {
     "unkept": (0, None, None),
@@ -729,26 +779,53 @@
     "promises nothing": (24, SMALL, SPLITS),
     "hides": (0, SMALL, SPLITS),
     "any ballot": (5, SMALL, DISORDER),
-    "older": (0, SMALL, [
-        Fault("split", 1.5, 7.0, one=("c01",), other=("c00", "c02")), Fault("kill", 4.0, 2.0, one=("c00",))]),
-    "in force too early": (0, SMALL, [
-        Fault("kill", 3.2 + n * 2.0, 1.3, one=(f"c{n % 3:02d}",)) for n in range(4)]),
+    "older": (
+        0,
+        SMALL,
+        [Fault("split", 1.5, 7.0, one=("c01",), other=("c00", "c02")), Fault("kill", 4.0, 2.0, one=("c00",))],
+    ),
+    "in force too early": (0, SMALL, [Fault("kill", 3.2 + n * 2.0, 1.3, one=(f"c{n % 3:02d}",)) for n in range(4)]),
     "forgets who leaves": (99, None, None),
-    "lies": (0, SMALL, [
-        Fault("lost", 1.2, 2.8, one=("c02",), other=("c00", "c01")), Fault("file", 4.0, 0.3, one=("c01",)),
-        Fault("stall", 4.1, 4.0, one=("c00",))]),
+    "lies": (
+        0,
+        SMALL,
+        [
+            Fault("lost", 1.2, 2.8, one=("c02",), other=("c00", "c01")),
+            Fault("file", 4.0, 0.3, one=("c01",)),
+            Fault("stall", 4.1, 4.0, one=("c00",)),
+        ],
+    ),
     "serves on": (0, SMALL, [Fault("old program", 1.0, 8.0, one=EVERY[:3])]),
     "log over a gap": (2, SMALL, [Fault("kill", 1.2, 8.0, one=("r0003",))]),
-    "gap": (26, SMALL, [
-        Fault("old program", 1.0, 9.0, one=EVERY), Fault("held", 1.0, 9.0, 0.3, 1500.0),
-        *(Fault("kill", 1.5 + 0.7 * n, 0.3, one=(EVERY[n % 6],)) for n in range(11))]),
-    "numbers anew": (2, SMALL, [
-        Fault("clock", 2.0, 0.5, one=("c02",)), Fault("clock", 4.0, 0.5, one=("c01",)),
-        Fault("late", 1.0, 9.0, late_ms=500.0), Fault("loss", 1.0, 9.0, 0.2), Fault("double", 1.0, 9.0, 0.5, 2000.0)]),
-    "counts twice": (7, LARGER, [
-        Fault("split", 2.0, 4.0, one=("c00", "c01", *EVERY), other=("c02", "c03", "c04")),
-        Fault("double", 1.0, 8.0, 0.5, 200.0)]),
-}  # fmt: skip
+    "gap": (
+        26,
+        SMALL,
+        [
+            Fault("old program", 1.0, 9.0, one=EVERY),
+            Fault("held", 1.0, 9.0, 0.3, 1500.0),
+            *(Fault("kill", 1.5 + 0.7 * n, 0.3, one=(EVERY[n % 6],)) for n in range(11)),
+        ],
+    ),
+    "numbers anew": (
+        2,
+        SMALL,
+        [
+            Fault("clock", 2.0, 0.5, one=("c02",)),
+            Fault("clock", 4.0, 0.5, one=("c01",)),
+            Fault("late", 1.0, 9.0, late_ms=500.0),
+            Fault("loss", 1.0, 9.0, 0.2),
+            Fault("double", 1.0, 9.0, 0.5, 2000.0),
+        ],
+    ),
+    "counts twice": (
+        7,
+        LARGER,
+        [
+            Fault("split", 2.0, 4.0, one=("c00", "c01", *EVERY), other=("c02", "c03", "c04")),
+            Fault("double", 1.0, 8.0, 0.5, 200.0),
+        ],
+    ),
+}
 
 
 def test_no_planted_defect_is_left_out() -> None:
--- a/tests/test_control_daemon.py
+++ b/tests/test_control_daemon.py
@@ -76,9 +76,11 @@
 
     def env(self, machines: str, cluster: str) -> dict[str, str]:
         file = self.folder / f"{self.name}.toml"
-        file.write_text(f'[control]\nrole = "controller"\nlisten = "{text(self.address)}"\ncluster = "{cluster}"\n'
-                        f'advertise = "{text(self.outside)}"\ndirectory = "{self.directory}"\n'
-                        f'command = "{text(self.command)}"\n{machines}')  # fmt: skip
+        file.write_text(
+            f'[control]\nrole = "controller"\nlisten = "{text(self.address)}"\ncluster = "{cluster}"\n'
+            f'advertise = "{text(self.outside)}"\ndirectory = "{self.directory}"\n'
+            f'command = "{text(self.command)}"\n{machines}'
+        )
         rest = {k: v for k, v in os.environ.items() if not k.startswith("ROUTER_")}
         return rest | {"YARROWSPINDLE_OPERATOR": str(file)}
 
@@ -122,8 +124,10 @@
 
     @property
     def machines(self) -> str:
-        return "".join(f'[[control.machine]]\nname = "{one.name}"\naddress = "{text(one.outside)}"\nvoter = true\n'
-                       for one in self.controllers)  # fmt: skip
+        return "".join(
+            f'[[control.machine]]\nname = "{one.name}"\naddress = "{text(one.outside)}"\nvoter = true\n'
+            for one in self.controllers
+        )
 
     def relay(self, name: str, more: str = "", at: Address | None = None) -> str:
         """The operator's file of a relay."""
@@ -155,8 +159,9 @@
 
 
 @asynccontextmanager
-async def cluster(folder: Path, names: list[str], name: str = "lab", first: bool = True,
-                  found: Cluster | None = None) -> AsyncIterator[Cluster]:  # fmt: skip
+async def cluster(
+    folder: Path, names: list[str], name: str = "lab", first: bool = True, found: Cluster | None = None
+) -> AsyncIterator[Cluster]:
     found = found or Cluster(folder, names, name)
     try:
         for one in found.controllers:
@@ -202,7 +207,8 @@
 
 
 def test_eight_processes_change_together_and_outlive_their_controllers(
-        tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:  # fmt: skip
+    tmp_path: Path, capsys: pytest.CaptureFixture[str]
+) -> None:
     platform = {"name": "n9", "settings": SETTINGS | {"categories": [CHAT | {"deadline_ms": 1900.0}], "color": "red"}}
     (tmp_path / "platform.json").write_text(json.dumps(platform))
 
@@ -398,8 +404,9 @@
             await proxy.open(outside[proxy.target])
         async with AsyncExitStack() as stack:
             await stack.enter_async_context(cluster(tmp_path, [], found=world))
-            operators = [world.relay(f"r{n}", f'advertise = "{text(outside[f"r{n}"])}"\n', inside[f"r{n}"])
-                         for n in range(5)]  # fmt: skip
+            operators = [
+                world.relay(f"r{n}", f'advertise = "{text(outside[f"r{n}"])}"\n', inside[f"r{n}"]) for n in range(5)
+            ]
             found = await relays(stack, tmp_path, operators)
             (tmp_path / "settings.json").write_text(json.dumps(SETTINGS))
             ways.start(Fault("loss", 0.0, 9.0, 0.3))
@@ -421,7 +428,8 @@
 
 
 def test_a_version_that_the_hub_cannot_take_is_neither_kept_nor_said_to_be_taken(
-        tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:  # fmt: skip
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     async def body() -> None:
         cannot = True
 
@@ -467,8 +475,9 @@
 
 
 def config(**changes: Any) -> Any:
-    return read_config({"name": "n0", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "seed": "7",
-                        "settings": SETTINGS | changes})  # fmt: skip
+    return read_config(
+        {"name": "n0", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "seed": "7", "settings": SETTINGS | changes}
+    )
 
 
 def test_two_thousand_changes_of_a_class_keep_its_numbers_bounded_and_each_job_its_class(quiet: None) -> None:
@@ -518,17 +527,26 @@
         assert core.state.version == version and core.counts["strangers"] == 1 - version
 
 
-@pytest.mark.parametrize(("change", "says"), [
-    ({"zone": "1"}, "zone is each relay's own"), ({"realms": "[]"}, "realms is each relay's own"),
-    ({"limit": "{}"}, "; limits is"), ({"limits": "{"}, "make no sense"), ({"limits": "NaN"}, "NaN is no number"),
-    ({"step_ms": "Infinity"}, "Infinity is no number"), ({"step_ms": "0"}, "tick_ms must be above 0"),
-    ({"categories": "{}"}, "categories.count is missing"), ({"categories": "[]"}, "make no sense"),
-    ({"categories": '{"count": 1, "0": {"slo_ms": 1, "deadline_ms": 1}}'}, "categories is a list of objects"),
-    ({"categories": text_of([CHAT | {"name": ""}])}, "a name of its own"),
-    ({"categories": text_of([CHAT | {"name": "a\nb"}])}, "a name of its own"),
-    ({"balancers": "0"}, "balancers must be at least 1"), ({"obligations": "[" * 5000}, "make no sense"),
-    ({"obligations": "9" * 5000}, "make no sense"),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    ("change", "says"),
+    [
+        ({"zone": "1"}, "zone is each relay's own"),
+        ({"realms": "[]"}, "realms is each relay's own"),
+        ({"limit": "{}"}, "; limits is"),
+        ({"limits": "{"}, "make no sense"),
+        ({"limits": "NaN"}, "NaN is no number"),
+        ({"step_ms": "Infinity"}, "Infinity is no number"),
+        ({"step_ms": "0"}, "tick_ms must be above 0"),
+        ({"categories": "{}"}, "categories.count is missing"),
+        ({"categories": "[]"}, "make no sense"),
+        ({"categories": '{"count": 1, "0": {"slo_ms": 1, "deadline_ms": 1}}'}, "categories is a list of objects"),
+        ({"categories": text_of([CHAT | {"name": ""}])}, "a name of its own"),
+        ({"categories": text_of([CHAT | {"name": "a\nb"}])}, "a name of its own"),
+        ({"balancers": "0"}, "balancers must be at least 1"),
+        ({"obligations": "[" * 5000}, "make no sense"),
+        ({"obligations": "9" * 5000}, "make no sense"),
+    ],
+)
 def test_the_check_names_what_no_relay_could_serve_by(change: dict[str, str], says: str) -> None:
     assert not check({}) and not check(ENTRIES)
     assert says in check(ENTRIES | change) and len(check(ENTRIES | change)) <= 300
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -17,9 +17,20 @@
 
 def by_own_load(number: int = 0, **changes: object) -> Balancer:
     values: dict[str, object] = dict(
-        classes=STATUS, number=number, balancers=RELAYS, zones=3, zone=number % 3, cross_zone_price=0.1,
-        cold_share=0.31, cold_ms=9000.0, fall_multiple=3.0, fall_ms=1500.0, by_own_load=True, retry_after=True,
-        max_retry_after_ms=2000.0)  # fmt: skip
+        classes=STATUS,
+        number=number,
+        balancers=RELAYS,
+        zones=3,
+        zone=number % 3,
+        cross_zone_price=0.1,
+        cold_share=0.31,
+        cold_ms=9000.0,
+        fall_multiple=3.0,
+        fall_ms=1500.0,
+        by_own_load=True,
+        retry_after=True,
+        max_retry_after_ms=2000.0,
+    )
     return Balancer(settings(**(values | changes)), number + 1, 0.0)
 
 
--- a/tests/test_fleet_model.py
+++ b/tests/test_fleet_model.py
@@ -13,8 +13,17 @@
 from yarrowspindle.lab.model.node import ModelNode
 from yarrowspindle.policy import Balancer
 
-VAST = FleetSpec(relays=40, nodes=60, connections=1200, life_s=28.0, filled=0.45, load_every_s=10.0, zones=3,
-                 by_own_load=True, cold_ms=9000.0)  # fmt: skip
+VAST = FleetSpec(
+    relays=40,
+    nodes=60,
+    connections=1200,
+    life_s=28.0,
+    filled=0.45,
+    load_every_s=10.0,
+    zones=3,
+    by_own_load=True,
+    cold_ms=9000.0,
+)
 
 
 def vast(seed: int) -> Fleet:
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -51,16 +51,29 @@
     command += ["-p", "xdist", "-n", "2"] if side_by_side else []
     env = {name: value for name, value in os.environ.items() if not name.startswith("PYTEST_")}
     env |= {"PYTHONPATH": str(ROOT), "PYTEST_DISABLE_PLUGIN_AUTOLOAD": "1"}
-    done = subprocess.run([*command, *(f"tests/test_it.py::test_{name}" for name in wanted)], cwd=tmp,
-                          env=env, capture_output=True, text=True, check=False)  # fmt: skip
+    done = subprocess.run(
+        [*command, *(f"tests/test_it.py::test_{name}" for name in wanted)],
+        cwd=tmp,
+        env=env,
+        capture_output=True,
+        text=True,
+        check=False,
+    )
     print(done.stdout, done.stderr)
     return done.returncode, done.stdout.splitlines()
 
 
 @pytest.mark.parametrize("side_by_side", [False, True])
 def test_what_is_listed_fails_without_failing_the_run_and_is_printed(tmp_path: Path, side_by_side: bool) -> None:
-    code, said = run(tmp_path, [BAD, CASES, "tests/test_it.py::test_third | a cause | #3"],
-                     "good", "bad", "cases", "third", side_by_side=side_by_side)  # fmt: skip
+    code, said = run(
+        tmp_path,
+        [BAD, CASES, "tests/test_it.py::test_third | a cause | #3"],
+        "good",
+        "bad",
+        "cases",
+        "third",
+        side_by_side=side_by_side,
+    )
     assert code == 0 and said[-1].startswith("3 failed, 2 passed in ")
     assert f"failed: {BAD}" in said and f"failed and passed: {CASES}" in said
 
@@ -71,28 +84,42 @@
     assert code == 0 and f"passed: {line}" in said and said[-1].startswith("1 passed in ")
 
 
-@pytest.mark.parametrize(("lines", "wanted", "side_by_side"), [
-    (None, ["good", "bad"], False),
-    ([], ["good", "bad"], False),
-    ([BAD], ["good", "bad", "other"], False),
-    ([BAD], ["good", "bad", "other"], True),
-    ([BAD], ["bad", "breaks_after"], False),
-    (["tests/test_it.py::test_cases[1] | a cause | #1"], ["cases"], False),
-    (["tests/test_it.py::test_b | a cause | #1"], ["bad"], False),
-])  # fmt: skip
-def test_any_other_failure_fails_the_run(tmp_path: Path, lines: list[str] | None, wanted: list[str],
-                                         side_by_side: bool) -> None:  # fmt: skip
+@pytest.mark.parametrize(
+    ("lines", "wanted", "side_by_side"),
+    [
+        (None, ["good", "bad"], False),
+        ([], ["good", "bad"], False),
+        ([BAD], ["good", "bad", "other"], False),
+        ([BAD], ["good", "bad", "other"], True),
+        ([BAD], ["bad", "breaks_after"], False),
+        (["tests/test_it.py::test_cases[1] | a cause | #1"], ["cases"], False),
+        (["tests/test_it.py::test_b | a cause | #1"], ["bad"], False),
+    ],
+)
+def test_any_other_failure_fails_the_run(
+    tmp_path: Path, lines: list[str] | None, wanted: list[str], side_by_side: bool
+) -> None:
     assert run(tmp_path, lines, *wanted, side_by_side=side_by_side)[0] == 1
 
 
-@pytest.mark.parametrize(("lines", "says"), [
-    ([BAD, "tests/test_it.py::test_gone | a cause | #2"], "WRONG: no such test was run: tests/test_it.py::test_gone"),
-    ([BAD, "tests/test_it.py::test_cases | #2"], "WRONG: not `test | cause | issue`, or twice: "
-                                                 "tests/test_it.py::test_cases | #2"),
-    ([BAD, BAD], f"WRONG: not `test | cause | issue`, or twice: {BAD}"),
-    ([BAD, CASES, "tests/test_it.py::test_good | c | #3", "tests/test_it.py::test_third | c | #4"],
-     "WRONG: 4 lines, 3 at most"),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    ("lines", "says"),
+    [
+        (
+            [BAD, "tests/test_it.py::test_gone | a cause | #2"],
+            "WRONG: no such test was run: tests/test_it.py::test_gone",
+        ),
+        (
+            [BAD, "tests/test_it.py::test_cases | #2"],
+            "WRONG: not `test | cause | issue`, or twice: tests/test_it.py::test_cases | #2",
+        ),
+        ([BAD, BAD], f"WRONG: not `test | cause | issue`, or twice: {BAD}"),
+        (
+            [BAD, CASES, "tests/test_it.py::test_good | c | #3", "tests/test_it.py::test_third | c | #4"],
+            "WRONG: 4 lines, 3 at most",
+        ),
+    ],
+)
 def test_a_list_that_is_wrong_fails_the_run(tmp_path: Path, lines: list[str], says: str) -> None:
     code, said = run(tmp_path, lines, "good", "bad", "cases", "third")
     assert code == 1 and says in said
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -16,8 +16,16 @@
         assert 0.0 <= day.met_s <= 10.0, f"seed {seed}: not met"
 
 
-FOUND = {"no margin": 182, "lends at once after a start": 32, "forgets what it lent": 10, "lends by share alone": 2,
-         "counts from the answer": 203, "never ends": 2, "takes any answer": 10, "keeps the larger": 2}  # fmt: skip
+FOUND = {
+    "no margin": 182,
+    "lends at once after a start": 32,
+    "forgets what it lent": 10,
+    "lends by share alone": 2,
+    "counts from the answer": 203,
+    "never ends": 2,
+    "takes any answer": 10,
+    "keeps the larger": 2,
+}
 
 
 @pytest.mark.parametrize("defect", FOUND)
--- a/tests/test_library.py
+++ b/tests/test_library.py
@@ -49,8 +49,12 @@
         return self.system.now() + self.jumped
 
 
-def run(body: Callable[[Placer], Awaitable[None]], machines: list[Machine] | None = None,
-        settings: LibrarySettings = SETTINGS, clock: Any = None) -> None:  # fmt: skip
+def run(
+    body: Callable[[Placer], Awaitable[None]],
+    machines: list[Machine] | None = None,
+    settings: LibrarySettings = SETTINGS,
+    clock: Any = None,
+) -> None:
     async def inside() -> None:
         found = MACHINES if machines is None else machines
         placer = Placer(settings, StaticList(found), seed=3, clock=clock)
@@ -207,8 +211,9 @@
         assert isinstance(placer.source, StaticList)
         async with placer.place() as placement:
             first = placement.node
-            placer.source.change([Machine(m.name, m.address, State.DRAINING) if m.name == first else m
-                                  for m in MACHINES])  # fmt: skip
+            placer.source.change(
+                [Machine(m.name, m.address, State.DRAINING) if m.name == first else m for m in MACHINES]
+            )
             assert placement.moved.is_set()
             with pytest.raises(NodeDropped):
                 placement.up()
@@ -328,10 +333,13 @@
         async with Placer(SETTINGS, WatchedList(f"127.0.0.1:{service.port}"), seed=1) as placer:
             watch, request = await service.asked()
             assert request.startswith("GET /api/targets?stream=1")
-            line = ('{"revision":4,"complete":true,"members":[{"id":"s-1","host_port":"10.1.0.18:3000","phase":"ready",'
-                    '"size":1.0,"up_since_ms":0}]}\n')  # fmt: skip
-            watch.writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-                               + f"{len(line):x}\r\n{line}\r\n".encode())  # fmt: skip
+            line = (
+                '{"revision":4,"complete":true,"members":[{"id":"s-1","host_port":"10.1.0.18:3000","phase":"ready",'
+                '"size":1.0,"up_since_ms":0}]}\n'
+            )
+            watch.writer.write(
+                b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + f"{len(line):x}\r\n{line}\r\n".encode()
+            )
             async with placer.place(deadline=5.0) as placement:
                 assert placement.address == ("10.1.0.18", 3000)
             watch.writer.transport.abort()
@@ -341,13 +349,19 @@
     asyncio.run(body())
 
 
-@pytest.mark.parametrize("make, name", [
-    (lambda: JobClass("c", aim_s=0.0), "JobClass.aim_s"),
-    (lambda: JobClass("c", deadline_s=0.1), "JobClass.deadline_s"),
-    (lambda: LibrarySettings(relays=2, number=2), "number"), (lambda: LibrarySettings(zone="a"), "zone"),
-    (lambda: LibrarySettings(classes=()), "classes"), (lambda: LibrarySettings(cold_share=0.0), "cold_share"),
-    (lambda: Placer(SETTINGS).place(cls="what"), "cls"), (lambda: Placer(SETTINGS).place(tenant="what"), "tenant"),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    "make, name",
+    [
+        (lambda: JobClass("c", aim_s=0.0), "JobClass.aim_s"),
+        (lambda: JobClass("c", deadline_s=0.1), "JobClass.deadline_s"),
+        (lambda: LibrarySettings(relays=2, number=2), "number"),
+        (lambda: LibrarySettings(zone="a"), "zone"),
+        (lambda: LibrarySettings(classes=()), "classes"),
+        (lambda: LibrarySettings(cold_share=0.0), "cold_share"),
+        (lambda: Placer(SETTINGS).place(cls="what"), "cls"),
+        (lambda: Placer(SETTINGS).place(tenant="what"), "tenant"),
+    ],
+)
 def test_a_wrong_setting_is_named(make: Callable[[], object], name: str) -> None:
     with pytest.raises(SettingError, match=f"^{name} is"):
         make()
@@ -386,12 +400,16 @@
     assert all(answers == ["up"] for answers in played.answers.values())
 
 
-@pytest.mark.parametrize("damage, words", [
-    (lambda t: b"{}\n" + t, "line 1 is no header"),
-    (lambda t: t.replace(b'"version":1', b'"version":9', 1), "not known"),
-    (lambda t: t + b'[9e12,"Nobody",{}]\n', "line 3: 'Nobody' is no event"), (lambda t: t + b"[9e12,", "line 3 cannot"),
-    (lambda t: t + b'[1.0,"Stalled",{"for_ms":1.0}]\n', "line 3: the time goes back"),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    "damage, words",
+    [
+        (lambda t: b"{}\n" + t, "line 1 is no header"),
+        (lambda t: t.replace(b'"version":1', b'"version":9', 1), "not known"),
+        (lambda t: t + b'[9e12,"Nobody",{}]\n', "line 3: 'Nobody' is no event"),
+        (lambda t: t + b"[9e12,", "line 3 cannot"),
+        (lambda t: t + b'[1.0,"Stalled",{"for_ms":1.0}]\n', "line 3: the time goes back"),
+    ],
+)
 def test_a_damaged_sequence_is_refused_with_its_line(damage: Callable[[bytes], bytes], words: str) -> None:
     out = io.BytesIO()
     recorder = Recorder(out, SETTINGS.core(), 1, 5000.0)
--- a/tests/test_middleware.py
+++ b/tests/test_middleware.py
@@ -34,9 +34,20 @@
     def __init__(self, app: Any, **scope: Any) -> None:
         self.sent: asyncio.Queue[dict[str, Any]] = asyncio.Queue()
         self.inbox: asyncio.Queue[dict[str, Any]] = asyncio.Queue()
-        base = {"type": "http", "method": "GET", "path": "/plan", "raw_path": b"/plan", "query_string": b"",
-                "headers": STREAM, "root_path": "", "scheme": "http", "server": ("t", 80), "http_version": "1.1",
-                "subprotocols": [], "client": ("127.0.0.1", 1)}  # fmt: skip
+        base = {
+            "type": "http",
+            "method": "GET",
+            "path": "/plan",
+            "raw_path": b"/plan",
+            "query_string": b"",
+            "headers": STREAM,
+            "root_path": "",
+            "scheme": "http",
+            "server": ("t", 80),
+            "http_version": "1.1",
+            "subprotocols": [],
+            "client": ("127.0.0.1", 1),
+        }
         self.task = asyncio.ensure_future(app(base | scope, self.inbox.get, self.sent.put))
 
     async def next(self) -> dict[str, Any]:
@@ -45,8 +56,11 @@
 
 def run(body: Callable[[Any, Placer, dict[str, Any]], Awaitable[None]], *states: State, **options: Any) -> None:
     async def inside() -> None:
-        placer = Placer(settings(classes=(RequestClass(100.0, 400.0),), retry_after=True, max_retry_after_ms=2000.0),
-                        StaticList(machines(*states)), seed=3)  # fmt: skip
+        placer = Placer(
+            settings(classes=(RequestClass(100.0, 400.0),), retry_after=True, max_retry_after_ms=2000.0),
+            StaticList(machines(*states)),
+            seed=3,
+        )
         await placer.start()
         go: dict[str, Any] = {"end": asyncio.Event(), "unreachable": set(), "tried": []}
         api = FastAPI()
@@ -197,8 +211,9 @@
     async def body(app: Any, placer: Placer, go: dict[str, Any]) -> None:
         seen: list[Any] = []
         placer.runtime.seen.append(lambda now, event: seen.append(event))
-        wrapped = PlacementMiddleware(app, placer, key=lambda s: 7, group=lambda s: 9, deadline=lambda s: 0.3,
-                                      returned=lambda s: True)  # fmt: skip
+        wrapped = PlacementMiddleware(
+            app, placer, key=lambda s: 7, group=lambda s: 9, deadline=lambda s: 0.3, returned=lambda s: True
+        )
         client = Client(wrapped)
         go["end"].set()
         await client.task
@@ -304,8 +319,10 @@
             await send({"type": kind, "status": 200, "headers": []})
             await asyncio.Event().wait()
 
-        clients = [Client(PlacementMiddleware(deaf, placer)),
-                   Client(PlacementMiddleware(deaf, placer), type="websocket", scheme="ws")]  # fmt: skip
+        clients = [
+            Client(PlacementMiddleware(deaf, placer)),
+            Client(PlacementMiddleware(deaf, placer), type="websocket", scheme="ws"),
+        ]
         for client in clients:
             await client.next()
         await placer.close(0.05)
--- a/tests/test_peers_members.py
+++ b/tests/test_peers_members.py
@@ -181,7 +181,8 @@
     assert {k: n for k, (n, _) in heard.items()} == {k: n for k, (n, _) in t.holds.items()}
     assert all(abs(heard[k][1] - load) <= 0.06 * max(load, 1.0) + 1.0 for k, (_, load) in t.holds.items())
     assert others.heard == 1 and {k: v[0] for k, v in others.holds.items() if v[0]} == {
-        k: n for k, (n, _) in t.holds.items()}  # fmt: skip
+        k: n for k, (n, _) in t.holds.items()
+    }
 
 
 def test_what_one_held_goes_with_it_and_word_from_an_earlier_life_does_not_bring_it_back() -> None:
@@ -219,8 +220,11 @@
     for n in range(300):
         core.members.told(Rumour(f"{n:064d}", "100.100.100.100", 65_535, 1 << 52, 7, ALIVE), 0.0)
     big = FIGURE_MOST - 1
-    own = Own({big - 17 * n: (big, float(big)) for n in range(2000)}, {big - n: 1e9 for n in range(500)},
-              {big - n: (1e6, 1e9, 1.0) for n in range(500)})  # fmt: skip
+    own = Own(
+        {big - 17 * n: (big, float(big)) for n in range(2000)},
+        {big - n: 1e9 for n in range(500)},
+        {big - n: (1e6, 1e9, 1.0) for n in range(500)},
+    )
     sent = [e for _ in range(8) for e in core.step(1e7, own) if isinstance(e, Send)]
     assert sent and max(len(e.data) for e in sent) <= MOST
     core._whole_table(core.members.table[f"{1:064d}"])
@@ -252,17 +256,21 @@
     assert core.members.table["b"].heard == 6001.0
 
 
-@pytest.mark.parametrize(("section", "says"), [
-    ({}, "peers.listen is missing"), ({"listen": "here"}, "peers.listen is 'here'"),
-    ({"listen": "10.0.0.1:1", "sedes": []}, "peers.sedes is not known; seeds is"),
-    ({"listen": "10.0.0.1:1", "seeds": ["::1:5"]}, "peers.seeds is '::1:5'"),
-    ({"listen": "10.0.0.1:1", "seeds": "10.0.0.2:1"}, "a list of addresses"),
-    ({"listen": "10.0.0.1:1", "probe_s": 0}, "peers.probe_s is 0: a number from 0.05 to 60"),
-    ({"listen": "10.0.0.1:1", "signal_s": True}, "peers.signal_s is True"),
-    ({"listen": "10.0.0.1:1", "cluster": ""}, "peers.cluster is ''"),
-    ({"listen": "10.0.0.1:1", "forget_s": 2.0}, "peers.forget_s must be at least four times"),
-    ({"listen": "10.0.0.1:70000"}, "peers.listen is '10.0.0.1:70000'"),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    ("section", "says"),
+    [
+        ({}, "peers.listen is missing"),
+        ({"listen": "here"}, "peers.listen is 'here'"),
+        ({"listen": "10.0.0.1:1", "sedes": []}, "peers.sedes is not known; seeds is"),
+        ({"listen": "10.0.0.1:1", "seeds": ["::1:5"]}, "peers.seeds is '::1:5'"),
+        ({"listen": "10.0.0.1:1", "seeds": "10.0.0.2:1"}, "a list of addresses"),
+        ({"listen": "10.0.0.1:1", "probe_s": 0}, "peers.probe_s is 0: a number from 0.05 to 60"),
+        ({"listen": "10.0.0.1:1", "signal_s": True}, "peers.signal_s is True"),
+        ({"listen": "10.0.0.1:1", "cluster": ""}, "peers.cluster is ''"),
+        ({"listen": "10.0.0.1:1", "forget_s": 2.0}, "peers.forget_s must be at least four times"),
+        ({"listen": "10.0.0.1:70000"}, "peers.listen is '10.0.0.1:70000'"),
+    ],
+)
 def test_each_wrong_key_is_named(section: dict[str, Any], says: str) -> None:
     with pytest.raises(PeerError, match=says.replace("(", r"\(")):
         read_peers(section)
--- a/tests/test_peers_off.py
+++ b/tests/test_peers_off.py
@@ -22,23 +22,30 @@
 # All effects of all relays, in their order. Taken on the build before (694cc79); the asked ones anew when draws came to
 # be seeded by the group, which changes what every relay draws there, with or without peers.
 BEFORE = {
-    ("asked", "vanish"): "713642e8e226a0e3", ("asked", "drain"): "0452b6e96dcfe9a7",
-    ("blind", "vanish"): "c30c51b3bb9ce26b", ("blind", "drain"): "7475097a07466f54",
-    ("probed", "vanish"): "b5a5742086a819ed", ("probed", "drain"): "f4b27eb8d7fb7511",
-}  # fmt: skip
+    ("asked", "vanish"): "713642e8e226a0e3",
+    ("asked", "drain"): "0452b6e96dcfe9a7",
+    ("blind", "vanish"): "c30c51b3bb9ce26b",
+    ("blind", "drain"): "7475097a07466f54",
+    ("probed", "vanish"): "b5a5742086a819ed",
+    ("probed", "drain"): "f4b27eb8d7fb7511",
+}
 # The same with the reasons that answers, moves and drops carry, and with probes that are taken back.
 WITH_REASONS = {
-    ("asked", "vanish"): "2589e88338af9740", ("asked", "drain"): "bffbd6c1aa22662c",
-    ("blind", "vanish"): "ec711391906996c3", ("blind", "drain"): "8d31ca068c682d85",
-    ("probed", "vanish"): "e5196d9ad309e8e4", ("probed", "drain"): "a5d2a117e20104dd",
-}  # fmt: skip
+    ("asked", "vanish"): "2589e88338af9740",
+    ("asked", "drain"): "bffbd6c1aa22662c",
+    ("blind", "vanish"): "ec711391906996c3",
+    ("blind", "drain"): "8d31ca068c682d85",
+    ("probed", "vanish"): "e5196d9ad309e8e4",
+    ("probed", "drain"): "a5d2a117e20104dd",
+}
 REASON = re.compile(r", why=(None|<[^>]*>)")
 SPECS = {"asked": ASKED, "blind": replace(ASKED, by_own_load=True, relays=6), "probed": PROBED}
 
 
 @pytest.mark.parametrize(("name", "trouble"), BEFORE)
-def test_without_peers_each_decision_is_the_same_byte_for_byte(name: str, trouble: str,
-                                                                monkeypatch: pytest.MonkeyPatch) -> None:  # fmt: skip
+def test_without_peers_each_decision_is_the_same_byte_for_byte(
+    name: str, trouble: str, monkeypatch: pytest.MonkeyPatch
+) -> None:
     found, reasons = hashlib.sha256(), hashlib.sha256()
     step: Callable[..., Any] = Reducer.step
 
@@ -59,8 +66,10 @@
 
 
 def test_nothing_of_control_is_loaded_without_the_section() -> None:
-    code = ("import sys, yarrowspindle.program.main as main, yarrowspindle.program.line_front; "
-            "main.load_operator({'YARROWSPINDLE_OPERATOR': 'deploy/rebalance.toml'}); "
-            "print([m for m in sys.modules if 'control' in m or m in ('msgspec', 'click')])")  # fmt: skip
+    code = (
+        "import sys, yarrowspindle.program.main as main, yarrowspindle.program.line_front; "
+        "main.load_operator({'YARROWSPINDLE_OPERATOR': 'deploy/rebalance.toml'}); "
+        "print([m for m in sys.modules if 'control' in m or m in ('msgspec', 'click')])"
+    )
     said = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True)
     assert said.stdout.strip() == "[]"
--- a/tests/test_peers_virtual.py
+++ b/tests/test_peers_virtual.py
@@ -9,8 +9,17 @@
 from yarrowspindle.lab.model.peering import address_of
 from yarrowspindle.peers.messages import Came, Own
 
-SETS = (("loss", "stall"), ("split", "loss"), ("cut", "kill"), ("oneway", "double", "reorder"), ("lost", "late"),
-        ("corrupt", "kill", "stall"), ("old",), ("mute",), ("restart", "loss"))  # fmt: skip
+SETS = (
+    ("loss", "stall"),
+    ("split", "loss"),
+    ("cut", "kill"),
+    ("oneway", "double", "reorder"),
+    ("lost", "late"),
+    ("corrupt", "kill", "stall"),
+    ("old",),
+    ("mute",),
+    ("restart", "loss"),
+)
 
 
 def started(relays: int, seed: int = 1) -> Relays:
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -330,8 +330,19 @@
 
 def test_cold_servers_of_other_zones_are_fed_where_nobody_tells() -> None:
     """After a crash in a zone without a relay nobody fed its new processes until they were warm."""
-    b = Balancer(settings(zones=2, cross_zone_price=0.1, tells_delay=False, cold_ms=9000.0, cold_share=0.3,
-                          fall_multiple=3.0, fall_ms=1500.0), 3, 0.0)  # fmt: skip
+    b = Balancer(
+        settings(
+            zones=2,
+            cross_zone_price=0.1,
+            tells_delay=False,
+            cold_ms=9000.0,
+            cold_share=0.3,
+            fall_multiple=3.0,
+            fall_ms=1500.0,
+        ),
+        3,
+        0.0,
+    )
     b.handle(0.0, full_list(ServerEntry(1), ServerEntry(2, zone=1)))
     for n in range(1, 60):
         end(b, 100.0 * n, n, open_one(b, 100.0 * n, n, load=50.0))
@@ -378,8 +389,17 @@
 def test_the_books_of_the_ring_and_of_own_load_stay_exact() -> None:
     """Random lists, jobs and loads: what is kept up step by step is what a walk over all would find."""
     rng = random.Random(5)
-    b = balancer(0, seed=2, cross_zone_price=0.1, zones=2, balancers=3, cold_ms=500.0, cold_share=0.5,
-                 tells_delay=False, retry_after=True)  # fmt: skip
+    b = balancer(
+        0,
+        seed=2,
+        cross_zone_price=0.1,
+        zones=2,
+        balancers=3,
+        cold_ms=500.0,
+        cold_share=0.5,
+        tells_delay=False,
+        retry_after=True,
+    )
     at: dict[int, int] = {}
     for step in range(2000):
         now, what = float(step), rng.random()
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -18,9 +18,13 @@
 from yarrowspindle.program.config import ConfigError, read_operator
 
 
-@pytest.mark.parametrize(("seed", "words"), [
-    (7, ("loss", "cut", "kill", "stall")), (12, ("split", "double", "reorder", "corrupt")),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    ("seed", "words"),
+    [
+        (7, ("loss", "cut", "kill", "stall")),
+        (12, ("split", "double", "reorder", "corrupt")),
+    ],
+)
 def test_five_relays_keep_all_rules_and_agree_again(seed: int, words: tuple[str, ...]) -> None:
     report = asyncio.run(play(Run(seed=seed, words=words)))
     print(report)
@@ -118,16 +122,21 @@
 
 
 def test_nothing_of_peers_or_turns_is_loaded_without_the_section() -> None:
-    code = ("import sys, yarrowspindle.program.main, yarrowspindle.program.line_front; "
-            "print([m for m in sys.modules if 'peer' in m or 'turn' in m or m in ('msgspec', 'click')])")  # fmt: skip
+    code = (
+        "import sys, yarrowspindle.program.main, yarrowspindle.program.line_front; "
+        "print([m for m in sys.modules if 'peer' in m or 'turn' in m or m in ('msgspec', 'click')])"
+    )
     said = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True)
     assert said.stdout.strip() == "[]"
 
 
-@pytest.mark.parametrize(("section", "says"), [
-    ('listen = "nowhere"', "peers.listen is 'nowhere'"),
-    ('listen = "127.0.0.1:1"\nprobes = 1', "peers.probes is not known"),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    ("section", "says"),
+    [
+        ('listen = "nowhere"', "peers.listen is 'nowhere'"),
+        ('listen = "127.0.0.1:1"\nprobes = 1', "peers.probes is not known"),
+    ],
+)
 def test_a_wrong_section_ends_the_start_with_its_key(section: str, says: str) -> None:
     with pytest.raises(ConfigError, match=says):
         read_operator(f"[peers]\n{section}\n")
--- a/tests/test_protocol.py
+++ b/tests/test_protocol.py
@@ -17,8 +17,10 @@
 from yarrowspindle.routing.messages import ListTold
 
 LINE = "OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=chat,t=acme,d=2000,g=5c0f6e1a2b3d4c59"
-LIST = (b'{"revision":41,"complete":true,"members":[{"id":"s-5be2a07c","host_port":"10.1.0.18:3000","locality":"b",'
-        b'"flavor":"m2","cell":3,"phase":"draining","size":1.5,"up_since_ms":7}]}\n')  # fmt: skip
+LIST = (
+    b'{"revision":41,"complete":true,"members":[{"id":"s-5be2a07c","host_port":"10.1.0.18:3000","locality":"b",'
+    b'"flavor":"m2","cell":3,"phase":"draining","size":1.5,"up_since_ms":7}]}\n'
+)
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 
@@ -92,7 +94,15 @@
 
 def test_words_loads_and_notices() -> None:
     assert [word_of(w) for w in (b"UP r", b"BYE", b"MOVE", b"ERR", b"BUSY 3", b"LOAD 2", b"UPS", b"")] == [
-        Word.UP, Word.BYE, Word.MOVE, Word.ERR, Word.BUSY, Word.LOAD, Word.OTHER, Word.OTHER]  # fmt: skip
+        Word.UP,
+        Word.BYE,
+        Word.MOVE,
+        Word.ERR,
+        Word.BUSY,
+        Word.LOAD,
+        Word.OTHER,
+        Word.OTHER,
+    ]
     assert [load_of(b) for b in (b"LOAD 2.5", b"LOAD", b"LOAD x", b"LOAD -1", b"LOAD nan")] == [2.5] + 4 * [None]
     assert requeue_notice(0.0) == b"BUSY\r\n" and requeue_notice(1499.6) == b"BUSY 1500\r\n"
     with pytest.raises(LineError):
@@ -111,15 +121,28 @@
     assert len(told) == 2 and told[0].kind is ListKind.FULL and told[0].version == 41 and not answer.ended
     (m,) = told[0].machines
     assert (m.name, m.address, m.state, m.zone, m.kind, m.cell, m.capacity, m.started_ms) == (
-        "s-5be2a07c", ("10.1.0.18", 3000), State.DRAINING, 1, 1, 3, 1.5, 7.0)  # fmt: skip
+        "s-5be2a07c",
+        ("10.1.0.18", 3000),
+        State.DRAINING,
+        1,
+        1,
+        3,
+        1.5,
+        7.0,
+    )
 
 
-@pytest.mark.parametrize("bad, why", [
-    (b"HTTP/1.1 503 Busy\r\n\r\n", "status 503"), (b"nonsense\r\n\r\n", "not HTTP"),
-    (HEAD + b"3\r\n{]\n\r\n", "not JSON"), (HEAD + b"3\r\n[]\n\r\n", "without members"),
-    (HEAD + b"%x\r\n%s\r\n" % (len(LIST), LIST.replace(b"draining", b"sleeping")), "makes no sense"),
-    (HEAD + b"%x\r\n%s\r\n" % (len(LIST) - 5, LIST.replace(b":3000", b"")), "not an address"),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    "bad, why",
+    [
+        (b"HTTP/1.1 503 Busy\r\n\r\n", "status 503"),
+        (b"nonsense\r\n\r\n", "not HTTP"),
+        (HEAD + b"3\r\n{]\n\r\n", "not JSON"),
+        (HEAD + b"3\r\n[]\n\r\n", "without members"),
+        (HEAD + b"%x\r\n%s\r\n" % (len(LIST), LIST.replace(b"draining", b"sleeping")), "makes no sense"),
+        (HEAD + b"%x\r\n%s\r\n" % (len(LIST) - 5, LIST.replace(b":3000", b"")), "not an address"),
+    ],
+)
 def test_an_answer_that_makes_no_sense_fails_the_watch_and_says_why(bad: bytes, why: str) -> None:
     with pytest.raises(ListError, match=why):
         WatchAnswer(Names()).feed(bad)
@@ -127,8 +150,14 @@
 
 def test_settings_are_flattened_as_the_simulator_writes_them() -> None:
     nested = {"a": {"b": [1.0, 2.0], "c": None}, "list": [{"x": True}, {"x": "y"}], "none": []}
-    assert dict(flatten(nested)) == {"a.b": "1.0,2.0", "a.c": "null", "list.count": "2", "list.0.x": "true",
-                                     "list.1.x": "y", "none": ""}  # fmt: skip
+    assert dict(flatten(nested)) == {
+        "a.b": "1.0,2.0",
+        "a.c": "null",
+        "list.count": "2",
+        "list.0.x": "true",
+        "list.1.x": "y",
+        "none": "",
+    }
 
 
 def test_the_operators_file() -> None:
--- a/tests/test_quic_front.py
+++ b/tests/test_quic_front.py
@@ -47,20 +47,33 @@
         return answer.split(b":")[0].decode()
 
 
-def run(body: Callable[[World], Awaitable[None]], *nodes: dict[str, Any], started: float = 0.0,
-        class_ms: float = 3000.0, max_connections: int = 50, **changes: Any) -> None:  # fmt: skip
+def run(
+    body: Callable[[World], Awaitable[None]],
+    *nodes: dict[str, Any],
+    started: float = 0.0,
+    class_ms: float = 3000.0,
+    max_connections: int = 50,
+    **changes: Any,
+) -> None:
     async def inside() -> None:
         made = [QuicNode(f"node-{i}", **options) for i, options in enumerate(nodes)]
         machines = {}
         for i, node in enumerate(made):
             machines[node.name] = Machine(node.name, await node.open(), started_ms=started if i == 0 else 0.0)
-        settings = Settings(classes=(RequestClass(800.0, class_ms),), max_attempts=3, may_cancel=True, retry_after=True,
-                            max_retry_after_ms=2000.0, **changes)  # fmt: skip
+        settings = Settings(
+            classes=(RequestClass(800.0, class_ms),),
+            max_attempts=3,
+            may_cancel=True,
+            retry_after=True,
+            max_retry_after_ms=2000.0,
+            **changes,
+        )
         known = ListTold(ListKind.CACHED, list(machines.values()))
         hub = Hub(Config("n0", ("127.0.0.1", 0), ("127.0.0.1", 1), 5, settings, known), SystemClock())
         hub.start()
-        front = QuicFront(hub, QuicConfig(("127.0.0.1", 0), ID_KEY, RESET_KEY, answer_ms=400.0,
-                                          max_connections=max_connections))  # fmt: skip
+        front = QuicFront(
+            hub, QuicConfig(("127.0.0.1", 0), ID_KEY, RESET_KEY, answer_ms=400.0, max_connections=max_connections)
+        )
         await front.start()
         assert front.front.transport is not None
         world = World(made, hub, front, front.front.transport.get_extra_info("sockname"), machines)
--- a/tests/test_rebalance.py
+++ b/tests/test_rebalance.py
@@ -20,8 +20,15 @@
 from yarrowspindle.routing.messages import Rebalance, Stop
 
 T0 = 1_700_000_000_000.0
-QUICK = RebalanceSettings(dwell_s=0.0, settle_s=0.0, moves_per_s=1000.0, share_per_s=1.0, source_moves_per_s=1000.0,
-                          target_moves_per_s=1000.0, hot_s=1.0)  # fmt: skip
+QUICK = RebalanceSettings(
+    dwell_s=0.0,
+    settle_s=0.0,
+    moves_per_s=1000.0,
+    share_per_s=1.0,
+    source_moves_per_s=1000.0,
+    target_moves_per_s=1000.0,
+    hot_s=1.0,
+)
 
 
 class Bench:
@@ -227,11 +234,17 @@
     assert bench.beat() == [] and bench.rebalancer.level == 0.0
 
 
-@pytest.mark.parametrize("section, words", [
-    ({"sprad": 0.1}, "sprad is not known; spread is"), ({"spread": 0}, "spread is 0: a number from 0.01"),
-    ({"order": "first"}, "one of lightest-first"), ({"quiet": ["22-6"]}, "hours like"),
-    ({"moves_per_s": True}, "moves_per_s is True"), ({"quiet": ["25:00-06:00"]}, "no such hours"),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    "section, words",
+    [
+        ({"sprad": 0.1}, "sprad is not known; spread is"),
+        ({"spread": 0}, "spread is 0: a number from 0.01"),
+        ({"order": "first"}, "one of lightest-first"),
+        ({"quiet": ["22-6"]}, "hours like"),
+        ({"moves_per_s": True}, "moves_per_s is True"),
+        ({"quiet": ["25:00-06:00"]}, "no such hours"),
+    ],
+)
 def test_a_wrong_key_is_named_with_what_is_allowed(section: dict[str, Any], words: str) -> None:
     with pytest.raises(RebalanceError, match=words):
         read_rebalance(section)
@@ -256,8 +269,12 @@
         self.off: dict[int, deque[float]] = {}
         self.times: Counter[int] = Counter()
 
-    @rule(number=st.integers(1, 6), loads=st.lists(st.sampled_from((0.5, 1.0, 4.0)), max_size=12),
-          group=st.integers(0, 3), returned=st.booleans())  # fmt: skip
+    @rule(
+        number=st.integers(1, 6),
+        loads=st.lists(st.sampled_from((0.5, 1.0, 4.0)), max_size=12),
+        group=st.integers(0, 3),
+        returned=st.booleans(),
+    )
     def hold(self, number: int, loads: list[float], group: int, returned: bool) -> None:
         if self.states.get(number) is State.READY:
             for job in self.bench.hold(number, *loads, group=group, returned=returned):
@@ -298,8 +315,9 @@
         assert all(abs(b.load - sum(h.load for h in b.jobs.values())) < 1e-6 for b in books)
 
 
-Balanced.TestCase.settings = settings(max_examples=60, stateful_step_count=40, derandomize=True, deadline=None,
-                                      suppress_health_check=list(HealthCheck))  # fmt: skip
+Balanced.TestCase.settings = settings(
+    max_examples=60, stateful_step_count=40, derandomize=True, deadline=None, suppress_health_check=list(HealthCheck)
+)
 TestBalanced = Balanced.TestCase
 
 
@@ -356,8 +374,9 @@
     fleet.configure(RebalanceSettings())  # and put in again: the standing jobs are all known
     relay = fleet.relays[0]
     rebalance = relay.reducer.rebalance
-    assert rebalance is not None and len(rebalance.view.jobs) == sum(j.phase.name == "OPEN"
-                                                                     for j in relay.reducer.jobs.values())  # fmt: skip
+    assert rebalance is not None and len(rebalance.view.jobs) == sum(
+        j.phase.name == "OPEN" for j in relay.reducer.jobs.values()
+    )
     fleet.run(15.0)
     assert fleet.counts["moves"] > moves
     planned_so_far = rebalance.counts["moves.joined"]
--- a/tests/test_reducer_model.py
+++ b/tests/test_reducer_model.py
@@ -70,9 +70,17 @@
     @initialize(seed=st.integers(0, 99))
     def start(self, seed: int) -> None:
         self.now, self.numbers = 1000.0, count(1)
-        self.reducer = Reducer(helpers.settings(
-            classes=(RequestClass(800.0, DEADLINE, message_aim_ms=150.0),), max_attempts=3, retry_after=True,
-            max_retry_after_ms=2000.0, asks=True), seed, self.now)  # fmt: skip
+        self.reducer = Reducer(
+            helpers.settings(
+                classes=(RequestClass(800.0, DEADLINE, message_aim_ms=150.0),),
+                max_attempts=3,
+                retry_after=True,
+                max_retry_after_ms=2000.0,
+                asks=True,
+            ),
+            seed,
+            self.now,
+        )
         self.telemetry = Telemetry(self.reducer, str)
         self.jobs: dict[int, Seen] = {}
         self.states = dict.fromkeys(NAMES, State.READY)
@@ -84,8 +92,11 @@
     # --- the world's side -----------------------------------------------------------------------
 
     def pick(self, draw: int, **wanted: bool) -> int | None:
-        fits = [n for n, j in self.jobs.items()
-                if all(bool(getattr(j, k)) == v for k, v in (wanted | {"over": False}).items())]  # fmt: skip
+        fits = [
+            n
+            for n, j in self.jobs.items()
+            if all(bool(getattr(j, k)) == v for k, v in (wanted | {"over": False}).items())
+        ]
         return fits[draw % len(fits)] if fits else None
 
     @rule(left=st.sampled_from((DEADLINE, 300.0, 1.0)), at=st.sampled_from(("", "", "", "b", "nobody")))
@@ -281,8 +292,9 @@
             assert all(j.over for n, j in self.jobs.items() if j.deadline <= self.reducer.stop_at)
 
 
-Relayed.TestCase.settings = settings(max_examples=60, stateful_step_count=60, derandomize=True, deadline=None,
-                                     suppress_health_check=list(HealthCheck))  # fmt: skip
+Relayed.TestCase.settings = settings(
+    max_examples=60, stateful_step_count=60, derandomize=True, deadline=None, suppress_health_check=list(HealthCheck)
+)
 TestRelayed = Relayed.TestCase
 
 
--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -35,10 +35,21 @@
 from yarrowspindle.routing.messages import FigureTold, JobArrived, ListTold, Machine, NodeReached, NodeUp
 from yarrowspindle.routing.reducer import Reducer
 
-CLASSES = (RequestClass(800.0, 4800.0, worth=3.0, message_aim_ms=60.0),
-           RequestClass(300.0, 1200.0, worth=0.3, message_aim_ms=50.0))  # fmt: skip
-TOLD: dict[str, Any] = dict(classes=CLASSES, may_probe=True, report=("rif", "x0"), zones=2, cross_zone_price=0.16,
-                            live_weights=True, groups=True, retry_after=True, max_retry_after_ms=2000.0)  # fmt: skip
+CLASSES = (
+    RequestClass(800.0, 4800.0, worth=3.0, message_aim_ms=60.0),
+    RequestClass(300.0, 1200.0, worth=0.3, message_aim_ms=50.0),
+)
+TOLD: dict[str, Any] = dict(
+    classes=CLASSES,
+    may_probe=True,
+    report=("rif", "x0"),
+    zones=2,
+    cross_zone_price=0.16,
+    live_weights=True,
+    groups=True,
+    retry_after=True,
+    max_retry_after_ms=2000.0,
+)
 
 
 class Relay:
@@ -255,9 +266,15 @@
         assert not again or again[0].server % 2 == send.server % 2
 
 
-@pytest.mark.parametrize(("line", "told"), [
-    (b"PONG", ()), (b"PONG rif=9.5,x0=0.195", (9.5, 0.195)), (b"PONG x0=1,rif=2,q=3", (2.0, 1.0)), (b"PONG rif=1", ()),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    ("line", "told"),
+    [
+        (b"PONG", ()),
+        (b"PONG rif=9.5,x0=0.195", (9.5, 0.195)),
+        (b"PONG x0=1,rif=2,q=3", (2.0, 1.0)),
+        (b"PONG rif=1", ()),
+    ],
+)
 def test_a_report_is_read(line: bytes, told: tuple[float, ...]) -> None:
     assert report_of(line, ("rif", "x0")) == told
 
@@ -285,7 +302,7 @@
 PROBED: dict[str, Any] = {
     "stats": {"columns": ["rif", "x0"], "source": "probe"},
     "limits": SETTINGS["limits"] | {"conn_idle_ms": 5000.0},
-}  # fmt: skip
+}
 
 
 def run(tmp: Path, answers: dict[str, str], body: Any, **changes: Any) -> None:
--- a/tests/test_turns.py
+++ b/tests/test_turns.py
@@ -49,13 +49,17 @@
         assert not why, f"{task}: {why}"
 
 
-@pytest.mark.parametrize(("faults", "relays"), [
-    ([Fault("split", 2.0, 8.0, one=("r0", "r1"), other=("r2", "r3", "r4"))], 5),
-    ([Fault("split", 2.0, 8.0, one=("r0", "r1"), other=("r2", "r3"))], 4),
-    ([Fault("split", 2.0, 8.0, one=("r0",), other=("r1", "r2"))], 3),
-    ([Fault("oneway", 1.0, 9.0, one=("r0",), other=("r1",))], 3),
-    ([Fault("stall", 2.0, 20.0, one=("r0",))], 5),
-], ids=["two and three", "even halves", "one and two", "one way", "stopped for 20 s"])  # fmt: skip
+@pytest.mark.parametrize(
+    ("faults", "relays"),
+    [
+        ([Fault("split", 2.0, 8.0, one=("r0", "r1"), other=("r2", "r3", "r4"))], 5),
+        ([Fault("split", 2.0, 8.0, one=("r0", "r1"), other=("r2", "r3"))], 4),
+        ([Fault("split", 2.0, 8.0, one=("r0",), other=("r1", "r2"))], 3),
+        ([Fault("oneway", 1.0, 9.0, one=("r0",), other=("r1",))], 3),
+        ([Fault("stall", 2.0, 20.0, one=("r0",))], 5),
+    ],
+    ids=["two and three", "even halves", "one and two", "one way", "stopped for 20 s"],
+)
 def test_named_hard_cases(faults: list[Fault], relays: int) -> None:
     for seed in (1, 2):
         found = play_turns(relays, 6, seed, (), faults=faults, plan=Plan())
@@ -87,8 +91,11 @@
     refused = settled(state.asked(Wish(("m3", "m1")))).requests[Wish(("m3", "m1")).id]
     assert refused.state == "refused" and refused.why == f"m1 is in request {WISH.id} already"
     wrongs: list[dict[str, Any]] = [
-        {"machines": ()}, {"machines": ("a", "a")}, {"machines": ("a",), "most": 0},
-        {"machines": ("a",), "deadline_s": 0.0}]  # fmt: skip
+        {"machines": ()},
+        {"machines": ("a", "a")},
+        {"machines": ("a",), "most": 0},
+        {"machines": ("a",), "deadline_s": 0.0},
+    ]
     for wrong in wrongs:
         with pytest.raises(TurnError):
             Wish(**wrong)
@@ -162,8 +169,11 @@
     assert voter.kept is first
     voter = Voter(first, written.append)
     assert isinstance(voter.told(Prepare((3, "r0"), 0, FIRST)), Promise) and written[-1].promised == (3, "r0")
-    for message in (Prepare((2, "r1"), 0, FIRST), Prepare((9, "r1"), 0, "another file"),
-                    Accept((2, "r1"), 0, FIRST, TurnState())):  # fmt: skip
+    for message in (
+        Prepare((2, "r1"), 0, FIRST),
+        Prepare((9, "r1"), 0, "another file"),
+        Accept((2, "r1"), 0, FIRST, TurnState()),
+    ):
         assert isinstance(voter.told(message), Refused)
     newer = TurnState({"r0": FIRST}, 4, 2)
     voter.told(Accept((4, "r0"), 2, FIRST, newer))
--- a/tests/test_turns_daemon.py
+++ b/tests/test_turns_daemon.py
@@ -23,8 +23,10 @@
 
 
 def operator(tmp: Path, port: int, more: str = "") -> str:
-    return (f'[peers]\nlisten = "127.0.0.1:{free_port()}"\n[turns]\ndirectory = "{tmp}/turns"\nvoters = ["n0"]\n'
-            f'command = "127.0.0.1:{port}"\n{more}')  # fmt: skip
+    return (
+        f'[peers]\nlisten = "127.0.0.1:{free_port()}"\n[turns]\ndirectory = "{tmp}/turns"\nvoters = ["n0"]\n'
+        f'command = "127.0.0.1:{port}"\n{more}'
+    )
 
 
 async def say(port: int, *words: str) -> int:
@@ -146,8 +148,9 @@
     asyncio.run(body())
 
 
-def test_the_command_names_what_is_wrong(tmp_path: Path, capsys: pytest.CaptureFixture[str],
-                                         monkeypatch: pytest.MonkeyPatch) -> None:  # fmt: skip
+def test_the_command_names_what_is_wrong(
+    tmp_path: Path, capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch
+) -> None:
     monkeypatch.delenv("YARROWSPINDLE_OPERATOR", raising=False)
     assert main(["show"]) == 1 and "no turns.command" in capsys.readouterr().err
     assert main(["--at", "nowhere", "show"]) == 2 and "no address" in capsys.readouterr().err
@@ -157,10 +160,15 @@
 
 
 def test_five_real_relays_roll_machines_under_loss_a_cut_a_kill_and_a_stall() -> None:
-    faults = [Fault("loss", 0.0, 12.0, 0.25), Fault("kill", 2.5, 2.0, one=("r1",)),
-              Fault("stall", 4.5, 3.0, one=("r0",)), Fault("cut", 6.0, 4.0, one=("r2",), other=("r3",))]  # fmt: skip
-    run = Run(5, 4, 100, 21, settle_s=2.5, after_s=0.5, life_s=12.0, voters=4, cold_s=1.0, moves_per_s=40.0,
-              lose_file=True)  # fmt: skip
+    faults = [
+        Fault("loss", 0.0, 12.0, 0.25),
+        Fault("kill", 2.5, 2.0, one=("r1",)),
+        Fault("stall", 4.5, 3.0, one=("r0",)),
+        Fault("cut", 6.0, 4.0, one=("r2",), other=("r3",)),
+    ]
+    run = Run(
+        5, 4, 100, 21, settle_s=2.5, after_s=0.5, life_s=12.0, voters=4, cold_s=1.0, moves_per_s=40.0, lose_file=True
+    )
     found: TurnReport = asyncio.run(play_turns(run, Work(machines=2, floor=2.0, reboot=True, voter=True), faults))
     print(found)
     assert not found.report.broken, str(found)
--- a/tests/test_turns_parts.py
+++ b/tests/test_turns_parts.py
@@ -42,9 +42,16 @@
 
 
 def test_messages_come_back_as_they_were_and_nonsense_does_not() -> None:
-    for message in (Learn(a_state()), Prepare((3, "r1"), 2, "x"), Accept((1, "r0"), 0, "i", a_state()),
-                    Says(7, {"a": 1}), Enter("k"), Newest(3), Refused((1, "a"), (2, "b"), a_state()),
-                    Refused((1, "a"), (2, "b"), not_voter=True)):  # fmt: skip
+    for message in (
+        Learn(a_state()),
+        Prepare((3, "r1"), 2, "x"),
+        Accept((1, "r0"), 0, "i", a_state()),
+        Says(7, {"a": 1}),
+        Enter("k"),
+        Newest(3),
+        Refused((1, "a"), (2, "b"), a_state()),
+        Refused((1, "a"), (2, "b"), not_voter=True),
+    ):
         assert codec.decode(codec.encode(message)) == message
     whole = codec.encode(Learn(a_state()))
     bomb = bytes((codec.VERSION, 6)) + zlib.compress(b"\0" * (8 << 20))
@@ -93,8 +100,12 @@
     file.store(kept)
     assert file.load() == kept and not list(tmp_path.glob("r0/*.new"))
     whole = file.path.read_bytes()
-    for bad, says in ((whole[:-3], "cut off"), (whole.replace(b"machine-7", b"machine-8", 1), "sum is wrong"),
-                      (b"", "cut off"), (b"\xff" * 50, "cut off")):  # fmt: skip
+    for bad, says in (
+        (whole[:-3], "cut off"),
+        (whole.replace(b"machine-7", b"machine-8", 1), "sum is wrong"),
+        (b"", "cut off"),
+        (b"\xff" * 50, "cut off"),
+    ):
         file.path.write_bytes(bad)
         with pytest.raises(NoFile, match=says):
             file.load()
@@ -148,18 +159,21 @@
 TURNS = PEERS + '[turns]\ndirectory = "/tmp/x"\nvoters = ["r0"]\n'
 
 
-@pytest.mark.parametrize(("text", "says"), [
-    ('[turns]\ndirectory = "x"\nvoters = ["r0"]\n', "needs \\[peers\\]"),
-    (PEERS + '[turns]\nvoters = ["r0"]\n', "turns.directory is missing"),
-    (PEERS + '[turns]\ndirectory = "x"\n', "turns.voters names"),
-    (TURNS + 'move_per_s = 3\n', "turns.move_per_s is not known; moves_per_s is"),
-    (TURNS + 'pressure = 7\n', "turns.pressure is 7"),
-    (TURNS + 'command = "10.0.0.1:80"\n', "a loopback address is wanted"),
-    (TURNS + 'command = "here"\n', "turns.command is 'here'"),
-    (TURNS + '[[turns.request]]\nmachines = ["a"]\nzone = "b"\n', "machines, or a zone, or a kind"),
-    (TURNS + '[[turns.request]]\nmachines = ["a"]\nmost = "2"\n', "turns.request.most is '2'"),
-    (TURNS + '[[turns.request]]\nzone = "a"\norder = "any"\n', "order is 'any'"),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    ("text", "says"),
+    [
+        ('[turns]\ndirectory = "x"\nvoters = ["r0"]\n', "needs \\[peers\\]"),
+        (PEERS + '[turns]\nvoters = ["r0"]\n', "turns.directory is missing"),
+        (PEERS + '[turns]\ndirectory = "x"\n', "turns.voters names"),
+        (TURNS + "move_per_s = 3\n", "turns.move_per_s is not known; moves_per_s is"),
+        (TURNS + "pressure = 7\n", "turns.pressure is 7"),
+        (TURNS + 'command = "10.0.0.1:80"\n', "a loopback address is wanted"),
+        (TURNS + 'command = "here"\n', "turns.command is 'here'"),
+        (TURNS + '[[turns.request]]\nmachines = ["a"]\nzone = "b"\n', "machines, or a zone, or a kind"),
+        (TURNS + '[[turns.request]]\nmachines = ["a"]\nmost = "2"\n', "turns.request.most is '2'"),
+        (TURNS + '[[turns.request]]\nzone = "a"\norder = "any"\n', "order is 'any'"),
+    ],
+)
 def test_a_wrong_key_is_named(text: str, says: str) -> None:
     with pytest.raises(ConfigError, match=says):
         read_operator(text)
@@ -173,8 +187,13 @@
 def test_zone_by_zone_sorts_and_wrong_figures_are_refused() -> None:
     wish = Asking(("b1", "a1", "b2", "a2"), order="zones").wish(("b1", "a1", "b2", "a2"), {"b1": 1, "b2": 1})
     assert wish.machines == ("a1", "a2", "b1", "b2")
-    for wrong in ({"machines": ["a"], "most": 0}, {"machines": "a"}, {"machines": ["a"], "floor": float("nan")}, {},
-                  {"machines": ["a"], "deadline_s": True}):  # fmt: skip
+    for wrong in (
+        {"machines": ["a"], "most": 0},
+        {"machines": "a"},
+        {"machines": ["a"], "floor": float("nan")},
+        {},
+        {"machines": ["a"], "deadline_s": True},
+    ):
         with pytest.raises(TurnError):
             read_asking(wrong)
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -35,12 +35,22 @@
 
 ROOT = Path(__file__).resolve().parent.parent
 BASIC = {
-    "categories.count": "1", "categories.0.slo_ms": "500.0", "categories.0.deadline_ms": "2000.0",
-    "categories.0.effect": "pure", "slot_no": "0", "balancers": "1", "obligations.drain_grace_ms": "500.0",
-    "obligations.answer_slack_ms": "8.0", "obligations.cold_share": "0.12", "obligations.cold_ms": "24000.0",
-    "obligations.fall_multiple": "3.0", "obligations.fall_ms": "2000.0", "limits.max_attempts": "3",
-    "limits.retry_after": "true", "limits.cancel": "true",
-}  # fmt: skip
+    "categories.count": "1",
+    "categories.0.slo_ms": "500.0",
+    "categories.0.deadline_ms": "2000.0",
+    "categories.0.effect": "pure",
+    "slot_no": "0",
+    "balancers": "1",
+    "obligations.drain_grace_ms": "500.0",
+    "obligations.answer_slack_ms": "8.0",
+    "obligations.cold_share": "0.12",
+    "obligations.cold_ms": "24000.0",
+    "obligations.fall_multiple": "3.0",
+    "obligations.fall_ms": "2000.0",
+    "limits.max_attempts": "3",
+    "limits.retry_after": "true",
+    "limits.cancel": "true",
+}
 EMPTY = bytes.fromhex("01000000 00000000 00000000 00000000206ec040")
 EMPTY_REPLY = bytes.fromhex("01000000 00000000 00000000")
 MEMBERS = bytes.fromhex(
@@ -116,10 +126,19 @@
     assert read(done) == AttemptEnded(0x5D3A91C4, 0, 0x03124A07, Outcome.OK, True, 18.5)
 
 
-@pytest.mark.parametrize(("code", "outcome"), [
-    (100, Outcome.OK), (301, Outcome.ERROR), (302, Outcome.FULL), (303, Outcome.TIMEOUT),
-    (304, Outcome.CONNECT_FAILED), (305, Outcome.RESET),
-    (306, Outcome.CANCELLED), (307, Outcome.MOOT)])  # fmt: skip
+@pytest.mark.parametrize(
+    ("code", "outcome"),
+    [
+        (100, Outcome.OK),
+        (301, Outcome.ERROR),
+        (302, Outcome.FULL),
+        (303, Outcome.TIMEOUT),
+        (304, Outcome.CONNECT_FAILED),
+        (305, Outcome.RESET),
+        (306, Outcome.CANCELLED),
+        (307, Outcome.MOOT),
+    ],
+)
 def test_every_outcome_has_its_code(code: int, outcome: Outcome) -> None:
     event = read(record(1040, struct.pack("<IHIBHdB2f", 1, 2, 3, 0, code, 4.0, 2, 0.5, 0.6)))
     assert event == AttemptEnded(1, 2, 3, outcome, False, 4.0)
@@ -134,15 +153,19 @@
     assert read(longer) == Established(9, 1, 7, 2.5)  # trailing fields are passed over
 
 
-@pytest.mark.parametrize(("action", "expected"), [
-    (Send(0x5D3A91C4, 0x03124A07, 80.0), "fc03 10000000 c4913a5d 074a1203 0000000000005440"),
-    (SetTimer(500.0, 77), "2e04 0c000000 0000000000407f40 4d000000"),
-    (Refuse(1, 2.0), "1a04 0c000000 01000000 0000000000000040"),
-    (Fail(1), "4204 04000000 01000000"),
-    (Move(1), "6a04 04000000 01000000"),
-    (Cancel(1, 2), "f203 06000000 01000000 0200"),
-    (Subscribe(), "4c04 01000000 01"),
-    (Log("two servers known"), "3804 13000000 1100 74776f2073657276657273206b6e6f776e")])  # fmt: skip
+@pytest.mark.parametrize(
+    ("action", "expected"),
+    [
+        (Send(0x5D3A91C4, 0x03124A07, 80.0), "fc03 10000000 c4913a5d 074a1203 0000000000005440"),
+        (SetTimer(500.0, 77), "2e04 0c000000 0000000000407f40 4d000000"),
+        (Refuse(1, 2.0), "1a04 0c000000 01000000 0000000000000040"),
+        (Fail(1), "4204 04000000 01000000"),
+        (Move(1), "6a04 04000000 01000000"),
+        (Cancel(1, 2), "f203 06000000 01000000 0200"),
+        (Subscribe(), "4c04 01000000 01"),
+        (Log("two servers known"), "3804 13000000 1100 74776f2073657276657273206b6e6f776e"),
+    ],
+)
 def test_actions_are_written_as_the_wire_page_has_them(action: object, expected: str) -> None:
     assert adapter.encode(action) == bytes.fromhex(expected)  # type: ignore[arg-type]
 
@@ -164,10 +187,19 @@
 
 
 def test_settings_are_renamed_and_unknown_ones_passed_over() -> None:
-    pairs = BASIC | {"azs": "a,b", "zone": "1", "discovery": "subscribe", "categories.0.effect": "token",
-                     "categories.0.group": "cell", "family_info.message_aim_ms": "90.0", "new.thing": "x",
-                     "realms.count": "1", "realms.0.share": "0.5", "deductions.cross_zone": "0.12",
-                     "family_info.tenant_quota_connections": "null"}  # fmt: skip
+    pairs = BASIC | {
+        "azs": "a,b",
+        "zone": "1",
+        "discovery": "subscribe",
+        "categories.0.effect": "token",
+        "categories.0.group": "cell",
+        "family_info.message_aim_ms": "90.0",
+        "new.thing": "x",
+        "realms.count": "1",
+        "realms.0.share": "0.5",
+        "deductions.cross_zone": "0.12",
+        "family_info.tenant_quota_connections": "null",
+    }
     s = settings.read_settings(pairs)
     assert (s.zone, s.zones, s.asks, s.cold_share, s.cross_zone_price) == (1, 2, True, 0.12, 0.12)
     cls = s.classes[0]
@@ -186,10 +218,11 @@
     "setting out of range": frame(1, 0.0, instance(1), create(BASIC | {"obligations.cold_share": "0"})),
     "setting not a number": frame(1, 0.0, instance(1), create(BASIC | {"balancers": "many"})),
     "setting not finite": frame(1, 0.0, instance(1), create(BASIC | {"balancers": "inf"})),
-    "unknown outcome": frame(1, 6e4, instance(1), create(BASIC), MEMBERS,
-                             record(1040, struct.pack("<IHIBHdB", 1, 0, 3, 0, 999, 4.0, 0))),
+    "unknown outcome": frame(
+        1, 6e4, instance(1), create(BASIC), MEMBERS, record(1040, struct.pack("<IHIBHdB", 1, 0, 3, 0, 999, 4.0, 0))
+    ),
     "cut list": frame(1, 0.0, instance(1), create(BASIC), record(1010, struct.pack("<BII", 2, 1, 5))),
-}  # fmt: skip
+}
 
 
 @pytest.mark.parametrize("name", sorted(BAD))
@@ -200,8 +233,13 @@
 
 @pytest.mark.parametrize("name", ["cut frame", "setting missing"])
 def test_bad_input_ends_the_adapter_with_one_plain_line(name: str) -> None:
-    done = subprocess.run([sys.executable, "-B", "-m", "yarrowspindle.adapter"], input=BAD[name], cwd=ROOT,
-                          capture_output=True, check=False)  # fmt: skip
+    done = subprocess.run(
+        [sys.executable, "-B", "-m", "yarrowspindle.adapter"],
+        input=BAD[name],
+        cwd=ROOT,
+        capture_output=True,
+        check=False,
+    )
     assert done.returncode != 0
     assert done.stderr.decode().count("\n") == 1 and done.stderr.startswith(b"adapter: ")
 
--- a/yarrowspindle/books.py
+++ b/yarrowspindle/books.py
@@ -10,9 +10,29 @@
 class Server:
     """One server as this balancer knows it."""
 
-    __slots__ = ("id", "zone", "cell", "capacity", "started", "ready", "open", "load", "strikes", "bad_until",
-                 "slow_until", "message_ms", "broke_at", "broke", "groups", "classes", "used", "holds", "asked_at",
-                 "told_at", "since")  # fmt: skip
+    __slots__ = (
+        "id",
+        "zone",
+        "cell",
+        "capacity",
+        "started",
+        "ready",
+        "open",
+        "load",
+        "strikes",
+        "bad_until",
+        "slow_until",
+        "message_ms",
+        "broke_at",
+        "broke",
+        "groups",
+        "classes",
+        "used",
+        "holds",
+        "asked_at",
+        "told_at",
+        "since",
+    )
 
     def __init__(self, server: int) -> None:
         self.id = server
@@ -51,8 +71,24 @@
 class Job:
     """A request from its arrival until it is answered and none of its attempts is out."""
 
-    __slots__ = ("id", "cls", "load", "arrived", "deadline", "attempts", "sent", "server", "out",
-                 "owed", "established", "ran_at", "ran_on", "returned", "group", "most")  # fmt: skip
+    __slots__ = (
+        "id",
+        "cls",
+        "load",
+        "arrived",
+        "deadline",
+        "attempts",
+        "sent",
+        "server",
+        "out",
+        "owed",
+        "established",
+        "ran_at",
+        "ran_on",
+        "returned",
+        "group",
+        "most",
+    )
 
     def __init__(self, request: int, cls: int, load: float, now: float, left: float) -> None:
         self.id, self.cls, self.load = request, cls, load
--- a/yarrowspindle/control/agent.py
+++ b/yarrowspindle/control/agent.py
@@ -48,8 +48,15 @@
     """machines: in the order in which this relay prefers them. version, entries: what it had before a restart; 0 and
     nothing: it serves by its file."""
 
-    def __init__(self, machines: list[Machine], check: Check, seed: int, now: float, version: int = 0,
-                 entries: Mapping[str, str] | None = None) -> None:  # fmt: skip
+    def __init__(
+        self,
+        machines: list[Machine],
+        check: Check,
+        seed: int,
+        now: float,
+        version: int = 0,
+        entries: Mapping[str, str] | None = None,
+    ) -> None:
         self.machines, self.check, self.now = machines, check, now
         self.rank = {machine.name: n for n, machine in enumerate(machines)}
         self.random = Random(seed)
@@ -125,8 +132,12 @@
             self.before_beats -= 1
             before = self.before
         self.counts["beats"] += 1
-        self.effects.append(Send(to.sender, Beat(self.known, self.digest, self.taken, self.why[:WHY_MOST], self.whole,
-                                                 to is self.current, before)))  # fmt: skip
+        self.effects.append(
+            Send(
+                to.sender,
+                Beat(self.known, self.digest, self.taken, self.why[:WHY_MOST], self.whole, to is self.current, before),
+            )
+        )
 
     def _came(self, event: Came) -> None:
         rank = self.rank.get(event.sender.name)
@@ -136,8 +147,7 @@
             self.effects.append(Note(f"{event.sender.name} at {where} is none of the controllers here", True))
             return
         source, message = self.machines[rank], event.message
-        if self.current is None or source is not self.current and (
-                self.alone or rank < self.rank[self.current.name]):  # fmt: skip
+        if self.current is None or source is not self.current and (self.alone or rank < self.rank[self.current.name]):
             self._move(source)
         if source is self.current:
             self.heard, self.asked_at = self.now, -1.0
@@ -170,14 +180,24 @@
             self.ahead_since = self.now
         elif self.now >= self.ahead_since + AHEAD_MS:
             self.ahead_since = self.now
-            self.effects.append(Note(f"the controllers know of version {message.version}, this relay has {self.known}: "
-                                     "they lost what was agreed on, or are another fleet's; nothing older is taken",
-                                     bad=True))  # fmt: skip
+            self.effects.append(
+                Note(
+                    f"the controllers know of version {message.version}, this relay has {self.known}: "
+                    "they lost what was agreed on, or are another fleet's; nothing older is taken",
+                    bad=True,
+                )
+            )
 
     def _differs(self) -> None:
         self.counts["differs"] += 1
-        self.effects.append(Note(f"version {self.known} has another content here than at the controller: the next "
-                                 "version is taken whole", True, True))  # fmt: skip
+        self.effects.append(
+            Note(
+                f"version {self.known} has another content here than at the controller: the next "
+                "version is taken whole",
+                True,
+                True,
+            )
+        )
         self.whole = True
 
     def _difference(self, message: Difference) -> None:
@@ -217,8 +237,9 @@
         if why:
             self._refused(why)
             return
-        changed = frozenset(key for key in self.entries.keys() | self.served.keys()
-                            if self.entries.get(key) != self.served.get(key))  # fmt: skip
+        changed = frozenset(
+            key for key in self.entries.keys() | self.served.keys() if self.entries.get(key) != self.served.get(key)
+        )
         self.previous = (self.taken, self.served)
         self.taken, self.served, self.why = self.known, self.entries, ""
         self.effects.append(Take(self.known, self.entries, changed))
--- a/yarrowspindle/control/codec.py
+++ b/yarrowspindle/control/codec.py
@@ -27,11 +27,16 @@
     if state is None:
         return
     versions = [done.version for done in state.done]
-    if (not 0 < len(state.voters) <= VOTERS_MOST or len(state.takers) > TAKERS_MOST or len(versions) > DONE_MOST
-            or any(len(name) > NAME_MOST for name in [*state.voters, *state.takers])
-            or versions != list(range(state.version - len(versions) + 1, state.version + 1))
-            or bool(versions) != (state.version > 0)
-            or min(state.version, state.epoch) < 0 or bounds(state.entries)):  # fmt: skip
+    if (
+        not 0 < len(state.voters) <= VOTERS_MOST
+        or len(state.takers) > TAKERS_MOST
+        or len(versions) > DONE_MOST
+        or any(len(name) > NAME_MOST for name in [*state.voters, *state.takers])
+        or versions != list(range(state.version - len(versions) + 1, state.version + 1))
+        or bool(versions) != (state.version > 0)
+        or min(state.version, state.epoch) < 0
+        or bounds(state.entries)
+    ):
         raise BadMessage("a state out of bounds")
 
 
@@ -40,8 +45,23 @@
         raise BadMessage("entries out of bounds")
 
 
-KINDS = (Beat, Newest, Difference, Whole, Leave, Moved, Later, Sum, Learn, Order, Prepare, Promise[ControlState],
-         Accept[ControlState], Accepted, Refused[ControlState])  # fmt: skip
+KINDS = (
+    Beat,
+    Newest,
+    Difference,
+    Whole,
+    Leave,
+    Moved,
+    Later,
+    Sum,
+    Learn,
+    Order,
+    Prepare,
+    Promise[ControlState],
+    Accept[ControlState],
+    Accepted,
+    Refused[ControlState],
+)
 MESSAGES = Kinds(VERSION, KINDS, within)
 FILE: FileCodec[Kept[ControlState]] = FileCodec(VERSION, Kept[ControlState], lambda kept: within(kept.state))
 TAKEN: FileCodec[Keep] = FileCodec(VERSION, Keep, _kept_within)  # by a relay
--- a/yarrowspindle/control/controller.py
+++ b/yarrowspindle/control/controller.py
@@ -134,9 +134,19 @@
     """first: the newest state that this machine knows to be agreed on, that of all where it knows none. identity: of
     this voter's file; empty: it does not vote. guide: the state of its file."""
 
-    def __init__(self, machine: Machine, machines: tuple[Machine, ...], first: ControlState, identity: str,
-                 guide: ControlState, life: int, check: Check, seed: int, now: float,
-                 proposer: type[Proposer[ControlState]] = Proposer) -> None:  # fmt: skip
+    def __init__(
+        self,
+        machine: Machine,
+        machines: tuple[Machine, ...],
+        first: ControlState,
+        identity: str,
+        guide: ControlState,
+        life: int,
+        check: Check,
+        seed: int,
+        now: float,
+        proposer: type[Proposer[ControlState]] = Proposer,
+    ) -> None:
         self.me, self.check, self.identity, self.now, self.started = machine, check, identity, now, now
         self.machines = {one.name: one for one in machines}
         self.others = {one.name: Other(one) for one in machines if one is not machine}
@@ -161,9 +171,18 @@
         self.counts: Counter[str] = Counter()
         self.effects: list[Effect] = [Wake(TICK_MS * self.random.random())]
         self.handlers: dict[type, Callable[[Sender, Any], None]] = {
-            Beat: self._beat, Leave: self._leave, Moved: self._moved, Sum: self._sum, Learn: self._learn,
-            Order: self._order, Prepare: self._vote, Accept: self._vote, Promise: self._voted, Accepted: self._voted,
-            Refused: self._voted}  # fmt: skip
+            Beat: self._beat,
+            Leave: self._leave,
+            Moved: self._moved,
+            Sum: self._sum,
+            Learn: self._learn,
+            Order: self._order,
+            Prepare: self._vote,
+            Accept: self._vote,
+            Promise: self._voted,
+            Accepted: self._voted,
+            Refused: self._voted,
+        }
 
     def step(self, now: float, event: Event) -> list[Effect]:
         if now > self.now + SILENT_MS:  # it stood still: others may have come and gone
@@ -224,8 +243,11 @@
             self._send(beat.before, Moved(*sender.address, sender.life, sender.at))
         if beat.known > version and self.now > max(self.took_at, self.started) + AHEAD_MS:
             self.counts["ahead"] += 1
-            self.effects.append(Note(f"relay {sender.name} has version {beat.known}, newer than what is agreed on here "
-                                     f"({version})", True))  # fmt: skip
+            self.effects.append(
+                Note(
+                    f"relay {sender.name} has version {beat.known}, newer than what is agreed on here ({version})", True
+                )
+            )
         self._mark(relay)
         if beat.known < version and (beat.whole or self.now >= relay.told + PUSH_MS):
             self._push([relay])
@@ -257,8 +279,11 @@
 
     def _moved(self, sender: Sender, moved: Moved) -> None:
         known = self.relays.get((moved.host, moved.port))
-        if (sender.name in self.others and known is not None
-                and (moved.life, moved.at) > (known.sender.life, known.sender.at)):  # fmt: skip
+        if (
+            sender.name in self.others
+            and known is not None
+            and (moved.life, moved.at) > (known.sender.life, known.sender.at)
+        ):
             sure = SILENT_MS + SUM_MS if sender.name in self.lives else SURE_MS  # where that one dies, it is missed
             known.left = min(known.left or self.now + SURE_MS, self.now + sure)
 
@@ -345,9 +370,11 @@
         """Living relays that have not got the newest, and were told nothing in the last moment: many changes in one
         second go down together."""
         version = self.taken.version
-        return [r for r in self.relays.values()
-                if r.known < version and not r.left and self.now >= r.told + PUSH_MS
-                and self.now <= r.heard + LIVE_MS]  # fmt: skip
+        return [
+            r
+            for r in self.relays.values()
+            if r.known < version and not r.left and self.now >= r.told + PUSH_MS and self.now <= r.heard + LIVE_MS
+        ]
 
     # --- agreeing -------------------------------------------------------------------------------
 
@@ -444,9 +471,15 @@
         if self.pending and self.now > self.pending[0].at + EXPIRE_MS:
             # In their turn none after it is settled either. All end: no order ever goes under two numbers.
             for pending in self.pending:
-                self.effects.append(Answer(pending.ticket, 0, "no majority of the voters has settled it in "
-                                           f"{EXPIRE_MS / 1000.0:g} s ({self.round.why or 'no answer'}): it may still "
-                                           "come, see `show`"))  # fmt: skip
+                self.effects.append(
+                    Answer(
+                        pending.ticket,
+                        0,
+                        "no majority of the voters has settled it in "
+                        f"{EXPIRE_MS / 1000.0:g} s ({self.round.why or 'no answer'}): it may still "
+                        "come, see `show`",
+                    )
+                )
             self.pending.clear()
             self._renumber(self.life + 1)
         if not self.taken.version and any(other.sum and other.sum.version for other in self.others.values()):
@@ -481,8 +514,7 @@
         found = {(d.life, d.number): d for d in self.taken.done if d.taker == self.me.name}
         for pending in [p for p in self.pending if self.taken.is_settled(p.order)]:
             done = found.get((pending.order.life, pending.order.number))
-            if done is None and pending.order.life < life and (
-                    pending.version < 0 or oldest <= pending.version + 1):  # fmt: skip
+            if done is None and pending.order.life < life and (pending.version < 0 or oldest <= pending.version + 1):
                 continue
             self.pending.remove(pending)
             if done is None:
@@ -501,8 +533,7 @@
         self._push(self._due())
         if self.now >= self.sum_at:
             self.sum_at = self.now + SUM_MS
-            for address in [a for a, r in self.relays.items()
-                            if self.now > (r.left or r.heard + FORGET_MS)]:  # fmt: skip
+            for address in [a for a, r in self.relays.items() if self.now > (r.left or r.heard + FORGET_MS)]:
                 del self.relays[address]
             told = self.summed()
             for name in self.others:
@@ -516,10 +547,14 @@
         counts = sorted(Counter(r.taken for r in living).items())
         if len(counts) > COUNTS_MOST:
             counts = [*counts[: COUNTS_MOST - 1], (counts[COUNTS_MOST - 1][0], sum(n for _, n in counts[COUNTS_MOST:]))]
-        named = [Named(r.sender.name, r.taken, max(0, int(self.now - since)), why)
-                 for r, since, why in self._wanting()]  # fmt: skip
-        return Sum(self.taken.version, sum(not r.left for r in living), counts, named[:NAMED_MOST],
-                   max(0, len(named) - NAMED_MOST))  # fmt: skip
+        named = [Named(r.sender.name, r.taken, max(0, int(self.now - since)), why) for r, since, why in self._wanting()]
+        return Sum(
+            self.taken.version,
+            sum(not r.left for r in living),
+            counts,
+            named[:NAMED_MOST],
+            max(0, len(named) - NAMED_MOST),
+        )
 
     def _wanting(self) -> list[tuple[Attached, float, str]]:
         """Relays that are silent, refuse or are behind, those of the longest standing first; since when; and why."""
@@ -538,8 +573,12 @@
         if self.leads and self.in_force > self.said:
             self.said = self.in_force
             took = (self.now - self.took_at) / 1000.0
-            self.effects.append(Note(f"version {self.in_force} is in force at {shown['relays']} relays, {took:.1f} s "
-                                     f"after it was agreed on; {len(shown['named'])} are named"))  # fmt: skip
+            self.effects.append(
+                Note(
+                    f"version {self.in_force} is in force at {shown['relays']} relays, {took:.1f} s "
+                    f"after it was agreed on; {len(shown['named'])} are named"
+                )
+            )
 
     def shown(self, own: Sum | None = None) -> Shown:
         """What an operator asks for. in_force: the newest version that all living relays of all controllers that are
@@ -547,8 +586,9 @@
         that is not heard; named: relays that are behind, silent or refuse; controllers: who is heard, since when in
         seconds."""
         sums = {self.me.name: own or self.summed()}
-        controllers = {self.me.name: {"silent_s": 0.0, "relays": sums[self.me.name].relays, "version":
-                                      self.taken.version}}  # fmt: skip
+        controllers = {
+            self.me.name: {"silent_s": 0.0, "relays": sums[self.me.name].relays, "version": self.taken.version}
+        }
         for name, other in self.others.items():
             silent = self.now - other.heard
             known = other.sum
@@ -563,12 +603,23 @@
         lowest = min(lowest, *(told.version for told in sums.values()))
         if self.now < self.sure_at:
             lowest = min(lowest, self.in_force)
-        return {"version": self.taken.version, "digest": self.digest.hex(), "in_force": lowest,
-                "relays": sum(told.relays for told in sums.values()), "leads": self.leads,
-                "voters": sorted(self.taken.voters), "votes": bool(self.identity), "round": self.round.why,
-                "controllers": controllers, "waiting": len(self.pending),
-                "named": [{"relay": n.name, "version": n.taken, "for_s": n.age_ms / 1000.0, "why": n.why,
-                           "controller": name} for name, told in sorted(sums.items()) for n in told.named],
-                "more": sum(told.more for told in sums.values()),
-                "refused": [{"version": d.version, "why": d.why} for d in self.taken.done if d.why][-8:],
-                "entries": dict(self.taken.entries)}  # fmt: skip
+        return {
+            "version": self.taken.version,
+            "digest": self.digest.hex(),
+            "in_force": lowest,
+            "relays": sum(told.relays for told in sums.values()),
+            "leads": self.leads,
+            "voters": sorted(self.taken.voters),
+            "votes": bool(self.identity),
+            "round": self.round.why,
+            "controllers": controllers,
+            "waiting": len(self.pending),
+            "named": [
+                {"relay": n.name, "version": n.taken, "for_s": n.age_ms / 1000.0, "why": n.why, "controller": name}
+                for name, told in sorted(sums.items())
+                for n in told.named
+            ],
+            "more": sum(told.more for told in sums.values()),
+            "refused": [{"version": d.version, "why": d.why} for d in self.taken.done if d.why][-8:],
+            "entries": dict(self.taken.entries),
+        }
--- a/yarrowspindle/control/link.py
+++ b/yarrowspindle/control/link.py
@@ -37,8 +37,9 @@
 
     def _sealed(self, now: float, data: bytes) -> bytes:
         self.at = max(int(now - self.started), self.at + 1)
-        sealed = self.codec.encode(Datagram(VERSION, self.cluster, self.name, *self.address, self.life, 0, self.at,
-                                            Carried(data)))  # fmt: skip
+        sealed = self.codec.encode(
+            Datagram(VERSION, self.cluster, self.name, *self.address, self.life, 0, self.at, Carried(data))
+        )
         self.counts["sent"] += 1
         self.counts["sent_bytes"] += len(sealed)
         return sealed
