--- a/yarrowspindle/lab/faults.py
+++ b/yarrowspindle/lab/faults.py
@@ -30,10 +30,15 @@
     "restart": "all relays are asked to end (SIGTERM) and start again, one after the other",
     "nodecut": "one relay cannot reach one execute node; connections that stand are silent",
     "listcut": "one relay cannot reach the machine list",
-}  # fmt: skip
+}
 BETWEEN = frozenset(("loss", "late", "old", "double", "reorder", "held", "corrupt", "mute"))
-SHARES = {"loss": (0.1, 0.35), "double": (0.1, 0.5), "reorder": (0.1, 0.5), "corrupt": (0.02, 0.2),
-          "held": (0.05, 0.25)}  # fmt: skip
+SHARES = {
+    "loss": (0.1, 0.35),
+    "double": (0.1, 0.5),
+    "reorder": (0.1, 0.5),
+    "corrupt": (0.02, 0.2),
+    "held": (0.05, 0.25),
+}
 OLD_MS = 5000.0
 
 
@@ -76,8 +81,15 @@
     return words
 
 
-def schedule(words: Sequence[str], relays: Sequence[str], nodes: Sequence[str], seed: int, from_s: float, for_s: float,
-             stall_s: float = 3.0) -> list[Fault]:  # fmt: skip
+def schedule(
+    words: Sequence[str],
+    relays: Sequence[str],
+    nodes: Sequence[str],
+    seed: int,
+    from_s: float,
+    for_s: float,
+    stall_s: float = 3.0,
+) -> list[Fault]:
     """One fault for each word, drawn from the seed; all are over by `from_s + for_s`."""
     drawn, faults = Random(f"faults {seed}"), list[Fault]()
     for word in words:
--- a/yarrowspindle/lab/model/controlling.py
+++ b/yarrowspindle/lab/model/controlling.py
@@ -296,22 +296,29 @@
         self.began, self.wanted = world.clock.seconds, world.newest()  # what was the newest then
         self.check = check_of_old if name in world.old_programs else check
         machines = preferred(world.machines, name, zone, self.region)
-        self.core = world.parts.agent(machines, self.check, world.random.randrange(1 << 30), self.now(), version,
-                                      entries)  # fmt: skip
+        self.core = world.parts.agent(
+            machines, self.check, world.random.randrange(1 << 30), self.now(), version, entries
+        )
         self.carry_out(self.core.take_effects())
         world.checker.serves(name, self.taken)
 
     def post(self, event: Any) -> None:
         message = event.message if isinstance(event, Came) else None
-        if isinstance(message, Whole) or (isinstance(message, Difference) and message.base <= self.reached
-                                          and len(message.steps) == message.version - message.base):  # fmt: skip
+        if isinstance(message, Whole) or (
+            isinstance(message, Difference)
+            and message.base <= self.reached
+            and len(message.steps) == message.version - message.base
+        ):
             self.reached = max(self.reached, message.version)
         super().post(event)
 
     def has(self, version: int) -> bool:
         """Serves by this one or a newer, or has said why it cannot."""
-        return self.taken >= version or self.turns_down == version or bool(
-            self.check(self.world.checker.contents[version]))  # fmt: skip
+        return (
+            self.taken >= version
+            or self.turns_down == version
+            or bool(self.check(self.world.checker.contents[version]))
+        )
 
     def carry_out(self, effects: Sequence[Any]) -> None:
         for take in [effect for effect in effects if isinstance(effect, Take)]:
@@ -322,8 +329,9 @@
 
     def effect(self, effect: Any) -> None:
         if isinstance(effect, Take):
-            self.world.checker.took_down(self.name, effect.version, effect.entries, self.check(effect.entries),
-                                         self.reached)  # fmt: skip
+            self.world.checker.took_down(
+                self.name, effect.version, effect.entries, self.check(effect.entries), self.reached
+            )
             self.taken = effect.version
             self.world.taken(self)
         elif isinstance(effect, Keep):
@@ -343,14 +351,23 @@
         machine = next(m for m in world.machines if m.name == name)
         kept = world.files.get(name)
         if kept is None and machine.voter:
-            kept = Kept(FIRST if world.parts.lies else f"{name} {world.random.getrandbits(60):x}", NONE, NONE,
-                        world.first)  # fmt: skip
+            kept = Kept(
+                FIRST if world.parts.lies else f"{name} {world.random.getrandbits(60):x}", NONE, NONE, world.first
+            )
             world.files[name] = kept
         self.voter = world.parts.voter(kept, self._store, self.now) if kept is not None else None
         self.core = world.parts.controller(
-            machine, world.machines, world.first, kept.identity if kept is not None else "",
-            kept.state if kept is not None else world.first, self.life, check, world.random.randrange(1 << 30),
-            self.now(), world.parts.proposer)  # fmt: skip
+            machine,
+            world.machines,
+            world.first,
+            kept.identity if kept is not None else "",
+            kept.state if kept is not None else world.first,
+            self.life,
+            check,
+            world.random.randrange(1 << 30),
+            self.now(),
+            world.parts.proposer,
+        )
         self.disk_free = 0.0
         self.carry_out(self.core.take_effects())
 
@@ -403,14 +420,22 @@
 class ControlWorld:
     """relays: so many, spread over the zones evenly. measures: processor time of each process."""
 
-    def __init__(self, relays: int, seed: int, controllers: int = 11, voters: int = 5,
-                 parts: ControlParts | None = None, measures: bool = False) -> None:  # fmt: skip
+    def __init__(
+        self,
+        relays: int,
+        seed: int,
+        controllers: int = 11,
+        voters: int = 5,
+        parts: ControlParts | None = None,
+        measures: bool = False,
+    ) -> None:
         self.clock, self.seed, self.parts, self.measures = VirtualClock(), seed, parts or ControlParts(), measures
         self.random, self.wires = Random(f"control {seed}"), Random(f"control wires {seed}")
         self.machines = controllers_of(controllers, voters)
         self.first = ControlState({m.name: FIRST for m in self.machines if m.voter})
         self.files: dict[str, Kept[ControlState]] = {
-            m.name: Kept(FIRST, NONE, NONE, self.first) for m in self.machines if m.voter}  # fmt: skip
+            m.name: Kept(FIRST, NONE, NONE, self.first) for m in self.machines if m.voter
+        }
         self.kept: dict[str, tuple[int, Entries]] = {}
         self.lives: Counter[str] = Counter()
         self.clock_back: set[str] = set()  # whose next life is lower than the one before
@@ -421,8 +446,8 @@
         self.hosts: dict[str, Host] = {}
         self.at: dict[Address, Host] = {}
         self.places = {m.name: (m.address, m.zone) for m in self.machines} | {
-            f"r{n:04d}": ((f"10.{n >> 8}.{n & 255}.1", PORT), ZONES[n % len(ZONES)])
-            for n in range(relays)}  # fmt: skip
+            f"r{n:04d}": ((f"10.{n >> 8}.{n & 255}.1", PORT), ZONES[n % len(ZONES)]) for n in range(relays)
+        }
         self.ways = Ways(seed)
         self.loss = 0.0
         self.cut = False  # between the regions
--- a/yarrowspindle/lab/model/controlling_days.py
+++ b/yarrowspindle/lab/model/controlling_days.py
@@ -21,8 +21,22 @@
 LOOK_MS = 50.0
 BETWEEN = ("loss", "late", "old", "double", "reorder", "held", "corrupt", "mute", "cut", "oneway", "split", "lost")
 CUTS = ("old", "held", "split", "cut", "oneway", "lost", "region")
-AMONG = ("kill", "kill ", "stall", "stall ", "region", "zone", "disk", "file", "clock", "unable", "old program",
-         "bad memory", "dies", "dies ")  # fmt: skip
+AMONG = (
+    "kill",
+    "kill ",
+    "stall",
+    "stall ",
+    "region",
+    "zone",
+    "disk",
+    "file",
+    "clock",
+    "unable",
+    "old program",
+    "bad memory",
+    "dies",
+    "dies ",
+)
 KINDS = ("Prepare", "Promise", "Accept", "Accepted", "Learn", "Difference", "Sum", "Order", "Newest")
 FLEETS = ((3, 3), (5, 3), (5, 5), (11, 5))  # controllers and voters
 
@@ -37,8 +51,14 @@
 
 
 class Day:
-    def __init__(self, seed: int, parts: ControlParts, faults: Sequence[Fault] | None = None,
-                 fleet: tuple[int, int, int] | None = None, together: bool | None = None) -> None:  # fmt: skip
+    def __init__(
+        self,
+        seed: int,
+        parts: ControlParts,
+        faults: Sequence[Fault] | None = None,
+        fleet: tuple[int, int, int] | None = None,
+        together: bool | None = None,
+    ) -> None:
         self.random = random = Random(f"control day {seed}")
         controllers, voters = random.choices(FLEETS, (4, 3, 3, 1))[0]
         relays = random.randint(6, 18)
@@ -67,8 +87,9 @@
     def _drawn(self, seed: int) -> list[Fault]:
         random = self.random
         words = random.sample(BETWEEN, random.choice((0, 1, 1, 2, 3))) + random.sample(AMONG, random.randint(1, 5))
-        return sorted((self._fault(word.strip(), seed, n) for n, word in enumerate(words)),
-                      key=lambda f: (f.at_s, f.word))  # fmt: skip
+        return sorted(
+            (self._fault(word.strip(), seed, n) for n, word in enumerate(words)), key=lambda f: (f.at_s, f.word)
+        )
 
     def _fault(self, word: str, seed: int, n: int) -> Fault:
         random, names, machines = self.random, self.names, self.machines
@@ -207,8 +228,9 @@
             self.cut_at = now
         if now < self.cut_at + SETTLED_S:
             return
-        there = [r for r in world.relays if now >= max(r.began, (r.stalled_until - world.clock.start) / 1000.0)
-                 + CLAIM_S]  # fmt: skip
+        there = [
+            r for r in world.relays if now >= max(r.began, (r.stalled_until - world.clock.start) / 1000.0) + CLAIM_S
+        ]
         least = min((relay.taken for relay in there), default=world.newest())
         for host in world.controllers:
             if host.core.leads and host.stalled_until <= world.clock.now():
@@ -216,8 +238,10 @@
                 self.found.counts["claims"] += 1
                 if said > least:
                     late = [relay.name for relay in there if relay.taken < said]
-                    world.checker.broken(f"{now:.2f} s: {host.name} says that version {said} is in force, and "
-                                         f"{late[0]} serves by {least}")  # fmt: skip
+                    world.checker.broken(
+                        f"{now:.2f} s: {host.name} says that version {said} is in force, and "
+                        f"{late[0]} serves by {least}"
+                    )
 
     def _once_and_truly(self) -> None:
         """Each order stands at most once, in its taker's order, and whoever was answered was told so."""
@@ -232,12 +256,15 @@
             if len(versions) > 1:
                 checker.broken(f"{host.name}'s order {dict(change.step)} was settled in versions {sorted(versions)}")
             if versions and change.answered and "see `show`" not in change.answered:
-                checker.broken(f"{host.name} turned an order down ({change.answered}), and version {versions[0]} is "
-                               "that")  # fmt: skip
+                checker.broken(
+                    f"{host.name} turned an order down ({change.answered}), and version {versions[0]} is that"
+                )
             for version in versions:
                 if version < newest.get(host.name, 0) and host.name not in self.turned_back:
-                    checker.broken(f"{host.name}'s order of version {version} came before the one of version "
-                                   f"{newest[host.name]}, and was given after it")  # fmt: skip
+                    checker.broken(
+                        f"{host.name}'s order of version {version} came before the one of version "
+                        f"{newest[host.name]}, and was given after it"
+                    )
                 newest[host.name] = max(version, newest.get(host.name, 0))
 
     def _turn(self, order: tuple[ControllerHost, Change]) -> tuple[float, int]:
@@ -256,8 +283,9 @@
             return f"newest is {newest}, and behind are {behind}"
         if strange := [n for n, kept in world.files.items() if state.voters.get(n) != kept.identity]:
             return f"{strange} hold files that are no voter's"
-        open_ = [(host.name, dict(change.step)) for host, change in self.orders
-                 if host.alive and change.answered is None]  # fmt: skip
+        open_ = [
+            (host.name, dict(change.step)) for host, change in self.orders if host.alive and change.answered is None
+        ]
         return f"no answer to {open_[:3]}" if open_ else ""
 
     def _until_well(self, after: str) -> None:
@@ -289,8 +317,16 @@
                 found.stuck.append(f"{late} do not serve by the newest")
         self._once_and_truly()
         found.violations, found.took_s = world.checker.violations, world.clock.seconds
-        answers = Counter("kept open" if c.answered is None else "settled" if not c.answered else "unknown"
-                          if "see `show`" in c.answered else "turned down" for _, c in self.orders)  # fmt: skip
+        answers = Counter(
+            "kept open"
+            if c.answered is None
+            else "settled"
+            if not c.answered
+            else "unknown"
+            if "see `show`" in c.answered
+            else "turned down"
+            for _, c in self.orders
+        )
         found.counts.update(answers)
         found.counts["versions"] = world.newest()
         found.counts["refused by race"] = sum(bool(done.why) for done in world.checker.done.values())
@@ -299,8 +335,13 @@
         return found
 
 
-def play_control(seed: int, parts: ControlParts | None = None, faults: Sequence[Fault] | None = None,
-                 fleet: tuple[int, int, int] | None = None, together: bool | None = None) -> ControlDay:  # fmt: skip
+def play_control(
+    seed: int,
+    parts: ControlParts | None = None,
+    faults: Sequence[Fault] | None = None,
+    fleet: tuple[int, int, int] | None = None,
+    together: bool | None = None,
+) -> ControlDay:
     """A day. faults, fleet (controllers, voters, relays), together (all faults begin at once): not as the seed says."""
     return Day(seed, parts or ControlParts(), faults, fleet, together).play()
 
--- a/yarrowspindle/lab/model/deployments.py
+++ b/yarrowspindle/lab/model/deployments.py
@@ -13,17 +13,50 @@
 from yarrowspindle.lab.model.node import ModelNode
 
 ASKED = FleetSpec(
-    relays=3, nodes=12, connections=480, life_s=28.0, filled=0.55, load_cv=0.9, load_every_s=10.0, swing=0.5,
-    grouped=0.9, group_size=12, zones=3, notes=True, hints=False, classes=(ModelClass(),),
-)  # fmt: skip
+    relays=3,
+    nodes=12,
+    connections=480,
+    life_s=28.0,
+    filled=0.55,
+    load_cv=0.9,
+    load_every_s=10.0,
+    swing=0.5,
+    grouped=0.9,
+    group_size=12,
+    zones=3,
+    notes=True,
+    hints=False,
+    classes=(ModelClass(),),
+)
 PROBED = FleetSpec(
-    relays=3, nodes=12, connections=130, life_s=48.0, filled=0.4, load_cv=1.1, load_every_s=12.0, swing=0.5,
-    weights=(1.0, 2.0, 1.0), grouped=1.0, group_size=12, group_cost=1.5, zones=2, notes=True, hints=False,
-    tells_load=False, report_ms=800.0, weights_ms=1000.0, drain_grace_ms=2000.0, cross_zone_price=0.16, fall_ms=3000.0,
-    classes=(ModelClass(0.41, 1.0, 1.0, 3.0, 800.0, 4800.0, 60.0), ModelClass(0.29, 6.0, 2.0, 1.0, 300.0, 1200.0, 50.0),
-             ModelClass(0.20, 6.0, 0.65, 2.0, 800.0, 4800.0, 150.0),
-             ModelClass(0.10, 6.0, 2.0, 5.0, 300.0, 1200.0, 50.0)),
-)  # fmt: skip
+    relays=3,
+    nodes=12,
+    connections=130,
+    life_s=48.0,
+    filled=0.4,
+    load_cv=1.1,
+    load_every_s=12.0,
+    swing=0.5,
+    weights=(1.0, 2.0, 1.0),
+    grouped=1.0,
+    group_size=12,
+    group_cost=1.5,
+    zones=2,
+    notes=True,
+    hints=False,
+    tells_load=False,
+    report_ms=800.0,
+    weights_ms=1000.0,
+    drain_grace_ms=2000.0,
+    cross_zone_price=0.16,
+    fall_ms=3000.0,
+    classes=(
+        ModelClass(0.41, 1.0, 1.0, 3.0, 800.0, 4800.0, 60.0),
+        ModelClass(0.29, 6.0, 2.0, 1.0, 300.0, 1200.0, 50.0),
+        ModelClass(0.20, 6.0, 0.65, 2.0, 800.0, 4800.0, 150.0),
+        ModelClass(0.10, 6.0, 2.0, 5.0, 300.0, 1200.0, 50.0),
+    ),
+)
 DEPLOYMENTS = {"asked": ASKED, "probed": PROBED}
 WARM_S, TROUBLE_S, AFTER_S = 8.0, 15.0, 12.0
 
@@ -93,8 +126,14 @@
 
 
 TROUBLES: dict[str, Callable[[Fleet], None]] = {
-    "calm": calm, "hang": hang, "vanish": vanish, "slow": slow, "pauses": pauses, "burst": burst, "drain": drain,
-}  # fmt: skip
+    "calm": calm,
+    "hang": hang,
+    "vanish": vanish,
+    "slow": slow,
+    "pauses": pauses,
+    "burst": burst,
+    "drain": drain,
+}
 
 
 def play(spec: FleetSpec, trouble: str, seed: int) -> dict[str, float]:
--- a/yarrowspindle/lab/model/exhaustive.py
+++ b/yarrowspindle/lab/model/exhaustive.py
@@ -102,8 +102,7 @@
     return One(pickle.dumps(loaded), holds)
 
 
-def step(state: State, index: int, what: str, act: Callable[[Loaded, set[str]], list[Any]],
-         without: int = -1) -> State:  # fmt: skip
+def step(state: State, index: int, what: str, act: Callable[[Loaded, set[str]], list[Any]], without: int = -1) -> State:
     """One relay takes a step; `without`: the message that came by it."""
     one, name = state.relays[index], NAMES[index]
     loaded: Loaded = pickle.loads(one.core)
@@ -130,8 +129,14 @@
                 newest = effect.state
     messages = [m for m in messages if m[1] in NAMES][-IN_FLIGHT:]
     relays = tuple(packed(loaded, frozenset(holds)) if n == index else r for n, r in enumerate(state.relays))
-    found = replace(state, relays=relays, messages=tuple(messages), committed=tuple(sorted(committed.items())),
-                    newest=newest, path=path)  # fmt: skip
+    found = replace(
+        state,
+        relays=relays,
+        messages=tuple(messages),
+        committed=tuple(sorted(committed.items())),
+        newest=newest,
+        path=path,
+    )
     for machine, out in newest.out.items():
         for number, relay in enumerate(relays):
             if out.stage == FREE and machine in relay.holds:
@@ -261,8 +266,14 @@
     broken: str = ""
 
 
-def explore(depth: int, most: int, parts: Parts | None = None, stage: str = "granted", pool: Executor | None = None,
-            workers: int = 1) -> Explored:  # fmt: skip
+def explore(
+    depth: int,
+    most: int,
+    parts: Parts | None = None,
+    stage: str = "granted",
+    pool: Executor | None = None,
+    workers: int = 1,
+) -> Explored:
     """Level by level; stops at the depth, at so many states, or at the first broken rule."""
     chosen = parts or Parts()
     start = begin(chosen, stage)
--- a/yarrowspindle/lab/model/fleet.py
+++ b/yarrowspindle/lab/model/fleet.py
@@ -111,15 +111,31 @@
         for size in sizes:
             self.add_node(size, drawn)
         settings = Settings(
-            classes=tuple(RequestClass(c.aim_ms, c.deadline_ms, worth=c.worth, message_aim_ms=c.message_aim_ms)
-                          for c in self.classes), balancers=spec.relays,
-            max_attempts=3, max_retry_after_ms=2000.0, retry_after=spec.retry_after, may_cancel=True,
-            cold_share=spec.cold_share, cold_ms=spec.cold_ms, fall_multiple=spec.fall_multiple, fall_ms=spec.fall_ms,
-            answer_slack_ms=spec.answer_slack_ms, drain_grace_ms=spec.drain_grace_ms, tells_delay=spec.tells_delay,
-            tells_load=spec.tells_load, by_own_load=spec.by_own_load, zones=spec.zones, groups=spec.grouped > 0.0,
-            may_probe=spec.report_ms > 0.0, report=("rif", "x0") if spec.report_ms > 0.0 else (),
+            classes=tuple(
+                RequestClass(c.aim_ms, c.deadline_ms, worth=c.worth, message_aim_ms=c.message_aim_ms)
+                for c in self.classes
+            ),
+            balancers=spec.relays,
+            max_attempts=3,
+            max_retry_after_ms=2000.0,
+            retry_after=spec.retry_after,
+            may_cancel=True,
+            cold_share=spec.cold_share,
+            cold_ms=spec.cold_ms,
+            fall_multiple=spec.fall_multiple,
+            fall_ms=spec.fall_ms,
+            answer_slack_ms=spec.answer_slack_ms,
+            drain_grace_ms=spec.drain_grace_ms,
+            tells_delay=spec.tells_delay,
+            tells_load=spec.tells_load,
+            by_own_load=spec.by_own_load,
+            zones=spec.zones,
+            groups=spec.grouped > 0.0,
+            may_probe=spec.report_ms > 0.0,
+            report=("rif", "x0") if spec.report_ms > 0.0 else (),
             live_weights=spec.weights_ms > 0.0,
-            cross_zone_price=spec.cross_zone_price if spec.zones > 1 else 0.0)  # fmt: skip
+            cross_zone_price=spec.cross_zone_price if spec.zones > 1 else 0.0,
+        )
         self.settings, self.starts = settings, 0
         self.relays = [self._relay(i) for i in range(spec.relays)]
         self.weights = list(spec.weights) or [1.0] * spec.relays
@@ -144,8 +160,11 @@
 
     def _join(self, relay: ModelRelay) -> None:
         if self.talk is not None:
-            self.talk.join(relay.index, lambda: relay.reducer.balancer.servers.values(),
-                           lambda others: relay.post(OthersTold(others)))  # fmt: skip
+            self.talk.join(
+                relay.index,
+                lambda: relay.reducer.balancer.servers.values(),
+                lambda others: relay.post(OthersTold(others)),
+            )
 
     def kill_relay(self, index: int) -> None:
         """It ends at once; what it held breaks."""
@@ -180,9 +199,18 @@
         name = f"s-{len(self.order):04d}"
         power = size * max(0.5, (drawn or self.random).gauss(1.0, spec.speed_cv))
         node = ModelNode(
-            name, len(self.order) % spec.zones, size, power,
-            cold_ms=spec.cold_ms, cold_share=spec.cold_share, fall_multiple=spec.fall_multiple, fall_ms=spec.fall_ms,
-            group_load=self.group_load, set_up_ms=spec.set_up_ms, most=spec.node_most)  # fmt: skip
+            name,
+            len(self.order) % spec.zones,
+            size,
+            power,
+            cold_ms=spec.cold_ms,
+            cold_share=spec.cold_share,
+            fall_multiple=spec.fall_multiple,
+            fall_ms=spec.fall_ms,
+            group_load=self.group_load,
+            set_up_ms=spec.set_up_ms,
+            most=spec.node_most,
+        )
         node.started = self.clock.time if started else 0.0
         self.nodes[name] = node
         self.order[name] = len(self.order)
@@ -417,15 +445,19 @@
 
     def _weights_told(self, relay: ModelRelay, told: ListTold) -> None:
         """A weight must not bring back what the list has taken out meanwhile."""
-        told.machines = [m for m in told.machines if m.name not in relay.stopped_nodes
-                         and self.nodes[m.name].state is State.READY]  # fmt: skip
+        told.machines = [
+            m for m in told.machines if m.name not in relay.stopped_nodes and self.nodes[m.name].state is State.READY
+        ]
         relay.list_told(told)
 
     def imbalance(self, warm_only: bool = True) -> float:
         """Greatest minus mean of load over the capacity told, over usable nodes (those that are warm)."""
         now = self.clock.time
-        nodes = [n for n in self.nodes.values() if n.alive and n.state is State.READY
-                 and (not warm_only or n.ramp(now) >= 1.0)]  # fmt: skip
+        nodes = [
+            n
+            for n in self.nodes.values()
+            if n.alive and n.state is State.READY and (not warm_only or n.ramp(now) >= 1.0)
+        ]
         if not nodes:
             return 0.0
         mean = sum(n.load for n in nodes) / sum(n.size for n in nodes) / 1000.0
--- a/yarrowspindle/lab/model/lending.py
+++ b/yarrowspindle/lab/model/lending.py
@@ -203,15 +203,20 @@
 
 
 DEFECTS = {
-    "no margin": Parts(bank=NoMargin), "lends at once after a start": Parts(bank=OpensAtOnce),
-    "forgets what it lent": Parts(bank=ForgetsWhatItLent), "lends by share alone": Parts(bank=LendsByShareAlone),
-    "counts from the answer": Parts(borrower=CountsFromTheAnswer), "never ends": Parts(borrower=NeverEnds),
-    "takes any answer": Parts(borrower=TakesAnyAnswer), "keeps the larger": Parts(borrower=KeepsTheLarger),
-}  # fmt: skip
-
-
-def play_leases(relays: int, seed: int, words: Sequence[str], faults_s: float = 12.0,
-                parts: Parts | None = None) -> LeaseDay:  # fmt: skip
+    "no margin": Parts(bank=NoMargin),
+    "lends at once after a start": Parts(bank=OpensAtOnce),
+    "forgets what it lent": Parts(bank=ForgetsWhatItLent),
+    "lends by share alone": Parts(bank=LendsByShareAlone),
+    "counts from the answer": Parts(borrower=CountsFromTheAnswer),
+    "never ends": Parts(borrower=NeverEnds),
+    "takes any answer": Parts(borrower=TakesAnyAnswer),
+    "keeps the larger": Parts(borrower=KeepsTheLarger),
+}
+
+
+def play_leases(
+    relays: int, seed: int, words: Sequence[str], faults_s: float = 12.0, parts: Parts | None = None
+) -> LeaseDay:
     world = LeaseWorld(relays, seed, parts)
     day = LeaseDay(faults=schedule(words, world.names, ["n0"], seed, 3.0, faults_s, 8.0))
     for fault in day.faults:
--- a/yarrowspindle/lab/model/members.py
+++ b/yarrowspindle/lab/model/members.py
@@ -94,8 +94,9 @@
         return -1.0
 
 
-def play_members(relays: int, seed: int, words: Sequence[str], faults_s: float = 12.0, within_s: float = 30.0,
-                 stall_s: float = 3.0) -> MemberDay:  # fmt: skip
+def play_members(
+    relays: int, seed: int, words: Sequence[str], faults_s: float = 12.0, within_s: float = 30.0, stall_s: float = 3.0
+) -> MemberDay:
     """All start at once, the faults come and end, and all must agree again, on members and sums."""
     world = Relays(relays, seed)
     for index in range(relays):
--- a/yarrowspindle/lab/model/node.py
+++ b/yarrowspindle/lab/model/node.py
@@ -17,9 +17,21 @@
     """`size` is what the machine list tells; `power` what the node can really do, both in units of 1000 ms of work a
     second. Loads are milliseconds of work a second."""
 
-    def __init__(self, name: str, zone: int, size: float, power: float, *, cold_ms: float, cold_share: float,
-                 fall_multiple: float, fall_ms: float, group_load: float, set_up_ms: float,
-                 most: int) -> None:  # fmt: skip
+    def __init__(
+        self,
+        name: str,
+        zone: int,
+        size: float,
+        power: float,
+        *,
+        cold_ms: float,
+        cold_share: float,
+        fall_multiple: float,
+        fall_ms: float,
+        group_load: float,
+        set_up_ms: float,
+        most: int,
+    ) -> None:
         self.name, self.zone, self.size, self.power = name, zone, size, power
         self.cold_ms, self.cold_share = cold_ms, cold_share
         self.fall_multiple, self.fall_ms = fall_multiple, fall_ms
@@ -82,8 +94,9 @@
         pause = max(0.0, self.paused_until - now)
         return pause + self.set_up_ms * self.slow / (self.power * self.ramp(now)) / (1.0 - busy)
 
-    def take(self, now: float, connection: Any, load: float, group: int, worth: float = 1.0,
-             usual: float = 0.0) -> bool:  # fmt: skip
+    def take(
+        self, now: float, connection: Any, load: float, group: int, worth: float = 1.0, usual: float = 0.0
+    ) -> bool:
         """A new connection, with its class's usual load if that is told. False where the node takes no more; it may
         fall over by it: the rule counts connections against the rate of them that fills it, not one's luck."""
         if not self.alive or self.state is State.DRAINING or len(self.held) >= self.most:
--- a/yarrowspindle/lab/model/peering.py
+++ b/yarrowspindle/lab/model/peering.py
@@ -23,8 +23,9 @@
 class VirtualPeer:
     """One process of a relay as the others meet it; killed, stopped and started by the network that it is in."""
 
-    def __init__(self, net: VirtualNet, index: int, life: int, own: Callable[[], Own],
-                 told: Callable[[Others], None]) -> None:  # fmt: skip
+    def __init__(
+        self, net: VirtualNet, index: int, life: int, own: Callable[[], Own], told: Callable[[Others], None]
+    ) -> None:
         self.net, self.index, self.own, self.told = net, index, own, told
         self.party, self.address = f"r{index}", address_of(index)
         settings = net.settings(self.address, index)
@@ -96,8 +97,15 @@
     """`changes`: of the peers' settings. latency: of a datagram, in milliseconds. seeds: so many relays are seeds.
     cell: so many relays, by their index, are a cluster with seeds of its own; 0: all are one."""
 
-    def __init__(self, clock: VirtualClock, seed: int, seeds: int = 2, latency: tuple[float, float] = (0.1, 2.0),
-                 cell: int = 0, **changes: object) -> None:  # fmt: skip
+    def __init__(
+        self,
+        clock: VirtualClock,
+        seed: int,
+        seeds: int = 2,
+        latency: tuple[float, float] = (0.1, 2.0),
+        cell: int = 0,
+        **changes: object,
+    ) -> None:
         self.clock, self.seeds, self.latency, self.cell, self.changes = clock, seeds, latency, cell, changes
         self.random, self.wires = Random(f"net {seed}"), Random(f"wires {seed}")
         self.ways = Ways(seed)
--- a/yarrowspindle/lab/model/planted.py
+++ b/yarrowspindle/lab/model/planted.py
@@ -149,8 +149,10 @@
     """One more out than allowed."""
 
     def _granted(self, seen: Mapping[str, Seen]) -> TurnState | None:
-        requests = {i: replace(r, wish=replace(r.wish, most=r.wish.most + 1, most_zone=r.wish.most_zone + 1, floor=0.0))
-                    for i, r in self.requests.items()}  # fmt: skip
+        requests = {
+            i: replace(r, wish=replace(r.wish, most=r.wish.most + 1, most_zone=r.wish.most_zone + 1, floor=0.0))
+            for i, r in self.requests.items()
+        }
         granted = replace(self, requests=requests)._plain(seen)
         if granted is None:
             return None
@@ -256,7 +258,6 @@
     ("cut", "kill", "late"),
     ("mute",),
     ("loss", "double", "reorder", "kill", "stall"),
-    # fmt: skip
     ("kill", "kill", "kill", "loss", "late"),
     ("held", "double"),
     ("loss", "loss", "held", "stall", "stall"),
--- a/yarrowspindle/lab/model/relay.py
+++ b/yarrowspindle/lab/model/relay.py
@@ -106,8 +106,9 @@
 class ModelRelay:
     def __init__(self, fleet: World, index: int, settings: Settings, seed: int) -> None:
         self.fleet, self.index, self.clock = fleet, index, fleet.clock
-        self.runtime = Runtime(Reducer(settings, seed, fleet.clock.now()), fleet.clock, self._log,
-                               VirtualTimers(fleet.clock))  # fmt: skip
+        self.runtime = Runtime(
+            Reducer(settings, seed, fleet.clock.now()), fleet.clock, self._log, VirtualTimers(fleet.clock)
+        )
         self.reducer = self.runtime.reducer
         self.runtime.probe = self._probe
         self.zone = settings.zone
@@ -117,9 +118,15 @@
         self.alive = True
         self.log: list[tuple[float, str]] = []
         self.effects: dict[type, Callable[[Any], None]] = {
-            Reach: self._reach, Ask: self._ask, Drop: self._drop, Join: self._join, Requeue: self._requeue,
-            Deny: self._deny, Move: self._move, Close: self._close,
-        }  # fmt: skip
+            Reach: self._reach,
+            Ask: self._ask,
+            Drop: self._drop,
+            Join: self._join,
+            Requeue: self._requeue,
+            Deny: self._deny,
+            Move: self._move,
+            Close: self._close,
+        }
 
     def post(self, event: Event) -> None:
         if self.alive:
@@ -162,8 +169,17 @@
         submitter.relay, submitter.answers = self, 0
         self.submitters[job] = submitter
         load = submitter.load if self.fleet.hints else 0.0
-        self.post(JobArrived(job, deadline_ms, submitter.cls, key=submitter.key, group=submitter.group, load=load,
-                             returned=submitter.returned))  # fmt: skip
+        self.post(
+            JobArrived(
+                job,
+                deadline_ms,
+                submitter.cls,
+                key=submitter.key,
+                group=submitter.group,
+                load=load,
+                returned=submitter.returned,
+            )
+        )
 
     def holds(self, submitter: Submitter) -> bool:
         return self.submitters.get(submitter.job) is submitter
--- a/yarrowspindle/lab/model/submitter.py
+++ b/yarrowspindle/lab/model/submitter.py
@@ -18,8 +18,24 @@
 
 
 class Submitter:
-    __slots__ = ("key", "group", "load", "base", "ends", "relay", "job", "answers", "deadline", "returned", "up",
-                 "moves", "moved_open", "over", "tries", "cls")  # fmt: skip
+    __slots__ = (
+        "key",
+        "group",
+        "load",
+        "base",
+        "ends",
+        "relay",
+        "job",
+        "answers",
+        "deadline",
+        "returned",
+        "up",
+        "moves",
+        "moved_open",
+        "over",
+        "tries",
+        "cls",
+    )
 
     def __init__(self, key: int, group: int, load: float, ends: float, cls: int = 0) -> None:
         self.cls = cls
--- a/yarrowspindle/lab/model/talk.py
+++ b/yarrowspindle/lab/model/talk.py
@@ -66,9 +66,15 @@
                         was = sums.get(key, (0, 0.0))
                         sums[key] = (was[0] + count, was[1] + load)
             before = self.before.get(index, {})
-            came = {key: by for key in sums.keys() | before.keys()
-                    if (by := sums.get(key, (0, 0.0))[0] - before.get(key, (0, 0.0))[0])}  # fmt: skip
+            came = {
+                key: by
+                for key in sums.keys() | before.keys()
+                if (by := sums.get(key, (0, 0.0))[0] - before.get(key, (0, 0.0))[0])
+            }
             gone = dict.fromkeys(before.keys() - sums.keys(), (0, 0.0))
             self.before[index] = sums
-            tell(Others(sums | gone, came, len(words) - 1, len(words), 0.0, frozenset(), reports,
-                        sorted(words).index(index)))  # fmt: skip
+            tell(
+                Others(
+                    sums | gone, came, len(words) - 1, len(words), 0.0, frozenset(), reports, sorted(words).index(index)
+                )
+            )
--- a/yarrowspindle/lab/model/turning.py
+++ b/yarrowspindle/lab/model/turning.py
@@ -119,9 +119,14 @@
     def of(seed: int) -> Plan:
         drawn = Random(f"plan {seed}")
         # Machines that hold little are the ones that a relay may take for empty a moment too soon.
-        return Plan(drawn.choice((1.0, 0.2, 0.05)), drawn.uniform(2.0, 12.0) if drawn.random() < 0.25 else -1.0,
-                    drawn.random() < 0.2, drawn.uniform(1.0, 10.0) if drawn.random() < 0.15 else -1.0,
-                    drawn.random() < 0.2, drawn.random() < 0.1)  # fmt: skip
+        return Plan(
+            drawn.choice((1.0, 0.2, 0.05)),
+            drawn.uniform(2.0, 12.0) if drawn.random() < 0.25 else -1.0,
+            drawn.random() < 0.2,
+            drawn.uniform(1.0, 10.0) if drawn.random() < 0.15 else -1.0,
+            drawn.random() < 0.2,
+            drawn.random() < 0.1,
+        )
 
 
 STEPS = {"prepare": Prepare, "promise": Promise, "accept": Accept, "accepted": Accepted, "committed": Took}
@@ -140,8 +145,16 @@
         kept = world.files.get(name)
         self.voter = world.parts.voter(kept, world.storing(name), self.now) if kept is not None else None
         identity, guide = (kept.identity, kept.state) if kept is not None else ("", world.first)
-        self.core = world.parts.turns(name, f"{world.random.getrandbits(64):x}", world.first, identity, guide,
-                                      world.random.randrange(1 << 30), self.now(), world.parts.proposer)  # fmt: skip
+        self.core = world.parts.turns(
+            name,
+            f"{world.random.getrandbits(64):x}",
+            world.first,
+            identity,
+            guide,
+            world.random.randrange(1 << 30),
+            self.now(),
+            world.parts.proposer,
+        )
         self.log: list[tuple[float, str]] = []
 
     def now(self) -> float:
@@ -218,15 +231,18 @@
             world.checker.uses(self.name, machine, "holds")
         for to, part_ in self.parcels.due(self.now()):
             world.send(self.name, to, part_)
-        looks = [Look(m, n % 2, 1.0, State.READY if world.is_up(m) else State.GONE, world.starts[m])
-                 for n, m in enumerate(world.machines)]  # fmt: skip
+        looks = [
+            Look(m, n % 2, 1.0, State.READY if world.is_up(m) else State.GONE, world.starts[m])
+            for n, m in enumerate(world.machines)
+        ]
         seen, trouble = self.watch.look(self.now(), looks, self.core.taken)
         self.post(Fleet(frozenset(self.held), seen, world.there(), trouble))
 
 
 class TurnWorld:
-    def __init__(self, relays: int, machines: int, seed: int, parts: Parts | None = None,
-                 plan: Plan | None = None) -> None:  # fmt: skip
+    def __init__(
+        self, relays: int, machines: int, seed: int, parts: Parts | None = None, plan: Plan | None = None
+    ) -> None:
         self.clock, self.random = VirtualClock(), Random(f"turns {seed}")
         self.seed, self.parts, self.plan = seed, parts or Parts(), plan or Plan.of(seed)
         self.ways = Ways(seed)
@@ -396,9 +412,19 @@
         return self.asked() and all(r.state != QUEUED for r in state.requests.values()) and not state.out
 
 
-def play_turns(relays: int, machines: int, seed: int, words: Sequence[str], faults_s: float = 12.0,
-               within_s: float = 120.0, lose: bool = False, parts: Parts | None = None, plan: Plan | None = None,
-               faults: Sequence[Fault] | None = None, together: bool = False) -> TurnDay:  # fmt: skip
+def play_turns(
+    relays: int,
+    machines: int,
+    seed: int,
+    words: Sequence[str],
+    faults_s: float = 12.0,
+    within_s: float = 120.0,
+    lose: bool = False,
+    parts: Parts | None = None,
+    plan: Plan | None = None,
+    faults: Sequence[Fault] | None = None,
+    together: bool = False,
+) -> TurnDay:
     """All machines once round, with faults in the first seconds; everything must be back some time after they end.
     together: all faults begin in the same instant."""
     world = TurnWorld(relays, machines, seed, parts, plan)
@@ -421,6 +447,8 @@
     day.turns, day.took_s = checker.newest.turn, world.clock.seconds
     if not world.over() and not day.violations:
         state = checker.newest
-        day.stuck.append(f"out {state.out}, waits for { {m: state.waits_for(m) for m in state.out} }, paused "
-                         f"{state.paused!r}, {[(r.state, r.waiting) for r in state.requests.values()]}")  # fmt: skip
+        day.stuck.append(
+            f"out {state.out}, waits for { {m: state.waits_for(m) for m in state.out} }, paused "
+            f"{state.paused!r}, {[(r.state, r.waiting) for r in state.requests.values()]}"
+        )
     return day
--- a/yarrowspindle/lab/processes/__main__.py
+++ b/yarrowspindle/lab/processes/__main__.py
@@ -17,9 +17,11 @@
 
 def main(arguments: Sequence[str] | None = None) -> int:
     parser = argparse.ArgumentParser(
-        prog="python -m yarrowspindle.lab.processes", description="Real relays with faults between them.",
+        prog="python -m yarrowspindle.lab.processes",
+        description="Real relays with faults between them.",
         formatter_class=argparse.RawDescriptionHelpFormatter,
-        epilog="faults:\n" + "\n".join(f"  {word:8} {what}" for word, what in WORDS.items()))  # fmt: skip
+        epilog="faults:\n" + "\n".join(f"  {word:8} {what}" for word, what in WORDS.items()),
+    )
     parser.add_argument("--relays", type=int, default=5)
     parser.add_argument("--nodes", type=int, default=6)
     parser.add_argument("--submitters", type=int, default=200)
@@ -39,8 +41,16 @@
         parser.error("at least one relay (80 at most), one node and one seed are wanted")
     broken = 0
     for seed in range(chosen.seed, chosen.seed + chosen.seeds):
-        run = Run(chosen.relays, chosen.nodes, chosen.submitters, seed, words, faults_s=chosen.faults_s,
-                  stall_s=chosen.stall_s, peers=not chosen.no_peers)  # fmt: skip
+        run = Run(
+            chosen.relays,
+            chosen.nodes,
+            chosen.submitters,
+            seed,
+            words,
+            faults_s=chosen.faults_s,
+            stall_s=chosen.stall_s,
+            peers=not chosen.no_peers,
+        )
         report = asyncio.run(play(run))
         print(report, flush=True)
         broken += bool(report.broken)
--- a/yarrowspindle/lab/processes/checker.py
+++ b/yarrowspindle/lab/processes/checker.py
@@ -170,8 +170,7 @@
         cold.worst = max(cold.worst, len(cold.sent) / fills)
         if len(cold.sent) > most + CHANCE * sqrt(most):
             came = f"{node} was sent {len(cold.sent)} connections in {terms.fall_s:g} s"
-            self.note("cold", f"{came}, of which {fills:.1f} "
-                              f"fill it and {most:.1f} are allowed")  # fmt: skip
+            self.note("cold", f"{came}, of which {fills:.1f} fill it and {most:.1f} are allowed")
 
     # --- members, as datagrams show them ----------------------------------------------------------
 
--- a/yarrowspindle/lab/processes/parties.py
+++ b/yarrowspindle/lab/processes/parties.py
@@ -65,8 +65,16 @@
 
     def entry(self, address: Address) -> dict[str, Any]:
         number = int(self.name[1:])
-        return {"id": self.name, "host_port": f"{address[0]}:{address[1]}", "locality": "ab"[number % 2], "flavor": "m",
-                "cell": 1, "phase": self.phase, "size": 1.0, "up_since_ms": self.started_ms}  # fmt: skip
+        return {
+            "id": self.name,
+            "host_port": f"{address[0]}:{address[1]}",
+            "locality": "ab"[number % 2],
+            "flavor": "m",
+            "cell": 1,
+            "phase": self.phase,
+            "size": 1.0,
+            "up_since_ms": self.started_ms,
+        }
 
 
 class MachineList:
@@ -94,8 +102,11 @@
         self.version += 1
         (self.gone.add if phase == "gone" else self.gone.discard)(node.name)
         for relay, writer in list(self.watches):
-            told = {"revision": self.version, "complete": False,
-                    "members": [node.entry(self.reached(relay, node.name))]}  # fmt: skip
+            told = {
+                "revision": self.version,
+                "complete": False,
+                "members": [node.entry(self.reached(relay, node.name))],
+            }
             writer.write(chunk(json.dumps(told)))
 
     async def _watch(self, relay: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -134,8 +145,14 @@
 class Submitters:
     """So many that want a connection all the time; one that is served to its end makes room for a new one."""
 
-    def __init__(self, checker: Checker, front: Callable[[], tuple[str, Address] | None], random: Random,
-                 deadline_s: float, line_s: float = LINE_S) -> None:  # fmt: skip
+    def __init__(
+        self,
+        checker: Checker,
+        front: Callable[[], tuple[str, Address] | None],
+        random: Random,
+        deadline_s: float,
+        line_s: float = LINE_S,
+    ) -> None:
         self.line_s = line_s
         self.checker, self.front, self.random, self.deadline_s = checker, front, random, deadline_s
         self.tasks: list[asyncio.Task[None]] = []
@@ -176,8 +193,10 @@
             return "refused", 0.0
         self.number += 1
         name = f"{self.number & (1 << 64) - 1:016x} {number + 1:016x}"
-        writer.write(f"OPEN {name} c=chat,t=acme,d={1000.0 * self.deadline_s:.0f},g={number // 4 + 1:x}"
-                     f"{',again=1' if again else ''}\r\n".encode())  # fmt: skip
+        writer.write(
+            f"OPEN {name} c=chat,t=acme,d={1000.0 * self.deadline_s:.0f},g={number // 4 + 1:x}"
+            f"{',again=1' if again else ''}\r\n".encode()
+        )
         client = self.checker.asked(relay, self.deadline_s)
         try:
             return await self._heard(number, client, reader, writer)
@@ -187,8 +206,9 @@
         finally:
             writer.close()
 
-    async def _heard(self, number: int, client: Client, reader: asyncio.StreamReader,
-                     writer: asyncio.StreamWriter) -> tuple[str, float]:  # fmt: skip
+    async def _heard(
+        self, number: int, client: Client, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> tuple[str, float]:
         while True:
             try:
                 line = (await asyncio.wait_for(reader.readline(), self.line_s)).decode("ascii", "replace").strip()
--- a/yarrowspindle/lab/processes/proxy.py
+++ b/yarrowspindle/lab/processes/proxy.py
@@ -20,8 +20,14 @@
     """The address at which the others reach one relay. Who sends is told by the address that it listens at, which is
     the one that it sends from."""
 
-    def __init__(self, target: str, inside: Address, parties: dict[Address, str], ways: Ways,
-                 seen: Callable[[str, str, bytes, int], None]) -> None:  # fmt: skip
+    def __init__(
+        self,
+        target: str,
+        inside: Address,
+        parties: dict[Address, str],
+        ways: Ways,
+        seen: Callable[[str, str, bytes, int], None],
+    ) -> None:
         self.target, self.inside, self.parties, self.ways, self.seen = target, inside, parties, ways, seen
         self.transport: asyncio.DatagramTransport | None = None
 
--- a/yarrowspindle/lab/processes/turning.py
+++ b/yarrowspindle/lab/processes/turning.py
@@ -67,9 +67,11 @@
     def __str__(self) -> str:
         lines = [str(self.report)]
         how = "over" if self.over else "NOT OVER: " + "; ".join(self.reasons)
-        lines.append(f"  turns: {self.turns} for {self.machines} machines in {self.took_s:.1f} s, "
-                     f"{self.per_machine_s:.2f} s each ({self.least_s:.2f} s least), at most {self.most_out} out, "
-                     f"given back unemptied {self.rolled_back}, {how}")  # fmt: skip
+        lines.append(
+            f"  turns: {self.turns} for {self.machines} machines in {self.took_s:.1f} s, "
+            f"{self.per_machine_s:.2f} s each ({self.least_s:.2f} s least), at most {self.most_out} out, "
+            f"given back unemptied {self.rolled_back}, {how}"
+        )
         return "\n".join(lines)
 
 
@@ -129,8 +131,11 @@
 
     def _connected(self, machine: str) -> list[str]:
         """Relays that hold a connection there, by the wires."""
-        return [proxy.source for proxy in self.world.proxies if proxy.target == machine
-                and any(pipe.job and not pipe.over for pipe in proxy.pipes)]  # fmt: skip
+        return [
+            proxy.source
+            for proxy in self.world.proxies
+            if proxy.target == machine and any(pipe.job and not pipe.over for pipe in proxy.pipes)
+        ]
 
     async def _work(self, machine: str, turn: int) -> None:
         """Looks whether it is really free, works on it, and says so."""
@@ -156,8 +161,9 @@
             await self.tell("done", {"machine": machine, "turn": turn})
             await asyncio.sleep(1.0)
             shown = await self.look()
-            if shown and not any(o["machine"] == machine and o["stage"] == "free" and o["turn"] == turn
-                                 for o in shown["out"]):  # fmt: skip
+            if shown and not any(
+                o["machine"] == machine and o["stage"] == "free" and o["turn"] == turn for o in shown["out"]
+            ):
                 return
 
     def see(self, shown: dict[str, Any]) -> None:
@@ -205,8 +211,13 @@
         return bool(found) and found[0]["state"] != QUEUED and not self.newest["out"]
 
     async def ask(self) -> None:
-        told = {"machines": self.machines, "most": self.work.most, "most_zone": self.work.most_zone,
-                "floor": self.work.floor, "deadline_s": 20.0}  # fmt: skip
+        told = {
+            "machines": self.machines,
+            "most": self.work.most,
+            "most_zone": self.work.most_zone,
+            "floor": self.work.floor,
+            "deadline_s": 20.0,
+        }
         living = self.living()
         some = self.random.sample(living, min(2 if self.work.twice else 1, len(living)))
         for status, answer in await asyncio.gather(*(self.tell("ask", told, relay) for relay in some)):
@@ -232,7 +243,9 @@
         """One at a time, and each stands before the next is asked for."""
         last, first = self.world.relays[-1], self.world.voters[0]
         steps: tuple[tuple[str, dict[str, Any], Relay | None, str, bool], ...] = (
-            ("vote", {}, last, last.name, True), ("unvote", {"relay": first}, None, first, False))  # fmt: skip
+            ("vote", {}, last, last.name, True),
+            ("unvote", {"relay": first}, None, first, False),
+        )
         for what, told, relay, name, there in steps:
             for _ in range(int(20.0 / POLL_S)):
                 if (name in (await self.look())["voters"]) is there:
@@ -264,8 +277,9 @@
         self.out.machines = len(self.machines)
         if not self.out.over:
             self.out.reasons = [f"{o['machine']} {o['stage']}: {', '.join(o['waits_for'])}" for o in self.newest["out"]]
-            self.out.reasons += [f"{w['machine']}: {w['why']}" for r in self.newest["requests"]
-                                 for w in r.get("waiting", ())]  # fmt: skip
+            self.out.reasons += [
+                f"{w['machine']}: {w['why']}" for r in self.newest["requests"] for w in r.get("waiting", ())
+            ]
             self.world.checker.note("all out and back", "; ".join(self.out.reasons) or "no reason is shown")
         elif self.work.voter:
             await self.replace_voter()
@@ -310,12 +324,20 @@
         return 0, None
 
 
-async def play_turns(run: Run, work: Work, faults: Sequence[Fault] | None = None,
-                     folder: Path | None = None) -> TurnReport:  # fmt: skip
+async def play_turns(
+    run: Run, work: Work, faults: Sequence[Fault] | None = None, folder: Path | None = None
+) -> TurnReport:
     """Relays start, submitters come, operators want machines; faults come and end."""
     if faults is None:
-        faults = schedule(run.words, relay_names(run.relays), [f"n{n}" for n in range(run.nodes)], run.seed, 0.0,
-                          run.faults_s, run.stall_s)  # fmt: skip
+        faults = schedule(
+            run.words,
+            relay_names(run.relays),
+            [f"n{n}" for n in range(run.nodes)],
+            run.seed,
+            0.0,
+            run.faults_s,
+            run.stall_s,
+        )
     out = TurnReport(Report(run, list(faults)))
     out.least_s = run.submitters / max(run.nodes, 1) / run.moves_per_s + work.work_s + run.cold_s
     async with opened(run, folder) as world:
--- a/yarrowspindle/lab/processes/world.py
+++ b/yarrowspindle/lab/processes/world.py
@@ -30,14 +30,33 @@
 LOG_MOST = 20_000
 ROOT = Path(__file__).resolve().parents[3]
 SETTINGS: dict[str, Any] = {
-    "azs": ["a", "b"], "skus": ["m"], "discovery": "subscribe", "step_ms": 2.0,
-    "categories": [{"name": "chat", "slo_ms": 800.0, "deadline_ms": 2000.0, "effect": "pure", "group": "all",
-                    "window_ms": 0.0, "points": 1.0, "stream": True}],
+    "azs": ["a", "b"],
+    "skus": ["m"],
+    "discovery": "subscribe",
+    "step_ms": 2.0,
+    "categories": [
+        {
+            "name": "chat",
+            "slo_ms": 800.0,
+            "deadline_ms": 2000.0,
+            "effect": "pure",
+            "group": "all",
+            "window_ms": 0.0,
+            "points": 1.0,
+            "stream": True,
+        }
+    ],
     "realms": [{"name": "acme", "quota_per_s": 5.0, "share": 1.0}],
     "family_info": {"message_aim_ms": [150.0], "tells_load": True, "tells_delay": True},
-    "limits": {"max_attempts": 3, "cancel": True, "retry_after": True, "max_retry_after_ms": 2000.0,
-               "connect_timeout_ms": 250.0, "probing": True},
-}  # fmt: skip
+    "limits": {
+        "max_attempts": 3,
+        "cancel": True,
+        "retry_after": True,
+        "max_retry_after_ms": 2000.0,
+        "connect_timeout_ms": 250.0,
+        "probing": True,
+    },
+}
 
 
 @dataclass(slots=True, frozen=True)
@@ -85,16 +104,20 @@
     log: dict[str, list[str]] = field(default_factory=dict)
 
     def __str__(self) -> str:
-        lines = [f"seed {self.run.seed}: {self.run.relays} relays, {self.run.nodes} nodes, "
-                 f"{self.run.submitters} submitters, faults {', '.join(self.run.words) or 'none'}"]  # fmt: skip
+        lines = [
+            f"seed {self.run.seed}: {self.run.relays} relays, {self.run.nodes} nodes, "
+            f"{self.run.submitters} submitters, faults {', '.join(self.run.words) or 'none'}"
+        ]
         lines += [f"  {fault}" for fault in self.schedule]
         lines += [f"BROKEN: {rule}" for rule in self.broken]
         counts = ", ".join(f"{name} {count}" for name, count in sorted(self.counts.items()))
         lines.append(f"  {counts}")
         sent = ", ".join(f"{name} {count}" for name, count in sorted(self.datagrams.items()))
         agreed = f"{self.agreed_s:.1f} s after the faults" if self.agreed_s >= 0.0 else "not"
-        lines.append(f"  served {self.served:.3f} of what was wanted, answers within {self.wait_p99_ms:.0f} ms (99 %), "
-                     f"cold nodes at most {self.cold_worst:.2f} times what fills them")  # fmt: skip
+        lines.append(
+            f"  served {self.served:.3f} of what was wanted, answers within {self.wait_p99_ms:.0f} ms (99 %), "
+            f"cold nodes at most {self.cold_worst:.2f} times what fills them"
+        )
         lines.append(f"  datagrams: {sent or 'none'}; members agreed {agreed}")
         return "\n".join(lines)
 
@@ -122,20 +145,37 @@
         run, world, folder = self.world.run, self.world, self.world.folder
         terms = run.terms
         settings = SETTINGS | {
-            "zone": self.index % 2, "slot_no": self.index, "balancers": run.relays,
-            "obligations": {"drain_grace_ms": 1000.0 * terms.grace_s, "answer_slack_ms": 50.0, "ask_within_ms": 200.0,
-                            "cold_share": terms.cold_share, "cold_ms": 1000.0 * terms.cold_s,
-                            "fall_multiple": terms.fall_multiple, "fall_ms": 1000.0 * terms.fall_s},
-        }  # fmt: skip
-        config = {"name": self.name, "listen": text_of(self.client), "discovery": text_of(self.discovery),
-                  "seed": f"{run.seed * 1000 + self.index * 10 + self.lives:x}", "settings": settings,
-                  "known": world.list.whole(self.name) | {"revision": 1}, "limits": {"sockets": 0}}  # fmt: skip
+            "zone": self.index % 2,
+            "slot_no": self.index,
+            "balancers": run.relays,
+            "obligations": {
+                "drain_grace_ms": 1000.0 * terms.grace_s,
+                "answer_slack_ms": 50.0,
+                "ask_within_ms": 200.0,
+                "cold_share": terms.cold_share,
+                "cold_ms": 1000.0 * terms.cold_s,
+                "fall_multiple": terms.fall_multiple,
+                "fall_ms": 1000.0 * terms.fall_s,
+            },
+        }
+        config = {
+            "name": self.name,
+            "listen": text_of(self.client),
+            "discovery": text_of(self.discovery),
+            "seed": f"{run.seed * 1000 + self.index * 10 + self.lives:x}",
+            "settings": settings,
+            "known": world.list.whole(self.name) | {"revision": 1},
+            "limits": {"sockets": 0},
+        }
         config_file, operator_file = folder / f"{self.name}.json", folder / f"{self.name}.toml"
         config_file.write_text(json.dumps(config))
         seeds = ", ".join(f'"{text_of(relay.outside)}"' for relay in world.relays[:2])
         operator_file.write_text(
             f'[peers]\nlisten = "{text_of(self.inside)}"\nadvertise = "{text_of(self.outside)}"\n'
-            f'seeds = [{seeds}]\ncluster = "{self.cluster}"\n{self.turns()}' if run.peers else "")  # fmt: skip
+            f'seeds = [{seeds}]\ncluster = "{self.cluster}"\n{self.turns()}'
+            if run.peers
+            else ""
+        )
         return {"ROUTER_CONFIG": str(config_file), "YARROWSPINDLE_OPERATOR": str(operator_file)}
 
     @property
@@ -165,8 +205,15 @@
         env = {k: v for k, v in os.environ.items() if not k.startswith("ROUTER_")} | told
         self.world.checker.relay_started(self.name)
         self.process = await asyncio.create_subprocess_exec(
-            sys.executable, "-B", "-m", "yarrowspindle", cwd=ROOT, env=env, stderr=asyncio.subprocess.PIPE,
-            stdout=asyncio.subprocess.DEVNULL)  # fmt: skip
+            sys.executable,
+            "-B",
+            "-m",
+            "yarrowspindle",
+            cwd=ROOT,
+            env=env,
+            stderr=asyncio.subprocess.PIPE,
+            stdout=asyncio.subprocess.DEVNULL,
+        )
         self.reading = asyncio.ensure_future(self._read(self.process))
         serving = asyncio.ensure_future(self.serves.wait())
         await asyncio.wait([serving, self.reading], timeout=START_S, return_when=asyncio.FIRST_COMPLETED)
@@ -238,8 +285,10 @@
         # A net of loopback of its own, so that runs side by side do not meet.
         self.net = f"127.{64 + os.getpid() % 128}.{1 + run.seed % 250}"
         self.used: set[Address] = set()
-        self.nodes = {f"n{n}": Node(f"n{n}", self.address(100 + n), Random(f"node {run.seed} {n}"), run.life_s)
-                      for n in range(run.nodes)}  # fmt: skip
+        self.nodes = {
+            f"n{n}": Node(f"n{n}", self.address(100 + n), Random(f"node {run.seed} {n}"), run.life_s)
+            for n in range(run.nodes)
+        }
         self.node_doors: dict[tuple[str, str], Address] = {}
         self.list = MachineList(self.nodes, lambda relay, node: self.node_doors[relay, node])
         self.relays = [Relay(name, n, self) for n, name in enumerate(relay_names(run.relays))]
@@ -250,8 +299,9 @@
         self.datagram_proxies: list[DatagramProxy] = []
         self.datagrams: Counter[str] = Counter()
         self.views = Views()
-        self.submitters = Submitters(self.checker, self.front, Random(f"submitters {run.seed}"), run.deadline_s,
-                                     run.line_s)  # fmt: skip
+        self.submitters = Submitters(
+            self.checker, self.front, Random(f"submitters {run.seed}"), run.deadline_s, run.line_s
+        )
         self.tasks: list[asyncio.Task[None]] = []
 
     def now(self) -> float:
@@ -431,8 +481,15 @@
 async def play(run: Run, faults: list[Fault] | None = None, folder: Path | None = None) -> Report:
     """One run, from the start of the relays to their end."""
     if faults is None:
-        faults = schedule(run.words, relay_names(run.relays), [f"n{n}" for n in range(run.nodes)], run.seed, 0.0,
-                          run.faults_s, run.stall_s)  # fmt: skip
+        faults = schedule(
+            run.words,
+            relay_names(run.relays),
+            [f"n{n}" for n in range(run.nodes)],
+            run.seed,
+            0.0,
+            run.faults_s,
+            run.stall_s,
+        )
     report = Report(run, faults)
     async with opened(run, folder) as world:
         world.submitters.start(run.submitters, run.settle_s / 2.0)
--- a/yarrowspindle/library/__init__.py
+++ b/yarrowspindle/library/__init__.py
@@ -8,7 +8,21 @@
 from yarrowspindle.routing.messages import Machine
 
 __all__ = [
-    "CallbackList", "Closing", "Ending", "Failed", "JobClass", "LibrarySettings", "Machine", "NodeDropped",
-    "Placement", "PlacementError", "Placer", "Refused", "SettingError", "Source", "StaticList", "WatchedList",
+    "CallbackList",
+    "Closing",
+    "Ending",
+    "Failed",
+    "JobClass",
+    "LibrarySettings",
+    "Machine",
+    "NodeDropped",
+    "Placement",
+    "PlacementError",
+    "Placer",
+    "Refused",
+    "SettingError",
+    "Source",
+    "StaticList",
+    "WatchedList",
     "WrongContext",
-]  # fmt: skip
+]
--- a/yarrowspindle/library/placer.py
+++ b/yarrowspindle/library/placer.py
@@ -254,10 +254,15 @@
 
 
 TOLD: dict[type, Callable[[Placement, Any], None]] = {
-    Reach: Placement._told_reach, Requeue: Placement._told_answer, Deny: Placement._told_answer,
-    Join: Placement._told_join, Drop: Placement._told_drop, Move: Placement._told_end, Close: Placement._told_end,
+    Reach: Placement._told_reach,
+    Requeue: Placement._told_answer,
+    Deny: Placement._told_answer,
+    Join: Placement._told_join,
+    Drop: Placement._told_drop,
+    Move: Placement._told_end,
+    Close: Placement._told_end,
     Ask: nothing,
-}  # fmt: skip
+}
 
 
 class Placing:
@@ -271,8 +276,9 @@
         self.placement = await self.placer.begin(self.event)
         return self.placement
 
-    async def __aexit__(self, kind: type[BaseException] | None, error: BaseException | None,
-                        trace: TracebackType | None) -> None:  # fmt: skip
+    async def __aexit__(
+        self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
+    ) -> None:
         if self.placement is not None:
             self.placement.finish(kind is None)
 
@@ -285,8 +291,15 @@
     not open.
     """
 
-    def __init__(self, settings: LibrarySettings | Settings, source: Source | None = None, *, seed: int | None = None,
-                 clock: Clock | None = None, timers: Timers | None = None) -> None:  # fmt: skip
+    def __init__(
+        self,
+        settings: LibrarySettings | Settings,
+        source: Source | None = None,
+        *,
+        seed: int | None = None,
+        clock: Clock | None = None,
+        timers: Timers | None = None,
+    ) -> None:
         self.settings = settings if isinstance(settings, LibrarySettings) else None
         self.core = settings.core() if isinstance(settings, LibrarySettings) else settings
         self.source, self.clock = source, clock or SystemClock()
@@ -401,8 +414,17 @@
         Entering raises Refused, Failed or Closing."""
         return Placing(self, self.arrival(**job))
 
-    def arrival(self, *, key: int = 0, cls: int | str = 0, tenant: int | str = 0, group: int = 0, load: float = 0.0,
-                deadline: float | None = None, returned: bool = False) -> JobArrived:  # fmt: skip
+    def arrival(
+        self,
+        *,
+        key: int = 0,
+        cls: int | str = 0,
+        tenant: int | str = 0,
+        group: int = 0,
+        load: float = 0.0,
+        deadline: float | None = None,
+        returned: bool = False,
+    ) -> JobArrived:
         """A job as `begin` takes it. Raises SettingError on a bad value.
 
         key, group: whole numbers that name the submitter and its group, 0 for none. cls, tenant: by name or number.
--- a/yarrowspindle/library/settings.py
+++ b/yarrowspindle/library/settings.py
@@ -33,8 +33,7 @@
     def __post_init__(self) -> None:
         need(bool(self.name), "JobClass.name", "a name is wanted", self.name)
         need(0.0 < self.aim_s <= 3600.0, "JobClass.aim_s", "seconds above 0, 3600 at most", self.aim_s)
-        need(self.aim_s <= self.deadline_s <= 3600.0, "JobClass.deadline_s", "seconds, aim_s at least",
-             self.deadline_s)  # fmt: skip
+        need(self.aim_s <= self.deadline_s <= 3600.0, "JobClass.deadline_s", "seconds, aim_s at least", self.deadline_s)
         need(0.0 <= self.message_aim_s <= 3600.0, "JobClass.message_aim_s", "seconds, 0 for none", self.message_aim_s)
 
 
@@ -85,14 +84,26 @@
     def core(self) -> Settings:
         """The same for the decision module."""
         return Settings(
-            classes=tuple(RequestClass(c.aim_s * 1000.0, c.deadline_s * 1000.0, message_aim_ms=c.message_aim_s * 1000.0)
-                          for c in self.classes),
-            zone=self.zones.index(self.zone) if self.zone else 0, zones=max(1, len(self.zones)), number=self.number,
-            balancers=self.relays, tenants=tuple(Tenant() for _ in self.tenants), asks=True,
-            cold_share=self.cold_share, cold_ms=self.cold_s * 1000.0, fall_multiple=self.fall_multiple,
-            fall_ms=self.fall_s * 1000.0, connect_timeout_ms=self.connect_s * 1000.0, max_attempts=self.attempts,
-            max_retry_after_ms=self.retry_after_s * 1000.0, retry_after=self.retry_after_s > 0.0, may_cancel=True,
-        )  # fmt: skip
+            classes=tuple(
+                RequestClass(c.aim_s * 1000.0, c.deadline_s * 1000.0, message_aim_ms=c.message_aim_s * 1000.0)
+                for c in self.classes
+            ),
+            zone=self.zones.index(self.zone) if self.zone else 0,
+            zones=max(1, len(self.zones)),
+            number=self.number,
+            balancers=self.relays,
+            tenants=tuple(Tenant() for _ in self.tenants),
+            asks=True,
+            cold_share=self.cold_share,
+            cold_ms=self.cold_s * 1000.0,
+            fall_multiple=self.fall_multiple,
+            fall_ms=self.fall_s * 1000.0,
+            connect_timeout_ms=self.connect_s * 1000.0,
+            max_attempts=self.attempts,
+            max_retry_after_ms=self.retry_after_s * 1000.0,
+            retry_after=self.retry_after_s > 0.0,
+            may_cancel=True,
+        )
 
 
 def index_of(names: Sequence[str], value: int | str, what: str) -> int:
--- a/yarrowspindle/middleware/asgi.py
+++ b/yarrowspindle/middleware/asgi.py
@@ -37,8 +37,15 @@
     lifespan: the placer is started and closed with the application's lifespan.
     """
 
-    def __init__(self, app: App, placer: Placer, *, long_lived: Callable[[Scope], bool] | None = None,
-                 lifespan: bool = True, **taken: Callable[[Scope], Any]) -> None:  # fmt: skip
+    def __init__(
+        self,
+        app: App,
+        placer: Placer,
+        *,
+        long_lived: Callable[[Scope], bool] | None = None,
+        lifespan: bool = True,
+        **taken: Callable[[Scope], Any],
+    ) -> None:
         unknown = taken.keys() - {"key", "group", "load", "deadline", "cls", "tenant", "returned"}
         if unknown:
             raise TypeError(f"not known: {', '.join(sorted(unknown))}")
@@ -209,8 +216,9 @@
     await answer(scope, send, 503, TRY_AGAIN_LATER, NOT_PLACED, headers)
 
 
-async def answer(scope: Scope, send: Send, status: int, code: int, body: bytes,
-                 headers: list[tuple[bytes, bytes]]) -> None:  # fmt: skip
+async def answer(
+    scope: Scope, send: Send, status: int, code: int, body: bytes, headers: list[tuple[bytes, bytes]]
+) -> None:
     kind = "http.response"
     if scope["type"] == "websocket":
         if "websocket.http.response" not in (scope.get("extensions") or {}):  # the server can only close it
--- a/yarrowspindle/operator/http.py
+++ b/yarrowspindle/operator/http.py
@@ -19,9 +19,18 @@
 HEAD_MOST = 8192  # bytes of the request line and headers
 URL_MOST = 1024
 BODY_MOST = 4096  # a PUT may carry a small body, which is not read
-REASONS = {200: "OK", 204: "No Content", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed",
-           409: "Conflict", 413: "Content Too Large", 414: "URI Too Long", 431: "Request Header Fields Too Large",
-           503: "Service Unavailable"}  # fmt: skip
+REASONS = {
+    200: "OK",
+    204: "No Content",
+    400: "Bad Request",
+    404: "Not Found",
+    405: "Method Not Allowed",
+    409: "Conflict",
+    413: "Content Too Large",
+    414: "URI Too Long",
+    431: "Request Header Fields Too Large",
+    503: "Service Unavailable",
+}
 
 Answer = tuple[int, str]  # status and a text body
 Routes = Mapping[str, Mapping[str, Callable[[], Answer]]]  # path -> method -> call
@@ -30,8 +39,10 @@
 
 def response(status: int, text: str = "") -> bytes:
     body = text.encode()
-    head = (f"HTTP/1.1 {status} {REASONS.get(status, 'Unknown')}\r\ncontent-type: text/plain; charset=utf-8\r\n"
-            f"content-length: {len(body)}\r\nconnection: close\r\n\r\n")  # fmt: skip
+    head = (
+        f"HTTP/1.1 {status} {REASONS.get(status, 'Unknown')}\r\ncontent-type: text/plain; charset=utf-8\r\n"
+        f"content-length: {len(body)}\r\nconnection: close\r\n\r\n"
+    )
     return head.encode() + body
 
 
@@ -161,8 +172,13 @@
 
 
 class OperatorApi:
-    def __init__(self, routes: Routes, failed: Callable[[str], None], reading: BodyRoutes | None = None,
-                 body_most: int = BODY_MOST) -> None:  # fmt: skip
+    def __init__(
+        self,
+        routes: Routes,
+        failed: Callable[[str], None],
+        reading: BodyRoutes | None = None,
+        body_most: int = BODY_MOST,
+    ) -> None:
         self.routes, self.failed, self.reading, self.body_most = routes, failed, reading or {}, body_most
         self.calls: dict[Call, None] = {}  # oldest first
         self.server: asyncio.Server | None = None
--- a/yarrowspindle/others.py
+++ b/yarrowspindle/others.py
@@ -73,8 +73,9 @@
         they do, moves too many. So those heard of go by turns."""
         return 1 if not self.heard else int((int(now / TURN_BEAT_MS) + self.rank) % max(self.members, 1) < MOVERS)
 
-    def news(self, event: Others, servers: dict[int, Server], now: float
-             ) -> Iterator[tuple[Server, int, tuple[float, float, float] | None]]:  # fmt: skip
+    def news(
+        self, event: Others, servers: dict[int, Server], now: float
+    ) -> Iterator[tuple[Server, int, tuple[float, float, float] | None]]:
         """Servers at which others' connections came or went (how many), or of which another balancer was told a load
         report that is newer than ours (use, connections, when)."""
         if not event.came and not event.reports:
--- a/yarrowspindle/peers/codec.py
+++ b/yarrowspindle/peers/codec.py
@@ -177,8 +177,13 @@
             raise Dropped("another cluster")
         body = datagram.body
         if isinstance(body, Signal) and (
-                len(body.changed) % 3 or len(body.part) % 3 or len(body.passed) % 2 or len(body.reports) % 4
-                or body.base > body.version or body.first > body.last):  # fmt: skip
+            len(body.changed) % 3
+            or len(body.part) % 3
+            or len(body.passed) % 2
+            or len(body.reports) % 4
+            or body.base > body.version
+            or body.first > body.last
+        ):
             raise Dropped("nonsense")
         return datagram
 
--- a/yarrowspindle/peers/core.py
+++ b/yarrowspindle/peers/core.py
@@ -94,12 +94,28 @@
         self.left = False
         self.effects: list[Effect] = []
         self.handlers: dict[type, Callable[[Any], None]] = {
-            Came: self._came, Woke: self._woke, Own: self._own, Leave: self._leave, Carry: self._carry}  # fmt: skip
+            Came: self._came,
+            Woke: self._woke,
+            Own: self._own,
+            Leave: self._leave,
+            Carry: self._carry,
+        }
         self.bodies: dict[type, Callable[[Member, Datagram, Any], None]] = {
-            Ping: self._ping, Ack: self._ack, PingFor: self._ping_for, Nack: self._nack, Tell: self._tell,
-            Signal: self._signal, Wanted: self._wanted, Carried: self._carried}  # fmt: skip
+            Ping: self._ping,
+            Ack: self._ack,
+            PingFor: self._ping_for,
+            Nack: self._nack,
+            Tell: self._tell,
+            Signal: self._signal,
+            Wanted: self._wanted,
+            Carried: self._carried,
+        }
         self.wakes: dict[str, Callable[[], None]] = {
-            BEAT: self._beat, SIGNAL: self._look, TELL: self._tell_module, JOIN: self._join}  # fmt: skip
+            BEAT: self._beat,
+            SIGNAL: self._look,
+            TELL: self._tell_module,
+            JOIN: self._join,
+        }
         self._wake(0.0, JOIN)
         self._wake(self.detector.probe_ms * self.random.random(), BEAT)
         self._wake(1000.0 * settings.signal_s * self.random.random(), SIGNAL)
@@ -124,14 +140,25 @@
         """With as many rumours as there is room for, or with these."""
         me = self.members.me
         self.at = max(int(self.now - self.started), self.at + 1)
-        datagram = Datagram(VERSION, self.settings.cluster, me.name, *me.address, me.life, me.turn, self.at, body,
-                            rumours or [])  # fmt: skip
+        datagram = Datagram(
+            VERSION, self.settings.cluster, me.name, *me.address, me.life, me.turn, self.at, body, rumours or []
+        )
         data = self.codec.encode(datagram)
         if rumours is None and not self.members.displaced:
             taken = self.members.take_rumours(MOST - len(data) - 2, first)
             if taken:
-                datagram = Datagram(datagram.version, datagram.cluster, datagram.name, datagram.host, datagram.port,
-                                    datagram.life, datagram.turn, datagram.at, body, taken)  # fmt: skip
+                datagram = Datagram(
+                    datagram.version,
+                    datagram.cluster,
+                    datagram.name,
+                    datagram.host,
+                    datagram.port,
+                    datagram.life,
+                    datagram.turn,
+                    datagram.at,
+                    body,
+                    taken,
+                )
                 data = self.codec.encode(datagram)
         return data
 
@@ -493,4 +520,4 @@
             "oldest_signal_ms": self.signals.oldest(self.now),
             "nodes_told_of": float(len(self.signals.sums)),
             "displaced": float(self.members.displaced),
-        }  # fmt: skip
+        }
--- a/yarrowspindle/peers/settings.py
+++ b/yarrowspindle/peers/settings.py
@@ -63,9 +63,12 @@
 
 
 RANGES: dict[str, tuple[float, float]] = {
-    "probe_s": (0.05, 60.0), "suspicion_s": (0.1, 600.0), "signal_s": (0.05, 60.0),
-    "bytes_per_s": (1000.0, 100_000_000.0), "forget_s": (1.0, 86_400.0),
-}  # fmt: skip
+    "probe_s": (0.05, 60.0),
+    "suspicion_s": (0.1, 600.0),
+    "signal_s": (0.05, 60.0),
+    "bytes_per_s": (1000.0, 100_000_000.0),
+    "forget_s": (1.0, 86_400.0),
+}
 
 
 def read_address(key: str, value: object) -> Address:
--- a/yarrowspindle/peers/signals.py
+++ b/yarrowspindle/peers/signals.py
@@ -137,8 +137,7 @@
 class Heard:
     """What one other relay said."""
 
-    __slots__ = ("life", "at", "version", "holds", "passed", "bounds", "counted", "wanted_at", "lost",
-                 "least")  # fmt: skip
+    __slots__ = ("life", "at", "version", "holds", "passed", "bounds", "counted", "wanted_at", "lost", "least")
 
     def __init__(self, life: int) -> None:
         self.life, self.at, self.version = life, -1, -1
@@ -271,15 +270,23 @@
             self._count(heard, age < OLD_MS)
             if heard.counted:
                 ages.append(age)
-        passed = Counter(key for heard in self.heard.values() if heard.counted
-                         for key, until in heard.passed.items() if until > now)  # fmt: skip
+        passed = Counter(
+            key for heard in self.heard.values() if heard.counted for key, until in heard.passed.items() if until > now
+        )
         self.shunned = frozenset(key for key, times in passed.items() if 2 * times > len(ages))
-        holds = {key: (int(total[0]), float(total[1])) if (total := self.sums.get(key)) else (0, 0.0)
-                 for key in self.changed}  # fmt: skip
-        told = Others(holds, {key: by for key, by in self.came.items() if by}, len(ages), size,
-                      sum(ages) / len(ages) if ages else 0.0, self.shunned,
-                      {key: (used, held, now - made) for key, (used, held, made) in self.reports.items()},
-                      rank)  # fmt: skip
+        holds = {
+            key: (int(total[0]), float(total[1])) if (total := self.sums.get(key)) else (0, 0.0) for key in self.changed
+        }
+        told = Others(
+            holds,
+            {key: by for key, by in self.came.items() if by},
+            len(ages),
+            size,
+            sum(ages) / len(ages) if ages else 0.0,
+            self.shunned,
+            {key: (used, held, now - made) for key, (used, held, made) in self.reports.items()},
+            rank,
+        )
         self.changed.clear()
         self.came.clear()
         self.reports.clear()
--- a/yarrowspindle/policy.py
+++ b/yarrowspindle/policy.py
@@ -49,7 +49,7 @@
     State,
     Subscribe,
     TimerDue,
-)  # fmt: skip
+)
 from yarrowspindle.others import OthersBook
 from yarrowspindle.reports import SICK, Estimates
 from yarrowspindle.ring import Ring
@@ -96,12 +96,22 @@
         self.timers: dict[int, Callable[[], None]] = {}
         self.out: list[Action] = []
         self.handlers: dict[type, Callable[[Any], None]] = {
-            Request: self._request, AttemptEnded: self._ended, Established: self._established,
-            LoadChanged: self._load_changed, ServerSlow: self._slow, TimerDue: self._timer,
-            ServerList: self._list, Adopted: self._adopted, ClientGone: self._gone, Due: self._gone,
-            Probed: self._probed, PeerMessage: lambda event: None, Retuned: self._retuned,
-            Others: self._others, Levelling: lambda event: setattr(self, "level", event.level),
-        }  # fmt: skip
+            Request: self._request,
+            AttemptEnded: self._ended,
+            Established: self._established,
+            LoadChanged: self._load_changed,
+            ServerSlow: self._slow,
+            TimerDue: self._timer,
+            ServerList: self._list,
+            Adopted: self._adopted,
+            ClientGone: self._gone,
+            Due: self._gone,
+            Probed: self._probed,
+            PeerMessage: lambda event: None,
+            Retuned: self._retuned,
+            Others: self._others,
+            Levelling: lambda event: setattr(self, "level", event.level),
+        }
 
     def handle(self, now: float, event: Event) -> list[Action]:
         if now < self.now:
--- a/yarrowspindle/program/config.py
+++ b/yarrowspindle/program/config.py
@@ -301,8 +301,12 @@
     return replace(config, settings=settings, classes=names, current=current)
 
 
-def reload_config(old: Config, environ: Mapping[str, str] = os.environ, used: Collection[int] = (),
-                  shared: Mapping[str, str] | None = None) -> tuple[Config, list[str]]:  # fmt: skip
+def reload_config(
+    old: Config,
+    environ: Mapping[str, str] = os.environ,
+    used: Collection[int] = (),
+    shared: Mapping[str, str] | None = None,
+) -> tuple[Config, list[str]]:
     """The configuration after the file was read again, and which changes in it wait for a restart.
 
     The environment cannot change under a running process: where the file names another machine list than it did
--- a/yarrowspindle/program/control.py
+++ b/yarrowspindle/program/control.py
@@ -82,8 +82,14 @@
             self.settings.listen,
             lambda error: logger.warning("control: {}:{} cannot be had yet: {}", *self.settings.listen, error),
         )
-        logger.info("control: {} {} of cluster {} listens at {}:{}, the others reach it at {}:{}", self.settings.role,
-                    self.name, self.settings.cluster, *self.settings.listen, *self.settings.reached_at)  # fmt: skip
+        logger.info(
+            "control: {} {} of cluster {} listens at {}:{}, the others reach it at {}:{}",
+            self.settings.role,
+            self.name,
+            self.settings.cluster,
+            *self.settings.listen,
+            *self.settings.reached_at,
+        )
 
     async def _due(self) -> None:
         while True:
@@ -188,8 +194,9 @@
             else:
                 self.counts["unkept"] += 1
                 if why != said:
-                    logger.warning("control: version {} is served, but cannot be kept yet for a restart: {}",
-                                   keep.version, why)  # fmt: skip
+                    logger.warning(
+                        "control: version {} is served, but cannot be kept yet for a restart: {}", keep.version, why
+                    )
                 await asyncio.sleep(AGAIN_S)
             said = why
 
@@ -229,9 +236,13 @@
                 kept = self._loaded(self.file)
                 version, entries = kept.version, dict(kept.entries)
             except NoFile as why:
-                logger.log("WARNING" if self.file.path.exists() else "INFO",
-                           "control: nothing was kept that can be used in {}: {}; this relay serves by its own file "
-                           "until a controller tells it", self.file.path, why)  # fmt: skip
+                logger.log(
+                    "WARNING" if self.file.path.exists() else "INFO",
+                    "control: nothing was kept that can be used in {}: {}; this relay serves by its own file "
+                    "until a controller tells it",
+                    self.file.path,
+                    why,
+                )
         machines = preferred(settings.machines, self.name, settings.zone, settings.region)
         self.core = Agent(machines, check, some_number(), self._now(), version, entries)
         hub.metrics.sources["control"] = self.counters
@@ -284,12 +295,20 @@
             if not isinstance(error, ConfigError):
                 logger.exception("control: version {} cannot be taken", take.version)
             return str(error)[:WHY_MOST] or repr(error)
-        logger.info("control: served by version {}{}", take.version,
-                    f", of which is new: {', '.join(sorted(take.changed)) or 'nothing'}" if take.entries
-                    else ": there are no shared settings, the file's are served by")  # fmt: skip
+        logger.info(
+            "control: served by version {}{}",
+            take.version,
+            f", of which is new: {', '.join(sorted(take.changed)) or 'nothing'}"
+            if take.entries
+            else ": there are no shared settings, the file's are served by",
+        )
         return ""
 
     def gauges(self) -> dict[str, float]:
         core = self.core
-        return {"control.version": float(core.taken), "control.known": float(core.known),
-                "control.alone": float(core.alone), "control.refuses": float(bool(core.why))}  # fmt: skip
+        return {
+            "control.version": float(core.taken),
+            "control.known": float(core.known),
+            "control.alone": float(core.alone),
+            "control.refuses": float(bool(core.why)),
+        }
--- a/yarrowspindle/program/control_command.py
+++ b/yarrowspindle/program/control_command.py
@@ -99,8 +99,9 @@
     if not wanted:
         raise click.ClickException(f"{file} holds no settings that can be shared")
     have = ask(context.obj, "GET", "/control")["entries"]
-    step: dict[str, str | None] = {key: value for key, value in wanted.items()
-                                   if key not in have or json.loads(have[key]) != json.loads(value)}  # fmt: skip
+    step: dict[str, str | None] = {
+        key: value for key, value in wanted.items() if key not in have or json.loads(have[key]) != json.loads(value)
+    }
     step |= dict.fromkeys(have.keys() - wanted.keys())
     if step:
         change(context.obj, step)
@@ -117,15 +118,19 @@
 
 
 def table(shown: dict[str, Any]) -> str:
-    lines = [f"version {shown['version']} is agreed on, {shown['in_force']} is in force at {shown['relays']} relays "
-             f"(asked: {shown['name']} of cluster {shown['cluster']})"]  # fmt: skip
+    lines = [
+        f"version {shown['version']} is agreed on, {shown['in_force']} is in force at {shown['relays']} relays "
+        f"(asked: {shown['name']} of cluster {shown['cluster']})"
+    ]
     for key, value in sorted(shown["entries"].items()):
         lines.append(f"  {key} = {value if len(value) <= 80 else value[:77] + '...'}")
     if not shown["entries"]:
         lines.append("  no entries: each relay serves by its own file")
     for one in shown["named"]:
-        lines.append(f"relay {one['relay']} serves by version {one['version']}, for {one['for_s']:.1f} s: {one['why']} "
-                     f"(at {one['controller']})")  # fmt: skip
+        lines.append(
+            f"relay {one['relay']} serves by version {one['version']}, for {one['for_s']:.1f} s: {one['why']} "
+            f"(at {one['controller']})"
+        )
     if shown["more"]:
         lines.append(f"and {shown['more']} more relays")
     for name, one in sorted(shown["controllers"].items()):
--- a/yarrowspindle/program/control_settings.py
+++ b/yarrowspindle/program/control_settings.py
@@ -13,8 +13,19 @@
 
 from yarrowspindle.program.config import OWN, ConfigError, shared_settings
 
-SHARED = ("balancers", "categories", "deductions", "discovery", "family_info", "limits", "obligations",
-          "over_share_worth", "stats", "step_ms", "weight_kind")  # fmt: skip
+SHARED = (
+    "balancers",
+    "categories",
+    "deductions",
+    "discovery",
+    "family_info",
+    "limits",
+    "obligations",
+    "over_share_worth",
+    "stats",
+    "step_ms",
+    "weight_kind",
+)
 STAND_IN = {"zone": 0, "slot_no": 0, "azs": ["a"], "skus": ["m"], "realms": []}  # for the own members of any relay
 WHY_MOST = 300  # characters
 
--- a/yarrowspindle/program/controller.py
+++ b/yarrowspindle/program/controller.py
@@ -103,9 +103,17 @@
                 settings.directory,
                 files.unusable[self.file],
             )
-        self.core = Controller(settings.me, settings.machines, agreed, kept.identity if kept else "",
-                               kept.state if kept else self.first, self.life, check, some_number(),
-                               self._now())  # fmt: skip
+        self.core = Controller(
+            settings.me,
+            settings.machines,
+            agreed,
+            kept.identity if kept else "",
+            kept.state if kept else self.first,
+            self.life,
+            check,
+            some_number(),
+            self._now(),
+        )
 
     async def start(self) -> None:
         self.open()
@@ -113,8 +121,10 @@
         self._take_voice(self.core.state)
         self.carry_out(self.core.take_effects())
         if self.settings.command is not None:
-            routes = {"/control/change": {"PUT": self._call(self._change)},
-                      "/control/answer": {"PUT": self._call(self._answered)}}  # fmt: skip
+            routes = {
+                "/control/change": {"PUT": self._call(self._change)},
+                "/control/answer": {"PUT": self._call(self._answered)},
+            }
             self.api = OperatorApi(
                 {"/control": {"GET": lambda: (200, self._json(self.shown()))}},
                 lambda text: logger.error("control: a call failed: {}", text),
@@ -153,8 +163,12 @@
 
     def _vote_with(self, kept: Kept[ControlState]) -> None:
         self.voter = Voter(kept, self.file.store, self._now)
-        logger.info("control: {} has its voter's file, promised {}, accepted version {}", self.name, kept.promised[0],
-                    kept.state.version)  # fmt: skip
+        logger.info(
+            "control: {} has its voter's file, promised {}, accepted version {}",
+            self.name,
+            kept.promised[0],
+            kept.state.version,
+        )
 
     def _vote(self, vote: Vote) -> None:
         """On a thread, one at a time, in their order."""
--- a/yarrowspindle/program/hub.py
+++ b/yarrowspindle/program/hub.py
@@ -33,8 +33,9 @@
 
 
 class Hub:
-    def __init__(self, config: Config, clock: Clock, operator: Operator | None = None,
-                 timers: Timers | None = None) -> None:  # fmt: skip
+    def __init__(
+        self, config: Config, clock: Clock, operator: Operator | None = None, timers: Timers | None = None
+    ) -> None:
         self.config, self.operator = config, operator or Operator()
         reducer = Reducer(config.settings, config.seed, clock.now(), config.discovery)
         self.runtime = Runtime(reducer, clock, log, timers)
@@ -64,8 +65,9 @@
         )
         self.runtime.watch = self._watch
         self.bad_probes = Bounded(time.monotonic)
-        self.prober = Prober(config.settings.report, IDLE_PART * config.settings.conn_idle_ms / 1000.0, self.post,
-                             self.bad_probes.warn)  # fmt: skip
+        self.prober = Prober(
+            config.settings.report, IDLE_PART * config.settings.conn_idle_ms / 1000.0, self.post, self.bad_probes.warn
+        )
         self.metrics.sources["probes"] = self.prober.counts
         self.runtime.probe = self.prober.probe
         self.runtime.unprobe = lambda effect: self.prober.leave({effect.node})
@@ -162,8 +164,11 @@
     def _settle(self, config: Config) -> None:
         old, self.config = self.config, config
         self.telemetry.reloaded(True)
-        anew = frozenset(n for n, (was, now) in enumerate(zip(old.classes, config.classes, strict=False))
-                         if (was, old.settings.classes[n]) != (now, config.settings.classes[n]))  # fmt: skip
+        anew = frozenset(
+            n
+            for n, (was, now) in enumerate(zip(old.classes, config.classes, strict=False))
+            if (was, old.settings.classes[n]) != (now, config.settings.classes[n])
+        )
         if anew or config.settings != old.settings:
             logger.info("new settings are taken: classes {}", ", ".join(sorted(config.current)))
             self.prober.fields = config.settings.report
--- a/yarrowspindle/program/line_front.py
+++ b/yarrowspindle/program/line_front.py
@@ -56,9 +56,15 @@
         self.nodes: dict[int, NodeSide] = {}  # of each job's attempt that is out, or its standing connection
         self.reaching: dict[int, Connecting] = {}
         self.effects: dict[type, Callable[[Any], None]] = {
-            Reach: self._reach, Ask: self._ask, Drop: self._drop, Join: self._join, Requeue: self._requeue,
-            Deny: self._deny, Move: self._move, Close: self._close,
-        }  # fmt: skip
+            Reach: self._reach,
+            Ask: self._ask,
+            Drop: self._drop,
+            Join: self._join,
+            Requeue: self._requeue,
+            Deny: self._deny,
+            Move: self._move,
+            Close: self._close,
+        }
 
     def start(self) -> LineFront:
         self.listener = Listener(self.config.listen, BACKLOG, lambda: Submitter(self), self.door.room, self.bad_line)
@@ -104,9 +110,18 @@
         except (KeyError, ValueError):
             raise LineError("a class or tenant that the settings do not name") from None
         arrived = JobArrived(
-            0, opened.number("d"), cls, tenant, opened.key, opened.number("h"), opened.hexadecimal("g"),
-            opened.flag("r"), opened.flag("again"), opened.get("at"), opened.id,
-        )  # fmt: skip
+            0,
+            opened.number("d"),
+            cls,
+            tenant,
+            opened.key,
+            opened.number("h"),
+            opened.hexadecimal("g"),
+            opened.flag("r"),
+            opened.flag("again"),
+            opened.get("at"),
+            opened.id,
+        )
         self.door.known(side)
         side.job = arrived.job = self.hub.new_job(self)
         self.submitters[side.job], self.opened[side.job] = side, opened
--- a/yarrowspindle/program/metrics.py
+++ b/yarrowspindle/program/metrics.py
@@ -21,8 +21,9 @@
 if TYPE_CHECKING:
     from yarrowspindle.rebalance import Rebalancer
 
-COUNTED = frozenset(("JobArrived", "SubmitterLeft", "ListTold", "Reach", "Ask", "Join", "Requeue", "Deny", "Move",
-                     "Close"))  # fmt: skip
+COUNTED = frozenset(
+    ("JobArrived", "SubmitterLeft", "ListTold", "Reach", "Ask", "Join", "Requeue", "Deny", "Move", "Close")
+)
 
 REASONS: dict[type, str] = {Requeue: "refusal", Deny: "refusal", Drop: "given_up", Move: "moved"}
 
--- a/yarrowspindle/program/peering.py
+++ b/yarrowspindle/program/peering.py
@@ -37,8 +37,9 @@
         # Only a hint: where this clock went back, what the others remember of the name corrects it.
         life = int(time.time() * 1000.0)
         self.core = Peers(settings, name, life, int.from_bytes(os.urandom(8), "big"), self._now())
-        self.pump = PeerPump(self.core, self._now, self._after, self._send, self._own,
-                             self._told, self._note, self._failed)  # fmt: skip
+        self.pump = PeerPump(
+            self.core, self._now, self._after, self._send, self._own, self._told, self._note, self._failed
+        )
         self.bounded = Bounded(time.monotonic)
         self.handles: set[asyncio.TimerHandle] = set()
         hub.metrics.sources["peers"] = self.counts
@@ -68,8 +69,13 @@
                 error,
             ),
         )
-        logger.info("peers: {} of cluster {} listens at {}:{}, the others reach it at {}:{}", self.core.members.me.name,
-                    self.settings.cluster, *self.settings.listen, *self.settings.reached_at)  # fmt: skip
+        logger.info(
+            "peers: {} of cluster {} listens at {}:{}, the others reach it at {}:{}",
+            self.core.members.me.name,
+            self.settings.cluster,
+            *self.settings.listen,
+            *self.settings.reached_at,
+        )
         self.pump.start()
 
     # --- the pump's sides -----------------------------------------------------------------------
--- a/yarrowspindle/program/quic_front.py
+++ b/yarrowspindle/program/quic_front.py
@@ -87,9 +87,16 @@
         self.counts: Counter[str] = Counter()
         self.loop = asyncio.get_running_loop()
         self.effects: dict[type, Callable[[Any], None]] = {
-            Reach: self._reach, Ask: self._ask, Drop: self._drop, Join: self._join, Requeue: self._requeue,
-            Deny: self._deny, Move: self._move, Close: self._close, NodeGone: self._node_gone,
-        }  # fmt: skip
+            Reach: self._reach,
+            Ask: self._ask,
+            Drop: self._drop,
+            Join: self._join,
+            Requeue: self._requeue,
+            Deny: self._deny,
+            Move: self._move,
+            Close: self._close,
+            NodeGone: self._node_gone,
+        }
 
     async def start(self) -> None:
         await self.loop.create_datagram_endpoint(lambda: self.front, local_addr=self.config.listen)
@@ -159,8 +166,9 @@
         return number, config.settings.classes[number].deadline_ms
 
     def _new_flow(self, header: Header, data: bytes, client: Address) -> Flow:
-        flow = Flow(self.hub.new_job(self), header.destination, header.source, header.version, client,
-                    self.loop.time(), [data])  # fmt: skip
+        flow = Flow(
+            self.hub.new_job(self), header.destination, header.source, header.version, client, self.loop.time(), [data]
+        )
         self.flows[flow.job] = flow
         self._name(flow, header.destination)
         return flow
--- a/yarrowspindle/program/turning.py
+++ b/yarrowspindle/program/turning.py
@@ -76,9 +76,12 @@
     async def start(self) -> None:
         self.tasks = [self.loop.create_task(self._begin()), self.loop.create_task(self._parcels())]
         if self.settings.command is not None:
-            self.api = OperatorApi({"/turns": {"GET": lambda: (200, self._json(self.shown()))}},
-                                   lambda text: logger.error("turns: a call failed: {}", text),
-                                   self._routes(), BODY_MOST)  # fmt: skip
+            self.api = OperatorApi(
+                {"/turns": {"GET": lambda: (200, self._json(self.shown()))}},
+                lambda text: logger.error("turns: a call failed: {}", text),
+                self._routes(),
+                BODY_MOST,
+            )
             try:
                 await self.api.start(*self.settings.command)
                 logger.info("turns: commands are taken at {}:{}", *self.settings.command)
@@ -112,13 +115,17 @@
             await asyncio.sleep(LOCK_S)
         try:
             self._vote_with(await self._loaded())
-            self.core.proposer.guide = max(self.first, self.voter.kept.state if self.voter else self.first,
-                                           key=lambda state: state.epoch)  # fmt: skip
+            self.core.proposer.guide = max(
+                self.first, self.voter.kept.state if self.voter else self.first, key=lambda state: state.epoch
+            )
         except NoFile as why:
             if self.name in self.settings.voters:
-                logger.warning("turns: no voter's file in {}: {}; this relay has no voice until the others have taken "
-                               "it in (`turns init` makes the first files of all, and is never used after a loss)",
-                               self.settings.directory, why)  # fmt: skip
+                logger.warning(
+                    "turns: no voter's file in {}: {}; this relay has no voice until the others have taken "
+                    "it in (`turns init` makes the first files of all, and is never used after a loss)",
+                    self.settings.directory,
+                    why,
+                )
         self._carry_out(self.core.take_effects())
         while True:
             self._look()
@@ -140,8 +147,12 @@
     def _vote_with(self, kept: Kept[TurnState]) -> None:
         self.voter = Voter(kept, self.file.store, self._now)
         self.core.identity = kept.identity
-        logger.info("turns: {} has its voter's file, promised {}, accepted state {}", self.name, kept.promised[0],
-                    kept.state.version)  # fmt: skip
+        logger.info(
+            "turns: {} has its voter's file, promised {}, accepted state {}",
+            self.name,
+            kept.promised[0],
+            kept.state.version,
+        )
 
     def _made_anew(self) -> str:
         """The new file's identity; empty where it cannot be made."""
@@ -219,7 +230,8 @@
             return
         self.votes += 1
         self.disk.submit(voter.told, vote.message).add_done_callback(
-            lambda done: self.loop.call_soon_threadsafe(self._voted, vote.source, done))  # fmt: skip
+            lambda done: self.loop.call_soon_threadsafe(self._voted, vote.source, done)
+        )
 
     def _voted(self, source: str, done: Any) -> None:
         self.votes -= 1
@@ -238,11 +250,18 @@
         if not self.core.identity and self.name in state.voters and state.version > 0:
             self._made_anew()
         off = frozenset(m for m, o in state.out.items() if o.stage != WARMING)
-        empty = {m: self._deadline_s(state, o.request) if o.stage == EMPTYING else 0.0
-                 for m, o in state.out.items() if o.stage != WARMING}  # fmt: skip
-        self.task = Task(off if self.core.registered else None, empty,
-                         frozenset(m for m, o in state.out.items() if o.stage == WARMING),
-                         max(len(state.relays), 1), self.settings.moves_per_s)  # fmt: skip
+        empty = {
+            m: self._deadline_s(state, o.request) if o.stage == EMPTYING else 0.0
+            for m, o in state.out.items()
+            if o.stage != WARMING
+        }
+        self.task = Task(
+            off if self.core.registered else None,
+            empty,
+            frozenset(m for m, o in state.out.items() if o.stage == WARMING),
+            max(len(state.relays), 1),
+            self.settings.moves_per_s,
+        )
         self.hub.post(TurnsTold(self.task))
         self.hub.prober.leave(off)
 
@@ -259,9 +278,19 @@
             self.looked = now
             avoided, others = reducer.balancer.avoided(reducer.now), reducer.balancer.others.holds
             # By what the list says; what the relays agreed on is laid over it elsewhere.
-            looks = [Look(name, m.zone, m.capacity, m.state, m.started_ms, node.number in avoided,
-                          len(node.jobs) + others.get(node.number & SERVER_KEY, (0, 0.0))[0])
-                     for name, node in reducer.nodes.items() if (m := node.listed) is not None]  # fmt: skip
+            looks = [
+                Look(
+                    name,
+                    m.zone,
+                    m.capacity,
+                    m.state,
+                    m.started_ms,
+                    node.number in avoided,
+                    len(node.jobs) + others.get(node.number & SERVER_KEY, (0, 0.0))[0],
+                )
+                for name, node in reducer.nodes.items()
+                if (m := node.listed) is not None
+            ]
             counts = self.hub.telemetry.counts
             asked = sum(n for name, n in counts.items() if name.startswith("taken."))
             refused = sum(n for name, n in counts.items() if name.startswith(("busy.", "failure.")))
@@ -306,16 +335,20 @@
     def _ask(self, asking: Asking, since: float) -> str:
         """since below 0: only if it was never asked for."""
         names, nodes = self.hub.config.names, self.hub.reducer.nodes
-        listed = {name: node.listed for name, node in nodes.items()
-                  if node.listed is not None and node.listed.state is not State.GONE}  # fmt: skip
+        listed = {
+            name: node.listed
+            for name, node in nodes.items()
+            if node.listed is not None and node.listed.state is not State.GONE
+        }
         machines = asking.machines
         if asking.zone or asking.kind:
             known, what = (names.zones, asking.zone) if asking.zone else (names.kinds, asking.kind)
             if what not in known:
                 raise TurnError(f"{what!r} is none of {', '.join(known)}")
             number = known.index(what)
-            machines = tuple(sorted(name for name, m in listed.items()
-                                    if (m.zone if asking.zone else m.kind) == number))  # fmt: skip
+            machines = tuple(
+                sorted(name for name, m in listed.items() if (m.zone if asking.zone else m.kind) == number)
+            )
             if not machines:
                 raise TurnError(f"no machine of {what!r} is in the machine list")
         elif unknown := [m for m in machines if m not in listed]:
@@ -339,9 +372,13 @@
             "ask": lambda told: self._ask(read_asking(told), self.core.state.version),
             "done": lambda told: self._about(told, "done", (FREE,)),
             "give-up": lambda told: self._about(told, "give up", (FREE, WARMING)),
-            "cancel": self._cancel, "ended": self._ended, "pause": self._pause, "resume": self._resume,
-            "vote": self._want_vote, "unvote": self._unvote,
-        }  # fmt: skip
+            "cancel": self._cancel,
+            "ended": self._ended,
+            "pause": self._pause,
+            "resume": self._resume,
+            "vote": self._want_vote,
+            "unvote": self._unvote,
+        }
         return {f"/turns/{name}": {"PUT": call(act)} for name, act in acts.items()}
 
     def _about(self, told: dict[str, Any], kind: str, stages: tuple[str, ...]) -> object:
--- a/yarrowspindle/protocol/collectd.py
+++ b/yarrowspindle/protocol/collectd.py
@@ -30,8 +30,12 @@
 def packets(
     host: str, counters: Mapping[str, float], gauges: Mapping[str, float], when_s: float, interval_s: float
 ) -> Iterator[bytes]:
-    head = (text_part(HOST, host) + time_part(TIME_HR, when_s) + time_part(INTERVAL_HR, interval_s)
-            + text_part(PLUGIN, "yarrowspindle"))  # fmt: skip
+    head = (
+        text_part(HOST, host)
+        + time_part(TIME_HR, when_s)
+        + time_part(INTERVAL_HR, interval_s)
+        + text_part(PLUGIN, "yarrowspindle")
+    )
     packet = head
     for kind, name, values in ((DERIVE, "derive", counters), (GAUGE, "gauge", gauges)):
         for instance, value in values.items():
--- a/yarrowspindle/protocol/machines.py
+++ b/yarrowspindle/protocol/machines.py
@@ -82,8 +82,9 @@
 
 
 def watch_request(host: str, version: int) -> bytes:
-    return (f"GET /api/targets?stream=1&index={version} HTTP/1.1\r\nHost: {host}\r\n"
-            "Accept: application/json\r\n\r\n").encode()  # fmt: skip
+    return (
+        f"GET /api/targets?stream=1&index={version} HTTP/1.1\r\nHost: {host}\r\nAccept: application/json\r\n\r\n"
+    ).encode()
 
 
 class WatchAnswer:
--- a/yarrowspindle/protocol/quic.py
+++ b/yarrowspindle/protocol/quic.py
@@ -79,8 +79,9 @@
         header = pull_quic_header(Buffer(data=data), host_cid_length=short_length)
     except (ValueError, BufferReadError) as error:
         raise PacketError(str(error)) from error
-    return Header(header.packet_type, header.version or 0, header.destination_cid, header.source_cid,
-                  header.packet_length)  # fmt: skip
+    return Header(
+        header.packet_type, header.version or 0, header.destination_cid, header.source_cid, header.packet_length
+    )
 
 
 def parse_datagram(data: bytes, short_length: int) -> list[Header]:
@@ -118,8 +119,10 @@
             return None
         opened = self.cipher.decryptor()
         block = opened.update(cid[1:]) + opened.finalize()
-        return (int.from_bytes(block[:SERVER_BYTES], "big"),
-                int.from_bytes(block[SERVER_BYTES : SERVER_BYTES + LINK_BYTES], "big"))  # fmt: skip
+        return (
+            int.from_bytes(block[:SERVER_BYTES], "big"),
+            int.from_bytes(block[SERVER_BYTES : SERVER_BYTES + LINK_BYTES], "big"),
+        )
 
 
 def reset_token(key: bytes, cid: bytes) -> bytes:
@@ -140,20 +143,27 @@
 def initial_close(version: int, original: bytes, client: bytes, code: int, reason: str) -> bytes:
     """An Initial that closes a connection before it stands; `original`: the id that the client made up."""
     text = reason.encode()
-    frame = (encode_uint_var(int(QuicFrameType.TRANSPORT_CLOSE)) + encode_uint_var(code) + encode_uint_var(0)
-             + encode_uint_var(len(text)) + text)  # fmt: skip
+    frame = (
+        encode_uint_var(int(QuicFrameType.TRANSPORT_CLOSE))
+        + encode_uint_var(code)
+        + encode_uint_var(0)
+        + encode_uint_var(len(text))
+        + text
+    )
     pair = CryptoPair()
     pair.setup_initial(cid=original, is_client=False, version=version)
     number_size = 2
     head = (
         bytes([encode_long_header_first_byte(version, QuicPacketType.INITIAL, number_size - 1)])
         + version.to_bytes(4, "big")
-        + bytes([len(client)]) + client
-        + bytes([len(original)]) + original
+        + bytes([len(client)])
+        + client
+        + bytes([len(original)])
+        + original
         + encode_uint_var(0)  # no token
         + encode_uint_var(number_size + len(frame) + pair.aead_tag_size)
         + bytes(number_size)  # packet number 0
-    )  # fmt: skip
+    )
     return pair.encrypt_packet(head, frame, 0)
 
 
--- a/yarrowspindle/rebalance/plan.py
+++ b/yarrowspindle/rebalance/plan.py
@@ -83,8 +83,17 @@
         self.turn = 0
         self.waiting: list[int] = []  # members of a group that is on its way; moved before anything new
 
-    def draw_up(self, now: float, view: View, settings: RebalanceSettings, found: Findings, pace: Pace,
-                allowed: Callable[[Held], str], held_back: Counter[str], sharers: float) -> list[Held]:  # fmt: skip
+    def draw_up(
+        self,
+        now: float,
+        view: View,
+        settings: RebalanceSettings,
+        found: Findings,
+        pace: Pace,
+        allowed: Callable[[Held], str],
+        held_back: Counter[str],
+        sharers: float,
+    ) -> list[Held]:
         if not found.cause or not found.sources or not found.targets:
             self.waiting.clear()
             return []
@@ -135,8 +144,9 @@
         while order and budget > 0.0 and len(moves) < most and room and room[0][0] < 0.0:
             _, name = heapq.heappop(order)
             book = sources[name]
-            unit = self._unit(book, view, settings, min(excess[name], -room[0][0] + mean), mean, taken, allowed,
-                              held_back)  # fmt: skip
+            unit = self._unit(
+                book, view, settings, min(excess[name], -room[0][0] + mean), mean, taken, allowed, held_back
+            )
             if not unit:
                 continue
             if not go(unit[0]):
@@ -153,8 +163,17 @@
             heapq.heappush(order, (-excess[name] / book.capacity, name))
         return moves
 
-    def _unit(self, book: Book, view: View, settings: RebalanceSettings, gap: float, mean: float, taken: set[int],
-              allowed: Callable[[Held], str], held_back: Counter[str]) -> list[Held]:  # fmt: skip
+    def _unit(
+        self,
+        book: Book,
+        view: View,
+        settings: RebalanceSettings,
+        gap: float,
+        mean: float,
+        taken: set[int],
+        allowed: Callable[[Held], str],
+        held_back: Counter[str],
+    ) -> list[Held]:
         """What goes next off this node: one job, or a whole group where groups are kept together."""
         self.turn += 1
         count = len(book.jobs)
--- a/yarrowspindle/rebalance/rebalancer.py
+++ b/yarrowspindle/rebalance/rebalancer.py
@@ -20,8 +20,9 @@
     `beat` names the jobs to be moved now. It is to be called every `beat_ms`; all else only keeps the books.
     """
 
-    def __init__(self, settings: RebalanceSettings, seed: int, now: float, relays: int, cold_ms: float,
-                 cold_share: float) -> None:  # fmt: skip
+    def __init__(
+        self, settings: RebalanceSettings, seed: int, now: float, relays: int, cold_ms: float, cold_share: float
+    ) -> None:
         self.settings, self.relays = settings, max(relays, 1)
         self.random = Random(seed ^ 0x5EED).random
         self.view = View(cold_ms, cold_share)
@@ -87,8 +88,9 @@
         settings, watch = self.settings, self.watch
         self.found = look(now, self.view, settings, drawn)
         self.moved.forget(now, settings.submitter_window_s * 1000.0)
-        self.idle = ("stopping" if self.stopped else "quiet" if settings.is_quiet(now)
-                     else "" if self.found.cause else "even")  # fmt: skip
+        self.idle = (
+            "stopping" if self.stopped else "quiet" if settings.is_quiet(now) else "" if self.found.cause else "even"
+        )
         standing = len(self.view.jobs)
         mean = self.view.mean_load or 1.0
         why = watch.judge(now, standing, len(self.found.taking_part), self.found.excess, mean, settings)
@@ -114,8 +116,15 @@
         self.pace.begin(now, rate, settings.beat_s)
         held_back: Counter[str] = Counter()
         moves = self.planner.draw_up(
-            now, self.view, settings, self.found, self.pace, lambda held: self._holds(now, held), held_back,
-            sharers or self.relays)  # fmt: skip
+            now,
+            self.view,
+            settings,
+            self.found,
+            self.pace,
+            lambda held: self._holds(now, held),
+            held_back,
+            sharers or self.relays,
+        )
         for held in moves:
             self.moved.add(now, held.key or -held.job, settings.submitter_window_s * 1000.0)
             watch.moved.add(now)
@@ -152,7 +161,11 @@
         level = self.found.level
         return {
             "imbalance": self.found.imbalance / level if level > 0.0 else 0.0,
-            "level": level, "excess": self.found.excess, "room": self.found.room,
-            "pace": self.pace.factor, "paused": float(bool(self.watch.paused)),
-            "active": float(bool(self.found.cause)), "missing": self.watch.missing(now),
-        }  # fmt: skip
+            "level": level,
+            "excess": self.found.excess,
+            "room": self.found.room,
+            "pace": self.pace.factor,
+            "paused": float(bool(self.watch.paused)),
+            "active": float(bool(self.found.cause)),
+            "missing": self.watch.missing(now),
+        }
--- a/yarrowspindle/rebalance/settings.py
+++ b/yarrowspindle/rebalance/settings.py
@@ -74,12 +74,22 @@
 
 
 RANGES: dict[str, tuple[float, float]] = {
-    "spread": (0.01, 10.0), "moves_per_s": (0.01, 10_000.0), "share_per_s": (0.0001, 1.0),
-    "source_moves_per_s": (0.01, 10_000.0), "target_moves_per_s": (0.01, 100_000.0), "dwell_s": (0.0, 86_400.0),
-    "moves_per_submitter": (1, 1000), "submitter_window_s": (1.0, 86_400.0), "least_gain": (0.0, 100.0),
-    "settle_s": (0.0, 3600.0), "newcomer_s": (1.0, 86_400.0), "hot_s": (1.0, 86_400.0), "beat_s": (0.05, 60.0),
-    "return_least": (0.0, 1.0), "pause_s": (1.0, 86_400.0),
-}  # fmt: skip
+    "spread": (0.01, 10.0),
+    "moves_per_s": (0.01, 10_000.0),
+    "share_per_s": (0.0001, 1.0),
+    "source_moves_per_s": (0.01, 10_000.0),
+    "target_moves_per_s": (0.01, 100_000.0),
+    "dwell_s": (0.0, 86_400.0),
+    "moves_per_submitter": (1, 1000),
+    "submitter_window_s": (1.0, 86_400.0),
+    "least_gain": (0.0, 100.0),
+    "settle_s": (0.0, 3600.0),
+    "newcomer_s": (1.0, 86_400.0),
+    "hot_s": (1.0, 86_400.0),
+    "beat_s": (0.05, 60.0),
+    "return_least": (0.0, 1.0),
+    "pause_s": (1.0, 86_400.0),
+}
 
 
 def read_hours(value: object) -> tuple[tuple[int, int], ...]:
--- a/yarrowspindle/rebalance/view.py
+++ b/yarrowspindle/rebalance/view.py
@@ -36,8 +36,22 @@
 class Book:
     """One execute node."""
 
-    __slots__ = ("name", "number", "capacity", "started", "state", "ready_at", "came_at", "flaps", "flapped_at",
-                 "load", "jobs", "groups", "hot_since", "spoilt_until")  # fmt: skip
+    __slots__ = (
+        "name",
+        "number",
+        "capacity",
+        "started",
+        "state",
+        "ready_at",
+        "came_at",
+        "flaps",
+        "flapped_at",
+        "load",
+        "jobs",
+        "groups",
+        "hot_since",
+        "spoilt_until",
+    )
 
     def __init__(self, name: str, number: int) -> None:
         self.name, self.number = name, number
--- a/yarrowspindle/rebalance/watch.py
+++ b/yarrowspindle/rebalance/watch.py
@@ -68,8 +68,9 @@
         del self.failures[node]
         return True
 
-    def judge(self, now: float, standing: int, nodes: int, excess: float, mean: float,
-              settings: RebalanceSettings) -> str:  # fmt: skip
+    def judge(
+        self, now: float, standing: int, nodes: int, excess: float, mean: float, settings: RebalanceSettings
+    ) -> str:
         """Why the plan must pause from now on; empty where it may go on.
 
         Leaves a pause only when its time is over and, for a storm or refusals, when they have ended as well.
--- a/yarrowspindle/replay/__main__.py
+++ b/yarrowspindle/replay/__main__.py
@@ -37,9 +37,14 @@
         if chosen.choices:
             print(line.decode())
     answers = played.counts()
-    summary = {"by": chosen.by, "jobs": len(played.answers), "choices": len(played.choices),
-               "digest": digest.hexdigest(), "answers": answers,
-               "took_s": round(time.perf_counter() - started, 2)}  # fmt: skip
+    summary = {
+        "by": chosen.by,
+        "jobs": len(played.answers),
+        "choices": len(played.choices),
+        "digest": digest.hexdigest(),
+        "answers": answers,
+        "took_s": round(time.perf_counter() - started, 2),
+    }
     print(msgspec.json.encode(summary).decode())
     return 1 if answers["second"] else 0
 
--- a/yarrowspindle/replay/player.py
+++ b/yarrowspindle/replay/player.py
@@ -138,8 +138,9 @@
     await placer.start()
 
 
-def _feed(played: Played, clock: RecordedClock, events: Iterable[tuple[float, Event]],
-          tell: Callable[[Event], None]) -> Played:  # fmt: skip
+def _feed(
+    played: Played, clock: RecordedClock, events: Iterable[tuple[float, Event]], tell: Callable[[Event], None]
+) -> Played:
     for now, event in events:
         clock.at = max(clock.at, now)
         played.event(event)
--- a/yarrowspindle/replay/sequence.py
+++ b/yarrowspindle/replay/sequence.py
@@ -44,12 +44,24 @@
 KINDS: dict[str, Any] = {
     kind.__name__: kind
     for kind in (
-        messages.JobArrived, messages.SubmitterLeft, messages.OutOfTurn, messages.NodeReached, messages.NodeUp,
-        messages.AttemptOver, messages.LoadTold,
-        messages.FigureTold, messages.Asked, messages.Answered, messages.ListTold, messages.Woke,
-        messages.Stop, messages.Reloaded, messages.Stalled, messages.OthersTold,
+        messages.JobArrived,
+        messages.SubmitterLeft,
+        messages.OutOfTurn,
+        messages.NodeReached,
+        messages.NodeUp,
+        messages.AttemptOver,
+        messages.LoadTold,
+        messages.FigureTold,
+        messages.Asked,
+        messages.Answered,
+        messages.ListTold,
+        messages.Woke,
+        messages.Stop,
+        messages.Reloaded,
+        messages.Stalled,
+        messages.OthersTold,
     )
-} | {"Rebalance": RecordedRebalance}  # fmt: skip
+} | {"Rebalance": RecordedRebalance}
 DECODERS = {name: msgspec.json.Decoder(kind) for name, kind in KINDS.items()}
 LINE = msgspec.json.Decoder(tuple[float, str, msgspec.Raw])
 
--- a/yarrowspindle/reports.py
+++ b/yarrowspindle/reports.py
@@ -56,8 +56,12 @@
 
     def adds(self, server: Server, job: Job, there: bool = False) -> float:
         """What this connection adds to the server's use, or takes from it where it is `there` already."""
-        alone = (self.groups and job.group and server.groups.get(job.group, 0) <= there
-                 and not self.others.group(server, job.group))  # fmt: skip
+        alone = (
+            self.groups
+            and job.group
+            and server.groups.get(job.group, 0) <= there
+            and not self.others.group(server, job.group)
+        )
         return (self.loads[job.cls] + (GROUP if alone else 0.0)) * self.unit / server.capacity
 
     def reserve(self, server: Server, job: Job, now: float) -> None:
@@ -114,8 +118,9 @@
         held = [server.classes.get(c, 0) + others * n for c, n in enumerate(self.counts)]
         guess = sum(n * load for n, load in zip(held, self.loads, strict=True)) + GROUP * len(server.groups)
         step = LEARN * (server.used * server.capacity / self.unit - guess) / (1.0 + sum(n * n for n in held))
-        self.loads = [min(LOAD_MOST, max(LOAD_LEAST, load + step * n))
-                      for n, load in zip(held, self.loads, strict=True)]  # fmt: skip
+        self.loads = [
+            min(LOAD_MOST, max(LOAD_LEAST, load + step * n)) for n, load in zip(held, self.loads, strict=True)
+        ]
 
     def noted(self, server: Server, message_ms: float, now: float) -> None:
         """Messages take so long there now: word of what reports will tell later."""
--- a/yarrowspindle/routing/messages.py
+++ b/yarrowspindle/routing/messages.py
@@ -360,6 +360,20 @@
     text: str
 
 
-Effect = (Reach | Ask | Drop | Join | Requeue | Deny | Move | Close | Wake | Unwake | Watch | Probe | Unprobe
+Effect = (
+    Reach
+    | Ask
+    | Drop
+    | Join
+    | Requeue
+    | Deny
+    | Move
+    | Close
+    | Wake
+    | Unwake
+    | Watch
+    | Probe
+    | Unprobe
     | NodeGone
-          | Note)  # fmt: skip
+    | Note
+)
--- a/yarrowspindle/routing/reducer.py
+++ b/yarrowspindle/routing/reducer.py
@@ -112,16 +112,30 @@
         self.emptying: Emptying | None = None
         self.effects: list[Effect] = [Wake(PULSE_MS, PULSE)]
         self.handlers: dict[type, Callable[[Any], None]] = {
-            JobArrived: self._arrived, SubmitterLeft: self._left, OutOfTurn: self._out_of_turn,
-            NodeReached: self._reached, NodeUp: self._up, Reloaded: self._reloaded,
-            AttemptOver: self._over, LoadTold: self._load, FigureTold: self._figure,
-            Asked: self._asked, Answered: self._answered, ListTold: self._list, Woke: self._woke, Stop: self._stop,
-            Rebalance: self._configure, Stalled: self._stalled, Rejoin: self._rejoin,
-            Retune: self._retune, ProbeOver: self._probe_over,
+            JobArrived: self._arrived,
+            SubmitterLeft: self._left,
+            OutOfTurn: self._out_of_turn,
+            NodeReached: self._reached,
+            NodeUp: self._up,
+            Reloaded: self._reloaded,
+            AttemptOver: self._over,
+            LoadTold: self._load,
+            FigureTold: self._figure,
+            Asked: self._asked,
+            Answered: self._answered,
+            ListTold: self._list,
+            Woke: self._woke,
+            Stop: self._stop,
+            Rebalance: self._configure,
+            Stalled: self._stalled,
+            Rejoin: self._rejoin,
+            Retune: self._retune,
+            ProbeOver: self._probe_over,
             StepFailed: self._step_failed,
             ClockStepped: lambda event: self.starts.stepped(),
-            OthersTold: lambda event: self._tell(event.others), TurnsTold: self._turns_told,
-        }  # fmt: skip
+            OthersTold: lambda event: self._tell(event.others),
+            TurnsTold: self._turns_told,
+        }
 
     def step(self, now: float, event: Event) -> list[Effect]:
         self.now = max(self.now, now)
@@ -255,16 +269,29 @@
             self.refs.add(event.ref)
         if event.at:
             # A connection from before the run goes to the node that held it and nowhere else.
-            job.adoption = module.Adopted(event.job, node_number(event.at), event.cls, event.tenant, event.key,
-                                          event.load, event.group)  # fmt: skip
+            job.adoption = module.Adopted(
+                event.job, node_number(event.at), event.cls, event.tenant, event.key, event.load, event.group
+            )
             job.node, job.attempt = self.nodes.get(event.at), 0
             job.deadline = self.now + PINNED_MS
         self.effects.append(Wake(max(job.deadline - self.now - EARLY_MS, 0.0), ("deadline", job.id)))
         if job.adoption is not None:
             self._pin(job)
         else:
-            self._tell(module.Request(event.job, event.cls, event.tenant, event.key, event.left_ms, event.load,
-                                      event.group, event.repeated, False, event.returned))  # fmt: skip
+            self._tell(
+                module.Request(
+                    event.job,
+                    event.cls,
+                    event.tenant,
+                    event.key,
+                    event.left_ms,
+                    event.load,
+                    event.group,
+                    event.repeated,
+                    False,
+                    event.returned,
+                )
+            )
 
     def _may_take(self, event: JobArrived) -> Refusal | None:
         """Guards the nodes and the other jobs against a submitter that uses another's name, that would wait without
@@ -506,8 +533,11 @@
         for name in event.task.back - (had.back if had is not None else frozenset()):
             if name in self.nodes:
                 self.nodes[name].cold_from = self.now
-        turned = [node.listed for name, node in self.nodes.items()
-                  if node.listed is not None and (name in before) != self._kept_off(name)]  # fmt: skip
+        turned = [
+            node.listed
+            for name, node in self.nodes.items()
+            if node.listed is not None and (name in before) != self._kept_off(name)
+        ]
         if turned:
             self._list(ListTold(ListKind.DELTA, turned, self.version), False)
         if self.emptying is None:
@@ -521,8 +551,11 @@
         self.effects.append(Wake(BEAT_MS, EMPTY))
         if self.emptying is None or self.task is None:
             return
-        standing = {name: [n for n in sorted(node.jobs) if self.jobs[n].phase is Phase.OPEN]
-                    for name in self.emptying.until if (node := self.nodes.get(name)) is not None}  # fmt: skip
+        standing = {
+            name: [n for n in sorted(node.jobs) if self.jobs[n].phase is Phase.OPEN]
+            for name in self.emptying.until
+            if (node := self.nodes.get(name)) is not None
+        }
         for number in self.emptying.beat(self.now, self.task, standing):
             self._move(self.jobs.get(number))
 
@@ -570,8 +603,9 @@
             from yarrowspindle.rebalance import Rebalancer  # the platform does without it
 
             settings = self.settings
-            self.rebalance = Rebalancer(event.settings, event.seed, self.now, settings.balancers, settings.cold_ms,
-                                        settings.cold_share)  # fmt: skip
+            self.rebalance = Rebalancer(
+                event.settings, event.seed, self.now, settings.balancers, settings.cold_ms, settings.cold_share
+            )
             for node in self.nodes.values():
                 self.rebalance.view.node(self.now, node.name, node.number, node.state, node.capacity, node.started)
             if self.nodes:
--- a/yarrowspindle/routing/state.py
+++ b/yarrowspindle/routing/state.py
@@ -35,8 +35,21 @@
 
 
 class Job:
-    __slots__ = ("id", "phase", "attempt", "node", "deadline", "sent", "adoption", "unanswered", "ref", "came",
-                 "load", "since", "begin_by")  # fmt: skip
+    __slots__ = (
+        "id",
+        "phase",
+        "attempt",
+        "node",
+        "deadline",
+        "sent",
+        "adoption",
+        "unanswered",
+        "ref",
+        "came",
+        "load",
+        "since",
+        "begin_by",
+    )
 
     def __init__(self, job: int, now: float, left_ms: float, came: JobArrived | None = None) -> None:
         self.id, self.phase, self.came = job, Phase.HELD, came or JobArrived(job, left_ms)
@@ -78,8 +91,23 @@
 
 
 class Node:
-    __slots__ = ("name", "number", "address", "state", "slow", "told_at", "took", "heard", "jobs", "capacity",
-                 "started", "figures", "listed", "cold_from", "start")  # fmt: skip
+    __slots__ = (
+        "name",
+        "number",
+        "address",
+        "state",
+        "slow",
+        "told_at",
+        "took",
+        "heard",
+        "jobs",
+        "capacity",
+        "started",
+        "figures",
+        "listed",
+        "cold_from",
+        "start",
+    )
 
     def __init__(self, name: str, number: int, slow_ms: float = 0.0) -> None:
         self.name, self.number = name, number
--- a/yarrowspindle/runtime/peer_pump.py
+++ b/yarrowspindle/runtime/peer_pump.py
@@ -23,11 +23,26 @@
     failed: called for an event that the core cannot take, while the exception is handled; without it the exception
     goes on."""
 
-    def __init__(self, core: Peers, now: Callable[[], float], after: Callable[[float, Callable[[], None]], object],
-                 send: Callable[[Address, bytes], None], own: Callable[[], Own], told: Callable[[Others], None],
-                 note: Callable[[str, bool], None], failed: Callable[[Event], None] | None = None) -> None:  # fmt: skip
+    def __init__(
+        self,
+        core: Peers,
+        now: Callable[[], float],
+        after: Callable[[float, Callable[[], None]], object],
+        send: Callable[[Address, bytes], None],
+        own: Callable[[], Own],
+        told: Callable[[Others], None],
+        note: Callable[[str, bool], None],
+        failed: Callable[[Event], None] | None = None,
+    ) -> None:
         self.core, self.now, self.after, self.send, self.own, self.told, self.note = (
-            core, now, after, send, own, told, note)  # fmt: skip
+            core,
+            now,
+            after,
+            send,
+            own,
+            told,
+            note,
+        )
         self.failed = failed
         self.brought: Callable[[str, bytes], None] = lambda name, data: None  # what other relays had carried to us
         self.queue: deque[Event] = deque()
--- a/yarrowspindle/runtime/prober.py
+++ b/yarrowspindle/runtime/prober.py
@@ -37,8 +37,14 @@
 class Prober:
     """`over` is given each probe's end; `bad` a text on answers that make no sense."""
 
-    def __init__(self, fields: tuple[str, ...], idle_s: float, over: Callable[[ProbeOver], None],
-                 bad: Callable[[str], None], most: int = MOST) -> None:  # fmt: skip
+    def __init__(
+        self,
+        fields: tuple[str, ...],
+        idle_s: float,
+        over: Callable[[ProbeOver], None],
+        bad: Callable[[str], None],
+        most: int = MOST,
+    ) -> None:
         self.fields, self.idle_s, self.over, self.bad, self.most = fields, idle_s, over, bad, most
         self.nodes: dict[str, Asked] = {}  # used longest ago first
         self.counts: Counter[str] = Counter()
--- a/yarrowspindle/runtime/runtime.py
+++ b/yarrowspindle/runtime/runtime.py
@@ -48,8 +48,9 @@
     recorder, metrics). effect: is given each effect on a job.
     """
 
-    def __init__(self, reducer: Reducer, clock: Clock, log: Callable[[str, str], None],
-                 timers: Timers | None = None) -> None:  # fmt: skip
+    def __init__(
+        self, reducer: Reducer, clock: Clock, log: Callable[[str, str], None], timers: Timers | None = None
+    ) -> None:
         self.reducer, self.clock, self.log = reducer, clock, log
         self.timers = timers or Timers(clock)
         self.timers.due = self._due
--- a/yarrowspindle/transport/listener.py
+++ b/yarrowspindle/transport/listener.py
@@ -21,8 +21,14 @@
 
 
 class Listener:
-    def __init__(self, address: Address, backlog: int, made: Callable[[], asyncio.Protocol], room: Callable[[], bool],
-                 failed: Callable[[str], None]) -> None:  # fmt: skip
+    def __init__(
+        self,
+        address: Address,
+        backlog: int,
+        made: Callable[[], asyncio.Protocol],
+        room: Callable[[], bool],
+        failed: Callable[[str], None],
+    ) -> None:
         self.made, self.room, self.failed = made, room, failed
         self.loop = asyncio.get_running_loop()
         # A second process of the same relay, an upgrade, listens at the same address while this one still serves.
--- a/yarrowspindle/transport/node.py
+++ b/yarrowspindle/transport/node.py
@@ -12,8 +12,7 @@
 
 MOVE_WAIT_S = 0.5  # for the rest of a line that a MOVE must not cut
 
-ANSWERS = {Word.BYE: Ending.SERVED, Word.MOVE: Ending.SENT_AWAY, Word.ERR: Ending.ERRED,
-           Word.BUSY: Ending.TURNED_AWAY}  # fmt: skip
+ANSWERS = {Word.BYE: Ending.SERVED, Word.MOVE: Ending.SENT_AWAY, Word.ERR: Ending.ERRED, Word.BUSY: Ending.TURNED_AWAY}
 
 
 class NodeSink(Protocol):
--- a/yarrowspindle/turns/codec.py
+++ b/yarrowspindle/turns/codec.py
@@ -96,15 +96,23 @@
     if state is None:
         return
     names = [*state.voters, *state.relays, *state.out]
-    if (len(state.requests) > 2 * REQUESTS_MOST + 1 or len(state.out) > REQUESTS_MOST * MACHINES_MOST
-            or len(state.relays) > RELAYS_MOST or len(state.voters) > 64 or not state.voters
-            or any(len(name) > NAME_MOST for name in names)
-            or min(state.version, state.epoch, state.turn) < 0):  # fmt: skip
+    if (
+        len(state.requests) > 2 * REQUESTS_MOST + 1
+        or len(state.out) > REQUESTS_MOST * MACHINES_MOST
+        or len(state.relays) > RELAYS_MOST
+        or len(state.voters) > 64
+        or not state.voters
+        or any(len(name) > NAME_MOST for name in names)
+        or min(state.version, state.epoch, state.turn) < 0
+    ):
         raise BadMessage("a state out of bounds")
 
 
-MESSAGES = Kinds(VERSION, (Prepare, Promise[TurnState], Accept[TurnState], Accepted, Refused[TurnState], Learn, Behind,
-                           Says, Enter, Newest), _within)  # fmt: skip
+MESSAGES = Kinds(
+    VERSION,
+    (Prepare, Promise[TurnState], Accept[TurnState], Accepted, Refused[TurnState], Learn, Behind, Says, Enter, Newest),
+    _within,
+)
 FILE: FileCodec[Kept[TurnState]] = FileCodec(VERSION, Kept[TurnState], lambda kept: _within(kept.state))
 encode, decode = MESSAGES.encode, MESSAGES.decode
 encode_file, decode_file = FILE.encode, FILE.decode
--- a/yarrowspindle/turns/core.py
+++ b/yarrowspindle/turns/core.py
@@ -153,8 +153,17 @@
     """first: the state that all start from. identity: of this relay's file; empty where it has none. guide: a state by
     whose voters to go, from that file. key: of this process, which none before it had."""
 
-    def __init__(self, name: str, key: str, first: TurnState, identity: str, guide: TurnState, seed: int,
-                 now: float, proposer: type[Proposer[TurnState]] = Proposer) -> None:  # fmt: skip
+    def __init__(
+        self,
+        name: str,
+        key: str,
+        first: TurnState,
+        identity: str,
+        guide: TurnState,
+        seed: int,
+        now: float,
+        proposer: type[Proposer[TurnState]] = Proposer,
+    ) -> None:
         self.name, self.key, self.identity, self.now = name, key, identity, now
         self.started = now
         self.random = Random(seed)
@@ -279,9 +288,13 @@
             self.effects.append(Took(self.state))
             if self.life != was:
                 took = (self.now - self.started) / 1000.0
-                self.effects.append(Note(f"registered as life {self.life}, {took:.1f} s after the start" if self.life
-                                         else "somebody said that this relay has ended: nothing is placed until it "
-                                         "is registered anew"))  # fmt: skip
+                self.effects.append(
+                    Note(
+                        f"registered as life {self.life}, {took:.1f} s after the start"
+                        if self.life
+                        else "somebody said that this relay has ended: nothing is placed until it is registered anew"
+                    )
+                )
 
     def _say(self, old: TurnState, new: TurnState) -> None:
         for machine, out in old.out.items():
@@ -300,8 +313,9 @@
             known = old.requests.get(number)
             if known is None or known.state != request.state:
                 why = f": {request.why}" if request.why else ""
-                self.effects.append(Note(f"request {number} for {len(request.wish.machines)} machines is "
-                                         f"{request.state}{why}"))  # fmt: skip
+                self.effects.append(
+                    Note(f"request {number} for {len(request.wish.machines)} machines is {request.state}{why}")
+                )
 
     # --- what is wanted -------------------------------------------------------------------------
 
@@ -360,10 +374,14 @@
         steps += [lambda s, order=order: self._ordered(s, order) for order in self.orders]  # type: ignore[misc]
         steps += [self._confirms, self._votes_again]
         if self._duty():
-            steps += [lambda s, n=name, k=key: s.registered(n, k)  # type: ignore[misc]
-                      for name, (key, _) in self.entering.items()]  # fmt: skip
-            steps += [lambda s, n=name, w=word: s.confirmed(n, w.life, w.turns)  # type: ignore[misc]
-                      for name, word in self.said.items()]  # fmt: skip
+            steps += [
+                lambda s, n=name, k=key: s.registered(n, k)  # type: ignore[misc]
+                for name, (key, _) in self.entering.items()
+            ]
+            steps += [
+                lambda s, n=name, w=word: s.confirmed(n, w.life, w.turns)  # type: ignore[misc]
+                for name, word in self.said.items()
+            ]
             steps += [self._troubled, self._advances]
         found: TurnState = state
         for step in steps:
@@ -399,9 +417,11 @@
         only by a look after that: a connection may have come between the last look and the turn."""
         if not self.registered or not self.looked:
             return {}
-        return {m: out.turn for m, out in self.taken.out.items()
-                if out.stage == EMPTYING and m not in self.fleet.holds
-                and (self.name, self.life) not in out.confirmed}  # fmt: skip
+        return {
+            m: out.turn
+            for m, out in self.taken.out.items()
+            if out.stage == EMPTYING and m not in self.fleet.holds and (self.name, self.life) not in out.confirmed
+        }
 
     def _confirms(self, state: TurnState) -> TurnState | None:
         mine = self._mine()
--- a/yarrowspindle/turns/register.py
+++ b/yarrowspindle/turns/register.py
@@ -266,8 +266,10 @@
             # The voter that a failed change of voters was left at must be able to take this one.
             now.proposed = now.proposed.at_epoch(now.newer.epoch + 1)
         now.needed = self._needed(now.base, now.proposed)
-        return [Send(name, Accept(now.ballot, now.proposed.epoch, identity, now.proposed))
-                for name, identity in self._asked(now).items()]  # fmt: skip
+        return [
+            Send(name, Accept(now.ballot, now.proposed.epoch, identity, now.proposed))
+            for name, identity in self._asked(now).items()
+        ]
 
     @staticmethod
     def _needed(base: S, proposed: S) -> set[str]:
--- a/yarrowspindle/turns/report.py
+++ b/yarrowspindle/turns/report.py
@@ -38,38 +38,64 @@
     capacity = state.capacity(core.fleet.seen)
     queue = []
     for number, request in state.requests.items():
-        entry: dict[str, Any] = {"request": number, "name": request.wish.name, "state": request.state,
-                                 "why": request.why, "machines": list(request.wish.machines)}  # fmt: skip
+        entry: dict[str, Any] = {
+            "request": number,
+            "name": request.wish.name,
+            "state": request.state,
+            "why": request.why,
+            "machines": list(request.wish.machines),
+        }
         if request.state == QUEUED:
             whys = {m: state.holds_up(request, m, core.fleet.seen, capacity) for m in request.waiting}
             entry["waiting"] = [{"machine": m, "why": why or "its turn"} for m, why in whys.items()]
         queue.append(entry)
     missing = sorted(name for name in state.relays if name not in there)
     return {
-        "relay": core.name, "registered": core.registered, "life": core.life, "version": state.version,
-        "epoch": state.epoch, "turn": state.turn, "paused": state.paused, "by_hand": state.by_hand,
-        "majority": heard, "heard_s": round(silent / 1000.0, 1) if core.heard_at else None, "why": core.why,
-        "voters": sorted(state.voters), "votes": core.identity != "" and
-        state.voters.get(core.name) == core.identity, "relays": sorted(state.relays), "unreached": missing,
+        "relay": core.name,
+        "registered": core.registered,
+        "life": core.life,
+        "version": state.version,
+        "epoch": state.epoch,
+        "turn": state.turn,
+        "paused": state.paused,
+        "by_hand": state.by_hand,
+        "majority": heard,
+        "heard_s": round(silent / 1000.0, 1) if core.heard_at else None,
+        "why": core.why,
+        "voters": sorted(state.voters),
+        "votes": core.identity != "" and state.voters.get(core.name) == core.identity,
+        "relays": sorted(state.relays),
+        "unreached": missing,
         "orders": [f"{order.kind} {getattr(order.what, 'id', order.what)}" for order in core.orders],
-        "out": [{"machine": m, "turn": o.turn, "request": o.request, "stage": o.stage,
-                 "since_s": round((now - since.get(o.turn, now)) / 1000.0, 1),
-                 "confirmed": sorted(name for name, _ in o.confirmed), "waits_for": waits_for(core, m, there)}
-                for m, o in state.out.items()],
+        "out": [
+            {
+                "machine": m,
+                "turn": o.turn,
+                "request": o.request,
+                "stage": o.stage,
+                "since_s": round((now - since.get(o.turn, now)) / 1000.0, 1),
+                "confirmed": sorted(name for name, _ in o.confirmed),
+                "waits_for": waits_for(core, m, there),
+            }
+            for m, o in state.out.items()
+        ],
         "requests": queue,
-    }  # fmt: skip
+    }
 
 
 def gauges(core: Turns, now: float) -> dict[str, float]:
     stages = [out.stage for out in core.taken.out.values()]
     queued = [r for r in core.taken.requests.values() if r.state == QUEUED]
     return {
-        "emptying": float(stages.count(EMPTYING)), "free": float(stages.count(FREE)),
-        "warming": float(stages.count(WARMING)), "waiting": float(sum(len(r.waiting) for r in queued)),
-        "turn": float(core.taken.turn), "registered": float(core.registered),
+        "emptying": float(stages.count(EMPTYING)),
+        "free": float(stages.count(FREE)),
+        "warming": float(stages.count(WARMING)),
+        "waiting": float(sum(len(r.waiting) for r in queued)),
+        "turn": float(core.taken.turn),
+        "registered": float(core.registered),
         "paused": float(bool(core.taken.paused)),
         "majority_ms": now - core.heard_at if core.heard_at else -1.0,
-    }  # fmt: skip
+    }
 
 
 def table(shown: Mapping[str, Any]) -> str:
@@ -88,8 +114,10 @@
     lines.append("")
     lines.append(f"{'machine':20} {'turn':>5} {'stage':9} {'since':>8}  waits for")
     for out in shown["out"]:
-        lines.append(f"{out['machine']:20} {out['turn']:>5} {out['stage']:9} {out['since_s']:>6.1f} s  "
-                     f"{'; '.join(out['waits_for'])}")  # fmt: skip
+        lines.append(
+            f"{out['machine']:20} {out['turn']:>5} {out['stage']:9} {out['since_s']:>6.1f} s  "
+            f"{'; '.join(out['waits_for'])}"
+        )
     if not shown["out"]:
         lines.append("(nothing is out)")
     for request in shown["requests"]:
--- a/yarrowspindle/turns/settings.py
+++ b/yarrowspindle/turns/settings.py
@@ -58,8 +58,15 @@
     values = dict(section)
     _known(values, Asking, "turns.request")
     kinds: dict[str, type | tuple[type, ...]] = {
-        "zone": str, "kind": str, "order": str, "name": str, "most": int, "most_zone": int,
-        "floor": (int, float), "deadline_s": (int, float)}  # fmt: skip
+        "zone": str,
+        "kind": str,
+        "order": str,
+        "name": str,
+        "most": int,
+        "most_zone": int,
+        "floor": (int, float),
+        "deadline_s": (int, float),
+    }
     for key, kind in kinds.items():
         if key in values and (isinstance(values[key], bool) or not isinstance(values[key], kind)):
             raise TurnError(f"turns.request.{key} is {values[key]!r}, of another kind than is wanted")
--- a/yarrowspindle/turns/state.py
+++ b/yarrowspindle/turns/state.py
@@ -62,8 +62,15 @@
     @property
     def id(self) -> str:
         """The same for the same wish, wherever it was asked."""
-        told = (self.machines, self.most, self.most_zone, float(self.floor), float(self.deadline_s), self.order,
-                self.name)  # fmt: skip
+        told = (
+            self.machines,
+            self.most,
+            self.most_zone,
+            float(self.floor),
+            float(self.deadline_s),
+            self.order,
+            self.name,
+        )
         return blake2b(repr(told).encode(), digest_size=6).hexdigest()
 
 
@@ -133,8 +140,10 @@
         """It ended in good order, or an operator says that it has ended."""
         if self.relays.get(name) != life:
             return None
-        return self.changed(relays={n: at for n, at in self.relays.items() if n != name},
-                            keys={n: key for n, key in self.keys.items() if n != name})._freed()  # fmt: skip
+        return self.changed(
+            relays={n: at for n, at in self.relays.items() if n != name},
+            keys={n: key for n, key in self.keys.items() if n != name},
+        )._freed()
 
     def confirmed(self, name: str, life: int, turns: Mapping[str, int]) -> TurnState | None:
         """This relay holds nothing at these machines, whose turns have these numbers."""
@@ -148,8 +157,10 @@
         return None if out == dict(self.out) else self.changed(out=out)._freed()
 
     def _freed(self) -> TurnState:
-        out = {m: replace(o, stage=FREE) if o.stage == EMPTYING and not self.waits_for(m) else o
-               for m, o in self.out.items()}  # fmt: skip
+        out = {
+            m: replace(o, stage=FREE) if o.stage == EMPTYING and not self.waits_for(m) else o
+            for m, o in self.out.items()
+        }
         return replace(self, out=out)
 
     # --- operators ------------------------------------------------------------------------------
@@ -216,9 +227,12 @@
 
     def _settled(self) -> TurnState:
         """Requests of which nothing waits and nothing is out are done."""
-        requests = {i: replace(r, state=DONE, at=self.version) if r.state == QUEUED and not r.waiting
-                    and all(o.request != i for o in self.out.values()) else r
-                    for i, r in self.requests.items()}  # fmt: skip
+        requests = {
+            i: replace(r, state=DONE, at=self.version)
+            if r.state == QUEUED and not r.waiting and all(o.request != i for o in self.out.values())
+            else r
+            for i, r in self.requests.items()
+        }
         return replace(self, requests=requests)
 
     def capacity(self, seen: Mapping[str, Seen]) -> float:
@@ -252,8 +266,9 @@
             if machine is not None:
                 out = Out(self.turn + 1, number, seen[machine].zone)
                 left = replace(request, waiting=tuple(m for m in request.waiting if m != machine))
-                return replace(self, turn=self.turn + 1, out={**self.out, machine: out},
-                               requests={**self.requests, number: left})  # fmt: skip
+                return replace(
+                    self, turn=self.turn + 1, out={**self.out, machine: out}, requests={**self.requests, number: left}
+                )
         return None
 
     def rolled_back(self, why: str, by_hand: bool = False) -> TurnState | None:
--- a/yarrowspindle/turns/watch.py
+++ b/yarrowspindle/turns/watch.py
@@ -45,8 +45,9 @@
         self.counts: list[tuple[float, int, int]] = []  # when, jobs asked and refused since the start
         self.looked = False
 
-    def look(self, now: float, machines: Iterable[Look], state: TurnState, asked: int = 0,
-             refused: int = 0) -> tuple[Mapping[str, Seen], str]:  # fmt: skip
+    def look(
+        self, now: float, machines: Iterable[Look], state: TurnState, asked: int = 0, refused: int = 0
+    ) -> tuple[Mapping[str, Seen], str]:
         """The machines for the agreement, and the trouble; empty where there is none."""
         seen: dict[str, Seen] = {}
         failing = []
