--- a/tests/forms/published.py
+++ b/tests/forms/published.py
@@ -22,7 +22,7 @@
 from yarrowspindle.runtime.prober import Prober
 from yarrowspindle.telemetry import Telemetry
 from yarrowspindle.telemetry.guard import Rule
-from yarrowspindle.telemetry.trace import reason
+from yarrowspindle.telemetry.published_names import reason
 from yarrowspindle.turns import report
 from yarrowspindle.turns.core import Fleet, Turns
 from yarrowspindle.turns.state import Seen
--- a/yarrowspindle/program/metrics.py
+++ b/yarrowspindle/program/metrics.py
@@ -14,17 +14,12 @@
 from yarrowspindle.protocol import collectd, graphite
 from yarrowspindle.routing.messages import Address, AttemptOver, Deny, Drop, Effect, Event, Move, Requeue
 from yarrowspindle.routing.reducer import Reducer
-from yarrowspindle.routing.state import Phase
-from yarrowspindle.telemetry.trace import reason
+from yarrowspindle.telemetry.published_names import EFFECTS, ENDINGS, EVENTS, PHASES, reason
 from yarrowspindle.transport.receivers import Datagrams, Receiver
 
 if TYPE_CHECKING:
     from yarrowspindle.rebalance import Rebalancer
 
-COUNTED = frozenset(
-    ("JobArrived", "SubmitterLeft", "ListTold", "Reach", "Ask", "Join", "Requeue", "Deny", "Move", "Close")
-)
-
 REASONS: dict[type, str] = {Requeue: "refusal", Deny: "refusal", Drop: "given_up", Move: "moved"}
 
 
@@ -55,15 +50,15 @@
         return found
 
     def event(self, event: Event) -> None:
-        name = type(event).__name__
-        if name in COUNTED:
+        name = EVENTS.get(type(event))
+        if name is not None:
             self.counts[f"event.{name}"] += 1
         elif isinstance(event, AttemptOver):
-            self.counts[f"ending.{event.ending.name.lower()}"] += 1
+            self.counts[f"ending.{ENDINGS[event.ending]}"] += 1
 
     def effect(self, effect: Effect) -> None:
-        name = type(effect).__name__
-        if name in COUNTED:
+        name = EFFECTS.get(type(effect))
+        if name is not None:
             self.counts[f"effect.{name}"] += 1
         reasons = REASONS.get(type(effect))
         if reasons is not None:
@@ -71,7 +66,7 @@
 
     def gauges(self) -> dict[str, float]:
         phases = Counter(job.phase for job in self.reducer.jobs.values())
-        found = {f"jobs.{phase.name.lower()}": float(phases[phase]) for phase in Phase if phase is not Phase.OVER}
+        found = {f"jobs.{name}": float(phases[phase]) for phase, name in PHASES.items()}
         if self.reducer.rebalance is not None:
             gauges = self.reducer.rebalance.gauges(self.reducer.now)
             found |= {f"rebalance.{name}": value for name, value in gauges.items()}
--- a/yarrowspindle/replay/player.py
+++ b/yarrowspindle/replay/player.py
@@ -25,6 +25,7 @@
     SubmitterLeft,
 )
 from yarrowspindle.runtime import NoTimers
+from yarrowspindle.telemetry.published_names import EFFECTS, ENDINGS
 
 Choice = tuple[object, ...]
 
@@ -76,11 +77,11 @@
     if isinstance(effect, Requeue):
         return ("requeue", effect.job, effect.after_ms)
     if isinstance(effect, Deny | Move | Join):
-        return (type(effect).__name__.lower(), effect.job)
+        return (EFFECTS[type(effect)].lower(), effect.job)
     if isinstance(effect, Drop):
         return ("drop", effect.job, effect.attempt)
     if isinstance(effect, Close):
-        return ("close", effect.job, effect.ending.name)
+        return ("close", effect.job, ENDINGS[effect.ending].upper())
     return None
 
 
--- a/yarrowspindle/replay/sequence.py
+++ b/yarrowspindle/replay/sequence.py
@@ -7,13 +7,12 @@
 from __future__ import annotations
 
 from collections.abc import Iterator
-from dataclasses import dataclass
 from typing import Any, BinaryIO
 
 import msgspec
 
 from yarrowspindle.interface import Settings
-from yarrowspindle.rebalance import RebalanceSettings
+from yarrowspindle.replay.recorded_form import EVENT_NAMES, EVENTS, RecordedRebalance, from_recorded, to_recorded
 from yarrowspindle.routing import messages
 from yarrowspindle.routing.messages import Event
 
@@ -33,37 +32,7 @@
     version: int = VERSION
 
 
-@dataclass(slots=True)
-class RecordedRebalance:
-    """As messages.Rebalance, whose settings the platform does not import."""
-
-    settings: RebalanceSettings | None
-    seed: int = 0
-
-
-KINDS: dict[str, Any] = {
-    kind.__name__: kind
-    for kind in (
-        messages.JobArrived,
-        messages.SubmitterLeft,
-        messages.OutOfTurn,
-        messages.NodeReached,
-        messages.NodeUp,
-        messages.AttemptOver,
-        messages.LoadTold,
-        messages.FigureTold,
-        messages.Asked,
-        messages.Answered,
-        messages.ListTold,
-        messages.Woke,
-        messages.Stop,
-        messages.Reloaded,
-        messages.Stalled,
-        messages.OthersTold,
-    )
-} | {"Rebalance": RecordedRebalance}
-DECODERS = {name: msgspec.json.Decoder(kind) for name, kind in KINDS.items()}
-LINE = msgspec.json.Decoder(tuple[float, str, msgspec.Raw])
+LINE = msgspec.json.Decoder(tuple[float, str, Any])
 
 
 class Recorder:
@@ -72,18 +41,21 @@
     def __init__(self, out: BinaryIO, settings: Settings, seed: int, started: float) -> None:
         self.out, self.events = out, 0
         self.encoder = msgspec.json.Encoder()
-        out.write(self.encoder.encode(Header(seed, started, settings)) + b"\n")
+        header = msgspec.structs.asdict(Header(seed, started, settings)) | {"settings": to_recorded(settings)}
+        out.write(self.encoder.encode(header) + b"\n")
 
     def event(self, now: float, event: Event) -> None:
-        name = type(event).__name__
-        self.out.write(self.encoder.encode((now, name, event)) + b"\n")
+        name = EVENT_NAMES[type(event)]
+        self.out.write(self.encoder.encode((now, name, to_recorded(event))) + b"\n")
         self.events += 1
 
 
 def read_sequence(source: BinaryIO) -> tuple[Header, Iterator[tuple[float, Event]]]:
     """The header, and the events with their times as they are read. Raises SequenceError."""
     try:
-        header = msgspec.json.decode(source.readline(LINE_MOST), type=Header)
+        read = msgspec.json.decode(source.readline(LINE_MOST), type=dict[str, Any])
+        settings = from_recorded(Settings, read.get("settings"))
+        header = msgspec.convert(read | {"settings": settings}, Header, str_keys=True)
     except (msgspec.MsgspecError, ValueError) as error:
         raise SequenceError(f"line 1 is no header of a sequence: {error}") from error
     if header.form != FORM or header.version != VERSION:
@@ -96,10 +68,11 @@
     while line := source.readline(LINE_MOST):
         number += 1
         try:
-            now, name, raw = LINE.decode(line)
-            if name not in DECODERS:
+            now, name, recorded = LINE.decode(line)
+            kind = EVENTS.get(name)
+            if kind is None:
                 raise SequenceError(f"line {number}: {name!r} is no event")
-            event = DECODERS[name].decode(raw)
+            event: Any = msgspec.convert(from_recorded(kind, recorded), kind, str_keys=True)
         except msgspec.MsgspecError as error:
             raise SequenceError(f"line {number} cannot be read: {error}") from error
         if now < last:
--- a/yarrowspindle/runtime/prober.py
+++ b/yarrowspindle/runtime/prober.py
@@ -14,6 +14,7 @@
 from yarrowspindle.protocol.lines import report_of
 from yarrowspindle.routing.ending import Ending
 from yarrowspindle.routing.messages import Address, Probe, ProbeOver
+from yarrowspindle.telemetry.published_names import ENDINGS
 from yarrowspindle.transport.connecting import ConnectFailure, Connecting
 from yarrowspindle.transport.probe import ProbeSide
 
@@ -123,7 +124,7 @@
 
     def _tell(self, node: str, ending: Ending, since: float, report: tuple[float, ...] = ()) -> None:
         took = (asyncio.get_running_loop().time() - since) * 1000.0 if since else 0.0
-        self.counts[ending.name.lower()] += 1
+        self.counts[ENDINGS[ending]] += 1
         self.over(ProbeOver(node, ending, took, report))
 
     # --- reports of the transport ---------------------------------------------------------------
--- a/yarrowspindle/telemetry/trace.py
+++ b/yarrowspindle/telemetry/trace.py
@@ -7,8 +7,6 @@
 
 from collections.abc import Callable
 
-from yarrowspindle.decisions.refusal import Refusal
-from yarrowspindle.routing.ending import Ending
 from yarrowspindle.routing.messages import (
     Ask,
     AttemptOver,
@@ -27,13 +25,7 @@
     Requeue,
     SubmitterLeft,
 )
-
-
-def reason(why: Refusal | Ending | None) -> str:
-    """As logs and metrics name it."""
-    if why is None:
-        return "none"
-    return why.value if isinstance(why, Refusal) else why.name.lower()
+from yarrowspindle.telemetry.published_names import reason
 
 
 class Trace:
