--- a/benchmarks/capacity/hollow.py
+++ b/benchmarks/capacity/hollow.py
@@ -23,10 +23,10 @@
 
 from benchmarks.signals import datagram_s, deep_kb, played_again, recorded
 from yarrowspindle.lab.model.members import Relays
-from yarrowspindle.peers import Peers, PeerSettings
-from yarrowspindle.peers.messages import Came, Own
-from yarrowspindle.routing.messages import Address
-from yarrowspindle.runtime.peer_pump import PeerPump
+from yarrowspindle.membership import Peers, PeerSettings
+from yarrowspindle.membership.messages import Came, Own
+from yarrowspindle.routing.address import Address
+from yarrowspindle.runtime.membership_driver import PeerPump
 from yarrowspindle.transport.datagrams import Front
 
 HEADER = 28  # bytes of IP and UDP round each datagram
--- a/benchmarks/capacity/slopes.py
+++ b/benchmarks/capacity/slopes.py
@@ -25,14 +25,14 @@
 from benchmarks.capacity.hollow import CELL, HELD, Day, cells_of, on_sockets, play
 from benchmarks.common import finish, options
 from benchmarks.signals import deep_kb
-from yarrowspindle.interface import group_key
-from yarrowspindle.peers.messages import Own
-from yarrowspindle.peers.signals import KEYS_MOST, OwnWord, Signals
-from yarrowspindle.turns.codec import encode, encode_file
-from yarrowspindle.turns.core import Learn
-from yarrowspindle.turns.parcels import PART
-from yarrowspindle.turns.register import Kept
-from yarrowspindle.turns.state import RELAYS_MOST, Seen, TurnState, Wish
+from yarrowspindle.consensus.register import Kept
+from yarrowspindle.decisions.events import group_key
+from yarrowspindle.maintenance.codec import encode, encode_file
+from yarrowspindle.maintenance.coordinator import Learn
+from yarrowspindle.maintenance.state import RELAYS_MOST, Seen, TurnState, Wish
+from yarrowspindle.membership.load_signals import KEYS_MOST, OwnWord, Signals
+from yarrowspindle.membership.messages import Own
+from yarrowspindle.protocol.fragments import PART
 
 AHEAD = 1200  # relays of the fleet ahead
 ALLOWED = {"bytes_per_s": 8000.0, "cpu_share": 0.012, "memory_mb": 32.0}  # of one relay
--- a/benchmarks/capacity/sockets.py
+++ b/benchmarks/capacity/sockets.py
@@ -25,19 +25,19 @@
 
 import uvloop
 
-from yarrowspindle.control.agent import Agent
-from yarrowspindle.control.codec import FILE
-from yarrowspindle.control.controller import Controller
-from yarrowspindle.control.link import Link
-from yarrowspindle.control.messages import Answer, Came, Event, Ordered, Send, Sender, Take, Vote, Wake, Woke
-from yarrowspindle.control.settings import Machine, preferred
-from yarrowspindle.control.state import ControlState
+from yarrowspindle.configuration.agent import Agent
+from yarrowspindle.configuration.codec import FILE
+from yarrowspindle.configuration.controller import Controller
+from yarrowspindle.configuration.link import Link
+from yarrowspindle.configuration.messages import Answer, Came, Event, Ordered, Send, Sender, Take, Vote, Wake, Woke
+from yarrowspindle.configuration.settings import Machine, preferred
+from yarrowspindle.configuration.state import ControlState
+from yarrowspindle.consensus.register import Voter
 from yarrowspindle.lab.model.controlling import CLUSTER, REGIONS, ZONES, check, controllers_of
-from yarrowspindle.peers.codec import Dropped
-from yarrowspindle.program.kept_file import NoFile, VoterFile
-from yarrowspindle.routing.messages import Address
+from yarrowspindle.membership.codec import Dropped
+from yarrowspindle.routing.address import Address
+from yarrowspindle.storage.durable_file import NoFile, VoterFile
 from yarrowspindle.transport.datagrams import Front
-from yarrowspindle.turns.register import Voter
 
 PARCELS_S, LOOK_S = 0.05, 0.02
 LATE_MOST_MS = 50.0  # of the event loop, in 99 of 100 looks: beyond that the machine is measured, not the relays
--- a/benchmarks/library.py
+++ b/benchmarks/library.py
@@ -24,14 +24,14 @@
 from starlette.routing import Route
 
 from benchmarks.common import finish, options
-from yarrowspindle.interface import ListKind, State
+from yarrowspindle.decisions.events import ListKind, State
 from yarrowspindle.lab.model import Fleet, FleetSpec
 from yarrowspindle.library import Failed, JobClass, LibrarySettings, Machine, Placer, Refused, StaticList
 from yarrowspindle.middleware import PlacementMiddleware
 from yarrowspindle.replay import Played, Recorder, play_library, read_sequence
-from yarrowspindle.routing.ending import Ending
-from yarrowspindle.routing.messages import AttemptOver, JobArrived, ListTold, NodeReached, NodeUp
+from yarrowspindle.routing.events import AttemptOver, JobArrived, ListTold, NodeReached, NodeUp
 from yarrowspindle.routing.reducer import Reducer
+from yarrowspindle.routing.termination import Ending
 
 ROOT = Path(__file__).resolve().parent.parent
 MACHINES = [Machine(f"s-{i}", ("127.0.0.1", 3000 + i)) for i in range(1, 9)]
--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -11,10 +11,11 @@
 from random import Random
 
 from benchmarks.common import finish, options
-from yarrowspindle.interface import ListKind, RequestClass, Settings, State
-from yarrowspindle.routing.ending import Ending
-from yarrowspindle.routing.messages import AttemptOver, JobArrived, ListTold, Machine, NodeReached, NodeUp
+from yarrowspindle.decisions.events import ListKind, State
+from yarrowspindle.decisions.settings import RequestClass, Settings
+from yarrowspindle.routing.events import AttemptOver, JobArrived, ListTold, Machine, NodeReached, NodeUp
 from yarrowspindle.routing.reducer import Reducer
+from yarrowspindle.routing.termination import Ending
 
 SMALL, LARGE = 100, 5000
 STANDING, JOBS, DELTAS, ROUNDS = 400, 1500, 400, 5
--- a/benchmarks/rebalance.py
+++ b/benchmarks/rebalance.py
@@ -16,7 +16,7 @@
 
 from benchmarks.common import finish, options
 from yarrowspindle.lab.model import Fleet, FleetSpec, ModelNode
-from yarrowspindle.rebalance import Rebalancer, RebalanceSettings
+from yarrowspindle.rebalancing import Rebalancer, RebalanceSettings
 
 SCENARIOS = ("return", "extra", "steady", "lost-clients", "skewed", "large")
 SETTLE_S = 40.0  # from the start until the fleet is as placement leaves it
--- a/benchmarks/signals.py
+++ b/benchmarks/signals.py
@@ -26,7 +26,7 @@
 from yarrowspindle.lab.model import BrokenRule, Fleet, FleetSpec
 from yarrowspindle.lab.model.deployments import ASKED, PROBED
 from yarrowspindle.lab.model.members import Relays, play_members
-from yarrowspindle.peers import Peers
+from yarrowspindle.membership import Peers
 
 FILLED, RUN_S = 0.75, 30.0
 BASES = {"asked": replace(ASKED, by_own_load=True), "probed": PROBED}  # the daemon always judges by own load too
--- a/benchmarks/soak/planted.py
+++ b/benchmarks/soak/planted.py
@@ -12,14 +12,16 @@
 from math import inf
 from typing import Any
 
-from yarrowspindle.decisions import gate
-from yarrowspindle.interface import Effect, Outcome, State
-from yarrowspindle.policy import Balancer
-from yarrowspindle.program import line_front
-from yarrowspindle.program.main import main
+from yarrowspindle.daemon.main import main
+from yarrowspindle.decisions import request_gate as gate
+from yarrowspindle.decisions.balancer import Balancer
+from yarrowspindle.decisions.events import Outcome, State
+from yarrowspindle.decisions.settings import Effect
+from yarrowspindle.fronts import line_front
 from yarrowspindle.routing import reducer
-from yarrowspindle.routing.ending import OUTCOMES, Ending
-from yarrowspindle.transport import connecting, submitter
+from yarrowspindle.routing.termination import OUTCOMES, Ending
+from yarrowspindle.transport import client as submitter
+from yarrowspindle.transport import connecting
 
 
 def repeat_what_ran() -> None:
@@ -116,7 +118,7 @@
 def end_at_once() -> None:
     """At SIGTERM the process ends without a word to anybody."""
     line_front.LineFront.end = lambda self, within_s: asyncio.sleep(0)  # type: ignore[method-assign]
-    from yarrowspindle.program.hub import Hub
+    from yarrowspindle.daemon.relay_service import Hub
 
     Hub.stop = lambda self: 50.0  # type: ignore[method-assign]
 
--- a/examples/plan_status.py
+++ b/examples/plan_status.py
@@ -15,7 +15,7 @@
 from fastapi.responses import StreamingResponse
 
 from examples.asgi_host import AsgiHost
-from yarrowspindle.interface import State
+from yarrowspindle.decisions.events import State
 from yarrowspindle.library import JobClass, LibrarySettings, Machine, Placer, StaticList
 from yarrowspindle.middleware import PlacementMiddleware, reach, relay_events
 from yarrowspindle.middleware.fastapi import Placed
--- a/tests/test_control.py
+++ b/tests/configuration/test_configuration.py
@@ -8,11 +8,11 @@
 
 import pytest
 
-from yarrowspindle.control import codec
-from yarrowspindle.control.agent import AHEAD_MS, SILENT_MS, Agent
-from yarrowspindle.control.controller import EXPIRE_MS, LOG_MOST, ORDERS_MOST, RELAYS_MOST, SURE_MS, Controller
-from yarrowspindle.control.link import LIVES_MOST, SOURCE_PER_S, Link
-from yarrowspindle.control.messages import (
+from yarrowspindle.configuration import codec
+from yarrowspindle.configuration.agent import AHEAD_MS, SILENT_MS, Agent
+from yarrowspindle.configuration.controller import EXPIRE_MS, LOG_MOST, ORDERS_MOST, RELAYS_MOST, SURE_MS, Controller
+from yarrowspindle.configuration.link import LIVES_MOST, SOURCE_PER_S, Link
+from yarrowspindle.configuration.messages import (
     Answer,
     Beat,
     Came,
@@ -36,8 +36,8 @@
     Whole,
     Woke,
 )
-from yarrowspindle.control.settings import Machine
-from yarrowspindle.control.state import (
+from yarrowspindle.configuration.settings import Machine
+from yarrowspindle.configuration.state import (
     CONTENT_MOST,
     DONE_MOST,
     ENTRIES_MOST,
@@ -52,13 +52,13 @@
     digest,
     stepped,
 )
+from yarrowspindle.consensus.register import NONE, Accept, Kept, Prepare, Promise, Refused, Voter
 from yarrowspindle.lab.faults import Fault
 from yarrowspindle.lab.model.controlling import check
 from yarrowspindle.lab.model.controlling_days import KINDS, play_control, seeds
 from yarrowspindle.lab.model.planted_control import DEFECTS
-from yarrowspindle.peers.codec import Dropped
-from yarrowspindle.turns.codec import BadMessage
-from yarrowspindle.turns.register import NONE, Accept, Kept, Prepare, Promise, Refused, Voter
+from yarrowspindle.maintenance.codec import BadMessage
+from yarrowspindle.membership.codec import Dropped
 
 MACHINES = tuple(Machine(f"c{n:02d}", (f"10.0.0.{n + 1}", 7950), voter=n == 0) for n in range(3))
 FIRST = ControlState({"c00": "file"})
--- a/tests/test_disk_faults.py
+++ b/tests/configuration/test_disk_faults.py
@@ -16,8 +16,8 @@
 
 from benchmarks.soak import shim
 from benchmarks.soak.shim import Field, Page
+from tests.daemon.test_configuration_daemon import Cluster, Controller, cluster
 from tests.stand_ins import SETTINGS
-from tests.test_control_daemon import Cluster, Controller, cluster
 
 ROUNDS, SHARES = 5, (0, 100, 350)
 KILLED_IN = (2, 4)
--- a/tests/test_control_kept.py
+++ b/tests/daemon/test_cached_settings.py
@@ -9,12 +9,12 @@
 
 import pytest
 
-from tests.test_control_daemon import ENTRIES, Cluster
-from yarrowspindle.control.messages import Came, Whole
-from yarrowspindle.control.state import digest
-from yarrowspindle.program import control
-from yarrowspindle.program.config import read_operator
-from yarrowspindle.program.control import RelayEndpoint
+from tests.daemon.test_configuration_daemon import ENTRIES, Cluster
+from yarrowspindle.configuration.messages import Came, Whole
+from yarrowspindle.configuration.state import digest
+from yarrowspindle.daemon import configuration_endpoint as control
+from yarrowspindle.daemon.config import read_operator
+from yarrowspindle.daemon.configuration_endpoint import RelayEndpoint
 
 
 @pytest.mark.parametrize("well_again", (True, False))
--- a/tests/test_control_daemon.py
+++ b/tests/daemon/test_configuration_daemon.py
@@ -20,22 +20,23 @@
 
 from tests.ports import own_net
 from tests.stand_ins import ROOT, SETTINGS, WAIT_S, World, relay
-from yarrowspindle.control.codec import TAKEN
-from yarrowspindle.control.controller import Controller as CoreController
-from yarrowspindle.control.link import Link
-from yarrowspindle.control.messages import Came, Difference, Keep, Learn, Newest, Sender, Wake, Whole, Woke
-from yarrowspindle.control.settings import Machine
-from yarrowspindle.control.state import ControlState, Order, digest
+from yarrowspindle.commands.configuration import main
+from yarrowspindle.configuration.codec import TAKEN
+from yarrowspindle.configuration.controller import Controller as CoreController
+from yarrowspindle.configuration.link import Link
+from yarrowspindle.configuration.messages import Came, Difference, Keep, Learn, Newest, Sender, Wake, Whole, Woke
+from yarrowspindle.configuration.settings import Machine
+from yarrowspindle.configuration.state import ControlState, Order, digest
+from yarrowspindle.daemon.config import ConfigError, Operator, load_operator, read_config, read_operator
+from yarrowspindle.daemon.configuration_endpoint import RelayEndpoint
+from yarrowspindle.daemon.relay_service import Hub
+from yarrowspindle.daemon.shared_settings import check, shared_of, text_of
 from yarrowspindle.lab.faults import Fault, Ways
 from yarrowspindle.lab.processes.proxy import DatagramProxy
-from yarrowspindle.program.config import ConfigError, Operator, load_operator, read_config, read_operator
-from yarrowspindle.program.control import RelayEndpoint
-from yarrowspindle.program.control_command import main
-from yarrowspindle.program.control_settings import check, shared_of, text_of
-from yarrowspindle.program.hub import Hub
-from yarrowspindle.program.kept_file import FIRST, KeptFile
-from yarrowspindle.routing.messages import Address, JobArrived
+from yarrowspindle.routing.address import Address
+from yarrowspindle.routing.events import JobArrived
 from yarrowspindle.runtime import SystemClock
+from yarrowspindle.storage.durable_file import FIRST, KeptFile
 
 CHAT = dict(SETTINGS["categories"][0])
 ENTRIES, _, _ = shared_of(SETTINGS)
@@ -469,9 +470,9 @@
 
 @pytest.fixture
 def quiet() -> Iterator[None]:
-    logger.disable("yarrowspindle.program.hub")
+    logger.disable("yarrowspindle.daemon.relay_service")
     yield
-    logger.enable("yarrowspindle.program.hub")
+    logger.enable("yarrowspindle.daemon.relay_service")
 
 
 def config(**changes: Any) -> Any:
@@ -560,7 +561,7 @@
     operator = load_operator({"YARROWSPINDLE_OPERATOR": str(tmp_path / "o.toml")})
     assert operator.control is not None and operator.control.voters == ("c0",) and Operator().control is None
     monkeypatch.setitem(sys.modules, "msgspec", None)
-    for name in [name for name in sys.modules if name.startswith("yarrowspindle.control")]:
+    for name in [name for name in sys.modules if name.startswith("yarrowspindle.configuration")]:
         monkeypatch.delitem(sys.modules, name)
     with pytest.raises(ConfigError, match="needs requirements-turns.txt"):
         load_operator({"YARROWSPINDLE_OPERATOR": str(tmp_path / "o.toml")})
--- a/tests/test_door.py
+++ b/tests/daemon/test_connection_limiter.py
@@ -7,8 +7,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from yarrowspindle.program.door import SPARE, YOUNG_S, Door
-from yarrowspindle.program.log import AT_ONCE, Bounded
+from yarrowspindle.daemon.connection_limiter import SPARE, YOUNG_S, Door
+from yarrowspindle.daemon.log import AT_ONCE, Bounded
 
 STEPS = ["come"] * 5 + ["known"] * 2 + ["answer", "lose", "wait"]
 
--- a/tests/test_failing_steps.py
+++ b/tests/daemon/test_failing_steps.py
@@ -10,18 +10,19 @@
 import pytest
 import uvloop
 
-from tests.test_connecting import Backend, config
-from yarrowspindle.interface import ListKind
-from yarrowspindle.program.config import read_config
-from yarrowspindle.program.hub import Hub
-from yarrowspindle.program.line_front import LineFront
-from yarrowspindle.program.log import log_to
-from yarrowspindle.protocol.machines import Names
-from yarrowspindle.routing.ending import Ending
-from yarrowspindle.routing.messages import Ask, Event, JobArrived, ListTold, NodeReached, Probe, ProbeOver, Reach, Wake
+from tests.transport.test_connecting import Backend, config
+from yarrowspindle.daemon.config import read_config
+from yarrowspindle.daemon.log import log_to
+from yarrowspindle.daemon.relay_service import Hub
+from yarrowspindle.decisions.events import ListKind
+from yarrowspindle.fronts.line_front import LineFront
+from yarrowspindle.protocol.endpoint_list import Names
+from yarrowspindle.routing.effects import Ask, Probe, Reach, Wake
+from yarrowspindle.routing.events import Event, JobArrived, ListTold, NodeReached, ProbeOver
+from yarrowspindle.routing.termination import Ending
 from yarrowspindle.runtime import SystemClock
-from yarrowspindle.runtime.list_watch import ListWatch
-from yarrowspindle.runtime.prober import Prober
+from yarrowspindle.runtime.endpoint_watch import ListWatch
+from yarrowspindle.runtime.health_checker import Prober
 
 DEADLINE_S = 0.9
 WHERE_FAILS: dict[str, Callable[[Hub, LineFront], None]] = {
--- a/tests/test_list_calls.py
+++ b/tests/daemon/test_list_calls.py
@@ -10,10 +10,11 @@
 import pytest
 
 from tests.stand_ins import HEAD, SETTINGS, Peer, World, run
-from yarrowspindle.interface import State
-from yarrowspindle.program.config import ConfigError, read_config
-from yarrowspindle.protocol.machines import ListError, Names, parse_list
-from yarrowspindle.routing.messages import ListTold, Machine, Probe, Unprobe
+from yarrowspindle.daemon.config import ConfigError, read_config
+from yarrowspindle.decisions.events import State
+from yarrowspindle.protocol.endpoint_list import ListError, Names, parse_list
+from yarrowspindle.routing.effects import Probe, Unprobe
+from yarrowspindle.routing.events import ListTold, Machine
 from yarrowspindle.routing.reducer import Reducer
 
 SLOW_S = 0.9
@@ -70,7 +71,7 @@
 
 def test_a_probe_is_taken_back_where_its_server_is_told_to_drain_or_to_be_gone_or_starts_anew() -> None:
     from tests.helpers import settings
-    from yarrowspindle.interface import ListKind
+    from yarrowspindle.decisions.events import ListKind
 
     reducer = Reducer(settings(may_probe=True, report=("x0", "rif")), 1, 0.0)
     machines = [Machine(f"s-{n}", ("127.0.0.1", n)) for n in range(1, 5)]
--- a/tests/test_turns_daemon.py
+++ b/tests/daemon/test_maintenance_daemon.py
@@ -13,11 +13,11 @@
 
 from tests.ports import free_port
 from tests.stand_ins import SETTINGS, World, relay
+from yarrowspindle.commands.maintenance import main
+from yarrowspindle.daemon.voter_file import TurnFile
 from yarrowspindle.lab.faults import Fault
 from yarrowspindle.lab.processes.turning import TurnReport, Work, play_turns
 from yarrowspindle.lab.processes.world import Run
-from yarrowspindle.program.turn_command import main
-from yarrowspindle.program.turn_file import TurnFile
 
 COLD: dict[str, Any] = {"obligations": SETTINGS["obligations"] | {"cold_ms": 300.0}}
 
--- a/tests/test_operations.py
+++ b/tests/daemon/test_operations.py
@@ -13,9 +13,9 @@
 
 from tests.ports import free_port
 from tests.stand_ins import SETTINGS, WAIT_S, World, relay
-from yarrowspindle.interface import RequestClass, Settings
-from yarrowspindle.program.config import read_config, retune
-from yarrowspindle.routing.messages import JobArrived, SubmitterLeft
+from yarrowspindle.daemon.config import read_config, retune
+from yarrowspindle.decisions.settings import RequestClass, Settings
+from yarrowspindle.routing.events import JobArrived, SubmitterLeft
 from yarrowspindle.routing.reducer import Reducer
 from yarrowspindle.telemetry import Telemetry
 from yarrowspindle.telemetry.counts import CLASSES_MOST
--- a/tests/test_own_network.py
+++ b/tests/daemon/test_own_network.py
@@ -9,10 +9,10 @@
 import pytest
 import uvloop
 
-from tests.test_connecting import Backend, config
-from yarrowspindle.program.config import read_config
-from yarrowspindle.program.hub import Hub
-from yarrowspindle.program.line_front import LineFront
+from tests.transport.test_connecting import Backend, config
+from yarrowspindle.daemon.config import read_config
+from yarrowspindle.daemon.relay_service import Hub
+from yarrowspindle.fronts.line_front import LineFront
 from yarrowspindle.runtime import SystemClock
 
 SERVERS, REQUESTS = 6, 24
--- a/tests/test_starts_and_ends.py
+++ b/tests/daemon/test_starts_and_ends.py
@@ -17,15 +17,15 @@
 
 from tests.ports import free_port
 from tests.stand_ins import ROOT
-from tests.test_connecting import Backend, config
-from yarrowspindle.program import metrics
-from yarrowspindle.program.config import MetricsConfig, read_config
-from yarrowspindle.program.hub import Hub
-from yarrowspindle.program.line_front import LineFront
-from yarrowspindle.routing.messages import Move
+from tests.transport.test_connecting import Backend, config
+from yarrowspindle.daemon import metrics
+from yarrowspindle.daemon.config import MetricsConfig, read_config
+from yarrowspindle.daemon.relay_service import Hub
+from yarrowspindle.fronts.line_front import LineFront
+from yarrowspindle.routing.effects import Move
 from yarrowspindle.runtime import SystemClock
+from yarrowspindle.transport.line_connection import Side
 from yarrowspindle.transport.receivers import Datagrams
-from yarrowspindle.transport.side import Side
 
 WAIT_S = 10.0
 
--- a/tests/test_bookkeeping.py
+++ b/tests/decisions/test_bookkeeping.py
@@ -5,7 +5,7 @@
 import pytest
 
 from tests.helpers import balancer, end, open_one, sends
-from yarrowspindle.interface import NEVER_RAN, Adopted, LoadChanged, Outcome, Request
+from yarrowspindle.decisions.events import NEVER_RAN, Adopted, LoadChanged, Outcome, Request
 
 
 @pytest.mark.parametrize("outcome", list(Outcome))
--- a/tests/test_fleet.py
+++ b/tests/decisions/test_fleet.py
@@ -5,10 +5,11 @@
 from random import Random
 
 from tests.helpers import end, open_one, sends, settings
-from yarrowspindle.interface import ListKind, Request, RequestClass, ServerEntry, ServerList, State
-from yarrowspindle.policy import Balancer
-from yarrowspindle.routing.figures import Figures, Kind
-from yarrowspindle.routing.messages import FigureTold, JobArrived, ListTold, Machine, NodeReached, NodeUp, Woke
+from yarrowspindle.decisions.balancer import Balancer
+from yarrowspindle.decisions.events import ListKind, Request, ServerEntry, ServerList, State
+from yarrowspindle.decisions.settings import RequestClass
+from yarrowspindle.routing.events import FigureTold, JobArrived, ListTold, Machine, NodeReached, NodeUp, Woke
+from yarrowspindle.routing.load_reports import Figures, Kind
 from yarrowspindle.routing.reducer import PULSE, Reducer
 
 RELAYS = 40
--- a/tests/test_reports.py
+++ b/tests/decisions/test_load_estimates.py
@@ -11,28 +11,24 @@
 
 from tests.helpers import end, full_list, open_one, sends, settings
 from tests.stand_ins import SETTINGS, World, relay
-from yarrowspindle.books import Job, Server
-from yarrowspindle.interface import (
-    Action,
+from yarrowspindle.decisions.actions import Action, Move, Probe, Refuse, SetTimer
+from yarrowspindle.decisions.backends import Job, Server
+from yarrowspindle.decisions.balancer import BEAT_MS, Balancer
+from yarrowspindle.decisions.events import (
     Adopted,
     ListKind,
-    Move,
     Outcome,
-    Probe,
     Probed,
-    Refuse,
     Request,
-    RequestClass,
     ServerEntry,
     ServerList,
     ServerSlow,
-    SetTimer,
     TimerDue,
 )
-from yarrowspindle.policy import BEAT_MS, Balancer
+from yarrowspindle.decisions.load_estimates import Estimates
+from yarrowspindle.decisions.settings import RequestClass
 from yarrowspindle.protocol.lines import LineError, report_of
-from yarrowspindle.reports import Estimates
-from yarrowspindle.routing.messages import FigureTold, JobArrived, ListTold, Machine, NodeReached, NodeUp
+from yarrowspindle.routing.events import FigureTold, JobArrived, ListTold, Machine, NodeReached, NodeUp
 from yarrowspindle.routing.reducer import Reducer
 
 CLASSES = (
@@ -187,7 +183,7 @@
 
 
 def _established(request: int, server: int) -> Any:
-    from yarrowspindle.interface import Established
+    from yarrowspindle.decisions.events import Established
 
     return Established(request, 0, server, 10.0)
 
@@ -254,7 +250,7 @@
 
 
 def test_a_repeat_that_may_have_run_goes_where_repeats_are_dropped_and_nowhere_else() -> None:
-    from yarrowspindle.interface import Effect, Group
+    from yarrowspindle.decisions.settings import Effect, Group
 
     keyed = RequestClass(800.0, 4800.0, Effect.KEYED, Group.ZONE, 5000.0, message_aim_ms=60.0)
     for seed in range(20):
--- a/tests/test_others.py
+++ b/tests/decisions/test_peer_loads.py
@@ -4,13 +4,13 @@
 
 from typing import Any
 
+from tests.decisions.test_load_estimates import Relay, warmed
 from tests.helpers import balancer, end, open_one, settings
-from tests.test_reports import Relay, warmed
-from yarrowspindle.books import Job, Server
-from yarrowspindle.interface import SERVER_KEY, Others, Retuned, group_key
-from yarrowspindle.others import MOVERS, TURN_BEAT_MS, OthersBook
-from yarrowspindle.policy import BEAT_MS
-from yarrowspindle.runtime.peer_pump import own_word
+from yarrowspindle.decisions.backends import Job, Server
+from yarrowspindle.decisions.balancer import BEAT_MS
+from yarrowspindle.decisions.events import SERVER_KEY, Others, Retuned, group_key
+from yarrowspindle.decisions.peer_loads import MOVERS, TURN_BEAT_MS, OthersBook
+from yarrowspindle.runtime.membership_driver import own_word
 
 
 def placed(b: Any, now: float, times: int) -> list[int]:
--- a/tests/test_placement.py
+++ b/tests/decisions/test_placement.py
@@ -7,25 +7,22 @@
 import pytest
 
 from tests.helpers import balancer, end, full_list, open_one, sends, settings
-from yarrowspindle.books import Server
-from yarrowspindle.interface import (
+from yarrowspindle.decisions.actions import Fail, Move, Refuse, SetTimer
+from yarrowspindle.decisions.backends import Server
+from yarrowspindle.decisions.balancer import BREAKS, Balancer
+from yarrowspindle.decisions.events import (
     Established,
-    Fail,
     ListKind,
     LoadChanged,
-    Move,
     Outcome,
-    Refuse,
     Request,
-    RequestClass,
     ServerEntry,
     ServerList,
     ServerSlow,
-    SetTimer,
     State,
     TimerDue,
 )
-from yarrowspindle.policy import BREAKS, Balancer
+from yarrowspindle.decisions.settings import RequestClass
 
 TOLD = (RequestClass(500.0, 2000.0, message_aim_ms=90.0),)
 
--- a/tests/test_gate.py
+++ b/tests/decisions/test_request_gate.py
@@ -7,9 +7,10 @@
 
 import pytest
 
-from yarrowspindle.decisions import gate
-from yarrowspindle.decisions.refusal import Refusal
-from yarrowspindle.interface import Effect, State
+from yarrowspindle.decisions import request_gate as gate
+from yarrowspindle.decisions.events import State
+from yarrowspindle.decisions.rejection import Refusal
+from yarrowspindle.decisions.settings import Effect
 
 TAKEN: dict[str, Any] = {
     "ending": False,
--- a/tests/test_rules.py
+++ b/tests/decisions/test_rules.py
@@ -11,28 +11,23 @@
 
 from tests.driver import Driver
 from tests.helpers import balancer, end, sends, settings
-from yarrowspindle.decisions.refusal import Refusal
-from yarrowspindle.interface import (
-    Action,
+from yarrowspindle.decisions.actions import Action, Fail, SetTimer, Subscribe
+from yarrowspindle.decisions.balancer import Balancer
+from yarrowspindle.decisions.events import (
     Due,
-    Effect,
     Established,
-    Fail,
-    Group,
     ListKind,
     Outcome,
     Request,
-    RequestClass,
     Retuned,
     ServerEntry,
     ServerList,
     ServerSlow,
-    SetTimer,
     State,
-    Subscribe,
     TimerDue,
 )
-from yarrowspindle.policy import Balancer
+from yarrowspindle.decisions.rejection import Refusal
+from yarrowspindle.decisions.settings import Effect, Group, RequestClass
 
 CLASSES = (
     RequestClass(500.0, 2000.0, Effect.SAFE, message_aim_ms=100.0),
--- a/tests/test_slow_start_clock.py
+++ b/tests/decisions/test_slow_start_clock.py
@@ -8,10 +8,11 @@
 import pytest
 
 from tests.helpers import settings
-from yarrowspindle.interface import ListKind, State
-from yarrowspindle.routing.ending import Ending
-from yarrowspindle.routing.messages import AttemptOver, JobArrived, ListTold, Machine, NodeReached, NodeUp, Reach
+from yarrowspindle.decisions.events import ListKind, State
+from yarrowspindle.routing.effects import Reach
+from yarrowspindle.routing.events import AttemptOver, JobArrived, ListTold, Machine, NodeReached, NodeUp
 from yarrowspindle.routing.reducer import Reducer
+from yarrowspindle.routing.termination import Ending
 
 HOUR_MS = 3_600_000.0
 COLD_MS = 4000.0
--- a/tests/driver.py
+++ b/tests/driver.py
@@ -8,30 +8,22 @@
 import heapq
 from dataclasses import dataclass, field
 
-from yarrowspindle.interface import (
+from yarrowspindle.decisions.actions import Action, Cancel, Fail, Move, Refuse, Send, SetTimer
+from yarrowspindle.decisions.balancer import Balancer
+from yarrowspindle.decisions.events import (
     NEVER_RAN,
-    Action,
     AttemptEnded,
-    Cancel,
     ClientGone,
-    Effect,
     Established,
     Event,
-    Fail,
-    Group,
-    Move,
     Outcome,
-    Refuse,
     Request,
-    Send,
     ServerEntry,
     ServerList,
-    SetTimer,
-    Settings,
     State,
     TimerDue,
 )
-from yarrowspindle.policy import Balancer
+from yarrowspindle.decisions.settings import Effect, Group, Settings
 
 
 @dataclass
--- a/tests/forms/published.py
+++ b/tests/forms/published.py
@@ -8,46 +8,46 @@
 import click
 
 from tests.forms.samples import CONTROL_STATE, SETTINGS, TURN_STATE, sequence_events
-from yarrowspindle.control.controller import Controller
-from yarrowspindle.control.messages import Named, Sum
-from yarrowspindle.control.settings import Machine
-from yarrowspindle.decisions.refusal import Refusal
-from yarrowspindle.program.control_command import control
-from yarrowspindle.program.metrics import Metrics
-from yarrowspindle.program.turn_command import turns
-from yarrowspindle.routing import messages
-from yarrowspindle.routing.ending import Ending
+from yarrowspindle.commands.configuration import control
+from yarrowspindle.commands.maintenance import turns
+from yarrowspindle.configuration.controller import Controller
+from yarrowspindle.configuration.messages import Named, Sum
+from yarrowspindle.configuration.settings import Machine
+from yarrowspindle.daemon.metrics import Metrics
+from yarrowspindle.decisions.rejection import Refusal
+from yarrowspindle.maintenance import status_report as report
+from yarrowspindle.maintenance.coordinator import Fleet, Turns
+from yarrowspindle.maintenance.state import Seen
+from yarrowspindle.routing import effects
 from yarrowspindle.routing.reducer import Reducer
 from yarrowspindle.routing.state import Job, Phase
-from yarrowspindle.runtime.prober import Prober
+from yarrowspindle.routing.termination import Ending
+from yarrowspindle.runtime.health_checker import Prober
 from yarrowspindle.telemetry import Telemetry
 from yarrowspindle.telemetry.guard import Rule
 from yarrowspindle.telemetry.published_names import reason
-from yarrowspindle.turns import report
-from yarrowspindle.turns.core import Fleet, Turns
-from yarrowspindle.turns.state import Seen
 
 
-def effects() -> list[messages.Effect]:
+def sample_effects() -> list[effects.Effect]:
     """One of each, with each reason."""
     address = ("10.1.0.18", 3000)
-    found: list[messages.Effect] = [
-        messages.Reach(1, 0, "s-1", address, 500.0),
-        messages.Ask(1, 0, 480.0),
-        messages.Join(1),
-        messages.Close(1, Ending.SERVED),
-        messages.Wake(5.0, "pulse"),
-        messages.Unwake("pulse"),
-        messages.Watch(41, address),
-        messages.Probe("s-1", address, 500.0),
-        messages.Unprobe("s-1"),
-        messages.NodeGone("s-1"),
-        messages.Note("text"),
+    found: list[effects.Effect] = [
+        effects.Reach(1, 0, "s-1", address, 500.0),
+        effects.Ask(1, 0, 480.0),
+        effects.Join(1),
+        effects.Close(1, Ending.SERVED),
+        effects.Wake(5.0, "pulse"),
+        effects.Unwake("pulse"),
+        effects.Watch(41, address),
+        effects.Probe("s-1", address, 500.0),
+        effects.Unprobe("s-1"),
+        effects.NodeGone("s-1"),
+        effects.Note("text"),
     ]
     for refusal in (*Refusal, None):
-        found += [messages.Requeue(1, 0.0, refusal), messages.Deny(1, refusal), messages.Drop(1, 0, refusal)]
+        found += [effects.Requeue(1, 0.0, refusal), effects.Deny(1, refusal), effects.Drop(1, 0, refusal)]
     for ending in Ending:
-        found += [messages.Drop(1, 0, ending), messages.Move(1, ending)]
+        found += [effects.Drop(1, 0, ending), effects.Move(1, ending)]
     return found
 
 
@@ -69,7 +69,7 @@
     counted = Metrics(reducer)
     for event in sequence_events():
         counted.event(event)
-    for effect in effects():
+    for effect in sample_effects():
         counted.effect(effect)
     return {
         "counters": sorted(counted.counters()),
@@ -87,7 +87,7 @@
     told = Telemetry(reducer, lambda number: f"class{number}")
     for event in sequence_events():
         told.event(event)
-    for effect in effects():
+    for effect in sample_effects():
         told.effect(effect)
     told.reloaded(True)
     told.reloaded(False)
--- a/tests/forms/record.py
+++ b/tests/forms/record.py
@@ -11,9 +11,9 @@
 from typing import Any
 
 from tests.forms import published, samples
-from yarrowspindle.control import codec as control_codec
-from yarrowspindle.peers.codec import Codec
-from yarrowspindle.turns import codec as turns_codec
+from yarrowspindle.configuration import codec as control_codec
+from yarrowspindle.maintenance import codec as turns_codec
+from yarrowspindle.membership.codec import Codec
 
 HERE = Path(__file__).parent
 FILES = {"bytes": HERE / "bytes.json", "published": HERE / "published.json", "sequence": HERE / "sequence.jsonl"}
--- a/tests/forms/samples.py
+++ b/tests/forms/samples.py
@@ -5,20 +5,21 @@
 import io
 from typing import Any
 
-from yarrowspindle.control import codec as control_codec
-from yarrowspindle.control import messages as control
-from yarrowspindle.control.state import ControlState, Done, Order
-from yarrowspindle.interface import Effect, Group, ListKind, Others, RequestClass, Settings, State, Tenant
-from yarrowspindle.peers import codec as peers
-from yarrowspindle.rebalance import RebalanceSettings
+from yarrowspindle.configuration import codec as control_codec
+from yarrowspindle.configuration import messages as control
+from yarrowspindle.configuration.state import ControlState, Done, Order
+from yarrowspindle.consensus.register import Accept, Accepted, Kept, Prepare, Promise, Refused
+from yarrowspindle.decisions.events import ListKind, Others, State
+from yarrowspindle.decisions.settings import Effect, Group, RequestClass, Settings, Tenant
+from yarrowspindle.maintenance import codec as turns_codec
+from yarrowspindle.maintenance import coordinator as turns
+from yarrowspindle.maintenance.state import FEWEST, REFUSED, WARMING, Out, Request, TurnState, Wish
+from yarrowspindle.membership import codec as peers
+from yarrowspindle.protocol.fragments import Parcels
+from yarrowspindle.rebalancing import RebalanceSettings
 from yarrowspindle.replay.sequence import Recorder
-from yarrowspindle.routing import messages as routing
-from yarrowspindle.routing.ending import Ending
-from yarrowspindle.turns import codec as turns_codec
-from yarrowspindle.turns import core as turns
-from yarrowspindle.turns.parcels import Parcels
-from yarrowspindle.turns.register import Accept, Accepted, Kept, Prepare, Promise, Refused
-from yarrowspindle.turns.state import FEWEST, REFUSED, WARMING, Out, Request, TurnState, Wish
+from yarrowspindle.routing import events
+from yarrowspindle.routing.termination import Ending
 
 OWNER, CLUSTER = "n3", "lisboa"
 
@@ -169,30 +170,30 @@
 )
 
 
-def sequence_events() -> list[routing.Event]:
-    machine = routing.Machine("s-1", ("10.1.0.18", 3000), State.DRAINING, 1, 3, 2, 1.5, 1700000000000.0)
+def sequence_events() -> list[events.Event]:
+    machine = events.Machine("s-1", ("10.1.0.18", 3000), State.DRAINING, 1, 3, 2, 1.5, 1700000000000.0)
     others = Others({11: (2, 3.0)}, {11: -1}, 4, 6, 120.0, frozenset({13}), {14: (0.95, 6.0, 120.0)}, 2)
     return [
-        routing.ListTold(ListKind.FULL, [machine], 41, 250.0),
-        routing.JobArrived(1, 2000.0, 1, 0, 77, 3.5, 78, True, True, "s-1", "9b1f03aa5c7e2d41"),
-        routing.SubmitterLeft(1),
-        routing.OutOfTurn(1),
-        routing.NodeReached(1, 0),
-        routing.NodeUp(1, 0),
-        *(routing.AttemptOver(1, 0, ending) for ending in Ending),
-        routing.LoadTold(1, 2.5),
-        routing.FigureTold(1, 40.0),
-        routing.Asked(1, 2),
-        routing.Answered(1, 3),
-        routing.Woke("pulse"),
-        routing.Woke(7),
-        routing.Woke(("deadline", 1)),
-        routing.Stop(1500.0, False),
-        routing.Reloaded(("10.2.0.1", 8500)),
-        routing.Stalled(300.0),
-        routing.OthersTold(others),
-        routing.Rebalance(RebalanceSettings(), 9),
-        routing.Rebalance(None),
+        events.ListTold(ListKind.FULL, [machine], 41, 250.0),
+        events.JobArrived(1, 2000.0, 1, 0, 77, 3.5, 78, True, True, "s-1", "9b1f03aa5c7e2d41"),
+        events.SubmitterLeft(1),
+        events.OutOfTurn(1),
+        events.NodeReached(1, 0),
+        events.NodeUp(1, 0),
+        *(events.AttemptOver(1, 0, ending) for ending in Ending),
+        events.LoadTold(1, 2.5),
+        events.FigureTold(1, 40.0),
+        events.Asked(1, 2),
+        events.Answered(1, 3),
+        events.Woke("pulse"),
+        events.Woke(7),
+        events.Woke(("deadline", 1)),
+        events.Stop(1500.0, False),
+        events.Reloaded(("10.2.0.1", 8500)),
+        events.Stalled(300.0),
+        events.OthersTold(others),
+        events.Rebalance(RebalanceSettings(), 9),
+        events.Rebalance(None),
     ]
 
 
--- a/tests/test_quic_front.py
+++ b/tests/fronts/test_quic_front.py
@@ -12,12 +12,14 @@
 from tests.ports import free_port
 from tests.quic_stand_ins import ID_KEY, IDS, RESET_KEY, QuicClient, QuicNode
 from tests.stand_ins import relay
-from yarrowspindle.interface import ListKind, RequestClass, Settings, State
-from yarrowspindle.program.config import Config, QuicConfig
-from yarrowspindle.program.hub import Hub
-from yarrowspindle.program.quic_front import QuicFront
+from yarrowspindle.daemon.config import Config, QuicConfig
+from yarrowspindle.daemon.relay_service import Hub
+from yarrowspindle.decisions.events import ListKind, State
+from yarrowspindle.decisions.settings import RequestClass, Settings
+from yarrowspindle.fronts.quic_front import QuicFront
 from yarrowspindle.protocol import quic
-from yarrowspindle.routing.messages import Address, ListTold, Machine
+from yarrowspindle.routing.address import Address
+from yarrowspindle.routing.events import ListTold, Machine
 from yarrowspindle.runtime import SystemClock
 
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -4,20 +4,18 @@
 
 from typing import Any
 
-from yarrowspindle.interface import (
-    Action,
+from yarrowspindle.decisions.actions import Action, Send
+from yarrowspindle.decisions.balancer import Balancer
+from yarrowspindle.decisions.events import (
     AttemptEnded,
     Established,
     ListKind,
     Outcome,
     Request,
-    RequestClass,
-    Send,
     ServerEntry,
     ServerList,
-    Settings,
 )
-from yarrowspindle.policy import Balancer
+from yarrowspindle.decisions.settings import RequestClass, Settings
 
 SAFE = RequestClass(aim_ms=500.0, deadline_ms=2000.0)
 
--- a/tests/test_fleet_model.py
+++ b/tests/lab/test_fleet_model.py
@@ -8,10 +8,11 @@
 import pytest
 
 from tests.helpers import settings
-from yarrowspindle.interface import ListKind, ServerEntry, ServerList, SetTimer, State, Subscribe, TimerDue
+from yarrowspindle.decisions.actions import SetTimer, Subscribe
+from yarrowspindle.decisions.balancer import Balancer
+from yarrowspindle.decisions.events import ListKind, ServerEntry, ServerList, State, TimerDue
 from yarrowspindle.lab.model import Fleet, FleetSpec
-from yarrowspindle.lab.model.node import ModelNode
-from yarrowspindle.policy import Balancer
+from yarrowspindle.lab.model.backend import ModelNode
 
 VAST = FleetSpec(
     relays=40,
--- a/tests/test_processes.py
+++ b/tests/lab/test_processes.py
@@ -12,10 +12,10 @@
 
 from tests.ports import free_port
 from tests.stand_ins import ROOT, relay
+from yarrowspindle.daemon.config import ConfigError, read_operator
 from yarrowspindle.lab.processes import Run, play
 from yarrowspindle.lab.processes.__main__ import main
 from yarrowspindle.lab.processes.checker import Checker, Terms
-from yarrowspindle.program.config import ConfigError, read_operator
 
 
 @pytest.mark.parametrize(
@@ -123,8 +123,9 @@
 
 def test_nothing_of_peers_or_turns_is_loaded_without_the_section() -> None:
     code = (
-        "import sys, yarrowspindle.program.main, yarrowspindle.program.line_front; "
-        "print([m for m in sys.modules if 'peer' in m or 'turn' in m or m in ('msgspec', 'click')])"
+        "import sys, yarrowspindle.daemon.main, yarrowspindle.fronts.line_front; "
+        "words = ('membership', 'maintenance', 'consensus', 'fragments', 'voter', 'yarrowspindle.storage'); "
+        "print([m for m in sys.modules if any(w in m for w in words) or m in ('msgspec', 'click')])"
     )
     said = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True)
     assert said.stdout.strip() == "[]"
--- a/tests/test_library.py
+++ b/tests/library/test_library.py
@@ -15,7 +15,7 @@
 from benchmarks.library import both, record, stalling
 from examples.plan_status import show
 from tests.stand_ins import Server
-from yarrowspindle.interface import ListKind, State
+from yarrowspindle.decisions.events import ListKind, State
 from yarrowspindle.library import (
     CallbackList,
     Closing,
@@ -31,8 +31,8 @@
     WrongContext,
 )
 from yarrowspindle.replay import Recorder, SequenceError, play_library, read_sequence
-from yarrowspindle.routing.ending import Ending
-from yarrowspindle.routing.messages import Event, ListTold, Stalled
+from yarrowspindle.routing.events import Event, ListTold, Stalled
+from yarrowspindle.routing.termination import Ending
 from yarrowspindle.runtime import SystemClock, Timers
 
 MACHINES = [Machine(f"s-{i}", ("127.0.0.1", 3000 + i)) for i in (1, 2, 3)]
--- a/tests/test_turns.py
+++ b/tests/maintenance/test_maintenance.py
@@ -8,12 +8,12 @@
 
 from benchmarks.turns import day_of as day
 from benchmarks.turns import dies
+from yarrowspindle.consensus.register import NONE, Accept, Kept, Prepare, Promise, Refused, Voter
 from yarrowspindle.lab.faults import Fault
 from yarrowspindle.lab.model.exhaustive import STAGES, explore
 from yarrowspindle.lab.model.planted import DEFECTS
 from yarrowspindle.lab.model.turning import FIRST, STEPS, Plan, play_turns
-from yarrowspindle.turns.register import NONE, Accept, Kept, Prepare, Promise, Refused, Voter
-from yarrowspindle.turns.state import EMPTYING, FREE, WARMING, Seen, TurnError, TurnState, Wish
+from yarrowspindle.maintenance.state import EMPTYING, FREE, WARMING, Seen, TurnError, TurnState, Wish
 
 SEEN = {f"m{n}": Seen(n % 2, 1.0, True) for n in range(4)}
 WISH = Wish(("m0", "m1", "m2"), 2, 1, 2.0)
--- a/tests/test_turns_parts.py
+++ b/tests/maintenance/test_maintenance_parts.py
@@ -10,19 +10,19 @@
 
 import pytest
 
-from yarrowspindle.interface import State
-from yarrowspindle.program.config import ConfigError, read_operator
-from yarrowspindle.program.kept_file import FIRST, NoFile
-from yarrowspindle.program.turn_file import TurnFile, first_state
-from yarrowspindle.turns import codec
-from yarrowspindle.turns.core import Enter, Learn, Newest, Says, Turns
-from yarrowspindle.turns.emptying import BEAT_MS, Emptying, Task
-from yarrowspindle.turns.parcels import AGAIN_MS, GIVE_UP_MS, PART, Parcels
-from yarrowspindle.turns.register import NONE, Accept, Kept, Prepare, Promise, Refused, Voter
-from yarrowspindle.turns.register import Send as RegisterSend
-from yarrowspindle.turns.settings import Asking, read_asking
-from yarrowspindle.turns.state import Seen, TurnError, TurnState, Wish
-from yarrowspindle.turns.watch import TROUBLE_MS, FleetWatch, Look
+from yarrowspindle.consensus.register import NONE, Accept, Kept, Prepare, Promise, Refused, Voter
+from yarrowspindle.consensus.register import Send as RegisterSend
+from yarrowspindle.daemon.config import ConfigError, read_operator
+from yarrowspindle.daemon.voter_file import TurnFile, first_state
+from yarrowspindle.decisions.events import State
+from yarrowspindle.maintenance import codec
+from yarrowspindle.maintenance.coordinator import Enter, Learn, Newest, Says, Turns
+from yarrowspindle.maintenance.evacuation import BEAT_MS, Emptying, Task
+from yarrowspindle.maintenance.fleet_health import TROUBLE_MS, FleetWatch, Look
+from yarrowspindle.maintenance.settings import Asking, read_asking
+from yarrowspindle.maintenance.state import Seen, TurnError, TurnState, Wish
+from yarrowspindle.protocol.fragments import AGAIN_MS, GIVE_UP_MS, PART, Parcels
+from yarrowspindle.storage.durable_file import FIRST, NoFile
 
 VOTERS = ("r0", "r1", "r2")
 
@@ -180,7 +180,7 @@
 
 
 def test_the_example_file_is_read() -> None:
-    turns = read_operator((Path(__file__).parent.parent / "deploy/turns.toml").read_text()).turns
+    turns = read_operator((Path(__file__).parents[2] / "deploy/turns.toml").read_text()).turns
     assert turns is not None and turns.voters == ("n0", "n1", "n2")
 
 
--- a/tests/test_peers_members.py
+++ b/tests/membership/test_members.py
@@ -9,14 +9,26 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from yarrowspindle.others import OthersBook
-from yarrowspindle.peers.codec import ALIVE, DEAD, LEFT, MOST, SUSPECT, Codec, Datagram, Dropped, Ping, Rumour, Signal
-from yarrowspindle.peers.core import Peers
-from yarrowspindle.peers.detector import Detector, Probe
-from yarrowspindle.peers.members import Members
-from yarrowspindle.peers.messages import Came, Own, Send
-from yarrowspindle.peers.settings import PeerError, PeerSettings, read_peers
-from yarrowspindle.peers.signals import ENTRIES, FIGURE_MOST, OwnWord, Signals
+from yarrowspindle.decisions.peer_loads import OthersBook
+from yarrowspindle.membership.codec import (
+    ALIVE,
+    DEAD,
+    LEFT,
+    MOST,
+    SUSPECT,
+    Codec,
+    Datagram,
+    Dropped,
+    Ping,
+    Rumour,
+    Signal,
+)
+from yarrowspindle.membership.core import Peers
+from yarrowspindle.membership.failure_detector import Detector, Probe
+from yarrowspindle.membership.load_signals import ENTRIES, FIGURE_MOST, OwnWord, Signals
+from yarrowspindle.membership.members import Members
+from yarrowspindle.membership.messages import Came, Own, Send
+from yarrowspindle.membership.settings import PeerError, PeerSettings, read_peers
 
 HERE, THERE = ("10.0.0.1", 7946), ("10.0.0.2", 7946)
 
@@ -205,7 +217,7 @@
     assert heard.age(5000.0) == 5000.0 and others.heard == 0 and others.holds == {}
     book = OthersBook(4)
     assert book.shares(0.0) == (0.0, 4.0)
-    from yarrowspindle.interface import Others
+    from yarrowspindle.decisions.events import Others
 
     book.told(Others({5: (2, 100.0)}, heard=3, balancers=4, age_ms=100.0), 0.0)
     assert book.shares(0.0) == (1.0, 1.0) and book.shares(9000.0) == (0.0, 4.0)
@@ -280,7 +292,7 @@
     import tomllib
     from pathlib import Path
 
-    text = (Path(__file__).resolve().parent.parent / "deploy" / "peers.toml").read_text()
+    text = (Path(__file__).resolve().parents[2] / "deploy" / "peers.toml").read_text()
     read = read_peers(tomllib.loads(text)["peers"])
     assert read.probe_s == PeerSettings(HERE).probe_s and len(read.seeds) == 2
 
--- a/tests/test_peers_virtual.py
+++ b/tests/membership/test_membership_days.py
@@ -7,7 +7,7 @@
 from yarrowspindle.lab.faults import WORDS, Fault, FaultError, Ways, read_words, relay_names, schedule
 from yarrowspindle.lab.model.members import Relays, play_members
 from yarrowspindle.lab.model.peering import address_of
-from yarrowspindle.peers.messages import Came, Own
+from yarrowspindle.membership.messages import Came, Own
 
 SETS = (
     ("loss", "stall"),
--- a/tests/test_middleware.py
+++ b/tests/middleware/test_middleware.py
@@ -17,7 +17,8 @@
 from starlette.websockets import WebSocket
 
 from tests.helpers import settings
-from yarrowspindle.interface import RequestClass, State
+from yarrowspindle.decisions.events import State
+from yarrowspindle.decisions.settings import RequestClass
 from yarrowspindle.library import Machine, Placement, Placer, StaticList
 from yarrowspindle.middleware import PlacementMiddleware, relay_websocket
 
--- a/tests/test_protocol.py
+++ b/tests/protocol/test_protocol.py
@@ -9,12 +9,12 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from yarrowspindle.interface import ListKind, State
-from yarrowspindle.program.config import ConfigError, QuicConfig, flatten, read_operator
+from yarrowspindle.daemon.config import ConfigError, QuicConfig, flatten, read_operator
+from yarrowspindle.decisions.events import ListKind, State
 from yarrowspindle.protocol import collectd, graphite, lines
+from yarrowspindle.protocol.endpoint_list import ListError, Names, WatchAnswer
 from yarrowspindle.protocol.lines import LineError, Lines, Opening, Word, load_of, parse_open, requeue_notice, word_of
-from yarrowspindle.protocol.machines import ListError, Names, WatchAnswer
-from yarrowspindle.routing.messages import ListTold
+from yarrowspindle.routing.events import ListTold
 
 LINE = "OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=chat,t=acme,d=2000,g=5c0f6e1a2b3d4c59"
 LIST = (
--- a/tests/quic_stand_ins.py
+++ b/tests/quic_stand_ins.py
@@ -18,7 +18,7 @@
 
 from tests.ports import free_port
 from yarrowspindle.protocol import quic
-from yarrowspindle.routing.messages import Address
+from yarrowspindle.routing.address import Address
 from yarrowspindle.routing.reducer import node_number
 
 ID_KEY, RESET_KEY = bytes(range(16)), bytes(range(16, 48))
--- a/tests/test_rebalance.py
+++ b/tests/rebalancing/test_rebalancing.py
@@ -13,11 +13,11 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, rule
 
 from benchmarks.rebalance import measure
-from yarrowspindle.interface import State
+from yarrowspindle.decisions.events import State
 from yarrowspindle.lab.model import Fleet, FleetSpec, ModelNode
-from yarrowspindle.rebalance import Order, RebalanceError, Rebalancer, RebalanceSettings
-from yarrowspindle.rebalance.settings import read_rebalance
-from yarrowspindle.routing.messages import Rebalance, Stop
+from yarrowspindle.rebalancing import Order, RebalanceError, Rebalancer, RebalanceSettings
+from yarrowspindle.rebalancing.settings import read_rebalance
+from yarrowspindle.routing.events import Rebalance, Stop
 
 T0 = 1_700_000_000_000.0
 QUICK = RebalanceSettings(
--- a/tests/test_reducer_model.py
+++ b/tests/routing/test_reducer_model.py
@@ -11,42 +11,33 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 
 from tests import helpers
-from yarrowspindle.interface import ListKind, RequestClass, State
-from yarrowspindle.routing.ending import OUTCOMES, Ending
-from yarrowspindle.routing.messages import (
+from yarrowspindle.decisions.events import ListKind, State
+from yarrowspindle.decisions.settings import RequestClass
+from yarrowspindle.maintenance.evacuation import Task
+from yarrowspindle.routing.effects import Ask, Close, Deny, Drop, Join, Move, Reach, Requeue, Unwake, Wake, Watch
+from yarrowspindle.routing.events import (
     Answered,
-    Ask,
     Asked,
     AttemptOver,
-    Close,
-    Deny,
-    Drop,
     Event,
     JobArrived,
-    Join,
     ListTold,
     LoadTold,
     Machine,
-    Move,
     NodeReached,
     NodeUp,
     OutOfTurn,
-    Reach,
     Rejoin,
     Reloaded,
-    Requeue,
     Retune,
     Stop,
     SubmitterLeft,
     TurnsTold,
-    Unwake,
-    Wake,
-    Watch,
     Woke,
 )
 from yarrowspindle.routing.reducer import Reducer
+from yarrowspindle.routing.termination import OUTCOMES, Ending
 from yarrowspindle.telemetry import Telemetry
-from yarrowspindle.turns.emptying import Task
 
 DEADLINE = 2000.0
 NAMES = ("a", "b", "c")
--- a/tests/test_wire.py
+++ b/tests/simulator/test_wire.py
@@ -10,30 +10,23 @@
 
 import pytest
 
-from yarrowspindle import adapter, settings, wire
-from yarrowspindle.interface import (
+from yarrowspindle.decisions.actions import Cancel, Fail, Log, Move, Refuse, Send, SetTimer, Subscribe
+from yarrowspindle.decisions.events import (
     AttemptEnded,
-    Cancel,
-    Effect,
     Established,
-    Fail,
-    Group,
     ListKind,
     LoadChanged,
-    Log,
-    Move,
     Outcome,
-    Refuse,
     Request,
-    Send,
     ServerList,
     ServerSlow,
-    SetTimer,
     State,
-    Subscribe,
 )
+from yarrowspindle.decisions.settings import Effect, Group
+from yarrowspindle.protocol import platform_settings as settings
+from yarrowspindle.simulator import adapter, wire
 
-ROOT = Path(__file__).resolve().parent.parent
+ROOT = Path(__file__).resolve().parents[2]
 BASIC = {
     "categories.count": "1",
     "categories.0.slo_ms": "500.0",
@@ -234,7 +227,7 @@
 @pytest.mark.parametrize("name", ["cut frame", "setting missing"])
 def test_bad_input_ends_the_adapter_with_one_plain_line(name: str) -> None:
     done = subprocess.run(
-        [sys.executable, "-B", "-m", "yarrowspindle.adapter"],
+        [sys.executable, "-B", "-m", "yarrowspindle.simulator.adapter"],
         input=BAD[name],
         cwd=ROOT,
         capture_output=True,
--- a/tests/test_kept_file.py
+++ b/tests/storage/test_durable_file.py
@@ -10,12 +10,12 @@
 
 import pytest
 
+from tests.daemon.test_maintenance_daemon import COLD, operator
 from tests.ports import free_port
 from tests.stand_ins import relay
-from tests.test_turns_daemon import COLD, operator
-from yarrowspindle.program.kept_file import FIRST as FIRST_IDENTITY
-from yarrowspindle.program.turn_file import TurnFile, first_state
-from yarrowspindle.turns.register import NONE, Kept
+from yarrowspindle.consensus.register import NONE, Kept
+from yarrowspindle.daemon.voter_file import TurnFile, first_state
+from yarrowspindle.storage.durable_file import FIRST as FIRST_IDENTITY
 
 VOTERS = ("n0",)
 
--- a/tests/test_subsets.py
+++ b/tests/subsets/test_subset_ring.py
@@ -7,7 +7,7 @@
 import pytest
 
 from benchmarks.subsets import measured
-from yarrowspindle.subsets.arcs import LEAST, POINTS, Arcs, points_of
+from yarrowspindle.subsets.subset_ring import LEAST, POINTS, Arcs, points_of
 
 
 def seen(relays: dict[str, float], nodes: list[str]) -> Arcs:
--- a/tests/test_guard.py
+++ b/tests/telemetry/test_guard.py
@@ -7,23 +7,10 @@
 import pytest
 
 from tests.helpers import settings
-from yarrowspindle.interface import ListKind, State
-from yarrowspindle.routing.ending import Ending
-from yarrowspindle.routing.messages import (
-    Ask,
-    AttemptOver,
-    Deny,
-    Drop,
-    JobArrived,
-    Join,
-    ListTold,
-    Machine,
-    Reach,
-    Requeue,
-    Stalled,
-    SubmitterLeft,
-    Woke,
-)
+from yarrowspindle.decisions.events import ListKind, State
+from yarrowspindle.routing.effects import Ask, Deny, Drop, Join, Reach, Requeue
+from yarrowspindle.routing.events import AttemptOver, JobArrived, ListTold, Machine, Stalled, SubmitterLeft, Woke
+from yarrowspindle.routing.termination import Ending
 from yarrowspindle.telemetry.guard import OVERDUE_MS, Guard, Rule
 from yarrowspindle.telemetry.trace import Trace
 
--- a/tests/test_forms.py
+++ b/tests/test_forms.py
@@ -10,10 +10,10 @@
 import pytest
 
 from tests.forms import record, samples
-from yarrowspindle.control import codec as control_codec
-from yarrowspindle.peers.codec import Codec
+from yarrowspindle.configuration import codec as control_codec
+from yarrowspindle.maintenance import codec as turns_codec
+from yarrowspindle.membership.codec import Codec
 from yarrowspindle.replay.sequence import read_sequence
-from yarrowspindle.turns import codec as turns_codec
 
 RECORDED: dict[str, list[str]] = json.loads(record.FILES["bytes"].read_text(encoding="utf-8"))
 PUBLISHED: dict[str, Any] = json.loads(record.FILES["published"].read_text(encoding="utf-8"))
--- a/tests/test_peers_off.py
+++ b/tests/test_peers_off.py
@@ -16,7 +16,7 @@
 from tests.stand_ins import ROOT
 from yarrowspindle.lab.model import Fleet, FleetSpec
 from yarrowspindle.lab.model.deployments import ASKED, PROBED, TROUBLES
-from yarrowspindle.routing.messages import Unprobe
+from yarrowspindle.routing.effects import Unprobe
 from yarrowspindle.routing.reducer import Reducer
 
 # All effects of all relays, in their order. Taken on the build before (694cc79); the asked ones anew when draws came to
@@ -67,9 +67,10 @@
 
 def test_nothing_of_control_is_loaded_without_the_section() -> None:
     code = (
-        "import sys, yarrowspindle.program.main as main, yarrowspindle.program.line_front; "
+        "import sys, yarrowspindle.daemon.main as main, yarrowspindle.fronts.line_front; "
         "main.load_operator({'YARROWSPINDLE_OPERATOR': 'deploy/rebalance.toml'}); "
-        "print([m for m in sys.modules if 'control' in m or m in ('msgspec', 'click')])"
+        "words = ('configuration', 'controller', 'shared_settings', 'yarrowspindle.storage'); "
+        "print([m for m in sys.modules if any(w in m for w in words) or m in ('msgspec', 'click')])"
     )
     said = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True)
     assert said.stdout.strip() == "[]"
--- a/tests/test_connecting.py
+++ b/tests/transport/test_connecting.py
@@ -14,10 +14,10 @@
 
 from tests.ports import free_port
 from tests.stand_ins import SETTINGS
-from yarrowspindle.program.config import read_config
-from yarrowspindle.program.hub import Hub
-from yarrowspindle.program.line_front import LineFront
-from yarrowspindle.routing.messages import Reach
+from yarrowspindle.daemon.config import read_config
+from yarrowspindle.daemon.relay_service import Hub
+from yarrowspindle.fronts.line_front import LineFront
+from yarrowspindle.routing.effects import Reach
 from yarrowspindle.runtime import SystemClock
 
 CONNECT_MS = 60.0
--- a/tests/test_sides.py
+++ b/tests/transport/test_line_connections.py
@@ -6,9 +6,9 @@
 from collections.abc import Callable
 from typing import Any, cast
 
-from yarrowspindle.routing.ending import Ending
-from yarrowspindle.transport.node import NodeSide
-from yarrowspindle.transport.submitter import Submitter
+from yarrowspindle.routing.termination import Ending
+from yarrowspindle.transport.backend import NodeSide
+from yarrowspindle.transport.client import Submitter
 
 
 class Wire:
--- a/tests/test_slow_readers.py
+++ b/tests/transport/test_slow_readers.py
@@ -9,7 +9,7 @@
 import uvloop
 
 from tests.ports import free_port
-from yarrowspindle.transport.side import Side
+from yarrowspindle.transport.line_connection import Side
 
 LAST = b"MOVE\r\n"
 SEND_BUFFER, RECEIVE_BUFFER = 16 * 1024, 8 * 1024
--- a/yarrowspindle/__main__.py
+++ b/yarrowspindle/__main__.py
@@ -3,15 +3,15 @@
 import sys
 
 if sys.argv[1:2] == ["turns"]:
-    from yarrowspindle.program.turn_command import main as turns  # needs packages that the platform does without
+    from yarrowspindle.commands.maintenance import main as turns  # needs packages that the platform does without
 
     sys.exit(turns(sys.argv[2:]))
 
 if sys.argv[1:2] == ["control"]:
-    from yarrowspindle.program.control_command import main as control
+    from yarrowspindle.commands.configuration import main as control
 
     sys.exit(control(sys.argv[2:]))
 
-from yarrowspindle.program.main import main
+from yarrowspindle.daemon.main import main
 
 sys.exit(main())
--- a/yarrowspindle/program/calls.py
+++ b/yarrowspindle/commands/api_client.py
@@ -9,8 +9,8 @@
 
 import click
 
-from yarrowspindle.program.config import ConfigError
-from yarrowspindle.routing.messages import Address
+from yarrowspindle.daemon.config import ConfigError
+from yarrowspindle.routing.address import Address
 
 WITHIN_S = 5.0
 
--- a/yarrowspindle/program/control_command.py
+++ b/yarrowspindle/commands/configuration.py
@@ -9,12 +9,12 @@
 
 import click
 
-from yarrowspindle.control.settings import CONTROLLER, ControlSettings
-from yarrowspindle.program.calls import address, call, run
-from yarrowspindle.program.config import load_operator
-from yarrowspindle.program.control_settings import shared_of, text_of
-from yarrowspindle.program.controller import file_of, first_state
-from yarrowspindle.program.kept_file import NoFile
+from yarrowspindle.commands.api_client import address, call, run
+from yarrowspindle.configuration.settings import CONTROLLER, ControlSettings
+from yarrowspindle.daemon.config import load_operator
+from yarrowspindle.daemon.controller import file_of, first_state
+from yarrowspindle.daemon.shared_settings import shared_of, text_of
+from yarrowspindle.storage.durable_file import NoFile
 
 ANSWER_S, POLL_S = 12.0, 0.05
 
--- a/yarrowspindle/program/turn_command.py
+++ b/yarrowspindle/commands/maintenance.py
@@ -7,12 +7,12 @@
 
 import click
 
-from yarrowspindle.program import calls
-from yarrowspindle.program.config import load_config, load_operator
-from yarrowspindle.program.kept_file import NoFile
-from yarrowspindle.program.turn_file import TurnFile
-from yarrowspindle.turns.report import table
-from yarrowspindle.turns.settings import ORDERS
+from yarrowspindle.commands import api_client as calls
+from yarrowspindle.daemon.config import load_config, load_operator
+from yarrowspindle.daemon.voter_file import TurnFile
+from yarrowspindle.maintenance.settings import ORDERS
+from yarrowspindle.maintenance.status_report import table
+from yarrowspindle.storage.durable_file import NoFile
 
 
 def call(at: str | None, method: str, path: str, told: dict[str, Any] | None = None) -> Any:
--- a/yarrowspindle/control/agent.py
+++ b/yarrowspindle/configuration/agent.py
@@ -15,7 +15,7 @@
 from collections.abc import Mapping
 from random import Random
 
-from yarrowspindle.control.messages import (
+from yarrowspindle.configuration.messages import (
     WHY_MOST,
     Beat,
     Came,
@@ -33,8 +33,8 @@
     Whole,
     Woke,
 )
-from yarrowspindle.control.settings import Machine
-from yarrowspindle.control.state import Check, Entries, bounds, digest, stepped
+from yarrowspindle.configuration.settings import Machine
+from yarrowspindle.configuration.state import Check, Entries, bounds, digest, stepped
 
 TICK_MS, BEAT_MS = 250.0, 500.0  # how often it looks; how often it says that it is there
 SILENT_MS = 900.0  # a controller that has not answered for so long is left
--- a/yarrowspindle/control/codec.py
+++ b/yarrowspindle/configuration/codec.py
@@ -2,21 +2,10 @@
 
 from __future__ import annotations
 
-from yarrowspindle.control.messages import (
-    Beat,
-    Difference,
-    Keep,
-    Later,
-    Learn,
-    Leave,
-    Moved,
-    Newest,
-    Sum,
-    Whole,
-)
-from yarrowspindle.control.state import DONE_MOST, NAME_MOST, ControlState, Order, bounds
-from yarrowspindle.turns.codec import BadMessage, FileCodec, Kinds
-from yarrowspindle.turns.register import Accept, Accepted, Kept, Prepare, Promise, Refused
+from yarrowspindle.configuration.messages import Beat, Difference, Keep, Later, Learn, Leave, Moved, Newest, Sum, Whole
+from yarrowspindle.configuration.state import DONE_MOST, NAME_MOST, ControlState, Order, bounds
+from yarrowspindle.consensus.register import Accept, Accepted, Kept, Prepare, Promise, Refused
+from yarrowspindle.maintenance.codec import BadMessage, FileCodec, Kinds
 
 VERSION = 1
 VOTERS_MOST, TAKERS_MOST = 64, 64
--- a/yarrowspindle/control/controller.py
+++ b/yarrowspindle/configuration/controller.py
@@ -19,7 +19,7 @@
 from random import Random
 from typing import Any
 
-from yarrowspindle.control.messages import (
+from yarrowspindle.configuration.messages import (
     COUNTS_MOST,
     NAMED_MOST,
     WHY_MOST,
@@ -46,8 +46,8 @@
     Whole,
     Woke,
 )
-from yarrowspindle.control.settings import Machine
-from yarrowspindle.control.state import (
+from yarrowspindle.configuration.settings import Machine
+from yarrowspindle.configuration.state import (
     DONE_MOST,
     Check,
     ControlState,
@@ -58,9 +58,9 @@
     size,
     stepped,
 )
-from yarrowspindle.routing.messages import Address
-from yarrowspindle.turns import register
-from yarrowspindle.turns.register import Accept, Accepted, Committed, Failed, Prepare, Promise, Proposer, Refused
+from yarrowspindle.consensus import register
+from yarrowspindle.consensus.register import Accept, Accepted, Committed, Failed, Prepare, Promise, Proposer, Refused
+from yarrowspindle.routing.address import Address
 
 TICK_MS, SUM_MS = 100.0, 250.0  # how often it looks; how often the others are told
 SILENT_MS = 800.0  # a controller that was not heard for so long is passed over
--- a/yarrowspindle/control/link.py
+++ b/yarrowspindle/configuration/link.py
@@ -8,12 +8,12 @@
 
 from collections import Counter, OrderedDict
 
-from yarrowspindle.control import codec
-from yarrowspindle.control.messages import Later, Sender
-from yarrowspindle.peers.codec import VERSION, Carried, Codec, Datagram, Dropped
-from yarrowspindle.routing.messages import Address
-from yarrowspindle.turns.codec import BadMessage
-from yarrowspindle.turns.parcels import Parcels
+from yarrowspindle.configuration import codec
+from yarrowspindle.configuration.messages import Later, Sender
+from yarrowspindle.maintenance.codec import BadMessage
+from yarrowspindle.membership.codec import VERSION, Carried, Codec, Datagram, Dropped
+from yarrowspindle.protocol.fragments import Parcels
+from yarrowspindle.routing.address import Address
 
 LIVES_MOST = 4096  # addresses whose newest life is remembered
 SOURCE_PER_S, SOURCES_MOST = 1000, 4096  # datagrams taken of one address in a second, and addresses
--- a/yarrowspindle/control/messages.py
+++ b/yarrowspindle/configuration/messages.py
@@ -9,15 +9,8 @@
 
 from msgspec import Meta, Struct
 
-from yarrowspindle.control.state import (
-    DONE_MOST,
-    ENTRIES_MOST,
-    NAME_MOST,
-    ControlState,
-    Entries,
-    Step,
-)
-from yarrowspindle.routing.messages import Address
+from yarrowspindle.configuration.state import DONE_MOST, ENTRIES_MOST, NAME_MOST, ControlState, Entries, Step
+from yarrowspindle.routing.address import Address
 
 Number = Annotated[int, Meta(ge=0, lt=1 << 53)]
 Digest = Annotated[bytes, Meta(min_length=8, max_length=8)]
--- a/yarrowspindle/control/settings.py
+++ b/yarrowspindle/configuration/settings.py
@@ -8,10 +8,10 @@
 from hashlib import blake2b
 from typing import Any
 
-from yarrowspindle.control.messages import Sender
-from yarrowspindle.control.state import NAME_MOST, ControlError
-from yarrowspindle.peers.settings import PeerError, read_address
-from yarrowspindle.routing.messages import Address
+from yarrowspindle.configuration.messages import Sender
+from yarrowspindle.configuration.state import NAME_MOST, ControlError
+from yarrowspindle.membership.settings import PeerError, read_address
+from yarrowspindle.routing.address import Address
 
 RELAY, CONTROLLER = "relay", "controller"
 MACHINES_MOST, VOTERS_MOST = 32, 15
--- a/yarrowspindle/program/config.py
+++ b/yarrowspindle/daemon/config.py
@@ -10,16 +10,18 @@
 from pathlib import Path
 from typing import TYPE_CHECKING, Any
 
-from yarrowspindle.interface import ListKind, Settings
-from yarrowspindle.protocol.machines import ListError, Names, parse_address, parse_list
-from yarrowspindle.routing.messages import Address, ListTold
-from yarrowspindle.settings import SettingsError, read_settings
+from yarrowspindle.decisions.events import ListKind
+from yarrowspindle.decisions.settings import Settings
+from yarrowspindle.protocol.endpoint_list import ListError, Names, parse_address, parse_list
+from yarrowspindle.protocol.platform_settings import SettingsError, read_settings
+from yarrowspindle.routing.address import Address
+from yarrowspindle.routing.events import ListTold
 
 if TYPE_CHECKING:  # the platform does without these packages
-    from yarrowspindle.control.settings import ControlSettings
-    from yarrowspindle.peers import PeerSettings
-    from yarrowspindle.rebalance import RebalanceSettings
-    from yarrowspindle.turns.settings import TurnSettings
+    from yarrowspindle.configuration.settings import ControlSettings
+    from yarrowspindle.maintenance.settings import TurnSettings
+    from yarrowspindle.membership import PeerSettings
+    from yarrowspindle.rebalancing import RebalanceSettings
 
 
 LOG_LEVELS = ("TRACE", "DEBUG", "INFO", "SUCCESS", "WARNING", "ERROR", "CRITICAL")
@@ -175,28 +177,28 @@
 
 
 def read_rebalance(section: Mapping[str, Any]) -> RebalanceSettings:
-    from yarrowspindle.rebalance.settings import read_rebalance as read
+    from yarrowspindle.rebalancing.settings import read_rebalance as read
 
     return read(section)
 
 
 def read_peers(section: Mapping[str, Any]) -> PeerSettings:
     try:
-        from yarrowspindle.peers.settings import read_peers as read  # the platform does without the package
+        from yarrowspindle.membership.settings import read_peers as read  # the platform does without the package
     except ImportError as error:
         raise ValueError(f"[peers] needs requirements-peers.txt: {error}") from error
     return read(section)
 
 
 def read_turns(section: Mapping[str, Any]) -> TurnSettings:
-    from yarrowspindle.turns.settings import read_turns as read
+    from yarrowspindle.maintenance.settings import read_turns as read
 
     return read(section)
 
 
 def read_control(section: Mapping[str, Any]) -> ControlSettings:
     try:
-        from yarrowspindle.control.settings import read_control as read  # the platform does without the package
+        from yarrowspindle.configuration.settings import read_control as read  # the platform does without the package
     except ImportError as error:
         raise ValueError(f"[control] needs requirements-turns.txt: {error}") from error
     return read(section)
--- a/yarrowspindle/program/control.py
+++ b/yarrowspindle/daemon/configuration_endpoint.py
@@ -13,20 +13,20 @@
 
 from loguru import logger
 
-from yarrowspindle.control.agent import Agent
-from yarrowspindle.control.codec import TAKEN
-from yarrowspindle.control.controller import Controller
-from yarrowspindle.control.link import Link
-from yarrowspindle.control.messages import Came, Effect, Event, Keep, Note, Send, Take, Turned, Wake, Woke
-from yarrowspindle.control.settings import ControlSettings, preferred
-from yarrowspindle.control.state import ControlState
-from yarrowspindle.peers.codec import Dropped
-from yarrowspindle.program.config import ConfigError
-from yarrowspindle.program.control_settings import WHY_MOST, check
-from yarrowspindle.program.hub import Hub
-from yarrowspindle.program.kept_file import KeptFile, NoFile
-from yarrowspindle.program.log import Bounded
-from yarrowspindle.routing.messages import Address
+from yarrowspindle.configuration.agent import Agent
+from yarrowspindle.configuration.codec import TAKEN
+from yarrowspindle.configuration.controller import Controller
+from yarrowspindle.configuration.link import Link
+from yarrowspindle.configuration.messages import Came, Effect, Event, Keep, Note, Send, Take, Turned, Wake, Woke
+from yarrowspindle.configuration.settings import ControlSettings, preferred
+from yarrowspindle.configuration.state import ControlState
+from yarrowspindle.daemon.config import ConfigError
+from yarrowspindle.daemon.log import Bounded
+from yarrowspindle.daemon.relay_service import Hub
+from yarrowspindle.daemon.shared_settings import WHY_MOST, check
+from yarrowspindle.membership.codec import Dropped
+from yarrowspindle.routing.address import Address
+from yarrowspindle.storage.durable_file import KeptFile, NoFile
 from yarrowspindle.transport.datagrams import Front
 
 AGAIN_S = 1.0  # a lock, a disk or a core that failed is tried again after so long
--- a/yarrowspindle/program/door.py
+++ b/yarrowspindle/daemon/connection_limiter.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable
 from itertools import islice
 
-from yarrowspindle.transport.side import Side
+from yarrowspindle.transport.line_connection import Side
 
 SPARE = 24  # for what comes and goes: watches, the configuration's file, sockets that are about to close
 STRANGERS_PART = 0.2
--- a/yarrowspindle/program/controller.py
+++ b/yarrowspindle/daemon/controller.py
@@ -12,19 +12,19 @@
 import msgspec
 from loguru import logger
 
-from yarrowspindle.control import codec
-from yarrowspindle.control.controller import Controller
-from yarrowspindle.control.messages import Answer, Came, Effect, Ordered, Send, Sender, Took, Vote
-from yarrowspindle.control.settings import ControlSettings
-from yarrowspindle.control.state import ControlError, ControlState
-from yarrowspindle.operator import OperatorApi
-from yarrowspindle.operator.http import Answer as HttpAnswer
-from yarrowspindle.program.config import ConfigError, Operator
-from yarrowspindle.program.control import Endpoint, some_number
-from yarrowspindle.program.control_settings import check
-from yarrowspindle.program.kept_file import FIRST, K, KeptFile, NoFile, VoterFile
-from yarrowspindle.program.metrics import report
-from yarrowspindle.turns.register import Kept, Voter
+from yarrowspindle.configuration import codec
+from yarrowspindle.configuration.controller import Controller
+from yarrowspindle.configuration.messages import Answer, Came, Effect, Ordered, Send, Sender, Took, Vote
+from yarrowspindle.configuration.settings import ControlSettings
+from yarrowspindle.configuration.state import ControlError, ControlState
+from yarrowspindle.consensus.register import Kept, Voter
+from yarrowspindle.daemon.config import ConfigError, Operator
+from yarrowspindle.daemon.configuration_endpoint import Endpoint, some_number
+from yarrowspindle.daemon.metrics import report
+from yarrowspindle.daemon.shared_settings import check
+from yarrowspindle.operator_api import OperatorApi
+from yarrowspindle.operator_api.http import Answer as HttpAnswer
+from yarrowspindle.storage.durable_file import FIRST, K, KeptFile, NoFile, VoterFile
 
 LOCK_S = 0.2
 AGREED = "agreed"
--- a/yarrowspindle/program/main.py
+++ b/yarrowspindle/daemon/main.py
@@ -14,12 +14,12 @@
 import uvloop
 from loguru import logger
 
-from yarrowspindle.program.config import Config, ConfigError, Operator, load_config, load_operator
-from yarrowspindle.program.door import descriptors_left
-from yarrowspindle.program.hub import Hub
-from yarrowspindle.program.line_front import LineFront
-from yarrowspindle.program.log import log_to
-from yarrowspindle.program.metrics import report
+from yarrowspindle.daemon.config import Config, ConfigError, Operator, load_config, load_operator
+from yarrowspindle.daemon.connection_limiter import descriptors_left
+from yarrowspindle.daemon.log import log_to
+from yarrowspindle.daemon.metrics import report
+from yarrowspindle.daemon.relay_service import Hub
+from yarrowspindle.fronts.line_front import LineFront
 from yarrowspindle.runtime import SystemClock
 
 T = TypeVar("T")
@@ -56,7 +56,9 @@
     hub.start()
     control = None
     if operator.control is not None:
-        from yarrowspindle.program.control import RelayEndpoint  # needs a package that the platform does without
+        from yarrowspindle.daemon.configuration_endpoint import (
+            RelayEndpoint,  # needs a package that the platform does without
+        )
 
         control = RelayEndpoint(hub, operator.control)
         control.start()
@@ -64,7 +66,7 @@
     if config.settings.may_probe and config.settings.report:
         descriptors -= hub.prober.most
     if config.operator is not None:
-        from yarrowspindle.operator import MOST, OperatorApi
+        from yarrowspindle.operator_api import MOST, OperatorApi
 
         descriptors -= MOST + 2  # one more while the oldest is ended, and its socket
 
@@ -74,24 +76,24 @@
     server = await once_free("the clients' address", listen)
     api = None
     if config.operator is not None:
-        from yarrowspindle.program.operations import routes
+        from yarrowspindle.daemon.operator_routes import routes
 
         api = OperatorApi(routes(hub), lambda text: logger.error("an operator's call failed: {}", text))
         await once_free("the operators' address", partial(api.start, *config.operator))
         logger.info("the operators' API is at {}:{}", *config.operator)
     if operator.quic is not None:
-        from yarrowspindle.program.quic_front import QuicFront  # needs packages that the platform does without
+        from yarrowspindle.fronts.quic_front import QuicFront  # needs packages that the platform does without
 
         await QuicFront(hub, operator.quic).start()
     peering = None
     if operator.peers is not None:
-        from yarrowspindle.program.peering import Peering  # needs a package that the platform does without
+        from yarrowspindle.daemon.membership_endpoint import Peering  # needs a package that the platform does without
 
         peering = Peering(hub, operator.peers)
         peering.start()
     turning = None
     if operator.turns is not None and peering is not None:
-        from yarrowspindle.program.turning import Turning
+        from yarrowspindle.daemon.maintenance_endpoint import Turning
 
         turning = Turning(hub, peering, operator.turns)
         await turning.start()
@@ -127,7 +129,7 @@
         operator = load_operator()
         log_to(operator.log_level)
         if operator.control is not None and operator.control.role == "controller":
-            from yarrowspindle.program import controller
+            from yarrowspindle.daemon import controller
 
             controller.check_sections(operator)
             uvloop.run(controller.serve(operator.control, operator))
--- a/yarrowspindle/program/turning.py
+++ b/yarrowspindle/daemon/maintenance_endpoint.py
@@ -14,25 +14,26 @@
 import msgspec
 from loguru import logger
 
-from yarrowspindle.interface import SERVER_KEY, State
-from yarrowspindle.operator import OperatorApi
-from yarrowspindle.operator.http import Answer, BodyRoutes
-from yarrowspindle.peers.messages import Carry
-from yarrowspindle.program.config import Operator
-from yarrowspindle.program.hub import Hub
-from yarrowspindle.program.kept_file import NoFile
-from yarrowspindle.program.log import Bounded
-from yarrowspindle.program.peering import Peering
-from yarrowspindle.program.turn_file import TurnFile, first_state
-from yarrowspindle.routing.messages import TurnsTold
-from yarrowspindle.turns import codec, report
-from yarrowspindle.turns.core import Came, Effect, Event, Fleet, Order, Send, Took, Turns, Vote, Wake, Woke
-from yarrowspindle.turns.emptying import Task
-from yarrowspindle.turns.parcels import Parcels
-from yarrowspindle.turns.register import Kept, Voter
-from yarrowspindle.turns.settings import Asking, TurnSettings, read_asking
-from yarrowspindle.turns.state import EMPTYING, FREE, QUEUED, WARMING, TurnError, TurnState
-from yarrowspindle.turns.watch import FleetWatch, Look
+from yarrowspindle.consensus.register import Kept, Voter
+from yarrowspindle.daemon.config import Operator
+from yarrowspindle.daemon.log import Bounded
+from yarrowspindle.daemon.membership_endpoint import Peering
+from yarrowspindle.daemon.relay_service import Hub
+from yarrowspindle.daemon.voter_file import TurnFile, first_state
+from yarrowspindle.decisions.events import SERVER_KEY, State
+from yarrowspindle.maintenance import codec
+from yarrowspindle.maintenance import status_report as report
+from yarrowspindle.maintenance.coordinator import Came, Effect, Event, Fleet, Order, Send, Took, Turns, Vote, Wake, Woke
+from yarrowspindle.maintenance.evacuation import Task
+from yarrowspindle.maintenance.fleet_health import FleetWatch, Look
+from yarrowspindle.maintenance.settings import Asking, TurnSettings, read_asking
+from yarrowspindle.maintenance.state import EMPTYING, FREE, QUEUED, WARMING, TurnError, TurnState
+from yarrowspindle.membership.messages import Carry
+from yarrowspindle.operator_api import OperatorApi
+from yarrowspindle.operator_api.http import Answer, BodyRoutes
+from yarrowspindle.protocol.fragments import Parcels
+from yarrowspindle.routing.events import TurnsTold
+from yarrowspindle.storage.durable_file import NoFile
 
 LOCK_S = 0.2
 LOOK_S, HOLDS_S, PARCELS_S = 0.5, 0.15, 0.05
--- a/yarrowspindle/program/peering.py
+++ b/yarrowspindle/daemon/membership_endpoint.py
@@ -12,13 +12,14 @@
 
 from loguru import logger
 
-from yarrowspindle.interface import Others
-from yarrowspindle.peers import Peers, PeerSettings
-from yarrowspindle.peers.messages import Came, Event, Leave, Own
-from yarrowspindle.program.hub import Hub
-from yarrowspindle.program.log import Bounded
-from yarrowspindle.routing.messages import Address, OthersTold
-from yarrowspindle.runtime.peer_pump import PeerPump, own_word
+from yarrowspindle.daemon.log import Bounded
+from yarrowspindle.daemon.relay_service import Hub
+from yarrowspindle.decisions.events import Others
+from yarrowspindle.membership import Peers, PeerSettings
+from yarrowspindle.membership.messages import Came, Event, Leave, Own
+from yarrowspindle.routing.address import Address
+from yarrowspindle.routing.events import OthersTold
+from yarrowspindle.runtime.membership_driver import PeerPump, own_word
 from yarrowspindle.transport.datagrams import Front
 
 FLUSH_S = 0.02
--- a/yarrowspindle/program/metrics.py
+++ b/yarrowspindle/daemon/metrics.py
@@ -10,15 +10,17 @@
 
 from loguru import logger
 
-from yarrowspindle.program.config import MetricsConfig
+from yarrowspindle.daemon.config import MetricsConfig
 from yarrowspindle.protocol import collectd, graphite
-from yarrowspindle.routing.messages import Address, AttemptOver, Deny, Drop, Effect, Event, Move, Requeue
+from yarrowspindle.routing.address import Address
+from yarrowspindle.routing.effects import Deny, Drop, Effect, Move, Requeue
+from yarrowspindle.routing.events import AttemptOver, Event
 from yarrowspindle.routing.reducer import Reducer
 from yarrowspindle.telemetry.published_names import EFFECTS, ENDINGS, EVENTS, PHASES, reason
 from yarrowspindle.transport.receivers import Datagrams, Receiver
 
 if TYPE_CHECKING:
-    from yarrowspindle.rebalance import Rebalancer
+    from yarrowspindle.rebalancing import Rebalancer
 
 REASONS: dict[type, str] = {Requeue: "refusal", Deny: "refusal", Drop: "given_up", Move: "moved"}
 
--- a/yarrowspindle/program/operations.py
+++ b/yarrowspindle/daemon/operator_routes.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from yarrowspindle.operator import Routes
-from yarrowspindle.program.hub import Hub
+from yarrowspindle.daemon.relay_service import Hub
+from yarrowspindle.operator_api import Routes
 
 
 def routes(hub: Hub) -> Routes:
--- a/yarrowspindle/program/hub.py
+++ b/yarrowspindle/daemon/relay_service.py
@@ -8,14 +8,15 @@
 
 from loguru import logger
 
-from yarrowspindle.program.config import Config, ConfigError, Operator, load_operator, reload_config, retune, share
-from yarrowspindle.program.log import Bounded
-from yarrowspindle.program.metrics import Metrics
-from yarrowspindle.routing.messages import Effect, Rebalance, Rejoin, Reloaded, Retune, Stop, TurnsTold, Watch
+from yarrowspindle.daemon.config import Config, ConfigError, Operator, load_operator, reload_config, retune, share
+from yarrowspindle.daemon.log import Bounded
+from yarrowspindle.daemon.metrics import Metrics
+from yarrowspindle.routing.effects import Effect, Watch
+from yarrowspindle.routing.events import Rebalance, Rejoin, Reloaded, Retune, Stop, TurnsTold
 from yarrowspindle.routing.reducer import Reducer
 from yarrowspindle.runtime import Clock, Runtime, SystemClock, Timers
-from yarrowspindle.runtime.list_watch import ListWatch
-from yarrowspindle.runtime.prober import Prober
+from yarrowspindle.runtime.endpoint_watch import ListWatch
+from yarrowspindle.runtime.health_checker import Prober
 from yarrowspindle.telemetry import Telemetry
 from yarrowspindle.telemetry.guard import Guard
 from yarrowspindle.telemetry.trace import Trace
@@ -75,7 +76,7 @@
     def start(self) -> None:
         self.runtime.start()
         if self.operator.turns is not None:
-            from yarrowspindle.turns.emptying import Task  # the platform does without it
+            from yarrowspindle.maintenance.evacuation import Task  # the platform does without it
 
             self.post(TurnsTold(Task()))  # nothing is placed before this process knows what is out
         self.post(self.config.known)
--- a/yarrowspindle/program/control_settings.py
+++ b/yarrowspindle/daemon/shared_settings.py
@@ -11,7 +11,7 @@
 from difflib import get_close_matches
 from typing import Any
 
-from yarrowspindle.program.config import OWN, ConfigError, shared_settings
+from yarrowspindle.daemon.config import OWN, ConfigError, shared_settings
 
 SHARED = (
     "balancers",
--- a/yarrowspindle/program/turn_file.py
+++ b/yarrowspindle/daemon/voter_file.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-from yarrowspindle.program.kept_file import FIRST, VoterFile
-from yarrowspindle.turns.codec import FILE
-from yarrowspindle.turns.state import TurnState
+from yarrowspindle.maintenance.codec import FILE
+from yarrowspindle.maintenance.state import TurnState
+from yarrowspindle.storage.durable_file import FIRST, VoterFile
 
 
 def first_state(voters: tuple[str, ...]) -> TurnState:
--- a/yarrowspindle/books.py
+++ b/yarrowspindle/decisions/backends.py
@@ -4,7 +4,7 @@
 
 from math import exp, inf
 
-from yarrowspindle.interface import Settings
+from yarrowspindle.decisions.settings import Settings
 
 
 class Server:
--- a/yarrowspindle/policy.py
+++ b/yarrowspindle/decisions/balancer.py
@@ -1,4 +1,4 @@
-"""All decisions of a balancer for long-lived connections. Interface: yarrowspindle/interface.py.
+"""All decisions of a balancer for long-lived connections. Interface: `settings.py`, `events.py`, `actions.py`.
 
 The ordinary path is the two-choice rule of Luczak & McDiarmid, "On the Power of Two Choices: Balls and
 Bins in Continuous Time": draw two ready servers, take the one holding fewer of our own open connections.
@@ -11,48 +11,39 @@
 from random import Random
 from typing import Any
 
-from yarrowspindle.books import Job, Loads, Server, SetUps, Trouble, known
+from yarrowspindle.decisions.actions import Action, Cancel, Fail, Move, Probe, Refuse, Send, SetTimer, Subscribe
+from yarrowspindle.decisions.backends import Job, Loads, Server, SetUps, Trouble, known
 from yarrowspindle.decisions.cost_placement import CostPlacement
-from yarrowspindle.decisions.gate import may_promise_no_effect
-from yarrowspindle.decisions.refusal import Refusal
-from yarrowspindle.decisions.retries import RetryBudget, least_wait, may_attempt, repeat_group, repeat_within
-from yarrowspindle.decisions.slow_start import SlowStart
-from yarrowspindle.interface import (
+from yarrowspindle.decisions.events import (
     NEVER_RAN,
-    Action,
     Adopted,
     AttemptEnded,
-    Cancel,
     ClientGone,
     Due,
-    Effect,
     Established,
     Event,
-    Fail,
     Levelling,
     ListKind,
     LoadChanged,
-    Move,
     Others,
     Outcome,
     PeerMessage,
-    Probe,
     Probed,
-    Refuse,
     Request,
     Retuned,
-    Send,
     ServerList,
     ServerSlow,
-    SetTimer,
-    Settings,
     State,
-    Subscribe,
     TimerDue,
 )
-from yarrowspindle.others import OthersBook
-from yarrowspindle.reports import SICK, Estimates
-from yarrowspindle.ring import Ring
+from yarrowspindle.decisions.load_estimates import SICK, Estimates
+from yarrowspindle.decisions.peer_loads import OthersBook
+from yarrowspindle.decisions.rejection import Refusal
+from yarrowspindle.decisions.request_gate import may_promise_no_effect
+from yarrowspindle.decisions.retries import RetryBudget, least_wait, may_attempt, repeat_group, repeat_within
+from yarrowspindle.decisions.settings import Effect, Settings
+from yarrowspindle.decisions.slow_start import SlowStart
+from yarrowspindle.decisions.weighted_ring import Ring
 
 GOLDEN = (5**0.5 - 1) / 2  # multiples of it spread evenly over a ring, whichever numbers are taken
 DEAR = 0.05  # a crossing that costs more of a request's worth than this is worth staying at home for
--- a/yarrowspindle/decisions/cost_placement.py
+++ b/yarrowspindle/decisions/cost_placement.py
@@ -10,10 +10,10 @@
 from math import inf
 from random import Random
 
-from yarrowspindle.books import Job, Server
-from yarrowspindle.interface import Settings
-from yarrowspindle.reports import SICK, Estimates
-from yarrowspindle.ring import Ring
+from yarrowspindle.decisions.backends import Job, Server
+from yarrowspindle.decisions.load_estimates import SICK, Estimates
+from yarrowspindle.decisions.settings import Settings
+from yarrowspindle.decisions.weighted_ring import Ring
 
 ROUNDS = 3  # draws, while all that were drawn cost more than the connection is worth
 DRAWS = 2  # servers drawn from each ring in a round
--- a/yarrowspindle/reports.py
+++ b/yarrowspindle/decisions/load_estimates.py
@@ -9,9 +9,9 @@
 from collections.abc import Iterable
 from math import exp, inf
 
-from yarrowspindle.books import Job, Server
-from yarrowspindle.interface import Settings
-from yarrowspindle.others import OthersBook
+from yarrowspindle.decisions.backends import Job, Server
+from yarrowspindle.decisions.peer_loads import OthersBook
+from yarrowspindle.decisions.settings import Settings
 
 USED, HOLDS = "x0", "rif"  # fields of a load report: load asked over what the server can do, connections held
 KNEE, STEEP = 0.96, 11.0  # half of the messages are late at this use; measured over 24 days, see docs
--- a/yarrowspindle/others.py
+++ b/yarrowspindle/decisions/peer_loads.py
@@ -9,8 +9,8 @@
 from collections.abc import Iterator
 from math import inf
 
-from yarrowspindle.books import Server
-from yarrowspindle.interface import SERVER_KEY, Others, group_key
+from yarrowspindle.decisions.backends import Server
+from yarrowspindle.decisions.events import SERVER_KEY, Others, group_key
 
 FRESH_MS, OLD_MS = 2000.0, 4500.0
 MOVERS = 2  # balancers that move connections on one beat
--- a/yarrowspindle/decisions/gate.py
+++ b/yarrowspindle/decisions/request_gate.py
@@ -9,8 +9,9 @@
 
 from math import inf
 
-from yarrowspindle.decisions.refusal import Refusal
-from yarrowspindle.interface import Effect, State
+from yarrowspindle.decisions.events import State
+from yarrowspindle.decisions.rejection import Refusal
+from yarrowspindle.decisions.settings import Effect
 
 EARLY_MS = 4.0  # the deadline's answer leaves this long before the client stops waiting; nothing is begun after that
 PATIENCE_MS = 1000.0  # a client that would wait for longer than its class's deadline and this is not believed
--- a/yarrowspindle/decisions/retries.py
+++ b/yarrowspindle/decisions/retries.py
@@ -4,11 +4,11 @@
 
 from math import inf
 
-from yarrowspindle.books import Job, Server
-from yarrowspindle.decisions import gate
-from yarrowspindle.decisions.refusal import Refusal
-from yarrowspindle.interface import Group, RequestClass, Settings
-from yarrowspindle.ring import Ring
+from yarrowspindle.decisions import request_gate as gate
+from yarrowspindle.decisions.backends import Job, Server
+from yarrowspindle.decisions.rejection import Refusal
+from yarrowspindle.decisions.settings import Group, RequestClass, Settings
+from yarrowspindle.decisions.weighted_ring import Ring
 
 RETRY_PART = 0.2  # other attempts allowed at once for each connection set up: retries add a fifth at most
 SPARE_MOST = 2.0  # and saved up for later
--- a/yarrowspindle/decisions/slow_start.py
+++ b/yarrowspindle/decisions/slow_start.py
@@ -12,10 +12,10 @@
 from itertools import accumulate
 from math import inf
 
-from yarrowspindle.books import Rate, Server
-from yarrowspindle.decisions import gate
-from yarrowspindle.interface import Settings
-from yarrowspindle.ring import Ring
+from yarrowspindle.decisions import request_gate as gate
+from yarrowspindle.decisions.backends import Rate, Server
+from yarrowspindle.decisions.settings import Settings
+from yarrowspindle.decisions.weighted_ring import Ring
 
 BUDGET_PART = 0.75  # of the fall multiple, used of a cold server's budget; the rest is for chance
 HEADROOM = 2.0  # what fills a server, over its share of what stands as a rule
--- /dev/null
+++ b/yarrowspindle/fronts/__init__.py
@@ -0,0 +1,1 @@
+"""What clients connect to: the platform's lines, and QUIC."""
--- a/yarrowspindle/program/line_front.py
+++ b/yarrowspindle/fronts/line_front.py
@@ -8,36 +8,28 @@
 
 from loguru import logger
 
-from yarrowspindle.program.door import Door
-from yarrowspindle.program.hub import Hub
-from yarrowspindle.program.log import Bounded
+from yarrowspindle.daemon.connection_limiter import Door
+from yarrowspindle.daemon.log import Bounded
+from yarrowspindle.daemon.relay_service import Hub
 from yarrowspindle.protocol import lines
 from yarrowspindle.protocol.lines import LineError, Open
-from yarrowspindle.routing.ending import Ending
-from yarrowspindle.routing.messages import (
+from yarrowspindle.routing.effects import Ask, Close, Deny, Drop, Effect, Join, Move, Reach, Requeue
+from yarrowspindle.routing.events import (
     Answered,
-    Ask,
     Asked,
     AttemptOver,
-    Close,
-    Deny,
-    Drop,
-    Effect,
     FigureTold,
     JobArrived,
-    Join,
-    Move,
     NodeReached,
     NodeUp,
     OutOfTurn,
-    Reach,
-    Requeue,
     SubmitterLeft,
 )
+from yarrowspindle.routing.termination import Ending
+from yarrowspindle.transport.backend import NodeSide
+from yarrowspindle.transport.client import Submitter
 from yarrowspindle.transport.connecting import ConnectFailure, Connecting, OwnNetwork
 from yarrowspindle.transport.listener import Listener
-from yarrowspindle.transport.node import NodeSide
-from yarrowspindle.transport.submitter import Submitter
 
 BACKLOG = 1024
 TURN_S = 0.001
--- a/yarrowspindle/program/quic_front.py
+++ b/yarrowspindle/fronts/quic_front.py
@@ -15,30 +15,16 @@
 from aioquic.quic.packet import QuicPacketType
 from loguru import logger
 
-from yarrowspindle.interface import State
-from yarrowspindle.program.config import QuicConfig
-from yarrowspindle.program.hub import Hub
+from yarrowspindle.daemon.config import QuicConfig
+from yarrowspindle.daemon.relay_service import Hub
+from yarrowspindle.decisions.events import State
 from yarrowspindle.protocol import quic
 from yarrowspindle.protocol.quic import Header, Link, PacketError
-from yarrowspindle.routing.ending import Ending
-from yarrowspindle.routing.messages import (
-    Address,
-    Ask,
-    AttemptOver,
-    Close,
-    Deny,
-    Drop,
-    Effect,
-    JobArrived,
-    Join,
-    Move,
-    NodeGone,
-    NodeReached,
-    NodeUp,
-    Reach,
-    Requeue,
-)
+from yarrowspindle.routing.address import Address
+from yarrowspindle.routing.effects import Ask, Close, Deny, Drop, Effect, Join, Move, NodeGone, Reach, Requeue
+from yarrowspindle.routing.events import AttemptOver, JobArrived, NodeReached, NodeUp
 from yarrowspindle.routing.reducer import node_number
+from yarrowspindle.routing.termination import Ending
 from yarrowspindle.transport.datagrams import Front, Path
 
 FIRST_FLIGHT = 8  # client datagrams kept until the connection stands, for another node if the first fails
--- a/yarrowspindle/lab/model/node.py
+++ b/yarrowspindle/lab/model/backend.py
@@ -6,7 +6,7 @@
 from math import log
 from typing import Any
 
-from yarrowspindle.interface import State
+from yarrowspindle.decisions.events import State
 
 NEAR, NEAR_LOSS = 0.75, 0.1  # from this load on messages begin to wait; at full load so many of them wait too long
 HANGING = 9.0  # the use that a node reports while it answers nothing
--- a/yarrowspindle/lab/model/controlling.py
+++ b/yarrowspindle/lab/model/controlling.py
@@ -15,10 +15,10 @@
 
 import msgspec
 
-from yarrowspindle.control.agent import Agent
-from yarrowspindle.control.controller import Controller
-from yarrowspindle.control.link import Link
-from yarrowspindle.control.messages import (
+from yarrowspindle.configuration.agent import Agent
+from yarrowspindle.configuration.controller import Controller
+from yarrowspindle.configuration.link import Link
+from yarrowspindle.configuration.messages import (
     Answer,
     Came,
     Difference,
@@ -35,14 +35,14 @@
     Whole,
     Woke,
 )
-from yarrowspindle.control.settings import Machine, preferred
-from yarrowspindle.control.state import ControlState, Done, Entries, Step, stepped
+from yarrowspindle.configuration.settings import Machine, preferred
+from yarrowspindle.configuration.state import ControlState, Done, Entries, Step, stepped
+from yarrowspindle.consensus.register import NONE, Kept, Proposer, Voter
 from yarrowspindle.lab.faults import Ways
 from yarrowspindle.lab.model.clock import VirtualClock
-from yarrowspindle.peers.codec import Dropped
-from yarrowspindle.routing.messages import Address
-from yarrowspindle.turns.parcels import AGAIN_MS
-from yarrowspindle.turns.register import NONE, Kept, Proposer, Voter
+from yarrowspindle.membership.codec import Dropped
+from yarrowspindle.protocol.fragments import AGAIN_MS
+from yarrowspindle.routing.address import Address
 
 CLUSTER = "fleet"
 FIRST = "first"
--- a/yarrowspindle/lab/model/controlling_days.py
+++ b/yarrowspindle/lab/model/controlling_days.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field, replace
 from random import Random
 
-from yarrowspindle.control.state import Step
+from yarrowspindle.configuration.state import Step
 from yarrowspindle.lab.faults import Fault, schedule
 from yarrowspindle.lab.model.controlling import ZONES, Change, ControllerHost, ControlParts, ControlWorld, RelayHost
 
--- a/yarrowspindle/lab/model/deployments.py
+++ b/yarrowspindle/lab/model/deployments.py
@@ -9,8 +9,8 @@
 
 from collections.abc import Callable
 
+from yarrowspindle.lab.model.backend import ModelNode
 from yarrowspindle.lab.model.fleet import Fleet, FleetSpec, ModelClass
-from yarrowspindle.lab.model.node import ModelNode
 
 ASKED = FleetSpec(
     relays=3,
--- a/yarrowspindle/lab/model/exhaustive.py
+++ b/yarrowspindle/lab/model/exhaustive.py
@@ -19,11 +19,11 @@
 
 import msgspec
 
+from yarrowspindle.consensus.register import NONE, Kept, Voter
 from yarrowspindle.lab.model.turning import FIRST, Parts
-from yarrowspindle.turns.codec import decode, encode
-from yarrowspindle.turns.core import BEAT, Came, Fleet, Order, Send, Took, Turns, Vote, Woke
-from yarrowspindle.turns.register import NONE, Kept, Voter
-from yarrowspindle.turns.state import FREE, Seen, TurnState, Wish
+from yarrowspindle.maintenance.codec import decode, encode
+from yarrowspindle.maintenance.coordinator import BEAT, Came, Fleet, Order, Send, Took, Turns, Vote, Woke
+from yarrowspindle.maintenance.state import FREE, Seen, TurnState, Wish
 
 NAMES, MACHINES = ("r0", "r1", "r2"), ("m0", "m1")
 SEEN = {machine: Seen(0, 1.0, True) for machine in MACHINES}
--- a/yarrowspindle/lab/model/fleet.py
+++ b/yarrowspindle/lab/model/fleet.py
@@ -7,16 +7,17 @@
 from dataclasses import dataclass, field, replace
 from random import Random
 
-from yarrowspindle.interface import ListKind, RequestClass, Settings, State
+from yarrowspindle.decisions.events import ListKind, State
+from yarrowspindle.decisions.settings import RequestClass, Settings
+from yarrowspindle.lab.model.backend import ModelNode
+from yarrowspindle.lab.model.client import Submitter
 from yarrowspindle.lab.model.clock import VirtualClock
-from yarrowspindle.lab.model.node import ModelNode
 from yarrowspindle.lab.model.relay import ModelRelay, machine
 from yarrowspindle.lab.model.rules import Rules
-from yarrowspindle.lab.model.submitter import Submitter
 from yarrowspindle.lab.model.talk import Talk
-from yarrowspindle.rebalance import RebalanceSettings
-from yarrowspindle.routing.ending import Ending
-from yarrowspindle.routing.messages import ListTold, OthersTold, Rebalance
+from yarrowspindle.rebalancing import RebalanceSettings
+from yarrowspindle.routing.events import ListTold, OthersTold, Rebalance
+from yarrowspindle.routing.termination import Ending
 
 AGAIN_MS = (60.0, 1400.0)  # a moved or broken submitter comes again within this time
 SIZES = (6.0, 4.8, 2.4)  # kinds of machines: three fast cores, four middling, three slow
--- a/yarrowspindle/lab/model/members.py
+++ b/yarrowspindle/lab/model/members.py
@@ -6,11 +6,11 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from yarrowspindle.interface import Others
+from yarrowspindle.decisions.events import Others
 from yarrowspindle.lab.faults import Fault, relay_names, schedule
 from yarrowspindle.lab.model.clock import VirtualClock
 from yarrowspindle.lab.model.peering import VirtualNet
-from yarrowspindle.peers.messages import Own
+from yarrowspindle.membership.messages import Own
 
 STEP_MS = 100.0
 
--- a/yarrowspindle/lab/model/peering.py
+++ b/yarrowspindle/lab/model/peering.py
@@ -5,13 +5,13 @@
 from collections.abc import Callable
 from random import Random
 
-from yarrowspindle.interface import Others
+from yarrowspindle.decisions.events import Others
 from yarrowspindle.lab.faults import Fault, Ways
 from yarrowspindle.lab.model.clock import VirtualClock
-from yarrowspindle.peers import Peers, PeerSettings
-from yarrowspindle.peers.messages import Came, Event, Leave, Own
-from yarrowspindle.routing.messages import Address
-from yarrowspindle.runtime.peer_pump import PeerPump
+from yarrowspindle.membership import Peers, PeerSettings
+from yarrowspindle.membership.messages import Came, Event, Leave, Own
+from yarrowspindle.routing.address import Address
+from yarrowspindle.runtime.membership_driver import PeerPump
 
 WAITING_MOST = 300  # datagrams that wait in a stopped process's socket; more are lost
 
--- a/yarrowspindle/lab/model/planted.py
+++ b/yarrowspindle/lab/model/planted.py
@@ -7,11 +7,11 @@
 from dataclasses import replace
 from typing import Any
 
+from yarrowspindle.consensus import register
+from yarrowspindle.consensus.register import Accept, Accepted, Kept, Prepare, Promise, Proposer, Refused, Round, Voter
 from yarrowspindle.lab.model.turning import Parts
-from yarrowspindle.turns import register
-from yarrowspindle.turns.core import Took, Turns
-from yarrowspindle.turns.register import Accept, Accepted, Kept, Prepare, Promise, Proposer, Refused, Round, Voter
-from yarrowspindle.turns.state import EMPTYING, Out, Seen, TurnState
+from yarrowspindle.maintenance.coordinator import Took, Turns
+from yarrowspindle.maintenance.state import EMPTYING, Out, Seen, TurnState
 
 # --- the voter ----------------------------------------------------------------------------------
 
--- a/yarrowspindle/lab/model/planted_control.py
+++ b/yarrowspindle/lab/model/planted_control.py
@@ -5,13 +5,13 @@
 from dataclasses import replace
 from typing import Any
 
-from yarrowspindle.control.agent import Agent
-from yarrowspindle.control.controller import Controller
-from yarrowspindle.control.messages import Difference, Newest, Whole
-from yarrowspindle.control.state import Check, ControlState, Entries, Order, stepped
+from yarrowspindle.configuration.agent import Agent
+from yarrowspindle.configuration.controller import Controller
+from yarrowspindle.configuration.messages import Difference, Newest, Whole
+from yarrowspindle.configuration.state import Check, ControlState, Entries, Order, stepped
+from yarrowspindle.consensus.register import Proposer
 from yarrowspindle.lab.model import planted
 from yarrowspindle.lab.model.controlling import ControlParts
-from yarrowspindle.turns.register import Proposer
 
 # --- the relay ----------------------------------------------------------------------------------
 
--- a/yarrowspindle/lab/model/relay.py
+++ b/yarrowspindle/lab/model/relay.py
@@ -6,37 +6,29 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
-from yarrowspindle.interface import Settings, State
+from yarrowspindle.decisions.events import State
+from yarrowspindle.decisions.settings import Settings
+from yarrowspindle.lab.model.backend import ModelNode
+from yarrowspindle.lab.model.client import Submitter
 from yarrowspindle.lab.model.clock import Timer, VirtualClock
-from yarrowspindle.lab.model.node import ModelNode
 from yarrowspindle.lab.model.rules import Rules
-from yarrowspindle.lab.model.submitter import Submitter
-from yarrowspindle.routing.ending import Ending
-from yarrowspindle.routing.messages import (
-    Ask,
+from yarrowspindle.routing.effects import Ask, Close, Deny, Drop, Effect, Join, Move, Probe, Reach, Requeue
+from yarrowspindle.routing.events import (
     Asked,
     AttemptOver,
-    Close,
-    Deny,
-    Drop,
-    Effect,
     Event,
     FigureTold,
     JobArrived,
-    Join,
     ListTold,
     LoadTold,
     Machine,
-    Move,
     NodeReached,
     NodeUp,
-    Probe,
     ProbeOver,
-    Reach,
-    Requeue,
     SubmitterLeft,
 )
 from yarrowspindle.routing.reducer import Reducer
+from yarrowspindle.routing.termination import Ending
 from yarrowspindle.runtime import Runtime, Timers
 
 GRACE_SLACK_MS = 50.0  # the rules allow it beyond the drain's grace
--- a/yarrowspindle/lab/model/talk.py
+++ b/yarrowspindle/lab/model/talk.py
@@ -5,10 +5,10 @@
 from collections.abc import Callable, Iterable
 from typing import TYPE_CHECKING
 
-from yarrowspindle.books import Server
-from yarrowspindle.interface import Others
+from yarrowspindle.decisions.backends import Server
+from yarrowspindle.decisions.events import Others
 from yarrowspindle.lab.model.clock import VirtualClock
-from yarrowspindle.runtime.peer_pump import own_word
+from yarrowspindle.runtime.membership_driver import own_word
 
 if TYPE_CHECKING:  # msgspec, which `known` does without
     from yarrowspindle.lab.model.peering import VirtualNet
--- a/yarrowspindle/lab/model/turning.py
+++ b/yarrowspindle/lab/model/turning.py
@@ -12,15 +12,15 @@
 from random import Random
 from typing import Any
 
-from yarrowspindle.interface import State
+from yarrowspindle.consensus.register import NONE, Accept, Accepted, Kept, Prepare, Promise, Proposer, Voter
+from yarrowspindle.decisions.events import State
 from yarrowspindle.lab.faults import Fault, Ways, relay_names, schedule
 from yarrowspindle.lab.model.clock import VirtualClock
-from yarrowspindle.turns.codec import decode, encode
-from yarrowspindle.turns.core import Came, Fleet, Order, Send, Took, Turns, Vote, Wake, Woke
-from yarrowspindle.turns.parcels import Parcels
-from yarrowspindle.turns.register import NONE, Accept, Accepted, Kept, Prepare, Promise, Proposer, Voter
-from yarrowspindle.turns.state import EMPTYING, FREE, QUEUED, TurnState, Wish
-from yarrowspindle.turns.watch import TROUBLE_MS, FleetWatch, Look
+from yarrowspindle.maintenance.codec import decode, encode
+from yarrowspindle.maintenance.coordinator import Came, Fleet, Order, Send, Took, Turns, Vote, Wake, Woke
+from yarrowspindle.maintenance.fleet_health import TROUBLE_MS, FleetWatch, Look
+from yarrowspindle.maintenance.state import EMPTYING, FREE, QUEUED, TurnState, Wish
+from yarrowspindle.protocol.fragments import Parcels
 
 LIFE_MS, MOVED_MS = 3000.0, 400.0  # of a connection, and of one that is asked to move
 STEP_MS = 100.0
--- a/yarrowspindle/lab/processes/parties.py
+++ b/yarrowspindle/lab/processes/parties.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from yarrowspindle.lab.processes.checker import Checker, Client
-from yarrowspindle.routing.messages import Address
+from yarrowspindle.routing.address import Address
 
 EMPTY_S = 2.0  # the list says something at least so often
 LINE_S = 0.5  # a submitter sends a line this often
--- a/yarrowspindle/lab/processes/proxy.py
+++ b/yarrowspindle/lab/processes/proxy.py
@@ -9,8 +9,8 @@
 import msgspec
 
 from yarrowspindle.lab.faults import Ways
-from yarrowspindle.peers.codec import Ack, Datagram, Ping, Sealed
-from yarrowspindle.routing.messages import Address
+from yarrowspindle.membership.codec import Ack, Datagram, Ping, Sealed
+from yarrowspindle.routing.address import Address
 
 CONNECTIONS_MOST = 4096
 HELD_MOST = 1 << 20  # bytes that wait in a connection that is cut
--- a/yarrowspindle/lab/processes/turning.py
+++ b/yarrowspindle/lab/processes/turning.py
@@ -19,8 +19,8 @@
 from yarrowspindle.lab.faults import Fault, relay_names, schedule
 from yarrowspindle.lab.processes.proxy import Pipe
 from yarrowspindle.lab.processes.world import Relay, Report, Run, World, finish, opened
-from yarrowspindle.program.kept_file import NoFile
-from yarrowspindle.turns.state import QUEUED
+from yarrowspindle.maintenance.state import QUEUED
+from yarrowspindle.storage.durable_file import NoFile
 
 POLL_S = 0.25
 LAG_S = 0.3  # of this process, which carries all wires: what was sent before counts for so long after
--- a/yarrowspindle/lab/processes/world.py
+++ b/yarrowspindle/lab/processes/world.py
@@ -18,12 +18,12 @@
 from random import Random
 from typing import Any
 
+from yarrowspindle.daemon.voter_file import TurnFile
 from yarrowspindle.lab.faults import Fault, Ways, relay_names, schedule
 from yarrowspindle.lab.processes.checker import Checker, Terms
 from yarrowspindle.lab.processes.parties import LINE_S, MachineList, Node, Submitters
 from yarrowspindle.lab.processes.proxy import DatagramProxy, Pipe, TcpProxy, Views
-from yarrowspindle.program.turn_file import TurnFile
-from yarrowspindle.routing.messages import Address
+from yarrowspindle.routing.address import Address
 
 START_S = 15.0  # a relay that does not serve by then has failed to start
 STOP_S = 6.0
--- a/yarrowspindle/library/__init__.py
+++ b/yarrowspindle/library/__init__.py
@@ -4,8 +4,8 @@
 from yarrowspindle.library.placer import Placement, Placer
 from yarrowspindle.library.settings import JobClass, LibrarySettings, SettingError
 from yarrowspindle.library.sources import CallbackList, Source, StaticList, WatchedList
-from yarrowspindle.routing.ending import Ending
-from yarrowspindle.routing.messages import Machine
+from yarrowspindle.routing.events import Machine
+from yarrowspindle.routing.termination import Ending
 
 __all__ = [
     "CallbackList",
--- a/yarrowspindle/library/placer.py
+++ b/yarrowspindle/library/placer.py
@@ -21,36 +21,26 @@
 from types import TracebackType
 from typing import Any
 
-from yarrowspindle.interface import Settings
+from yarrowspindle.decisions.settings import Settings
 from yarrowspindle.library.errors import Closing, Failed, NodeDropped, NodeUnreachable, Refused, WrongContext
 from yarrowspindle.library.settings import LibrarySettings, index_of
 from yarrowspindle.library.sources import Source
-from yarrowspindle.routing.ending import Ending
-from yarrowspindle.routing.messages import (
+from yarrowspindle.routing.effects import Ask, Close, Deny, Drop, Effect, Join, Move, NodeGone, Reach, Requeue, Watch
+from yarrowspindle.routing.events import (
     Answered,
-    Ask,
     Asked,
     AttemptOver,
-    Close,
-    Deny,
-    Drop,
-    Effect,
     Event,
     JobArrived,
-    Join,
     ListTold,
     LoadTold,
-    Move,
-    NodeGone,
     NodeReached,
     NodeUp,
-    Reach,
-    Requeue,
     Stop,
     SubmitterLeft,
-    Watch,
 )
 from yarrowspindle.routing.reducer import Reducer
+from yarrowspindle.routing.termination import Ending
 from yarrowspindle.runtime import Clock, Runtime, SystemClock, Timers
 
 log = logging.getLogger("yarrowspindle")
--- a/yarrowspindle/library/settings.py
+++ b/yarrowspindle/library/settings.py
@@ -8,7 +8,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass, field
 
-from yarrowspindle.interface import RequestClass, Settings, Tenant
+from yarrowspindle.decisions.settings import RequestClass, Settings, Tenant
 
 
 class SettingError(ValueError):
--- a/yarrowspindle/library/sources.py
+++ b/yarrowspindle/library/sources.py
@@ -6,9 +6,10 @@
 from collections.abc import Awaitable, Callable, Iterable
 from typing import Protocol
 
-from yarrowspindle.interface import ListKind
-from yarrowspindle.protocol.machines import Names, parse_address
-from yarrowspindle.routing.messages import Address, ListTold, Machine
+from yarrowspindle.decisions.events import ListKind
+from yarrowspindle.protocol.endpoint_list import Names, parse_address
+from yarrowspindle.routing.address import Address
+from yarrowspindle.routing.events import ListTold, Machine
 
 ANSWER_S = 5.0  # a callback that has not answered by then has failed
 
@@ -59,7 +60,7 @@
         self.names = Names(list(zones), list(kinds))
 
     def open(self, told: Callable[[ListTold], None], failed: Callable[[str], None]) -> None:
-        from yarrowspindle.runtime.list_watch import ListWatch  # needs httptools
+        from yarrowspindle.runtime.endpoint_watch import ListWatch  # needs httptools
 
         self.watch = ListWatch(self.names, told, failed)
         self.watch.ask(0, self.address)
--- a/yarrowspindle/turns/codec.py
+++ b/yarrowspindle/maintenance/codec.py
@@ -11,9 +11,9 @@
 
 import msgspec
 
-from yarrowspindle.turns.core import Behind, Enter, Learn, Newest, Says
-from yarrowspindle.turns.register import Accept, Accepted, Kept, Prepare, Promise, Refused
-from yarrowspindle.turns.state import MACHINES_MOST, NAME_MOST, RELAYS_MOST, REQUESTS_MOST, TurnState
+from yarrowspindle.consensus.register import Accept, Accepted, Kept, Prepare, Promise, Refused
+from yarrowspindle.maintenance.coordinator import Behind, Enter, Learn, Newest, Says
+from yarrowspindle.maintenance.state import MACHINES_MOST, NAME_MOST, RELAYS_MOST, REQUESTS_MOST, TurnState
 
 VERSION = 1
 MOST = 1 << 20  # bytes of a message once it is unpressed
--- a/yarrowspindle/turns/core.py
+++ b/yarrowspindle/maintenance/coordinator.py
@@ -11,9 +11,9 @@
 from random import Random
 from typing import Any
 
-from yarrowspindle.turns import register
-from yarrowspindle.turns.register import Accept, Accepted, Committed, Failed, Prepare, Promise, Proposer, Refused
-from yarrowspindle.turns.state import EMPTYING, Seen, TurnState, Wish
+from yarrowspindle.consensus import register
+from yarrowspindle.consensus.register import Accept, Accepted, Committed, Failed, Prepare, Promise, Proposer, Refused
+from yarrowspindle.maintenance.state import EMPTYING, Seen, TurnState, Wish
 
 BEAT_MS, ROUND_MS = 150.0, 400.0
 READ_MS, READ_IDLE_MS = 1500.0, 10_000.0  # without word for so long the state is read: while something is out, and else
--- a/yarrowspindle/turns/emptying.py
+++ b/yarrowspindle/maintenance/evacuation.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from math import ceil
 
-from yarrowspindle.rebalance.pace import Bucket
+from yarrowspindle.rebalancing.migration_rate import Bucket
 
 BEAT_MS = 100.0
 SLOWEST = 1.0 / 16.0
--- a/yarrowspindle/turns/watch.py
+++ b/yarrowspindle/maintenance/fleet_health.py
@@ -5,8 +5,8 @@
 from collections.abc import Collection, Iterable, Mapping
 from dataclasses import dataclass
 
-from yarrowspindle.interface import State
-from yarrowspindle.turns.state import EMPTYING, WARMING, Seen, TurnState
+from yarrowspindle.decisions.events import State
+from yarrowspindle.maintenance.state import EMPTYING, WARMING, Seen, TurnState
 
 TROUBLE_MS = 10_000.0  # a machine that died is trouble for so long, then it is how things are
 WINDOW_MS, ASKED_LEAST = 5000.0, 20
--- a/yarrowspindle/turns/settings.py
+++ b/yarrowspindle/maintenance/settings.py
@@ -8,9 +8,9 @@
 from ipaddress import IPv4Address
 from typing import Any
 
-from yarrowspindle.peers.settings import PeerError, read_address
-from yarrowspindle.routing.messages import Address
-from yarrowspindle.turns.state import FEWEST, GIVEN, NAME_MOST, REQUESTS_MOST, TurnError, Wish
+from yarrowspindle.maintenance.state import FEWEST, GIVEN, NAME_MOST, REQUESTS_MOST, TurnError, Wish
+from yarrowspindle.membership.settings import PeerError, read_address
+from yarrowspindle.routing.address import Address
 
 ZONES = "zones"
 ORDERS = (GIVEN, FEWEST, ZONES)
--- a/yarrowspindle/turns/report.py
+++ b/yarrowspindle/maintenance/status_report.py
@@ -5,8 +5,8 @@
 from collections.abc import Collection, Mapping
 from typing import Any
 
-from yarrowspindle.turns.core import Turns
-from yarrowspindle.turns.state import EMPTYING, FREE, QUEUED, WARMING
+from yarrowspindle.maintenance.coordinator import Turns
+from yarrowspindle.maintenance.state import EMPTYING, FREE, QUEUED, WARMING
 
 MAJORITY_MS = 25_000.0  # a majority that was not heard for so long is said to be missing
 
--- a/yarrowspindle/peers/__init__.py
+++ b/yarrowspindle/membership/__init__.py
@@ -3,7 +3,7 @@
 Needs the extra `peers` (msgspec); the platform does without it.
 """
 
-from yarrowspindle.peers.core import Peers
-from yarrowspindle.peers.settings import PeerError, PeerSettings, read_peers
+from yarrowspindle.membership.core import Peers
+from yarrowspindle.membership.settings import PeerError, PeerSettings, read_peers
 
 __all__ = ["PeerError", "PeerSettings", "Peers", "read_peers"]
--- a/yarrowspindle/peers/codec.py
+++ b/yarrowspindle/membership/codec.py
@@ -12,8 +12,8 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from yarrowspindle.peers.settings import NAME_MOST
-from yarrowspindle.routing.messages import Address
+from yarrowspindle.membership.settings import NAME_MOST
+from yarrowspindle.routing.address import Address
 
 VERSION = 1
 MOST = 1200  # bytes of a datagram
--- a/yarrowspindle/peers/core.py
+++ b/yarrowspindle/membership/core.py
@@ -12,7 +12,7 @@
 from random import Random
 from typing import Any
 
-from yarrowspindle.peers.codec import (
+from yarrowspindle.membership.codec import (
     ALIVE,
     DEAD,
     LEFT,
@@ -34,9 +34,10 @@
     Tell,
     Wanted,
 )
-from yarrowspindle.peers.detector import HELPERS, NACK_PART, Detector, Probe
-from yarrowspindle.peers.members import Change, Member, Members, rumour_bytes
-from yarrowspindle.peers.messages import (
+from yarrowspindle.membership.failure_detector import HELPERS, NACK_PART, Detector, Probe
+from yarrowspindle.membership.load_signals import TOLD_TIMES, Signals
+from yarrowspindle.membership.members import Change, Member, Members, rumour_bytes
+from yarrowspindle.membership.messages import (
     Brought,
     Came,
     Carry,
@@ -51,9 +52,8 @@
     Wake,
     Woke,
 )
-from yarrowspindle.peers.settings import PeerSettings
-from yarrowspindle.peers.signals import TOLD_TIMES, Signals
-from yarrowspindle.routing.messages import Address
+from yarrowspindle.membership.settings import PeerSettings
+from yarrowspindle.routing.address import Address
 
 BEAT, DIRECT, NACK, SIGNAL, TELL, JOIN = "beat", "direct", "nack", "signal", "tell", "join"
 JOIN_MS, JOIN_MOST_MS = 500.0, 5000.0  # between calls at seeds while nobody is known, growing
--- a/yarrowspindle/peers/signals.py
+++ b/yarrowspindle/membership/load_signals.py
@@ -13,9 +13,9 @@
 from itertools import islice
 from math import inf
 
-from yarrowspindle.interface import Others
-from yarrowspindle.peers.codec import Signal
-from yarrowspindle.peers.messages import Own
+from yarrowspindle.decisions.events import Others
+from yarrowspindle.membership.codec import Signal
+from yarrowspindle.membership.messages import Own
 
 FIGURE_MOST = (1 << 32) - 1
 ENTRIES = 50  # of three figures in a datagram, the whole of it at most 1,200 bytes with the heads and rumours
--- a/yarrowspindle/peers/members.py
+++ b/yarrowspindle/membership/members.py
@@ -1,6 +1,6 @@
 """The table of members: who is there, by SWIM's rules of precedence, and the rumours that spread it. Pure.
 
-Rules, each guarded by a test in tests/test_peers_members.py:
+Rules, each guarded by a test in tests/membership/test_members.py:
 1. Of two words on one name the one with the later (life, turn) holds; of equal ones the graver state does.
 2. Only a member itself raises its turn, so nobody can be brought back to life by an old word.
 3. A life that left never returns. One that was declared dead returns only by a later turn, which it alone can raise.
@@ -14,8 +14,8 @@
 from hashlib import blake2b
 from math import ceil, log2
 
-from yarrowspindle.peers.codec import ALIVE, DEAD, LEFT, STATES, SUSPECT, Rumour
-from yarrowspindle.routing.messages import Address
+from yarrowspindle.membership.codec import ALIVE, DEAD, LEFT, STATES, SUSPECT, Rumour
+from yarrowspindle.routing.address import Address
 
 MEMBERS_MOST = 4096  # names remembered, those of the dead included
 RETOLD = 3.0  # times log2 of the members that a rumour is told
--- a/yarrowspindle/peers/messages.py
+++ b/yarrowspindle/membership/messages.py
@@ -4,8 +4,8 @@
 
 from dataclasses import dataclass, field
 
-from yarrowspindle.interface import Others
-from yarrowspindle.routing.messages import Address
+from yarrowspindle.decisions.events import Others
+from yarrowspindle.routing.address import Address
 
 # --- events -------------------------------------------------------------------------------------
 
--- a/yarrowspindle/peers/settings.py
+++ b/yarrowspindle/membership/settings.py
@@ -7,8 +7,8 @@
 from difflib import get_close_matches
 from typing import Any
 
-from yarrowspindle.protocol.machines import ListError, parse_address
-from yarrowspindle.routing.messages import Address
+from yarrowspindle.protocol.endpoint_list import ListError, parse_address
+from yarrowspindle.routing.address import Address
 
 NAME_MOST = 64
 SEEDS_MOST = 64
--- a/yarrowspindle/middleware/asgi.py
+++ b/yarrowspindle/middleware/asgi.py
@@ -15,7 +15,7 @@
 from yarrowspindle.library.errors import Closing, Failed, NodeDropped, NodeUnreachable, PlacementError, Refused
 from yarrowspindle.library.placer import Placement, Placer
 from yarrowspindle.library.settings import SettingError
-from yarrowspindle.routing.ending import Ending
+from yarrowspindle.routing.termination import Ending
 
 Scope = MutableMapping[str, Any]
 Message = MutableMapping[str, Any]
--- a/yarrowspindle/middleware/streams.py
+++ b/yarrowspindle/middleware/streams.py
@@ -11,8 +11,8 @@
 
 from yarrowspindle.library.placer import Placement
 from yarrowspindle.middleware.asgi import COME_AGAIN
-from yarrowspindle.routing.ending import Ending
-from yarrowspindle.routing.messages import Address
+from yarrowspindle.routing.address import Address
+from yarrowspindle.routing.termination import Ending
 
 CONNECT_S = 0.25
 LINE_MOST = 65_536
--- a/yarrowspindle/operator/__init__.py
+++ b/yarrowspindle/operator_api/__init__.py
@@ -1,5 +1,5 @@
 """The operators' API: where operators ask and tell the relay; it decides nothing."""
 
-from yarrowspindle.operator.http import MOST, OperatorApi, Routes
+from yarrowspindle.operator_api.http import MOST, OperatorApi, Routes
 
 __all__ = ["MOST", "OperatorApi", "Routes"]
--- a/yarrowspindle/program/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""The daemon: configuration, wiring, clock, timers, signals and the log."""
--- a/yarrowspindle/protocol/machines.py
+++ b/yarrowspindle/protocol/endpoint_list.py
@@ -8,8 +8,9 @@
 
 import httptools
 
-from yarrowspindle.interface import ListKind, State
-from yarrowspindle.routing.messages import Address, ListTold, Machine
+from yarrowspindle.decisions.events import ListKind, State
+from yarrowspindle.routing.address import Address
+from yarrowspindle.routing.events import ListTold, Machine
 
 STATES = {"ready": State.READY, "draining": State.DRAINING, "gone": State.GONE}
 LONGEST = 4 << 20
--- a/yarrowspindle/settings.py
+++ b/yarrowspindle/protocol/platform_settings.py
@@ -6,7 +6,7 @@
 from collections.abc import Mapping
 from typing import TypeVar
 
-from yarrowspindle.interface import Effect, Group, RequestClass, Settings, Tenant
+from yarrowspindle.decisions.settings import Effect, Group, RequestClass, Settings, Tenant
 
 T = TypeVar("T")
 EFFECTS = {"pure": Effect.SAFE, "token": Effect.KEYED, "side_effect": Effect.UNSAFE}
--- a/yarrowspindle/rebalance/__init__.py
+++ b/yarrowspindle/rebalancing/__init__.py
@@ -4,7 +4,7 @@
 `Rebalancer` and carries out the moves that it names; where a moved submitter goes stays the module's decision.
 """
 
-from yarrowspindle.rebalance.rebalancer import Rebalancer
-from yarrowspindle.rebalance.settings import Order, RebalanceError, RebalanceSettings
+from yarrowspindle.rebalancing.rebalancer import Rebalancer
+from yarrowspindle.rebalancing.settings import Order, RebalanceError, RebalanceSettings
 
 __all__ = ["Order", "RebalanceError", "RebalanceSettings", "Rebalancer"]
--- a/yarrowspindle/rebalance/watch.py
+++ b/yarrowspindle/rebalancing/effect_monitor.py
@@ -9,7 +9,7 @@
 
 from collections import deque
 
-from yarrowspindle.rebalance.settings import RebalanceSettings
+from yarrowspindle.rebalancing.settings import RebalanceSettings
 
 WINDOW_MS = 15_000.0
 LAG_MS = 3000.0  # a moved submitter may take 1.4 s, and its new set-up some more
--- a/yarrowspindle/rebalance/view.py
+++ b/yarrowspindle/rebalancing/fleet_view.py
@@ -9,7 +9,7 @@
 from collections.abc import Iterable
 from typing import Protocol
 
-from yarrowspindle.interface import State
+from yarrowspindle.decisions.events import State
 
 FLAPS_MOST = 6  # times that the settling time doubles
 FLAPS_FORGOTTEN_MS = 600_000.0
--- a/yarrowspindle/rebalance/plan.py
+++ b/yarrowspindle/rebalancing/plan.py
@@ -14,9 +14,9 @@
 from itertools import chain, islice
 from math import sqrt
 
-from yarrowspindle.rebalance.pace import Pace
-from yarrowspindle.rebalance.settings import Order, RebalanceSettings
-from yarrowspindle.rebalance.view import Book, Held, View
+from yarrowspindle.rebalancing.fleet_view import Book, Held, View
+from yarrowspindle.rebalancing.migration_rate import Pace
+from yarrowspindle.rebalancing.settings import Order, RebalanceSettings
 
 SCAN_MOST = 64
 GAIN = 0.5  # of the excess and of the room, in one beat: see the design note on why this is stable
--- a/yarrowspindle/rebalance/rebalancer.py
+++ b/yarrowspindle/rebalancing/rebalancer.py
@@ -6,12 +6,12 @@
 from collections.abc import Sequence
 from random import Random
 
-from yarrowspindle.interface import State
-from yarrowspindle.rebalance.pace import Moved, Pace
-from yarrowspindle.rebalance.plan import Findings, Planner, look
-from yarrowspindle.rebalance.settings import RebalanceSettings
-from yarrowspindle.rebalance.view import Held, View
-from yarrowspindle.rebalance.watch import IN_VAIN, SPOILT_MS, Watch
+from yarrowspindle.decisions.events import State
+from yarrowspindle.rebalancing.effect_monitor import IN_VAIN, SPOILT_MS, Watch
+from yarrowspindle.rebalancing.fleet_view import Held, View
+from yarrowspindle.rebalancing.migration_rate import Moved, Pace
+from yarrowspindle.rebalancing.plan import Findings, Planner, look
+from yarrowspindle.rebalancing.settings import RebalanceSettings
 
 
 class Rebalancer:
--- a/yarrowspindle/replay/player.py
+++ b/yarrowspindle/replay/player.py
@@ -10,20 +10,8 @@
 
 from yarrowspindle.library.placer import Placement, Placer
 from yarrowspindle.replay.sequence import Header
-from yarrowspindle.routing.messages import (
-    Close,
-    Deny,
-    Drop,
-    Effect,
-    Event,
-    JobArrived,
-    Join,
-    ListTold,
-    Move,
-    Reach,
-    Requeue,
-    SubmitterLeft,
-)
+from yarrowspindle.routing.effects import Close, Deny, Drop, Effect, Join, Move, Reach, Requeue
+from yarrowspindle.routing.events import Event, JobArrived, ListTold, SubmitterLeft
 from yarrowspindle.runtime import NoTimers
 from yarrowspindle.telemetry.published_names import EFFECTS, ENDINGS
 
@@ -87,8 +75,8 @@
 
 def play_daemon(header: Header, events: Iterable[tuple[float, Event]]) -> Played:
     """The daemon's own wiring (`program/hub.py`), with its clock and timers taken from the sequence."""
-    from yarrowspindle.program.config import Config
-    from yarrowspindle.program.hub import Hub
+    from yarrowspindle.daemon.config import Config
+    from yarrowspindle.daemon.relay_service import Hub
 
     played, clock = Played(), RecordedClock(header.started)
     nowhere = ("127.0.0.1", 1)
--- a/yarrowspindle/replay/recorded_form.py
+++ b/yarrowspindle/replay/recorded_form.py
@@ -12,41 +12,42 @@
 from types import UnionType
 from typing import Any, Union, get_args, get_origin, get_type_hints
 
-from yarrowspindle.interface import Others, RequestClass, Settings, Tenant
-from yarrowspindle.rebalance import RebalanceSettings
-from yarrowspindle.routing import messages
-from yarrowspindle.routing.ending import Ending
+from yarrowspindle.decisions.events import Others
+from yarrowspindle.decisions.settings import RequestClass, Settings, Tenant
+from yarrowspindle.rebalancing import RebalanceSettings
+from yarrowspindle.routing import events
+from yarrowspindle.routing.termination import Ending
 
 
 @dataclass(slots=True)
 class RecordedRebalance:
-    """As `messages.Rebalance`, whose settings the platform does not import."""
+    """As `events.Rebalance`, whose settings the platform does not import."""
 
     settings: RebalanceSettings | None
     seed: int = 0
 
 
 EVENTS: Mapping[str, type] = {
-    "JobArrived": messages.JobArrived,
-    "SubmitterLeft": messages.SubmitterLeft,
-    "OutOfTurn": messages.OutOfTurn,
-    "NodeReached": messages.NodeReached,
-    "NodeUp": messages.NodeUp,
-    "AttemptOver": messages.AttemptOver,
-    "LoadTold": messages.LoadTold,
-    "FigureTold": messages.FigureTold,
-    "Asked": messages.Asked,
-    "Answered": messages.Answered,
-    "ListTold": messages.ListTold,
-    "Woke": messages.Woke,
-    "Stop": messages.Stop,
-    "Reloaded": messages.Reloaded,
-    "Stalled": messages.Stalled,
-    "OthersTold": messages.OthersTold,
+    "JobArrived": events.JobArrived,
+    "SubmitterLeft": events.SubmitterLeft,
+    "OutOfTurn": events.OutOfTurn,
+    "NodeReached": events.NodeReached,
+    "NodeUp": events.NodeUp,
+    "AttemptOver": events.AttemptOver,
+    "LoadTold": events.LoadTold,
+    "FigureTold": events.FigureTold,
+    "Asked": events.Asked,
+    "Answered": events.Answered,
+    "ListTold": events.ListTold,
+    "Woke": events.Woke,
+    "Stop": events.Stop,
+    "Reloaded": events.Reloaded,
+    "Stalled": events.Stalled,
+    "OthersTold": events.OthersTold,
     "Rebalance": RecordedRebalance,
 }
 
-EVENT_NAMES: Mapping[type, str] = {kind: name for name, kind in EVENTS.items()} | {messages.Rebalance: "Rebalance"}
+EVENT_NAMES: Mapping[type, str] = {kind: name for name, kind in EVENTS.items()} | {events.Rebalance: "Rebalance"}
 
 # Type -> name of a field in the code -> its recorded name, where the two differ.
 FIELDS: Mapping[type, Mapping[str, str]] = {
@@ -54,7 +55,7 @@
     RequestClass: {},
     Tenant: {},
     Others: {},
-    messages.Machine: {},
+    events.Machine: {},
 }
 
 # The texts by which a sequence tells how an attempt ended.
--- a/yarrowspindle/replay/sequence.py
+++ b/yarrowspindle/replay/sequence.py
@@ -11,10 +11,10 @@
 
 import msgspec
 
-from yarrowspindle.interface import Settings
+from yarrowspindle.decisions.settings import Settings
 from yarrowspindle.replay.recorded_form import EVENT_NAMES, EVENTS, RecordedRebalance, from_recorded, to_recorded
-from yarrowspindle.routing import messages
-from yarrowspindle.routing.messages import Event
+from yarrowspindle.routing import events
+from yarrowspindle.routing.events import Event
 
 FORM, VERSION = "yarrowspindle-sequence", 1
 LINE_MOST = 16 << 20  # a machine list of tens of thousands of nodes fits
@@ -78,8 +78,8 @@
         if now < last:
             raise SequenceError(f"line {number}: the time goes back from {last} to {now}")
         last = now
-        if isinstance(event, messages.Woke) and isinstance(event.what, list):
+        if isinstance(event, events.Woke) and isinstance(event.what, list):
             event.what = tuple(event.what)  # JSON has no tuples
         if isinstance(event, RecordedRebalance):
-            event = messages.Rebalance(event.settings, event.seed)
+            event = events.Rebalance(event.settings, event.seed)
         yield now, event
--- a/yarrowspindle/routing/reducer.py
+++ b/yarrowspindle/routing/reducer.py
@@ -11,63 +11,67 @@
 from math import ceil
 from typing import TYPE_CHECKING, Any
 
-from yarrowspindle import interface as module
-from yarrowspindle.decisions import gate
-from yarrowspindle.decisions.gate import EARLY_MS
-from yarrowspindle.decisions.refusal import Refusal
-from yarrowspindle.interface import ListKind, ServerEntry, Settings, State
-from yarrowspindle.policy import Balancer
-from yarrowspindle.routing.ending import OUTCOMES, Ending
-from yarrowspindle.routing.figures import Kind
-from yarrowspindle.routing.messages import (
-    Address,
-    Answered,
+from yarrowspindle.decisions import actions
+from yarrowspindle.decisions import events as balancer_events
+from yarrowspindle.decisions import request_gate as gate
+from yarrowspindle.decisions.balancer import Balancer
+from yarrowspindle.decisions.events import ListKind, ServerEntry, State
+from yarrowspindle.decisions.rejection import Refusal
+from yarrowspindle.decisions.request_gate import EARLY_MS
+from yarrowspindle.decisions.settings import Settings
+from yarrowspindle.routing.address import Address
+from yarrowspindle.routing.effects import (
     Ask,
-    Asked,
-    AttemptOver,
-    ClockStepped,
     Close,
     Deny,
     Drop,
     Effect,
+    Join,
+    Move,
+    NodeGone,
+    Note,
+    Probe,
+    Reach,
+    Requeue,
+    Unprobe,
+    Unwake,
+    Wake,
+    Watch,
+)
+from yarrowspindle.routing.events import (
+    Answered,
+    Asked,
+    AttemptOver,
+    ClockStepped,
     Event,
     FigureTold,
     JobArrived,
-    Join,
     ListTold,
     LoadTold,
-    Move,
-    NodeGone,
     NodeReached,
     NodeUp,
-    Note,
     OthersTold,
     OutOfTurn,
-    Probe,
     ProbeOver,
-    Reach,
     Rebalance,
     Rejoin,
     Reloaded,
-    Requeue,
     Retune,
     Stalled,
     StepFailed,
     Stop,
     SubmitterLeft,
     TurnsTold,
-    Unprobe,
-    Unwake,
-    Wake,
-    Watch,
     Woke,
 )
+from yarrowspindle.routing.load_reports import Kind
 from yarrowspindle.routing.start_times import StartTimes
 from yarrowspindle.routing.state import Job, Node, Phase
+from yarrowspindle.routing.termination import OUTCOMES, Ending
 
 if TYPE_CHECKING:
-    from yarrowspindle.rebalance import Rebalancer
-    from yarrowspindle.turns.emptying import Emptying, Task
+    from yarrowspindle.maintenance.evacuation import Emptying, Task
+    from yarrowspindle.rebalancing import Rebalancer
 
 PULSE, STOPPING, PLAN, LIST, EMPTY = "pulse", "stopping", "plan", "list", "empty"  # the reducer's own beats
 PULSE_MS = 250.0
@@ -148,26 +152,26 @@
 
     # --- the module's side ----------------------------------------------------------------------
 
-    def _tell(self, event: module.Event) -> None:
+    def _tell(self, event: balancer_events.Event) -> None:
         for action in self.balancer.handle(self.now, event):
             self._act(action)
 
-    def _act(self, action: module.Action) -> None:
-        if isinstance(action, module.Send):
+    def _act(self, action: actions.Action) -> None:
+        if isinstance(action, actions.Send):
             self._send(self.jobs[action.request], self.numbers.get(action.server), action)
-        elif isinstance(action, module.Refuse):
+        elif isinstance(action, actions.Refuse):
             self._answer(action.request, Requeue(action.request, action.retry_after_ms, action.why))
-        elif isinstance(action, module.Fail):
+        elif isinstance(action, actions.Fail):
             self._answer(action.request, Deny(action.request, action.why))
-        elif isinstance(action, module.Move):
+        elif isinstance(action, actions.Move):
             self._move(self.jobs.get(action.request))
-        elif isinstance(action, module.SetTimer):
+        elif isinstance(action, actions.SetTimer):
             self.effects.append(Wake(action.delay_ms, action.token))
-        elif isinstance(action, module.Probe):
+        elif isinstance(action, actions.Probe):
             self._probe(self.numbers.get(action.server))
-        elif isinstance(action, module.Subscribe):
+        elif isinstance(action, actions.Subscribe):
             self.effects.append(Watch(self.version, self.list_at))
-        elif isinstance(action, module.Log):
+        elif isinstance(action, actions.Log):
             self.effects.append(Note(action.text))
         # A Cancel needs nothing more: it only comes for a job whose submitter left, and _left ends the attempt.
 
@@ -178,9 +182,9 @@
     def _probe_over(self, event: ProbeOver) -> None:
         node = self.nodes.get(event.node)
         if node is not None:
-            self._tell(module.Probed(node.number, OUTCOMES[event.ending], event.took_ms, event.report))
+            self._tell(balancer_events.Probed(node.number, OUTCOMES[event.ending], event.took_ms, event.report))
 
-    def _send(self, job: Job, node: Node | None, send: module.Send) -> None:
+    def _send(self, job: Job, node: Node | None, send: actions.Send) -> None:
         if refused := gate.may_answer(waiting=job.phase is not Phase.OVER, out=job.phase is not Phase.HELD):
             raise ValueError(f"job {job.id} is {job.phase.name}: {refused.value}")
         job.attempt += 1
@@ -190,7 +194,7 @@
         job.begin_by = self.now + send.begin_ms
         if node is None or gate.may_begin(node.state, left):
             number = node.number if node else 0
-            self._tell(module.AttemptEnded(job.id, job.attempt, number, OUTCOMES[Ending.NEVER_SENT], False))
+            self._tell(balancer_events.AttemptEnded(job.id, job.attempt, number, OUTCOMES[Ending.NEVER_SENT], False))
             return
         self._reach(job, node, left)
 
@@ -231,7 +235,7 @@
             raise ValueError(f"job {job.id} has no attempt")
         if self.rebalance is not None:
             if finished:
-                self.rebalance.over(self.now, job.id, OUTCOMES[ending] is module.Outcome.RESET)
+                self.rebalance.over(self.now, job.id, OUTCOMES[ending] is balancer_events.Outcome.RESET)
             elif ending not in (Ending.NEVER_SENT, Ending.UNREACHED):
                 self.rebalance.attempt_failed(self.now, node.name, job.came.returned)
         if finished:
@@ -242,7 +246,7 @@
         if job.adoption is None:
             lasted = self.now - job.sent
             number, outcome = node.number, OUTCOMES[ending]
-            self._tell(module.AttemptEnded(job.id, job.attempt, number, outcome, finished, lasted))
+            self._tell(balancer_events.AttemptEnded(job.id, job.attempt, number, outcome, finished, lasted))
         elif not finished and ending is Ending.UNREACHED:
             # All connections from before the run come at once, more than a node may take at a time.
             self.effects.append(Wake(PINNED_AGAIN_MS, ("again", job.id)))
@@ -269,7 +273,7 @@
             self.refs.add(event.ref)
         if event.at:
             # A connection from before the run goes to the node that held it and nowhere else.
-            job.adoption = module.Adopted(
+            job.adoption = balancer_events.Adopted(
                 event.job, node_number(event.at), event.cls, event.tenant, event.key, event.load, event.group
             )
             job.node, job.attempt = self.nodes.get(event.at), 0
@@ -279,7 +283,7 @@
             self._pin(job)
         else:
             self._tell(
-                module.Request(
+                balancer_events.Request(
                     event.job,
                     event.cls,
                     event.tenant,
@@ -323,7 +327,7 @@
         if job is None:
             return
         if job.phase is not Phase.OPEN and job.adoption is None:
-            self._tell(module.ClientGone(job.id))
+            self._tell(balancer_events.ClientGone(job.id))
         if job.phase is Phase.HELD:
             self._finish(job)
         else:
@@ -372,7 +376,7 @@
             self._tell(job.adoption)
             job.adoption = None
         else:
-            self._tell(module.Established(job.id, job.attempt, job.node.number, self.now - job.sent))
+            self._tell(balancer_events.Established(job.id, job.attempt, job.node.number, self.now - job.sent))
 
     def _over(self, event: AttemptOver) -> None:
         job = self._current(event.job, event.attempt)
@@ -392,7 +396,7 @@
             job.load = event.load
             if self.rebalance is not None:
                 self.rebalance.view.load(job.id, event.load)
-            self._tell(module.LoadChanged(job.id, job.node.number, event.load))
+            self._tell(balancer_events.LoadChanged(job.id, job.node.number, event.load))
 
     def _figure(self, event: FigureTold) -> None:
         job = self.jobs.get(event.job)
@@ -406,7 +410,7 @@
         if kind is Kind.LOAD:
             self._load(LoadTold(job.id, event.figure / 1000.0))
         elif kind is Kind.TIME:
-            self._tell(module.ServerSlow(job.id, job.node.number, event.figure))
+            self._tell(balancer_events.ServerSlow(job.id, job.node.number, event.figure))
 
     def _settle(self, node: Node) -> None:
         settled = node.figures.settle(self.now)
@@ -435,7 +439,7 @@
         slow = 0.0 < self.settings.slow_ms < took
         if slow or node.slow:
             node.slow = slow
-            self._tell(module.ServerSlow(job.id, node.number, took))
+            self._tell(balancer_events.ServerSlow(job.id, node.number, took))
 
     def _pulse(self) -> None:
         self.effects.append(Wake(PULSE_MS, PULSE))
@@ -458,7 +462,7 @@
 
     def _list(self, event: ListTold, said: bool = True) -> None:
         if event.kind is ListKind.FAILED:
-            self._tell(module.ServerList(event.kind))
+            self._tell(balancer_events.ServerList(event.kind))
             if not self.settings.asks:
                 self.effects.append(Wake(RENEW_LEAST_MS, LIST))
             return
@@ -494,7 +498,7 @@
             entries.append(ServerEntry(node.number, m.zone, m.cell, node.state, m.capacity, node.started, m.kind))
         if self.rebalance is not None:
             self.rebalance.view.list_over([self.nodes[name] for name in touched])
-        self._tell(module.ServerList(event.kind, entries, event.version))
+        self._tell(balancer_events.ServerList(event.kind, entries, event.version))
         changed = [self.nodes[name] for name in sorted(touched)]
         turned = [node for node in changed if node.state is not touched[node.name]]
         if turned and said and event.kind is not ListKind.CACHED:  # operators ask what was told, and when
@@ -526,7 +530,7 @@
 
     def _turns_told(self, event: TurnsTold) -> None:
         """For the module a machine that is kept off is draining, and one that came back is cold."""
-        from yarrowspindle.turns.emptying import BEAT_MS, Emptying  # the platform does without it
+        from yarrowspindle.maintenance.evacuation import BEAT_MS, Emptying  # the platform does without it
 
         before = {name for name in self.nodes if self._kept_off(name)}
         had, self.task = self.task, event.task
@@ -546,7 +550,7 @@
         self.emptying.told(self.now, event.task)
 
     def _empty(self) -> None:
-        from yarrowspindle.turns.emptying import BEAT_MS
+        from yarrowspindle.maintenance.evacuation import BEAT_MS
 
         self.effects.append(Wake(BEAT_MS, EMPTY))
         if self.emptying is None or self.task is None:
@@ -576,7 +580,7 @@
         self.settings = event.settings
         for node in self.nodes.values():
             node.figures.slow = event.settings.slow_ms if event.settings.tells_delay else 0.0
-        self._tell(module.Retuned(event.settings, event.anew))
+        self._tell(balancer_events.Retuned(event.settings, event.anew))
 
     def _reloaded(self, event: Reloaded) -> None:
         if event.list_at != self.list_at:
@@ -600,7 +604,7 @@
         elif self.rebalance is not None:
             self.rebalance.configure(event.settings)
         else:
-            from yarrowspindle.rebalance import Rebalancer  # the platform does without it
+            from yarrowspindle.rebalancing import Rebalancer  # the platform does without it
 
             settings = self.settings
             self.rebalance = Rebalancer(
@@ -635,7 +639,7 @@
     def _level(self, level: float) -> None:
         if level != self.level:
             self.level = level
-            self._tell(module.Levelling(level))
+            self._tell(balancer_events.Levelling(level))
 
     # --- time -----------------------------------------------------------------------------------
 
@@ -651,7 +655,7 @@
         elif event.what == STOPPING:
             self._move_all()
         elif isinstance(event.what, int):
-            self._tell(module.TimerDue(event.what))
+            self._tell(balancer_events.TimerDue(event.what))
         elif isinstance(event.what, tuple):
             kind, number = event.what
             job = self.jobs.get(number)
@@ -667,7 +671,8 @@
             job.deadline = self.now
             self._ended(job, Ending.STALLED if stalled else Ending.OVERDUE, False)
         if job.phase is Phase.HELD and job.adoption is None:
-            self._tell(module.Due(job.id))  # what may have run is not called harmless to repeat: the module knows
+            # What may have run is not called harmless to repeat: the balancer knows.
+            self._tell(balancer_events.Due(job.id))
         if job.phase is Phase.HELD:
             self._answer(job.id, Requeue(job.id, 0.0, Refusal.DEADLINE))
 
@@ -701,9 +706,10 @@
         if job.adoption is not None:
             return
         if phase is not Phase.OPEN:
-            self._tell(module.ClientGone(job.id))
+            self._tell(balancer_events.ClientGone(job.id))
         if node is not None and phase is not Phase.HELD:
-            self._tell(module.AttemptEnded(job.id, attempt, node.number, module.Outcome.CANCELLED, True))
+            outcome = balancer_events.Outcome.CANCELLED
+            self._tell(balancer_events.AttemptEnded(job.id, attempt, node.number, outcome, True))
 
     def _stop(self, event: Stop) -> None:
         """Move every client, spread over the time there is; what comes meanwhile is served and moved as well."""
--- a/yarrowspindle/routing/state.py
+++ b/yarrowspindle/routing/state.py
@@ -6,9 +6,9 @@
 from enum import Enum
 from math import inf
 
-from yarrowspindle.interface import Adopted, State
-from yarrowspindle.routing.figures import Figures
-from yarrowspindle.routing.messages import JobArrived, Machine
+from yarrowspindle.decisions.events import Adopted, State
+from yarrowspindle.routing.events import JobArrived, Machine
+from yarrowspindle.routing.load_reports import Figures
 from yarrowspindle.routing.start_times import Start
 
 
--- a/yarrowspindle/routing/ending.py
+++ b/yarrowspindle/routing/termination.py
@@ -4,7 +4,7 @@
 
 from enum import Enum, unique
 
-from yarrowspindle.interface import Outcome
+from yarrowspindle.decisions.events import Outcome
 
 
 @unique
--- a/yarrowspindle/runtime/list_watch.py
+++ b/yarrowspindle/runtime/endpoint_watch.py
@@ -7,11 +7,12 @@
 from collections.abc import Callable
 from dataclasses import replace
 
-from yarrowspindle.interface import ListKind
-from yarrowspindle.protocol.machines import Names
-from yarrowspindle.routing.messages import Address, ListTold
+from yarrowspindle.decisions.events import ListKind
+from yarrowspindle.protocol.endpoint_list import Names
+from yarrowspindle.routing.address import Address
+from yarrowspindle.routing.events import ListTold
 from yarrowspindle.transport.connecting import Connecting
-from yarrowspindle.transport.machine_list import WatchSide
+from yarrowspindle.transport.endpoint_list import WatchSide
 
 SLOW_MOST = 12  # calls under way beside the newest; each ends by itself after its time
 
--- a/yarrowspindle/runtime/prober.py
+++ b/yarrowspindle/runtime/health_checker.py
@@ -12,8 +12,10 @@
 from functools import partial
 
 from yarrowspindle.protocol.lines import report_of
-from yarrowspindle.routing.ending import Ending
-from yarrowspindle.routing.messages import Address, Probe, ProbeOver
+from yarrowspindle.routing.address import Address
+from yarrowspindle.routing.effects import Probe
+from yarrowspindle.routing.events import ProbeOver
+from yarrowspindle.routing.termination import Ending
 from yarrowspindle.telemetry.published_names import ENDINGS
 from yarrowspindle.transport.connecting import ConnectFailure, Connecting
 from yarrowspindle.transport.probe import ProbeSide
--- a/yarrowspindle/runtime/peer_pump.py
+++ b/yarrowspindle/runtime/membership_driver.py
@@ -7,11 +7,11 @@
 from collections import deque
 from collections.abc import Callable, Iterable
 
-from yarrowspindle.books import Server
-from yarrowspindle.interface import SERVER_KEY, Others, group_key
-from yarrowspindle.peers.core import SIGNAL, Peers
-from yarrowspindle.peers.messages import Brought, Effect, Event, Look, Own, Send, Told, Wake, Woke
-from yarrowspindle.routing.messages import Address
+from yarrowspindle.decisions.backends import Server
+from yarrowspindle.decisions.events import SERVER_KEY, Others, group_key
+from yarrowspindle.membership.core import SIGNAL, Peers
+from yarrowspindle.membership.messages import Brought, Effect, Event, Look, Own, Send, Told, Wake, Woke
+from yarrowspindle.routing.address import Address
 
 AGAIN_MS = 1000.0  # a beat that failed is tried again
 REPORT_MS = 750.0  # own load reports so young are told to the others
--- a/yarrowspindle/runtime/runtime.py
+++ b/yarrowspindle/runtime/runtime.py
@@ -7,22 +7,8 @@
 from math import inf
 from typing import Any, Protocol
 
-from yarrowspindle.routing.messages import (
-    ClockStepped,
-    Effect,
-    Event,
-    JobArrived,
-    NodeGone,
-    Note,
-    Probe,
-    Stalled,
-    StepFailed,
-    Unprobe,
-    Unwake,
-    Wake,
-    Watch,
-    Woke,
-)
+from yarrowspindle.routing.effects import Effect, NodeGone, Note, Probe, Unprobe, Unwake, Wake, Watch
+from yarrowspindle.routing.events import ClockStepped, Event, JobArrived, Stalled, StepFailed, Woke
 from yarrowspindle.routing.reducer import Reducer
 from yarrowspindle.runtime.timers import Clock, Timers
 
--- /dev/null
+++ b/yarrowspindle/simulator/__init__.py
@@ -0,0 +1,1 @@
+"""The balancer on the simulator's wire."""
--- a/yarrowspindle/adapter.py
+++ b/yarrowspindle/simulator/adapter.py
@@ -7,37 +7,28 @@
 from collections.abc import Callable, Mapping
 from typing import BinaryIO, TypeVar
 
-from yarrowspindle import wire
-from yarrowspindle.interface import (
-    Action,
+from yarrowspindle.decisions.actions import Action, Cancel, Fail, Log, Move, Probe, Refuse, Send, SetTimer, Subscribe
+from yarrowspindle.decisions.balancer import Balancer
+from yarrowspindle.decisions.events import (
     Adopted,
     AttemptEnded,
-    Cancel,
     ClientGone,
     Established,
     Event,
-    Fail,
     ListKind,
     LoadChanged,
-    Log,
-    Move,
     Outcome,
     PeerMessage,
-    Probe,
     Probed,
-    Refuse,
     Request,
-    Send,
     ServerEntry,
     ServerList,
     ServerSlow,
-    SetTimer,
     State,
-    Subscribe,
     TimerDue,
 )
-from yarrowspindle.policy import Balancer
-from yarrowspindle.settings import SettingsError, read_settings
+from yarrowspindle.protocol.platform_settings import SettingsError, read_settings
+from yarrowspindle.simulator import wire
 
 T = TypeVar("T")
 STATES = {1: State.READY, 0: State.DRAINING, 3: State.GONE}
--- /dev/null
+++ b/yarrowspindle/storage/__init__.py
@@ -0,0 +1,1 @@
+"""Files that a process must find again after a restart."""
--- a/yarrowspindle/program/kept_file.py
+++ b/yarrowspindle/storage/durable_file.py
@@ -11,8 +11,8 @@
 from pathlib import Path
 from typing import Generic, TypeVar
 
-from yarrowspindle.turns.codec import BadMessage, FileCodec
-from yarrowspindle.turns.register import NONE, Held, Kept
+from yarrowspindle.consensus.register import NONE, Held, Kept
+from yarrowspindle.maintenance.codec import BadMessage, FileCodec
 
 VOTER, LOCK = "voter", "lock"
 FIRST = "the first file"
--- a/yarrowspindle/telemetry/counts.py
+++ b/yarrowspindle/telemetry/counts.py
@@ -11,8 +11,9 @@
 from collections import Counter
 from collections.abc import Callable
 
-from yarrowspindle.interface import State
-from yarrowspindle.routing.messages import Ask, Deny, Effect, Event, JobArrived, Join, Requeue, SubmitterLeft
+from yarrowspindle.decisions.events import State
+from yarrowspindle.routing.effects import Ask, Deny, Effect, Join, Requeue
+from yarrowspindle.routing.events import Event, JobArrived, SubmitterLeft
 from yarrowspindle.routing.reducer import Reducer
 
 OUTCOMES = {Join: "success", Requeue: "busy", Deny: "failure"}
--- a/yarrowspindle/telemetry/guard.py
+++ b/yarrowspindle/telemetry/guard.py
@@ -11,24 +11,10 @@
 from enum import Enum, unique
 from math import inf, sqrt
 
-from yarrowspindle.interface import ListKind, Settings, State
-from yarrowspindle.routing.messages import (
-    Ask,
-    AttemptOver,
-    Deny,
-    Drop,
-    Effect,
-    Event,
-    JobArrived,
-    Join,
-    ListTold,
-    Machine,
-    Reach,
-    Requeue,
-    Stalled,
-    SubmitterLeft,
-    Woke,
-)
+from yarrowspindle.decisions.events import ListKind, State
+from yarrowspindle.decisions.settings import Settings
+from yarrowspindle.routing.effects import Ask, Deny, Drop, Effect, Join, Reach, Requeue
+from yarrowspindle.routing.events import AttemptOver, Event, JobArrived, ListTold, Machine, Stalled, SubmitterLeft, Woke
 
 OVERDUE_MS = 500.0  # an answer so long after the deadline is none
 LOOK_MS = 1000.0  # how often requests without an answer are looked for
--- a/yarrowspindle/telemetry/published_names.py
+++ b/yarrowspindle/telemetry/published_names.py
@@ -7,25 +7,25 @@
 
 from collections.abc import Mapping
 
-from yarrowspindle.decisions.refusal import Refusal
-from yarrowspindle.routing import messages
-from yarrowspindle.routing.ending import Ending
+from yarrowspindle.decisions.rejection import Refusal
+from yarrowspindle.routing import effects, events
 from yarrowspindle.routing.state import Phase
+from yarrowspindle.routing.termination import Ending
 
 EVENTS: Mapping[type, str] = {
-    messages.JobArrived: "JobArrived",
-    messages.SubmitterLeft: "SubmitterLeft",
-    messages.ListTold: "ListTold",
+    events.JobArrived: "JobArrived",
+    events.SubmitterLeft: "SubmitterLeft",
+    events.ListTold: "ListTold",
 }
 
 EFFECTS: Mapping[type, str] = {
-    messages.Reach: "Reach",
-    messages.Ask: "Ask",
-    messages.Join: "Join",
-    messages.Requeue: "Requeue",
-    messages.Deny: "Deny",
-    messages.Move: "Move",
-    messages.Close: "Close",
+    effects.Reach: "Reach",
+    effects.Ask: "Ask",
+    effects.Join: "Join",
+    effects.Requeue: "Requeue",
+    effects.Deny: "Deny",
+    effects.Move: "Move",
+    effects.Close: "Close",
 }
 
 ENDINGS: Mapping[Ending, str] = {
--- a/yarrowspindle/telemetry/trace.py
+++ b/yarrowspindle/telemetry/trace.py
@@ -7,24 +7,8 @@
 
 from collections.abc import Callable
 
-from yarrowspindle.routing.messages import (
-    Ask,
-    AttemptOver,
-    Close,
-    Deny,
-    Drop,
-    Effect,
-    Event,
-    JobArrived,
-    Join,
-    Move,
-    NodeReached,
-    NodeUp,
-    OutOfTurn,
-    Reach,
-    Requeue,
-    SubmitterLeft,
-)
+from yarrowspindle.routing.effects import Ask, Close, Deny, Drop, Effect, Join, Move, Reach, Requeue
+from yarrowspindle.routing.events import AttemptOver, Event, JobArrived, NodeReached, NodeUp, OutOfTurn, SubmitterLeft
 from yarrowspindle.telemetry.published_names import reason
 
 
--- a/yarrowspindle/transport/node.py
+++ b/yarrowspindle/transport/backend.py
@@ -7,8 +7,8 @@
 
 from yarrowspindle.protocol import lines
 from yarrowspindle.protocol.lines import LineError, Lines, Word, load_of, word_of
-from yarrowspindle.routing.ending import Ending
-from yarrowspindle.transport.side import Side
+from yarrowspindle.routing.termination import Ending
+from yarrowspindle.transport.line_connection import Side
 
 MOVE_WAIT_S = 0.5  # for the rest of a line that a MOVE must not cut
 
--- a/yarrowspindle/transport/submitter.py
+++ b/yarrowspindle/transport/client.py
@@ -7,7 +7,7 @@
 
 from yarrowspindle.protocol import lines
 from yarrowspindle.protocol.lines import LineError, Open, Opening
-from yarrowspindle.transport.side import Side
+from yarrowspindle.transport.line_connection import Side
 
 FIRST_LINE_S = 2.0  # a connection that has sent no OPEN line by then is ended, whatever else it said
 
--- a/yarrowspindle/transport/connecting.py
+++ b/yarrowspindle/transport/connecting.py
@@ -15,7 +15,7 @@
 from enum import Enum, auto
 from typing import cast
 
-from yarrowspindle.routing.messages import Address
+from yarrowspindle.routing.address import Address
 
 # Failures of this machine or of its own network, which say nothing of the other end.
 OWN_FAILURES = frozenset(
--- a/yarrowspindle/transport/datagrams.py
+++ b/yarrowspindle/transport/datagrams.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from typing import cast
 
-from yarrowspindle.routing.messages import Address
+from yarrowspindle.routing.address import Address
 
 AGAIN_S = 1.0  # an address that is taken is tried again
 PENDING = 32  # datagrams kept until a path's socket is there
--- a/yarrowspindle/transport/machine_list.py
+++ b/yarrowspindle/transport/endpoint_list.py
@@ -5,8 +5,9 @@
 import asyncio
 from typing import Protocol, cast
 
-from yarrowspindle.protocol.machines import ListError, Names, WatchAnswer, watch_request
-from yarrowspindle.routing.messages import Address, ListTold
+from yarrowspindle.protocol.endpoint_list import ListError, Names, WatchAnswer, watch_request
+from yarrowspindle.routing.address import Address
+from yarrowspindle.routing.events import ListTold
 
 # What a silent watch misses counts as told 6 s after its last word, so these and the waits between calls fit into that.
 ANSWER_S = 2.2  # from the opening of the connection to the first list; the service lets a call wait about so long
--- a/yarrowspindle/transport/listener.py
+++ b/yarrowspindle/transport/listener.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from enum import Enum
 
-from yarrowspindle.routing.messages import Address
+from yarrowspindle.routing.address import Address
 
 BATCH = 16
 AGAIN_S = 0.01
--- a/yarrowspindle/transport/probe.py
+++ b/yarrowspindle/transport/probe.py
@@ -6,7 +6,7 @@
 from typing import Protocol, cast
 
 from yarrowspindle.protocol.lines import STATS, LineError, Lines
-from yarrowspindle.routing.ending import Ending
+from yarrowspindle.routing.termination import Ending
 
 
 class ProbeSink(Protocol):
--- a/yarrowspindle/transport/receivers.py
+++ b/yarrowspindle/transport/receivers.py
@@ -8,7 +8,7 @@
 import asyncio
 from typing import cast
 
-from yarrowspindle.routing.messages import Address
+from yarrowspindle.routing.address import Address
 from yarrowspindle.transport.connecting import ConnectFailure, Connecting
 
 CONNECT_S = 2.0
