--- a/benchmarks/capacity/data.py
+++ b/benchmarks/capacity/data.py
@@ -31,7 +31,7 @@
 from yarrowspindle.lab.processes.world import SETTINGS
 
 ROOT = Path(__file__).resolve().parents[2]
-NODES = 64
+BACKENDS = 64
 AT_ONCE = 32  # set-ups that are under way together
 GROUP = 1400
 ASKED_LINES_S, ASKED_CONNECTIONS = 27_500.0, 63_300
@@ -137,8 +137,8 @@
 
     seconds: float
     hop: float  # the relay, or the splicer
-    nodes: float
-    submitters: float
+    backends: float
+    clients: float
     hop_waits: float  # while others have its core
     stand_in_waits: float  # of the stand-in that waits most
 
@@ -158,7 +158,7 @@
         """Whether somebody other than the relay may have made lines late: a stand-in, or who shares the cores."""
         w = self.window
         return (
-            max(w.nodes, w.submitters) > BUSY
+            max(w.backends, w.clients) > BUSY
             or max(w.hop_waits, w.stand_in_waits) > WAITS
             or (self.sent["lag_ms"] > LAG_MS)
         )
@@ -172,8 +172,8 @@
     def __str__(self) -> str:
         w, d = self.window, self.delays
         return (
-            f"  {self.what:14} {self.connections:6} {self.rate:8,.0f} {100 * w.hop:6.1f} {100 * w.nodes:6.1f} "
-            f"{100 * w.submitters:6.1f} {100 * w.hop_waits:6.1f} {100 * w.stand_in_waits:6.1f} "
+            f"  {self.what:14} {self.connections:6} {self.rate:8,.0f} {100 * w.hop:6.1f} {100 * w.backends:6.1f} "
+            f"{100 * w.clients:6.1f} {100 * w.hop_waits:6.1f} {100 * w.stand_in_waits:6.1f} "
             f"{os.getloadavg()[0]:5.1f} {self.sent['lag_ms']:7.1f} "
             f"{d['p50_ms']:7.1f} {d['p99_ms']:8.1f} {d['tail_p50_ms']:8.1f}" + " disturbed" * self.disturbed
         )
@@ -204,13 +204,13 @@
 
 
 class Bench:
-    def __init__(self, plan: Plan, broken: list[str], nodes: Process, submitters: Process) -> None:
-        self.plan, self.broken, self.nodes, self.submitters = plan, broken, nodes, submitters
-        self.hop = nodes  # the process whose cost is measured
+    def __init__(self, plan: Plan, broken: list[str], backends: Process, clients: Process) -> None:
+        self.plan, self.broken, self.backends, self.clients = plan, broken, backends, clients
+        self.hop = backends  # the process whose cost is measured
         self.standing = 0
 
     def window(self, work: Callable[[], dict[str, Any]]) -> tuple[Window, dict[str, Any]]:
-        parties = (self.hop, self.nodes, self.submitters)
+        parties = (self.hop, self.backends, self.clients)
         began, before = time.perf_counter(), [p.cpu_s() for p in parties]
         done = work()
         after, took = [p.cpu_s() for p in parties], time.perf_counter() - began
@@ -227,15 +227,15 @@
 
     def lines(self, what: str, rate: float, seconds: float, bursts: Sequence[float] = (), echo: bool = False) -> Row:
         """Lines at a rate, until the last has come; every one has to come, and whole."""
-        before = self.submitters.ask("begin")
-        sender = self.submitters if echo else self.nodes
+        before = self.clients.ask("begin")
+        sender = self.clients if echo else self.backends
         window, sent = self.window(
             lambda: sender.ask("send", rate=rate, seconds=seconds, bursts=list(bursts), within_s=4 * seconds + 20)
         )
         until, expected = time.monotonic() + DRAIN_S, sent["sent"] - sent["missed"] + len(bursts) * sent["burst_size"]
-        while (heard := self.submitters.ask("standing"))["received"] < expected and time.monotonic() < until:
+        while (heard := self.clients.ask("standing"))["received"] < expected and time.monotonic() < until:
             time.sleep(0.1)
-        row = Row(what, self.standing, rate, sent["sent"] / sent["took_s"], window, sent, self.submitters.ask("delays"))
+        row = Row(what, self.standing, rate, sent["sent"] / sent["took_s"], window, sent, self.clients.ask("delays"))
         print(row, flush=True)
         wrong = heard["broken"] - before["broken"], heard["bad"] - before["bad"], sent["missed"]
         if heard["received"] != expected or any(wrong):
@@ -247,9 +247,9 @@
 
     def to(self, count: int, address: Sequence[Any]) -> float:
         """Connections until so many stand; processor time of the hop in microseconds for each."""
-        new, before = count - self.standing, self.submitters.ask("standing")
+        new, before = count - self.standing, self.clients.ask("standing")
         window, done = self.window(
-            lambda: self.submitters.ask(
+            lambda: self.clients.ask(
                 "open", count=new, host=address[0], port=address[1], at_once=AT_ONCE, within_s=90.0
             )
         )
@@ -270,8 +270,8 @@
 
     def shares(self, window: Window) -> str:
         return (
-            f"hop {100 * window.hop:.0f} %, nodes {100 * window.nodes:.0f} %, submitters "
-            f"{100 * window.submitters:.0f} %; waits: hop {100 * window.hop_waits:.0f} %, stand-ins "
+            f"hop {100 * window.hop:.0f} %, nodes {100 * window.backends:.0f} %, submitters "
+            f"{100 * window.clients:.0f} %; waits: hop {100 * window.hop_waits:.0f} %, stand-ins "
             f"{100 * window.stand_in_waits:.0f} %; load {os.getloadavg()[0]:.1f}"
         )
 
@@ -347,9 +347,9 @@
         """All connections end; processor time of the hop in microseconds for each."""
 
         def close() -> dict[str, Any]:
-            self.submitters.ask("close")
+            self.clients.ask("close")
             until = time.monotonic() + 15.0
-            while any(party.ask("standing")["standing"] for party in (self.submitters, self.nodes)):
+            while any(party.ask("standing")["standing"] for party in (self.clients, self.backends)):
                 if time.monotonic() > until:
                     self.broken.append(f"{self.hop.name} ends: connections are left after 15 s")
                     break
@@ -452,8 +452,8 @@
         f"lines/s that one core carries"
     )
     shares, rates = {}, {}
-    for name, life_s in LIVES:
-        setups = ASKED_CONNECTIONS / life_s
+    for name, lifetime_s in LIVES:
+        setups = ASKED_CONNECTIONS / lifetime_s
         part = setups * us_life / 1e6
         shares[name], rates[name] = round(part + lines + beats, 3), round(max(0.0, (1 - part - beats) / us_line * 1e6))
         print(f"  {name:8} {setups:9,.1f} {part:8.2f} {lines:6.2f} {beats:5.2f} {shares[name]:16.2f} {rates[name]:15,}")
@@ -474,7 +474,7 @@
     counts = tuple(sorted({min(count, reach) for count in plan.connections}))
     short = f" instead of {plan.connections[-1]}" if counts[-1] < plan.connections[-1] else ""
     print(
-        f"lines of {line} bytes with CRLF; {NODES} execute nodes; descriptors: {limit}, so at most {reach} "
+        f"lines of {line} bytes with CRLF; {BACKENDS} execute nodes; descriptors: {limit}, so at most {reach} "
         f"connections through one relay{short}"
     )
     group = min(GROUP, counts[-1])
@@ -492,17 +492,17 @@
             return process
 
         stand_in = "benchmarks.capacity.stand_in"
-        nodes = started(Process("nodes", [stand_in, "nodes"], folder / "nodes.log"))
-        submitters = started(Process("submitters", [stand_in, "submitters"], folder / "submitters.log"))
+        backends = started(Process("nodes", [stand_in, "nodes"], folder / "nodes.log"))
+        clients = started(Process("submitters", [stand_in, "submitters"], folder / "submitters.log"))
         splicer = started(Process("splicer", [stand_in, "splicer"], folder / "splicer.log"))
-        nodes.tell({"seed": seed, "length": line, "nodes": NODES})
-        submitters.tell({"seed": seed, "length": line, "group": group})
-        there = nodes.ask("start")
+        backends.tell({"seed": seed, "length": line, "nodes": BACKENDS})
+        clients.tell({"seed": seed, "length": line, "group": group})
+        there = backends.ask("start")
         relay, address = start_relay(folder, there["discovery"], there["list"], seed)
         started(relay)
         wait_for_relay(relay)
-        submitters.ask("standing")  # it has started as well
-        bench = Bench(plan, broken, nodes, submitters)
+        clients.ask("standing")  # it has started as well
+        bench = Bench(plan, broken, backends, clients)
         bench.hop = relay
         found = bench.points(address, counts, plan.rates)
         rows = found.rows
--- a/benchmarks/capacity/hollow.py
+++ b/benchmarks/capacity/hollow.py
@@ -30,7 +30,7 @@
 from yarrowspindle.transport.datagrams import Front
 
 HEADER = 28  # bytes of IP and UDP round each datagram
-NODES, HELD = 2000, 80  # nodes of the fleet, and those at which one relay holds something
+BACKENDS, HELD = 2000, 80  # nodes of the fleet, and those at which one relay holds something
 SWAP_S = 0.1  # at one node a relay's last connection ends and at another its first comes: 20 changes told a second
 CELL = 12  # relays
 START_MS = 2000.0  # over which the relays start
@@ -40,12 +40,12 @@
 Holds = dict[int, tuple[int, float]]
 
 
-def swap(holds: Holds, nodes: int, random: Random) -> None:
+def swap(holds: Holds, backends: int, random: Random) -> None:
     """As many are held as before."""
     holds.pop(random.choice(list(holds)), None)
-    while (node := random.randint(1, nodes)) in holds:
+    while (backend := random.randint(1, backends)) in holds:
         pass
-    holds[node] = (random.randint(1, 9), float(random.randint(1, 500)))
+    holds[backend] = (random.randint(1, 9), float(random.randint(1, 500)))
 
 
 @dataclass(frozen=True, slots=True)
@@ -54,7 +54,7 @@
 
     relays: int
     seed: int
-    nodes: int = NODES
+    backends: int = BACKENDS
     held: int = HELD
     window_s: float = 8.0
     warm_s: float = 6.0  # and a second for each 20 relays, until all clocks are known
@@ -65,7 +65,7 @@
     """Relays on the virtual clock whose holdings change without growing."""
 
     def __init__(self, day: Day) -> None:
-        super().__init__(day.relays, day.seed, day.nodes, day.held, **dict(day.changes))
+        super().__init__(day.relays, day.seed, day.backends, day.held, **dict(day.changes))
         self.looks: Counter[int] = Counter()
         self.start(0)
         for index in range(1, day.relays):  # not all in step: else all words of a second fall into one instant
@@ -80,7 +80,7 @@
         return Own(dict(self.holds[index]))
 
     def change(self, index: int) -> None:
-        swap(self.holds[index], self.nodes, self.random)
+        swap(self.holds[index], self.backends, self.random)
 
 
 def per_relay(counts: Counter[str], looks: int, relays: int, others: int, seconds: float) -> dict[str, float]:
@@ -131,7 +131,7 @@
         "cpu_share": spent + counts["sent"] / day.relays / day.window_s * datagram_s(),
         "memory_mb": deep_kb([peers[0].core.members.table, peers[0].core.signals, peers[0].core.pings]) / 1024.0,
         "age_s": fmean(o.age_ms / 1000.0 for o in others),
-        "heard": fmean(o.heard for o in others),
+        "heard": fmean(o.reporting_relays for o in others),
         "untold": fmean(untold),  # changes that no word has told yet
         "beat_s": day.window_s * day.relays / max(world.looks.total(), 1),
     }
@@ -188,7 +188,7 @@
         self.index, self.loop = index, asyncio.get_running_loop()
         self.settings = sockets.settings(index)
         self.random = Random(f"sockets {sockets.seed} {index}")
-        self.holds: Holds = {node: (1, 100.0) for node in self.random.sample(range(1, NODES + 1), HELD)}
+        self.holds: Holds = {backend: (1, 100.0) for backend in self.random.sample(range(1, BACKENDS + 1), HELD)}
         self.front = Front(lambda data, source: self.pump.post(Came(data, source)))
         self.core = Peers(self.settings, f"r{index}", 1, self.random.randrange(1 << 32), self.now())
         self.pump = PeerPump(
@@ -239,7 +239,7 @@
     while True:
         for part in range(4):
             for relay in relays[part::4]:
-                swap(relay.holds, NODES, relay.random)
+                swap(relay.holds, BACKENDS, relay.random)
             await asyncio.sleep(SWAP_S / 4)
 
 
--- a/benchmarks/capacity/slopes.py
+++ b/benchmarks/capacity/slopes.py
@@ -312,10 +312,10 @@
     """What one other relay's word takes in the table of one that hears it, over the keys that it holds something at: a
     node is one, and each group there one more."""
     rows = list[dict[str, Any]]()
-    for nodes, groups in [(nodes, 0) for nodes in TABLE_KEYS] + [(1000, 4), (4000, 4)]:
+    for backends, groups in [(backends, 0) for backends in TABLE_KEYS] + [(1000, 4), (4000, 4)]:
         keys = [
-            *range(1, nodes + 1),
-            *(group_key(node, group) for node in range(1, nodes + 1) for group in range(1, groups + 1)),
+            *range(1, backends + 1),
+            *(group_key(backend, group) for backend in range(1, backends + 1) for group in range(1, groups + 1)),
         ]
         teller, hearer = OwnWord(), Signals()
         teller.signal(Own({key: (1 + key % 9, 100.0 + key % 500) for key in keys}), 0.0)
@@ -326,7 +326,7 @@
         hearer.others(float(len(words)), 2, 0)
         rows.append(
             {
-                "nodes": nodes,
+                "nodes": backends,
                 "groups": groups,
                 "keys": len(keys),
                 "kept": len(hearer.heard["r1"].holds),
--- a/benchmarks/capacity/stand_in.py
+++ b/benchmarks/capacity/stand_in.py
@@ -19,7 +19,7 @@
 
 import uvloop
 
-from yarrowspindle.lab.processes.parties import MachineList, Node
+from yarrowspindle.lab.processes.parties import Backend, MachineList
 
 END = b"\r\n"
 GROUP = "5c0f6e1a"  # of the connections that get a line in the same instant
@@ -95,7 +95,7 @@
         }
 
 
-class NodeEnd(End):
+class BackendEnd(End):
     """An execute node's: says UP, then brings each line back."""
 
     def __init__(self, sender: Sender) -> None:
@@ -116,22 +116,22 @@
         self.sender.ends.pop(self, None)
 
 
-class Nodes:
-    def __init__(self, seed: int, length: int, nodes: int) -> None:
-        self.sender, self.count = Sender(seed, length), nodes
+class Backends:
+    def __init__(self, seed: int, length: int, backends: int) -> None:
+        self.sender, self.count = Sender(seed, length), backends
 
     async def start(self) -> dict[str, Any]:
         loop = asyncio.get_running_loop()
-        known: dict[str, Node] = {}
+        known: dict[str, Backend] = {}
         for n in range(self.count):
-            server = await loop.create_server(lambda: NodeEnd(self.sender), f"127.0.1.{1 + n}", 0, backlog=1024)
-            known[f"n{n}"] = Node(f"n{n}", server.sockets[0].getsockname(), Random(n), 0.0)
-        machines = MachineList(known, lambda relay, node: known[node].address)
+            server = await loop.create_server(lambda: BackendEnd(self.sender), f"127.0.1.{1 + n}", 0, backlog=1024)
+            known[f"n{n}"] = Backend(f"n{n}", server.sockets[0].getsockname(), Random(n), 0.0)
+        machines = MachineList(known, lambda relay, backend: known[backend].address)
         await machines.open("n0", ("127.0.0.1", 0))
         return {
             "discovery": machines.servers[0].sockets[0].getsockname(),
             "list": machines.whole("n0"),
-            "addresses": [node.address for node in known.values()],
+            "addresses": [backend.address for backend in known.values()],
         }
 
     async def send(self, **order: Any) -> dict[str, Any]:
@@ -141,8 +141,8 @@
         return {"standing": len(self.sender.ends)}
 
 
-class SubmitterEnd(End):
-    def __init__(self, all_of: Submitters, first: bytes) -> None:
+class ClientEnd(End):
+    def __init__(self, all_of: Clients, first: bytes) -> None:
         super().__init__()
         self.all_of, self.first = all_of, first
         self.answer: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
@@ -166,7 +166,7 @@
             self.answer.set_result(False)
 
 
-class Submitters:
+class Clients:
     def __init__(self, seed: int, length: int, group: int) -> None:
         self.sender, self.random = Sender(seed, length), Random(seed)
         self.length, self.group, self.opened = length - len(END), group, 0
@@ -188,7 +188,7 @@
                 self.lines[0].append(due)
                 self.lines[1].append(now - due)
 
-    def lost(self, end: SubmitterEnd) -> None:
+    def lost(self, end: ClientEnd) -> None:
         self.sender.ends.pop(end, None)
         self.broken += not self.closing
 
@@ -215,7 +215,7 @@
         first = (
             f"OPEN {self.random.getrandbits(64):016x} {self.random.getrandbits(64):016x} c=chat,t=acme,d=8000,g={name}"
         ).encode() + END
-        end, source = SubmitterEnd(self, first), (f"127.0.0.{2 + number % 8}", 0)
+        end, source = ClientEnd(self, first), (f"127.0.0.{2 + number % 8}", 0)
         try:
             await asyncio.get_running_loop().create_connection(lambda: end, host, port, local_addr=source)
             up = await asyncio.wait_for(end.answer, WAIT_S)
@@ -320,7 +320,7 @@
     """Carries out one order after the other until the input ends."""
     reader = asyncio.StreamReader(limit=1 << 20)
     await asyncio.get_running_loop().connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
-    made = {"nodes": Nodes, "submitters": Submitters, "splicer": Splicer}[role]
+    made = {"nodes": Backends, "submitters": Clients, "splicer": Splicer}[role]
     party: Any = made(**json.loads(await reader.readline()))
     while order := await reader.readline():
         told = json.loads(order)
--- a/benchmarks/deployments.py
+++ b/benchmarks/deployments.py
@@ -24,7 +24,7 @@
     return replace(
         spec,
         relays=LARGER * spec.relays,
-        nodes=LARGER * spec.nodes,
+        backends=LARGER * spec.backends,
         weights=LARGER * spec.weights,
         connections=LARGER * spec.connections,
     )
@@ -47,7 +47,9 @@
     result: dict[str, float] = {}
     for name, usual in DEPLOYMENTS.items():
         spec = sized(usual, chosen.size)
-        print(f"{name}: {spec.relays} relays, {spec.nodes} nodes, {spec.connections} connections, {len(seeds)} seeds")
+        print(
+            f"{name}: {spec.relays} relays, {spec.backends} nodes, {spec.connections} connections, {len(seeds)} seeds"
+        )
         for trouble in TROUBLES:
             day = mean(spec, trouble, seeds, broken)
             line = "  ".join(f"{key} {value:7.3f}" for key, value in day.items())
--- a/benchmarks/library.py
+++ b/benchmarks/library.py
@@ -24,17 +24,23 @@
 from starlette.routing import Route
 
 from benchmarks.common import finish, options
-from yarrowspindle.decisions.events import ListKind, State
+from yarrowspindle.decisions.events import EndpointState, ListKind
 from yarrowspindle.lab.model import Fleet, FleetSpec
-from yarrowspindle.library import Failed, JobClass, LibrarySettings, Machine, Placer, Refused, StaticList
+from yarrowspindle.library import ConnectionClass, Endpoint, Failed, LibrarySettings, Placer, Rejected, StaticList
 from yarrowspindle.middleware import PlacementMiddleware
 from yarrowspindle.replay import Played, Recorder, play_library, read_sequence
-from yarrowspindle.routing.events import AttemptOver, JobArrived, ListTold, NodeReached, NodeUp
+from yarrowspindle.routing.events import (
+    AttemptEnded,
+    BackendAccepted,
+    BackendConnected,
+    EndpointsUpdated,
+    RequestReceived,
+)
 from yarrowspindle.routing.reducer import Reducer
-from yarrowspindle.routing.termination import Ending
+from yarrowspindle.routing.termination import TerminationReason
 
 ROOT = Path(__file__).resolve().parent.parent
-MACHINES = [Machine(f"s-{i}", ("127.0.0.1", 3000 + i)) for i in range(1, 9)]
+MACHINES = [Endpoint(f"s-{i}", ("127.0.0.1", 3000 + i)) for i in range(1, 9)]
 EVENTS = {"small": 20_000, "machine": 200_000, "large": 2_000_000}
 STALLS = 50
 LATE_S = 0.05  # an answer may come so long after its deadline, or after the stall that it passed in
@@ -45,7 +51,9 @@
 
 def record(path: Path, seed: int, least: int) -> int:
     """All that one relay of a troubled model fleet was told: arrivals, lists, drains, deaths, loads, time-outs."""
-    spec = FleetSpec(relays=2, nodes=10, connections=500, life_s=20.0, filled=0.7, load_every_s=5.0, group_size=5)
+    spec = FleetSpec(
+        relays=2, backends=10, connections=500, lifetime_s=20.0, filled=0.7, load_every_s=5.0, group_size=5
+    )
     fleet = Fleet(spec, seed)
     relay = fleet.relays[0]
     trouble = Random(seed + 17)
@@ -60,18 +68,18 @@
         fleet.fill(5.0)
         while recorder.events < least:
             fleet.run(trouble.uniform(1.0, 4.0))
-            node = trouble.choice(list(fleet.nodes.values()))
+            backend = trouble.choice(list(fleet.backends.values()))
             what = trouble.random()
-            if node.state is not State.READY:
-                fleet.bring_back(node)
-            elif what < 0.3 and sum(n.state is State.READY for n in fleet.nodes.values()) > 5:
-                fleet.kill(node)
-            elif what < 0.6 and sum(n.state is State.READY for n in fleet.nodes.values()) > 5:
-                fleet.tell(State.DRAINING, node)
+            if backend.state is not EndpointState.READY:
+                fleet.bring_back(backend)
+            elif what < 0.3 and sum(n.state is EndpointState.READY for n in fleet.backends.values()) > 5:
+                fleet.kill(backend)
+            elif what < 0.6 and sum(n.state is EndpointState.READY for n in fleet.backends.values()) > 5:
+                fleet.tell(EndpointState.DRAINING, backend)
             elif what < 0.7:
-                node.set_up_ms = trouble.choice((8.0, 4000.0, 60_000.0))  # set-ups that time out
+                backend.set_up_ms = trouble.choice((8.0, 4000.0, 60_000.0))  # set-ups that time out
             elif what < 0.8:
-                relay.list_told(ListTold(ListKind.FAILED))
+                relay.list_told(EndpointsUpdated(ListKind.FAILED))
         fleet.ended = True
         fleet.run(spec.deadline_ms / 1000.0 + 1.0)  # whoever waits has its answer by then
         return recorder.events
@@ -106,27 +114,27 @@
 async def stalling(seed: int, stalls: int) -> dict[str, int]:
     """Jobs come and go while the loop is blocked again and again; each must have one final answer, in time."""
     random = Random(seed)
-    settings = LibrarySettings(classes=(JobClass("c", aim_s=0.1, deadline_s=0.4),))
+    settings = LibrarySettings(classes=(ConnectionClass("c", aim_s=0.1, deadline_s=0.4),))
     placer = Placer(settings, StaticList(MACHINES), seed=seed)
     found = dict.fromkeys(("second_answers", "unanswered", "late_after_stall", "jobs"), 0)
     loop = asyncio.get_running_loop()
     stalled_until = 0.0
 
-    async def job(number: int) -> None:
+    async def request(number: int) -> None:
         answers = 0
         deadline = loop.time() + 0.4
         draw = random.random()
         try:
             async with placer.place(key=number) as placement:
                 if draw < 0.2:
-                    await placement.failed(Ending.UNREACHED)
+                    await placement.failed(TerminationReason.CONNECT_FAILED)
                 await asyncio.sleep(random.uniform(0.0, 0.5 if draw > 0.8 else 0.1))  # the connection comes up, or late
                 if placement.moved.is_set() and not placement.over:
                     await placement.failed()
                 placement.up()
                 answers += 1
                 await asyncio.sleep(random.uniform(0.0, 0.5))
-        except (Refused, Failed):
+        except (Rejected, Failed):
             answers += 1
             if loop.time() > max(deadline, stalled_until) + LATE_S + (0.5 if draw > 0.8 else 0.1):
                 found["late_after_stall"] += 1  # it had to come back from its own wait before it could see it
@@ -137,13 +145,13 @@
     async with placer:
         tasks = []
         for number in range(stalls * 10):
-            tasks.append(asyncio.ensure_future(job(number)))
+            tasks.append(asyncio.ensure_future(request(number)))
             await asyncio.sleep(0.005)
             if number % 10 == 9:
                 time.sleep(random.uniform(0.2, 0.45))
                 stalled_until = loop.time()
         await asyncio.gather(*tasks)
-        found["leaked_jobs"] = len(placer.reducer.jobs) + len(placer.placements) + len(placer.inside)
+        found["leaked_jobs"] = len(placer.reducer.requests) + len(placer.placements) + len(placer.inside)
         found["stalls"] = placer.counters().get("stalls", 0)
     return found
 
@@ -190,7 +198,7 @@
     async with Placer(settings, StaticList(MACHINES), seed=seed) as placer:
         wrapped = PlacementMiddleware(served, placer)
         bare = Reducer(settings.core(), seed, placer.clock.now())
-        bare.step(placer.clock.now(), ListTold(ListKind.FULL, MACHINES, 1))
+        bare.step(placer.clock.now(), EndpointsUpdated(ListKind.FULL, MACHINES, 1))
         through = alone = 1e9
         number = 0
         for _ in range(5):
@@ -202,16 +210,16 @@
             for _ in range(times):
                 number += 1
                 now = placer.clock.now()
-                bare.step(now, JobArrived(number, 4800.0))
-                bare.step(now, NodeReached(number, 0))
+                bare.step(now, RequestReceived(number, 4800.0))
+                bare.step(now, BackendConnected(number, 0))
                 await served(dict(SCOPE), never, nothing)
-                bare.step(now, NodeUp(number, 0))
-                bare.step(now, AttemptOver(number, 0, Ending.SERVED))
+                bare.step(now, BackendAccepted(number, 0))
+                bare.step(now, AttemptEnded(number, 0, TerminationReason.COMPLETED))
             alone = min(alone, (time.perf_counter() - begun) / times * 1e6)
     return through, alone
 
 
-async def memory(seed: int, jobs: int) -> tuple[float, int]:
+async def memory(seed: int, requests: int) -> tuple[float, int]:
     """kB for each standing placement, and the jobs left over after all have ended at once."""
     async with Placer(LibrarySettings(), StaticList(MACHINES), seed=seed) as placer:
         go, up = asyncio.Event(), 0
@@ -225,14 +233,14 @@
 
         tracemalloc.start()
         before = tracemalloc.get_traced_memory()[0]
-        tasks = [asyncio.ensure_future(one(n)) for n in range(jobs)]
-        while up < jobs:
+        tasks = [asyncio.ensure_future(one(n)) for n in range(requests)]
+        while up < requests:
             await asyncio.sleep(0)
         held = tracemalloc.get_traced_memory()[0] - before
         tracemalloc.stop()
         go.set()
         await asyncio.gather(*tasks)
-        return held / jobs / 1024.0, len(placer.reducer.jobs)
+        return held / requests / 1024.0, len(placer.reducer.requests)
 
 
 def imports() -> tuple[float, float, bool]:
--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -11,67 +11,74 @@
 from random import Random
 
 from benchmarks.common import finish, options
-from yarrowspindle.decisions.events import ListKind, State
+from yarrowspindle.decisions.events import EndpointState, ListKind
 from yarrowspindle.decisions.settings import RequestClass, Settings
-from yarrowspindle.routing.events import AttemptOver, JobArrived, ListTold, Machine, NodeReached, NodeUp
+from yarrowspindle.routing.events import (
+    AttemptEnded,
+    BackendAccepted,
+    BackendConnected,
+    Endpoint,
+    EndpointsUpdated,
+    RequestReceived,
+)
 from yarrowspindle.routing.reducer import Reducer
-from yarrowspindle.routing.termination import Ending
+from yarrowspindle.routing.termination import TerminationReason
 
 SMALL, LARGE = 100, 5000
-STANDING, JOBS, DELTAS, ROUNDS = 400, 1500, 400, 5
-DELTA_MOST, JOB_MOST = 3.0, 1.3  # how much dearer it may be in the large fleet
+STANDING, REQUESTS, DELTAS, ROUNDS = 400, 1500, 400, 5
+DELTA_MOST, REQUEST_MOST = 3.0, 1.3  # how much dearer it may be in the large fleet
 
 
 class Core:
     """A reducer that holds standing jobs on so many nodes."""
 
-    def __init__(self, nodes: int, seed: int, blind: bool) -> None:
+    def __init__(self, backends: int, seed: int, blind: bool) -> None:
         self.random, self.now, self.number = Random(seed), 1000.0, 0
         settings = Settings(
-            classes=(RequestClass(800.0, 4800.0, message_aim_ms=150.0),),
+            classes=(RequestClass(800.0, 4800.0, message_latency_objective_ms=150.0),),
             max_attempts=3,
             retry_after=True,
             max_retry_after_ms=2000.0,
-            cold_share=0.31,
-            cold_ms=9000.0,
-            fall_multiple=3.0,
-            fall_ms=1500.0,
-            tells_delay=not blind,
+            initial_capacity_fraction=0.31,
+            warmup_ms=9000.0,
+            overload_multiple=3.0,
+            overload_window_ms=1500.0,
+            backend_reports_latency=not blind,
         )
         self.reducer = Reducer(settings, seed, self.now)
-        sizes = [self.random.choice((2.4, 4.8, 6.0)) for _ in range(nodes)]
-        self.machines = [Machine(f"s-{n}", ("m", n), capacity=size) for n, size in enumerate(sizes)]
-        self.reducer.step(self.now, ListTold(ListKind.FULL, self.machines, 1))
+        sizes = [self.random.choice((2.4, 4.8, 6.0)) for _ in range(backends)]
+        self.machines = [Endpoint(f"s-{n}", ("m", n), capacity=size) for n, size in enumerate(sizes)]
+        self.reducer.step(self.now, EndpointsUpdated(ListKind.FULL, self.machines, 1))
         for _ in range(STANDING):
             self.open()
 
     def open(self) -> int:
         self.number += 1
         self.now += 5.0
-        self.reducer.step(self.now, JobArrived(self.number, 4800.0, load=self.random.uniform(1.0, 5.0)))
-        self.reducer.step(self.now, NodeReached(self.number, 0))
-        self.reducer.step(self.now, NodeUp(self.number, 0))
+        self.reducer.step(self.now, RequestReceived(self.number, 4800.0, load=self.random.uniform(1.0, 5.0)))
+        self.reducer.step(self.now, BackendConnected(self.number, 0))
+        self.reducer.step(self.now, BackendAccepted(self.number, 0))
         return self.number
 
-    def jobs(self) -> float:
+    def requests(self) -> float:
         """Microseconds for a job from its arrival to its end, at 200 jobs a second."""
         begun = time.perf_counter()
-        for _ in range(JOBS):
-            self.reducer.step(self.now, AttemptOver(self.open(), 0, Ending.SERVED))
-        return (time.perf_counter() - begun) / JOBS * 1e6
+        for _ in range(REQUESTS):
+            self.reducer.step(self.now, AttemptEnded(self.open(), 0, TerminationReason.COMPLETED))
+        return (time.perf_counter() - begun) / REQUESTS * 1e6
 
     def deltas(self) -> float:
         """Microseconds for a word of the list on one node: it drains, and is ready again. A job comes between."""
         chosen = [self.random.choice(self.machines) for _ in range(DELTAS // 2)]
         took = 0.0
         for machine in chosen:
-            for state in (State.DRAINING, State.READY):
-                changed = Machine(machine.name, machine.address, state, capacity=machine.capacity)
-                told = ListTold(ListKind.DELTA, [changed], 2)
+            for state in (EndpointState.DRAINING, EndpointState.READY):
+                changed = Endpoint(machine.name, machine.address, state, capacity=machine.capacity)
+                told = EndpointsUpdated(ListKind.DELTA, [changed], 2)
                 begun = time.perf_counter()
                 self.reducer.step(self.now, told)
                 took += time.perf_counter() - begun
-                self.reducer.step(self.now, AttemptOver(self.open(), 0, Ending.SERVED))
+                self.reducer.step(self.now, AttemptEnded(self.open(), 0, TerminationReason.COMPLETED))
         return took / DELTAS * 1e6
 
 
@@ -82,7 +89,7 @@
         cores = {size: Core(size, seed, blind) for size in (SMALL, LARGE)}
         for _ in range(ROUNDS):
             for size, core in cores.items():
-                for what, us in (("job", core.jobs()), ("delta", core.deltas())):
+                for what, us in (("job", core.requests()), ("delta", core.deltas())):
                     name = f"us_per_{what}_{size}" + "_blind" * blind
                     found[name] = round(min(found.get(name, 1e9), us), 2)
     return found
@@ -97,7 +104,7 @@
     for name, us in found.items():
         print(f"  {name:24} {us}")
     broken = []
-    for what, most in (("delta", DELTA_MOST), ("job", JOB_MOST)):
+    for what, most in (("delta", DELTA_MOST), ("job", REQUEST_MOST)):
         for kind in ("", "_blind"):
             ratio = found[f"us_per_{what}_{LARGE}{kind}"] / found[f"us_per_{what}_{SMALL}{kind}"]
             print(f"  {what}{kind}: {ratio:.2f} times, {most} at most")
--- a/benchmarks/rebalance.py
+++ b/benchmarks/rebalance.py
@@ -15,7 +15,7 @@
 from typing import Any
 
 from benchmarks.common import finish, options
-from yarrowspindle.lab.model import Fleet, FleetSpec, ModelNode
+from yarrowspindle.lab.model import Fleet, FleetSpec, ModelBackend
 from yarrowspindle.rebalancing import Rebalancer, RebalanceSettings
 
 SCENARIOS = ("return", "extra", "steady", "lost-clients", "skewed", "large")
@@ -44,9 +44,9 @@
 def specification(scenario: str, size: str) -> FleetSpec:
     """Loads so that the old nodes are short of room: what an imbalance costs can be seen then."""
     scale = {"small": 1, "machine": 4, "large": 10}[size]
-    spec = FleetSpec(relays=3, nodes=12 * scale, connections=2000 * scale, filled=0.65)
+    spec = FleetSpec(relays=3, backends=12 * scale, connections=2000 * scale, filled=0.65)
     if scenario in ("extra", "skewed"):
-        spec = replace(spec, nodes=14 * scale, filled=0.68)
+        spec = replace(spec, backends=14 * scale, filled=0.68)
     if scenario == "skewed":
         spec = replace(spec, weights=(0.7, 0.2, 0.1))
     if scenario == "steady":
@@ -58,7 +58,7 @@
         spec = replace(
             spec,
             relays=100 if full else 10,
-            nodes=2000 if full else 200,
+            backends=2000 if full else 200,
             connections=200_000 if full else 20_000,
             load_every_s=120.0,
         )
@@ -94,17 +94,17 @@
     fleet = Fleet(replace(spec, rebalance=RebalanceSettings() if on else None), seed)
     run = Run(fleet)
     timed(run, fleet)
-    newcomers: list[ModelNode] = []
-    nodes = list(fleet.nodes.values())
+    newcomers: list[ModelBackend] = []
+    backends = list(fleet.backends.values())
     if scenario == "steady":
         pass
     elif scenario in ("extra", "skewed", "large"):
-        newcomers = nodes[:: 5 if scenario != "large" else 10][: max(1, ceil(3 * len(nodes) / 14))]
+        newcomers = backends[:: 5 if scenario != "large" else 10][: max(1, ceil(3 * len(backends) / 14))]
         fleet.kill(*newcomers)  # not switched on yet
     fleet.fill(20.0 if scenario == "large" else 10.0)
     fleet.run(SETTLE_S)
     if scenario in ("return", "lost-clients"):
-        newcomers = nodes[::4]
+        newcomers = backends[::4]
         fleet.kill(*newcomers)
         fleet.run(45.0)
     fleet.counts.clear()
@@ -154,7 +154,7 @@
     """Microseconds of a dear plan (99 of 100 take less) by node * log2(nodes) + 20 * moves: steady if it holds."""
     if not run.cost:
         return 0.0
-    parts = sorted(us / (nodes * log(max(nodes, 2), 2) + 20.0 * moves) for nodes, moves, us in run.cost)
+    parts = sorted(us / (backends * log(max(backends, 2), 2) + 20.0 * moves) for backends, moves, us in run.cost)
     return parts[int(0.99 * (len(parts) - 1))]
 
 
@@ -176,7 +176,7 @@
     result: dict[str, Any] = {
         "scenario": scenario,
         "relays": spec.relays,
-        "nodes": spec.nodes,
+        "nodes": spec.backends,
         "connections": standing,
         "imbalance": on.values,
         "off_imbalance": off.values or [],
@@ -191,8 +191,8 @@
         "fallen": fleet.counts["fallen"],
         "lost": fleet.lost(),
         "second_answers": fleet.rules.broken["one final answer"],
-        "cold_ratio_peak": round(max(n.cold_ratio_peak for n in fleet.nodes.values()), 3),
-        "off_cold_ratio_peak": round(max(n.cold_ratio_peak for n in off.fleet.nodes.values()), 3),
+        "cold_ratio_peak": round(max(n.cold_ratio_peak for n in fleet.backends.values()), 3),
+        "off_cold_ratio_peak": round(max(n.cold_ratio_peak for n in off.fleet.backends.values()), 3),
         "served": round(on.served, 5),
         "off_served": round(off.served, 5) if off.values is not None else None,
         "us_per_plan": round(us, 1),
--- a/benchmarks/signals.py
+++ b/benchmarks/signals.py
@@ -54,7 +54,7 @@
 def sized(base: FleetSpec, relays: int) -> FleetSpec:
     times = 2 if relays > 20 else 1
     return replace(
-        base, relays=relays, nodes=12 * times, connections=base.connections * times, weights=(), filled=FILLED
+        base, relays=relays, backends=12 * times, connections=base.connections * times, weights=(), filled=FILLED
     )
 
 
@@ -68,11 +68,11 @@
     fleet.fill(4.0)
     fleet.run(8.0)
     wanted, served, crossed, stood = fleet.wanted, fleet.served, fleet.crossed, fleet.stood
-    shares, ages, before = list[float](), list[float](), {n.name: n.taken for n in fleet.nodes.values()}
+    shares, ages, before = list[float](), list[float](), {n.name: n.taken for n in fleet.backends.values()}
 
     def sample(_: float) -> None:
-        came = [n.taken - before[n.name] for n in fleet.nodes.values()]
-        before.update({n.name: n.taken for n in fleet.nodes.values()})
+        came = [n.taken - before[n.name] for n in fleet.backends.values()]
+        before.update({n.name: n.taken for n in fleet.backends.values()})
         shares.append(max(came) / max(sum(came), 1))
         ages.extend(r.reducer.balancer.others.told_age for r in fleet.relays if r.reducer.balancer.others.heard)
 
@@ -162,8 +162,8 @@
 
 def cost(task: tuple[int, int, int, bool]) -> dict[str, float]:
     """So many relays whose connections come and go: bytes, datagrams and processor time of one, in virtual time."""
-    relays, nodes, seed, holding = task
-    world = Relays(relays, seed, nodes, max(2, min(nodes, 8 * nodes // relays)) if holding else 0)
+    relays, backends, seed, holding = task
+    world = Relays(relays, seed, backends, max(2, min(backends, 8 * backends // relays)) if holding else 0)
     for index in range(relays):
         world.start(index)
     events = recorded(world.net.peers[0].core)
@@ -192,7 +192,7 @@
         "cpu": spent + datagrams * datagram_s(),
         "memory_kb": deep_kb([peers[0].core.members.table, peers[0].core.signals, peers[0].core.pings]),
         "age_s": fmean(ages),
-        "heard": fmean(others.heard for others in world.others.values()),
+        "heard": fmean(others.reporting_relays for others in world.others.values()),
     }
 
 
@@ -225,7 +225,7 @@
     return {
         "deployment": deployment,
         "relays": relays,
-        "nodes": sized(BASES[deployment], relays).nodes,
+        "nodes": sized(BASES[deployment], relays).backends,
         "seeds": len(seeds),
         "off": round(mean["off"], 4),
         "on": round(mean["on"], 4),
@@ -250,13 +250,13 @@
             for way in WAYS
             for n in range(seeds)
         ]
-        relays, nodes = COST[size]
+        relays, backends = COST[size]
         costs = pool.map(
             cost,
             [
-                (relays, nodes, chosen.seed, True),
-                (relays, nodes, chosen.seed, False),
-                (max(relays // 4, 3), nodes, chosen.seed, False),
+                (relays, backends, chosen.seed, True),
+                (relays, backends, chosen.seed, False),
+                (max(relays // 4, 3), backends, chosen.seed, False),
             ],
         )
         same = pool.map(one, [(name, 3, way, first) for name in BASES for way in ("off", "mute", "old")])
@@ -291,7 +291,7 @@
     if min(detect) < 0.0 or max(detect) > DETECT_MOST_S:
         broken.append(f"a killed relay's part is gone after {max(detect):.1f} s: {DETECT_MOST_S:g} s at most")
     print(
-        f"{relays} relays, {nodes} nodes: {whole['bytes']:.0f} bytes/s sent by each, {whole['members']:.0f} for "
+        f"{relays} relays, {backends} nodes: {whole['bytes']:.0f} bytes/s sent by each, {whole['members']:.0f} for "
         f"members, {whole['datagrams']:.0f} datagrams/s, {100 * whole['cpu']:.2f} % of a core, "
         f"{whole['memory_kb']:.0f} kB, word {whole['age_s']:.2f} s old of {whole['heard']:.0f}"
     )
@@ -317,7 +317,7 @@
         "cpu_share": round(whole["cpu"], 5),
         "memory_kb": round(whole["memory_kb"]),
         "cost_relays": relays,
-        "cost_nodes": nodes,
+        "cost_nodes": backends,
         "false_deaths": deaths,
         "member_seeds": len(days),
         "agreed_s": agreed,
--- a/benchmarks/soak/planted.py
+++ b/benchmarks/soak/planted.py
@@ -15,12 +15,12 @@
 from yarrowspindle.daemon.main import main
 from yarrowspindle.decisions import request_gate as gate
 from yarrowspindle.decisions.balancer import Balancer
-from yarrowspindle.decisions.events import Outcome, State
-from yarrowspindle.decisions.settings import Effect
+from yarrowspindle.decisions.events import EndpointState, Outcome
+from yarrowspindle.decisions.settings import Idempotency
 from yarrowspindle.fronts import line_front
 from yarrowspindle.routing import reducer
-from yarrowspindle.routing.termination import OUTCOMES, Ending
-from yarrowspindle.transport import client as submitter
+from yarrowspindle.routing.termination import OUTCOMES, TerminationReason
+from yarrowspindle.transport import client as client
 from yarrowspindle.transport import connecting
 
 
@@ -31,15 +31,15 @@
 
 def reset_never_ran() -> None:
     """A connection that broke after the request was written counts as one that never came up."""
-    OUTCOMES[Ending.BROKEN] = Outcome.CONNECT_FAILED
+    OUTCOMES[TerminationReason.CONNECTION_RESET] = Outcome.CONNECT_FAILED
 
 
 def repeat_late() -> None:
     """A keyed request is repeated after its window."""
     real = gate.repeat_within
 
-    def within(effect: Effect, ran_at: float | None, window_ms: float, slack_ms: float, now: float) -> float:
-        return inf if effect is Effect.KEYED else real(effect, ran_at, window_ms, slack_ms, now)
+    def within(effect: Idempotency, ran_at: float | None, window_ms: float, slack_ms: float, now: float) -> float:
+        return inf if effect is Idempotency.KEYED else real(effect, ran_at, window_ms, slack_ms, now)
 
     gate.repeat_within = within
 
@@ -49,9 +49,9 @@
     real = reducer.Reducer._list
 
     def listed(self: reducer.Reducer, event: Any, said: bool = True) -> None:
-        for machine in event.machines:
-            if machine.state is State.DRAINING:
-                machine.state = State.READY
+        for machine in event.endpoints:
+            if machine.state is EndpointState.DRAINING:
+                machine.state = EndpointState.READY
         real(self, event, said)
 
     reducer.Reducer._list = listed  # type: ignore[method-assign]
@@ -59,29 +59,29 @@
 
 def go_on_after_leaving() -> None:
     """That a client has left while its request waits is not noticed."""
-    submitter.Submitter._leave = lambda self: None  # type: ignore[method-assign]
+    client.ClientConnection._leave = lambda self: None  # type: ignore[method-assign]
 
 
 def forget_a_request() -> None:
     """One request in fifty is taken and never looked at again."""
-    real = line_front.LineFront.job_came
+    real = line_front.LineFront.request_came
 
     def came(self: line_front.LineFront, side: Any, opened: Any) -> None:
         if opened.key % 50:
             real(self, side, opened)
         else:
             self.door.known(side)
-            side.job = self.hub.new_job(self)
+            side.request = self.hub.new_request(self)
 
-    line_front.LineFront.job_came = came  # type: ignore[method-assign]
+    line_front.LineFront.request_came = came  # type: ignore[method-assign]
 
 
 def close_unanswered() -> None:
     """Whoever is refused hears nothing: the connection is ended."""
     real = line_front.LineFront._answer
 
-    def answer(self: line_front.LineFront, job: int, line: bytes) -> None:
-        real(self, job, b"" if line.startswith(b"BUSY") else line)
+    def answer(self: line_front.LineFront, request: int, line: bytes) -> None:
+        real(self, request, b"" if line.startswith(b"BUSY") else line)
 
     line_front.LineFront._answer = answer  # type: ignore[method-assign]
 
@@ -118,9 +118,9 @@
 def end_at_once() -> None:
     """At SIGTERM the process ends without a word to anybody."""
     line_front.LineFront.end = lambda self, within_s: asyncio.sleep(0)  # type: ignore[method-assign]
-    from yarrowspindle.daemon.relay_service import Hub
+    from yarrowspindle.daemon.relay_service import RelayService
 
-    Hub.stop = lambda self: 50.0  # type: ignore[method-assign]
+    RelayService.stop = lambda self: 50.0  # type: ignore[method-assign]
 
 
 def answer_late() -> None:
--- a/benchmarks/turns.py
+++ b/benchmarks/turns.py
@@ -99,7 +99,7 @@
         settle_s=6.0 if big else 3.0,
         faults_s=30.0 if big else 6.0,
         stall_s=20.0 if big else 4.0,
-        life_s=20.0,
+        lifetime_s=20.0,
         line_s=2.0,
         after_s=2.0,
         voters=voters,
@@ -111,7 +111,7 @@
     wanted = Work(
         machines=0 if big else 2,
         reboot=seed % 3 == 0 and faulty,
-        floor=run.nodes - 2.0,
+        floor=run.backends - 2.0,
         dies_s=8.0 if faulty and seed % 5 == 0 else -1.0,
         voter=run.voters < run.relays,
         within_s=180.0 if big else 90.0,
--- a/examples/plan_status.py
+++ b/examples/plan_status.py
@@ -15,20 +15,20 @@
 from fastapi.responses import StreamingResponse
 
 from examples.asgi_host import AsgiHost
-from yarrowspindle.decisions.events import State
-from yarrowspindle.library import JobClass, LibrarySettings, Machine, Placer, StaticList
+from yarrowspindle.decisions.events import EndpointState
+from yarrowspindle.library import ConnectionClass, Endpoint, LibrarySettings, Placer, StaticList
 from yarrowspindle.middleware import PlacementMiddleware, reach, relay_events
 from yarrowspindle.middleware.fastapi import Placed
 
 
-class StandInNode:
+class StandInBackend:
     """An execute node: sends a line of a plan's status several times a second."""
 
     def __init__(self, name: str) -> None:
         self.name, self.held = name, 0
         self.tasks: set[asyncio.Task[None]] = set()
 
-    async def open(self) -> Machine:
+    async def open(self) -> Endpoint:
         def came(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             task = asyncio.ensure_future(self._serve(writer))
             self.tasks.add(task)
@@ -36,7 +36,7 @@
 
         self.server = await asyncio.start_server(came, "127.0.0.1", 0)
         host, port = self.server.sockets[0].getsockname()[:2]
-        return Machine(self.name, (host, port))
+        return Endpoint(self.name, (host, port))
 
     async def _serve(self, writer: asyncio.StreamWriter) -> None:
         self.held += 1
@@ -77,15 +77,15 @@
     while True:
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         writer.write(f"GET /plans/{number} HTTP/1.1\r\nHost: x\r\nAccept: text/event-stream\r\n\r\n".encode())
-        node = ""
+        backend = ""
         try:
             while line := (await reader.readline()).decode():
                 if line.startswith("data: ") and ":" in line[6:]:
                     seen["messages"] += 1
                     now = line[6:].split(":")[0]
-                    if now != node:
+                    if now != backend:
                         print(f"  client {number} is at {now}")
-                        node = now
+                        backend = now
                 elif line.startswith("event: moved"):
                     seen["moves"] += 1
                     print(f"  client {number} is told to come again")
@@ -98,27 +98,27 @@
 
 async def show(seconds: float, clients: int, seed: int | None = None) -> Counter[str]:
     """seed: of the draws; drawn by the system where it is left out."""
-    nodes = [StandInNode(f"node-{n}") for n in range(3)]
-    machines = [await node.open() for node in nodes]
+    backends = [StandInBackend(f"node-{n}") for n in range(3)]
+    machines = [await backend.open() for backend in backends]
     source = StaticList(machines)
-    placer = Placer(LibrarySettings(classes=(JobClass("plan-status"),)), source, seed=seed)
+    placer = Placer(LibrarySettings(classes=(ConnectionClass("plan-status"),)), source, seed=seed)
     seen: Counter[str] = Counter()
     async with AsgiHost(make_app(placer)) as host:
         print(f"serving at http://127.0.0.1:{host.port}/plans/1 (Accept: text/event-stream)")
         tasks = [asyncio.ensure_future(client(n + 1, host.port, seen)) for n in range(clients)]
         await asyncio.sleep(seconds / 3.0)
         print("node-0 drains: it keeps what it holds and gets nothing new")
-        source.change([replace(m, state=State.DRAINING) if m.name == "node-0" else m for m in machines])
+        source.change([replace(m, state=EndpointState.DRAINING) if m.name == "node-0" else m for m in machines])
         await asyncio.sleep(seconds / 3.0)
         print("node-0 is gone: its clients are moved")
         source.change(machines[1:])
         await asyncio.sleep(seconds / 3.0)
-        print("held at the end:", {node.name: node.held for node in nodes})
+        print("held at the end:", {backend.name: backend.held for backend in backends})
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
-    for node in nodes:
-        await node.stop()
+    for backend in backends:
+        await backend.stop()
     print("placer:", dict(sorted(placer.counters().items())))
     return seen
 
--- a/tests/daemon/test_configuration_daemon.py
+++ b/tests/daemon/test_configuration_daemon.py
@@ -29,12 +29,12 @@
 from yarrowspindle.configuration.state import ControlState, Order, digest
 from yarrowspindle.daemon.config import ConfigError, Operator, load_operator, read_config, read_operator
 from yarrowspindle.daemon.configuration_endpoint import RelayEndpoint
-from yarrowspindle.daemon.relay_service import Hub
+from yarrowspindle.daemon.relay_service import RelayService
 from yarrowspindle.daemon.shared_settings import check, shared_of, text_of
 from yarrowspindle.lab.faults import Fault, Ways
 from yarrowspindle.lab.processes.proxy import DatagramProxy
 from yarrowspindle.routing.address import Address
-from yarrowspindle.routing.events import JobArrived
+from yarrowspindle.routing.events import RequestReceived
 from yarrowspindle.runtime import SystemClock
 from yarrowspindle.storage.durable_file import FIRST, KeptFile
 
@@ -193,9 +193,9 @@
 
 async def believes(world: World, wait_ms: int) -> bool:
     """Whether a submitter that would wait for so long is placed."""
-    submitter = await world.job(wait_ms=wait_ms)
-    hears = asyncio.ensure_future(submitter.hear())
-    placed = [asyncio.ensure_future(node.next()) for node in world.nodes.values()]
+    client = await world.request(wait_ms=wait_ms)
+    hears = asyncio.ensure_future(client.hear())
+    placed = [asyncio.ensure_future(backend.next()) for backend in world.backends.values()]
     done, _ = await asyncio.wait((hears, *placed), return_when=asyncio.FIRST_COMPLETED, timeout=WAIT_S)
     for one in (hears, *placed):
         one.cancel()
@@ -203,7 +203,7 @@
         assert hears.result() == "ERR"
         return False
     assert done
-    submitter.writer.close()
+    client.writer.close()
     return True
 
 
@@ -481,11 +481,11 @@
     )
 
 
-def test_two_thousand_changes_of_a_class_keep_its_numbers_bounded_and_each_job_its_class(quiet: None) -> None:
+def test_two_thousand_changes_of_a_class_keep_its_numbers_bounded_and_each_request_its_class(quiet: None) -> None:
     async def body() -> None:
-        hub = Hub(config(), SystemClock())
-        hub.post(JobArrived(hub.runtime.new_job(None), 1500.0))  # type: ignore[arg-type]  # nobody carries it out
-        standing, old = hub.reducer.jobs[1], hub.config.settings.classes[0]
+        hub = RelayService(config(), SystemClock())
+        hub.post(RequestReceived(hub.runtime.new_request(None), 1500.0))  # type: ignore[arg-type]  # nobody carries it out
+        standing, old = hub.reducer.requests[1], hub.config.settings.classes[0]
         for n in range(2000):
             name = ("chat", "chat", "video")[n % 3]
             changed = [CHAT | {"name": name, "deadline_ms": 3000.0 + n}, CHAT | {"name": "call"}]
@@ -504,7 +504,7 @@
 def test_a_number_that_is_used_again_brings_nothing_of_the_class_before() -> None:
     async def body() -> None:
         probed = {"stats": {"source": "probe", "columns": ["x0", "rif"]}}
-        hub = Hub(config(**probed), SystemClock())
+        hub = RelayService(config(**probed), SystemClock())
         estimates = hub.reducer.balancer.estimates
         assert estimates is not None
         estimates.loads[0] = 3.0
--- a/tests/daemon/test_connection_limiter.py
+++ b/tests/daemon/test_connection_limiter.py
@@ -26,8 +26,8 @@
 def test_no_more_are_let_in_than_there_is_room_and_only_old_strangers_go(steps: list[tuple[str, int]]) -> None:
     now, born = [0.0], dict[Any, float]()
     door = Door(40 + SPARE, lambda: now[0])
-    jobs: set[Any] = set()
-    nodes: dict[Any, Any] = {}
+    requests: set[Any] = set()
+    backends: dict[Any, Any] = {}
     for step, pick in steps:
         sides = [side for side in born if not side.aborted and side in door.held]
         side = sides[pick % len(sides)] if sides else None
@@ -39,18 +39,18 @@
         elif step == "wait":
             now[0] += pick * YOUNG_S / 4.0
         elif side is not None and step == "known":
-            if side not in jobs and side not in door.leaving:
-                jobs.add(side)
+            if side not in requests and side not in door.leaving:
+                requests.add(side)
                 door.known(side)
-                door.reached_for(cast(Any, node := Ended()))  # its node's side
-                nodes[side] = node
+                door.reached_for(cast(Any, backend := Ended()))  # its node's side
+                backends[side] = backend
         elif side is not None:
-            jobs.discard(side)
-            if (other := nodes.pop(side, None)) is not None:
+            requests.discard(side)
+            if (other := backends.pop(side, None)) is not None:
                 door.lost(cast(Any, other))
             (door.answered if step == "answer" else door.lost)(side)
         assert len(door.held) <= 40 and len(door.strangers) + len(door.leaving) <= door.strangers_most
-        assert not any(side.aborted for side in jobs), "a job is never ended for want of room"
+        assert not any(side.aborted for side in requests), "a job is never ended for want of room"
         assert all(now[0] >= born[side] + YOUNG_S for side in born if side.aborted)
 
 
@@ -65,7 +65,7 @@
     assert (log.said, log.unsaid) == (1, 0)
 
 
-def test_strangers_that_all_become_jobs_find_a_descriptor_for_their_nodes_too() -> None:
+def test_strangers_that_all_become_requests_find_a_descriptor_for_their_backends_too() -> None:
     """Strangers counted once, and a crowd that opened its jobs together took what is kept for the watch."""
     door = Door(40 + SPARE, lambda: 0.0)
     while door.room():
--- a/tests/daemon/test_crossings.py
+++ b/tests/daemon/test_crossings.py
@@ -68,16 +68,16 @@
 
 async def held(w: World) -> Held:
     """s-1 takes no connection, and nothing else is ready."""
-    w.nodes["s-1"] = node = await Held().open()
+    w.backends["s-1"] = backend = await Held().open()
     await listed(w, s_1="ready", s_2="draining")
-    return node
+    return backend
 
 
 async def stopping(w: World) -> None:
     """Asked to stop, and about it: the line is logged a little before."""
     w.stop()
     await w.logged("asked to stop")
-    assert await (await w.submitter("PING")).hear() == "NO"
+    assert await (await w.client("PING")).hear() == "NO"
 
 
 # --- the end of the relay -------------------------------------------------------------------------
@@ -88,7 +88,7 @@
 
     async def body(w: World) -> None:
         first, _, _ = await w.standing()
-        waiting = await w.job(wait_ms=900)
+        waiting = await w.request(wait_ms=900)
         await w.placed()
         w.stop()
         start = time.monotonic()
@@ -104,16 +104,16 @@
     """The relay is held while they come and its time runs out; the first thing it does then is to end."""
 
     async def body(w: World) -> None:
-        resting = await w.submitter()
+        resting = await w.client()
         await stopping(w)
         w.process.send_signal(signal.SIGSTOP)
         resting.say("OPEN 00000000000000aa 7f3a9c21e0b4d655 c=chat,t=acme,d=800")
-        late = [await w.job(wait_ms=800) for _ in range(20)]
+        late = [await w.request(wait_ms=800) for _ in range(20)]
         await asyncio.sleep(1.3)  # the time to end has come
         w.process.send_signal(signal.SIGCONT)
         for peer in (resting, *late):
             assert [(await peer.hear())[:4], await peer.hear()] == ["BUSY", ""]
-        assert all(node.came.empty() for node in w.nodes.values()), "nothing is begun any more"
+        assert all(backend.came.empty() for backend in w.backends.values()), "nothing is begun any more"
 
     run(tmp_path, body, **SHORT)
 
@@ -122,11 +122,11 @@
     async def body(w: World) -> None:
         w.stop()
         await w.logged("asked to stop")
-        resting = [await w.submitter("PING") for _ in range(3)]
+        resting = [await w.client("PING") for _ in range(3)]
         assert [await peer.hear() for peer in resting] == ["NO"] * 3
         while True:
             try:
-                (await w.submitter()).writer.close()
+                (await w.client()).writer.close()
             except OSError:  # the door has closed
                 break
         resting[0].say("OPEN 00000000000000aa 7f3a9c21e0b4d655 c=chat,t=acme,d=800")
@@ -134,37 +134,37 @@
         assert await resting[1].hear() == ""  # ended in order while it still rests
         resting[1].say("OPEN 00000000000000bb 7f3a9c21e0b4d655 c=chat,t=acme,d=800")
         assert await asyncio.wait_for(w.process.wait(), WAIT_S) == 0
-        assert all(node.came.empty() for node in w.nodes.values())
+        assert all(backend.came.empty() for backend in w.backends.values())
 
     run(tmp_path, body, **SHORT)
 
 
-def test_half_a_line_from_a_node_at_the_end_holds_no_move_back(tmp_path: Path) -> None:
+def test_half_a_line_from_a_backend_at_the_end_holds_no_move_back(tmp_path: Path) -> None:
     """The move waited for the rest of the line for longer than the process still lived."""
 
     async def body(w: World) -> None:
-        submitter, _, node = await w.standing()
-        node.writer.write(b"half a l")
-        assert await submitter.reader.readexactly(8) == b"half a l"
+        client, _, backend = await w.standing()
+        backend.writer.write(b"half a l")
+        assert await client.reader.readexactly(8) == b"half a l"
         await stopping(w)
         w.process.send_signal(signal.SIGSTOP)
         await asyncio.sleep(1.3)  # all that was to be done before the end is due at once
         w.process.send_signal(signal.SIGCONT)
-        assert [await submitter.hear() for _ in range(3)] == ["", "MOVE", ""]
+        assert [await client.hear() for _ in range(3)] == ["", "MOVE", ""]
 
     run(tmp_path, body, **SHORT)
 
 
 def test_a_resting_connection_is_ended_in_order_over_bytes_that_cross(tmp_path: Path) -> None:
     async def body(w: World) -> None:
-        peer = await w.submitter("PING")
+        peer = await w.client("PING")
         assert await peer.hear() == "PONG"
         assert await peer.hear() == ""  # after 2 s
         peer.say("OPEN 00000000000000aa 7f3a9c21e0b4d655 c=chat,t=acme,d=800")
         await peer.writer.drain()
         peer.writer.write_eof()  # raises where the connection was reset
         await w.standing()
-        assert all(node.came.empty() for node in w.nodes.values())
+        assert all(backend.came.empty() for backend in w.backends.values())
 
     run(tmp_path, body)
 
@@ -173,35 +173,35 @@
 
 
 @pytest.mark.parametrize("last", ["UP r1", "UP r1\r\nthe last line"])
-def test_an_answer_that_comes_with_the_end_of_its_connection_reaches_the_submitter(tmp_path: Path, last: str) -> None:
+def test_an_answer_that_comes_with_the_end_of_its_connection_reaches_the_client(tmp_path: Path, last: str) -> None:
     """The submitter's connection was cut with the answer still to be written."""
 
     async def body(w: World) -> None:
-        submitter = await w.job()
-        _, node, _ = await w.placed()
+        client = await w.request()
+        _, backend, _ = await w.placed()
         w.process.send_signal(signal.SIGSTOP)
-        node.say(last)
-        node.writer.close()
-        await node.writer.wait_closed()
+        backend.say(last)
+        backend.writer.close()
+        await backend.writer.wait_closed()
         w.process.send_signal(signal.SIGCONT)
-        assert [await submitter.hear() for _ in last.split("\r\n")] == last.split("\r\n")
-        assert await submitter.hear() == ""
+        assert [await client.hear() for _ in last.split("\r\n")] == last.split("\r\n")
+        assert await client.hear() == ""
 
     run(tmp_path, body)
 
 
-def test_one_answer_where_a_node_answers_twice_or_without_end(tmp_path: Path) -> None:
+def test_one_answer_where_a_backend_answers_twice_or_without_end(tmp_path: Path) -> None:
     async def body(w: World) -> None:
-        submitter = await w.job()
+        client = await w.request()
         _, twice, _ = await w.placed()
         twice.say("BUSY")
         _, endless, _ = await w.placed()
         twice.say("UP r1")  # the second comes once the next attempt is out
         endless.writer.write(b"x" * 8192)
-        _, node, _ = await w.placed()
+        _, backend, _ = await w.placed()
         endless.say("UP r2")
-        node.say("UP r3", "LOAD 5")
-        assert [await submitter.hear(), await submitter.hear()] == ["UP r3", "LOAD 5"]
+        backend.say("UP r3", "LOAD 5")
+        assert [await client.hear(), await client.hear()] == ["UP r3", "LOAD 5"]
         assert [await twice.hear(), await endless.hear()] == ["", ""]
 
     run(tmp_path, body)
@@ -211,37 +211,35 @@
 
 
 @pytest.mark.parametrize("how", ["close", "half", "reset"])
-def test_no_attempt_begins_for_a_submitter_that_left_while_its_connection_was_under_way(
-    tmp_path: Path, how: str
-) -> None:
+def test_no_attempt_begins_for_a_client_that_left_while_its_connection_was_under_way(tmp_path: Path, how: str) -> None:
     async def body(w: World) -> None:
-        node = await held(w)
-        leavers = [await w.job(wait_ms=1900) for _ in range(10)]
-        await until(node.waits)
+        backend = await held(w)
+        leavers = [await w.request(wait_ms=1900) for _ in range(10)]
+        await until(backend.waits)
         for peer in leavers:
             {"close": peer.writer.close, "half": peer.writer.write_eof, "reset": peer.writer.transport.abort}[how]()
-        await until(lambda: not node.waits())
-        await node.let_go()
+        await until(lambda: not backend.waits())
+        await backend.let_go()
         stays, name, _ = await w.standing()
-        assert name == "s-1" and not node.heard()
+        assert name == "s-1" and not backend.heard()
         stays.say("hello")
 
     run(tmp_path, body, limits=PATIENT)
 
 
-def test_no_attempt_begins_for_a_submitter_that_left_while_it_waited_for_a_node(tmp_path: Path) -> None:
+def test_no_attempt_begins_for_a_client_that_left_while_it_waited_for_a_backend(tmp_path: Path) -> None:
     async def body(w: World) -> None:
         await listed(w, s_1="draining", s_2="draining")
-        leavers = [await w.job(wait_ms=1900) for _ in range(10)]
-        stays = await w.job(wait_ms=1900)
+        leavers = [await w.request(wait_ms=1900) for _ in range(10)]
+        stays = await w.request(wait_ms=1900)
         for peer in leavers:
             peer.writer.write_eof()
             assert await peer.hear() == ""  # the relay has seen it
         await listed(w, s_1="ready", s_2="draining")
-        _, node, _ = await w.placed()
-        node.say("UP r1")
+        _, backend, _ = await w.placed()
+        backend.say("UP r1")
         assert await stays.hear() == "UP r1"
-        assert all(node.came.empty() for node in w.nodes.values())
+        assert all(backend.came.empty() for backend in w.backends.values())
 
     run(tmp_path, body)
 
@@ -250,39 +248,39 @@
 
 
 @pytest.mark.parametrize("phase", ["draining", "gone"])
-def test_nothing_is_sent_to_a_node_whose_drain_was_told_while_its_connection_was_under_way(
+def test_nothing_is_sent_to_a_backend_whose_drain_was_told_while_its_connection_was_under_way(
     tmp_path: Path, phase: str
 ) -> None:
     async def body(w: World) -> None:
-        node = await held(w)
-        submitter = await w.job(wait_ms=1900)
-        await until(node.waits)
+        backend = await held(w)
+        client = await w.request(wait_ms=1900)
+        await until(backend.waits)
         await listed(w, s_1=phase, s_2="ready")
-        await until(lambda: not node.waits())
-        await node.let_go()
+        await until(lambda: not backend.waits())
+        await backend.let_go()
         name, other, _ = await w.placed()
         assert name == "s-2"
         other.say("UP r1")
-        assert await submitter.hear() == "UP r1" and not node.heard()
+        assert await client.hear() == "UP r1" and not backend.heard()
 
     run(tmp_path, body, limits=PATIENT)
 
 
-def test_an_attempt_under_way_does_not_go_to_the_new_start_of_its_node(tmp_path: Path) -> None:
+def test_an_attempt_under_way_does_not_go_to_the_new_start_of_its_backend(tmp_path: Path) -> None:
     """It had been chosen as warm, and came on top of the budget of a cold node."""
 
     async def body(w: World) -> None:
-        node = await held(w)
-        submitter = await w.job(wait_ms=1900)
-        await until(node.waits)
+        backend = await held(w)
+        client = await w.request(wait_ms=1900)
+        await until(backend.waits)
         cold = w.member("s-1") | {"up_since_ms": time.time() * 1000.0}
         w.watch.writer.write(w.members(False, cold, w.member("s-2")))
         await w.logged("s-2 ready")
-        await node.let_go()
+        await backend.let_go()
         name, other, _ = await w.placed()
         assert name == "s-2"
         other.say("UP r1")
-        assert await submitter.hear() == "UP r1" and not node.heard()
+        assert await client.hear() == "UP r1" and not backend.heard()
 
     run(tmp_path, body, limits=PATIENT)
 
@@ -293,16 +291,16 @@
 
     async def body(w: World) -> None:
         await listed(w, s_1="draining", s_2="ready")
-        submitter = await w.job(wait_ms=1900)
+        client = await w.request(wait_ms=1900)
         start = time.monotonic()
         _, first, _ = await w.placed()
-        w.nodes["s-1"] = node = await Held().open()
+        w.backends["s-1"] = backend = await Held().open()
         await listed(w, s_1="ready", s_2="draining")
         first.writer.close()  # it may have run
-        await until(node.waits)
-        await node.let_go()  # the system tries again a second after the first time: the window has closed by then
-        assert (await submitter.hear()).split(" ")[0] in ("BUSY", "ERR") and time.monotonic() - start < 1.9
-        assert not node.heard()
+        await until(backend.waits)
+        await backend.let_go()  # the system tries again a second after the first time: the window has closed by then
+        assert (await client.hear()).split(" ")[0] in ("BUSY", "ERR") and time.monotonic() - start < 1.9
+        assert not backend.heard()
 
     run(tmp_path, body, limits=PATIENT, categories=[keyed])
 
@@ -349,9 +347,9 @@
 
         asked = asyncio.ensure_future(discovery())
         while time.monotonic() - start < 3.4:
-            submitter, name, _ = await w.standing()
+            client, name, _ = await w.standing()
             sent.append((time.monotonic() - start, name))
-            submitter.writer.close()
+            client.writer.close()
             await asyncio.sleep(0.05)
         await asked
         assert all(at < 6.0 - 4.0 + 0.4 for at, name in sent if name == "s-1")
@@ -396,7 +394,7 @@
     run(tmp_path, body)
 
 
-def test_idle_crowds_leave_descriptors_for_the_watch_and_for_nodes_while_discovery_is_down(tmp_path: Path) -> None:
+def test_idle_crowds_leave_descriptors_for_the_watch_and_for_backends_while_discovery_is_down(tmp_path: Path) -> None:
     async def body(w: World) -> None:
         await w.watched()
         w.list.server.close()
@@ -412,7 +410,7 @@
         w.answer_watch(w.member("s-1"), w.member("s-2", "draining"))
         await w.logged("s-2 draining")
         standing = [await w.standing() for _ in range(10)]
-        ping = await w.submitter("PING")
+        ping = await w.client("PING")
         assert await ping.hear() == "PONG" and [name for _, name, _ in standing] == ["s-1"] * 10
 
     run(tmp_path, body, sockets=96)
--- a/tests/daemon/test_daemon.py
+++ b/tests/daemon/test_daemon.py
@@ -11,23 +11,23 @@
 from tests.stand_ins import SETTINGS, WAIT_S, Server, World, relay, run
 
 
-def test_a_job_is_placed_and_its_lines_flow_both_ways_unchanged(tmp_path: Path) -> None:
+def test_a_request_is_placed_and_its_lines_flow_both_ways_unchanged(tmp_path: Path) -> None:
     async def body(w: World) -> None:
-        ping = await w.submitter("PING")
+        ping = await w.client("PING")
         assert await ping.hear() == "PONG"
-        submitter = await w.submitter("OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=chat,t=acme,d=1500,g=5c,zz=1")
-        _, node, line = await w.placed()
+        client = await w.client("OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=chat,t=acme,d=1500,g=5c,zz=1")
+        _, backend, line = await w.placed()
         head, _, rest = line.partition(",d=")
         left, _, tail = rest.partition(",")
         assert head == "OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=chat,t=acme" and tail == "g=5c,zz=1"
         assert 1300 <= int(left) <= 1500
-        node.say("UP r1", "hello", "LOAD 1200.5")
-        assert [await submitter.hear() for _ in range(3)] == ["UP r1", "hello", "LOAD 1200.5"]
-        submitter.say("line 1", "line 2")
-        assert [await node.hear(), await node.hear()] == ["line 1", "line 2"]
-        node.say("BYE")
-        node.writer.close()
-        assert [await submitter.hear(), await submitter.hear()] == ["BYE", ""]
+        backend.say("UP r1", "hello", "LOAD 1200.5")
+        assert [await client.hear() for _ in range(3)] == ["UP r1", "hello", "LOAD 1200.5"]
+        client.say("line 1", "line 2")
+        assert [await backend.hear(), await backend.hear()] == ["line 1", "line 2"]
+        backend.say("BYE")
+        backend.writer.close()
+        assert [await client.hear(), await client.hear()] == ["BYE", ""]
 
     run(tmp_path, body)
 
@@ -35,18 +35,18 @@
 @pytest.mark.parametrize("first", ["BUSY", "ERR", "what", ""])
 def test_a_failed_attempt_is_followed_by_another_and_then_by_one_answer(tmp_path: Path, first: str) -> None:
     async def body(w: World) -> None:
-        submitter = await w.job()
+        client = await w.request()
         for _ in range(2):
-            _, node, line = await w.placed()
+            _, backend, line = await w.placed()
             assert line.startswith("OPEN 9b1f03aa5c7e2d41")
             if first:
-                node.say(first)
-            node.writer.close()
-        _, node, _ = await w.placed()
-        node.say("BUSY")
-        word, _, after = (await submitter.hear()).partition(" ")
+                backend.say(first)
+            backend.writer.close()
+        _, backend, _ = await w.placed()
+        backend.say("BUSY")
+        word, _, after = (await client.hear()).partition(" ")
         assert word == "BUSY" and 1000 <= int(after) <= 2000
-        assert await submitter.hear() == ""
+        assert await client.hear() == ""
 
     run(tmp_path, body)
 
@@ -54,57 +54,57 @@
 def test_at_the_deadline_the_answer_comes_and_the_attempt_is_given_up(tmp_path: Path) -> None:
     async def body(w: World) -> None:
         start = time.monotonic()
-        submitter = await w.job(wait_ms=300)
-        _, node, _ = await w.placed()
-        assert (await submitter.hear()).startswith("BUSY") and 0.25 < time.monotonic() - start < 0.35
-        assert await node.hear() == "", "the attempt is given up"
+        client = await w.request(wait_ms=300)
+        _, backend, _ = await w.placed()
+        assert (await client.hear()).startswith("BUSY") and 0.25 < time.monotonic() - start < 0.35
+        assert await backend.hear() == "", "the attempt is given up"
 
     run(tmp_path, body)
 
 
-def test_a_submitter_that_leaves_ends_its_attempt_and_its_connection(tmp_path: Path) -> None:
+def test_a_client_that_leaves_ends_its_attempt_and_its_connection(tmp_path: Path) -> None:
     async def body(w: World) -> None:
-        submitter = await w.job()
-        _, node, _ = await w.placed()
-        submitter.writer.close()
-        assert await node.hear() == ""
-        submitter, _, node = await w.standing()
-        submitter.writer.close()
-        assert await node.hear() == ""
+        client = await w.request()
+        _, backend, _ = await w.placed()
+        client.writer.close()
+        assert await backend.hear() == ""
+        client, _, backend = await w.standing()
+        client.writer.close()
+        assert await backend.hear() == ""
 
     run(tmp_path, body)
 
 
-def test_a_node_that_breaks_off_ends_the_submitter_within_a_second(tmp_path: Path) -> None:
+def test_a_backend_that_breaks_off_ends_the_client_within_a_second(tmp_path: Path) -> None:
     async def body(w: World) -> None:
-        submitter, _, node = await w.standing()
+        client, _, backend = await w.standing()
         start = time.monotonic()
-        node.writer.transport.abort()
-        assert await submitter.hear() == "" and time.monotonic() - start < 1.0
+        backend.writer.transport.abort()
+        assert await client.hear() == "" and time.monotonic() - start < 1.0
 
     run(tmp_path, body)
 
 
-def test_a_silent_node_loses_its_connections_by_a_move_in_time(tmp_path: Path) -> None:
+def test_a_silent_backend_loses_its_connections_by_a_move_in_time(tmp_path: Path) -> None:
     async def body(w: World) -> None:
-        submitter, _, _ = await w.standing()
+        client, _, _ = await w.standing()
         start = time.monotonic()
-        submitter.say("anyone there?")
-        assert await submitter.hear() == "MOVE" and 2.0 < time.monotonic() - start < 4.0
+        client.say("anyone there?")
+        assert await client.hear() == "MOVE" and 2.0 < time.monotonic() - start < 4.0
 
     run(tmp_path, body)
 
 
-def test_a_connection_from_before_the_run_goes_to_the_node_that_held_it(tmp_path: Path) -> None:
+def test_a_connection_from_before_the_run_goes_to_the_backend_that_held_it(tmp_path: Path) -> None:
     async def body(w: World) -> None:
         for _ in range(4):
-            submitter = await w.job(",at=s-2")
-            node, line = await w.nodes["s-2"].asked()
+            client = await w.request(",at=s-2")
+            backend, line = await w.backends["s-2"].asked()
             assert line.endswith(",at=s-2")
-            node.say("UP r9")
-            assert await submitter.hear() == "UP r9"
-        submitter = await w.job(",at=nobody")
-        assert await submitter.hear() == "BUSY"
+            backend.say("UP r9")
+            assert await client.hear() == "UP r9"
+        client = await w.request(",at=nobody")
+        assert await client.hear() == "BUSY"
 
     run(tmp_path, body)
 
@@ -115,7 +115,7 @@
         w.answer_watch(w.member("s-1"), w.member("s-2"))
         w.tell("s-1", "draining")
         w.tell("s-2", "gone")
-        while (answer := await (await w.job(wait_ms=300)).hear()) == "":  # nodes hold their answers meanwhile
+        while (answer := await (await w.request(wait_ms=300)).hear()) == "":  # nodes hold their answers meanwhile
             pass
         assert answer.startswith("BUSY")
         assert await w.watched() == f"GET /api/targets?stream=1&index={w.version} HTTP/1.1"
@@ -124,10 +124,10 @@
 
     async def first_at(w: World, name: str) -> bool:
         while True:
-            submitter = await w.job()
+            client = await w.request()
             if (await w.placed())[0] == name:
                 return True
-            submitter.writer.close()
+            client.writer.close()
 
     run(tmp_path, body)
 
@@ -155,14 +155,14 @@
     run(tmp_path, body, discovery="automatic")
 
 
-def test_a_stop_moves_everyone_and_ends_in_time_while_new_jobs_are_served(tmp_path: Path) -> None:
+def test_a_stop_moves_everyone_and_ends_in_time_while_new_requests_are_served(tmp_path: Path) -> None:
     async def body(w: World) -> None:
-        first, _, node = await w.standing()
+        first, _, backend = await w.standing()
         w.stop()
         start = time.monotonic()
         late, _, _ = await w.standing()
         assert await first.hear() == "MOVE" and await late.hear() == "MOVE"
-        assert await node.hear() == ""
+        assert await backend.hear() == ""
         assert await asyncio.wait_for(w.process.wait(), WAIT_S) == 0 and time.monotonic() - start < 3.7
 
     run(tmp_path, body)
@@ -170,20 +170,20 @@
 
 def test_bad_lines_end_their_own_connection_and_no_other(tmp_path: Path) -> None:
     async def body(w: World) -> None:
-        submitter, _, node = await w.standing()
+        client, _, backend = await w.standing()
         for bad in ("GET / HTTP/1.1", "OPEN 1 2 c=none,d=5", "OPEN 1 2 c=chat,d=x", "OPEN 1 zz c=chat,d=5", "x" * 5000):
-            assert await (await w.submitter(bad)).hear() == "ERR"
-        silent = await w.submitter()
+            assert await (await w.client(bad)).hear() == "ERR"
+        silent = await w.client()
         silent.writer.transport.abort()
-        submitter.say("still here")
-        assert await node.hear() == "still here"
+        client.say("still here")
+        assert await backend.hear() == "still here"
         await w.watched()
         w.watch.writer.write(b"HTTP/1.1 200 OK\r\n\r\nnot a list\n")
         await w.watched()  # asked again
         w.watch.writer.write(b"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n")
         await w.watched()
-        node.say("and here")
-        assert await submitter.hear() == "and here"
+        backend.say("and here")
+        assert await client.hear() == "and here"
 
     run(tmp_path, body)
 
@@ -197,10 +197,10 @@
     asyncio.run(inside())
 
 
-def test_sighup_follows_the_machine_list_and_keeps_every_job_and_connection(tmp_path: Path) -> None:
+def test_sighup_follows_the_machine_list_and_keeps_every_request_and_connection(tmp_path: Path) -> None:
     async def body(w: World) -> None:
-        submitter, _, node = await w.standing()
-        waiting = await w.job()
+        client, _, backend = await w.standing()
+        waiting = await w.request()
         _, asked, _ = await w.placed()
         await w.watched()
         w.answer_watch(w.member("s-1"), w.member("s-2"))
@@ -221,17 +221,17 @@
         w.list = old
         await w.watched()
         w.answer_watch(w.member("s-1"), w.member("s-2"))
-        submitter.say("still here")
-        assert await node.hear() == "still here"
+        client.say("still here")
+        assert await backend.hear() == "still here"
         asked.say("UP r2")
         assert await waiting.hear() == "UP r2"
 
     run(tmp_path, body)
 
 
-def test_what_no_node_may_see_is_answered_at_the_door(tmp_path: Path) -> None:
+def test_what_no_backend_may_see_is_answered_at_the_door(tmp_path: Path) -> None:
     async def body(w: World) -> None:
-        standing, _, node = await w.standing()
+        standing, _, backend = await w.standing()
         name = f"OPEN {next(w.ids) - 1:016x} 7f3a9c21e0b4d655 "
         ours = f"OPEN {next(w.ids):016x} 7f3a9c21e0b4d655 "
         for bad in (
@@ -243,26 +243,26 @@
             ours + "c=chat,t=acme,d=5,r=2",
             ours + "c=chat,t=acme,d=5\r\n" + ours + "c=chat,t=acme,d=5",
         ):
-            refused = await w.submitter(bad)
+            refused = await w.client(bad)
             assert [await refused.hear(), await refused.hear()] == ["ERR", ""], bad
-        half = await w.submitter()
+        half = await w.client()
         half.writer.write(ours.encode())
         half.writer.write_eof()
         assert await half.hear() == "ERR"
-        impatient = await w.job()
+        impatient = await w.request()
         _, asked, _ = await w.placed()
         impatient.say("PING")
         assert await impatient.hear() == "ERR" and await asked.hear() == "", "the attempt is given up"
-        node.say("still here")
+        backend.say("still here")
         assert await standing.hear() == "still here"
-        assert all(server.came.empty() for server in w.nodes.values())
+        assert all(server.came.empty() for server in w.backends.values())
 
     run(tmp_path, body)
 
 
-def test_a_submitter_with_much_to_send_reads_its_answer(tmp_path: Path) -> None:
+def test_a_client_with_much_to_send_reads_its_answer(tmp_path: Path) -> None:
     async def body(w: World) -> None:
-        peer = await w.submitter()
+        peer = await w.client()
         for _ in range(20):
             peer.writer.write(b"x" * (1 << 20))
             await peer.writer.drain()
@@ -271,10 +271,10 @@
     run(tmp_path, body)
 
 
-def test_silent_crowds_take_no_descriptor_from_a_job(tmp_path: Path) -> None:
+def test_silent_crowds_take_no_descriptor_from_a_request(tmp_path: Path) -> None:
     async def body(w: World) -> None:
         start = time.monotonic()
-        crowd = [await w.submitter(*(["PING"] if n % 2 else [])) for n in range(200)]
+        crowd = [await w.client(*(["PING"] if n % 2 else [])) for n in range(200)]
         await w.standing()
         assert time.monotonic() - start < 2.0
         for peer in crowd:
--- a/tests/daemon/test_failing_steps.py
+++ b/tests/daemon/test_failing_steps.py
@@ -13,23 +13,29 @@
 from tests.transport.test_connecting import Backend, config
 from yarrowspindle.daemon.config import read_config
 from yarrowspindle.daemon.log import log_to
-from yarrowspindle.daemon.relay_service import Hub
+from yarrowspindle.daemon.relay_service import RelayService
 from yarrowspindle.decisions.events import ListKind
 from yarrowspindle.fronts.line_front import LineFront
 from yarrowspindle.protocol.endpoint_list import Names
-from yarrowspindle.routing.effects import Ask, Probe, Reach, Wake
-from yarrowspindle.routing.events import Event, JobArrived, ListTold, NodeReached, ProbeOver
-from yarrowspindle.routing.termination import Ending
+from yarrowspindle.routing.effects import CheckHealth, ForwardRequest, OpenBackendConnection, SetTimer
+from yarrowspindle.routing.events import (
+    BackendConnected,
+    EndpointsUpdated,
+    Event,
+    HealthCheckCompleted,
+    RequestReceived,
+)
+from yarrowspindle.routing.termination import TerminationReason
 from yarrowspindle.runtime import SystemClock
 from yarrowspindle.runtime.endpoint_watch import ListWatch
 from yarrowspindle.runtime.health_checker import Prober
 
 DEADLINE_S = 0.9
-WHERE_FAILS: dict[str, Callable[[Hub, LineFront], None]] = {
-    "the decision on a request": lambda hub, front: fail_in_reducer(hub, JobArrived),
-    "the step of a connection that came up": lambda hub, front: fail_in_reducer(hub, NodeReached),
-    "opening the connection": lambda hub, front: fail_effect(front, Reach),
-    "writing the request": lambda hub, front: fail_effect(front, Ask),
+WHERE_FAILS: dict[str, Callable[[RelayService, LineFront], None]] = {
+    "the decision on a request": lambda hub, front: fail_in_reducer(hub, RequestReceived),
+    "the step of a connection that came up": lambda hub, front: fail_in_reducer(hub, BackendConnected),
+    "opening the connection": lambda hub, front: fail_effect(front, OpenBackendConnection),
+    "writing the request": lambda hub, front: fail_effect(front, ForwardRequest),
     "setting the deadline": lambda hub, front: fail_deadlines(hub),
 }
 
@@ -42,7 +48,7 @@
     raise Planted
 
 
-def fail_in_reducer(hub: Hub, event: type[Event]) -> None:
+def fail_in_reducer(hub: RelayService, event: type[Event]) -> None:
     """After the reducer has done half of its step: the module fails."""
     handle = hub.reducer.balancer.handle
     step = hub.reducer.step
@@ -54,7 +60,7 @@
     def stepped(now: float, told: Event) -> Any:
         if type(told) is not event:
             return step(now, told)
-        if event is NodeReached:
+        if event is BackendConnected:
             raise Planted
         hub.reducer.balancer.handle = failing  # type: ignore[method-assign,assignment]
         try:
@@ -69,15 +75,15 @@
     front.effects[effect] = fail
 
 
-def fail_deadlines(hub: Hub) -> None:
-    wake = hub.runtime.handlers[Wake]
+def fail_deadlines(hub: RelayService) -> None:
+    wake = hub.runtime.handlers[SetTimer]
 
-    def failing(effect: Wake) -> None:
-        if isinstance(effect.what, tuple) and effect.what[0] == "deadline":
+    def failing(effect: SetTimer) -> None:
+        if isinstance(effect.timer, tuple) and effect.timer[0] == "deadline":
             raise Planted
         wake(effect)
 
-    hub.runtime.handlers[Wake] = failing
+    hub.runtime.handlers[SetTimer] = failing
 
 
 @pytest.mark.parametrize("where", WHERE_FAILS)
@@ -86,7 +92,7 @@
         backends = [Backend() for _ in range(3)]
         for backend in backends:
             await backend.open()
-        hub = Hub(read_config(config(backends)), SystemClock())
+        hub = RelayService(read_config(config(backends)), SystemClock())
         hub.start()
         front = LineFront(hub, 200).start()
         hub.serving = True
@@ -95,7 +101,7 @@
         writer.write(f"OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=charge,t=acme,d={1000 * DEADLINE_S:.0f}\r\n".encode())
         answer = await asyncio.wait_for(reader.read(), DEADLINE_S + 0.5)
         assert answer.split()[0] in (b"ERR", b"BUSY") and answer.count(b"\r\n") == 1
-        assert not front.nodes and not front.reaching and not hub.reducer.jobs, "nothing is kept of it"
+        assert not front.backends and not front.reaching and not hub.reducer.requests, "nothing is kept of it"
         assert not hub.runtime.owners
 
     uvloop.run(body())
@@ -115,7 +121,7 @@
 
 
 async def watch_ends() -> None:
-    told: list[ListTold] = []
+    told: list[EndpointsUpdated] = []
     watch = ListWatch(Names(), told.append, lambda why: None)
     watch.ask(0, NOWHERE)
     await asyncio.sleep(0.3)
@@ -124,25 +130,25 @@
 
 
 async def probe_ends() -> None:
-    over: list[ProbeOver] = []
+    over: list[HealthCheckCompleted] = []
     prober = Prober(("x0",), 10.0, over.append, lambda text: None)
-    prober.probe(Probe("s-1", NOWHERE, 500.0))
+    prober.probe(CheckHealth("s-1", NOWHERE, 500.0))
     await asyncio.sleep(0.2)
-    assert len(over) == 1 and over[0].ending in (Ending.NEVER_SENT, Ending.UNREACHED)
+    assert len(over) == 1 and over[0].reason in (TerminationReason.NOT_SENT, TerminationReason.CONNECT_FAILED)
     prober.close()
 
 
 async def attempt_ends() -> None:
     told = config([Backend()])
     told["known"]["members"][0]["host_port"] = "{}:{}".format(*NOWHERE)
-    hub = Hub(read_config(told), SystemClock())
+    hub = RelayService(read_config(told), SystemClock())
     hub.start()
     front = LineFront(hub, 200).start()
     hub.serving = True
     reader, writer = await asyncio.open_connection(*hub.config.listen)
     writer.write(b"OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=charge,t=acme,d=900\r\n")
     assert (await asyncio.wait_for(reader.read(), 1.5)).split()[0] == b"BUSY"
-    assert not front.reaching and not hub.reducer.jobs
+    assert not front.reaching and not hub.reducer.requests
 
 
 @pytest.mark.parametrize("ends", (watch_ends, probe_ends, attempt_ends))
@@ -156,7 +162,7 @@
     async def body() -> None:
         backends = [Backend()]
         await backends[0].open()
-        hub = Hub(read_config(config(backends)), SystemClock())
+        hub = RelayService(read_config(config(backends)), SystemClock())
         hub.start()
         front = LineFront(hub, 200).start()
         hub.serving = True
--- a/tests/daemon/test_fleet_daemon.py
+++ b/tests/daemon/test_fleet_daemon.py
@@ -28,10 +28,10 @@
 
 async def serves(w: World) -> None:
     """A job is placed on a node of the list that was known before."""
-    submitter, _, node = await w.standing()
-    node.say("BYE")
-    node.writer.close()
-    assert await submitter.hear() == "BYE"
+    client, _, backend = await w.standing()
+    backend.say("BYE")
+    backend.writer.close()
+    assert await client.hear() == "BYE"
 
 
 @pytest.mark.parametrize("how", BAD)
@@ -86,20 +86,20 @@
             w.answer_watch(w.member("s-1"), w.member("s-2"))  # a whole list that is older: asked for once more
             assert (await w.watched()).endswith("index=43 HTTP/1.1")
             for _ in range(8):
-                submitter, name, node = await w.standing()
+                client, name, backend = await w.standing()
                 assert name == "s-2"
-                node.say("BYE")
-                node.writer.close()
-                await submitter.hear()
+                backend.say("BYE")
+                backend.writer.close()
+                await client.hear()
             w.version = 30
             w.answer_watch(w.member("s-1"), w.member("s-2"))  # it says so again: the service counts anew
             w.tell("s-2", "gone")
             while True:
-                submitter = await w.job()
-                name, node, _ = await w.placed()
-                node.say("UP r1", "BYE")
-                node.writer.close()
-                await submitter.hear()
+                client = await w.request()
+                name, backend, _ = await w.placed()
+                backend.say("UP r1", "BYE")
+                backend.writer.close()
+                await client.hear()
                 if name == "s-1":
                     break
 
--- a/tests/daemon/test_list_calls.py
+++ b/tests/daemon/test_list_calls.py
@@ -11,10 +11,10 @@
 
 from tests.stand_ins import HEAD, SETTINGS, Peer, World, run
 from yarrowspindle.daemon.config import ConfigError, read_config
-from yarrowspindle.decisions.events import State
+from yarrowspindle.decisions.events import EndpointState
 from yarrowspindle.protocol.endpoint_list import ListError, Names, parse_list
-from yarrowspindle.routing.effects import Probe, Unprobe
-from yarrowspindle.routing.events import ListTold, Machine
+from yarrowspindle.routing.effects import CancelHealthCheck, CheckHealth
+from yarrowspindle.routing.events import Endpoint, EndpointsUpdated
 from yarrowspindle.routing.reducer import Reducer
 
 SLOW_S = 0.9
@@ -73,15 +73,15 @@
     from tests.helpers import settings
     from yarrowspindle.decisions.events import ListKind
 
-    reducer = Reducer(settings(may_probe=True, report=("x0", "rif")), 1, 0.0)
-    machines = [Machine(f"s-{n}", ("127.0.0.1", n)) for n in range(1, 5)]
-    reducer.step(0.0, ListTold(ListKind.FULL, machines))
+    reducer = Reducer(settings(may_probe=True, load_report_fields=("x0", "rif")), 1, 0.0)
+    machines = [Endpoint(f"s-{n}", ("127.0.0.1", n)) for n in range(1, 5)]
+    reducer.step(0.0, EndpointsUpdated(ListKind.FULL, machines))
     changed = [
-        Machine("s-1", ("127.0.0.1", 1), State.DRAINING),
-        Machine("s-2", ("127.0.0.1", 2), State.GONE),
-        Machine("s-3", ("127.0.0.1", 3), started_ms=5.0),
+        Endpoint("s-1", ("127.0.0.1", 1), EndpointState.DRAINING),
+        Endpoint("s-2", ("127.0.0.1", 2), EndpointState.GONE),
+        Endpoint("s-3", ("127.0.0.1", 3), started_ms=5.0),
     ]
-    effects = reducer.step(10.0, ListTold(ListKind.DELTA, changed))
-    taken_back = {effect.node for effect in effects if isinstance(effect, Unprobe)}
+    effects = reducer.step(10.0, EndpointsUpdated(ListKind.DELTA, changed))
+    taken_back = {effect.backend for effect in effects if isinstance(effect, CancelHealthCheck)}
     assert taken_back == {"s-1", "s-2", "s-3"}
-    assert not {effect.node for effect in effects if isinstance(effect, Probe)} & {"s-1", "s-2"}
+    assert not {effect.backend for effect in effects if isinstance(effect, CheckHealth)} & {"s-1", "s-2"}
--- a/tests/daemon/test_maintenance_daemon.py
+++ b/tests/daemon/test_maintenance_daemon.py
@@ -36,9 +36,9 @@
 async def holds_at(world: World, name: str) -> tuple[Any, Any]:
     """A job that stands at this node; those that went elsewhere stay there."""
     while True:
-        submitter, at, node = await world.standing()
+        client, at, backend = await world.standing()
         if at == name:
-            return submitter, node
+            return client, backend
 
 
 def test_a_machine_goes_out_and_comes_back(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
@@ -47,7 +47,7 @@
         TurnFile(f"{tmp_path}/turns", "n0", "default").begin(("n0",))
         async with relay(tmp_path, operator(tmp_path, port), **COLD) as world:
             await world.logged("has its voter's file")
-            submitter, node = await holds_at(world, "s-1")
+            client, backend = await holds_at(world, "s-1")
             assert await say(port, "ask", "s-1", "s-9") == 1
             assert "not in the machine list: s-9" in capsys.readouterr().err
             assert await say(port, "ask", "s-1", "--floor", "5") == 0
@@ -61,7 +61,7 @@
             assert "s-1 is not out" in capsys.readouterr().err
             assert await say(port, "ask", "s-1") == 0
             assert "emptying" in await world.logged("turn 1: s-1 is")
-            assert await submitter.hear() == "MOVE" and await node.hear() == ""
+            assert await client.hear() == "MOVE" and await backend.hear() == ""
             await world.logged("turn 1: s-1 is free")
             for _ in range(6):
                 assert (await world.standing())[1] == "s-2"
@@ -106,13 +106,13 @@
     asyncio.run(body())
 
 
-def test_without_a_voters_file_nothing_is_placed_and_jobs_are_answered(tmp_path: Path) -> None:
+def test_without_a_voters_file_nothing_is_placed_and_requests_are_answered(tmp_path: Path) -> None:
     async def body() -> None:
         async with relay(tmp_path, operator(tmp_path, free_port()), **COLD) as world:
             await world.logged("no voter's file")
-            submitter = await world.job(wait_ms=1000)
-            assert (await submitter.hear()).startswith("BUSY")
-            assert all(node.came.empty() for node in world.nodes.values())
+            client = await world.request(wait_ms=1000)
+            assert (await client.hear()).startswith("BUSY")
+            assert all(backend.came.empty() for backend in world.backends.values())
 
     asyncio.run(body())
 
@@ -124,14 +124,14 @@
         assert before.take_lock()
         async with relay(tmp_path, operator(tmp_path, free_port()), **COLD) as world:
             await world.logged("another process has the lock")
-            assert (await (await world.job(wait_ms=500)).hear()).startswith("BUSY")
+            assert (await (await world.request(wait_ms=500)).hear()).startswith("BUSY")
             os.close(before.lock)
             await world.standing()
 
     asyncio.run(body())
 
 
-def test_a_disk_that_fails_stops_the_voter_not_the_jobs(tmp_path: Path) -> None:
+def test_a_disk_that_fails_stops_the_voter_not_the_requests(tmp_path: Path) -> None:
     async def body() -> None:
         port = free_port()
         TurnFile(f"{tmp_path}/turns", "n0", "default").begin(("n0",))
@@ -167,7 +167,17 @@
         Fault("cut", 6.0, 4.0, one=("r2",), other=("r3",)),
     ]
     run = Run(
-        5, 4, 100, 21, settle_s=2.5, after_s=0.5, life_s=12.0, voters=4, cold_s=1.0, moves_per_s=40.0, lose_file=True
+        5,
+        4,
+        100,
+        21,
+        settle_s=2.5,
+        after_s=0.5,
+        lifetime_s=12.0,
+        voters=4,
+        cold_s=1.0,
+        moves_per_s=40.0,
+        lose_file=True,
     )
     found: TurnReport = asyncio.run(play_turns(run, Work(machines=2, floor=2.0, reboot=True, voter=True), faults))
     print(found)
--- a/tests/daemon/test_operations.py
+++ b/tests/daemon/test_operations.py
@@ -15,7 +15,7 @@
 from tests.stand_ins import SETTINGS, WAIT_S, World, relay
 from yarrowspindle.daemon.config import read_config, retune
 from yarrowspindle.decisions.settings import RequestClass, Settings
-from yarrowspindle.routing.events import JobArrived, SubmitterLeft
+from yarrowspindle.routing.events import ClientDisconnected, RequestReceived
 from yarrowspindle.routing.reducer import Reducer
 from yarrowspindle.telemetry import Telemetry
 from yarrowspindle.telemetry.counts import CLASSES_MOST
@@ -64,27 +64,27 @@
     return found
 
 
-def request(method: str, path: str) -> bytes:
+def http_request(method: str, path: str) -> bytes:
     return f"{method} {path} HTTP/1.1\r\nhost: relay\r\n\r\n".encode()
 
 
 def test_evacuate_says_no_to_ping_moves_who_stands_and_rejoin_says_yes(tmp_path: Path, port: int) -> None:
 
     async def body(w: World) -> None:
-        assert await call(port, request("GET", "/api/ready")) == (200, "ready\n")
-        submitter, _, _ = await w.standing()
+        assert await call(port, http_request("GET", "/api/ready")) == (200, "ready\n")
+        client, _, _ = await w.standing()
         for _ in range(2):  # twice is one evacuation
-            assert (await call(port, request("PUT", "/api/evacuate")))[0] == 200
-        assert (await call(port, request("GET", "/api/ready")))[0] == 503
-        ping = await w.submitter("PING")
+            assert (await call(port, http_request("PUT", "/api/evacuate")))[0] == 200
+        assert (await call(port, http_request("GET", "/api/ready")))[0] == 503
+        ping = await w.client("PING")
         assert await ping.hear() == "NO"
-        assert await submitter.hear() == "MOVE", "who stands is moved, not held"
+        assert await client.hear() == "MOVE", "who stands is moved, not held"
         assert w.process.returncode is None, "the process keeps running"
-        assert (await call(port, request("PUT", "/api/rejoin")))[0] == 200
-        assert await call(port, request("GET", "/api/ready")) == (200, "ready\n")
-        again = await w.submitter("PING")
+        assert (await call(port, http_request("PUT", "/api/rejoin")))[0] == 200
+        assert await call(port, http_request("GET", "/api/ready")) == (200, "ready\n")
+        again = await w.client("PING")
         assert await again.hear() == "PONG"
-        figures = dict(line.split("=") for line in (await call(port, request("GET", "/api/telemetry")))[1].split())
+        figures = dict(line.split("=") for line in (await call(port, http_request("GET", "/api/telemetry")))[1].split())
         assert figures["success.chat"] == "1" and figures["hosts_listed"] == "2" and figures["backend_calls"] == "1"
 
     run(tmp_path, body)
@@ -93,9 +93,9 @@
 @pytest.mark.parametrize(
     ("sent", "status"),
     [
-        (request("GET", "/api/nothing"), 404),
-        (request("DELETE", "/api/ready"), 405),
-        (request("GET", "/api/evacuate"), 405),
+        (http_request("GET", "/api/nothing"), 404),
+        (http_request("DELETE", "/api/ready"), 405),
+        (http_request("GET", "/api/evacuate"), 405),
         (b"GET /api/ready HTTP/1.1\r\ncontent-length: 3\r\n\r\nabc", 400),
         (b"PUT /api/evacuate HTTP/1.1\r\ncontent-length: 99999\r\n\r\n", 413),
         (b"GET /api/ready HTTP/1.1\r\nx: " + b"y" * 9000 + b"\r\n\r\n", 431),
@@ -114,7 +114,7 @@
             writer.write_eof()
         answer = await asyncio.wait_for(reader.read(), WAIT_S)
         assert int(answer.split()[1]) == status
-        assert (await call(port, request("GET", "/api/ready")))[0] == 200, "and the API goes on"
+        assert (await call(port, http_request("GET", "/api/ready")))[0] == 200, "and the API goes on"
 
     run(tmp_path, body)
 
@@ -126,7 +126,7 @@
         for _, writer in idle:
             writer.write(b"GET /api/re")
         started = asyncio.get_running_loop().time()
-        assert (await call(port, request("GET", "/api/ready")))[0] == 200
+        assert (await call(port, http_request("GET", "/api/ready")))[0] == 200
         assert asyncio.get_running_loop().time() - started < 1.0
         ended = await asyncio.wait_for(idle[-1][0].read(), WAIT_S)  # ended on the deadline, unanswered
         assert ended == b""
@@ -150,7 +150,7 @@
     new = retune(old, read_config(data | {"settings": raw}))
     assert new.tenants == ["acme", "b"] and [t.share for t in new.settings.tenants] == [0.7, 0.3]
     assert (new.names, new.settings.zone, new.settings.zones) == (old.names, 1, 2)
-    assert new.classes == ["chat", "chat"] and new.current == {"chat": 1} and new.settings.slow_ms == 30.0
+    assert new.classes == ["chat", "chat"] and new.current == {"chat": 1} and new.settings.slow_message_ms == 30.0
 
 
 def test_settings_at_sighup_are_taken_whole_or_not_at_all(tmp_path: Path, port: int) -> None:
@@ -158,7 +158,7 @@
 
     async def body(w: World) -> None:
         config = json.loads(w.file.read_text())
-        submitter, _, node = await w.standing()
+        client, _, backend = await w.standing()
         broken = ["", json.dumps(config)[:-40], json.dumps(config | {"settings": {}})]
         for changed in ({"deadline_ms": 0.0}, {"deadline_ms": -5.0}):
             broken.append(json.dumps(config | {"settings": SETTINGS | {"categories": [chat | changed]}}))
@@ -171,17 +171,17 @@
         news = SETTINGS | {"categories": [chat | {"name": "video", "deadline_ms": 900.0}]}
         w.reload(json.dumps(config | {"settings": news}))
         await w.logged("new settings are taken")
-        figures = figures_of((await call(port, request("GET", "/api/telemetry")))[1])
+        figures = figures_of((await call(port, http_request("GET", "/api/telemetry")))[1])
         assert figures["reconfig_failed"] == len(broken) and figures["reconfig_ok"] == 1
-        refused = await w.job()  # chat has vanished: no new connection of it is taken
+        refused = await w.request()  # chat has vanished: no new connection of it is taken
         assert await refused.hear() == "ERR"
-        video = await w.submitter("OPEN 00000000000000aa 7f3a9c21e0b4d655 c=video,t=acme,d=800,g=5c0f")
+        video = await w.client("OPEN 00000000000000aa 7f3a9c21e0b4d655 c=video,t=acme,d=800,g=5c0f")
         _, other, _ = await w.placed()
         other.say("UP r2")
         assert await video.hear() == "UP r2"
-        node.say("still here")
-        assert await submitter.hear() == "still here", "a connection under way keeps its class"
-        figures = figures_of((await call(port, request("GET", "/api/telemetry")))[1])
+        backend.say("still here")
+        assert await client.hear() == "still here", "a connection under way keeps its class"
+        figures = figures_of((await call(port, http_request("GET", "/api/telemetry")))[1])
         assert figures["success.chat"] == 1 and figures["success.video"] == 1 and figures["failure.chat"] == 0
 
     run(tmp_path, body)
@@ -189,10 +189,10 @@
 
 def test_names_of_classes_are_told_apart_up_to_a_bound_in_a_process_that_lives_long() -> None:
     """Settings change thousands of times a day, and each may name another class."""
-    reducer = Reducer(Settings(classes=(RequestClass(aim_ms=800.0, deadline_ms=4800.0),)), 1, 0.0)
+    reducer = Reducer(Settings(classes=(RequestClass(setup_latency_objective_ms=800.0, deadline_ms=4800.0),)), 1, 0.0)
     telemetry = Telemetry(reducer, lambda cls: f"class{cls}")
-    for job in range(1000):
-        telemetry.event(JobArrived(job, 4800.0, job))
-        telemetry.event(SubmitterLeft(job))
+    for request in range(1000):
+        telemetry.event(RequestReceived(request, 4800.0, request))
+        telemetry.event(ClientDisconnected(request))
     assert telemetry.counts["taken.class255"] == 1 and telemetry.counts["taken.other"] == 1000 - CLASSES_MOST
     assert len(telemetry.counts) == 2 * (CLASSES_MOST + 1) and not telemetry.waiting
--- a/tests/daemon/test_own_network.py
+++ b/tests/daemon/test_own_network.py
@@ -11,7 +11,7 @@
 
 from tests.transport.test_connecting import Backend, config
 from yarrowspindle.daemon.config import read_config
-from yarrowspindle.daemon.relay_service import Hub
+from yarrowspindle.daemon.relay_service import RelayService
 from yarrowspindle.fronts.line_front import LineFront
 from yarrowspindle.runtime import SystemClock
 
@@ -31,7 +31,7 @@
         return await super().create_connection(*given, **named)
 
 
-async def ask(hub: Hub, number: int) -> bytes:
+async def ask(hub: RelayService, number: int) -> bytes:
     reader, writer = await asyncio.open_connection(*hub.config.listen)
     writer.write(f"OPEN {number:016x} 7f3a9c21e0b4d655 c=charge,t=acme,d=600\r\n".encode())
     try:
@@ -46,7 +46,7 @@
         backends = [Backend() for _ in range(SERVERS)]
         for backend in backends:
             await backend.open()
-        hub = Hub(read_config(config(backends)), SystemClock())
+        hub = RelayService(read_config(config(backends)), SystemClock())
         hub.start()
         LineFront(hub, 200).start()
         hub.serving = True
--- a/tests/daemon/test_rebalancing_daemon.py
+++ b/tests/daemon/test_rebalancing_daemon.py
@@ -17,7 +17,7 @@
 dwell_s = 0.0
 settle_s = 0.0
 """
-SUBMITTERS = 24
+CLIENTS = 24
 
 
 async def serve(world: World, name: str, held: dict[str, int]) -> None:
@@ -35,18 +35,16 @@
 
     tasks = []
     while True:
-        tasks.append(asyncio.ensure_future(one(await world.nodes[name].came.get())))
+        tasks.append(asyncio.ensure_future(one(await world.backends[name].came.get())))
 
 
-def test_a_node_joins_and_moved_submitters_are_all_up_again_with_no_line_cut(tmp_path: Path) -> None:
+def test_a_backend_joins_and_moved_clients_are_all_up_again_with_no_line_cut(tmp_path: Path) -> None:
     moves: list[int] = []
 
-    async def submitter(world: World, key: int, up: asyncio.Event) -> None:
+    async def client(world: World, key: int, up: asyncio.Event) -> None:
         again = ""
         while True:
-            peer = await world.submitter(
-                f"OPEN {next(world.ids):016x} {key:016x} c=chat,t=acme,d=1500,g={key:x}{again}"
-            )
+            peer = await world.client(f"OPEN {next(world.ids):016x} {key:016x} c=chat,t=acme,d=1500,g={key:x}{again}")
             assert await peer.hear() == "UP r1"
             up.set()
             for number in range(1_000_000):
@@ -65,22 +63,22 @@
         held = {"s-1": 0, "s-2": 0}
         await w.watched()
         w.answer_watch(w.member("s-1"))
-        ups = [asyncio.Event() for _ in range(SUBMITTERS)]
+        ups = [asyncio.Event() for _ in range(CLIENTS)]
         tasks = [asyncio.ensure_future(serve(w, name, held)) for name in held]
         # The list without the second node is taken up before the first submitter comes.
-        probe = await w.job()
-        tasks += [asyncio.ensure_future(submitter(w, key + 1, up)) for key, up in enumerate(ups)]
+        probe = await w.request()
+        tasks += [asyncio.ensure_future(client(w, key + 1, up)) for key, up in enumerate(ups)]
         await asyncio.wait_for(asyncio.gather(*(up.wait() for up in ups)), WAIT_S)
         first = dict(held)
         w.tell("s-2", "ready")
 
         async def level() -> None:
-            while held["s-2"] < SUBMITTERS // 3 or not all(up.is_set() for up in ups):
+            while held["s-2"] < CLIENTS // 3 or not all(up.is_set() for up in ups):
                 await asyncio.sleep(0.01)
 
         await asyncio.wait_for(level(), 2 * WAIT_S)
-        assert first["s-2"] == 0 and held["s-1"] + held["s-2"] >= SUBMITTERS
-        assert SUBMITTERS // 3 <= len(moves) <= SUBMITTERS // 2 + 4 and len(moves) == len(set(moves))
+        assert first["s-2"] == 0 and held["s-1"] + held["s-2"] >= CLIENTS
+        assert CLIENTS // 3 <= len(moves) <= CLIENTS // 2 + 4 and len(moves) == len(set(moves))
         probe.writer.close()
         # Taken out by SIGHUP, and a file that makes no sense changes nothing.
         (tmp_path / "operator.toml").write_text("[rebalance]\nsprad = 1\n")
--- a/tests/daemon/test_starts_and_ends.py
+++ b/tests/daemon/test_starts_and_ends.py
@@ -20,11 +20,11 @@
 from tests.transport.test_connecting import Backend, config
 from yarrowspindle.daemon import metrics
 from yarrowspindle.daemon.config import MetricsConfig, read_config
-from yarrowspindle.daemon.relay_service import Hub
+from yarrowspindle.daemon.relay_service import RelayService
 from yarrowspindle.fronts.line_front import LineFront
-from yarrowspindle.routing.effects import Move
+from yarrowspindle.routing.effects import MigrateConnection
 from yarrowspindle.runtime import SystemClock
-from yarrowspindle.transport.line_connection import Side
+from yarrowspindle.transport.line_connection import LineConnection
 from yarrowspindle.transport.receivers import Datagrams
 
 WAIT_S = 10.0
@@ -122,16 +122,16 @@
             writer.write(b"UP r1\r\n")
 
         await asyncio.start_server(serve, "127.0.0.1", backend.port)
-        hub = Hub(read_config(config([backend])), SystemClock())
+        hub = RelayService(read_config(config([backend])), SystemClock())
         hub.start()
         front = LineFront(hub, 200).start()
         hub.serving = True
         reader, writer = await asyncio.open_connection(*hub.config.listen)
         writer.write(b"OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=charge,t=acme,d=900\r\n")
         assert await reader.readline() == b"UP r1\r\n"
-        (job,) = hub.reducer.jobs
-        front.nodes.pop(job)
-        front.carry_out(Move(job))
+        (request,) = hub.reducer.requests
+        front.backends.pop(request)
+        front.carry_out(MigrateConnection(request))
         assert await asyncio.wait_for(reader.read(), WAIT_S) == b"MOVE\r\n"
         writer.close()
 
@@ -152,6 +152,6 @@
         def is_closing(self) -> bool:
             return False
 
-    side, transport = Side(), Transport()
+    side, transport = LineConnection(), Transport()
     side.connection_made(transport)
     assert side.alive is transport
--- a/tests/decisions/test_fleet.py
+++ b/tests/decisions/test_fleet.py
@@ -6,14 +6,21 @@
 
 from tests.helpers import end, open_one, sends, settings
 from yarrowspindle.decisions.balancer import Balancer
-from yarrowspindle.decisions.events import ListKind, Request, ServerEntry, ServerList, State
+from yarrowspindle.decisions.events import Endpoint, EndpointList, EndpointState, ListKind, RequestReceived
 from yarrowspindle.decisions.settings import RequestClass
-from yarrowspindle.routing.events import FigureTold, JobArrived, ListTold, Machine, NodeReached, NodeUp, Woke
-from yarrowspindle.routing.load_reports import Figures, Kind
+from yarrowspindle.routing import events as routing_events
+from yarrowspindle.routing.events import (
+    BackendAccepted,
+    BackendConnected,
+    EndpointsUpdated,
+    TimerFired,
+    UnclassifiedReport,
+)
+from yarrowspindle.routing.load_reports import Kind, LoadReportClassifier
 from yarrowspindle.routing.reducer import PULSE, Reducer
 
 RELAYS = 40
-STATUS = (RequestClass(aim_ms=800.0, deadline_ms=4800.0, message_aim_ms=150.0),)
+STATUS = (RequestClass(setup_latency_objective_ms=800.0, deadline_ms=4800.0, message_latency_objective_ms=150.0),)
 
 
 def by_own_load(number: int = 0, **changes: object) -> Balancer:
@@ -24,35 +31,35 @@
         zones=3,
         zone=number % 3,
         cross_zone_price=0.1,
-        cold_share=0.31,
-        cold_ms=9000.0,
-        fall_multiple=3.0,
-        fall_ms=1500.0,
-        by_own_load=True,
+        initial_capacity_fraction=0.31,
+        warmup_ms=9000.0,
+        overload_multiple=3.0,
+        overload_window_ms=1500.0,
+        uses_own_load=True,
         retry_after=True,
         max_retry_after_ms=2000.0,
     )
     return Balancer(settings(**(values | changes)), number + 1, 0.0)
 
 
-def test_where_most_servers_are_replaced_the_cold_ones_are_fed_by_forty_balancers() -> None:
+def test_where_most_backends_are_replaced_the_cold_ones_are_fed_by_forty_balancers() -> None:
     """At more than eight balancers no cold server was ever drawn: the wider circle was drawn from whole, and cold
     servers are only fed along a balancer's arc."""
-    old = [ServerEntry(n, zone=n % 3, capacity=4.0) for n in range(1, 25)]
-    new = [ServerEntry(n, zone=n % 3, capacity=4.0, started_ms=30_000.0) for n in range(25, 61)]
+    old = [Endpoint(n, zone=n % 3, capacity=4.0) for n in range(1, 25)]
+    new = [Endpoint(n, zone=n % 3, capacity=4.0, started_ms=30_000.0) for n in range(25, 61)]
     fed = 0
     in_window = dict.fromkeys(range(25, 61), 0)
     for number in range(RELAYS):
         b = by_own_load(number)
-        b.handle(0.0, ServerList(ListKind.CACHED, old))
+        b.handle(0.0, EndpointList(ListKind.CACHED, old))
         for n in range(1, 30):  # one a second comes and ends
             end(b, 1000.0 * n, n, open_one(b, 1000.0 * n, n, load=40.0))
-        b.handle(30_000.0, ServerList(ListKind.DELTA, new))
+        b.handle(30_000.0, EndpointList(ListKind.DELTA, new))
         for n in range(100, 104):
-            for send in sends(b.handle(30_000.0 + 300.0 * (n - 100), Request(n, left_ms=4800.0, load=40.0))):
-                if send.server > 24:
+            for send in sends(b.handle(30_000.0 + 300.0 * (n - 100), RequestReceived(n, left_ms=4800.0, load=40.0))):
+                if send.backend > 24:
                     fed += 1
-                    in_window[send.server] += 1
+                    in_window[send.backend] += 1
     assert fed >= 40  # of 160; two with a budget for each server, in whole connections
     # 160 connections in 1.5 s are the fair share of 60 servers of 100 connections each, filled over 9 s.
     assert max(in_window.values()) <= 3.0 * 0.31 * 100.0 * 1.5 / 9.0
@@ -60,31 +67,31 @@
 
 def test_what_a_message_takes_is_not_taken_for_a_load() -> None:
     """A node whose messages took 134 ms was believed to carry next to nothing, and got more for it."""
-    figures = Figures(50.0)
-    assert figures.told(0.0, 1, 28_489.8, lambda job: True) is Kind.LOAD
-    assert figures.told(2000.0, 1, 134.0, lambda job: True) is Kind.OPEN
-    assert figures.told(2050.0, 1, 28_214.0, lambda job: True) is Kind.LOAD
-    assert figures.told(3004.0, 1, 185.0, lambda job: True) is Kind.TIME
-    assert figures.told(3400.0, 2, 900.0, lambda job: True) is Kind.LOAD  # small, off the beat
-    assert figures.told(4004.0, 2, 210.0, lambda job: job != 1) is Kind.TIME  # its connection ended
-    assert figures.told(5010.0, 2, 18.9, lambda job: True) is Kind.TIME  # over
-    assert figures.told(6010.0, 2, 18.9, lambda job: True) is Kind.LOAD
+    figures = LoadReportClassifier(50.0)
+    assert figures.told(0.0, 1, 28_489.8, lambda request: True) is Kind.LOAD
+    assert figures.told(2000.0, 1, 134.0, lambda request: True) is Kind.OPEN
+    assert figures.told(2050.0, 1, 28_214.0, lambda request: True) is Kind.LOAD
+    assert figures.told(3004.0, 1, 185.0, lambda request: True) is Kind.TIME
+    assert figures.told(3400.0, 2, 900.0, lambda request: True) is Kind.LOAD  # small, off the beat
+    assert figures.told(4004.0, 2, 210.0, lambda request: request != 1) is Kind.TIME  # its connection ended
+    assert figures.told(5010.0, 2, 18.9, lambda request: True) is Kind.TIME  # over
+    assert figures.told(6010.0, 2, 18.9, lambda request: True) is Kind.LOAD
 
 
 def test_a_small_load_stays_a_load() -> None:
-    figures = Figures(50.0)
-    assert figures.told(0.0, 1, 976.8, lambda job: True) is Kind.OPEN
+    figures = LoadReportClassifier(50.0)
+    assert figures.told(0.0, 1, 976.8, lambda request: True) is Kind.OPEN
     assert figures.settle(900.0) is None
     assert figures.settle(1200.0) == (1, 976.8)
     assert figures.settle(1300.0) is None
 
 
 def test_random_loads_on_many_connections_are_hardly_ever_taken_for_message_times() -> None:
-    random, figures, times, loads = Random(5), Figures(50.0), 0, 0
+    random, figures, times, loads = Random(5), LoadReportClassifier(50.0), 0, 0
     now = 0.0
     for _ in range(20_000):
         now += random.expovariate(1.0 / 140.0)  # seven changes a second on seventy connections
-        kind = figures.told(now, random.randrange(70), 15_000.0 * random.lognormvariate(0.0, 1.4), lambda job: True)
+        kind = figures.told(now, random.randrange(70), 15_000.0 * random.lognormvariate(0.0, 1.4), lambda request: True)
         times, loads = times + (kind is Kind.TIME), loads + (kind is not Kind.TIME)
         figures.settle(now)
     assert times <= loads / 500
@@ -92,18 +99,20 @@
 
 def test_the_reducer_tells_the_module_of_long_messages_and_keeps_the_load() -> None:
     reducer = Reducer(settings(classes=STATUS), 1, 0.0)
-    reducer.step(0.0, ListTold(ListKind.FULL, [Machine("a", ("10.0.0.1", 1), State.READY)], 1))
-    reducer.step(0.0, JobArrived(1, 4800.0))
-    reducer.step(1.0, NodeReached(1, 0))
-    reducer.step(2.0, NodeUp(1, 0))
+    reducer.step(
+        0.0, EndpointsUpdated(ListKind.FULL, [routing_events.Endpoint("a", ("10.0.0.1", 1), EndpointState.READY)], 1)
+    )
+    reducer.step(0.0, routing_events.RequestReceived(1, 4800.0))
+    reducer.step(1.0, BackendConnected(1, 0))
+    reducer.step(2.0, BackendAccepted(1, 0))
     for now, figure in ((10.0, 40_000.0), (2000.0, 134.0), (3000.0, 185.0)):
-        reducer.step(now, FigureTold(1, figure))
-    (server,) = reducer.balancer.servers.values()
-    assert reducer.jobs[1].load == 40.0 and server.load == 40.0
-    assert server.slow_until > 3000.0 and server.message_ms == 185.0
-    reducer.step(4000.0, FigureTold(1, 20.0))
-    assert server.slow_until < 4000.0
-    reducer.step(9000.0, FigureTold(1, 700.0))  # a load that is small
+        reducer.step(now, UnclassifiedReport(1, figure))
+    (backend,) = reducer.balancer.backends.values()
+    assert reducer.requests[1].load == 40.0 and backend.load == 40.0
+    assert backend.slow_until > 3000.0 and backend.message_ms == 185.0
+    reducer.step(4000.0, UnclassifiedReport(1, 20.0))
+    assert backend.slow_until < 4000.0
+    reducer.step(9000.0, UnclassifiedReport(1, 700.0))  # a load that is small
     for now in (9250.0, 10_100.0):
-        reducer.step(now, Woke(PULSE))
-    assert reducer.jobs[1].load == 0.7
+        reducer.step(now, TimerFired(PULSE))
+    assert reducer.requests[1].load == 0.7
--- a/tests/decisions/test_load_estimates.py
+++ b/tests/decisions/test_load_estimates.py
@@ -11,38 +11,39 @@
 
 from tests.helpers import end, full_list, open_one, sends, settings
 from tests.stand_ins import SETTINGS, World, relay
-from yarrowspindle.decisions.actions import Action, Move, Probe, Refuse, SetTimer
-from yarrowspindle.decisions.backends import Job, Server
+from yarrowspindle.decisions.actions import Action, CheckHealth, MigrateConnection, RejectRequest, SetTimer
+from yarrowspindle.decisions.backends import Backend, Request
 from yarrowspindle.decisions.balancer import BEAT_MS, Balancer
 from yarrowspindle.decisions.events import (
-    Adopted,
+    Endpoint,
+    EndpointList,
+    ExistingConnection,
+    HealthCheckCompleted,
     ListKind,
     Outcome,
-    Probed,
-    Request,
-    ServerEntry,
-    ServerList,
-    ServerSlow,
-    TimerDue,
+    RequestReceived,
+    SlowMessageObserved,
+    TimerFired,
 )
 from yarrowspindle.decisions.load_estimates import Estimates
 from yarrowspindle.decisions.settings import RequestClass
 from yarrowspindle.protocol.lines import LineError, report_of
-from yarrowspindle.routing.events import FigureTold, JobArrived, ListTold, Machine, NodeReached, NodeUp
+from yarrowspindle.routing import events as routing_events
+from yarrowspindle.routing.events import BackendAccepted, BackendConnected, EndpointsUpdated, UnclassifiedReport
 from yarrowspindle.routing.reducer import Reducer
 
 CLASSES = (
-    RequestClass(800.0, 4800.0, worth=3.0, message_aim_ms=60.0),
-    RequestClass(300.0, 1200.0, worth=0.3, message_aim_ms=50.0),
+    RequestClass(800.0, 4800.0, priority_weight=3.0, message_latency_objective_ms=60.0),
+    RequestClass(300.0, 1200.0, priority_weight=0.3, message_latency_objective_ms=50.0),
 )
 TOLD: dict[str, Any] = dict(
     classes=CLASSES,
     may_probe=True,
-    report=("rif", "x0"),
+    load_report_fields=("rif", "x0"),
     zones=2,
     cross_zone_price=0.16,
-    live_weights=True,
-    groups=True,
+    capacity_excludes_load=True,
+    groups_share_work=True,
     retry_after=True,
     max_retry_after_ms=2000.0,
 )
@@ -51,26 +52,28 @@
 class Relay:
     """A balancer, its timers, and nodes of two zones that answer probes with what `used` says (None: silence)."""
 
-    def __init__(self, servers: int = 6, seed: int = 1, **changes: Any) -> None:
+    def __init__(self, backends: int = 6, seed: int = 1, **changes: Any) -> None:
         self.now, self.requests = 0.0, 0
         self.balancer = Balancer(settings(**(TOLD | changes)), seed, 0.0)
-        self.used: dict[int, float | None] = dict.fromkeys(range(1, servers + 1), 0.3)
+        self.used: dict[int, float | None] = dict.fromkeys(range(1, backends + 1), 0.3)
         self.probes: list[int] = []
         self.moves: list[int] = []
         self.timers: list[tuple[float, int]] = []
-        self.tell(full_list(*(ServerEntry(n, zone=n % 2, capacity=2.0) for n in self.used), kind=ListKind.CACHED))
+        self.tell(full_list(*(Endpoint(n, zone=n % 2, capacity=2.0) for n in self.used), kind=ListKind.CACHED))
 
     def tell(self, event: Any) -> list[Action]:
         actions = self.balancer.handle(self.now, event)
         for action in actions:
             if isinstance(action, SetTimer):
                 self.timers.append((self.now + action.delay_ms, action.token))
-            elif isinstance(action, Probe):
-                self.probes.append(action.server)
-                told = self.used[action.server]
+            elif isinstance(action, CheckHealth):
+                self.probes.append(action.backend)
+                told = self.used[action.backend]
                 outcome = Outcome.OK if told is not None else Outcome.TIMEOUT
-                self.tell(Probed(action.server, outcome, 1.0, () if told is None else (told * 33.0, told)))
-            elif isinstance(action, Move):
+                self.tell(
+                    HealthCheckCompleted(action.backend, outcome, 1.0, () if told is None else (told * 33.0, told))
+                )
+            elif isinstance(action, MigrateConnection):
                 self.moves.append(action.request)
         return actions
 
@@ -79,14 +82,14 @@
         while due := sorted(t for t in self.timers if t[0] <= goal):
             self.timers.remove(due[0])
             self.now = due[0][0]
-            self.tell(TimerDue(due[0][1]))
+            self.tell(TimerFired(due[0][1]))
         self.now = goal
 
     def place(self, cls: int = 0, group: int = 0) -> int:
         """0 where it is refused."""
         self.requests += 1
-        actions = self.tell(Request(self.requests, cls, left_ms=4800.0, group=group))
-        return sends(actions)[0].server if sends(actions) else 0
+        actions = self.tell(RequestReceived(self.requests, cls, left_ms=4800.0, group=group))
+        return sends(actions)[0].backend if sends(actions) else 0
 
 
 def warmed(**changes: Any) -> Relay:
@@ -110,15 +113,15 @@
     assert len(r.probes) == 6 and set(r.probes) == set(r.used)
     r.run(20_000.0)
     assert len(r.probes) == 6
-    silent = Relay(report=())
+    silent = Relay(load_report_fields=())
     silent.place()
     silent.run(5000.0)
     assert silent.probes == [], "where probes bring no report none is sent"
 
 
 def test_groups_are_held_together_and_at_home() -> None:
-    def nodes_paying(**changes: Any) -> float:
-        r = warmed(servers=24, **changes)
+    def backends_paying(**changes: Any) -> float:
+        r = warmed(backends=24, **changes)
         r.used.update(dict.fromkeys(r.used, 0.45))
         r.run(1500.0)
         order = [group for group in range(1, 5) for _ in range(6)]
@@ -126,10 +129,12 @@
         held: dict[int, set[int]] = {}
         for group in order:
             held.setdefault(group, set()).add(r.place(group=group))
-        assert sum(node % 2 for nodes in held.values() for node in nodes) <= 1, "crossing has a price, and home room"
+        assert sum(backend % 2 for backends in held.values() for backend in backends) <= 1, (
+            "crossing has a price, and home room"
+        )
         return sum(map(len, held.values())) / len(held)
 
-    assert nodes_paying() < 2.5 < 4.0 < nodes_paying(groups=False)
+    assert backends_paying() < 2.5 < 4.0 < backends_paying(groups_share_work=False)
 
 
 def test_the_draws_of_a_group_are_the_same_at_every_relay() -> None:
@@ -139,42 +144,42 @@
 
 def test_home_is_left_where_it_is_full_and_the_cheap_class_is_refused_first() -> None:
     r = warmed()
-    for node in (2, 4, 6):
-        r.used[node] = 0.95
+    for backend in (2, 4, 6):
+        r.used[backend] = 0.95
     r.run(2000.0)
     assert sum(r.place() % 2 for _ in range(20)) >= 12
     r.used.update(dict.fromkeys(r.used, 0.75))
     r.run(2500.0)
-    assert r.place(cls=1) == 0 and isinstance(r.tell(Request(999, 1, left_ms=1200.0))[-1], Refuse)
+    assert r.place(cls=1) == 0 and isinstance(r.tell(RequestReceived(999, 1, left_ms=1200.0))[-1], RejectRequest)
     assert r.place(cls=0) != 0, "worth ten times as much"
 
 
 @pytest.mark.parametrize("told", [9.0, None, 1.3])
-def test_a_node_that_hangs_vanishes_or_is_slow_is_passed_over_and_emptied(told: float | None) -> None:
+def test_a_backend_that_hangs_vanishes_or_is_slow_is_passed_over_and_emptied(told: float | None) -> None:
     r = warmed()
     on = {}
     for _ in range(20):
-        server = r.place(group=7)
-        on[r.requests] = server
-        r.tell(_established(r.requests, server))
+        backend = r.place(group=7)
+        on[r.requests] = backend
+        r.tell(_established(r.requests, backend))
     sick = next(iter(on.values()))
     r.used[sick] = told
     r.run(2500.0)
-    there = [n for n, server in on.items() if server == sick]
+    there = [n for n, backend in on.items() if backend == sick]
     assert len(set(r.moves) & set(there)) >= len(there) // 3 and sick not in {r.place() for _ in range(20)}
     assert (sick in r.balancer.avoided(r.now)) == (told is None or told >= 9.0)
 
 
-@pytest.mark.parametrize("nodes", [2, 6])
-def test_a_silent_node_gets_nothing_while_another_is_usable_whatever_is_drawn(nodes: int) -> None:
+@pytest.mark.parametrize("backends", [2, 6])
+def test_a_silent_backend_gets_nothing_while_another_is_usable_whatever_is_drawn(backends: int) -> None:
     """Empty, it cost no more than a connection is worth: where all draws fell on it the first round took it. With a
     job each 150 ms that was 2 of 24 on two nodes, and the daemon's test failed with it on a faster machine."""
     for seed in range(60):
-        r = Relay(servers=nodes, seed=seed)
+        r = Relay(backends=backends, seed=seed)
         r.used[2] = None  # from the start: it never told what it holds
         r.balancer.probes = 100.0
         r.run(3000.0)
-        assert r.balancer.servers[2].used >= 9.0
+        assert r.balancer.backends[2].used >= 9.0
         assert 2 not in {r.place() for _ in range(24)}, f"seed {seed}"
         r.used = dict.fromkeys(r.used)
         r.balancer.probes = 100.0
@@ -182,25 +187,25 @@
         assert r.place() in (0, *r.used), "where none answers, no walk over all of them finds another"
 
 
-def _established(request: int, server: int) -> Any:
-    from yarrowspindle.decisions.events import Established
+def _established(request: int, backend: int) -> Any:
+    from yarrowspindle.decisions.events import ConnectionEstablished
 
-    return Established(request, 0, server, 10.0)
+    return ConnectionEstablished(request, 0, backend, 10.0)
 
 
 def test_word_of_long_messages_counts_before_the_report_does() -> None:
     r = warmed()
-    server = r.place(group=3)
-    r.tell(_established(r.requests, server))
-    r.tell(ServerSlow(r.requests, server, 20_000.0))
-    assert server not in {r.place() for _ in range(30)}
+    backend = r.place(group=3)
+    r.tell(_established(r.requests, backend))
+    r.tell(SlowMessageObserved(r.requests, backend, 20_000.0))
+    assert backend not in {r.place() for _ in range(30)}
 
 
 def test_connections_from_before_the_start_come_home_one_by_one_where_crossing_has_a_price() -> None:
     def moved(price: float) -> list[int]:
         r = Relay(cross_zone_price=price)
         for n in range(1, 11):
-            r.tell(Adopted(1000 + n, 1, group=n % 2 + 1))
+            r.tell(ExistingConnection(1000 + n, 1, group=n % 2 + 1))
         r.run(4000.0)
         return r.moves
 
@@ -210,56 +215,58 @@
 def test_a_live_weight_is_no_size() -> None:
     """Taken for sizes, they made home look short of capacity, and half of the connections crossed."""
     r = warmed()
-    entries = [ServerEntry(n, zone=n % 2, capacity=0.2) for n in r.used]
-    r.tell(ServerList(ListKind.DELTA, entries))
-    assert {s.capacity for s in r.balancer.servers.values()} == {2.0}
-    nominal = Relay(live_weights=False)
-    nominal.tell(ServerList(ListKind.DELTA, entries))
-    assert {s.capacity for s in nominal.balancer.servers.values()} == {0.2}
+    entries = [Endpoint(n, zone=n % 2, capacity=0.2) for n in r.used]
+    r.tell(EndpointList(ListKind.DELTA, entries))
+    assert {s.capacity for s in r.balancer.backends.values()} == {2.0}
+    nominal = Relay(capacity_excludes_load=False)
+    nominal.tell(EndpointList(ListKind.DELTA, entries))
+    assert {s.capacity for s in nominal.balancer.backends.values()} == {0.2}
 
 
 def test_what_a_class_asks_is_learned_from_reports() -> None:
     """Two classes, one asks four times as much as the other."""
     known, rng = Estimates(settings(**TOLD)), random.Random(3)
-    servers = [Server(n) for n in range(8)]
+    backends = [Backend(n) for n in range(8)]
     true = (0.5, 2.0)
-    for server in servers:
-        server.capacity, server.ready = 2.0, True
+    for backend in backends:
+        backend.capacity, backend.ready = 2.0, True
     for step in range(1500):
-        server = rng.choice(servers)
-        job = Job(step, rng.randrange(2), 1.0, 0.0, 1.0)
-        by = 1 if server.open < 20 and rng.random() < 0.6 or not server.classes.get(job.cls) else -1
-        server.open += by
-        known.held(server, job, by, 0.0)
-        load = sum(true[c] * n for c, n in server.classes.items())
-        known.told(server, float(step), (server.open, 0.05 * load / server.capacity))
+        backend = rng.choice(backends)
+        request = Request(step, rng.randrange(2), 1.0, 0.0, 1.0)
+        by = 1 if backend.open < 20 and rng.random() < 0.6 or not backend.classes.get(request.cls) else -1
+        backend.open += by
+        known.held(backend, request, by, 0.0)
+        load = sum(true[c] * n for c, n in backend.classes.items())
+        known.told(backend, float(step), (backend.open, 0.05 * load / backend.capacity))
     assert 2.5 < known.loads[1] / known.loads[0] < 6.0
-    assert sum(known.counts) == sum(s.open for s in servers) and not known.holders
+    assert sum(known.counts) == sum(s.open for s in backends) and not known.holders
 
 
 def test_books_of_groups_forget_what_has_ended() -> None:
     b = Balancer(settings(**TOLD), 1, 0.0)
-    b.handle(0.0, full_list(ServerEntry(1), ServerEntry(2)))
+    b.handle(0.0, full_list(Endpoint(1), Endpoint(2)))
     for n in range(1, 40):
-        b.handle(0.0, Request(n, 0, left_ms=4800.0, group=n % 5 + 1))
+        b.handle(0.0, RequestReceived(n, 0, left_ms=4800.0, group=n % 5 + 1))
     assert b.estimates is not None and len(b.estimates.holders) == 5
     for n in range(1, 40):
-        if n in b.jobs and (server := b.jobs[n].server) is not None:
-            end(b, 1.0, n, server.id)
-    assert not b.estimates.holders and not any(s.groups or s.classes for s in b.servers.values())
+        if n in b.requests and (backend := b.requests[n].backend) is not None:
+            end(b, 1.0, n, backend.id)
+    assert not b.estimates.holders and not any(s.groups or s.classes for s in b.backends.values())
 
 
 def test_a_repeat_that_may_have_run_goes_where_repeats_are_dropped_and_nowhere_else() -> None:
-    from yarrowspindle.decisions.settings import Effect, Group
+    from yarrowspindle.decisions.settings import DeduplicationScope, Idempotency
 
-    keyed = RequestClass(800.0, 4800.0, Effect.KEYED, Group.ZONE, 5000.0, message_aim_ms=60.0)
+    keyed = RequestClass(
+        800.0, 4800.0, Idempotency.KEYED, DeduplicationScope.ZONE, 5000.0, message_latency_objective_ms=60.0
+    )
     for seed in range(20):
         b = Balancer(settings(**(TOLD | {"classes": (keyed,)})), seed, 0.0)
-        b.handle(0.0, full_list(*(ServerEntry(n, zone=n % 2) for n in range(1, 9))))
+        b.handle(0.0, full_list(*(Endpoint(n, zone=n % 2) for n in range(1, 9))))
         open_one(b, 0.0, 1)
-        (send,) = sends(b.handle(1.0, Request(2, left_ms=4800.0, group=9)))
-        again = sends(end(b, 2.0, 2, send.server, Outcome.TIMEOUT, finished=False))
-        assert not again or again[0].server % 2 == send.server % 2
+        (send,) = sends(b.handle(1.0, RequestReceived(2, left_ms=4800.0, group=9)))
+        again = sends(end(b, 2.0, 2, send.backend, Outcome.TIMEOUT, finished=False))
+        assert not again or again[0].backend % 2 == send.backend % 2
 
 
 @pytest.mark.parametrize(
@@ -283,14 +290,14 @@
 
 def test_where_no_load_is_told_each_figure_is_a_message_time() -> None:
     """Taken for loads they had to wait for a beat, and the first of them stood as a load of next to nothing."""
-    reducer = Reducer(settings(**(TOLD | {"tells_load": False})), 1, 0.0)
-    reducer.step(0.0, ListTold(ListKind.FULL, [Machine("a", ("10.0.0.1", 1))], 1))
-    reducer.step(0.0, JobArrived(1, 4800.0))
-    reducer.step(1.0, NodeReached(1, 0))
-    reducer.step(2.0, NodeUp(1, 0))
-    reducer.step(3.0, FigureTold(1, 483.0))
-    (server,) = reducer.balancer.servers.values()
-    assert server.message_ms == 483.0 and server.used > 1.0 and reducer.jobs[1].load == 0.0
+    reducer = Reducer(settings(**(TOLD | {"backend_reports_load": False})), 1, 0.0)
+    reducer.step(0.0, EndpointsUpdated(ListKind.FULL, [routing_events.Endpoint("a", ("10.0.0.1", 1))], 1))
+    reducer.step(0.0, routing_events.RequestReceived(1, 4800.0))
+    reducer.step(1.0, BackendConnected(1, 0))
+    reducer.step(2.0, BackendAccepted(1, 0))
+    reducer.step(3.0, UnclassifiedReport(1, 483.0))
+    (backend,) = reducer.balancer.backends.values()
+    assert backend.message_ms == 483.0 and backend.used > 1.0 and reducer.requests[1].load == 0.0
 
 
 # --- on sockets -----------------------------------------------------------------------------------
@@ -306,38 +313,40 @@
 
     async def inside() -> None:
         async with relay(tmp, **(PROBED | changes)) as world:
-            for name, server in world.nodes.items():
-                server.stats = answers.get(name)
+            for name, backend in world.backends.items():
+                backend.stats = answers.get(name)
             await body(world)
 
     asyncio.run(inside())
 
 
 async def probed(w: World, name: str, times: int) -> None:
-    while w.nodes[name].probed < times:
-        submitter, _, node = await w.standing()
-        node.say("BYE")
-        node.writer.close()
-        await submitter.hear()
+    while w.backends[name].probed < times:
+        client, _, backend = await w.standing()
+        backend.say("BYE")
+        backend.writer.close()
+        await client.hear()
         await asyncio.sleep(0.02)
 
 
-def test_nodes_are_probed_on_connections_of_their_own_and_the_full_one_gets_nothing(tmp_path: Path) -> None:
+def test_backends_are_probed_on_connections_of_their_own_and_the_full_one_gets_nothing(tmp_path: Path) -> None:
     async def body(w: World) -> None:
-        for name in w.nodes:
+        for name in w.backends:
             await probed(w, name, 2)
         assert {(await w.standing())[1] for _ in range(8)} == {"s-2"}
-        assert max(server.probe_connections for server in w.nodes.values()) == 1, "one connection serves all probes"
+        assert max(backend.probe_connections for backend in w.backends.values()) == 1, (
+            "one connection serves all probes"
+        )
 
     run(tmp_path, {"s-1": "PONG rif=40,x0=2.5", "s-2": "PONG rif=2,x0=0.1"}, body)
 
 
-def test_a_node_that_never_answers_its_probe_is_passed_over(tmp_path: Path) -> None:
+def test_a_backend_that_never_answers_its_probe_is_passed_over(tmp_path: Path) -> None:
     async def body(w: World) -> None:
         await probed(w, "s-2", 3)
         await w.logged("execute node s-1 does not answer its probe: no answer in time")
         assert {(await w.standing())[1] for _ in range(8)} == {"s-2"}
-        w.nodes["s-1"].stats = "PONG rif=0,x0=0.0"
+        w.backends["s-1"].stats = "PONG rif=0,x0=0.0"
         while "s-1" not in {(await w.standing())[1] for _ in range(4)}:
             await asyncio.sleep(0.1)
         await w.logged("execute node s-1 answers its probes again")
@@ -348,12 +357,12 @@
 @pytest.mark.parametrize("nonsense", ["NO", "PONG x0=a lot", "x" * 5000])
 def test_nonsense_is_logged_and_placement_goes_on_without(tmp_path: Path, nonsense: str) -> None:
     async def body(w: World) -> None:
-        submitter, _, node = await w.standing()
+        client, _, backend = await w.standing()
         assert "WARNING" in await w.logged("execute node s-")
         stand = [await w.standing() for _ in range(6)]
         assert {name for _, name, _ in stand} == {"s-1", "s-2"}, "it says nothing against the node"
-        node.say("still here")
-        assert await submitter.hear() == "still here"
+        backend.say("still here")
+        assert await client.hear() == "still here"
 
     run(tmp_path, dict.fromkeys(("s-1", "s-2"), nonsense), body)
 
@@ -363,6 +372,6 @@
         for _ in range(4):
             await w.standing()
         await asyncio.sleep(1.2)  # two beats
-        assert not any(server.probed for server in w.nodes.values())
+        assert not any(backend.probed for backend in w.backends.values())
 
     run(tmp_path, {}, body, limits=PROBED["limits"] | {"probing": False})
--- a/tests/decisions/test_placement.py
+++ b/tests/decisions/test_placement.py
@@ -7,29 +7,29 @@
 import pytest
 
 from tests.helpers import balancer, end, full_list, open_one, sends, settings
-from yarrowspindle.decisions.actions import Fail, Move, Refuse, SetTimer
-from yarrowspindle.decisions.backends import Server
+from yarrowspindle.decisions.actions import FailRequest, MigrateConnection, RejectRequest, SetTimer
+from yarrowspindle.decisions.backends import Backend
 from yarrowspindle.decisions.balancer import BREAKS, Balancer
 from yarrowspindle.decisions.events import (
-    Established,
+    ConnectionEstablished,
+    Endpoint,
+    EndpointList,
+    EndpointState,
     ListKind,
     LoadChanged,
     Outcome,
-    Request,
-    ServerEntry,
-    ServerList,
-    ServerSlow,
-    State,
-    TimerDue,
+    RequestReceived,
+    SlowMessageObserved,
+    TimerFired,
 )
 from yarrowspindle.decisions.settings import RequestClass
 
-TOLD = (RequestClass(500.0, 2000.0, message_aim_ms=90.0),)
+TOLD = (RequestClass(500.0, 2000.0, message_latency_objective_ms=90.0),)
 
 
 def place(b: Balancer, now: float, request: int, load: float = 1.0, left: float = 2000.0) -> int | None:
-    got = sends(b.handle(now, Request(request, left_ms=left, load=load)))
-    return got[0].server if got else None
+    got = sends(b.handle(now, RequestReceived(request, left_ms=left, load=load)))
+    return got[0].backend if got else None
 
 
 def test_two_are_drawn_and_the_one_with_less_of_our_own_load_wins() -> None:
@@ -48,16 +48,16 @@
     b = balancer(10, seed=3)
     for n in range(500):
         place(b, float(n), n)
-    counts = [s.open for s in b.servers.values()]
+    counts = [s.open for s in b.backends.values()]
     assert max(counts) <= 54  # one choice leaves the fullest of ten near 62
 
 
-def test_unequal_servers_get_in_proportion_to_their_capacity() -> None:
+def test_unequal_backends_get_in_proportion_to_their_capacity() -> None:
     b = Balancer(settings(), 5, 0.0)
-    b.handle(0.0, full_list(ServerEntry(1, capacity=1.0), ServerEntry(2, capacity=3.0)))
+    b.handle(0.0, full_list(Endpoint(1, capacity=1.0), Endpoint(2, capacity=3.0)))
     for n in range(400):
         place(b, float(n), n)
-    assert b.servers[2].open == pytest.approx(300, abs=12)
+    assert b.backends[2].open == pytest.approx(300, abs=12)
 
 
 def test_a_heavy_connection_counts_as_much_as_it_weighs() -> None:
@@ -74,30 +74,30 @@
     def taken(groups: bool) -> set[int]:
         found = set()
         for number in range(40):
-            b = balancer(30, seed=number, number=number, balancers=40, groups=groups, max_attempts=2)
-            (send,) = sends(b.handle(1.0, Request(1, left_ms=2000.0, group=77)))
-            found.add(send.server)
+            b = balancer(30, seed=number, number=number, balancers=40, groups_share_work=groups, max_attempts=2)
+            (send,) = sends(b.handle(1.0, RequestReceived(1, left_ms=2000.0, group=77)))
+            found.add(send.backend)
         return found
 
     assert len(taken(True)) == 1 and len(taken(False)) > 10
-    b, again = balancer(30, groups=True, max_attempts=2), set()
+    b, again = balancer(30, groups_share_work=True, max_attempts=2), set()
     for number in range(20):
-        (send,) = sends(b.handle(float(number), Request(number, left_ms=2000.0, group=77)))
-        (other,) = sends(end(b, float(number), number, send.server, Outcome.CONNECT_FAILED, finished=False))
-        again.add(other.server)
+        (send,) = sends(b.handle(float(number), RequestReceived(number, left_ms=2000.0, group=77)))
+        (other,) = sends(end(b, float(number), number, send.backend, Outcome.CONNECT_FAILED, finished=False))
+        again.add(other.backend)
     assert len(again) > 4
 
 
-def test_each_server_lies_in_about_as_many_arcs() -> None:
+def test_each_backend_lies_in_about_as_many_arcs() -> None:
     """Guards the golden-ratio spread: with many balancers all servers are drawn alike, none is left out."""
     drawn = dict.fromkeys(range(1, 51), 0)
     for number in range(200):
         b = balancer(50, seed=number, balancers=200, number=number)
         for n in range(20):
-            server = place(b, 0.0, n)
-            assert server is not None
-            drawn[server] += 1
-        assert sum(s.open > 0 for s in b.servers.values()) <= 4  # its own arc only
+            backend = place(b, 0.0, n)
+            assert backend is not None
+            drawn[backend] += 1
+        assert sum(s.open > 0 for s in b.backends.values()) <= 4  # its own arc only
     assert min(drawn.values()) > 0.6 * 80 and max(drawn.values()) < 1.4 * 80
 
 
@@ -105,11 +105,11 @@
     b = balancer(30, balancers=2)
     for n in range(600):
         place(b, 0.0, n)
-    assert all(s.open for s in b.servers.values())
+    assert all(s.open for s in b.backends.values())
 
 
 def test_home_comes_first_where_crossing_is_dear_and_not_where_it_is_cheap() -> None:
-    entries = [ServerEntry(i, zone=i % 2) for i in range(1, 9)]
+    entries = [Endpoint(i, zone=i % 2) for i in range(1, 9)]
     for price, crossings in ((0.12, False), (0.01, True)):
         b = Balancer(settings(zones=2, cross_zone_price=price), 1, 0.0)
         b.handle(0.0, full_list(*entries))
@@ -117,101 +117,101 @@
         assert (1 in zones) == crossings
 
 
-def test_a_failing_server_is_passed_over_and_comes_back_by_trial() -> None:
-    b = balancer(4, seed=2, cold_ms=20_000.0)
-    (send,) = sends(b.handle(0.0, Request(1, left_ms=2000.0)))
-    (retry,) = sends(end(b, 1.0, 1, send.server, Outcome.ERROR, finished=False))
-    assert retry.server != send.server
+def test_a_failing_backend_is_passed_over_and_comes_back_by_trial() -> None:
+    b = balancer(4, seed=2, warmup_ms=20_000.0)
+    (send,) = sends(b.handle(0.0, RequestReceived(1, left_ms=2000.0)))
+    (retry,) = sends(end(b, 1.0, 1, send.backend, Outcome.ERROR, finished=False))
+    assert retry.backend != send.backend
     for n in range(2, 40):
         place(b, 2.0, n)
-    shunned = b.servers[send.server].open
+    shunned = b.backends[send.backend].open
     assert shunned <= 1  # all four draws would have to name it
     for n in range(40, 200):
         place(b, 30_000.0, n)
-    assert b.servers[send.server].open > shunned + 20
+    assert b.backends[send.backend].open > shunned + 20
 
 
 def test_the_ready_set_is_never_empty_for_want_of_health() -> None:
     b = balancer(2, max_attempts=2)
     for n in range(1, 9):
-        server = place(b, 0.0, n)
-        assert server is not None
+        backend = place(b, 0.0, n)
+        assert backend is not None
         for attempt in (0, 1):
-            again = sends(end(b, 0.0, n, server, Outcome.CONNECT_FAILED, attempt, finished=False))
+            again = sends(end(b, 0.0, n, backend, Outcome.CONNECT_FAILED, attempt, finished=False))
             if again:
-                server = again[0].server
+                backend = again[0].backend
     assert place(b, 1.0, 99) is not None
 
 
-def test_a_restarted_server_starts_without_its_old_strikes() -> None:
+def test_a_restarted_backend_starts_without_its_old_strikes() -> None:
     """Round 6: the debt and strikes of the old process kept a returned server out for its whole warm-up."""
     b = balancer(1, max_attempts=1)
-    server = place(b, 0.0, 1)
-    assert server is not None
-    end(b, 1.0, 1, server, Outcome.ERROR, finished=False)
-    assert b.servers[server].bad_until > 1.0
-    b.handle(2.0, ServerList(ListKind.DELTA, [ServerEntry(server, started_ms=2.0)]))
-    assert b.servers[server].bad_until < 2.0 and not b.servers[server].strikes
+    backend = place(b, 0.0, 1)
+    assert backend is not None
+    end(b, 1.0, 1, backend, Outcome.ERROR, finished=False)
+    assert b.backends[backend].bad_until > 1.0
+    b.handle(2.0, EndpointList(ListKind.DELTA, [Endpoint(backend, started_ms=2.0)]))
+    assert b.backends[backend].bad_until < 2.0 and not b.backends[backend].strikes
 
 
-def test_a_slow_server_gets_nothing_new_and_loses_its_heaviest_connection() -> None:
+def test_a_slow_backend_gets_nothing_new_and_loses_its_heaviest_connection() -> None:
     b = balancer(2, seed=4, classes=TOLD)
     on: dict[int, list[int]] = {1: [], 2: []}
     for n in range(1, 30):
         on[open_one(b, 0.0, n, load=float(n))].append(n)
-    moved = b.handle(1.0, ServerSlow(on[1][0], 1, 500.0))
-    moved += b.handle(2.0, ServerSlow(on[1][0], 1, 500.0))
-    assert Move(on[1][-1]) in moved
+    moved = b.handle(1.0, SlowMessageObserved(on[1][0], 1, 500.0))
+    moved += b.handle(2.0, SlowMessageObserved(on[1][0], 1, 500.0))
+    assert MigrateConnection(on[1][-1]) in moved
     assert {place(b, 3.0, n) for n in range(100, 110)} <= {2, None}
 
 
 def test_a_moved_connection_is_not_moved_or_answered_again() -> None:
     b = balancer(1, seed=1, classes=TOLD)
-    server = open_one(b, 0.0, 1)
-    moves = [a for t in range(1, 200) for a in b.handle(float(t), ServerSlow(1, server, 500.0))]
-    assert moves.count(Move(1)) <= 1
-    assert end(b, 300.0, 1, server, Outcome.CANCELLED) == []
+    backend = open_one(b, 0.0, 1)
+    moves = [a for t in range(1, 200) for a in b.handle(float(t), SlowMessageObserved(1, backend, 500.0))]
+    assert moves.count(MigrateConnection(1)) <= 1
+    assert end(b, 300.0, 1, backend, Outcome.CANCELLED) == []
 
 
 def test_a_slow_note_below_the_aim_moves_nothing() -> None:
     b = balancer(1, classes=TOLD)
-    server = open_one(b, 0.0, 1)
-    assert all(b.handle(float(t), ServerSlow(1, server, 80.0)) == [] for t in range(1, 50))
+    backend = open_one(b, 0.0, 1)
+    assert all(b.handle(float(t), SlowMessageObserved(1, backend, 80.0)) == [] for t in range(1, 50))
 
 
 def test_a_class_without_a_message_aim_is_neither_moved_nor_refused_for_slow_messages() -> None:
     b = balancer(1)
-    server = open_one(b, 0.0, 1)
-    assert all(b.handle(float(t), ServerSlow(1, server, 500.0)) == [] for t in range(1, 30))
-    assert place(b, 40.0, 2) == server
+    backend = open_one(b, 0.0, 1)
+    assert all(b.handle(float(t), SlowMessageObserved(1, backend, 500.0)) == [] for t in range(1, 30))
+    assert place(b, 40.0, 2) == backend
 
 
 def test_a_request_that_would_earn_nothing_anywhere_is_refused_at_once_with_spread_waits() -> None:
     b = balancer(1, classes=TOLD, retry_after=True, max_retry_after_ms=1000.0)
-    server = open_one(b, 0.0, 1)
-    b.handle(1.0, ServerSlow(1, server, 500.0))
-    answers = [a for n in range(2, 12) for a in b.handle(2.0, Request(n, left_ms=2000.0))]
-    waits = [a.retry_after_ms for a in answers if isinstance(a, Refuse)]
+    backend = open_one(b, 0.0, 1)
+    b.handle(1.0, SlowMessageObserved(1, backend, 500.0))
+    answers = [a for n in range(2, 12) for a in b.handle(2.0, RequestReceived(n, left_ms=2000.0))]
+    waits = [a.retry_after_ms for a in answers if isinstance(a, RejectRequest)]
     assert len(waits) == 10 and len(set(waits)) == 10 and 500.0 <= min(waits) and max(waits) <= 1000.0
 
 
 def test_trouble_at_home_says_nothing_of_the_other_zone() -> None:
     """Round 18: an overfull home zone had strangers in the other zone refused for."""
     b = Balancer(settings(classes=TOLD, zones=2, cross_zone_price=0.1), 3, 0.0)
-    b.handle(0.0, full_list(ServerEntry(1), ServerEntry(2, zone=1), ServerEntry(3, zone=1)))
+    b.handle(0.0, full_list(Endpoint(1), Endpoint(2, zone=1), Endpoint(3, zone=1)))
     assert open_one(b, 0.0, 1) == 1
-    b.handle(1.0, ServerSlow(1, 1, 80.0))
+    b.handle(1.0, SlowMessageObserved(1, 1, 80.0))
     placed = [place(b, 2.0, n) for n in range(2, 30)]
     assert placed.count(None) == 0 and set(placed) & {2, 3}
 
 
 @pytest.mark.parametrize(("apart", "full"), [(1.0, True), (1500.0, False)])
-def test_connections_dropped_together_say_that_their_server_is_full(apart: float, full: bool) -> None:
+def test_connections_dropped_together_say_that_their_backend_is_full(apart: float, full: bool) -> None:
     """iee6bba: where servers shed load, the full ones are no longer among our connections. Networks break single
     connections as well: one at each server had the relay refuse everything for seconds."""
-    b = balancer(2, seed=1, classes=TOLD, tells_delay=False)
-    servers = {n: open_one(b, 0.0, n) for n in range(1, 20)}
-    for i, n in enumerate([n for n, s in servers.items() if s == 1][:BREAKS]):
+    b = balancer(2, seed=1, classes=TOLD, backend_reports_latency=False)
+    backends = {n: open_one(b, 0.0, n) for n in range(1, 20)}
+    for i, n in enumerate([n for n, s in backends.items() if s == 1][:BREAKS]):
         end(b, 1.0 + i * apart, n, 1, Outcome.RESET)
     now = 2.0 + BREAKS * apart
     assert (1 in {place(b, now, n) for n in range(20, 40)}) != full
@@ -221,19 +221,19 @@
     b = balancer(2, seed=1, classes=TOLD)
     for n in [n for n in range(1, 20) if open_one(b, 0.0, n) == 1]:
         end(b, 1.0, n, 1, Outcome.RESET)
-    assert b.servers[1].slow_until > 2.0
-    b.handle(2.0, ServerList(ListKind.DELTA, [ServerEntry(1, started_ms=2.0)]))
-    assert b.servers[1].slow_until < 2.0
+    assert b.backends[1].slow_until > 2.0
+    b.handle(2.0, EndpointList(ListKind.DELTA, [Endpoint(1, started_ms=2.0)]))
+    assert b.backends[1].slow_until < 2.0
 
 
-def test_a_set_up_that_stands_ends_the_time_for_which_its_server_is_passed_over() -> None:
+def test_a_set_up_that_stands_ends_the_time_for_which_its_backend_is_passed_over() -> None:
     b = balancer(1, max_attempts=2)
-    server = place(b, 0.0, 1)
-    assert server is not None
-    (again,) = sends(end(b, 1.0, 1, server, Outcome.CONNECT_FAILED, finished=False))
-    assert b.servers[server].bad_until > 1.0
-    b.handle(2.0, Established(1, 1, again.server))
-    assert b.servers[server].bad_until < 2.0
+    backend = place(b, 0.0, 1)
+    assert backend is not None
+    (again,) = sends(end(b, 1.0, 1, backend, Outcome.CONNECT_FAILED, finished=False))
+    assert b.backends[backend].bad_until > 1.0
+    b.handle(2.0, ConnectionEstablished(1, 1, again.backend))
+    assert b.backends[backend].bad_until < 2.0
 
 
 def test_retries_have_a_budget_and_then_wait_longer_each_time() -> None:
@@ -241,54 +241,54 @@
     b = balancer(8, max_attempts=6)
     at_once, waits = 0, []
     for n in range(1, 5):
-        server = place(b, 1.0, n)
-        assert server is not None
-        for action in end(b, 1.0, n, server, Outcome.ERROR, finished=False):
+        backend = place(b, 1.0, n)
+        assert backend is not None
+        for action in end(b, 1.0, n, backend, Outcome.ERROR, finished=False):
             at_once += bool(sends([action]))
             if isinstance(action, SetTimer):
                 waits.append(action)
     assert at_once == 2 and len(waits) == 2
-    assert sends(b.handle(1.0 + waits[0].delay_ms, TimerDue(waits[0].token)))
+    assert sends(b.handle(1.0 + waits[0].delay_ms, TimerFired(waits[0].token)))
 
 
 def test_set_ups_that_take_all_of_their_aim_are_thinned_out() -> None:
     """i82a5ad: set-ups waited in a slow store's queue till the client left; the store worked for nobody."""
     b = balancer(8, max_attempts=1)
     for n in range(1, 40):
-        if (server := place(b, 1.0, n)) is not None:
-            end(b, 1.0, n, server, Outcome.TIMEOUT, finished=False)
+        if (backend := place(b, 1.0, n)) is not None:
+            end(b, 1.0, n, backend, Outcome.TIMEOUT, finished=False)
     assert 1 <= sum(place(b, 2.0, n) is not None for n in range(100, 200)) <= 30
     for n in range(200, 300):  # those that get through in time bring the others back
-        if (server := place(b, 3.0, n)) is not None:
-            b.handle(3.0, Established(n, 0, server, latency_ms=20.0))
+        if (backend := place(b, 3.0, n)) is not None:
+            b.handle(3.0, ConnectionEstablished(n, 0, backend, latency_ms=20.0))
     assert all(place(b, 4.0, n) is not None for n in range(300, 320))
 
 
 def test_a_refused_connect_is_tried_elsewhere_at_once_whatever_the_budget() -> None:
     b = balancer(8, max_attempts=6)
     for n in range(1, 30):
-        server = place(b, 1.0, n)
-        assert server is not None
-        assert sends(end(b, 1.0, n, server, Outcome.CONNECT_FAILED, finished=False))
+        backend = place(b, 1.0, n)
+        assert backend is not None
+        assert sends(end(b, 1.0, n, backend, Outcome.CONNECT_FAILED, finished=False))
 
 
 def test_wrong_calls_are_refused_with_a_plain_exception() -> None:
     b = balancer()
-    server = open_one(b, 5.0, 1)
+    backend = open_one(b, 5.0, 1)
     with pytest.raises(ValueError, match="clock"):
-        b.handle(4.0, Request(2, left_ms=100.0))
+        b.handle(4.0, RequestReceived(2, left_ms=100.0))
     with pytest.raises(ValueError, match="unknown request"):
-        b.handle(5.0, Established(77, 0, 1))
+        b.handle(5.0, ConnectionEstablished(77, 0, 1))
     with pytest.raises(ValueError, match="not out"):
-        end(b, 5.0, 1, server, attempt=3)
+        end(b, 5.0, 1, backend, attempt=3)
     with pytest.raises(ValueError, match="unknown class"):
-        b.handle(5.0, Request(3, cls=9, left_ms=100.0))
+        b.handle(5.0, RequestReceived(3, cls=9, left_ms=100.0))
     with pytest.raises(ValueError, match="come before"):
-        b.handle(5.0, Request(1, left_ms=100.0))
+        b.handle(5.0, RequestReceived(1, left_ms=100.0))
     with pytest.raises(TypeError):
-        b.handle(5.0, Fail(1))  # type: ignore[arg-type]
+        b.handle(5.0, FailRequest(1))  # type: ignore[arg-type]
     with pytest.raises(ValueError, match="settings"):
-        settings(cold_share=0.0)
+        settings(initial_capacity_fraction=0.0)
 
 
 def test_instances_share_nothing() -> None:
@@ -298,16 +298,16 @@
         b, other = balancer(6, seed=9), balancer(6, seed=10)
         out: list[object] = []
         for n in range(60):
-            out += b.handle(float(n), Request(n, left_ms=1000.0, load=1.0 + n % 3))
+            out += b.handle(float(n), RequestReceived(n, left_ms=1000.0, load=1.0 + n % 3))
             if disturbed:
-                other.handle(float(n), Request(n, left_ms=1000.0))
+                other.handle(float(n), RequestReceived(n, left_ms=1000.0))
         return out
 
     assert run(False) == run(True)
 
 
 def test_the_order_of_a_list_decides_nothing() -> None:
-    entries = [ServerEntry(i, capacity=1.0 + i % 3) for i in range(1, 20)]
+    entries = [Endpoint(i, capacity=1.0 + i % 3) for i in range(1, 20)]
     placed = []
     for order in (entries, entries[::-1]):
         b = Balancer(settings(balancers=4), 2, 0.0)
@@ -319,47 +319,47 @@
 def test_where_no_message_times_are_told_own_load_opens_other_zones() -> None:
     """Without notes a home zone filled up while others lay idle: nothing was ever slow, so nobody looked there."""
     for tells, crossed in ((True, False), (False, True)):
-        b = Balancer(settings(classes=TOLD, zones=2, cross_zone_price=0.1, tells_delay=tells), 1, 0.0)
-        b.handle(0.0, full_list(ServerEntry(2), ServerEntry(3, zone=1), ServerEntry(4)))
+        b = Balancer(settings(classes=TOLD, zones=2, cross_zone_price=0.1, backend_reports_latency=tells), 1, 0.0)
+        b.handle(0.0, full_list(Endpoint(2), Endpoint(3, zone=1), Endpoint(4)))
         homes = [(place(b, 0.0, n, load=20.0) or 0) != 3 for n in range(60)]
         assert all(homes[:4]) and all(homes) != crossed
 
 
-def test_cold_servers_of_other_zones_are_fed_where_nobody_tells() -> None:
+def test_cold_backends_of_other_zones_are_fed_where_nobody_tells() -> None:
     """After a crash in a zone without a relay nobody fed its new processes until they were warm."""
     b = Balancer(
         settings(
             zones=2,
             cross_zone_price=0.1,
-            tells_delay=False,
-            cold_ms=9000.0,
-            cold_share=0.3,
-            fall_multiple=3.0,
-            fall_ms=1500.0,
+            backend_reports_latency=False,
+            warmup_ms=9000.0,
+            initial_capacity_fraction=0.3,
+            overload_multiple=3.0,
+            overload_window_ms=1500.0,
         ),
         3,
         0.0,
     )
-    b.handle(0.0, full_list(ServerEntry(1), ServerEntry(2, zone=1)))
+    b.handle(0.0, full_list(Endpoint(1), Endpoint(2, zone=1)))
     for n in range(1, 60):
         end(b, 100.0 * n, n, open_one(b, 100.0 * n, n, load=50.0))
-    b.handle(6000.0, ServerList(ListKind.DELTA, [ServerEntry(2, zone=1, started_ms=6000.0)]))
+    b.handle(6000.0, EndpointList(ListKind.DELTA, [Endpoint(2, zone=1, started_ms=6000.0)]))
     assert 2 in [place(b, 6001.0 + n, n, load=50.0) for n in range(100, 130)]
 
 
-def test_a_single_word_of_a_slow_server_does_not_make_the_others_known() -> None:
+def test_a_single_word_of_a_slow_backend_does_not_make_the_others_known() -> None:
     """A node that hung for a moment had the relay rely for good on words that the platform's wire does not carry."""
-    b = balancer(3, seed=1, tells_delay=False, classes=TOLD)
-    servers = {n: open_one(b, 0.0, n, load=50.0) for n in range(1, 10)}
-    b.handle(1.0, ServerSlow(1, servers[1], 500.0))
-    assert b.blind and b.servers[servers[1]].slow_until > 1.0
+    b = balancer(3, seed=1, backend_reports_latency=False, classes=TOLD)
+    backends = {n: open_one(b, 0.0, n, load=50.0) for n in range(1, 10)}
+    b.handle(1.0, SlowMessageObserved(1, backends[1], 500.0))
+    assert b.blind and b.backends[backends[1]].slow_until > 1.0
 
 
 def test_a_word_of_the_list_costs_the_same_in_a_large_fleet() -> None:
     """Guards against sums made anew over the whole fleet: only rings' binary searches may depend on its size."""
     looked = 0
 
-    class Counted(Server):
+    class Counted(Backend):
         @property
         def capacity(self) -> float:
             nonlocal looked
@@ -372,15 +372,15 @@
 
     b = balancer(0)
     for number in range(1, 1001):
-        b.servers[number] = Counted(number)
-        b._usable(b.servers[number], True)
+        b.backends[number] = Counted(number)
+        b._usable(b.backends[number], True)
     open_one(b, 0.0, 1)
-    for state in (State.DRAINING, State.READY, State.GONE):
+    for state in (EndpointState.DRAINING, EndpointState.READY, EndpointState.GONE):
         looked = 0
-        b.handle(1.0, ServerList(ListKind.DELTA, [ServerEntry(77, state=state)]))
+        b.handle(1.0, EndpointList(ListKind.DELTA, [Endpoint(77, state=state)]))
         open_one(b, 1.0, 10 + state)
         assert looked <= 160, "one block is counted anew, not the fleet"
-    assert 77 not in b.servers and b.everywhere.total == 999.0
+    assert 77 not in b.backends and b.everywhere.total == 999.0
 
 
 def test_the_books_of_the_ring_and_of_own_load_stay_exact() -> None:
@@ -392,32 +392,32 @@
         cross_zone_price=0.1,
         zones=2,
         balancers=3,
-        cold_ms=500.0,
-        cold_share=0.5,
-        tells_delay=False,
+        warmup_ms=500.0,
+        initial_capacity_fraction=0.5,
+        backend_reports_latency=False,
         retry_after=True,
     )
     at: dict[int, int] = {}
     for step in range(2000):
         now, what = float(step), rng.random()
         if what < 0.3:
-            state = rng.choice((State.READY, State.READY, State.DRAINING, State.GONE))
+            state = rng.choice((EndpointState.READY, EndpointState.READY, EndpointState.DRAINING, EndpointState.GONE))
             started = rng.choice((0.0, now))
-            entry = ServerEntry(rng.randrange(20), rng.randrange(2), 0, state, rng.choice((1.0, 2.0)), started)
-            b.handle(now, ServerList(rng.choice((ListKind.DELTA, ListKind.DELTA, ListKind.FULL)), [entry]))
+            entry = Endpoint(rng.randrange(20), rng.randrange(2), 0, state, rng.choice((1.0, 2.0)), started)
+            b.handle(now, EndpointList(rng.choice((ListKind.DELTA, ListKind.DELTA, ListKind.FULL)), [entry]))
         elif what < 0.7:
-            for send in sends(b.handle(now, Request(step, left_ms=2000.0, load=rng.uniform(1.0, 9.0)))):
-                b.handle(now, Established(step, 0, send.server))
-                at[step] = send.server
+            for send in sends(b.handle(now, RequestReceived(step, left_ms=2000.0, load=rng.uniform(1.0, 9.0)))):
+                b.handle(now, ConnectionEstablished(step, 0, send.backend))
+                at[step] = send.backend
         elif at:
-            job = rng.choice(list(at))
+            request = rng.choice(list(at))
             if what < 0.8:
-                b.handle(now, LoadChanged(job, at[job], rng.uniform(1.0, 9.0)))
+                b.handle(now, LoadChanged(request, at[request], rng.uniform(1.0, 9.0)))
             else:
-                end(b, now, job, at.pop(job), rng.choice((Outcome.OK, Outcome.RESET)))
-        ready = sorted((s for s in b.servers.values() if s.ready), key=lambda s: s.id)
+                end(b, now, request, at.pop(request), rng.choice((Outcome.OK, Outcome.RESET)))
+        ready = sorted((s for s in b.backends.values() if s.ready), key=lambda s: s.id)
         assert b.everywhere.pool == ready and b.inner.pool == [s for s in ready if s.zone == 0]
         assert abs(b.everywhere.total - sum(s.capacity for s in ready)) < 1e-6
-        assert {s.id for s in b.servers.values() if s.open} <= b.held_at.keys() | set()
-        assert all(s.ready or s.open for s in b.servers.values())
+        assert {s.id for s in b.backends.values() if s.open} <= b.held_at.keys() | set()
+        assert all(s.ready or s.open for s in b.backends.values())
         assert {s.id for s in ready if now < s.started + 500.0 and s.started > 0.0} <= b.slow_start.young.keys()
--- a/tests/decisions/test_rules.py
+++ b/tests/decisions/test_rules.py
@@ -11,30 +11,30 @@
 
 from tests.driver import Driver
 from tests.helpers import balancer, end, sends, settings
-from yarrowspindle.decisions.actions import Action, Fail, SetTimer, Subscribe
+from yarrowspindle.decisions.actions import Action, FailRequest, SetTimer, WatchEndpoints
 from yarrowspindle.decisions.balancer import Balancer
 from yarrowspindle.decisions.events import (
-    Due,
-    Established,
+    ConnectionEstablished,
+    DeadlineReached,
+    Endpoint,
+    EndpointList,
+    EndpointState,
     ListKind,
     Outcome,
-    Request,
-    Retuned,
-    ServerEntry,
-    ServerList,
-    ServerSlow,
-    State,
-    TimerDue,
+    RequestReceived,
+    SettingsChanged,
+    SlowMessageObserved,
+    TimerFired,
 )
-from yarrowspindle.decisions.rejection import Refusal
-from yarrowspindle.decisions.settings import Effect, Group, RequestClass
+from yarrowspindle.decisions.rejection import RejectionReason
+from yarrowspindle.decisions.settings import DeduplicationScope, Idempotency, RequestClass
 
 CLASSES = (
-    RequestClass(500.0, 2000.0, Effect.SAFE, message_aim_ms=100.0),
-    RequestClass(300.0, 1200.0, Effect.KEYED, Group.ALL, window_ms=800.0),
-    RequestClass(300.0, 1200.0, Effect.KEYED, Group.ZONE, window_ms=800.0),
-    RequestClass(300.0, 3000.0, Effect.KEYED, Group.CELL, window_ms=5000.0),
-    RequestClass(500.0, 2000.0, Effect.UNSAFE),
+    RequestClass(500.0, 2000.0, Idempotency.IDEMPOTENT, message_latency_objective_ms=100.0),
+    RequestClass(300.0, 1200.0, Idempotency.KEYED, DeduplicationScope.ALL, idempotency_window_ms=800.0),
+    RequestClass(300.0, 1200.0, Idempotency.KEYED, DeduplicationScope.ZONE, idempotency_window_ms=800.0),
+    RequestClass(300.0, 3000.0, Idempotency.KEYED, DeduplicationScope.CELL, idempotency_window_ms=5000.0),
+    RequestClass(500.0, 2000.0, Idempotency.NON_IDEMPOTENT),
 )
 FAILURES = [o for o in Outcome if o is not Outcome.OK]
 KINDS = ["request"] * 4 + ["establish", "end", "fail", "fail", "leave", "list", "slow", "wait", "wait"]
@@ -44,13 +44,15 @@
 )
 
 
-def entries(pick: int, now: float) -> list[ServerEntry]:
+def entries(pick: int, now: float) -> list[Endpoint]:
     """A few servers in states, zones and ages that follow from one number."""
     out = []
     for i in range(6):
-        state = (State.READY, State.READY, State.DRAINING, State.GONE)[pick >> (2 * i) & 3]
+        state = (EndpointState.READY, EndpointState.READY, EndpointState.DRAINING, EndpointState.GONE)[
+            pick >> (2 * i) & 3
+        ]
         started = now if (pick + i) % 5 == 0 else 0.0
-        out.append(ServerEntry(i + 1, i % 2, i % 3, state, 1.0 + i % 3, started))
+        out.append(Endpoint(i + 1, i % 2, i % 3, state, 1.0 + i % 3, started))
     return out
 
 
@@ -61,15 +63,15 @@
         "max_attempts": 3,
         "may_cancel": True,
         "answer_slack_ms": 5.0,
-        "cold_ms": 5000.0,
-        "cold_share": 0.2,
-        "fall_multiple": 3.0,
+        "warmup_ms": 5000.0,
+        "initial_capacity_fraction": 0.2,
+        "overload_multiple": 3.0,
         "retry_after": True,
         "max_retry_after_ms": 1000.0,
     }
     values.update(changes)
     d = Driver(settings(**values), seed=7)
-    d.list(ServerList(ListKind.CACHED, entries(0, d.now)))
+    d.list(EndpointList(ListKind.CACHED, entries(0, d.now)))
     for what, pick in steps:
         waiting = [n for n, b in d.books.items() if b.out and not b.established and not b.gone]
         running = [n for n, b in d.books.items() if b.out and b.established]
@@ -85,10 +87,10 @@
             d.leave(waiting[pick % len(waiting)])
         elif what == "slow" and running:
             number = running[pick % len(running)]
-            d.tell(ServerSlow(number, d.books[number].attempts[-1].server, float(pick % 500)))
+            d.tell(SlowMessageObserved(number, d.books[number].attempts[-1].backend, float(pick % 500)))
         elif what == "list":
             kind = (ListKind.DELTA, ListKind.FULL, ListKind.FAILED)[pick % 3]
-            d.list(ServerList(kind, entries(pick, d.now) if kind is not ListKind.FAILED else []))
+            d.list(EndpointList(kind, entries(pick, d.now) if kind is not ListKind.FAILED else []))
         elif what == "wait":
             d.advance(float(pick % 400))
     d.advance(20_000.0)
@@ -110,23 +112,23 @@
     derandomize=True, max_examples=60, deadline=None, suppress_health_check=list(HealthCheck), database=None
 )
 def test_rules_hold_where_the_list_is_asked_for_and_crossing_is_dear(steps: list[tuple[str, int]]) -> None:
-    run(steps, asks=True, cross_zone_price=0.1)
+    run(steps, polls_discovery=True, cross_zone_price=0.1)
 
 
 def test_an_unsafe_request_that_may_have_run_fails_and_is_not_sent_again() -> None:
     d = Driver(settings(classes=CLASSES), seed=1)
-    d.list(ServerList(ListKind.FULL, [ServerEntry(1), ServerEntry(2)]))
+    d.list(EndpointList(ListKind.FULL, [Endpoint(1), Endpoint(2)]))
     number = d.request(4, 2000.0)
     d.end(number, Outcome.ERROR)
-    assert [type(a).__name__ for a in d.log] == ["Send", "Fail"]
+    assert [type(a).__name__ for a in d.log] == ["StartAttempt", "FailRequest"]
 
 
 def test_an_unsafe_request_that_never_ran_is_sent_again() -> None:
     d = Driver(settings(classes=CLASSES), seed=1)
-    d.list(ServerList(ListKind.FULL, [ServerEntry(1), ServerEntry(2)]))
+    d.list(EndpointList(ListKind.FULL, [Endpoint(1), Endpoint(2)]))
     number = d.request(4, 2000.0)
     d.end(number, Outcome.CONNECT_FAILED)
-    assert [type(a).__name__ for a in d.log] == ["Send", "Send"]
+    assert [type(a).__name__ for a in d.log] == ["StartAttempt", "StartAttempt"]
 
 
 def test_with_nothing_usable_a_request_is_held_till_its_aim_and_then_refused() -> None:
@@ -138,25 +140,25 @@
     assert d.books[number].answered == 1
 
 
-def test_a_held_request_goes_out_when_a_server_becomes_ready() -> None:
+def test_a_held_request_goes_out_when_a_backend_becomes_ready() -> None:
     d = Driver(settings(classes=CLASSES), seed=1)
-    d.list(ServerList(ListKind.FULL, [ServerEntry(1, state=State.DRAINING)]))
+    d.list(EndpointList(ListKind.FULL, [Endpoint(1, state=EndpointState.DRAINING)]))
     number = d.request(0, 2000.0)
-    d.list(ServerList(ListKind.DELTA, [ServerEntry(2)]))
-    assert d.books[number].attempts[0].server == 2
+    d.list(EndpointList(ListKind.DELTA, [Endpoint(2)]))
+    assert d.books[number].attempts[0].backend == 2
 
 
-def test_a_server_missing_from_a_whole_list_gets_nothing_new() -> None:
+def test_a_backend_missing_from_a_whole_list_gets_nothing_new() -> None:
     d = Driver(settings(classes=CLASSES), seed=1)
-    d.list(ServerList(ListKind.FULL, [ServerEntry(1), ServerEntry(2)]))
-    d.list(ServerList(ListKind.FULL, [ServerEntry(2)]))
+    d.list(EndpointList(ListKind.FULL, [Endpoint(1), Endpoint(2)]))
+    d.list(EndpointList(ListKind.FULL, [Endpoint(2)]))
     for _ in range(30):
         d.request(0, 2000.0)
-    assert {a.server for b in d.books.values() for a in b.attempts} == {2}
+    assert {a.backend for b in d.books.values() for a in b.attempts} == {2}
 
 
 @pytest.mark.parametrize("balancers", [1, 10, 20, 30, 200])
-def test_a_cold_server_gets_no_more_than_its_budget_even_alone_and_in_a_flood(balancers: int) -> None:
+def test_a_cold_backend_gets_no_more_than_its_budget_even_alone_and_in_a_flood(balancers: int) -> None:
     """Guards the cold budget: all others busy, counts empty, clients coming back many times over."""
     cold_ms, share, multiple, window = 20_000.0, 0.2, 3.0, 2_000.0
     sent: list[tuple[float, float]] = []
@@ -167,27 +169,27 @@
             seed=number,
             balancers=balancers,
             number=number,
-            cold_ms=cold_ms,
-            cold_share=share,
-            fall_multiple=multiple,
-            fall_ms=window,
+            warmup_ms=cold_ms,
+            initial_capacity_fraction=share,
+            overload_multiple=multiple,
+            overload_window_ms=window,
             max_attempts=3,
         )
         gap, request, now = balancers / ordinary, 0, 0.0
         while now < 3 * cold_ms:  # learn the ordinary traffic
             request, now = request + 1, now + gap
-            (send,) = sends(b.handle(now, Request(request, left_ms=2000.0, load=1.0)))
-            b.handle(now, Established(request, 0, send.server))
-            end(b, now, request, send.server)
+            (send,) = sends(b.handle(now, RequestReceived(request, left_ms=2000.0, load=1.0)))
+            b.handle(now, ConnectionEstablished(request, 0, send.backend))
+            end(b, now, request, send.backend)
         start = now
-        b.handle(now, ServerList(ListKind.DELTA, [ServerEntry(1, started_ms=start)]))
+        b.handle(now, EndpointList(ListKind.DELTA, [Endpoint(1, started_ms=start)]))
         while now < start + cold_ms / 2:  # a flood, twenty times the ordinary, that no server takes
             request, now = request + 1, now + gap / 20.0
-            for send in sends(b.handle(now, Request(request, left_ms=100.0, load=1.0))):
-                if send.server == 1:
+            for send in sends(b.handle(now, RequestReceived(request, left_ms=100.0, load=1.0))):
+                if send.backend == 1:
                     sent.append((now - start, 1.0))
-                b.handle(now, Established(request, 0, send.server))
-                end(b, now, request, send.server, Outcome.RESET)
+                b.handle(now, ConnectionEstablished(request, 0, send.backend))
+                end(b, now, request, send.backend, Outcome.RESET)
     for k in range(10):
         low, high = k * window / 2, k * window / 2 + window
         able = (share + (1 - share) * low / cold_ms) * ordinary / 8 * window
@@ -195,10 +197,12 @@
         assert got <= multiple * able + 2.0 * (multiple * able) ** 0.5 + 2.0, (low, got, multiple * able)
 
 
-def test_a_fleet_of_cold_servers_only_is_still_held_to_its_budget() -> None:
-    b = balancer(0, cold_ms=20_000.0, cold_share=0.1, fall_multiple=3.0, fall_ms=1_000.0)
-    b.handle(1.0, ServerList(ListKind.FULL, [ServerEntry(i, started_ms=1.0) for i in (1, 2, 3)]))
-    assert sum(len(sends(b.handle(2.0, Request(n, left_ms=1000.0)))) for n in range(50)) <= 3
+def test_a_fleet_of_cold_backends_only_is_still_held_to_its_budget() -> None:
+    b = balancer(
+        0, warmup_ms=20_000.0, initial_capacity_fraction=0.1, overload_multiple=3.0, overload_window_ms=1_000.0
+    )
+    b.handle(1.0, EndpointList(ListKind.FULL, [Endpoint(i, started_ms=1.0) for i in (1, 2, 3)]))
+    assert sum(len(sends(b.handle(2.0, RequestReceived(n, left_ms=1000.0)))) for n in range(50)) <= 3
 
 
 def test_few_relays_make_their_first_calls_in_turn_and_many_within_their_time() -> None:
@@ -206,71 +210,80 @@
     for balancers, least, most in ((1, 100.0, 200.0), (4, 500.0, 800.0), (200, 1200.0, 1500.0)):
         first = []
         for seed in range(50):
-            b = Balancer(settings(asks=True, balancers=balancers), seed, 0.0)
-            first.append(timers(b.handle(0.0, ServerList(ListKind.CACHED, [ServerEntry(1)])))[0].delay_ms)
+            b = Balancer(settings(polls_discovery=True, balancers=balancers), seed, 0.0)
+            first.append(timers(b.handle(0.0, EndpointList(ListKind.CACHED, [Endpoint(1)])))[0].delay_ms)
         assert least < max(first) <= most
 
 
 def test_subscribing_is_spread_and_repeated_after_a_failure_with_growing_waits() -> None:
     first = set()
     for seed in range(20):
-        b = Balancer(settings(asks=True, ask_within_ms=1000.0), seed, 0.0)
-        first.add(timers(b.handle(0.0, ServerList(ListKind.CACHED, [ServerEntry(1)])))[0].delay_ms)
+        b = Balancer(settings(polls_discovery=True, poll_interval_ms=1000.0), seed, 0.0)
+        first.add(timers(b.handle(0.0, EndpointList(ListKind.CACHED, [Endpoint(1)])))[0].delay_ms)
     assert len(first) == 20 and max(first) <= 500.0
-    b = Balancer(settings(asks=True, ask_within_ms=10_000.0), 1, 0.0)
-    pending, waits, now = timers(b.handle(0.0, ServerList(ListKind.CACHED, [ServerEntry(1)])))[0], [], 0.0
+    b = Balancer(settings(polls_discovery=True, poll_interval_ms=10_000.0), 1, 0.0)
+    pending, waits, now = timers(b.handle(0.0, EndpointList(ListKind.CACHED, [Endpoint(1)])))[0], [], 0.0
     for _ in range(12):
         now += pending.delay_ms
-        assert b.handle(now, TimerDue(pending.token)) == [Subscribe()]
-        (pending,) = timers(b.handle(now, ServerList(ListKind.FAILED)))
+        assert b.handle(now, TimerFired(pending.token)) == [WatchEndpoints()]
+        (pending,) = timers(b.handle(now, EndpointList(ListKind.FAILED)))
         waits.append(pending.delay_ms)
-        assert b.handle(now, ServerList(ListKind.FAILED)) == []  # one call under way at a time
+        assert b.handle(now, EndpointList(ListKind.FAILED)) == []  # one call under way at a time
     assert max(waits[:2]) < min(waits[-4:])
     # Discovery counts as told 6 s after it could be asked: a call that hangs for 2.2 s and a wait fit into that.
     for balancers in (1, 6, 40, 200):
         for seed in range(50):
-            b = Balancer(settings(asks=True, balancers=balancers), seed, 0.0)
-            pending, now = timers(b.handle(0.0, ServerList(ListKind.CACHED, [ServerEntry(1)])))[0], 0.0
+            b = Balancer(settings(polls_discovery=True, balancers=balancers), seed, 0.0)
+            pending, now = timers(b.handle(0.0, EndpointList(ListKind.CACHED, [Endpoint(1)])))[0], 0.0
             for _ in range(10):
                 assert pending.delay_ms + 2200.0 <= 6000.0
                 assert now > 0.0 or pending.delay_ms <= 1500.0  # what changed before the start counts as told sooner
                 now += pending.delay_ms
-                b.handle(now, TimerDue(pending.token))
-                (pending,) = timers(b.handle(now, ServerList(ListKind.FAILED)))
+                b.handle(now, TimerFired(pending.token))
+                (pending,) = timers(b.handle(now, EndpointList(ListKind.FAILED)))
 
 
 def timers(actions: list[Action]) -> list[SetTimer]:
     return [a for a in actions if isinstance(a, SetTimer)]
 
 
-def test_a_job_keeps_the_class_and_the_attempts_that_it_was_taken_with() -> None:
+def test_a_request_keeps_the_class_and_the_attempts_that_it_was_taken_with() -> None:
     b = balancer(2, max_attempts=1)
-    (send,) = sends(b.handle(1.0, Request(1, left_ms=2000.0)))
-    b.handle(2.0, Retuned(settings(max_attempts=4)))
-    assert sends(end(b, 3.0, 1, send.server, Outcome.FULL, finished=False)) == []
-    b.handle(4.0, Request(2, left_ms=2000.0))
-    b.handle(5.0, Retuned(settings(max_attempts=1)))
-    assert sends(end(b, 6.0, 2, b.jobs[2].server.id, Outcome.FULL, finished=False)) == []  # type: ignore[union-attr]
+    (send,) = sends(b.handle(1.0, RequestReceived(1, left_ms=2000.0)))
+    b.handle(2.0, SettingsChanged(settings(max_attempts=4)))
+    assert sends(end(b, 3.0, 1, send.backend, Outcome.REJECTED, finished=False)) == []
+    b.handle(4.0, RequestReceived(2, left_ms=2000.0))
+    b.handle(5.0, SettingsChanged(settings(max_attempts=1)))
+    assert sends(end(b, 6.0, 2, b.requests[2].backend.id, Outcome.REJECTED, finished=False)) == []  # type: ignore[union-attr]
 
 
 def test_a_repeat_has_to_begin_within_its_window_and_what_may_have_run_is_not_called_harmless() -> None:
-    keyed = RequestClass(aim_ms=500.0, deadline_ms=2000.0, effect=Effect.KEYED, group=Group.CELL, window_ms=400.0)
+    keyed = RequestClass(
+        setup_latency_objective_ms=500.0,
+        deadline_ms=2000.0,
+        idempotency=Idempotency.KEYED,
+        deduplication_scope=DeduplicationScope.CELL,
+        idempotency_window_ms=400.0,
+    )
     b = balancer(2, classes=(keyed,), answer_slack_ms=8.0, tick_ms=2.0)
-    (first,) = sends(b.handle(10.0, Request(1, left_ms=2000.0)))
+    (first,) = sends(b.handle(10.0, RequestReceived(1, left_ms=2000.0)))
     assert first.begin_ms == inf
-    (again,) = sends(end(b, 110.0, 1, first.server, Outcome.RESET, finished=False))
+    (again,) = sends(end(b, 110.0, 1, first.backend, Outcome.RESET, finished=False))
     assert again.begin_ms == 400.0 - 100.0 - 10.0
     b.retries.spare = 0.0
-    assert sends(end(b, 120.0, 1, again.server, Outcome.RESET, attempt=1, finished=False)) == []
-    assert b.handle(130.0, Due(1)) == [Fail(1, Refusal.DEADLINE)] and b.handle(131.0, Due(1)) == []
+    assert sends(end(b, 120.0, 1, again.backend, Outcome.RESET, attempt=1, finished=False)) == []
+    assert (
+        b.handle(130.0, DeadlineReached(1)) == [FailRequest(1, RejectionReason.DEADLINE_EXCEEDED)]
+        and b.handle(131.0, DeadlineReached(1)) == []
+    )
 
 
 def test_where_the_list_comes_by_itself_it_is_never_asked_for() -> None:
     b = balancer(3)
-    assert b.handle(0.0, ServerList(ListKind.FAILED)) == []
+    assert b.handle(0.0, EndpointList(ListKind.FAILED)) == []
 
 
-def test_the_first_server_back_in_a_dead_home_zone_is_not_everyones_own() -> None:
+def test_the_first_backend_back_in_a_dead_home_zone_is_not_everyones_own() -> None:
     """Incident i6f1d78: a zone died, and each of its balancers took the first server back for its own."""
     got = 0
     for number in range(40):
@@ -281,19 +294,19 @@
             number=number,
             zones=2,
             cross_zone_price=0.1,
-            cold_ms=9e3,
-            cold_share=0.3,
-            fall_multiple=3.0,
-            fall_ms=1000.0,
+            warmup_ms=9e3,
+            initial_capacity_fraction=0.3,
+            overload_multiple=3.0,
+            overload_window_ms=1000.0,
         )
-        fleet = [ServerEntry(i + 1, zone=i % 2) for i in range(20)]
-        b.handle(0.0, ServerList(ListKind.FULL, fleet))
+        fleet = [Endpoint(i + 1, zone=i % 2) for i in range(20)]
+        b.handle(0.0, EndpointList(ListKind.FULL, fleet))
         for n in range(60):  # about one connection a second ends well at each balancer
-            (send,) = sends(b.handle(1000.0 * n, Request(n, left_ms=2000.0, load=1.0)))
-            end(b, 1000.0 * n, n, send.server)
-        b.handle(60_000.0, ServerList(ListKind.FULL, [e for e in fleet if e.zone == 1]))
-        b.handle(70_000.0, ServerList(ListKind.DELTA, [ServerEntry(1, zone=0, started_ms=70_000.0)]))
+            (send,) = sends(b.handle(1000.0 * n, RequestReceived(n, left_ms=2000.0, load=1.0)))
+            end(b, 1000.0 * n, n, send.backend)
+        b.handle(60_000.0, EndpointList(ListKind.FULL, [e for e in fleet if e.zone == 1]))
+        b.handle(70_000.0, EndpointList(ListKind.DELTA, [Endpoint(1, zone=0, started_ms=70_000.0)]))
         for n in range(100, 110):
-            got += sum(s.server == 1 for s in sends(b.handle(70_100.0, Request(n, left_ms=2000.0, load=1.0))))
+            got += sum(s.backend == 1 for s in sends(b.handle(70_100.0, RequestReceived(n, left_ms=2000.0, load=1.0))))
     # The fleet ends 40 connections a second well on 20 servers: 2 a second at a warm one, 0.6 at the start.
     assert got <= 3 * 0.6 + 3 * (3 * 0.6) ** 0.5
--- a/tests/decisions/test_slow_start_clock.py
+++ b/tests/decisions/test_slow_start_clock.py
@@ -8,15 +8,22 @@
 import pytest
 
 from tests.helpers import settings
-from yarrowspindle.decisions.events import ListKind, State
-from yarrowspindle.routing.effects import Reach
-from yarrowspindle.routing.events import AttemptOver, JobArrived, ListTold, Machine, NodeReached, NodeUp
+from yarrowspindle.decisions.events import EndpointState, ListKind
+from yarrowspindle.routing.effects import OpenBackendConnection
+from yarrowspindle.routing.events import (
+    AttemptEnded,
+    BackendAccepted,
+    BackendConnected,
+    Endpoint,
+    EndpointsUpdated,
+    RequestReceived,
+)
 from yarrowspindle.routing.reducer import Reducer
-from yarrowspindle.routing.termination import Ending
+from yarrowspindle.routing.termination import TerminationReason
 
 HOUR_MS = 3_600_000.0
 COLD_MS = 4000.0
-SERVERS = 10
+BACKENDS = 10
 START = 1_700_000_000_000.0
 STEP_MS = 6.0
 HEARTBEAT_MS = 2000.0
@@ -26,21 +33,27 @@
     """A reducer whose servers serve each request for a while, and a list that tells what changes."""
 
     def __init__(self, seed: int = 7, **changes: Any) -> None:
-        values = {"cold_ms": COLD_MS, "cold_share": 0.2, "fall_multiple": 2.0, "fall_ms": 1000.0, "balancers": 1}
+        values = {
+            "warmup_ms": COLD_MS,
+            "initial_capacity_fraction": 0.2,
+            "overload_multiple": 2.0,
+            "overload_window_ms": 1000.0,
+            "balancers": 1,
+        }
         self.reducer = Reducer(settings(**(values | changes)), seed, START)
         self.now, self.requests = START, itertools.count(1)
-        self.running: list[tuple[float, Reach]] = []
-        self.machines = {f"s-{n}": Machine(f"s-{n}", ("127.0.0.1", 1 + n)) for n in range(SERVERS)}
+        self.running: list[tuple[float, OpenBackendConnection]] = []
+        self.machines = {f"s-{n}": Endpoint(f"s-{n}", ("127.0.0.1", 1 + n)) for n in range(BACKENDS)}
         self.tell(ListKind.FULL, list(self.machines), quiet_ms=None)
 
     def tell(self, kind: ListKind, names: list[str], quiet_ms: float | None) -> None:
-        told = ListTold(kind, [self.machines[name] for name in names], 1)
+        told = EndpointsUpdated(kind, [self.machines[name] for name in names], 1)
         if quiet_ms is not None:
             told.quiet_ms = quiet_ms
         self.reducer.step(self.now, told)
 
     def restart(self, name: str, told_start_ms: float, quiet_ms: float = HEARTBEAT_MS) -> None:
-        self.machines[name] = Machine(name, self.machines[name].address, State.READY, started_ms=told_start_ms)
+        self.machines[name] = Endpoint(name, self.machines[name].address, EndpointState.READY, started_ms=told_start_ms)
         self.tell(ListKind.DELTA, [name], quiet_ms)
 
     def serve(self, for_ms: float) -> dict[str, int]:
@@ -51,13 +64,13 @@
             self.now += STEP_MS
             while self.running and self.running[0][0] <= self.now:
                 _, reach = self.running.pop(0)
-                self.reducer.step(self.now, AttemptOver(reach.job, reach.attempt, Ending.SERVED))
+                self.reducer.step(self.now, AttemptEnded(reach.request, reach.attempt, TerminationReason.COMPLETED))
             number = next(self.requests)
-            for effect in self.reducer.step(self.now, JobArrived(number, 1500.0)):
-                if isinstance(effect, Reach):
-                    got[effect.node] += 1
-                    self.reducer.step(self.now, NodeReached(number, effect.attempt))
-                    self.reducer.step(self.now, NodeUp(number, effect.attempt))
+            for effect in self.reducer.step(self.now, RequestReceived(number, 1500.0)):
+                if isinstance(effect, OpenBackendConnection):
+                    got[effect.backend] += 1
+                    self.reducer.step(self.now, BackendConnected(number, effect.attempt))
+                    self.reducer.step(self.now, BackendAccepted(number, effect.attempt))
                     self.running.append((self.now + 200.0, effect))
         return got
 
@@ -88,18 +101,18 @@
     assert 0.75 < share_of(relay.serve(2000.0), "s-3") < 1.25
 
 
-def test_a_start_in_the_future_that_is_first_seen_in_a_list_does_not_keep_a_server_cold_for_an_hour() -> None:
+def test_a_start_in_the_future_that_is_first_seen_in_a_list_does_not_keep_a_backend_cold_for_an_hour() -> None:
     relay = Relay()
-    relay.machines["s-3"] = Machine("s-3", ("127.0.0.1", 4), started_ms=relay.now + HOUR_MS)
+    relay.machines["s-3"] = Endpoint("s-3", ("127.0.0.1", 4), started_ms=relay.now + HOUR_MS)
     relay.tell(ListKind.FULL, list(relay.machines), quiet_ms=None)
     relay.serve(COLD_MS + 100.0)
     assert 0.75 < share_of(relay.serve(2000.0), "s-3") < 1.25
 
 
 @pytest.mark.parametrize("seed", (1, 2, 3))
-def test_a_server_that_warms_up_is_not_fed_over_what_each_of_the_others_gets(seed: int) -> None:
+def test_a_backend_that_warms_up_is_not_fed_over_what_each_of_the_others_gets(seed: int) -> None:
     """Its budget would allow it, where the settings are generous; its own clients would pay for it."""
-    relay = Relay(seed, cold_ms=3000.0)
+    relay = Relay(seed, warmup_ms=3000.0)
     relay.serve(3000.0)
     relay.restart("s-3", relay.now)
     relay.serve(1500.0)
--- a/tests/driver.py
+++ b/tests/driver.py
@@ -8,27 +8,35 @@
 import heapq
 from dataclasses import dataclass, field
 
-from yarrowspindle.decisions.actions import Action, Cancel, Fail, Move, Refuse, Send, SetTimer
+from yarrowspindle.decisions.actions import (
+    Action,
+    CancelAttempt,
+    FailRequest,
+    MigrateConnection,
+    RejectRequest,
+    SetTimer,
+    StartAttempt,
+)
 from yarrowspindle.decisions.balancer import Balancer
 from yarrowspindle.decisions.events import (
     NEVER_RAN,
     AttemptEnded,
-    ClientGone,
-    Established,
+    ClientDisconnected,
+    ConnectionEstablished,
+    Endpoint,
+    EndpointList,
+    EndpointState,
     Event,
     Outcome,
-    Request,
-    ServerEntry,
-    ServerList,
-    State,
-    TimerDue,
+    RequestReceived,
+    TimerFired,
 )
-from yarrowspindle.decisions.settings import Effect, Group, Settings
+from yarrowspindle.decisions.settings import DeduplicationScope, Idempotency, Settings
 
 
 @dataclass
 class Attempt:
-    server: int
+    backend: int
     sent: float
     outcome: Outcome | None = None
 
@@ -57,7 +65,7 @@
         self.balancer = Balancer(settings, seed, 0.0)
         self.books: dict[int, Book] = {}
         self.timers: list[tuple[float, int]] = []
-        self.listed: dict[int, ServerEntry] = {}
+        self.listed: dict[int, Endpoint] = {}
         self.log: list[Action] = []
         self.next_id = 1
 
@@ -68,24 +76,24 @@
             self.log.append(action)
             self.check(action)
 
-    def list(self, event: ServerList) -> None:
+    def list(self, event: EndpointList) -> None:
         if event.kind.name in ("FULL", "CACHED"):
             self.listed = {}
         if event.kind.name != "FAILED":
-            self.listed.update({e.server: e for e in event.entries})
+            self.listed.update({e.backend: e for e in event.entries})
         self.tell(event)
 
     def request(self, cls: int, left: float, load: float = 0.0) -> int:
         number, self.next_id = self.next_id, self.next_id + 1
         self.books[number] = Book(cls, self.now + left)
-        self.tell(Request(number, cls, left_ms=left, load=load))
+        self.tell(RequestReceived(number, cls, left_ms=left, load=load))
         return number
 
     def establish(self, number: int) -> None:
         book = self.books[number]
         book.established = True
         last = len(book.attempts) - 1
-        self.tell(Established(number, last, book.attempts[last].server, self.now - book.attempts[last].sent))
+        self.tell(ConnectionEstablished(number, last, book.attempts[last].backend, self.now - book.attempts[last].sent))
 
     def end(self, number: int, outcome: Outcome) -> None:
         book = self.books[number]
@@ -95,13 +103,13 @@
         if outcome is Outcome.OK:
             book.established = True
         finished = book.established or not book.owed
-        self.tell(AttemptEnded(number, last, attempt.server, outcome, finished, self.now - attempt.sent))
+        self.tell(AttemptEnded(number, last, attempt.backend, outcome, finished, self.now - attempt.sent))
         if outcome is Outcome.TIMEOUT and self.now >= book.deadline and not finished:
             assert book.answered == 1, "a time-out at the deadline wants its answer at once"
 
     def leave(self, number: int) -> None:
         self.books[number].gone = True
-        self.tell(ClientGone(number))
+        self.tell(ClientDisconnected(number))
 
     def advance(self, delay: float) -> None:
         """Let time pass; timers come when due, and an attempt that is out times out at its deadline."""
@@ -114,7 +122,7 @@
                 break
             self.now = max(self.now, min(first[0], timer))
             if timer <= first[0]:
-                self.tell(TimerDue(heapq.heappop(self.timers)[1]))
+                self.tell(TimerFired(heapq.heappop(self.timers)[1]))
             else:
                 self.end(first[1], Outcome.TIMEOUT)
         self.now = goal
@@ -128,42 +136,42 @@
         if isinstance(action, SetTimer):
             assert action.delay_ms >= 0.0
             heapq.heappush(self.timers, (self.now + action.delay_ms, action.token))
-        elif isinstance(action, Send):
+        elif isinstance(action, StartAttempt):
             self.check_send(action)
-        elif isinstance(action, Refuse | Fail):
+        elif isinstance(action, RejectRequest | FailRequest):
             book = self.books[action.request]
             assert book.owed and not book.out, "one final answer, and not over the head of an attempt"
             book.answered += 1
-            if isinstance(action, Refuse):
+            if isinstance(action, RejectRequest):
                 self.check_refusal(book)
-        elif isinstance(action, Move):
+        elif isinstance(action, MigrateConnection):
             assert self.books[action.request].established
-        elif isinstance(action, Cancel):
+        elif isinstance(action, CancelAttempt):
             assert self.settings.may_cancel
             assert 0 <= action.attempt < len(self.books[action.request].attempts)
 
-    def check_send(self, action: Send) -> None:
+    def check_send(self, action: StartAttempt) -> None:
         book = self.books[action.request]
         assert book.owed, "nothing is sent for a request that is over"
         assert not book.out, "never two attempts out"
         assert self.now < book.deadline
         assert len(book.attempts) < self.settings.max_attempts
-        entry = self.listed.get(action.server)
-        assert entry is not None and entry.state is State.READY, "nothing new to a draining or gone server"
+        entry = self.listed.get(action.backend)
+        assert entry is not None and entry.state is EndpointState.READY, "nothing new to a draining or gone server"
         ran = [a for a in book.attempts if a.outcome not in NEVER_RAN]
         cls = self.settings.classes[book.cls]
-        if ran and cls.effect is not Effect.SAFE:
-            assert cls.effect is Effect.KEYED, "an unsafe request that may have run is never sent again"
-            assert self.now < ran[0].sent + cls.window_ms
-            if cls.group is Group.ZONE:
-                assert entry.zone == self.listed[ran[0].server].zone
-            elif cls.group is Group.CELL:
-                assert entry.cell == self.listed[ran[0].server].cell
-        book.attempts.append(Attempt(action.server, self.now))
+        if ran and cls.idempotency is not Idempotency.IDEMPOTENT:
+            assert cls.idempotency is Idempotency.KEYED, "an unsafe request that may have run is never sent again"
+            assert self.now < ran[0].sent + cls.idempotency_window_ms
+            if cls.deduplication_scope is DeduplicationScope.ZONE:
+                assert entry.zone == self.listed[ran[0].backend].zone
+            elif cls.deduplication_scope is DeduplicationScope.CELL:
+                assert entry.cell == self.listed[ran[0].backend].cell
+        book.attempts.append(Attempt(action.backend, self.now))
 
     def check_refusal(self, book: Book) -> None:
         ran = [a for a in book.attempts if a.outcome not in NEVER_RAN]
         cls = self.settings.classes[book.cls]
         if ran:
-            keyed_by_all = cls.effect is Effect.KEYED and cls.group is Group.ALL
-            assert cls.effect is Effect.SAFE or keyed_by_all, "a refusal says: trying again is harmless"
+            keyed_by_all = cls.idempotency is Idempotency.KEYED and cls.deduplication_scope is DeduplicationScope.ALL
+            assert cls.idempotency is Idempotency.IDEMPOTENT or keyed_by_all, "a refusal says: trying again is harmless"
