--- a/tests/forms/published.py
+++ b/tests/forms/published.py
@@ -14,14 +14,14 @@
 from yarrowspindle.configuration.messages import Named, Sum
 from yarrowspindle.configuration.settings import Machine
 from yarrowspindle.daemon.metrics import Metrics
-from yarrowspindle.decisions.rejection import Refusal
+from yarrowspindle.decisions.rejection import RejectionReason
 from yarrowspindle.maintenance import status_report as report
 from yarrowspindle.maintenance.coordinator import Fleet, Turns
 from yarrowspindle.maintenance.state import Seen
 from yarrowspindle.routing import effects
 from yarrowspindle.routing.reducer import Reducer
-from yarrowspindle.routing.state import Job, Phase
-from yarrowspindle.routing.termination import Ending
+from yarrowspindle.routing.state import Phase, Request
+from yarrowspindle.routing.termination import TerminationReason
 from yarrowspindle.runtime.health_checker import Prober
 from yarrowspindle.telemetry import Telemetry
 from yarrowspindle.telemetry.guard import Rule
@@ -32,29 +32,33 @@
     """One of each, with each reason."""
     address = ("10.1.0.18", 3000)
     found: list[effects.Effect] = [
-        effects.Reach(1, 0, "s-1", address, 500.0),
-        effects.Ask(1, 0, 480.0),
-        effects.Join(1),
-        effects.Close(1, Ending.SERVED),
-        effects.Wake(5.0, "pulse"),
-        effects.Unwake("pulse"),
-        effects.Watch(41, address),
-        effects.Probe("s-1", address, 500.0),
-        effects.Unprobe("s-1"),
-        effects.NodeGone("s-1"),
-        effects.Note("text"),
+        effects.OpenBackendConnection(1, 0, "s-1", address, 500.0),
+        effects.ForwardRequest(1, 0, 480.0),
+        effects.StartRelaying(1),
+        effects.CloseClientConnection(1, TerminationReason.COMPLETED),
+        effects.SetTimer(5.0, "pulse"),
+        effects.CancelTimer("pulse"),
+        effects.WatchEndpoints(41, address),
+        effects.CheckHealth("s-1", address, 500.0),
+        effects.CancelHealthCheck("s-1"),
+        effects.BackendRemoved("s-1"),
+        effects.LogMessage("text"),
     ]
-    for refusal in (*Refusal, None):
-        found += [effects.Requeue(1, 0.0, refusal), effects.Deny(1, refusal), effects.Drop(1, 0, refusal)]
-    for ending in Ending:
-        found += [effects.Drop(1, 0, ending), effects.Move(1, ending)]
+    for refusal in (*RejectionReason, None):
+        found += [
+            effects.RejectRequest(1, 0.0, refusal),
+            effects.FailRequest(1, refusal),
+            effects.AbortAttempt(1, 0, refusal),
+        ]
+    for ending in TerminationReason:
+        found += [effects.AbortAttempt(1, 0, ending), effects.MigrateConnection(1, ending)]
     return found
 
 
 def probe_counters() -> list[str]:
     async def ended() -> list[str]:
-        prober = Prober(SETTINGS.report, 1.0, lambda event: None, lambda text: None)
-        for ending in Ending:
+        prober = Prober(SETTINGS.load_report_fields, 1.0, lambda event: None, lambda text: None)
+        for ending in TerminationReason:
             prober._tell("s-1", ending, 0.0)
         return sorted(prober.counts)
 
@@ -64,8 +68,8 @@
 def metrics() -> dict[str, list[str]]:
     reducer = Reducer(SETTINGS, 7, 0.0)
     for number, phase in enumerate(Phase):
-        reducer.jobs[number] = Job(number, 0.0, 1000.0)
-        reducer.jobs[number].phase = phase
+        reducer.requests[number] = Request(number, 0.0, 1000.0)
+        reducer.requests[number].phase = phase
     counted = Metrics(reducer)
     for event in sequence_events():
         counted.event(event)
@@ -75,8 +79,8 @@
         "counters": sorted(counted.counters()),
         "gauges": sorted(counted.gauges()),
         "invariants": sorted(rule.value for rule in Rule),
-        "reasons of refusals": sorted(refusal.value for refusal in Refusal),
-        "reasons of endings": [reason(ending) for ending in Ending],
+        "reasons of refusals": sorted(refusal.value for refusal in RejectionReason),
+        "reasons of endings": [reason(ending) for ending in TerminationReason],
         "probes": probe_counters(),
     }
 
--- a/tests/forms/samples.py
+++ b/tests/forms/samples.py
@@ -9,8 +9,8 @@
 from yarrowspindle.configuration import messages as control
 from yarrowspindle.configuration.state import ControlState, Done, Order
 from yarrowspindle.consensus.register import Accept, Accepted, Kept, Prepare, Promise, Refused
-from yarrowspindle.decisions.events import ListKind, Others, State
-from yarrowspindle.decisions.settings import Effect, Group, RequestClass, Settings, Tenant
+from yarrowspindle.decisions.events import EndpointState, ListKind, PeerLoads
+from yarrowspindle.decisions.settings import DeduplicationScope, Idempotency, RequestClass, Settings, Tenant
 from yarrowspindle.maintenance import codec as turns_codec
 from yarrowspindle.maintenance import coordinator as turns
 from yarrowspindle.maintenance.state import FEWEST, REFUSED, WARMING, Out, Request, TurnState, Wish
@@ -19,7 +19,7 @@
 from yarrowspindle.rebalancing import RebalanceSettings
 from yarrowspindle.replay.sequence import Recorder
 from yarrowspindle.routing import events
-from yarrowspindle.routing.termination import Ending
+from yarrowspindle.routing.termination import TerminationReason
 
 OWNER, CLUSTER = "n3", "lisboa"
 
@@ -132,7 +132,7 @@
 
 SETTINGS = Settings(
     classes=(
-        RequestClass(800.0, 4800.0, Effect.KEYED, Group.ZONE, 2500.0, 2.0, 120.0),
+        RequestClass(800.0, 4800.0, Idempotency.KEYED, DeduplicationScope.ZONE, 2500.0, 2.0, 120.0),
         RequestClass(500.0, 2000.0),
     ),
     zone=1,
@@ -140,15 +140,15 @@
     number=4,
     balancers=12,
     tenants=(Tenant(10.0, 200.0, 0.5),),
-    over_share_worth=0.1,
-    asks=True,
-    ask_within_ms=9000.0,
+    over_quota_priority_weight=0.1,
+    polls_discovery=True,
+    poll_interval_ms=9000.0,
     drain_grace_ms=400.0,
     answer_slack_ms=50.0,
-    cold_share=0.2,
-    cold_ms=8000.0,
-    fall_multiple=2.0,
-    fall_ms=900.0,
+    initial_capacity_fraction=0.2,
+    warmup_ms=8000.0,
+    overload_multiple=2.0,
+    overload_window_ms=900.0,
     connect_timeout_ms=260.0,
     conn_idle_ms=31_000.0,
     tick_ms=2.0,
@@ -157,43 +157,43 @@
     retry_after=True,
     may_cancel=True,
     may_probe=True,
-    may_tell=True,
+    can_gossip=True,
     cross_zone_price=0.05,
     move_price=0.01,
     probe_price=0.001,
-    tells_load=False,
-    tells_delay=False,
-    live_weights=True,
-    groups=True,
-    report=("x0", "rif"),
-    by_own_load=True,
+    backend_reports_load=False,
+    backend_reports_latency=False,
+    capacity_excludes_load=True,
+    groups_share_work=True,
+    load_report_fields=("x0", "rif"),
+    uses_own_load=True,
 )
 
 
 def sequence_events() -> list[events.Event]:
-    machine = events.Machine("s-1", ("10.1.0.18", 3000), State.DRAINING, 1, 3, 2, 1.5, 1700000000000.0)
-    others = Others({11: (2, 3.0)}, {11: -1}, 4, 6, 120.0, frozenset({13}), {14: (0.95, 6.0, 120.0)}, 2)
+    machine = events.Endpoint("s-1", ("10.1.0.18", 3000), EndpointState.DRAINING, 1, 3, 2, 1.5, 1700000000000.0)
+    others = PeerLoads({11: (2, 3.0)}, {11: -1}, 4, 6, 120.0, frozenset({13}), {14: (0.95, 6.0, 120.0)}, 2)
     return [
-        events.ListTold(ListKind.FULL, [machine], 41, 250.0),
-        events.JobArrived(1, 2000.0, 1, 0, 77, 3.5, 78, True, True, "s-1", "9b1f03aa5c7e2d41"),
-        events.SubmitterLeft(1),
-        events.OutOfTurn(1),
-        events.NodeReached(1, 0),
-        events.NodeUp(1, 0),
-        *(events.AttemptOver(1, 0, ending) for ending in Ending),
-        events.LoadTold(1, 2.5),
-        events.FigureTold(1, 40.0),
-        events.Asked(1, 2),
-        events.Answered(1, 3),
-        events.Woke("pulse"),
-        events.Woke(7),
-        events.Woke(("deadline", 1)),
-        events.Stop(1500.0, False),
-        events.Reloaded(("10.2.0.1", 8500)),
-        events.Stalled(300.0),
-        events.OthersTold(others),
-        events.Rebalance(RebalanceSettings(), 9),
-        events.Rebalance(None),
+        events.EndpointsUpdated(ListKind.FULL, [machine], 41, 250.0),
+        events.RequestReceived(1, 2000.0, 1, 0, 77, 3.5, 78, True, True, "s-1", "9b1f03aa5c7e2d41"),
+        events.ClientDisconnected(1),
+        events.UnexpectedClientData(1),
+        events.BackendConnected(1, 0),
+        events.BackendAccepted(1, 0),
+        *(events.AttemptEnded(1, 0, ending) for ending in TerminationReason),
+        events.LoadReported(1, 2.5),
+        events.UnclassifiedReport(1, 40.0),
+        events.ClientDataForwarded(1, 2),
+        events.BackendDataForwarded(1, 3),
+        events.TimerFired("pulse"),
+        events.TimerFired(7),
+        events.TimerFired(("deadline", 1)),
+        events.ShutdownRequested(1500.0, False),
+        events.DiscoveryAddressChanged(("10.2.0.1", 8500)),
+        events.EventLoopStalled(300.0),
+        events.PeerLoadsUpdated(others),
+        events.RebalancingConfigured(RebalanceSettings(), 9),
+        events.RebalancingConfigured(None),
     ]
 
 
--- a/tests/fronts/test_quic_front.py
+++ b/tests/fronts/test_quic_front.py
@@ -10,26 +10,26 @@
 from typing import Any
 
 from tests.ports import free_port
-from tests.quic_stand_ins import ID_KEY, IDS, RESET_KEY, QuicClient, QuicNode
+from tests.quic_stand_ins import ID_KEY, IDS, RESET_KEY, QuicBackend, QuicClient
 from tests.stand_ins import relay
 from yarrowspindle.daemon.config import Config, QuicConfig
-from yarrowspindle.daemon.relay_service import Hub
-from yarrowspindle.decisions.events import ListKind, State
+from yarrowspindle.daemon.relay_service import RelayService
+from yarrowspindle.decisions.events import EndpointState, ListKind
 from yarrowspindle.decisions.settings import RequestClass, Settings
 from yarrowspindle.fronts.quic_front import QuicFront
 from yarrowspindle.protocol import quic
 from yarrowspindle.routing.address import Address
-from yarrowspindle.routing.events import ListTold, Machine
+from yarrowspindle.routing.events import Endpoint, EndpointsUpdated
 from yarrowspindle.runtime import SystemClock
 
 
 @dataclass
 class World:
-    nodes: list[QuicNode]
-    hub: Hub
+    backends: list[QuicBackend]
+    hub: RelayService
     front: QuicFront
     relay: Address
-    machines: dict[str, Machine]
+    machines: dict[str, Endpoint]
     clients: list[QuicClient] = field(default_factory=list)
 
     async def client(self) -> QuicClient:
@@ -41,27 +41,27 @@
         await asyncio.wait_for(client.up, 5.0)
         return client
 
-    def list(self, name: str, state: State) -> None:
+    def list(self, name: str, state: EndpointState) -> None:
         self.machines[name].state = state
-        self.hub.post(ListTold(ListKind.DELTA, [self.machines[name]]))
+        self.hub.post(EndpointsUpdated(ListKind.DELTA, [self.machines[name]]))
 
-    def node_of(self, answer: bytes) -> str:
+    def backend_of(self, answer: bytes) -> str:
         return answer.split(b":")[0].decode()
 
 
 def run(
     body: Callable[[World], Awaitable[None]],
-    *nodes: dict[str, Any],
+    *backends: dict[str, Any],
     started: float = 0.0,
     class_ms: float = 3000.0,
     max_connections: int = 50,
     **changes: Any,
 ) -> None:
     async def inside() -> None:
-        made = [QuicNode(f"node-{i}", **options) for i, options in enumerate(nodes)]
+        made = [QuicBackend(f"node-{i}", **options) for i, options in enumerate(backends)]
         machines = {}
-        for i, node in enumerate(made):
-            machines[node.name] = Machine(node.name, await node.open(), started_ms=started if i == 0 else 0.0)
+        for i, backend in enumerate(made):
+            machines[backend.name] = Endpoint(backend.name, await backend.open(), started_ms=started if i == 0 else 0.0)
         settings = Settings(
             classes=(RequestClass(800.0, class_ms),),
             max_attempts=3,
@@ -70,8 +70,8 @@
             max_retry_after_ms=2000.0,
             **changes,
         )
-        known = ListTold(ListKind.CACHED, list(machines.values()))
-        hub = Hub(Config("n0", ("127.0.0.1", 0), ("127.0.0.1", 1), 5, settings, known), SystemClock())
+        known = EndpointsUpdated(ListKind.CACHED, list(machines.values()))
+        hub = RelayService(Config("n0", ("127.0.0.1", 0), ("127.0.0.1", 1), 5, settings, known), SystemClock())
         hub.start()
         front = QuicFront(
             hub, QuicConfig(("127.0.0.1", 0), ID_KEY, RESET_KEY, answer_ms=400.0, max_connections=max_connections)
@@ -89,34 +89,34 @@
     asyncio.run(inside())
 
 
-def test_streams_go_on_at_their_node_while_clients_rebind_their_ports() -> None:
+def test_streams_go_on_at_their_backend_while_clients_rebind_their_ports() -> None:
     async def body(w: World) -> None:
         clients = [await w.up() for _ in range(6)]
-        homes = [w.node_of(await c.ask(b"0")) for c in clients]
+        homes = [w.backend_of(await c.ask(b"0")) for c in clients]
         for step in range(1, 4):
             for client in clients:
                 await client.rebind()
             answers = await asyncio.gather(*(c.ask(b"%d" % step) for c in clients))
             assert answers == [f"{home}:{step}".encode() for home in homes]
-        assert sum(len(n.links) for n in w.nodes) == 6, "no connection was set up twice"
+        assert sum(len(n.links) for n in w.backends) == 6, "no connection was set up twice"
         assert all(c.got.empty() and not c.ended.done() for c in clients), "nothing was answered twice"
         assert len(set(homes)) == 2
-        counted = {s.open for s in w.hub.reducer.balancer.servers.values()}
+        counted = {s.open for s in w.hub.reducer.balancer.backends.values()}
         assert counted == {homes.count("node-0"), homes.count("node-1")}
 
     run(body, {}, {})
 
 
-def test_a_known_id_reaches_a_draining_node_until_it_is_gone_and_a_new_job_never() -> None:
+def test_a_known_id_reaches_a_draining_backend_until_it_is_gone_and_a_new_request_never() -> None:
     async def body(w: World) -> None:
         first = await w.up()
-        home = w.node_of(await first.ask(b"a"))
-        w.list(home, State.DRAINING)
+        home = w.backend_of(await first.ask(b"a"))
+        w.list(home, EndpointState.DRAINING)
         await first.rebind()
         assert await first.ask(b"b") == f"{home}:b".encode()
         others = [await w.up() for _ in range(5)]
-        assert home not in [w.node_of(await c.ask(b"c")) for c in others]
-        w.list(home, State.GONE)
+        assert home not in [w.backend_of(await c.ask(b"c")) for c in others]
+        w.list(home, EndpointState.GONE)
         await asyncio.wait_for(first.reset, 5.0)
         assert len(w.front.flows) == 5
 
@@ -128,7 +128,7 @@
         client = await w.client()
         event = await asyncio.wait_for(client.ended, 5.0)
         assert event.error_code == quic.REFUSED and event.reason_phrase.startswith("retry after ")
-        assert [n.initials for n in w.nodes] == [3], "as many attempts as the settings allow, one after another"
+        assert [n.initials for n in w.backends] == [3], "as many attempts as the settings allow, one after another"
         client.repeat()
         await asyncio.wait_for((await w.client()).ended, 5.0)  # later than whatever the repeat brings
         assert len(client.datagrams) == 1 and w.front.counts["answered_before"] > 0
@@ -141,34 +141,34 @@
         start = time.monotonic()
         event = await asyncio.wait_for((await w.client()).ended, 5.0)
         assert event.error_code == quic.REFUSED and 0.2 < time.monotonic() - start < 0.4
-        assert not w.front.flows and not w.hub.reducer.jobs
+        assert not w.front.flows and not w.hub.reducer.requests
 
     run(body, {"answers": False}, class_ms=250.0)
 
 
-def test_a_dead_node_costs_an_attempt_and_not_the_connection() -> None:
+def test_a_dead_backend_costs_an_attempt_and_not_the_connection() -> None:
     async def body(w: World) -> None:
-        w.nodes[0].close()
+        w.backends[0].close()
         for _ in range(6):
-            assert w.node_of(await (await w.up()).ask(b"x")) == "node-1"
+            assert w.backend_of(await (await w.up()).ask(b"x")) == "node-1"
 
     run(body, {}, {})
 
 
-def test_a_silent_node_is_given_up_after_its_time() -> None:
+def test_a_silent_backend_is_given_up_after_its_time() -> None:
     async def body(w: World) -> None:
         for _ in range(3):
-            assert w.node_of(await (await w.up()).ask(b"x")) == "node-1"
-        assert w.nodes[0].initials <= 3
+            assert w.backend_of(await (await w.up()).ask(b"x")) == "node-1"
+        assert w.backends[0].initials <= 3
 
     run(body, {"answers": False}, {})
 
 
-def test_a_node_that_dies_under_its_connections_ends_them_with_a_reset() -> None:
+def test_a_backend_that_dies_under_its_connections_ends_them_with_a_reset() -> None:
     async def body(w: World) -> None:
         client = await w.up()
-        home = w.node_of(await client.ask(b"x"))
-        next(n for n in w.nodes if n.name == home).close()
+        home = w.backend_of(await client.ask(b"x"))
+        next(n for n in w.backends if n.name == home).close()
         client.connection.send_stream_data(0, b"y")
         client.flush(client.connection)
         await asyncio.wait_for(client.reset, 5.0)
@@ -180,23 +180,28 @@
 def test_a_relay_that_starts_anew_passes_known_ids_on() -> None:
     async def body(w: World) -> None:
         client = await w.up()
-        home = w.node_of(await client.ask(b"x"))
+        home = w.backend_of(await client.ask(b"x"))
         for flow in list(w.front.flows.values()):  # as after a restart: the table is empty
             w.front._forget(flow, answered=False)
-        w.hub.reducer.jobs.clear()
+        w.hub.reducer.requests.clear()
         assert await client.ask(b"y") == f"{home}:y".encode()
         assert w.front.counts["taken_over"] == 1
 
     run(body, {}, {})
 
 
-def test_a_cold_node_gets_no_more_than_its_budget() -> None:
+def test_a_cold_backend_gets_no_more_than_its_budget() -> None:
     async def body(w: World) -> None:
         for _ in range(20):
             await w.up()
-        assert len(w.nodes[0].links) <= 3
-
-    cold: dict[str, Any] = {"cold_ms": 60_000.0, "cold_share": 0.31, "fall_multiple": 3.0, "fall_ms": 1500.0}
+        assert len(w.backends[0].links) <= 3
+
+    cold: dict[str, Any] = {
+        "warmup_ms": 60_000.0,
+        "initial_capacity_fraction": 0.31,
+        "overload_multiple": 3.0,
+        "overload_window_ms": 1500.0,
+    }
     run(body, {}, {}, started=time.time() * 1000.0, **cold)
 
 
@@ -211,7 +216,7 @@
         flow.heard -= w.front.config.idle_s
         w.front._sweep()
         assert not w.front.flows and not w.front.by_id and not w.front.by_link
-        assert [s.open for s in w.hub.reducer.balancer.servers.values()] == [0]
+        assert [s.open for s in w.hub.reducer.balancer.backends.values()] == [0]
 
     run(body, {}, max_connections=1)
 
@@ -237,9 +242,9 @@
         port = free_port()
         operator = f'[quic]\nlisten = "127.0.0.1:{port}"\nid_key = "{ID_KEY.hex()}"\nreset_key = "{RESET_KEY.hex()}"\n'
         async with relay(tmp_path, operator) as world:
-            nodes = [QuicNode(name) for name in world.nodes]
-            for node in nodes:
-                await node.open(world.nodes[node.name].port)
+            backends = [QuicBackend(name) for name in world.backends]
+            for backend in backends:
+                await backend.open(world.backends[backend.name].port)
             client = await QuicClient(("127.0.0.1", port)).start()
             home = (await client.ask(b"x")).split(b":")[0]
             await client.rebind()
@@ -247,14 +252,14 @@
             await world.standing()
             world.stop()
             await asyncio.wait_for(client.reset, 5.0)
-            for end in (*nodes, client):
+            for end in (*backends, client):
                 end.close()
 
     asyncio.run(inside())
 
 
-def test_an_id_names_its_node_and_connection_and_hides_them() -> None:
+def test_an_id_names_its_backend_and_connection_and_hides_them() -> None:
     ids = {IDS.encode(7, 9, sequence) for sequence in range(50)}
     assert len(ids) == 50 and {IDS.decode(cid) for cid in ids} == {(7, 9)}
-    assert quic.NodeIds(bytes(16)).decode(next(iter(ids))) != (7, 9)
+    assert quic.BackendIds(bytes(16)).decode(next(iter(ids))) != (7, 9)
     assert quic.stateless_reset(bytes(16), 21) is None and len(quic.stateless_reset(bytes(16), 1200) or b"") == 43
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -4,20 +4,20 @@
 
 from typing import Any
 
-from yarrowspindle.decisions.actions import Action, Send
+from yarrowspindle.decisions.actions import Action, StartAttempt
 from yarrowspindle.decisions.balancer import Balancer
 from yarrowspindle.decisions.events import (
     AttemptEnded,
-    Established,
+    ConnectionEstablished,
+    Endpoint,
+    EndpointList,
     ListKind,
     Outcome,
-    Request,
-    ServerEntry,
-    ServerList,
+    RequestReceived,
 )
 from yarrowspindle.decisions.settings import RequestClass, Settings
 
-SAFE = RequestClass(aim_ms=500.0, deadline_ms=2000.0)
+SAFE = RequestClass(setup_latency_objective_ms=500.0, deadline_ms=2000.0)
 
 
 def settings(**changes: Any) -> Settings:
@@ -26,34 +26,34 @@
     return Settings(**values)
 
 
-def full_list(*entries: ServerEntry, kind: ListKind = ListKind.FULL) -> ServerList:
-    return ServerList(kind, list(entries))
+def full_list(*entries: Endpoint, kind: ListKind = ListKind.FULL) -> EndpointList:
+    return EndpointList(kind, list(entries))
 
 
-def balancer(servers: int = 4, seed: int = 1, **changes: Any) -> Balancer:
+def balancer(backends: int = 4, seed: int = 1, **changes: Any) -> Balancer:
     b = Balancer(settings(**changes), seed, 0.0)
-    b.handle(0.0, full_list(*(ServerEntry(i + 1) for i in range(servers)), kind=ListKind.CACHED))
+    b.handle(0.0, full_list(*(Endpoint(i + 1) for i in range(backends)), kind=ListKind.CACHED))
     return b
 
 
-def sends(actions: list[Action]) -> list[Send]:
-    return [a for a in actions if isinstance(a, Send)]
+def sends(actions: list[Action]) -> list[StartAttempt]:
+    return [a for a in actions if isinstance(a, StartAttempt)]
 
 
 def open_one(b: Balancer, now: float, request: int, load: float = 0.0, tenant: int = 0) -> int:
     """Place one request and establish it; the server it went to."""
-    (send,) = sends(b.handle(now, Request(request, left_ms=2000.0, load=load, tenant=tenant)))
-    b.handle(now, Established(request, 0, send.server))
-    return send.server
+    (send,) = sends(b.handle(now, RequestReceived(request, left_ms=2000.0, load=load, tenant=tenant)))
+    b.handle(now, ConnectionEstablished(request, 0, send.backend))
+    return send.backend
 
 
 def end(
     b: Balancer,
     now: float,
     request: int,
-    server: int,
+    backend: int,
     outcome: Outcome = Outcome.OK,
     attempt: int = 0,
     finished: bool = True,
 ) -> list[Action]:
-    return b.handle(now, AttemptEnded(request, attempt, server, outcome, finished))
+    return b.handle(now, AttemptEnded(request, attempt, backend, outcome, finished))
--- a/tests/lab/test_deployments.py
+++ b/tests/lab/test_deployments.py
@@ -23,14 +23,14 @@
         assert found["refused"] < 0.1, "cold nodes that were fed were refused as if they could not be used"
 
 
-def test_probes_find_the_slow_nodes_and_keep_groups_at_home() -> None:
+def test_probes_find_the_slow_backends_and_keep_groups_at_home() -> None:
     seeds = (21, 22, 23)
     with_probes = [play(PROBED, "slow", seed) for seed in seeds]
     without = [play(replace(PROBED, report_ms=0.0), "slow", seed) for seed in seeds]
     assert sum(f["served"] for f in with_probes) > sum(f["served"] for f in without) + 0.02 * len(seeds)
 
 
-def test_nodes_that_are_not_probed_are_not_asked() -> None:
+def test_backends_that_are_not_probed_are_not_asked() -> None:
     assert play(ASKED, "calm", 31)["probes_a_try"] == 0.0
 
 
--- a/tests/lab/test_fleet_model.py
+++ b/tests/lab/test_fleet_model.py
@@ -8,17 +8,17 @@
 import pytest
 
 from tests.helpers import settings
-from yarrowspindle.decisions.actions import SetTimer, Subscribe
+from yarrowspindle.decisions.actions import SetTimer, WatchEndpoints
 from yarrowspindle.decisions.balancer import Balancer
-from yarrowspindle.decisions.events import ListKind, ServerEntry, ServerList, State, TimerDue
+from yarrowspindle.decisions.events import Endpoint, EndpointList, EndpointState, ListKind, TimerFired
 from yarrowspindle.lab.model import Fleet, FleetSpec
-from yarrowspindle.lab.model.backend import ModelNode
+from yarrowspindle.lab.model.backend import ModelBackend
 
 VAST = FleetSpec(
     relays=40,
-    nodes=60,
+    backends=60,
     connections=1200,
-    life_s=28.0,
+    lifetime_s=28.0,
     filled=0.45,
     load_every_s=10.0,
     zones=3,
@@ -41,19 +41,19 @@
     return (fleet.served - served) / (fleet.wanted - wanted)
 
 
-def held(nodes: list[ModelNode]) -> int:
-    return sum(len(n.held) for n in nodes)
+def held(backends: list[ModelBackend]) -> int:
+    return sum(len(n.held) for n in backends)
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_six_in_ten_nodes_are_replaced_and_the_new_ones_hold_their_part_when_the_old_ones_stop(seed: int) -> None:
+def test_six_in_ten_backends_are_replaced_and_the_new_ones_hold_their_part_when_the_old_ones_stop(seed: int) -> None:
     fleet = vast(seed)
-    old = list(fleet.nodes.values())[:36]
-    new = [fleet.add_node(n.size, started=True) for n in old]
-    fleet.tell(State.READY, *new)
-    fleet.tell(State.DRAINING, *old)
+    old = list(fleet.backends.values())[:36]
+    new = [fleet.add_backend(n.size, started=True) for n in old]
+    fleet.tell(EndpointState.READY, *new)
+    fleet.tell(EndpointState.DRAINING, *old)
     fleet.run(7.0)
-    assert held(new) >= 0.15 * len(fleet.submitters)  # 0.01 with a budget in whole connections for each node
+    assert held(new) >= 0.15 * len(fleet.clients)  # 0.01 with a budget in whole connections for each node
     fleet.kill(*old)
     assert share(fleet, 20.0) > 0.85
     fleet.rules.check()
@@ -62,24 +62,24 @@
 @pytest.mark.parametrize("seed", [3, 4])
 def test_a_lost_zone_returns_cold_and_is_filled_without_a_fall(seed: int) -> None:
     fleet = vast(seed)
-    lost = [n for n in fleet.nodes.values() if n.zone == 0]
+    lost = [n for n in fleet.backends.values() if n.zone == 0]
     fleet.kill(*lost)
     fleet.run(10.0)
     fleet.bring_back(*lost)
     fleet.run(9.0)
-    assert held(lost) >= 0.1 * len(fleet.submitters)
+    assert held(lost) >= 0.1 * len(fleet.clients)
     assert share(fleet, 10.0) > 0.85
     fleet.rules.check()
 
 
 @pytest.mark.parametrize("seed", [5, 6])
-def test_a_herd_of_relays_that_start_again_spreads_its_jobs_and_feeds_cold_nodes(seed: int) -> None:
+def test_a_herd_of_relays_that_start_again_spreads_its_requests_and_feeds_cold_backends(seed: int) -> None:
     fleet = vast(seed)
-    new = [fleet.add_node(4.8, started=True) for _ in range(6)]
-    fleet.tell(State.READY, *new)
+    new = [fleet.add_backend(4.8, started=True) for _ in range(6)]
+    fleet.tell(EndpointState.READY, *new)
     fleet.restart_relays(fleet.relays[:28], 500.0)
     fleet.run(6.0)
-    warm = [n for n in fleet.nodes.values() if n not in new]
+    warm = [n for n in fleet.backends.values() if n not in new]
     mean = sum(n.filled() for n in warm) / len(warm)
     assert max(n.filled() for n in warm) < 2.5 * mean and held(new) > 0
     assert share(fleet, 10.0) > 0.85
@@ -90,18 +90,21 @@
     """When each relay is told, and all calls: the list serves one call at a time and fails those that have waited for
     2 s; all these relays of the fleet ask from the same start on."""
     random = Random(1)
-    balancers = [Balancer(settings(asks=True, ask_within_ms=10_000.0, balancers=fleet), n, 0.0) for n in range(relays)]
+    balancers = [
+        Balancer(settings(polls_discovery=True, poll_interval_ms=10_000.0, balancers=fleet), n, 0.0)
+        for n in range(relays)
+    ]
     due: list[tuple[float, int, int]] = []  # timers: when, whose, token
     through: dict[int, float] = {}
     calls: list[float] = []
     free_at = 0.0
 
-    def tell(now: float, n: int, event: ServerList | TimerDue) -> None:
+    def tell(now: float, n: int, event: EndpointList | TimerFired) -> None:
         nonlocal free_at
         for action in balancers[n].handle(now, event):
             if isinstance(action, SetTimer):
                 heapq.heappush(due, (now + action.delay_ms, n, action.token))
-            elif isinstance(action, Subscribe):
+            elif isinstance(action, WatchEndpoints):
                 calls.append(now)
                 if free_at > now + 2000.0:  # its turn would come too late
                     heapq.heappush(due, (now + 2000.0 + random.random(), n, -1))
@@ -110,10 +113,10 @@
                     through[n] = free_at
 
     for n in range(relays):
-        tell(0.0, n, ServerList(ListKind.CACHED, [ServerEntry(1)]))
+        tell(0.0, n, EndpointList(ListKind.CACHED, [Endpoint(1)]))
     while due:
         now, n, token = heapq.heappop(due)
-        tell(now, n, ServerList(ListKind.FAILED) if token < 0 else TimerDue(token))
+        tell(now, n, EndpointList(ListKind.FAILED) if token < 0 else TimerFired(token))
     assert len(through) == relays
     return sorted(through.values()), calls
 
@@ -134,9 +137,9 @@
     assert through[-1] < 2000.0 and len(calls) == 27
 
 
-def test_nodes_that_turn_everything_away_for_a_minute_cost_each_relay_few_tries() -> None:
+def test_backends_that_turn_everything_away_for_a_minute_cost_each_relay_few_tries() -> None:
     fleet = vast(7)
-    bad = list(fleet.nodes.values())[:6]
+    bad = list(fleet.backends.values())[:6]
     tries = 0
 
     def turn_away(*_: object) -> bool:
@@ -144,8 +147,8 @@
         tries += 1
         return False
 
-    for node in bad:
-        node.take = turn_away  # type: ignore[method-assign,assignment]
+    for backend in bad:
+        backend.take = turn_away  # type: ignore[method-assign,assignment]
     assert share(fleet, 60.0) > 0.85
     # Passed over for 2.4 to 7.2 s, then for 4.8 to 14.4 s each time: some seven tries a relay and node, not 43 jobs'.
     assert tries <= 40 * len(bad) * (60.0 / 4.8 + 2.0)
--- a/tests/lab/test_processes.py
+++ b/tests/lab/test_processes.py
@@ -84,7 +84,7 @@
     assert not c.broken and c.counts["lost with a relay"] == 1
 
 
-def test_the_checker_finds_two_attempts_a_drain_and_a_cold_node_pushed_over() -> None:
+def test_the_checker_finds_two_attempts_a_drain_and_a_cold_backend_pushed_over() -> None:
     c, clock = checker()
     c.sent("r0", "n0", "1", "first")
     c.given_up("1", "first")
@@ -143,7 +143,7 @@
         read_operator(f"[peers]\n{section}\n")
 
 
-def test_an_address_that_is_taken_is_waited_for_while_jobs_are_served(tmp_path: Path) -> None:
+def test_an_address_that_is_taken_is_waited_for_while_requests_are_served(tmp_path: Path) -> None:
     async def body() -> None:
         with socket.socket(type=socket.SOCK_DGRAM) as taken:
             port = free_port()
--- a/tests/library/test_library.py
+++ b/tests/library/test_library.py
@@ -15,28 +15,28 @@
 from benchmarks.library import both, record, stalling
 from examples.plan_status import show
 from tests.stand_ins import Server
-from yarrowspindle.decisions.events import ListKind, State
+from yarrowspindle.decisions.events import EndpointState, ListKind
 from yarrowspindle.library import (
+    BackendDropped,
     CallbackList,
-    Closing,
-    JobClass,
+    ConnectionClass,
+    Endpoint,
     LibrarySettings,
-    Machine,
-    NodeDropped,
     Placer,
-    Refused,
+    PlacerClosed,
+    Rejected,
     SettingError,
     StaticList,
     WatchedList,
     WrongContext,
 )
 from yarrowspindle.replay import Recorder, SequenceError, play_library, read_sequence
-from yarrowspindle.routing.events import Event, ListTold, Stalled
-from yarrowspindle.routing.termination import Ending
+from yarrowspindle.routing.events import EndpointsUpdated, Event, EventLoopStalled
+from yarrowspindle.routing.termination import TerminationReason
 from yarrowspindle.runtime import SystemClock, Timers
 
-MACHINES = [Machine(f"s-{i}", ("127.0.0.1", 3000 + i)) for i in (1, 2, 3)]
-SETTINGS = LibrarySettings(classes=(JobClass("chat", aim_s=0.1, deadline_s=0.4),), tenants=("acme",))
+MACHINES = [Endpoint(f"s-{i}", ("127.0.0.1", 3000 + i)) for i in (1, 2, 3)]
+SETTINGS = LibrarySettings(classes=(ConnectionClass("chat", aim_s=0.1, deadline_s=0.4),), tenants=("acme",))
 
 
 class JumpingClock:
@@ -51,7 +51,7 @@
 
 def run(
     body: Callable[[Placer], Awaitable[None]],
-    machines: list[Machine] | None = None,
+    machines: list[Endpoint] | None = None,
     settings: LibrarySettings = SETTINGS,
     clock: Any = None,
 ) -> None:
@@ -60,26 +60,26 @@
         placer = Placer(settings, StaticList(found), seed=3, clock=clock)
         async with placer:
             await body(placer)
-        assert not placer.reducer.jobs and not placer.placements and not placer.inside
-        assert all(s.open == 0 for s in placer.reducer.balancer.servers.values())
+        assert not placer.reducer.requests and not placer.placements and not placer.inside
+        assert all(s.open == 0 for s in placer.reducer.balancer.backends.values())
         assert not placer.runtime.owners and not placer.runtime.timers.current
 
     asyncio.run(inside())
 
 
-def test_a_job_is_placed_counted_and_tries_another_node_when_one_fails() -> None:
+def test_a_request_is_placed_counted_and_tries_another_backend_when_one_fails() -> None:
     async def body(placer: Placer) -> None:
         async with placer.place(key=7, tenant="acme") as placement:
-            first = placement.node
+            first = placement.backend
             await placement.failed()
-            assert placement.node != first and placement.address in [m.address for m in MACHINES]
+            assert placement.backend != first and placement.address in [m.address for m in MACHINES]
             placement.up()
             placement.load(20.0)
             assert placer.counters()["up"] == 1
-        with pytest.raises(Refused) as refused:
+        with pytest.raises(Rejected) as refused:
             async with placer.place() as placement:
                 for _ in range(3):
-                    await placement.failed(Ending.TURNED_AWAY)
+                    await placement.failed(TerminationReason.REJECTED)
         assert 1.0 <= refused.value.retry_after <= 2.0
         async with placer.place():
             pass  # served in one go
@@ -88,7 +88,7 @@
 
 
 @pytest.mark.parametrize("stalled_ms", [300.0, 2000.0, 10_000.0])
-def test_a_stall_answers_once_blames_no_node_and_is_counted(stalled_ms: float) -> None:
+def test_a_stall_answers_once_blames_no_backend_and_is_counted(stalled_ms: float) -> None:
     clock = JumpingClock()
 
     async def body(placer: Placer) -> None:
@@ -100,15 +100,15 @@
             reaching.reached()
             clock.jumped += stalled_ms
             standing.answered()
-            assert isinstance(next(e for e in seen if isinstance(e, Stalled)), Stalled)
+            assert isinstance(next(e for e in seen if isinstance(e, EventLoopStalled)), EventLoopStalled)
             assert not standing.moved.is_set() and not standing.over
-            nodes = placer.reducer.nodes.values()
-            assert all(not n.slow for n in nodes), "what waited in our own socket took no time at the node"
-            servers = placer.reducer.balancer.servers.values()
+            backends = placer.reducer.backends.values()
+            assert all(not n.slow for n in backends), "what waited in our own socket took no time at the node"
+            servers = placer.reducer.balancer.backends.values()
             assert all(s.strikes == 0 for s in servers), "no node is passed over for our own stall"
             if stalled_ms > 400.0:
                 assert reaching.moved.is_set()
-                with pytest.raises(Refused):
+                with pytest.raises(Rejected):
                     reaching.up()
                 assert placer.counters()["refused"] == 1
             else:
@@ -118,7 +118,7 @@
     run(body, clock=clock)
 
 
-def test_many_stalls_leave_every_job_with_one_answer() -> None:
+def test_many_stalls_leave_every_request_with_one_answer() -> None:
     found = asyncio.run(stalling(11, 8))
     assert {k: v for k, v in found.items() if k not in ("jobs", "stalls")} == dict.fromkeys(
         ("second_answers", "unanswered", "late_after_stall", "leaked_jobs"), 0
@@ -147,58 +147,58 @@
         placer = Placer(SETTINGS, source, seed=3)
         ends: dict[str, str] = {}
 
-        async def job(name: str) -> None:
+        async def request(name: str) -> None:
             try:
                 async with placer.place() as placement:
                     if name != "attempt":
                         placement.up()
                     await (asyncio.Event() if name == "deaf" else placement.moved).wait()
                     ends[name] = "moved"
-            except (Closing, asyncio.CancelledError) as error:
+            except (PlacerClosed, asyncio.CancelledError) as error:
                 ends[name] = type(error).__name__
 
         await placer.start()
-        tasks = [asyncio.ensure_future(job(n)) for n in ("polite", "deaf", "attempt")]
+        tasks = [asyncio.ensure_future(request(n)) for n in ("polite", "deaf", "attempt")]
         await asyncio.sleep(0)
         source.change([])
-        tasks.append(asyncio.ensure_future(job("waiting")))
+        tasks.append(asyncio.ensure_future(request("waiting")))
         await asyncio.sleep(0)
         closing = asyncio.ensure_future(placer.close(30.0))
         await asyncio.sleep(0)
-        with pytest.raises(Closing):
+        with pytest.raises(PlacerClosed):
             async with placer.place():
                 pass
         begun = asyncio.get_running_loop().time()
         await placer.close(0.05)  # a second SIGINT
         await asyncio.gather(closing, *tasks)
         assert asyncio.get_running_loop().time() - begun < 1.0
-        assert ends == {"polite": "moved", "deaf": "CancelledError", "attempt": "moved", "waiting": "Closing"}
-        assert not placer.reducer.jobs and not placer.inside
-        with pytest.raises(Closing):
+        assert ends == {"polite": "moved", "deaf": "CancelledError", "attempt": "moved", "waiting": "PlacerClosed"}
+        assert not placer.reducer.requests and not placer.inside
+        with pytest.raises(PlacerClosed):
             await placer.start()
 
     asyncio.run(body())
 
 
 @pytest.mark.parametrize("machines", [MACHINES, []])
-def test_cancelling_a_job_at_any_point_leaves_nothing_behind(machines: list[Machine]) -> None:
+def test_cancelling_a_request_at_any_point_leaves_nothing_behind(machines: list[Endpoint]) -> None:
     async def body(placer: Placer) -> None:
-        async def job() -> None:
+        async def request() -> None:
             async with placer.place() as placement:
                 await asyncio.sleep(0)
                 await placement.failed()
                 await asyncio.sleep(0)
                 placement.up()
                 await asyncio.sleep(0)
-                await placement.failed(Ending.BROKEN)
+                await placement.failed(TerminationReason.CONNECTION_RESET)
 
         for steps in range(10):
-            task = asyncio.ensure_future(job())
+            task = asyncio.ensure_future(request())
             for _ in range(steps):
                 await asyncio.sleep(0)
             task.cancel()
             await asyncio.gather(task, return_exceptions=True)
-            assert not placer.reducer.jobs and not placer.inside, f"after {steps} steps"
+            assert not placer.reducer.requests and not placer.inside, f"after {steps} steps"
         with pytest.raises(TimeoutError):
             async with asyncio.timeout(0.0), placer.place() as placement:
                 await placement.moved.wait()
@@ -206,19 +206,19 @@
     run(body, machines)
 
 
-def test_a_node_that_drains_before_the_job_was_sent_may_not_be_used() -> None:
+def test_a_backend_that_drains_before_the_request_was_sent_may_not_be_used() -> None:
     async def body(placer: Placer) -> None:
         assert isinstance(placer.source, StaticList)
         async with placer.place() as placement:
-            first = placement.node
+            first = placement.backend
             placer.source.change(
-                [Machine(m.name, m.address, State.DRAINING) if m.name == first else m for m in MACHINES]
+                [Endpoint(m.name, m.address, EndpointState.DRAINING) if m.name == first else m for m in MACHINES]
             )
             assert placement.moved.is_set()
-            with pytest.raises(NodeDropped):
+            with pytest.raises(BackendDropped):
                 placement.up()
             await placement.failed()
-            assert placement.node != first and not placement.moved.is_set()
+            assert placement.backend != first and not placement.moved.is_set()
             placement.up()
 
     run(body)
@@ -231,7 +231,7 @@
         try:
             async with placer.place():
                 return "placed"
-        except (Closing, WrongContext) as error:
+        except (PlacerClosed, WrongContext) as error:
             return str(error)
 
     async def body() -> None:
@@ -255,18 +255,18 @@
 
 def test_ten_thousand_at_once_and_one_more() -> None:
     async def body(placer: Placer) -> None:
-        placer.jobs_most = 10_000
+        placer.requests_most = 10_000
         go = asyncio.Event()
 
-        async def job() -> None:
+        async def request() -> None:
             async with placer.place() as placement:
                 placement.up()
                 await go.wait()
 
-        tasks = [asyncio.ensure_future(job()) for _ in range(10_000)]
+        tasks = [asyncio.ensure_future(request()) for _ in range(10_000)]
         while placer.counters().get("up", 0) < 10_000:
             await asyncio.sleep(0)
-        with pytest.raises(Refused):
+        with pytest.raises(Rejected):
             async with placer.place():
                 pass
         go.set()
@@ -279,7 +279,7 @@
     async def body() -> None:
         failing, calls = False, 0
 
-        async def fetch() -> list[Machine]:
+        async def fetch() -> list[Endpoint]:
             nonlocal calls
             calls += 1
             if failing:
@@ -311,11 +311,11 @@
             nonlocal asked
             asked += 1
             assert self.told is not None
-            self.told(ListTold(ListKind.FAILED))
+            self.told(EndpointsUpdated(ListKind.FAILED))
 
     async def body() -> None:
         async with Placer(SETTINGS, Down(MACHINES), seed=3, clock=clock) as placer:
-            placer.post(ListTold(ListKind.FAILED))
+            placer.post(EndpointsUpdated(ListKind.FAILED))
             for _ in range(120):
                 clock.jumped += 500.0
                 placer.runtime.timers.run_due()
@@ -352,8 +352,8 @@
 @pytest.mark.parametrize(
     "make, name",
     [
-        (lambda: JobClass("c", aim_s=0.0), "JobClass.aim_s"),
-        (lambda: JobClass("c", deadline_s=0.1), "JobClass.deadline_s"),
+        (lambda: ConnectionClass("c", aim_s=0.0), "JobClass.aim_s"),
+        (lambda: ConnectionClass("c", deadline_s=0.1), "JobClass.deadline_s"),
         (lambda: LibrarySettings(relays=2, number=2), "number"),
         (lambda: LibrarySettings(zone="a"), "zone"),
         (lambda: LibrarySettings(classes=()), "classes"),
@@ -387,10 +387,10 @@
         async with placer:
             for key in range(20):
                 async with placer.place(key=key) as placement:
-                    reached.append(placement.node)
+                    reached.append(placement.backend)
                     if key % 3 == 0:
                         await placement.failed()
-                        reached.append(placement.node)
+                        reached.append(placement.backend)
                     placement.up()
 
     asyncio.run(body())
@@ -413,7 +413,7 @@
 def test_a_damaged_sequence_is_refused_with_its_line(damage: Callable[[bytes], bytes], words: str) -> None:
     out = io.BytesIO()
     recorder = Recorder(out, SETTINGS.core(), 1, 5000.0)
-    recorder.event(6000.0, Stalled(1.0))
+    recorder.event(6000.0, EventLoopStalled(1.0))
     with pytest.raises(SequenceError, match=words):
         list(read_sequence(io.BytesIO(damage(out.getvalue())))[1])
 
--- a/tests/maintenance/test_maintenance_parts.py
+++ b/tests/maintenance/test_maintenance_parts.py
@@ -14,7 +14,7 @@
 from yarrowspindle.consensus.register import Send as RegisterSend
 from yarrowspindle.daemon.config import ConfigError, read_operator
 from yarrowspindle.daemon.voter_file import TurnFile, first_state
-from yarrowspindle.decisions.events import State
+from yarrowspindle.decisions.events import EndpointState
 from yarrowspindle.maintenance import codec
 from yarrowspindle.maintenance.coordinator import Enter, Learn, Newest, Says, Turns
 from yarrowspindle.maintenance.evacuation import BEAT_MS, Emptying, Task
@@ -202,7 +202,9 @@
 
 
 def looks(**changes: Any) -> list[Look]:
-    return [Look(name, 0, 1.0, State.READY, 5.0, **(changes if name == "m1" else {})) for name in ("m0", "m1", "m2")]
+    return [
+        Look(name, 0, 1.0, EndpointState.READY, 5.0, **(changes if name == "m1" else {})) for name in ("m0", "m1", "m2")
+    ]
 
 
 def test_trouble_is_a_machine_that_dies_or_fails_or_pressure_and_ends() -> None:
@@ -241,20 +243,20 @@
 
 def test_emptying_keeps_to_its_part_of_the_rate_and_to_the_deadline() -> None:
     task = Task(frozenset("m"), {"m": 10.0}, relays=4, rate=40.0)
-    emptying, jobs, now, moved = Emptying(0.0), list(range(200)), 0.0, list[int]()
+    emptying, requests, now, moved = Emptying(0.0), list(range(200)), 0.0, list[int]()
     emptying.told(now, task)
     while now < 8000.0 - 1.0:
         now += BEAT_MS
-        moved += emptying.beat(now, task, {"m": jobs[len(moved) :]})
+        moved += emptying.beat(now, task, {"m": requests[len(moved) :]})
     assert 75 <= len(moved) <= 85, "10 a second are this relay's part"
     slow = len(moved)
     emptying.refused = True
-    moved += emptying.beat(now + BEAT_MS, task, {"m": jobs[len(moved) :]})
+    moved += emptying.beat(now + BEAT_MS, task, {"m": requests[len(moved) :]})
     assert emptying.part == 0.5, "less while jobs are refused"
     while now < 10_000.0:
         now += BEAT_MS
         emptying.told(now, task)  # told again: the time counts from the first
-        moved += emptying.beat(now, task, {"m": jobs[len(moved) :]})
+        moved += emptying.beat(now, task, {"m": requests[len(moved) :]})
     assert len(moved) == 200 > slow, "at the deadline nothing is left"
     emptying.told(now, Task(frozenset("mn"), {"m": 10.0, "n": 0.0}))
     assert emptying.beat(now, task, {"n": [7, 8, 9]}) == [7, 8, 9], "what is free already is left at once"
--- a/tests/membership/test_members.py
+++ b/tests/membership/test_members.py
@@ -9,7 +9,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from yarrowspindle.decisions.peer_loads import OthersBook
+from yarrowspindle.decisions.peer_loads import PeerLoadTable
 from yarrowspindle.membership.codec import (
     ALIVE,
     DEAD,
@@ -192,7 +192,7 @@
     heard = t.other.heard["b"].holds
     assert {k: n for k, (n, _) in heard.items()} == {k: n for k, (n, _) in t.holds.items()}
     assert all(abs(heard[k][1] - load) <= 0.06 * max(load, 1.0) + 1.0 for k, (_, load) in t.holds.items())
-    assert others.heard == 1 and {k: v[0] for k, v in others.holds.items() if v[0]} == {
+    assert others.reporting_relays == 1 and {k: v[0] for k, v in others.loads.items() if v[0]} == {
         k: n for k, (n, _) in t.holds.items()
     }
 
@@ -201,11 +201,11 @@
     signals = Signals()
     signals.of("b", 1).clock(0.0, 0.0)
     signals.told("b", 1, 10, Signal(0, 1, [5, 2, 100]), 10.0)
-    assert signals.others(20.0, 2, 0).holds == {5: (2, 100.0)}
+    assert signals.others(20.0, 2, 0).loads == {5: (2, 100.0)}
     signals.gone("b")
-    assert signals.others(30.0, 1, 0).holds == {5: (0, 0.0)} and not signals.sums
+    assert signals.others(30.0, 1, 0).loads == {5: (0, 0.0)} and not signals.sums
     signals.of("b", 2).clock(0.0, 0.0)
-    assert signals.others(40.0, 2, 0).holds == {}
+    assert signals.others(40.0, 2, 0).loads == {}
 
 
 def test_word_that_was_held_back_is_known_to_be_old_and_decays_to_what_is_done_without() -> None:
@@ -214,12 +214,12 @@
     heard.clock(1000.0, 0.0)  # its clock showed 1,000 when ours showed 0 or more
     signals.told("b", 1, 1000, Signal(0, 1, [5, 2, 100]), 5000.0)  # on its way for 5 s
     others = signals.others(5000.0, 2, 0)
-    assert heard.age(5000.0) == 5000.0 and others.heard == 0 and others.holds == {}
-    book = OthersBook(4)
+    assert heard.age(5000.0) == 5000.0 and others.reporting_relays == 0 and others.loads == {}
+    book = PeerLoadTable(4)
     assert book.shares(0.0) == (0.0, 4.0)
-    from yarrowspindle.decisions.events import Others
+    from yarrowspindle.decisions.events import PeerLoads
 
-    book.told(Others({5: (2, 100.0)}, heard=3, balancers=4, age_ms=100.0), 0.0)
+    book.told(PeerLoads({5: (2, 100.0)}, reporting_relays=3, relays=4, age_ms=100.0), 0.0)
     assert book.shares(0.0) == (1.0, 1.0) and book.shares(9000.0) == (0.0, 4.0)
     weight, alike = book.shares(3400.0)
     assert 0.0 < weight < 0.5 and alike == pytest.approx(2.8)
--- a/tests/membership/test_membership_days.py
+++ b/tests/membership/test_membership_days.py
@@ -63,7 +63,7 @@
     for side in (one.split(), other.split()):
         for name in side:
             assert world.net.peers[int(name[1:])].core.members.names == side
-            assert world.others[int(name[1:])].heard == len(side) - 1, "the other side's part is gone"
+            assert world.others[int(name[1:])].reporting_relays == len(side) - 1, "the other side's part is gone"
     assert 0.0 <= world.until(lambda: world.agree() and world.true_sums(), 10.0)
 
 
@@ -80,8 +80,8 @@
 def test_the_part_of_a_killed_relay_is_gone_within_five_seconds() -> None:
     for seed in range(20):
         world = started(5, seed)
-        for node in range(1, 13):  # half of all that is held
-            world.holds[1][node] = (20, 2000.0)
+        for backend in range(1, 13):  # half of all that is held
+            world.holds[1][backend] = (20, 2000.0)
         world.run(1.0)
         world.kill(1)
         assert 0.0 <= world.until(world.true_sums, 5.0), f"seed {seed}"
@@ -144,7 +144,7 @@
     world.run(12.0)
     for _ in range(40):
         world.run(0.5)
-        assert all(others.heard == 0 for others in world.others.values())
+        assert all(others.reporting_relays == 0 for others in world.others.values())
 
 
 def test_seeds_that_answer_nobody_are_asked_on_and_bounded() -> None:
--- a/tests/middleware/test_middleware.py
+++ b/tests/middleware/test_middleware.py
@@ -17,16 +17,16 @@
 from starlette.websockets import WebSocket
 
 from tests.helpers import settings
-from yarrowspindle.decisions.events import State
+from yarrowspindle.decisions.events import EndpointState
 from yarrowspindle.decisions.settings import RequestClass
-from yarrowspindle.library import Machine, Placement, Placer, StaticList
+from yarrowspindle.library import Endpoint, Placement, Placer, StaticList
 from yarrowspindle.middleware import PlacementMiddleware, relay_websocket
 
 STREAM = [(b"accept", b"text/event-stream")]
 
 
-def machines(*states: State) -> list[Machine]:
-    return [Machine(f"s-{i}", ("127.0.0.1", 3000 + i), state) for i, state in enumerate(states, 1)]
+def machines(*states: EndpointState) -> list[Endpoint]:
+    return [Endpoint(f"s-{i}", ("127.0.0.1", 3000 + i), state) for i, state in enumerate(states, 1)]
 
 
 class Client:
@@ -55,7 +55,7 @@
         return await asyncio.wait_for(self.sent.get(), 5.0)
 
 
-def run(body: Callable[[Any, Placer, dict[str, Any]], Awaitable[None]], *states: State, **options: Any) -> None:
+def run(body: Callable[[Any, Placer, dict[str, Any]], Awaitable[None]], *states: EndpointState, **options: Any) -> None:
     async def inside() -> None:
         placer = Placer(
             settings(classes=(RequestClass(100.0, 400.0),), retry_after=True, max_retry_after_ms=2000.0),
@@ -69,13 +69,13 @@
         @api.get("/plan")
         async def plan(request: Request) -> StreamingResponse:
             placement: Placement = request.scope["yarrowspindle"]
-            go["tried"].append(placement.node)
-            if placement.node in go["unreachable"]:
+            go["tried"].append(placement.backend)
+            if placement.backend in go["unreachable"]:
                 raise placement.unreachable()
             go["placement"] = placement
 
             async def stream() -> AsyncIterator[str]:
-                yield placement.node
+                yield placement.backend
                 ends = [asyncio.ensure_future(e.wait()) for e in (go["end"], placement.moved)]
                 await asyncio.wait(ends, return_when=asyncio.FIRST_COMPLETED)
 
@@ -86,8 +86,8 @@
             return "yarrowspindle" in request.scope
 
         await body(PlacementMiddleware(api, placer), placer, go)
-        assert not placer.reducer.jobs and not placer.placements and not placer.inside
-        assert all(s.open == 0 for s in placer.reducer.balancer.servers.values())
+        assert not placer.reducer.requests and not placer.placements and not placer.inside
+        assert all(s.open == 0 for s in placer.reducer.balancer.backends.values())
 
     asyncio.run(inside())
 
@@ -96,15 +96,15 @@
     async def body(app: Any, placer: Placer, go: dict[str, Any]) -> None:
         client = Client(app)
         assert (await client.next())["status"] == 200
-        node = (await client.next())["body"].decode()
-        assert [s.open for s in placer.reducer.balancer.servers.values()].count(1) == 1 and node in ("s-1", "s-2")
+        backend = (await client.next())["body"].decode()
+        assert [s.open for s in placer.reducer.balancer.backends.values()].count(1) == 1 and backend in ("s-1", "s-2")
         go["end"].set()
         await client.task
 
-    run(body, State.READY, State.READY)
+    run(body, EndpointState.READY, EndpointState.READY)
 
 
-def test_a_node_that_is_not_reached_costs_an_attempt_and_not_the_request() -> None:
+def test_a_backend_that_is_not_reached_costs_an_attempt_and_not_the_request() -> None:
     async def body(app: Any, placer: Placer, go: dict[str, Any]) -> None:
         go["unreachable"] = {"s-1"}
         go["end"].set()
@@ -115,7 +115,7 @@
             await client.task
         assert "s-1" in go["tried"]
 
-    run(body, State.READY, State.READY)
+    run(body, EndpointState.READY, EndpointState.READY)
 
 
 def test_a_refusal_is_503_with_retry_after_and_closes_a_websocket() -> None:
@@ -129,30 +129,30 @@
         start = await able.next()
         assert (start["type"], start["status"]) == ("websocket.http.response.start", 503)
 
-    run(body, State.DRAINING)
+    run(body, EndpointState.DRAINING)
 
 
 def test_a_client_that_leaves_while_it_waits_is_forgotten() -> None:
     async def body(app: Any, placer: Placer, go: dict[str, Any]) -> None:
         client = Client(app)
-        while not placer.reducer.jobs:
+        while not placer.reducer.requests:
             await asyncio.sleep(0)
         client.task.cancel()
         with pytest.raises(asyncio.CancelledError):
             await client.task
 
-    run(body, State.DRAINING)
+    run(body, EndpointState.DRAINING)
 
 
-def test_a_node_that_is_gone_ends_its_streams() -> None:
+def test_a_backend_that_is_gone_ends_its_streams() -> None:
     async def body(app: Any, placer: Placer, go: dict[str, Any]) -> None:
         client = Client(app)
         await client.next()
         assert isinstance(placer.source, StaticList)
-        placer.source.change(machines(State.GONE))
+        placer.source.change(machines(EndpointState.GONE))
         await client.task
 
-    run(body, State.READY)
+    run(body, EndpointState.READY)
 
 
 def test_short_requests_are_left_alone() -> None:
@@ -161,14 +161,14 @@
         assert (await client.next())["status"] == 200 and (await client.next())["body"] == b"false"
         await client.task
 
-    run(body, State.READY)
+    run(body, EndpointState.READY)
 
 
 def test_a_websocket_is_placed_before_it_is_accepted() -> None:
     async def body(app: Any, placer: Placer, go: dict[str, Any]) -> None:
         async def endpoint(websocket: WebSocket) -> None:
             await websocket.accept()
-            await websocket.send_text(websocket.scope["yarrowspindle"].node)
+            await websocket.send_text(websocket.scope["yarrowspindle"].backend)
             await websocket.close()
 
         wrapped = PlacementMiddleware(Starlette(routes=[WebSocketRoute("/plan", endpoint)]), placer)
@@ -178,10 +178,10 @@
         assert types == ["websocket.accept", "websocket.send", "websocket.close"]
         await client.task
 
-    run(body, State.READY)
+    run(body, EndpointState.READY)
 
 
-def test_an_application_that_fails_before_its_response_leaves_no_job_and_after_it_ends_one() -> None:
+def test_an_application_that_fails_before_its_response_leaves_no_request_and_after_it_ends_one() -> None:
     async def body(app: Any, placer: Placer, go: dict[str, Any]) -> None:
         for started in (False, True):
 
@@ -193,19 +193,19 @@
             client = Client(PlacementMiddleware(broken, placer))
             with pytest.raises(LookupError):
                 await client.task
-            assert not placer.placements and not placer.reducer.jobs
+            assert not placer.placements and not placer.reducer.requests
 
-    run(body, State.READY)
+    run(body, EndpointState.READY)
 
 
-def test_an_error_page_of_the_application_counts_for_no_node() -> None:
+def test_an_error_page_of_the_application_counts_for_no_backend() -> None:
     async def body(app: Any, placer: Placer, go: dict[str, Any]) -> None:
         client = Client(app, path="/none", raw_path=b"/none")
         assert (await client.next())["status"] == 404
         await client.task
         assert "up" not in placer.counters()
 
-    run(body, State.READY)
+    run(body, EndpointState.READY)
 
 
 def test_what_a_host_reads_from_the_request_reaches_the_core_and_a_wrong_class_is_a_400() -> None:
@@ -227,7 +227,7 @@
         with pytest.raises(TypeError, match="clas"):
             PlacementMiddleware(app, placer, clas=lambda s: 0)
 
-    run(body, State.READY)
+    run(body, EndpointState.READY)
 
 
 class FakeLink:
@@ -267,8 +267,8 @@
         assert (await client.next())["type"] == "websocket.accept"
         client.inbox.put_nowait({"type": "websocket.receive", "text": "hello"})
         assert (await client.next())["text"] == "echo hello"
-        (job,) = placer.reducer.jobs.values()
-        assert not job.unanswered, "the message and its answer were counted"
+        (request,) = placer.reducer.requests.values()
+        assert not request.unanswered, "the message and its answer were counted"
         if end == "moved":
             assert isinstance(placer.source, StaticList)
             placer.source.change([])
@@ -281,7 +281,7 @@
         await client.task
         assert link.closed
 
-    run(body, State.READY, State.READY)
+    run(body, EndpointState.READY, EndpointState.READY)
 
 
 def test_the_lifespan_starts_and_closes_the_placer_with_and_without_the_applications_help() -> None:
@@ -298,7 +298,7 @@
 
     async def body() -> None:
         for app in (unaware, FastAPI(lifespan=own)):
-            placer = Placer(settings(), StaticList(machines(State.READY)), seed=1)
+            placer = Placer(settings(), StaticList(machines(EndpointState.READY)), seed=1)
             client = Client(PlacementMiddleware(app, placer), type="lifespan")
             client.inbox.put_nowait({"type": "lifespan.startup"})
             assert (await client.next())["type"] == "lifespan.startup.complete" and placer.state == "open"
@@ -312,7 +312,7 @@
 
 def test_a_stream_that_ignores_its_move_is_ended_politely_at_the_close() -> None:
     async def body() -> None:
-        placer = Placer(settings(), StaticList(machines(State.READY)), seed=1)
+        placer = Placer(settings(), StaticList(machines(EndpointState.READY)), seed=1)
         await placer.start()
 
         async def deaf(scope: Any, receive: Any, send: Any) -> None:
@@ -333,12 +333,12 @@
             await client.task
         refused = Client(PlacementMiddleware(deaf, placer))
         assert (await refused.next())["status"] == 503
-        assert placer.counters()["cut"] == 2 and not placer.reducer.jobs
+        assert placer.counters()["cut"] == 2 and not placer.reducer.requests
 
     asyncio.run(body())
 
 
-def test_a_client_that_leaves_at_any_await_point_leaves_no_job() -> None:
+def test_a_client_that_leaves_at_any_await_point_leaves_no_request() -> None:
     async def body(app: Any, placer: Placer, go: dict[str, Any]) -> None:
         for steps in range(12):
             client = Client(app)
@@ -346,18 +346,18 @@
                 await asyncio.sleep(0)
             client.task.cancel()
             await asyncio.gather(client.task, return_exceptions=True)
-            assert not placer.reducer.jobs and not placer.inside, f"after {steps} steps"
+            assert not placer.reducer.requests and not placer.inside, f"after {steps} steps"
 
-    run(body, State.READY, State.READY)
+    run(body, EndpointState.READY, EndpointState.READY)
 
 
 def test_starlettes_and_httpxs_own_clients_are_placed_too() -> None:
     async def socket(websocket: WebSocket) -> None:
         await websocket.accept()
-        await websocket.send_text(websocket.scope["yarrowspindle"].node)
+        await websocket.send_text(websocket.scope["yarrowspindle"].backend)
         await websocket.close()
 
-    placer = Placer(settings(), StaticList(machines(State.READY)), seed=1)
+    placer = Placer(settings(), StaticList(machines(EndpointState.READY)), seed=1)
     with TestClient(PlacementMiddleware(Starlette(routes=[WebSocketRoute("/plan", socket)]), placer)) as client:
         with client.websocket_connect("/plan") as connection:
             assert connection.receive_text() == "s-1"
@@ -373,4 +373,4 @@
             answer = await client.get("/plan", headers={"accept": "text/event-stream"})
             assert answer.status_code == 503 and int(answer.headers["retry-after"]) >= 1
 
-    run(body, State.READY)
+    run(body, EndpointState.READY)
--- a/tests/protocol/test_protocol.py
+++ b/tests/protocol/test_protocol.py
@@ -10,11 +10,11 @@
 from hypothesis import strategies as st
 
 from yarrowspindle.daemon.config import ConfigError, QuicConfig, flatten, read_operator
-from yarrowspindle.decisions.events import ListKind, State
+from yarrowspindle.decisions.events import EndpointState, ListKind
 from yarrowspindle.protocol import collectd, graphite, lines
 from yarrowspindle.protocol.endpoint_list import ListError, Names, WatchAnswer
 from yarrowspindle.protocol.lines import LineError, Lines, Opening, Word, load_of, parse_open, requeue_notice, word_of
-from yarrowspindle.routing.events import ListTold
+from yarrowspindle.routing.events import EndpointsUpdated
 
 LINE = "OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=chat,t=acme,d=2000,g=5c0f6e1a2b3d4c59"
 LIST = (
@@ -114,16 +114,16 @@
 def test_a_watch_is_read_wherever_it_is_cut_and_however_it_is_indented(first: int, then: int) -> None:
     indented = json.dumps(json.loads(LIST) | {"note": 'a "{" in a string, \\"'}, indent=first % 3).encode() + b"\n"
     body = b"".join(b"%x\r\n%s\r\n" % (len(p), p) for p in (LIST[:30], LIST[30:], b"\n", indented))
-    data, answer, told = HEAD + body, WatchAnswer(Names(["a", "b"], ["m1", "m2"])), list[ListTold]()
+    data, answer, told = HEAD + body, WatchAnswer(Names(["a", "b"], ["m1", "m2"])), list[EndpointsUpdated]()
     for at in range(0, len(data), first + then):
         told += answer.feed(data[at : at + first])
         told += answer.feed(data[at + first : at + first + then])
     assert len(told) == 2 and told[0].kind is ListKind.FULL and told[0].version == 41 and not answer.ended
-    (m,) = told[0].machines
+    (m,) = told[0].endpoints
     assert (m.name, m.address, m.state, m.zone, m.kind, m.cell, m.capacity, m.started_ms) == (
         "s-5be2a07c",
         ("10.1.0.18", 3000),
-        State.DRAINING,
+        EndpointState.DRAINING,
         1,
         1,
         3,
--- a/tests/quic_stand_ins.py
+++ b/tests/quic_stand_ins.py
@@ -19,10 +19,10 @@
 from tests.ports import free_port
 from yarrowspindle.protocol import quic
 from yarrowspindle.routing.address import Address
-from yarrowspindle.routing.reducer import node_number
+from yarrowspindle.routing.reducer import backend_id
 
 ID_KEY, RESET_KEY = bytes(range(16)), bytes(range(16, 48))
-IDS = quic.NodeIds(ID_KEY)
+IDS = quic.BackendIds(ID_KEY)
 
 
 @cache
@@ -79,7 +79,7 @@
         raise NotImplementedError
 
 
-class NodeConnection(QuicConnection):
+class BackendConnection(QuicConnection):
     """Issues ids that name their node and its number for the connection."""
 
     def __init__(self, server: int, link: int, **options: Any) -> None:
@@ -98,7 +98,7 @@
             self._host_cid_seq += 1
 
 
-class QuicNode(Endpoint):
+class QuicBackend(Endpoint):
     """Echoes what comes on a stream, with its name before it. `answers`: False keeps it silent."""
 
     def __init__(self, name: str, answers: bool = True, refuses: bool = False) -> None:
@@ -108,8 +108,8 @@
             is_client=False, alpn_protocols=["t"], connection_id_length=quic.ID_LENGTH
         )
         self.configuration.certificate, self.configuration.private_key = certificate()
-        self.links: dict[int, NodeConnection] = {}
-        self.originals: dict[bytes, NodeConnection] = {}
+        self.links: dict[int, BackendConnection] = {}
+        self.originals: dict[bytes, BackendConnection] = {}
         self.initials = 0
 
     def datagram_received(self, data: bytes, addr: Address) -> None:
@@ -124,8 +124,8 @@
             if self.refuses or not self.answers:
                 return
             number = len(self.links) + 1
-            connection = NodeConnection(
-                node_number(self.name),
+            connection = BackendConnection(
+                backend_id(self.name),
                 number,
                 configuration=self.configuration,
                 original_destination_connection_id=header.destination,
--- a/tests/rebalancing/test_rebalancing.py
+++ b/tests/rebalancing/test_rebalancing.py
@@ -13,11 +13,11 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, rule
 
 from benchmarks.rebalance import measure
-from yarrowspindle.decisions.events import State
-from yarrowspindle.lab.model import Fleet, FleetSpec, ModelNode
+from yarrowspindle.decisions.events import EndpointState
+from yarrowspindle.lab.model import Fleet, FleetSpec, ModelBackend
 from yarrowspindle.rebalancing import Order, RebalanceError, Rebalancer, RebalanceSettings
 from yarrowspindle.rebalancing.settings import read_rebalance
-from yarrowspindle.routing.events import Rebalance, Stop
+from yarrowspindle.routing.events import RebalancingConfigured, ShutdownRequested
 
 T0 = 1_700_000_000_000.0
 QUICK = RebalanceSettings(
@@ -34,31 +34,33 @@
 class Bench:
     """A rebalancer with nodes of capacity 1, numbered from 1; time moves by beats."""
 
-    def __init__(self, changes: dict[str, Any] | None = None, nodes: int = 3, cold_ms: float = 9000.0) -> None:
+    def __init__(self, changes: dict[str, Any] | None = None, backends: int = 3, cold_ms: float = 9000.0) -> None:
         self.now = T0
         self.rebalancer = Rebalancer(replace(QUICK, **(changes or {})), 1, self.now, 1, cold_ms, 0.31)
-        self.jobs = count(1)
-        for number in range(1, nodes + 1):
-            self.node(number, told=False)
+        self.requests = count(1)
+        for number in range(1, backends + 1):
+            self.backend(number, told=False)
         self.rebalancer.view.list_over(())
 
-    def node(self, number: int, state: State = State.READY, started: float = 0.0, told: bool = True) -> None:
-        self.rebalancer.view.node(self.now, f"n{number}", number, state, 1.0, started)
+    def backend(
+        self, number: int, state: EndpointState = EndpointState.READY, started: float = 0.0, told: bool = True
+    ) -> None:
+        self.rebalancer.view.backend(self.now, f"n{number}", number, state, 1.0, started)
         if told:
             self.rebalancer.view.list_over((self.rebalancer.view.books[f"n{number}"],))
 
     def hold(self, number: int, *loads: float, group: int = 0, returned: bool = False) -> list[int]:
-        jobs = [next(self.jobs) for _ in loads]
-        for job, load in zip(jobs, loads, strict=True):
-            self.rebalancer.opened(self.now, job, f"n{number}", load, job, group, returned)
-        return jobs
+        requests = [next(self.requests) for _ in loads]
+        for request, load in zip(requests, loads, strict=True):
+            self.rebalancer.opened(self.now, request, f"n{number}", load, request, group, returned)
+        return requests
 
     def beat(self, seconds: float = 1.0) -> list[int]:
         """The moves of one beat, carried out: the jobs are over here."""
         self.now += seconds * 1000.0
         moves = self.rebalancer.beat(self.now, list(range(1, 50)))
-        for job in moves:
-            self.rebalancer.over(self.now, job, False)
+        for request in moves:
+            self.rebalancer.over(self.now, request, False)
         return moves
 
     def load(self, number: int) -> float:
@@ -67,14 +69,14 @@
 
 def newcomer(**changes: Any) -> Bench:
     """Two nodes that hold ten jobs each, and a third that has just come."""
-    bench = Bench(changes, nodes=2)
+    bench = Bench(changes, backends=2)
     bench.hold(1, *[1.0] * 10)
     bench.hold(2, *[1.0] * 10)
-    bench.node(3)
+    bench.backend(3)
     return bench
 
 
-def test_a_newcomer_draws_jobs_from_both_others_down_to_the_level_and_no_further() -> None:
+def test_a_newcomer_draws_requests_from_both_others_down_to_the_level_and_no_further() -> None:
     bench = newcomer()
     for _ in range(10):
         for _ in bench.beat():
@@ -83,16 +85,16 @@
     assert bench.rebalancer.counts["moves.joined"] == 6 and bench.beat() == []
 
 
-def test_nothing_moves_while_no_node_came_though_loads_differ_by_chance() -> None:
-    bench = Bench(nodes=3)
+def test_nothing_moves_while_no_backend_came_though_loads_differ_by_chance() -> None:
+    bench = Bench(backends=3)
     bench.hold(1, *[1.0] * 14)
     bench.hold(2, *[1.0] * 9)
     bench.hold(3, *[1.0] * 8)
     assert all(bench.beat() == [] for _ in range(100))
 
 
-def test_a_node_far_beyond_chance_is_relieved_one_job_a_beat_once_it_has_lasted() -> None:
-    bench = Bench({"hot_s": 5.0}, nodes=3)
+def test_a_backend_far_beyond_chance_is_relieved_one_request_a_beat_once_it_has_lasted() -> None:
+    bench = Bench({"hot_s": 5.0}, backends=3)
     bench.hold(1, *[1.0] * 60)
     bench.hold(2, *[1.0] * 9)
     bench.hold(3, *[1.0] * 8)
@@ -100,41 +102,41 @@
     assert [len(bench.beat()) for _ in range(3)] == [1, 1, 1] and bench.rebalancer.counts["moves.hot"] == 3
 
 
-def test_a_node_that_returns_cold_in_mid_plan_takes_part_only_once_it_is_warm() -> None:
+def test_a_backend_that_returns_cold_in_mid_plan_takes_part_only_once_it_is_warm() -> None:
     bench = newcomer()
-    bench.node(4, started=bench.now)
+    bench.backend(4, started=bench.now)
     bench.beat()
     assert [b.number for b in bench.rebalancer.found.taking_part] == [1, 2, 3]
     bench.beat(9.0)
     assert [b.number for b in bench.rebalancer.found.taking_part] == [1, 2, 3, 4]
 
 
-def test_a_flapping_node_has_to_stay_ready_for_longer_each_time() -> None:
-    bench = Bench({"settle_s": 1.0}, nodes=2)
+def test_a_flapping_backend_has_to_stay_ready_for_longer_each_time() -> None:
+    bench = Bench({"settle_s": 1.0}, backends=2)
     bench.hold(1, *[1.0] * 10)
     for _ in range(4):
-        bench.node(2, State.DRAINING)
+        bench.backend(2, EndpointState.DRAINING)
         bench.now += 100.0
-        bench.node(2)
+        bench.backend(2)
     assert bench.beat(4.0) == [] and bench.beat(3.9) == []  # 8 s after the fourth flap
     assert bench.beat(0.2) != []
 
 
-@pytest.mark.parametrize("state", [State.DRAINING, State.GONE])
-def test_a_source_that_drains_or_dies_in_mid_plan_is_left_alone_at_once(state: State) -> None:
+@pytest.mark.parametrize("state", [EndpointState.DRAINING, EndpointState.GONE])
+def test_a_source_that_drains_or_dies_in_mid_plan_is_left_alone_at_once(state: EndpointState) -> None:
     bench = newcomer(moves_per_s=1.0, order=Order.GROUP)
     held = bench.hold(1, 0.5, 0.5, 0.5, group=9)
     assert len(bench.beat()) == 1 and bench.rebalancer.planner.waiting  # the rest of the group is to follow
-    bench.node(1, state)
-    rest = {job for _ in range(10) for job in bench.beat()}
-    assert not rest & set(held) and all(job > 10 for job in rest), "nothing leaves the first node any more"
+    bench.backend(1, state)
+    rest = {request for _ in range(10) for request in bench.beat()}
+    assert not rest & set(held) and all(request > 10 for request in rest), "nothing leaves the first node any more"
 
 
-def test_submitters_that_do_not_come_back_slow_the_pace_and_pause_the_plan_for_longer_each_time() -> None:
-    bench = Bench({"share_per_s": 0.02}, nodes=2)
+def test_clients_that_do_not_come_back_slow_the_pace_and_pause_the_plan_for_longer_each_time() -> None:
+    bench = Bench({"share_per_s": 0.02}, backends=2)
     bench.hold(1, *[1.0] * 400)
     bench.hold(2, *[1.0] * 400)
-    bench.node(3)
+    bench.backend(3)
     moved = []
     for _ in range(400):
         moved.append(len(bench.beat()))
@@ -149,19 +151,19 @@
 
 
 def test_a_giant_heavier_than_the_gap_stays_and_is_not_played_to_and_fro() -> None:
-    bench = Bench(nodes=2)
+    bench = Bench(backends=2)
     bench.hold(2, *[1.0] * 20)
     (giant,) = bench.hold(1, 40.0)
-    bench.node(3)
-    moves = [job for _ in range(60) for job in bench.beat()]
+    bench.backend(3)
+    moves = [request for _ in range(60) for request in bench.beat()]
     assert giant not in moves and bench.rebalancer.counts["held.giant"] > 0
 
 
 def test_a_group_goes_as_a_whole_or_stays_where_it_is_larger_than_the_gap() -> None:
-    bench = Bench({"order": Order.GROUP}, nodes=2)
+    bench = Bench({"order": Order.GROUP}, backends=2)
     large, small = bench.hold(1, *[2.0] * 6, group=1), bench.hold(1, *[1.0] * 3, group=2)
     bench.hold(2, *[1.0] * 10)
-    bench.node(3)  # the level is 25 / 3: the first may lose 6.7
+    bench.backend(3)  # the level is 25 / 3: the first may lose 6.7
     moved = set(bench.beat()) | set(bench.beat())
     assert set(small) <= moved and not moved & set(large)
     assert bench.rebalancer.counts["held.group"] > 0
@@ -169,21 +171,21 @@
 
 @pytest.mark.parametrize("order, first", [(Order.HEAVIEST, 3.0), (Order.LIGHTEST, 1.0)])
 def test_the_order_says_who_goes_first(order: Order, first: float) -> None:
-    bench = Bench({"order": order, "moves_per_s": 1.0}, nodes=1)
+    bench = Bench({"order": order, "moves_per_s": 1.0}, backends=1)
     loads = dict(zip(bench.hold(1, 2.0, 1.0, 3.0, 2.0, 2.0, 2.0), (2.0, 1.0, 3.0, 2.0, 2.0, 2.0), strict=True))
-    bench.node(2)
-    assert [loads[job] for job in bench.beat()] == [first]
+    bench.backend(2)
+    assert [loads[request] for request in bench.beat()] == [first]
 
 
-def test_dwell_the_least_gain_and_the_bound_for_one_submitter_hold_jobs_back() -> None:
+def test_dwell_the_least_gain_and_the_bound_for_one_client_hold_requests_back() -> None:
     bench = newcomer(dwell_s=3.0)
     assert bench.beat() == [] and bench.beat() == [] and bench.rebalancer.counts["held.dwell"] > 0
     assert bench.beat() != []
     bench = newcomer(least_gain=1.5)
     assert bench.beat() == [] and bench.rebalancer.counts["held.light"] > 0
-    bench = Bench(nodes=1)
+    bench = Bench(backends=1)
     bench.hold(1, *[1.0] * 10, returned=True)  # others may have moved them already
-    bench.node(2)
+    bench.backend(2)
     assert bench.beat() == [] and bench.rebalancer.counts["held.submitter"] > 0
     assert bench.beat(600.0) != []
 
@@ -213,7 +215,7 @@
     assert bench.rebalancer.counts["paused.no-effect"] >= 1
 
 
-def test_a_target_that_turns_returning_submitters_away_is_left_alone() -> None:
+def test_a_target_that_turns_returning_clients_away_is_left_alone() -> None:
     bench = newcomer()
     for _ in range(3):
         bench.rebalancer.attempt_failed(bench.now, "n3", True)
@@ -261,10 +263,10 @@
 
     @initialize(order=st.sampled_from(list(Order)), rate=st.sampled_from((1.0, 3.0)))
     def start(self, order: Order, rate: float) -> None:
-        self.bench = Bench({"order": order, "moves_per_s": rate, "source_moves_per_s": 2.0}, nodes=3)
+        self.bench = Bench({"order": order, "moves_per_s": rate, "source_moves_per_s": 2.0}, backends=3)
         self.rate = rate
         self.at: dict[int, tuple[int, float]] = {}
-        self.states: dict[int, State] = dict.fromkeys((1, 2, 3), State.READY)
+        self.states: dict[int, EndpointState] = dict.fromkeys((1, 2, 3), EndpointState.READY)
         self.moved: deque[float] = deque()
         self.off: dict[int, deque[float]] = {}
         self.times: Counter[int] = Counter()
@@ -276,14 +278,14 @@
         returned=st.booleans(),
     )
     def hold(self, number: int, loads: list[float], group: int, returned: bool) -> None:
-        if self.states.get(number) is State.READY:
-            for job in self.bench.hold(number, *loads, group=group, returned=returned):
-                self.at[job] = (number, 0.0)
+        if self.states.get(number) is EndpointState.READY:
+            for request in self.bench.hold(number, *loads, group=group, returned=returned):
+                self.at[request] = (number, 0.0)
 
-    @rule(number=st.integers(1, 6), state=st.sampled_from(list(State)), cold=st.booleans())
-    def list_changes(self, number: int, state: State, cold: bool) -> None:
+    @rule(number=st.integers(1, 6), state=st.sampled_from(list(EndpointState)), cold=st.booleans())
+    def list_changes(self, number: int, state: EndpointState, cold: bool) -> None:
         self.states[number] = state
-        self.bench.node(number, state, self.bench.now if cold else 0.0)
+        self.bench.backend(number, state, self.bench.now if cold else 0.0)
 
     @rule(draw=st.integers(0, 50), load=st.sampled_from((0.2, 2.0, 6.0)))
     def load_changes(self, draw: int, load: float) -> None:
@@ -293,17 +295,17 @@
     @rule(seconds=st.sampled_from((0.2, 1.0, 10.0)))
     def beat(self, seconds: float) -> None:
         view = self.bench.rebalancer.view
-        loads = {job: held.load for job, held in view.jobs.items()}
+        loads = {request: held.load for request, held in view.requests.items()}
         before = {b.number: b.load for b in view.books.values()}
         moves = self.bench.beat(seconds)
         level, now = self.bench.rebalancer.found.level, self.bench.now
         assert len(moves) == len(set(moves))
-        for job in moves:
-            number, _ = self.at.pop(job)
-            assert self.states[number] is State.READY and before[number] > level
-            before[number] -= loads[job]
+        for request in moves:
+            number, _ = self.at.pop(request)
+            assert self.states[number] is EndpointState.READY and before[number] > level
+            before[number] -= loads[request]
             assert before[number] >= level - 1e-6, "a source never falls below the level by a move"
-            self.times[job] += 1
+            self.times[request] += 1
             self.moved.append(now)
             self.off.setdefault(number, deque()).append(now)
         for stamps, rate in ((self.moved, self.rate), *((s, 2.0) for s in self.off.values())):
@@ -312,7 +314,7 @@
             assert len(stamps) <= rate + max(1.0, rate), "no more in a second than the rate and the burst"
         assert max(self.times.values(), default=0) <= 1
         books = view.books.values()
-        assert all(abs(b.load - sum(h.load for h in b.jobs.values())) < 1e-6 for b in books)
+        assert all(abs(b.load - sum(h.load for h in b.requests.values())) < 1e-6 for b in books)
 
 
 Balanced.TestCase.settings = settings(
@@ -326,7 +328,7 @@
 
 def test_one_seed_is_one_run() -> None:
     def counts(seed: int) -> tuple[Counter[str], float]:
-        fleet = Fleet(FleetSpec(connections=200, nodes=6, rebalance=QUICK), seed)
+        fleet = Fleet(FleetSpec(connections=200, backends=6, rebalance=QUICK), seed)
         fleet.fill(2.0)
         fleet.run(20.0)
         return fleet.counts, fleet.imbalance()
@@ -339,10 +341,10 @@
     assert measure(scenario, "small", 20261201)[1] == []
 
 
-def planned(spec: FleetSpec, seed: int, newcomers: int) -> tuple[Fleet, list[ModelNode]]:
+def planned(spec: FleetSpec, seed: int, newcomers: int) -> tuple[Fleet, list[ModelBackend]]:
     """A settled fleet to which as many nodes come now, cold."""
     fleet = Fleet(spec, seed)
-    later = list(fleet.nodes.values())[:newcomers]
+    later = list(fleet.backends.values())[:newcomers]
     fleet.kill(*later)
     fleet.fill(8.0)
     fleet.run(20.0)
@@ -351,20 +353,22 @@
 
 
 def test_a_hundred_relays_that_plan_in_the_same_instant_do_not_bury_the_one_newcomer() -> None:
-    spec = FleetSpec(relays=100, nodes=40, connections=4000, alike=True, life_s=3600.0, rebalance=RebalanceSettings())
-    fleet, (node,) = planned(spec, 3, 1)
+    spec = FleetSpec(
+        relays=100, backends=40, connections=4000, alike=True, lifetime_s=3600.0, rebalance=RebalanceSettings()
+    )
+    fleet, (backend,) = planned(spec, 3, 1)
     peak, last, most_came = 0.0, 0, 0
     for _ in range(60):
         fleet.run(1.0)
-        most_came, last = max(most_came, len(node.held) - last), len(node.held)
-        peak = max(peak, node.filled())
-    mean = sum(n.load for n in fleet.nodes.values()) / sum(n.size for n in fleet.nodes.values()) / 1000.0
+        most_came, last = max(most_came, len(backend.held) - last), len(backend.held)
+        peak = max(peak, backend.filled())
+    mean = sum(n.load for n in fleet.backends.values()) / sum(n.size for n in fleet.backends.values()) / 1000.0
     fleet.rules.check()
     assert peak <= 1.25 * mean and most_came <= 2 * RebalanceSettings().target_moves_per_s
 
 
 def test_a_restart_and_a_reload_in_mid_plan() -> None:
-    fleet, _ = planned(FleetSpec(nodes=8, connections=800, rebalance=RebalanceSettings()), 4, 2)
+    fleet, _ = planned(FleetSpec(backends=8, connections=800, rebalance=RebalanceSettings()), 4, 2)
     fleet.run(14.0)
     moves = fleet.counts["moves"]
     assert moves > 0
@@ -374,36 +378,36 @@
     fleet.configure(RebalanceSettings())  # and put in again: the standing jobs are all known
     relay = fleet.relays[0]
     rebalance = relay.reducer.rebalance
-    assert rebalance is not None and len(rebalance.view.jobs) == sum(
-        j.phase.name == "OPEN" for j in relay.reducer.jobs.values()
+    assert rebalance is not None and len(rebalance.view.requests) == sum(
+        j.phase.name == "ESTABLISHED" for j in relay.reducer.requests.values()
     )
     fleet.run(15.0)
     assert fleet.counts["moves"] > moves
     planned_so_far = rebalance.counts["moves.joined"]
-    relay.post(Stop(3000.0))
+    relay.post(ShutdownRequested(3000.0))
     fleet.run(4.0)
     assert rebalance.counts["moves.joined"] == planned_so_far
-    relay.post(Rebalance(RebalanceSettings()))
+    relay.post(RebalancingConfigured(RebalanceSettings()))
     fleet.rules.check()
 
 
-def test_while_all_nodes_are_full_nothing_is_moved() -> None:
-    spec = FleetSpec(nodes=8, connections=1200, filled=1.1, node_most=130, rebalance=RebalanceSettings())
+def test_while_all_backends_are_full_nothing_is_moved() -> None:
+    spec = FleetSpec(backends=8, connections=1200, filled=1.1, backend_most=130, rebalance=RebalanceSettings())
     fleet, _ = planned(spec, 2, 2)
     fleet.run(40.0)
     assert fleet.counts["refused"] > 100 and fleet.relay_counts("paused.refusals") > 0 and fleet.counts["moves"] <= 12
 
 
 def test_a_draining_source_in_mid_plan_keeps_what_it_holds() -> None:
-    fleet, _ = planned(FleetSpec(nodes=8, connections=800, rebalance=RebalanceSettings()), 6, 2)
+    fleet, _ = planned(FleetSpec(backends=8, connections=800, rebalance=RebalanceSettings()), 6, 2)
     fleet.run(14.0)
-    source = max(fleet.nodes.values(), key=ModelNode.filled)
-    fleet.tell(State.DRAINING, source)
+    source = max(fleet.backends.values(), key=ModelBackend.filled)
+    fleet.tell(EndpointState.DRAINING, source)
     fleet.run(2.0)  # each relay has heard of it by now
     keys = set(source.held)
     ended = fleet.counts["up"]
     fleet.run(10.0)
-    gone = {(r.index, j) for r in fleet.relays for j in r.submitters}
+    gone = {(r.index, j) for r in fleet.relays for j in r.clients}
     assert ended < fleet.counts["up"] and not (keys - set(source.held)) & gone
     assert len(keys - set(source.held)) <= 12, "only those whose time was over have left it"
     fleet.rules.check()
--- a/tests/simulator/test_wire.py
+++ b/tests/simulator/test_wire.py
@@ -10,19 +10,28 @@
 
 import pytest
 
-from yarrowspindle.decisions.actions import Cancel, Fail, Log, Move, Refuse, Send, SetTimer, Subscribe
+from yarrowspindle.decisions.actions import (
+    CancelAttempt,
+    FailRequest,
+    LogMessage,
+    MigrateConnection,
+    RejectRequest,
+    SetTimer,
+    StartAttempt,
+    WatchEndpoints,
+)
 from yarrowspindle.decisions.events import (
     AttemptEnded,
-    Established,
+    ConnectionEstablished,
+    EndpointList,
+    EndpointState,
     ListKind,
     LoadChanged,
     Outcome,
-    Request,
-    ServerList,
-    ServerSlow,
-    State,
+    RequestReceived,
+    SlowMessageObserved,
 )
-from yarrowspindle.decisions.settings import Effect, Group
+from yarrowspindle.decisions.settings import DeduplicationScope, Idempotency
 from yarrowspindle.protocol import platform_settings as settings
 from yarrowspindle.simulator import adapter, wire
 
@@ -91,26 +100,26 @@
 
 def test_members_is_read_as_the_wire_page_has_it() -> None:
     event = read(MEMBERS)
-    assert isinstance(event, ServerList) and (event.kind, event.version) == (ListKind.CACHED, 41)
+    assert isinstance(event, EndpointList) and (event.kind, event.version) == (ListKind.CACHED, 41)
     first, second = event.entries
-    assert (first.server, first.zone, first.state, first.capacity, first.started_ms) == (
+    assert (first.backend, first.zone, first.state, first.capacity, first.started_ms) == (
         0x03124A07,
         0,
-        State.READY,
+        EndpointState.READY,
         1.0,
         0.0,
     )
-    assert (second.server, second.zone, second.capacity, second.started_ms) == (0x2C9011F2, 1, 1.5, 6100.0)
+    assert (second.backend, second.zone, second.capacity, second.started_ms) == (0x2C9011F2, 1, 1.5, 6100.0)
 
 
 def test_demand_is_read_as_the_wire_page_has_it() -> None:
     key, group = 0x91F03B7C55D20A64, 0x2B8E6401D9F37C10
-    assert read(DEMAND) == Request(0x5D3A91C4, 0, 0, key, 240.0, 12.0, group)
+    assert read(DEMAND) == RequestReceived(0x5D3A91C4, 0, 0, key, 240.0, 12.0, group)
 
 
 def test_a_hint_that_is_not_valid_is_no_hint() -> None:
     event = read(DEMAND[:-2] + b"\x1e\x00")
-    assert isinstance(event, Request) and event.load == 0.0
+    assert isinstance(event, RequestReceived) and event.load == 0.0
     assert event.repeated and event.mid_flow and event.returned
 
 
@@ -124,12 +133,12 @@
     [
         (100, Outcome.OK),
         (301, Outcome.ERROR),
-        (302, Outcome.FULL),
+        (302, Outcome.REJECTED),
         (303, Outcome.TIMEOUT),
         (304, Outcome.CONNECT_FAILED),
         (305, Outcome.RESET),
         (306, Outcome.CANCELLED),
-        (307, Outcome.MOOT),
+        (307, Outcome.NOT_SENT),
     ],
 )
 def test_every_outcome_has_its_code(code: int, outcome: Outcome) -> None:
@@ -138,25 +147,25 @@
 
 
 def test_the_other_events() -> None:
-    assert read(record(1030, struct.pack("<IHdI", 9, 1, 2.5, 7))) == Established(9, 1, 7, 2.5)
+    assert read(record(1030, struct.pack("<IHdI", 9, 1, 2.5, 7))) == ConnectionEstablished(9, 1, 7, 2.5)
     assert read(record(1110, struct.pack("<IIBfH", 9, 7, 1, 2500.0, 0))) == LoadChanged(9, 7, 2.5)
-    assert read(record(1110, struct.pack("<IIBfH", 9, 7, 2, 80.0, 0))) == ServerSlow(9, 7, 80.0)
+    assert read(record(1110, struct.pack("<IIBfH", 9, 7, 2, 80.0, 0))) == SlowMessageObserved(9, 7, 80.0)
     assert read(record(1110, struct.pack("<IIBfH", 9, 7, 3, 80.0, 0))) is None  # a sort we do not know
     longer = record(1030, struct.pack("<IHdI", 9, 1, 2.5, 7) + b"new")
-    assert read(longer) == Established(9, 1, 7, 2.5)  # trailing fields are passed over
+    assert read(longer) == ConnectionEstablished(9, 1, 7, 2.5)  # trailing fields are passed over
 
 
 @pytest.mark.parametrize(
     ("action", "expected"),
     [
-        (Send(0x5D3A91C4, 0x03124A07, 80.0), "fc03 10000000 c4913a5d 074a1203 0000000000005440"),
+        (StartAttempt(0x5D3A91C4, 0x03124A07, 80.0), "fc03 10000000 c4913a5d 074a1203 0000000000005440"),
         (SetTimer(500.0, 77), "2e04 0c000000 0000000000407f40 4d000000"),
-        (Refuse(1, 2.0), "1a04 0c000000 01000000 0000000000000040"),
-        (Fail(1), "4204 04000000 01000000"),
-        (Move(1), "6a04 04000000 01000000"),
-        (Cancel(1, 2), "f203 06000000 01000000 0200"),
-        (Subscribe(), "4c04 01000000 01"),
-        (Log("two servers known"), "3804 13000000 1100 74776f2073657276657273206b6e6f776e"),
+        (RejectRequest(1, 2.0), "1a04 0c000000 01000000 0000000000000040"),
+        (FailRequest(1), "4204 04000000 01000000"),
+        (MigrateConnection(1), "6a04 04000000 01000000"),
+        (CancelAttempt(1, 2), "f203 06000000 01000000 0200"),
+        (WatchEndpoints(), "4c04 01000000 01"),
+        (LogMessage("two servers known"), "3804 13000000 1100 74776f2073657276657273206b6e6f776e"),
     ],
 )
 def test_actions_are_written_as_the_wire_page_has_them(action: object, expected: str) -> None:
@@ -168,8 +177,8 @@
     number, size, count = struct.unpack_from("<III", reply)
     assert (number, size, count) == (1, len(reply) - 12, 2)
     assert reply[12:22] == bytes.fromhex("6004 04000000 03000000")
-    code, _, job, server, _ = struct.unpack_from("<HIIId", reply, 22)
-    assert (code, job) == (1020, 0x5D3A91C4) and server in (0x03124A07, 0x2C9011F2)
+    code, _, request, backend, _ = struct.unpack_from("<HIIId", reply, 22)
+    assert (code, request) == (1020, 0x5D3A91C4) and backend in (0x03124A07, 0x2C9011F2)
 
 
 def test_kill_and_create_in_one_batch_start_anew() -> None:
@@ -194,9 +203,19 @@
         "family_info.tenant_quota_connections": "null",
     }
     s = settings.read_settings(pairs)
-    assert (s.zone, s.zones, s.asks, s.cold_share, s.cross_zone_price) == (1, 2, True, 0.12, 0.12)
+    assert (s.zone, s.zones, s.polls_discovery, s.initial_capacity_fraction, s.cross_zone_price) == (
+        1,
+        2,
+        True,
+        0.12,
+        0.12,
+    )
     cls = s.classes[0]
-    assert (cls.effect, cls.group, cls.message_aim_ms) == (Effect.KEYED, Group.CELL, 90.0)
+    assert (cls.idempotency, cls.deduplication_scope, cls.message_latency_objective_ms) == (
+        Idempotency.KEYED,
+        DeduplicationScope.CELL,
+        90.0,
+    )
     assert s.tenants[0].share == 0.5 and s.tenants[0].quota_connections == 0.0
 
 
--- a/tests/stand_ins.py
+++ b/tests/stand_ins.py
@@ -101,7 +101,7 @@
     """One relay, two execute nodes and the machine list."""
 
     def __init__(self) -> None:
-        self.nodes = {"s-1": Server(), "s-2": Server()}
+        self.backends = {"s-1": Server(), "s-2": Server()}
         self.list = Server()
         self.port = 0
         self.process: asyncio.subprocess.Process
@@ -114,7 +114,7 @@
     def member(self, name: str, phase: str = "ready") -> dict[str, Any]:
         return {
             "id": name,
-            "host_port": f"127.0.0.1:{self.nodes[name].port}",
+            "host_port": f"127.0.0.1:{self.backends[name].port}",
             "locality": "a",
             "flavor": "m",
             "cell": 1,
@@ -142,18 +142,18 @@
     def answer_watch(self, *members: dict[str, Any]) -> None:
         self.watch.writer.write(HEAD + self.members(True, *members))
 
-    async def submitter(self, *lines: str) -> Peer:
+    async def client(self, *lines: str) -> Peer:
         peer = Peer(*await asyncio.open_connection("127.0.0.1", self.port))
         peer.say(*lines)
         return peer
 
-    async def job(self, more: str = "", wait_ms: int = 1500) -> Peer:
+    async def request(self, more: str = "", wait_ms: int = 1500) -> Peer:
         name = f"{next(self.ids):016x} 7f3a9c21e0b4d655"
-        return await self.submitter(f"OPEN {name} c=chat,t=acme,d={wait_ms},g=5c0f{more}")
+        return await self.client(f"OPEN {name} c=chat,t=acme,d={wait_ms},g=5c0f{more}")
 
     async def placed(self) -> tuple[str, Peer, str]:
         """The node that the next attempt reaches, the connection, and its first line."""
-        waits = {asyncio.ensure_future(node.asked()): name for name, node in self.nodes.items()}
+        waits = {asyncio.ensure_future(backend.asked()): name for name, backend in self.backends.items()}
         done, rest = await asyncio.wait(waits, timeout=WAIT_S, return_when=asyncio.FIRST_COMPLETED)
         for wait in rest:
             wait.cancel()
@@ -161,11 +161,11 @@
         return waits[first], *first.result()
 
     async def standing(self) -> tuple[Peer, str, Peer]:
-        submitter = await self.job()
-        name, node, _ = await self.placed()
-        node.say("UP r1")
-        assert await submitter.hear() == "UP r1"
-        return submitter, name, node
+        client = await self.request()
+        name, backend, _ = await self.placed()
+        backend.say("UP r1")
+        assert await client.hear() == "UP r1"
+        return client, name, backend
 
     def stop(self) -> None:
         self.process.send_signal(signal.SIGTERM)
@@ -189,10 +189,10 @@
 ) -> AsyncIterator[World]:
     """The real program, serving; it is told of both nodes in its cached list."""
     world = World()
-    for server in (*world.nodes.values(), world.list):
+    for server in (*world.backends.values(), world.list):
         await server.open()
     world.port = free_port()
-    known = {"revision": 1, "complete": True, "members": [world.member(n) for n in world.nodes]}
+    known = {"revision": 1, "complete": True, "members": [world.member(n) for n in world.backends]}
     config = {
         "name": "n0",
         "listen": f"127.0.0.1:{world.port}",
--- a/tests/storage/test_durable_file.py
+++ b/tests/storage/test_durable_file.py
@@ -42,7 +42,7 @@
             file.load()
         async with relay(tmp_path, operator(tmp_path, free_port()), **COLD) as world:
             await world.logged("cannot be read")
-            assert (await (await world.job(wait_ms=500)).hear()).startswith("BUSY")
+            assert (await (await world.request(wait_ms=500)).hear()).startswith("BUSY")
             make_readable(file.path)
             await world.logged("has its voter's file")
             await world.standing()
--- /dev/null
+++ b/tests/test_deprecated_names.py
@@ -0,0 +1,32 @@
+"""The public names of version 0.1.0 are importable for one version more, and say what they are called now."""
+
+from __future__ import annotations
+
+import importlib
+
+import pytest
+
+from yarrowspindle import interface, library
+
+LIBRARY = ("Closing", "Ending", "JobClass", "Machine", "NodeDropped", "Refused")
+
+
+@pytest.mark.parametrize("name", LIBRARY)
+def test_an_old_name_of_the_library_is_importable_with_a_warning(name: str) -> None:
+    with pytest.warns(DeprecationWarning, match=f"library.{name} is now called"):
+        assert getattr(library, name).__name__ in library.__all__
+
+
+@pytest.mark.parametrize("name", interface._CURRENT)
+def test_an_old_name_of_the_balancers_interface_is_importable_with_a_warning(name: str) -> None:
+    module, current = interface._CURRENT[name]
+    with pytest.warns(DeprecationWarning, match=f"interface.{name} is now yarrowspindle.decisions.{module}.{current}"):
+        found = getattr(interface, name)
+    assert found is getattr(importlib.import_module(f"yarrowspindle.decisions.{module}"), current)
+
+
+def test_a_name_that_never_was_is_no_attribute() -> None:
+    with pytest.raises(AttributeError):
+        _ = library.Nothing  # type: ignore[attr-defined]
+    with pytest.raises(AttributeError):
+        _ = interface.Nothing
--- a/tests/test_peers_off.py
+++ b/tests/test_peers_off.py
@@ -13,10 +13,11 @@
 
 import pytest
 
+from tests.forms.recorded_names import recorded_repr
 from tests.stand_ins import ROOT
 from yarrowspindle.lab.model import Fleet, FleetSpec
 from yarrowspindle.lab.model.deployments import ASKED, PROBED, TROUBLES
-from yarrowspindle.routing.effects import Unprobe
+from yarrowspindle.routing.effects import CancelHealthCheck
 from yarrowspindle.routing.reducer import Reducer
 
 # All effects of all relays, in their order. Taken on the build before (694cc79); the asked ones anew when draws came to
@@ -51,8 +52,10 @@
 
     def hashed(self: Reducer, now: float, event: Any) -> Any:
         effects = step(self, now, event)
-        found.update(REASON.sub("", repr([e for e in effects if not isinstance(e, Unprobe)])).encode())
-        reasons.update(repr(effects).encode())
+        found.update(
+            REASON.sub("", recorded_repr([e for e in effects if not isinstance(e, CancelHealthCheck)])).encode()
+        )
+        reasons.update(recorded_repr(effects).encode())
         return effects
 
     monkeypatch.setattr(Reducer, "step", hashed)
--- a/tests/transport/test_connecting.py
+++ b/tests/transport/test_connecting.py
@@ -15,9 +15,9 @@
 from tests.ports import free_port
 from tests.stand_ins import SETTINGS
 from yarrowspindle.daemon.config import read_config
-from yarrowspindle.daemon.relay_service import Hub
+from yarrowspindle.daemon.relay_service import RelayService
 from yarrowspindle.fronts.line_front import LineFront
-from yarrowspindle.routing.effects import Reach
+from yarrowspindle.routing.effects import OpenBackendConnection
 from yarrowspindle.runtime import SystemClock
 
 CONNECT_MS = 60.0
@@ -79,20 +79,20 @@
     backends = [Backend() for _ in range(SERVERS)]
     for backend in backends:
         await backend.open()
-    hub = Hub(read_config(config(backends)), SystemClock())
+    hub = RelayService(read_config(config(backends)), SystemClock())
     hub.start()
     front = LineFront(hub, 200).start()
     hub.serving = True
-    reach = front.effects[Reach]
+    reach = front.effects[OpenBackendConnection]
     stalls = iter((turns,))
 
-    def reach_and_stall(effect: Reach) -> None:
+    def reach_and_stall(effect: OpenBackendConnection) -> None:
         reach(effect)
         first = next(stalls, None)
         if first is not None:
             stall_after(first)
 
-    front.effects[Reach] = reach_and_stall
+    front.effects[OpenBackendConnection] = reach_and_stall
     _, writer = await asyncio.open_connection(*hub.config.listen)
     writer.write(b"OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=charge,t=acme,d=900\r\n")
     await asyncio.sleep(0.6)
--- a/tests/transport/test_line_connections.py
+++ b/tests/transport/test_line_connections.py
@@ -6,9 +6,9 @@
 from collections.abc import Callable
 from typing import Any, cast
 
-from yarrowspindle.routing.termination import Ending
-from yarrowspindle.transport.backend import NodeSide
-from yarrowspindle.transport.client import Submitter
+from yarrowspindle.routing.termination import TerminationReason
+from yarrowspindle.transport.backend import BackendSide
+from yarrowspindle.transport.client import ClientConnection
 
 
 class Wire:
@@ -61,21 +61,21 @@
     def __getattr__(self, name: str) -> Callable[..., None]:
         return lambda *what: self.told.append((name, *what))
 
-    def job_came(self, side: Submitter, opened: object) -> None:
-        side.job = 7
+    def request_came(self, side: ClientConnection, opened: object) -> None:
+        side.request = 7
 
 
-def pair() -> tuple[Sink, Submitter, Wire, NodeSide, Wire]:
+def pair() -> tuple[Sink, ClientConnection, Wire, BackendSide, Wire]:
     sink, near, far = Sink(), Wire(), Wire()
-    submitter, node = Submitter(cast(Any, sink)), NodeSide(cast(Any, sink), 7, 0)
-    submitter.connection_made(cast(asyncio.BaseTransport, near))
-    node.connection_made(cast(asyncio.BaseTransport, far))
-    submitter.data_received(b"OPEN 000000000000000a 00000000000000ff c=x,d=5\r\n")
-    node.ask(b"OPEN\r\n")
-    return sink, submitter, near, node, far
+    client, backend = ClientConnection(cast(Any, sink)), BackendSide(cast(Any, sink), 7, 0)
+    client.connection_made(cast(asyncio.BaseTransport, near))
+    backend.connection_made(cast(asyncio.BaseTransport, far))
+    client.data_received(b"OPEN 000000000000000a 00000000000000ff c=x,d=5\r\n")
+    backend.ask(b"OPEN\r\n")
+    return sink, client, near, backend, far
 
 
-def joined() -> tuple[Sink, Submitter, Wire, NodeSide, Wire]:
+def joined() -> tuple[Sink, ClientConnection, Wire, BackendSide, Wire]:
     made = pair()
     made[3].data_received(b"UP r\r\n")
     made[1].join(made[3], made[3].first)
@@ -92,12 +92,12 @@
 
 def test_a_part_of_a_line_is_passed_on_at_once_and_a_move_waits_for_its_end() -> None:
     def body() -> None:
-        _, submitter, near, node, far = joined()
-        node.data_received(b"hel")
+        _, client, near, backend, far = joined()
+        backend.data_received(b"hel")
         assert near.sent == b"UP r\r\nhel"
-        node.move(submitter)
+        backend.move(client)
         assert not near.eof
-        node.data_received(b"lo\r\nnext\r\n")
+        backend.data_received(b"lo\r\nnext\r\n")
         assert near.sent == b"UP r\r\nhello\r\nMOVE\r\n" and near.eof and far.eof
 
     run(body)
@@ -105,38 +105,38 @@
 
 def test_what_comes_with_the_first_lines_is_kept_and_goes_on_in_order() -> None:
     def body() -> None:
-        sink, submitter, near, node, far = pair()
-        node.data_received(b"UP r\r\nLOAD 5\r\nx")
-        submitter.join(node, node.first)
-        node.flow()
+        sink, client, near, backend, far = pair()
+        backend.data_received(b"UP r\r\nLOAD 5\r\nx")
+        client.join(backend, backend.first)
+        backend.flow()
         assert near.sent == b"UP r\r\nLOAD 5\r\nx" and far.sent == b"OPEN\r\n"
-        assert ("node_load", 7, 5.0) in sink.told
+        assert ("backend_load", 7, 5.0) in sink.told
 
     run(body)
 
 
 def test_a_side_that_takes_nothing_holds_the_other_back() -> None:
     def body() -> None:
-        _, submitter, near, node, far = joined()
-        submitter.pause_writing()
+        _, client, near, backend, far = joined()
+        client.pause_writing()
         assert not far.reading
-        submitter.resume_writing()
-        node.pause_writing()
+        client.resume_writing()
+        backend.pause_writing()
         assert far.reading and not near.reading
         near.abort()
-        node.resume_writing()  # nothing to resume any more: it must not raise
-        node.data_received(b"late\r\n")
+        backend.resume_writing()  # nothing to resume any more: it must not raise
+        backend.data_received(b"late\r\n")
 
     run(body)
 
 
 def test_what_comes_before_the_connection_stands_is_told_and_not_kept() -> None:
     def body() -> None:
-        sink, submitter, _, node, far = pair()
-        submitter.data_received(b"x" * 100_000)
-        assert sink.told[-1] == ("job_out_of_turn", 7)
-        node.data_received(b"UP r\r\n")
-        submitter.join(node, node.first)
+        sink, client, _, backend, far = pair()
+        client.data_received(b"x" * 100_000)
+        assert sink.told[-1] == ("request_out_of_turn", 7)
+        backend.data_received(b"UP r\r\n")
+        client.join(backend, backend.first)
         assert far.sent == b"OPEN\r\n"
 
     run(body)
@@ -144,26 +144,26 @@
 
 def test_a_flood_of_lines_is_told_as_one_count_for_each_piece() -> None:
     def body() -> None:
-        sink, submitter, _, node, _ = joined()
-        submitter.data_received(b"x\r\n" * 5000)
-        node.data_received(b"y\r\n" * 5000)
-        assert sink.told[-2:] == [("job_asked", 7, 5000), ("node_answered", 7, 5000)]
+        sink, client, _, backend, _ = joined()
+        client.data_received(b"x\r\n" * 5000)
+        backend.data_received(b"y\r\n" * 5000)
+        assert sink.told[-2:] == [("request_asked", 7, 5000), ("backend_answered", 7, 5000)]
 
     run(body)
 
 
-def test_a_refused_submitter_is_heard_out_while_it_sends_and_no_longer() -> None:
+def test_a_refused_client_is_heard_out_while_it_sends_and_no_longer() -> None:
     async def inside() -> None:
         wire = Wire()
-        submitter = Submitter(cast(Any, Sink()))
-        submitter.connection_made(cast(asyncio.BaseTransport, wire))
-        submitter.data_received(b"x" * 5000)
+        client = ClientConnection(cast(Any, Sink()))
+        client.connection_made(cast(asyncio.BaseTransport, wire))
+        client.data_received(b"x" * 5000)
         assert wire.sent == b"ERR\r\n" and wire.eof and not wire.closed
         until = asyncio.get_running_loop().time() + 60.0
-        submitter.data_received(b"x" * 5000)
-        submitter._linger(0, until)
+        client.data_received(b"x" * 5000)
+        client._linger(0, until)
         assert not wire.closed, "it still sends: a reset could take its answer"
-        submitter._linger(submitter.thrown, until)
+        client._linger(client.thrown, until)
         assert wire.closed
 
     asyncio.run(inside())
@@ -171,16 +171,20 @@
 
 def test_what_a_connection_ends_with_says_how_it_ended() -> None:
     def body() -> None:
-        for last, ending in ((b"BYE\r\n", Ending.SERVED), (b"MOVE\r\n", Ending.SENT_AWAY), (b"", Ending.BROKEN)):
-            sink, _, _, node, _ = joined()
-            node.data_received(b"hello\r\n" + last)
-            node.eof_received()
-            node.connection_lost(None)
-            assert [t[2] for t in sink.told if t[0] == "node_over"] == [ending]
-        sink, _, _, node, _ = pair()
-        node.asked = False
-        node.connection_lost(None)
-        assert sink.told[-1] == ("node_over", node, Ending.UNREACHED)
+        for last, ending in (
+            (b"BYE\r\n", TerminationReason.COMPLETED),
+            (b"MOVE\r\n", TerminationReason.BACKEND_DRAINING),
+            (b"", TerminationReason.CONNECTION_RESET),
+        ):
+            sink, _, _, backend, _ = joined()
+            backend.data_received(b"hello\r\n" + last)
+            backend.eof_received()
+            backend.connection_lost(None)
+            assert [t[2] for t in sink.told if t[0] == "backend_over"] == [ending]
+        sink, _, _, backend, _ = pair()
+        backend.asked = False
+        backend.connection_lost(None)
+        assert sink.told[-1] == ("backend_over", backend, TerminationReason.CONNECT_FAILED)
 
     run(body)
 
@@ -188,9 +192,9 @@
 def test_a_connection_that_comes_up_after_it_was_given_up_is_closed() -> None:
     def body() -> None:
         sink, wire = Sink(), Wire()
-        node = NodeSide(cast(Any, sink), 7, 0)
-        node.drop()
-        node.connection_made(cast(asyncio.BaseTransport, wire))
+        backend = BackendSide(cast(Any, sink), 7, 0)
+        backend.drop()
+        backend.connection_made(cast(asyncio.BaseTransport, wire))
         assert wire.closed and not sink.told
 
     run(body)
--- a/tests/transport/test_slow_readers.py
+++ b/tests/transport/test_slow_readers.py
@@ -9,14 +9,14 @@
 import uvloop
 
 from tests.ports import free_port
-from yarrowspindle.transport.line_connection import Side
+from yarrowspindle.transport.line_connection import LineConnection
 
 LAST = b"MOVE\r\n"
 SEND_BUFFER, RECEIVE_BUFFER = 16 * 1024, 8 * 1024
 TURN_S = 0.05
 
 
-class Sender(Side):
+class Sender(LineConnection):
     """Writes all it has as soon as it is connected, and finishes."""
 
     def __init__(self, size: int) -> None:
--- a/yarrowspindle/configuration/state.py
+++ b/yarrowspindle/configuration/state.py
@@ -10,6 +10,8 @@
 from dataclasses import dataclass, field, replace
 from hashlib import blake2b
 
+from msgspec import Struct
+
 Entries = Mapping[str, str]  # key -> JSON text
 Step = Mapping[str, str | None]  # what one change sets; None: removes
 Check = Callable[[Entries], str]  # why a relay cannot serve by these entries; empty: it can. The same at all relays
@@ -55,8 +57,7 @@
     return found | {key: value for key, value in step.items() if value is not None}
 
 
-@dataclass(slots=True, frozen=True)
-class Order:
+class Order(Struct, frozen=True, rename={"life": "life"}):
     """A change that an operator gave to `taker`, a controller, as the number-th of that life of its orders. Each is
     settled once and in its turn: one that was held up on its way undoes nothing newer."""
 
@@ -66,8 +67,7 @@
     step: Step
 
 
-@dataclass(slots=True, frozen=True)
-class Done:
+class Done(Struct, frozen=True, rename={"life": "life"}):
     """The step to a version. why: it was refused, and changes nothing; taker, life, number: whose order it was."""
 
     version: int
--- a/yarrowspindle/daemon/config.py
+++ b/yarrowspindle/daemon/config.py
@@ -15,7 +15,7 @@
 from yarrowspindle.protocol.endpoint_list import ListError, Names, parse_address, parse_list
 from yarrowspindle.protocol.platform_settings import SettingsError, read_settings
 from yarrowspindle.routing.address import Address
-from yarrowspindle.routing.events import ListTold
+from yarrowspindle.routing.events import EndpointsUpdated
 
 if TYPE_CHECKING:  # the platform does without these packages
     from yarrowspindle.configuration.settings import ControlSettings
@@ -60,7 +60,7 @@
     discovery: Address
     seed: int
     settings: Settings
-    known: ListTold
+    known: EndpointsUpdated
     names: Names = field(default_factory=Names)
     classes: list[str] = field(default_factory=list)  # the name of each class by its number, over all reloads
     current: dict[str, int] = field(default_factory=dict)  # the number of each class that takes connections now
@@ -78,7 +78,7 @@
 def read_members(raw: Mapping[str, Any]) -> Settings:
     # Word on long messages needs a beat to be told from a load (routing/figures.py), and comes when they are long
     # already: own load judges beside it. Without that a day at size loses 0.1, one on sockets 0.16.
-    return replace(read_settings(dict(flatten(raw))), by_own_load=True)
+    return replace(read_settings(dict(flatten(raw))), uses_own_load=True)
 
 
 def read_config(data: Mapping[str, Any]) -> Config:
--- a/yarrowspindle/daemon/configuration_endpoint.py
+++ b/yarrowspindle/daemon/configuration_endpoint.py
@@ -22,7 +22,7 @@
 from yarrowspindle.configuration.state import ControlState
 from yarrowspindle.daemon.config import ConfigError
 from yarrowspindle.daemon.log import Bounded
-from yarrowspindle.daemon.relay_service import Hub
+from yarrowspindle.daemon.relay_service import RelayService
 from yarrowspindle.daemon.shared_settings import WHY_MOST, check
 from yarrowspindle.membership.codec import Dropped
 from yarrowspindle.routing.address import Address
@@ -225,7 +225,7 @@
 
     core: Agent
 
-    def __init__(self, hub: Hub, settings: ControlSettings) -> None:
+    def __init__(self, hub: RelayService, settings: ControlSettings) -> None:
         super().__init__(settings, settings.name or hub.config.name)
         self.hub = hub
         self.file: KeptFile[Keep] | None = None
--- a/yarrowspindle/daemon/connection_limiter.py
+++ b/yarrowspindle/daemon/connection_limiter.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable
 from itertools import islice
 
-from yarrowspindle.transport.line_connection import Side
+from yarrowspindle.transport.line_connection import LineConnection
 
 SPARE = 24  # for what comes and goes: watches, the configuration's file, sockets that are about to close
 STRANGERS_PART = 0.2
@@ -36,26 +36,26 @@
     def __init__(self, most: int, clock: Callable[[], float]) -> None:
         self.most, self.clock = most - SPARE, clock
         self.strangers_most = max(STRANGERS_LEAST, int(self.most * STRANGERS_PART))
-        self.held: set[Side] = set()  # all sides that have a descriptor, or are about to
-        self.strangers: dict[Side, float] = {}  # since when; oldest first
-        self.leaving: dict[Side, float] = {}
+        self.held: set[LineConnection] = set()  # all sides that have a descriptor, or are about to
+        self.strangers: dict[LineConnection, float] = {}  # since when; oldest first
+        self.leaving: dict[LineConnection, float] = {}
 
-    def came(self, side: Side) -> None:
+    def came(self, side: LineConnection) -> None:
         self.held.add(side)
         self.strangers[side] = self.clock()
 
-    def reached_for(self, side: Side) -> None:
+    def reached_for(self, side: LineConnection) -> None:
         self.held.add(side)
 
-    def known(self, side: Side) -> None:
+    def known(self, side: LineConnection) -> None:
         self.strangers.pop(side, None)
 
-    def answered(self, side: Side) -> None:
+    def answered(self, side: LineConnection) -> None:
         self.strangers.pop(side, None)
         if side in self.held:
             self.leaving[side] = self.clock()
 
-    def lost(self, side: Side) -> None:
+    def lost(self, side: LineConnection) -> None:
         self.held.discard(side)
         self.strangers.pop(side, None)
         self.leaving.pop(side, None)
--- a/yarrowspindle/daemon/main.py
+++ b/yarrowspindle/daemon/main.py
@@ -18,7 +18,7 @@
 from yarrowspindle.daemon.connection_limiter import descriptors_left
 from yarrowspindle.daemon.log import log_to
 from yarrowspindle.daemon.metrics import report
-from yarrowspindle.daemon.relay_service import Hub
+from yarrowspindle.daemon.relay_service import RelayService
 from yarrowspindle.fronts.line_front import LineFront
 from yarrowspindle.runtime import SystemClock
 
@@ -47,7 +47,7 @@
 
 
 async def serve(config: Config, operator: Operator) -> None:
-    hub = Hub(config, SystemClock(), operator)
+    hub = RelayService(config, SystemClock(), operator)
     loop = asyncio.get_running_loop()
     loop.add_signal_handler(signal.SIGHUP, hub.reload)
     stopping = asyncio.Event()
@@ -63,7 +63,7 @@
         control = RelayEndpoint(hub, operator.control)
         control.start()
     descriptors = descriptors_left(config.sockets) - (operator.quic.max_connections if operator.quic else 0)
-    if config.settings.may_probe and config.settings.report:
+    if config.settings.may_probe and config.settings.load_report_fields:
         descriptors -= hub.prober.most
     if config.operator is not None:
         from yarrowspindle.operator_api import MOST, OperatorApi
@@ -105,7 +105,7 @@
     gc.freeze()  # what is here now stays; collecting it again would only make jobs late
     gc.set_threshold(20_000, 50, 100)
     await stopping.wait()
-    logger.info("asked to stop: {} jobs are here", len(hub.reducer.jobs))
+    logger.info("asked to stop: {} jobs are here", len(hub.reducer.requests))
     await asyncio.sleep(hub.stop() / 1000.0)
     await server.end(END_S)
     for task in reports:
@@ -119,7 +119,7 @@
     hub.prober.close()
     if api is not None:
         api.close()
-    logger.info("stopped: {} jobs are left", len(hub.reducer.jobs))
+    logger.info("stopped: {} jobs are left", len(hub.reducer.requests))
 
 
 def main() -> int:
--- a/yarrowspindle/daemon/maintenance_endpoint.py
+++ b/yarrowspindle/daemon/maintenance_endpoint.py
@@ -18,9 +18,9 @@
 from yarrowspindle.daemon.config import Operator
 from yarrowspindle.daemon.log import Bounded
 from yarrowspindle.daemon.membership_endpoint import Peering
-from yarrowspindle.daemon.relay_service import Hub
+from yarrowspindle.daemon.relay_service import RelayService
 from yarrowspindle.daemon.voter_file import TurnFile, first_state
-from yarrowspindle.decisions.events import SERVER_KEY, State
+from yarrowspindle.decisions.events import BACKEND_KEY_MASK, EndpointState
 from yarrowspindle.maintenance import codec
 from yarrowspindle.maintenance import status_report as report
 from yarrowspindle.maintenance.coordinator import Came, Effect, Event, Fleet, Order, Send, Took, Turns, Vote, Wake, Woke
@@ -32,7 +32,7 @@
 from yarrowspindle.operator_api import OperatorApi
 from yarrowspindle.operator_api.http import Answer, BodyRoutes
 from yarrowspindle.protocol.fragments import Parcels
-from yarrowspindle.routing.events import TurnsTold
+from yarrowspindle.routing.events import MaintenanceUpdated
 from yarrowspindle.storage.durable_file import NoFile
 
 LOCK_S = 0.2
@@ -46,7 +46,7 @@
 class Turning:
     """Nothing here is waited for by jobs, but that a process which has not registered places none."""
 
-    def __init__(self, hub: Hub, peering: Peering, settings: TurnSettings) -> None:
+    def __init__(self, hub: RelayService, peering: Peering, settings: TurnSettings) -> None:
         self.hub, self.peering, self.settings = hub, peering, settings
         self.loop = asyncio.get_running_loop()
         self.name = peering.core.members.me.name
@@ -58,7 +58,7 @@
         self.disk = ThreadPoolExecutor(1, "voter")
         self.votes = 0
         self.parcels = Parcels(int.from_bytes(os.urandom(6), "big"))
-        self.watch = FleetWatch(hub.config.settings.cold_ms, settings.pressure)
+        self.watch = FleetWatch(hub.config.settings.warmup_ms, settings.pressure)
         self.seen: tuple[Any, str] = ({}, "")
         self.looked = 0.0
         self.since: dict[int, float] = {}
@@ -263,7 +263,7 @@
             max(len(state.relays), 1),
             self.settings.moves_per_s,
         )
-        self.hub.post(TurnsTold(self.task))
+        self.hub.post(MaintenanceUpdated(self.task))
         self.hub.prober.leave(off)
 
     @staticmethod
@@ -286,11 +286,11 @@
                     m.capacity,
                     m.state,
                     m.started_ms,
-                    node.number in avoided,
-                    len(node.jobs) + others.get(node.number & SERVER_KEY, (0, 0.0))[0],
+                    backend.number in avoided,
+                    len(backend.requests) + others.get(backend.number & BACKEND_KEY_MASK, (0, 0.0))[0],
                 )
-                for name, node in reducer.nodes.items()
-                if (m := node.listed) is not None
+                for name, backend in reducer.backends.items()
+                if (m := backend.listed) is not None
             ]
             counts = self.hub.telemetry.counts
             asked = sum(n for name, n in counts.items() if name.startswith("taken."))
@@ -300,7 +300,9 @@
             self.seen = self.watch.look(now, looks, self.core.taken, asked, refused)
         holds: set[str] = set()
         if self.core.taken.out:
-            holds = {name for name in self.core.taken.out if (n := reducer.nodes.get(name)) is not None and n.jobs}
+            holds = {
+                name for name in self.core.taken.out if (n := reducer.backends.get(name)) is not None and n.requests
+            }
             for connected in self.hub.connected:  # also such as are only being closed
                 holds |= connected()
         self._post(Fleet(frozenset(holds), self.seen[0], tuple(self._there()), self.seen[1]))
@@ -335,11 +337,11 @@
 
     def _ask(self, asking: Asking, since: float) -> str:
         """since below 0: only if it was never asked for."""
-        names, nodes = self.hub.config.names, self.hub.reducer.nodes
+        names, backends = self.hub.config.names, self.hub.reducer.backends
         listed = {
-            name: node.listed
-            for name, node in nodes.items()
-            if node.listed is not None and node.listed.state is not State.GONE
+            name: backend.listed
+            for name, backend in backends.items()
+            if backend.listed is not None and backend.listed.state is not EndpointState.GONE
         }
         machines = asking.machines
         if asking.zone or asking.kind:
--- a/yarrowspindle/daemon/membership_endpoint.py
+++ b/yarrowspindle/daemon/membership_endpoint.py
@@ -13,13 +13,13 @@
 from loguru import logger
 
 from yarrowspindle.daemon.log import Bounded
-from yarrowspindle.daemon.relay_service import Hub
-from yarrowspindle.decisions.events import Others
+from yarrowspindle.daemon.relay_service import RelayService
+from yarrowspindle.decisions.events import PeerLoads
 from yarrowspindle.membership import Peers, PeerSettings
 from yarrowspindle.membership.messages import Came, Event, Leave, Own
 from yarrowspindle.routing.address import Address
-from yarrowspindle.routing.events import OthersTold
-from yarrowspindle.runtime.membership_driver import PeerPump, own_word
+from yarrowspindle.routing.events import PeerLoadsUpdated
+from yarrowspindle.runtime.membership_driver import PeerPump, local_load
 from yarrowspindle.transport.datagrams import Front
 
 FLUSH_S = 0.02
@@ -29,7 +29,7 @@
     """What the others hold reaches the reducer as `OthersTold`; nothing here waits for them, and nothing waits for
     this."""
 
-    def __init__(self, hub: Hub, settings: PeerSettings) -> None:
+    def __init__(self, hub: RelayService, settings: PeerSettings) -> None:
         self.hub, self.settings = hub, settings
         self.loop = asyncio.get_running_loop()
         self.front = Front(self._came)
@@ -103,10 +103,10 @@
         self.pump.post(Came(data, source))
 
     def _own(self) -> Own:
-        return own_word(self.hub.reducer.balancer.servers.values(), self.hub.runtime.clock.now())
+        return local_load(self.hub.reducer.balancer.backends.values(), self.hub.runtime.clock.now())
 
-    def _told(self, others: Others) -> None:
-        self.hub.post(OthersTold(others))
+    def _told(self, others: PeerLoads) -> None:
+        self.hub.post(PeerLoadsUpdated(others))
 
     def _failed(self, event: Event) -> None:
         """Jobs are served without peers: a fault here must not end the process, nor go unseen."""
--- a/yarrowspindle/daemon/metrics.py
+++ b/yarrowspindle/daemon/metrics.py
@@ -13,8 +13,8 @@
 from yarrowspindle.daemon.config import MetricsConfig
 from yarrowspindle.protocol import collectd, graphite
 from yarrowspindle.routing.address import Address
-from yarrowspindle.routing.effects import Deny, Drop, Effect, Move, Requeue
-from yarrowspindle.routing.events import AttemptOver, Event
+from yarrowspindle.routing.effects import AbortAttempt, Effect, FailRequest, MigrateConnection, RejectRequest
+from yarrowspindle.routing.events import AttemptEnded, Event
 from yarrowspindle.routing.reducer import Reducer
 from yarrowspindle.telemetry.published_names import EFFECTS, ENDINGS, EVENTS, PHASES, reason
 from yarrowspindle.transport.receivers import Datagrams, Receiver
@@ -22,7 +22,12 @@
 if TYPE_CHECKING:
     from yarrowspindle.rebalancing import Rebalancer
 
-REASONS: dict[type, str] = {Requeue: "refusal", Deny: "refusal", Drop: "given_up", Move: "moved"}
+REASONS: dict[type, str] = {
+    RejectRequest: "refusal",
+    FailRequest: "refusal",
+    AbortAttempt: "given_up",
+    MigrateConnection: "moved",
+}
 
 
 class Figures(Protocol):
@@ -55,8 +60,8 @@
         name = EVENTS.get(type(event))
         if name is not None:
             self.counts[f"event.{name}"] += 1
-        elif isinstance(event, AttemptOver):
-            self.counts[f"ending.{ENDINGS[event.ending]}"] += 1
+        elif isinstance(event, AttemptEnded):
+            self.counts[f"ending.{ENDINGS[event.reason]}"] += 1
 
     def effect(self, effect: Effect) -> None:
         name = EFFECTS.get(type(effect))
@@ -64,17 +69,17 @@
             self.counts[f"effect.{name}"] += 1
         reasons = REASONS.get(type(effect))
         if reasons is not None:
-            self.counts[f"{reasons}.{reason(effect.why)}"] += 1  # type: ignore[union-attr]  # all of these have one
+            self.counts[f"{reasons}.{reason(effect.reason)}"] += 1  # type: ignore[union-attr]  # all of these have one
 
     def gauges(self) -> dict[str, float]:
-        phases = Counter(job.phase for job in self.reducer.jobs.values())
+        phases = Counter(request.phase for request in self.reducer.requests.values())
         found = {f"jobs.{name}": float(phases[phase]) for phase, name in PHASES.items()}
         if self.reducer.rebalance is not None:
             gauges = self.reducer.rebalance.gauges(self.reducer.now)
             found |= {f"rebalance.{name}": value for name, value in gauges.items()}
         for more in self.more_gauges:
             found |= more()
-        return found | {"nodes": float(len(self.reducer.nodes))}
+        return found | {"nodes": float(len(self.reducer.backends))}
 
 
 async def report(metrics: Figures, config: MetricsConfig, name: str) -> None:
--- a/yarrowspindle/daemon/operator_routes.py
+++ b/yarrowspindle/daemon/operator_routes.py
@@ -2,11 +2,11 @@
 
 from __future__ import annotations
 
-from yarrowspindle.daemon.relay_service import Hub
+from yarrowspindle.daemon.relay_service import RelayService
 from yarrowspindle.operator_api import Routes
 
 
-def routes(hub: Hub) -> Routes:
+def routes(hub: RelayService) -> Routes:
     def ready() -> tuple[int, str]:
         return (200, "ready\n") if hub.ready() else (503, "not ready\n")
 
--- a/yarrowspindle/daemon/relay_service.py
+++ b/yarrowspindle/daemon/relay_service.py
@@ -11,8 +11,15 @@
 from yarrowspindle.daemon.config import Config, ConfigError, Operator, load_operator, reload_config, retune, share
 from yarrowspindle.daemon.log import Bounded
 from yarrowspindle.daemon.metrics import Metrics
-from yarrowspindle.routing.effects import Effect, Watch
-from yarrowspindle.routing.events import Rebalance, Rejoin, Reloaded, Retune, Stop, TurnsTold
+from yarrowspindle.routing.effects import Effect, WatchEndpoints
+from yarrowspindle.routing.events import (
+    DiscoveryAddressChanged,
+    DrainCancelled,
+    MaintenanceUpdated,
+    RebalancingConfigured,
+    SettingsChanged,
+    ShutdownRequested,
+)
 from yarrowspindle.routing.reducer import Reducer
 from yarrowspindle.runtime import Clock, Runtime, SystemClock, Timers
 from yarrowspindle.runtime.endpoint_watch import ListWatch
@@ -33,7 +40,7 @@
     logger.opt(exception=level == "error").log(level.upper(), "{}", text)
 
 
-class Hub:
+class RelayService:
     def __init__(
         self, config: Config, clock: Clock, operator: Operator | None = None, timers: Timers | None = None
     ) -> None:
@@ -46,7 +53,7 @@
         self.connected: list[Callable[[], set[str]]] = []  # execute nodes to which each front has connections
         self.shared: Mapping[str, str] = {}  # settings that control told, in place of the file's
         self.reloaded: list[Callable[[Operator], None]] = []  # who else takes up the operator's file
-        self.post, self.forget, self.new_job = self.runtime.post, self.runtime.forget, self.runtime.new_job
+        self.post, self.forget, self.new_request = self.runtime.post, self.runtime.forget, self.runtime.new_request
         self.metrics = Metrics(self.reducer)
         self.metrics.sources["runtime"] = self.runtime.counts
         self.runtime.seen.append(lambda now, event: self.metrics.event(event))
@@ -67,18 +74,21 @@
         self.runtime.watch = self._watch
         self.bad_probes = Bounded(time.monotonic)
         self.prober = Prober(
-            config.settings.report, IDLE_PART * config.settings.conn_idle_ms / 1000.0, self.post, self.bad_probes.warn
+            config.settings.load_report_fields,
+            IDLE_PART * config.settings.conn_idle_ms / 1000.0,
+            self.post,
+            self.bad_probes.warn,
         )
         self.metrics.sources["probes"] = self.prober.counts
         self.runtime.probe = self.prober.probe
-        self.runtime.unprobe = lambda effect: self.prober.leave({effect.node})
+        self.runtime.unprobe = lambda effect: self.prober.leave({effect.backend})
 
     def start(self) -> None:
         self.runtime.start()
         if self.operator.turns is not None:
             from yarrowspindle.maintenance.evacuation import Task  # the platform does without it
 
-            self.post(TurnsTold(Task()))  # nothing is placed before this process knows what is out
+            self.post(MaintenanceUpdated(Task()))  # nothing is placed before this process knows what is out
         self.post(self.config.known)
         self._rebalance()
 
@@ -102,18 +112,18 @@
     def evacuate(self) -> None:
         """Empties the relay by the same way as SIGTERM, and outlives it; once is enough."""
         if not self.reducer.draining:
-            logger.info("evacuating: {} jobs are here; standing connections are moved", len(self.reducer.jobs))
-            self.post(Stop(EVACUATE_MS, exits=False))
+            logger.info("evacuating: {} jobs are here; standing connections are moved", len(self.reducer.requests))
+            self.post(ShutdownRequested(EVACUATE_MS, process_exits=False))
 
     def rejoin(self) -> None:
         """Back to work after an evacuation; harmless without one, and no help after SIGTERM."""
         if self.reducer.draining and not self.reducer.exits:
             logger.info("rejoining: new connections are taken again")
-            self.post(Rejoin())
+            self.post(DrainCancelled())
 
     def _rebalance(self) -> None:
         if self.operator.rebalance is not None or self.reducer.rebalance is not None:
-            self.post(Rebalance(self.operator.rebalance, self.config.seed))
+            self.post(RebalancingConfigured(self.operator.rebalance, self.config.seed))
             self.metrics.rebalance(self.reducer.rebalance)
 
     def stop(self) -> float:
@@ -121,7 +131,7 @@
         config = self.config
         longest = max(config.settings.classes[number].deadline_ms for number in config.current.values())
         within_ms = min(longest, LONGEST_MS) + KILL_AFTER_MS - ENDING_MS
-        self.post(Stop(within_ms))  # also after an evacuation: this one ends with the process
+        self.post(ShutdownRequested(within_ms))  # also after an evacuation: this one ends with the process
         return within_ms
 
     def reload(self) -> None:
@@ -139,7 +149,7 @@
         if waiting:
             logger.warning("changes of {} need a restart", ", ".join(waiting))
         logger.info("the configuration was read again; the machine list is at {}:{}", *self.config.discovery)
-        self.post(Reloaded(self.config.discovery))
+        self.post(DiscoveryAddressChanged(self.config.discovery))
         if operator.rebalance != self.operator.rebalance:
             logger.info("[rebalance] was read again: {}", operator.rebalance or "off")
             self.operator = replace(self.operator, rebalance=operator.rebalance)
@@ -172,8 +182,8 @@
         )
         if anew or config.settings != old.settings:
             logger.info("new settings are taken: classes {}", ", ".join(sorted(config.current)))
-            self.prober.fields = config.settings.report
-            self.post(Retune(config.settings, anew))
+            self.prober.fields = config.settings.load_report_fields
+            self.post(SettingsChanged(config.settings, anew))
 
-    def _watch(self, effect: Watch) -> None:
+    def _watch(self, effect: WatchEndpoints) -> None:
         self.watch.ask(effect.version, effect.address or self.config.discovery, effect.renew)
--- a/yarrowspindle/decisions/actions.py
+++ b/yarrowspindle/decisions/actions.py
@@ -9,44 +9,44 @@
 from dataclasses import dataclass
 from math import inf
 
-from yarrowspindle.decisions.rejection import Refusal
+from yarrowspindle.decisions.rejection import RejectionReason
 
 
 @dataclass(slots=True)
-class Send:
+class StartAttempt:
     """Start the request's next attempt; attempts count from 0 in the order of their sends."""
 
     request: int
-    server: int
+    backend: int
     timeout_ms: float  # 0: until the client gives up
     begin_ms: float = inf  # a repeat may not begin later than this from now: it would not be known as one any more
 
 
 @dataclass(slots=True)
-class Refuse:
+class RejectRequest:
     """Final answer: not served, and trying again does no harm."""
 
     request: int
     retry_after_ms: float = 0.0
-    why: Refusal | None = None
+    reason: RejectionReason | None = None
 
 
 @dataclass(slots=True)
-class Fail:
+class FailRequest:
     """Final answer: not served, with no promise on whether it ran."""
 
     request: int
-    why: Refusal | None = None
+    reason: RejectionReason | None = None
 
 
 @dataclass(slots=True)
-class Cancel:
+class CancelAttempt:
     request: int
     attempt: int
 
 
 @dataclass(slots=True)
-class Move:
+class MigrateConnection:
     """End an established connection politely; its client comes again as a new request."""
 
     request: int
@@ -59,20 +59,30 @@
 
 
 @dataclass(slots=True)
-class Probe:
+class CheckHealth:
     """Ask a server for its load report; one `Probed` answers it. Each costs the server work and has a price."""
 
-    server: int
+    backend: int
 
 
 @dataclass(slots=True)
-class Subscribe:
+class WatchEndpoints:
     on: bool = True
 
 
 @dataclass(slots=True)
-class Log:
+class LogMessage:
     text: str
 
 
-Action = Send | Refuse | Fail | Cancel | Move | SetTimer | Probe | Subscribe | Log
+Action = (
+    StartAttempt
+    | RejectRequest
+    | FailRequest
+    | CancelAttempt
+    | MigrateConnection
+    | SetTimer
+    | CheckHealth
+    | WatchEndpoints
+    | LogMessage
+)
--- a/yarrowspindle/decisions/backends.py
+++ b/yarrowspindle/decisions/backends.py
@@ -7,7 +7,7 @@
 from yarrowspindle.decisions.settings import Settings
 
 
-class Server:
+class Backend:
     """One server as this balancer knows it."""
 
     __slots__ = (
@@ -34,8 +34,8 @@
         "since",
     )
 
-    def __init__(self, server: int) -> None:
-        self.id = server
+    def __init__(self, backend: int) -> None:
+        self.id = backend
         self.zone = self.cell = self.open = 0
         self.capacity, self.started, self.load = 1e-6, 0.0, 0.0
         self.ready = False
@@ -51,10 +51,10 @@
 
     def ramp(self, now: float, settings: Settings) -> float:
         """The share of its capacity that it has at least by now."""
-        if self.started <= 0.0 or now >= self.started + settings.cold_ms:
+        if self.started <= 0.0 or now >= self.started + settings.warmup_ms:
             return 1.0
-        share = settings.cold_share
-        return share + (1.0 - share) * max(now - self.started, 0.0) / settings.cold_ms
+        share = settings.initial_capacity_fraction
+        return share + (1.0 - share) * max(now - self.started, 0.0) / settings.warmup_ms
 
     def usable(self, now: float, settings: Settings) -> bool:
         """Ready, warm, and not passed over for a failure."""
@@ -68,7 +68,7 @@
         return self.broke
 
 
-class Job:
+class Request:
     """A request from its arrival until it is answered and none of its attempts is out."""
 
     __slots__ = (
@@ -79,7 +79,7 @@
         "deadline",
         "attempts",
         "sent",
-        "server",
+        "backend",
         "out",
         "owed",
         "established",
@@ -90,23 +90,23 @@
         "most",
     )
 
-    def __init__(self, request: int, cls: int, load: float, now: float, left: float) -> None:
-        self.id, self.cls, self.load = request, cls, load
+    def __init__(self, request_id: int, cls: int, load: float, now: float, left: float) -> None:
+        self.id, self.cls, self.load = request_id, cls, load
         self.arrived, self.deadline = now, now + left
         self.attempts, self.sent = 0, now  # made so far, and when the newest went out
-        self.server: Server | None = None  # of the newest attempt
+        self.backend: Backend | None = None  # of the newest attempt
         self.out = self.established = False
         self.owed, self.returned, self.group = True, False, 0
         self.most = 1  # attempts that were allowed when it came
         self.ran_at = -1.0  # when the first attempt that may have run went out
-        self.ran_on: Server | None = None
+        self.ran_on: Backend | None = None
 
 
-def known(jobs: dict[int, Job], request: int) -> Job:
-    job = jobs.get(request)
-    if job is None:
-        raise ValueError(f"unknown request {request}")
-    return job
+def known(requests: dict[int, Request], request_id: int) -> Request:
+    request = requests.get(request_id)
+    if request is None:
+        raise ValueError(f"unknown request {request_id}")
+    return request
 
 
 class SetUps:
@@ -139,17 +139,17 @@
         self.every_ms, self.at = every_ms, now - 8.0 * every_ms
         self.shares: dict[int, float] = {}
 
-    def share(self, zone: int, held_at: dict[int, Server], now: float) -> float:
+    def share(self, zone: int, held_at: dict[int, Backend], now: float) -> float:
         """`held_at`: servers that hold something of ours or are told to be slow; what is neither is forgotten."""
         if now >= self.at + self.every_ms:
             self.at = now
             told: dict[int, list[bool]] = {}
-            for server in list(held_at.values()):
-                slow = now < server.slow_until
-                if not slow and not server.open:
-                    del held_at[server.id]
-                elif server.ready:
-                    told.setdefault(server.zone, []).append(slow)
+            for backend in list(held_at.values()):
+                slow = now < backend.slow_until
+                if not slow and not backend.open:
+                    del held_at[backend.id]
+                elif backend.ready:
+                    told.setdefault(backend.zone, []).append(slow)
             self.shares = {z: sum(slow) / len(slow) for z, slow in told.items()}
         return self.shares.get(zone, 0.0)
 
--- a/yarrowspindle/decisions/cost_placement.py
+++ b/yarrowspindle/decisions/cost_placement.py
@@ -10,10 +10,10 @@
 from math import inf
 from random import Random
 
-from yarrowspindle.decisions.backends import Job, Server
+from yarrowspindle.decisions.backends import Backend, Request
 from yarrowspindle.decisions.load_estimates import SICK, Estimates
 from yarrowspindle.decisions.settings import Settings
-from yarrowspindle.decisions.weighted_ring import Ring
+from yarrowspindle.decisions.weighted_ring import WeightedRing
 
 ROUNDS = 3  # draws, while all that were drawn cost more than the connection is worth
 DRAWS = 2  # servers drawn from each ring in a round
@@ -24,71 +24,85 @@
     """known: the estimates of all servers. rings: the own zone's and all servers, which may be the same. random: draws
     in 0 to 1."""
 
-    def __init__(self, known: Estimates, rings: tuple[Ring[Server], Ring[Server]], random: Callable[[], float]) -> None:
+    def __init__(
+        self, known: Estimates, rings: tuple[WeightedRing[Backend], WeightedRing[Backend]], random: Callable[[], float]
+    ) -> None:
         self.known, self.rings, self.random = known, rings, random
 
     def cheapest(
-        self, job: Job, settings: Settings, now: float, rings: tuple[Ring[Server], Ring[Server]] | None = None
-    ) -> tuple[Server | None, float]:
+        self,
+        request: Request,
+        settings: Settings,
+        now: float,
+        rings: tuple[WeightedRing[Backend], WeightedRing[Backend]] | None = None,
+    ) -> tuple[Backend | None, float]:
         """Of two servers drawn at home, two drawn from all and those with the group: where it costs least, and what.
 
         A group draws alike at all balancers: each server that holds any of it pays for it once. rings: where the
         request is bound to fewer servers."""
         known, rings = self.known, rings or self.rings
-        luck = Random(job.group).random if known.groups and job.group else self.random
-        found = list(known.holders.get(job.group, {}).values()) if rings[1] is self.rings[1] else []
+        luck = Random(request.group).random if known.groups and request.group else self.random
+        found = list(known.holders.get(request.group, {}).values()) if rings[1] is self.rings[1] else []
         best, least = None, inf
         for _ in range(ROUNDS):
             found += [ring.draw(luck, 0.0, 1.0) for ring in rings if ring.size for _ in range(DRAWS)]
-            for server in found:
-                if server is job.server or not server.usable(now, settings):
+            for backend in found:
+                if backend is request.backend or not backend.usable(now, settings):
                     continue
-                cost = self.cost(server, job, settings)
+                cost = self.cost(backend, request, settings)
                 if cost < least:
-                    best, least = server, cost
-            if best is not None and best.used < SICK and least <= settings.classes[job.cls].worth:
+                    best, least = backend, cost
+            if best is not None and best.used < SICK and least <= settings.classes[request.cls].priority_weight:
                 break
         return best, least
 
-    def best(self, job: Job, settings: Settings, now: float, rings: tuple[Ring[Server], Ring[Server]]) -> Server | None:
+    def best(
+        self,
+        request: Request,
+        settings: Settings,
+        now: float,
+        rings: tuple[WeightedRing[Backend], WeightedRing[Backend]],
+    ) -> Backend | None:
         """Where the request goes: the cheapest drawn, or whoever answers where that one does not."""
-        found = self.cheapest(job, settings, now, rings)[0]
+        found = self.cheapest(request, settings, now, rings)[0]
         if found is not None and found.used < SICK:
             return found
-        well: Iterable[Server] = (
-            server
-            for server in rings[1].pool
-            if server.used < SICK and server is not job.server and server.usable(now, settings)
+        well: Iterable[Backend] = (
+            backend
+            for backend in rings[1].pool
+            if backend.used < SICK and backend is not request.backend and backend.usable(now, settings)
         )
-        return min(well, key=lambda server: self.cost(server, job, settings), default=found)
+        return min(well, key=lambda backend: self.cost(backend, request, settings), default=found)
 
-    def cost(self, server: Server, job: Job, settings: Settings, there: bool = False) -> float:
+    def cost(self, backend: Backend, request: Request, settings: Settings, there: bool = False) -> float:
         """In worth; there: the connection stands there already."""
         known = self.known
-        adds, worth = known.adds(server, job, there), settings.classes[job.cls].worth
-        served, fall = known.served(known.used(server) + (0.0 if there else adds))
-        crossing = settings.cross_zone_price if server.zone != settings.zone else 0.0
-        beside = max(server.holds, server.open) * fall * adds
+        adds, worth = known.adds(backend, request, there), settings.classes[request.cls].priority_weight
+        served, fall = known.served(known.used(backend) + (0.0 if there else adds))
+        crossing = settings.cross_zone_price if backend.zone != settings.zone else 0.0
+        beside = max(backend.holds, backend.open) * fall * adds
         return worth * (1.0 - served) + known.worth * (beside + crossing)
 
     @property
     def worth_a_move(self) -> float:
         return MOVE_GAIN * self.known.worth
 
-    def gain(self, job: Job, server: Server, settings: Settings, now: float, reserve_above: float = inf) -> float:
+    def gain(
+        self, request: Request, backend: Backend, settings: Settings, now: float, reserve_above: float = inf
+    ) -> float:
         """What a move would save, in worth each second; of a load that is only estimated a part counts. Above
         `reserve_above` the connection is counted where it would go."""
         known = self.known
-        stays = self.cost(server, job, settings, True)
+        stays = self.cost(backend, request, settings, True)
         if stays <= self.worth_a_move:
             return 0.0
-        best, least = self.cheapest(job, settings, now)
+        best, least = self.cheapest(request, settings, now)
         if best is None:
             return 0.0
-        nearer = (server.zone != settings.zone) - (best.zone != settings.zone)
+        nearer = (backend.zone != settings.zone) - (best.zone != settings.zone)
         firm = nearer * settings.cross_zone_price * known.worth
         estimated = stays - least - firm
         gain = firm + estimated * (FIRM_PART if estimated > 0.0 else 1.0)
         if gain > reserve_above:
-            known.reserve(best, job, now)
+            known.reserve(best, request, now)
         return gain
--- a/yarrowspindle/decisions/events.py
+++ b/yarrowspindle/decisions/events.py
@@ -12,7 +12,7 @@
 from yarrowspindle.decisions.settings import Settings
 
 
-class State(IntEnum):
+class EndpointState(IntEnum):
     READY = 0
     DRAINING = 1
     GONE = 2
@@ -30,37 +30,37 @@
 
     OK = 0
     ERROR = 1  # the server answered with an error; it may have run
-    FULL = 2  # turned away unseen
+    REJECTED = 2  # turned away unseen
     TIMEOUT = 3  # no answer in time; it may have run
     CONNECT_FAILED = 4  # no connection was made; it never ran
     RESET = 5  # the connection broke; it may have run
     CANCELLED = 6  # called off; it may have run
-    MOOT = 7  # never sent
+    NOT_SENT = 7  # never sent
 
 
-NEVER_RAN = frozenset((Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT))
+NEVER_RAN = frozenset((Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT))
 
 
 @dataclass(slots=True)
-class ServerEntry:
-    server: int
+class Endpoint:
+    backend: int
     zone: int = 0
     cell: int = 0
-    state: State = State.READY
+    state: EndpointState = EndpointState.READY
     capacity: float = 1.0
     started_ms: float = 0.0  # 0: long ago
     kind: int = 0
 
 
 @dataclass(slots=True)
-class ServerList:
+class EndpointList:
     kind: ListKind
-    entries: list[ServerEntry] = field(default_factory=list)
+    entries: list[Endpoint] = field(default_factory=list)
     version: int = 0
 
 
 @dataclass(slots=True)
-class Request:
+class RequestReceived:
     """A client's request has come; it is owed one final answer before `left_ms` has passed."""
 
     request: int
@@ -76,11 +76,11 @@
 
 
 @dataclass(slots=True)
-class Adopted:
+class ExistingConnection:
     """A connection that is open when the balancer starts; it counts as attempt 0, established."""
 
     request: int
-    server: int
+    backend: int
     cls: int = 0
     tenant: int = 0
     key: int = 0
@@ -89,10 +89,10 @@
 
 
 @dataclass(slots=True)
-class Established:
+class ConnectionEstablished:
     request: int
     attempt: int
-    server: int
+    backend: int
     latency_ms: float = 0.0
 
 
@@ -100,7 +100,7 @@
 class AttemptEnded:
     request: int
     attempt: int
-    server: int
+    backend: int
     outcome: Outcome
     finished: bool  # the request is over; when not, it is still owed an answer
     latency_ms: float = 0.0
@@ -109,29 +109,29 @@
 @dataclass(slots=True)
 class LoadChanged:
     request: int
-    server: int
+    backend: int
     load: float
 
 
 @dataclass(slots=True)
-class ServerSlow:
+class SlowMessageObserved:
     """How long a message takes at a server now, told while that is long and once when it no longer is."""
 
     request: int
-    server: int
+    backend: int
     message_ms: float
 
 
 @dataclass(slots=True)
-class TimerDue:
+class TimerFired:
     token: int
 
 
 @dataclass(slots=True)
-class Probed:
+class HealthCheckCompleted:
     """What one `Probe` brought; `report` holds the values that `Settings.report` names, or nothing."""
 
-    server: int
+    backend: int
     outcome: Outcome
     latency_ms: float = 0.0
     report: tuple[float, ...] = ()
@@ -144,21 +144,21 @@
 
 
 @dataclass(slots=True)
-class ClientGone:
+class ClientDisconnected:
     """The client has left; nothing is owed any more."""
 
     request: int
 
 
 @dataclass(slots=True)
-class Due:
+class DeadlineReached:
     """The client's time is up, or this process ends: a request with no attempt out is answered now."""
 
     request: int
 
 
 @dataclass(slots=True)
-class Levelling:
+class RebalancingTarget:
     """Standing connections are being levelled out: `level` is the own load that each unit of a server's capacity
     should come to (load over capacity); 0 when that is over. Clients that come again are placed with it in mind."""
 
@@ -166,17 +166,17 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Retuned:
+class SettingsChanged:
     """New settings from here on. Classes keep their numbers, and a class that vanished or changed keeps its entry while
     requests are under way in it, which keep their class and its limits. anew: numbers that no request has and that
     stand for another class than before."""
 
     settings: Settings
-    anew: frozenset[int] = frozenset()
+    reassigned_classes: frozenset[int] = frozenset()
 
 
 @dataclass(slots=True)
-class Others:
+class PeerLoads:
     """What the other balancers hold, as far as it changed since this was last told. Servers by the low 32 bits of their
     numbers (`SERVER_KEY`).
 
@@ -186,38 +186,38 @@
     heard pass over. reports: server -> use, connections, age in milliseconds: load reports that others were told.
     rank: this balancer's place among those that are there; what one does for all goes by turns."""
 
-    holds: dict[int, tuple[int, float]] = field(default_factory=dict)
-    came: dict[int, int] = field(default_factory=dict)
-    heard: int = 0
-    balancers: int = 1
+    loads: dict[int, tuple[int, float]] = field(default_factory=dict)
+    connection_changes: dict[int, int] = field(default_factory=dict)
+    reporting_relays: int = 0
+    relays: int = 1
     age_ms: float = 0.0
-    shunned: frozenset[int] = frozenset()
+    ejected_by_peers: frozenset[int] = frozenset()
     reports: dict[int, tuple[float, float, float]] = field(default_factory=dict)
     rank: int = 0
 
 
-SERVER_KEY = (1 << 32) - 1
+BACKEND_KEY_MASK = (1 << 32) - 1
 
 
-def group_key(server: int, group: int) -> int:
+def group_key(backend: int, group: int) -> int:
     """By which it is told how many connections of a group a server holds: as if the two were one more server."""
-    return ((server ^ group * 0x9E3779B97F4A7C15) * 0xD6E8FEB86659FD93 >> 20) & SERVER_KEY
+    return ((backend ^ group * 0x9E3779B97F4A7C15) * 0xD6E8FEB86659FD93 >> 20) & BACKEND_KEY_MASK
 
 
 Event = (
-    ServerList
-    | Request
-    | Adopted
-    | Established
+    EndpointList
+    | RequestReceived
+    | ExistingConnection
+    | ConnectionEstablished
     | AttemptEnded
     | LoadChanged
-    | ServerSlow
-    | TimerDue
-    | Probed
+    | SlowMessageObserved
+    | TimerFired
+    | HealthCheckCompleted
     | PeerMessage
-    | ClientGone
-    | Due
-    | Levelling
-    | Retuned
-    | Others
+    | ClientDisconnected
+    | DeadlineReached
+    | RebalancingTarget
+    | SettingsChanged
+    | PeerLoads
 )
--- a/yarrowspindle/decisions/peer_loads.py
+++ b/yarrowspindle/decisions/peer_loads.py
@@ -9,8 +9,8 @@
 from collections.abc import Iterator
 from math import inf
 
-from yarrowspindle.decisions.backends import Server
-from yarrowspindle.decisions.events import SERVER_KEY, Others, group_key
+from yarrowspindle.decisions.backends import Backend
+from yarrowspindle.decisions.events import BACKEND_KEY_MASK, PeerLoads, group_key
 
 FRESH_MS, OLD_MS = 2000.0, 4500.0
 MOVERS = 2  # balancers that move connections on one beat
@@ -19,10 +19,10 @@
 TURN_MS = 2000.0  # a server that nobody probed for so long is anybody's turn
 
 
-class OthersBook:
+class PeerLoadTable:
     def __init__(self, balancers: int) -> None:
         self.settled, self.alike = balancers, float(balancers)
-        self.index: dict[int, Server] = {}  # by key; made anew once a second, or when servers come or go
+        self.index: dict[int, Backend] = {}  # by key; made anew once a second, or when servers come or go
         self.index_at, self.index_of = -inf, 0
         self.told_at, self.told_age = -inf, inf
         self.heard, self.rank, self.members = 0, 0, 1
@@ -33,11 +33,11 @@
         self.settled = balancers
         self.alike = float(max(self.settled, self.members))
 
-    def told(self, event: Others, now: float) -> None:
-        self.told_at, self.told_age, self.heard = now, event.age_ms, event.heard
-        self.rank, self.members, self.shunned = event.rank, event.balancers, event.shunned
+    def told(self, event: PeerLoads, now: float) -> None:
+        self.told_at, self.told_age, self.heard = now, event.age_ms, event.reporting_relays
+        self.rank, self.members, self.shunned = event.rank, event.relays, event.ejected_by_peers
         self.alike = float(max(self.settled, self.members))
-        for key, held in event.holds.items():
+        for key, held in event.loads.items():
             if held == (0, 0.0):
                 self.holds.pop(key, None)
             else:
@@ -52,21 +52,21 @@
         alike = max(1.0, self.alike - weight * self.heard)
         return weight / alike, alike
 
-    def load(self, server: Server) -> float:
-        return self.holds.get(server.id & SERVER_KEY, (0, 0.0))[1]
+    def load(self, backend: Backend) -> float:
+        return self.holds.get(backend.id & BACKEND_KEY_MASK, (0, 0.0))[1]
 
-    def group(self, server: Server, group: int) -> int:
+    def group(self, backend: Backend, group: int) -> int:
         """How many connections of the group others hold there."""
-        return self.holds.get(group_key(server.id, group), (0, 0.0))[0] if self.heard else 0
+        return self.holds.get(group_key(backend.id, group), (0, 0.0))[0] if self.heard else 0
 
-    def passed(self, server: Server) -> bool:
+    def passed(self, backend: Backend) -> bool:
         """Most of the others pass it over."""
-        return bool(self.shunned) and server.id & SERVER_KEY in self.shunned
+        return bool(self.shunned) and backend.id & BACKEND_KEY_MASK in self.shunned
 
-    def turn(self, server: Server, now: float) -> bool:
+    def turn(self, backend: Backend, now: float) -> bool:
         """Whether it is ours to probe: one balancer probes it for all, unless that one does not."""
-        mine = (server.id & SERVER_KEY) % max(self.members, 1) == self.rank
-        return self.heard == 0 or mine or now >= server.asked_at + TURN_MS
+        mine = (backend.id & BACKEND_KEY_MASK) % max(self.members, 1) == self.rank
+        return self.heard == 0 or mine or now >= backend.asked_at + TURN_MS
 
     def moves(self, now: float) -> int:
         """How many connections we may move on this beat to gain by it: who sees what the others see, and moves when
@@ -74,23 +74,23 @@
         return 1 if not self.heard else int((int(now / TURN_BEAT_MS) + self.rank) % max(self.members, 1) < MOVERS)
 
     def news(
-        self, event: Others, servers: dict[int, Server], now: float
-    ) -> Iterator[tuple[Server, int, tuple[float, float, float] | None]]:
+        self, event: PeerLoads, backends: dict[int, Backend], now: float
+    ) -> Iterator[tuple[Backend, int, tuple[float, float, float] | None]]:
         """Servers at which others' connections came or went (how many), or of which another balancer was told a load
         report that is newer than ours (use, connections, when)."""
-        if not event.came and not event.reports:
+        if not event.connection_changes and not event.reports:
             return
-        if now >= self.index_at + INDEX_MS or self.index_of != len(servers):
-            self.index = {server.id & SERVER_KEY: server for server in servers.values()}
-            self.index_at, self.index_of = now, len(servers)
-        for key in sorted(event.came.keys() | event.reports.keys()):  # keys of groups are no servers'
-            server, report = self.index.get(key), None
-            if server is None:
+        if now >= self.index_at + INDEX_MS or self.index_of != len(backends):
+            self.index = {backend.id & BACKEND_KEY_MASK: backend for backend in backends.values()}
+            self.index_at, self.index_of = now, len(backends)
+        for key in sorted(event.connection_changes.keys() | event.reports.keys()):  # keys of groups are no servers'
+            backend, report = self.index.get(key), None
+            if backend is None:
                 continue
             used, holds, age = event.reports.get(key, (0.0, 0.0, inf))
-            if now - age > server.asked_at:
-                server.asked_at = now - age
+            if now - age > backend.asked_at:
+                backend.asked_at = now - age
                 report = (used, holds, now - age)
-            came = event.came.get(key, 0)
+            came = event.connection_changes.get(key, 0)
             if came or report is not None:
-                yield server, came, report
+                yield backend, came, report
--- a/yarrowspindle/decisions/weighted_ring.py
+++ b/yarrowspindle/decisions/weighted_ring.py
@@ -36,7 +36,7 @@
         self.ends = list(accumulate(s.capacity for s in self.pool))
 
 
-class Ring(Generic[T]):
+class WeightedRing(Generic[T]):
     """`sharers`: how many balancers draw from it. total: the capacity that it has; usual: the most that it has had
     after a whole list (within one, servers come before those that they replace are gone)."""
 
@@ -50,33 +50,33 @@
 
     @property
     def pool(self) -> list[T]:
-        return [server for block in self.blocks for server in block.pool]
+        return [backend for block in self.blocks for backend in block.pool]
 
     @property
     def arc(self) -> float:
         """The part of the ring that one balancer draws from on the ordinary path: two servers at the least."""
         return min(1.0, max(COVER / self.sharers, 2.0 / max(1, self.size)))
 
-    def _block(self, server: T) -> tuple[int, int, bool]:
+    def _block(self, backend: T) -> tuple[int, int, bool]:
         """Its block, where it stands in it or would stand, and whether it is there."""
-        number = max(0, bisect(self.firsts, server.id) - 1)
+        number = max(0, bisect(self.firsts, backend.id) - 1)
         if number == len(self.blocks):
             return number, 0, False
         ids = self.blocks[number].ids
-        at = bisect_left(ids, server.id)
-        return number, at, at < len(ids) and ids[at] == server.id
+        at = bisect_left(ids, backend.id)
+        return number, at, at < len(ids) and ids[at] == backend.id
 
-    def put(self, server: T) -> None:
+    def put(self, backend: T) -> None:
         """Takes it in; nothing where it is in already."""
-        number, at, there = self._block(server)
+        number, at, there = self._block(backend)
         if there:
             return
         if number == len(self.blocks):
-            self.blocks.append(Block([server]))
+            self.blocks.append(Block([backend]))
         else:
             block = self.blocks[number]
-            block.pool.insert(at, server)
-            block.ids.insert(at, server.id)
+            block.pool.insert(at, backend)
+            block.ids.insert(at, backend.id)
             if len(block.pool) > BLOCK:
                 half = len(block.pool) // 2
                 self.blocks[number : number + 1] = [Block(block.pool[:half]), Block(block.pool[half:])]
@@ -85,9 +85,9 @@
         self.size += 1
         self._count()
 
-    def drop(self, server: T) -> None:
+    def drop(self, backend: T) -> None:
         """Takes it out; nothing where it is not in."""
-        number, at, there = self._block(server)
+        number, at, there = self._block(backend)
         if not there:
             return
         block = self.blocks[number]
@@ -118,8 +118,8 @@
         if arc >= 1.0:
             return self.pool
         found, end, first, length = [], 0.0, start * self.total, arc * self.total
-        for server in self.pool:
-            if (end - first) % self.total + server.capacity <= length + 1e-9:
-                found.append(server)
-            end += server.capacity
+        for backend in self.pool:
+            if (end - first) % self.total + backend.capacity <= length + 1e-9:
+                found.append(backend)
+            end += backend.capacity
         return found
--- a/yarrowspindle/fronts/line_front.py
+++ b/yarrowspindle/fronts/line_front.py
@@ -10,24 +10,34 @@
 
 from yarrowspindle.daemon.connection_limiter import Door
 from yarrowspindle.daemon.log import Bounded
-from yarrowspindle.daemon.relay_service import Hub
+from yarrowspindle.daemon.relay_service import RelayService
 from yarrowspindle.protocol import lines
 from yarrowspindle.protocol.lines import LineError, Open
-from yarrowspindle.routing.effects import Ask, Close, Deny, Drop, Effect, Join, Move, Reach, Requeue
+from yarrowspindle.routing.effects import (
+    AbortAttempt,
+    CloseClientConnection,
+    Effect,
+    FailRequest,
+    ForwardRequest,
+    MigrateConnection,
+    OpenBackendConnection,
+    RejectRequest,
+    StartRelaying,
+)
 from yarrowspindle.routing.events import (
-    Answered,
-    Asked,
-    AttemptOver,
-    FigureTold,
-    JobArrived,
-    NodeReached,
-    NodeUp,
-    OutOfTurn,
-    SubmitterLeft,
+    AttemptEnded,
+    BackendAccepted,
+    BackendConnected,
+    BackendDataForwarded,
+    ClientDataForwarded,
+    ClientDisconnected,
+    RequestReceived,
+    UnclassifiedReport,
+    UnexpectedClientData,
 )
-from yarrowspindle.routing.termination import Ending
-from yarrowspindle.transport.backend import NodeSide
-from yarrowspindle.transport.client import Submitter
+from yarrowspindle.routing.termination import TerminationReason
+from yarrowspindle.transport.backend import BackendSide
+from yarrowspindle.transport.client import ClientConnection
 from yarrowspindle.transport.connecting import ConnectFailure, Connecting, OwnNetwork
 from yarrowspindle.transport.listener import Listener
 
@@ -37,29 +47,31 @@
 
 
 class LineFront:
-    def __init__(self, hub: Hub, descriptors: int) -> None:
+    def __init__(self, hub: RelayService, descriptors: int) -> None:
         self.hub, self.config = hub, hub.config
         self.loop = asyncio.get_running_loop()
         self.door = Door(descriptors, self.loop.time)
         self.log = Bounded(self.loop.time)
         self.network = OwnNetwork()
-        self.submitters: dict[int, Submitter] = {}
+        self.clients: dict[int, ClientConnection] = {}
         self.opened: dict[int, Open] = {}  # lines of jobs that may still be sent on
-        self.nodes: dict[int, NodeSide] = {}  # of each job's attempt that is out, or its standing connection
+        self.backends: dict[int, BackendSide] = {}  # of each job's attempt that is out, or its standing connection
         self.reaching: dict[int, Connecting] = {}
         self.effects: dict[type, Callable[[Any], None]] = {
-            Reach: self._reach,
-            Ask: self._ask,
-            Drop: self._drop,
-            Join: self._join,
-            Requeue: self._requeue,
-            Deny: self._deny,
-            Move: self._move,
-            Close: self._close,
+            OpenBackendConnection: self._reach,
+            ForwardRequest: self._ask,
+            AbortAttempt: self._drop,
+            StartRelaying: self._join,
+            RejectRequest: self._requeue,
+            FailRequest: self._deny,
+            MigrateConnection: self._move,
+            CloseClientConnection: self._close,
         }
 
     def start(self) -> LineFront:
-        self.listener = Listener(self.config.listen, BACKLOG, lambda: Submitter(self), self.door.room, self.bad_line)
+        self.listener = Listener(
+            self.config.listen, BACKLOG, lambda: ClientConnection(self), self.door.room, self.bad_line
+        )
         self.hub.fronts.append(self)
         self.hub.connected.append(self.connected)
         logger.info("{} serves at {}:{}", self.config.name, *self.config.listen)
@@ -73,13 +85,13 @@
         until = self.loop.time() + within_s
         await self.listener.close(within_s / 3.0)
         await asyncio.sleep(READ_S)  # what lies in the sockets is read, and answered
-        for stranger in [side for side in self.door.strangers if isinstance(side, Submitter)]:
+        for stranger in [side for side in self.door.strangers if isinstance(side, ClientConnection)]:
             stranger.rest_over()
-        while self.loop.time() < until and any(isinstance(side, Submitter) for side in self.door.held):
+        while self.loop.time() < until and any(isinstance(side, ClientConnection) for side in self.door.held):
             await asyncio.sleep(READ_S)
             if self.loop.time() > until - within_s / 3.0:
-                for node in [side for side in self.door.held if isinstance(side, NodeSide)]:
-                    node.move_now()
+                for backend in [side for side in self.door.held if isinstance(side, BackendSide)]:
+                    backend.move_now()
 
     def carry_out(self, effect: Effect) -> None:
         handler = self.effects.get(type(effect))
@@ -91,17 +103,17 @@
     def ready(self) -> bool:
         return self.hub.ready()
 
-    def submitter_came(self, side: Submitter) -> None:
+    def client_came(self, side: ClientConnection) -> None:
         self.door.came(side)
 
-    def job_came(self, side: Submitter, opened: Open) -> None:
+    def request_came(self, side: ClientConnection, opened: Open) -> None:
         config = self.config
         try:
             cls = self.hub.config.current[opened.get("c")]
             tenant = config.tenants.index(opened.get("t")) if config.tenants else 0
         except (KeyError, ValueError):
             raise LineError("a class or tenant that the settings do not name") from None
-        arrived = JobArrived(
+        arrived = RequestReceived(
             0,
             opened.number("d"),
             cls,
@@ -115,30 +127,30 @@
             opened.id,
         )
         self.door.known(side)
-        side.job = arrived.job = self.hub.new_job(self)
-        self.submitters[side.job], self.opened[side.job] = side, opened
+        side.request = arrived.request = self.hub.new_request(self)
+        self.clients[side.request], self.opened[side.request] = side, opened
         self.hub.post(arrived)
 
-    def job_out_of_turn(self, job: int) -> None:
-        self.hub.post(OutOfTurn(job))
+    def request_out_of_turn(self, request: int) -> None:
+        self.hub.post(UnexpectedClientData(request))
 
-    def job_asked(self, job: int, lines: int) -> None:
+    def request_asked(self, request: int, lines: int) -> None:
         if lines:
-            self.hub.post(Asked(job, lines))
+            self.hub.post(ClientDataForwarded(request, lines))
 
-    def job_left(self, job: int) -> None:
-        self.hub.post(SubmitterLeft(job))
+    def request_left(self, request: int) -> None:
+        self.hub.post(ClientDisconnected(request))
 
-    def submitter_lost(self, side: Submitter) -> None:
+    def client_lost(self, side: ClientConnection) -> None:
         self.door.lost(side)
-        if self.submitters.get(side.job) is side:
-            self._forget(side.job)
+        if self.clients.get(side.request) is side:
+            self._forget(side.request)
 
-    def submitter_refused(self, side: Submitter, why: str) -> None:
+    def client_refused(self, side: ClientConnection, why: str) -> None:
         self.door.answered(side)
         self.bad_line(why)
 
-    def submitter_ended(self, side: Submitter) -> None:
+    def client_ended(self, side: ClientConnection) -> None:
         self.door.answered(side)
 
     def bad_line(self, text: str) -> None:
@@ -148,101 +160,105 @@
 
     def connected(self) -> set[str]:
         """Execute nodes to which a connection stands or is under way, those that are only being closed included."""
-        return {side.node for side in self.door.held if isinstance(side, NodeSide)}
+        return {side.backend for side in self.door.held if isinstance(side, BackendSide)}
 
-    def node_reached(self, side: NodeSide) -> None:
-        self.reaching.pop(side.job, None)
+    def backend_reached(self, side: BackendSide) -> None:
+        self.reaching.pop(side.request, None)
         self.network.works()
-        self.hub.post(NodeReached(side.job, side.attempt))
+        self.hub.post(BackendConnected(side.request, side.attempt))
 
-    def node_up(self, side: NodeSide) -> None:
-        self.hub.post(NodeUp(side.job, side.attempt))
+    def backend_up(self, side: BackendSide) -> None:
+        self.hub.post(BackendAccepted(side.request, side.attempt))
 
-    def node_answered(self, job: int, lines: int) -> None:
-        self.hub.post(Answered(job, lines))
+    def backend_answered(self, request: int, lines: int) -> None:
+        self.hub.post(BackendDataForwarded(request, lines))
 
-    def node_load(self, job: int, load: float) -> None:
-        self.hub.post(FigureTold(job, load))
+    def backend_load(self, request: int, load: float) -> None:
+        self.hub.post(UnclassifiedReport(request, load))
 
-    def node_lost(self, side: NodeSide) -> None:
+    def backend_lost(self, side: BackendSide) -> None:
         self.door.lost(side)
 
-    def node_over(self, side: NodeSide, ending: Ending) -> None:
-        if self.nodes.get(side.job) is side:
-            del self.nodes[side.job]
-        self.hub.post(AttemptOver(side.job, side.attempt, ending))
+    def backend_over(self, side: BackendSide, ending: TerminationReason) -> None:
+        if self.backends.get(side.request) is side:
+            del self.backends[side.request]
+        self.hub.post(AttemptEnded(side.request, side.attempt, ending))
 
     # --- effects on execute nodes ---------------------------------------------------------------
 
-    def _reach(self, effect: Reach) -> None:
-        side = NodeSide(self, effect.job, effect.attempt, effect.node)
-        self.nodes[effect.job] = side
+    def _reach(self, effect: OpenBackendConnection) -> None:
+        side = BackendSide(self, effect.request, effect.attempt, effect.backend)
+        self.backends[effect.request] = side
         self.door.reached_for(side)
         connecting = Connecting(side, effect.address, lambda failure: self._unreached(side, failure))
-        self.reaching[effect.job] = connecting
+        self.reaching[effect.request] = connecting
         connecting.start(effect.within_ms / 1000.0)
 
-    def _unreached(self, side: NodeSide, failure: ConnectFailure) -> None:
+    def _unreached(self, side: BackendSide, failure: ConnectFailure) -> None:
         """The attempt's connection did not come up, and never will: nothing was written on it."""
-        self.reaching.pop(side.job, None)
+        self.reaching.pop(side.request, None)
         self.door.lost(side)
         if failure.unexpected:
-            self.bad_line(f"a connection to execute node {side.node} failed: {failure.error!r}")
-        side.unreached(Ending.NEVER_SENT if self.network.at_fault(side.node, failure) else Ending.UNREACHED)
+            self.bad_line(f"a connection to execute node {side.backend} failed: {failure.error!r}")
+        side.unreached(
+            TerminationReason.NOT_SENT
+            if self.network.at_fault(side.backend, failure)
+            else TerminationReason.CONNECT_FAILED
+        )
 
-    def _ask(self, effect: Ask) -> None:
-        side, opened = self.nodes.get(effect.job), self.opened.get(effect.job)
+    def _ask(self, effect: ForwardRequest) -> None:
+        side, opened = self.backends.get(effect.request), self.opened.get(effect.request)
         if side is not None and opened is not None:
             side.ask(opened.forward(effect.left_ms))
 
-    def _drop(self, effect: Drop) -> None:
-        side = self.nodes.pop(effect.job, None)
+    def _drop(self, effect: AbortAttempt) -> None:
+        side = self.backends.pop(effect.request, None)
         if side is not None:
             side.drop()
-        connecting = self.reaching.pop(effect.job, None)
+        connecting = self.reaching.pop(effect.request, None)
         if connecting is not None and side is not None and connecting.cancel():
             self.door.lost(side)
 
     # --- effects on submitters ------------------------------------------------------------------
 
-    def _join(self, effect: Join) -> None:
-        submitter, node = self.submitters.get(effect.job), self.nodes.get(effect.job)
-        self.opened.pop(effect.job, None)
-        if submitter is not None and node is not None:
-            submitter.join(node, node.first)
-            node.flow()
-
-    def _answer(self, job: int, line: bytes) -> None:
-        submitter = self.submitters.get(job)
-        self._forget(job)
-        if submitter is not None:
-            submitter.finish(line)
-            self.door.answered(submitter)
-
-    def _forget(self, job: int) -> None:
-        self.submitters.pop(job, None)
-        self.opened.pop(job, None)
-        self.hub.forget(job)
-
-    def _requeue(self, effect: Requeue) -> None:
-        self._answer(effect.job, lines.requeue_notice(effect.after_ms))
-
-    def _deny(self, effect: Deny) -> None:
-        self._answer(effect.job, lines.FAILED)
-
-    def _move(self, effect: Move) -> None:
-        submitter, node = self.submitters.get(effect.job), self.nodes.pop(effect.job, None)
-        self._forget(effect.job)
-        if submitter is None:
+    def _join(self, effect: StartRelaying) -> None:
+        client, backend = self.clients.get(effect.request), self.backends.get(effect.request)
+        self.opened.pop(effect.request, None)
+        if client is not None and backend is not None:
+            client.join(backend, backend.first)
+            backend.flow()
+
+    def _answer(self, request: int, line: bytes) -> None:
+        client = self.clients.get(request)
+        self._forget(request)
+        if client is not None:
+            client.finish(line)
+            self.door.answered(client)
+
+    def _forget(self, request: int) -> None:
+        self.clients.pop(request, None)
+        self.opened.pop(request, None)
+        self.hub.forget(request)
+
+    def _requeue(self, effect: RejectRequest) -> None:
+        self._answer(effect.request, lines.requeue_notice(effect.retry_after_ms))
+
+    def _deny(self, effect: FailRequest) -> None:
+        self._answer(effect.request, lines.FAILED)
+
+    def _move(self, effect: MigrateConnection) -> None:
+        client, backend = self.clients.get(effect.request), self.backends.pop(effect.request, None)
+        self._forget(effect.request)
+        if client is None:
             return
-        if node is not None:
-            node.move(submitter)
+        if backend is not None:
+            backend.move(client)
         else:
-            submitter.finish(lines.MOVE)
-
-    def _close(self, effect: Close) -> None:
-        submitter = self.submitters.get(effect.job)
-        self._forget(effect.job)
-        if submitter is not None:
-            submitter.finish()  # in order, however the node ended: its last lines may still wait to be written
-            self.door.answered(submitter)
+            client.finish(lines.MOVE)
+
+    def _close(self, effect: CloseClientConnection) -> None:
+        client = self.clients.get(effect.request)
+        self._forget(effect.request)
+        if client is not None:
+            client.finish()  # in order, however the node ended: its last lines may still wait to be written
+            self.door.answered(client)
--- a/yarrowspindle/fronts/quic_front.py
+++ b/yarrowspindle/fronts/quic_front.py
@@ -16,15 +16,26 @@
 from loguru import logger
 
 from yarrowspindle.daemon.config import QuicConfig
-from yarrowspindle.daemon.relay_service import Hub
-from yarrowspindle.decisions.events import State
+from yarrowspindle.daemon.relay_service import RelayService
+from yarrowspindle.decisions.events import EndpointState
 from yarrowspindle.protocol import quic
 from yarrowspindle.protocol.quic import Header, Link, PacketError
 from yarrowspindle.routing.address import Address
-from yarrowspindle.routing.effects import Ask, Close, Deny, Drop, Effect, Join, Move, NodeGone, Reach, Requeue
-from yarrowspindle.routing.events import AttemptOver, JobArrived, NodeReached, NodeUp
-from yarrowspindle.routing.reducer import node_number
-from yarrowspindle.routing.termination import Ending
+from yarrowspindle.routing.effects import (
+    AbortAttempt,
+    BackendRemoved,
+    CloseClientConnection,
+    Effect,
+    FailRequest,
+    ForwardRequest,
+    MigrateConnection,
+    OpenBackendConnection,
+    RejectRequest,
+    StartRelaying,
+)
+from yarrowspindle.routing.events import AttemptEnded, BackendAccepted, BackendConnected, RequestReceived
+from yarrowspindle.routing.reducer import backend_id
+from yarrowspindle.routing.termination import TerminationReason
 from yarrowspindle.transport.datagrams import Front, Path
 
 FIRST_FLIGHT = 8  # client datagrams kept until the connection stands, for another node if the first fails
@@ -38,7 +49,7 @@
 class Flow:
     """One connection."""
 
-    job: int
+    request: int
     original: bytes  # the first destination connection id
     client_id: bytes
     version: int
@@ -47,7 +58,7 @@
     first: list[bytes] = field(default_factory=list)
     held: list[tuple[Path, bytes]] = field(default_factory=list)
     attempt: int = -1
-    node: str = ""
+    backend: str = ""
     address: Address | None = None
     asked: bool = False
     up: bool = False
@@ -62,9 +73,9 @@
 
 
 class QuicFront:
-    def __init__(self, hub: Hub, config: QuicConfig) -> None:
+    def __init__(self, hub: RelayService, config: QuicConfig) -> None:
         self.hub, self.config = hub, config
-        self.ids = quic.NodeIds(config.id_key)
+        self.ids = quic.BackendIds(config.id_key)
         self.front = Front(self.from_client)
         self.flows: dict[int, Flow] = {}
         self.by_id: dict[bytes, Flow] = {}
@@ -73,15 +84,15 @@
         self.counts: Counter[str] = Counter()
         self.loop = asyncio.get_running_loop()
         self.effects: dict[type, Callable[[Any], None]] = {
-            Reach: self._reach,
-            Ask: self._ask,
-            Drop: self._drop,
-            Join: self._join,
-            Requeue: self._requeue,
-            Deny: self._deny,
-            Move: self._move,
-            Close: self._close,
-            NodeGone: self._node_gone,
+            OpenBackendConnection: self._reach,
+            ForwardRequest: self._ask,
+            AbortAttempt: self._drop,
+            StartRelaying: self._join,
+            RejectRequest: self._requeue,
+            FailRequest: self._deny,
+            MigrateConnection: self._move,
+            CloseClientConnection: self._close,
+            BackendRemoved: self._backend_gone,
         }
 
     async def start(self) -> None:
@@ -123,13 +134,13 @@
         if flow is not None:
             return flow, None
         link = self.ids.decode(header.destination)
-        if link is not None and (link in self.over or link in self.by_link or self._node_of(link)):
+        if link is not None and (link in self.over or link in self.by_link or self._backend_of(link)):
             return self.by_link.get(link), link
         return None, None
 
-    def _node_of(self, link: Link) -> str:
-        node = self.hub.reducer.numbers.get(link[0])
-        return node.name if node is not None else ""
+    def _backend_of(self, link: Link) -> str:
+        backend = self.hub.reducer.numbers.get(link[0])
+        return backend.name if backend is not None else ""
 
     def _first(self, header: Header, data: bytes, client: Address) -> None:
         """An Initial that nobody knows: a job, unless it was answered already or there is no room."""
@@ -143,7 +154,7 @@
             flow = self._new_flow(header, data, client)
             key = int.from_bytes(header.destination[:8], "big")
             cls, deadline_ms = self._first_class()
-            self.hub.post(JobArrived(flow.job, self.config.deadline_ms or deadline_ms, cls, key=key))
+            self.hub.post(RequestReceived(flow.request, self.config.deadline_ms or deadline_ms, cls, key=key))
 
     def _first_class(self) -> tuple[int, float]:
         """Of the settings as they are now: its number, and its deadline."""
@@ -153,17 +164,23 @@
 
     def _new_flow(self, header: Header, data: bytes, client: Address) -> Flow:
         flow = Flow(
-            self.hub.new_job(self), header.destination, header.source, header.version, client, self.loop.time(), [data]
+            self.hub.new_request(self),
+            header.destination,
+            header.source,
+            header.version,
+            client,
+            self.loop.time(),
+            [data],
         )
-        self.flows[flow.job] = flow
+        self.flows[flow.request] = flow
         self._name(flow, header.destination)
         return flow
 
     def _known_id(self, link: Link, header: Header, data: bytes, client: Address) -> None:
         """An id that names its node, of a connection that this relay does not know: it came from another relay,
         or this one has started anew. It goes on at its node, draining or not, until the node is gone."""
-        node = self.hub.reducer.numbers.get(link[0])
-        if link in self.over or node is None or node.state is State.GONE:
+        backend = self.hub.reducer.numbers.get(link[0])
+        if link in self.over or backend is None or backend.state is EndpointState.GONE:
             self._reset(header.destination, len(data), client)
         elif len(self.flows) >= self.config.max_connections:
             self.counts["no_room"] += 1
@@ -173,7 +190,7 @@
             self.by_link[link] = flow
             self.counts["taken_over"] += 1
             cls, deadline_ms = self._first_class()
-            self.hub.post(JobArrived(flow.job, deadline_ms, cls, at=node.name))
+            self.hub.post(RequestReceived(flow.request, deadline_ms, cls, at=backend.name))
         else:
             self.counts["unknown_id"] += 1
 
@@ -192,8 +209,8 @@
 
     # --- from nodes -----------------------------------------------------------------------------
 
-    def _from_node(self, flow: Flow, attempt: int, path: Path, data: bytes) -> None:
-        if flow.attempt != attempt or self.flows.get(flow.job) is not flow:
+    def _from_backend(self, flow: Flow, attempt: int, path: Path, data: bytes) -> None:
+        if flow.attempt != attempt or self.flows.get(flow.request) is not flow:
             return
         path.used = self.loop.time()
         flow.silent_packets = 0
@@ -216,20 +233,20 @@
         if kinds == {QuicPacketType.INITIAL}:
             code = quic.close_code(data, headers[0], flow.original)
             if code is not None:  # not passed on: another node may still take the job
-                ending = Ending.TURNED_AWAY if code == quic.REFUSED else Ending.ERRED
-                self.hub.post(AttemptOver(flow.job, attempt, ending))
+                ending = TerminationReason.REJECTED if code == quic.REFUSED else TerminationReason.BACKEND_ERROR
+                self.hub.post(AttemptEnded(flow.request, attempt, ending))
                 return
         if len(flow.held) < HELD_BACK:
             flow.held.append((path, data))
         if kinds & {QuicPacketType.HANDSHAKE, QuicPacketType.ONE_RTT}:
             self._learn(flow, headers)
-            self.hub.post(NodeUp(flow.job, attempt))
+            self.hub.post(BackendAccepted(flow.request, attempt))
 
     def _learn(self, flow: Flow, headers: list[Header]) -> None:
         """The id that the node chose, by which the client will send from now on."""
         source = next((h.source for h in headers if not h.short and h.source), b"")
         link = self.ids.decode(source)
-        if link is not None and link[0] == node_number(flow.node):
+        if link is not None and link[0] == backend_id(flow.backend):
             flow.link = link
             self.by_link[link] = flow
         elif source:
@@ -237,21 +254,21 @@
 
     def _refused(self, flow: Flow, attempt: int, path: Path) -> None:
         """The node's port is closed. Another address of the client may only have lost its own path."""
-        if flow.attempt == attempt and self.flows.get(flow.job) is flow:
-            ending = Ending.BROKEN if flow.up else Ending.UNREACHED
-            self.hub.post(AttemptOver(flow.job, attempt, ending))
+        if flow.attempt == attempt and self.flows.get(flow.request) is flow:
+            ending = TerminationReason.CONNECTION_RESET if flow.up else TerminationReason.CONNECT_FAILED
+            self.hub.post(AttemptEnded(flow.request, attempt, ending))
 
     # --- effects --------------------------------------------------------------------------------
 
-    def _reach(self, effect: Reach) -> None:
-        flow = self.flows[effect.job]
-        self._leave_node(flow)  # an attempt that the node ended leaves its path behind, which leads to that node
-        flow.attempt, flow.node = effect.attempt, effect.node
+    def _reach(self, effect: OpenBackendConnection) -> None:
+        flow = self.flows[effect.request]
+        self._leave_backend(flow)  # an attempt that the node ended leaves its path behind, which leads to that node
+        flow.attempt, flow.backend = effect.attempt, effect.backend
         flow.address = (effect.address[0], self.config.node_port or effect.address[1])
-        self.hub.post(NodeReached(flow.job, flow.attempt))
+        self.hub.post(BackendConnected(flow.request, flow.attempt))
 
-    def _ask(self, effect: Ask) -> None:
-        flow = self.flows[effect.job]
+    def _ask(self, effect: ForwardRequest) -> None:
+        flow = self.flows[effect.request]
         flow.asked = True
         for data in flow.first:
             self._path(flow, flow.client).send(data)
@@ -259,14 +276,14 @@
         flow.answer = self.loop.call_later(wait, self._unanswered, flow, flow.attempt)
 
     def _unanswered(self, flow: Flow, attempt: int) -> None:
-        self.hub.post(AttemptOver(flow.job, attempt, Ending.OVERDUE))
+        self.hub.post(AttemptEnded(flow.request, attempt, TerminationReason.DEADLINE_EXCEEDED))
 
     def _path(self, flow: Flow, client: Address) -> Path:
         path = flow.paths.get(client)
         if path is None or path.closed:
             attempt = flow.attempt
             path = flow.paths[client] = Path(
-                lambda p, data: self._from_node(flow, attempt, p, data),
+                lambda p, data: self._from_backend(flow, attempt, p, data),
                 lambda p: self._refused(flow, attempt, p),
                 client,
             )
@@ -278,15 +295,15 @@
         try:
             await self.loop.create_datagram_endpoint(lambda: path, remote_addr=flow.address)
         except Exception as error:  # a senseless address too ends the attempt now, not at its time
-            logger.warning("no path to {}: {!r}", flow.node, error)
+            logger.warning("no path to {}: {!r}", flow.backend, error)
             self._refused(flow, attempt, path)
 
-    def _drop(self, effect: Drop) -> None:
-        flow = self.flows.get(effect.job)
+    def _drop(self, effect: AbortAttempt) -> None:
+        flow = self.flows.get(effect.request)
         if flow is not None:
-            self._leave_node(flow)
+            self._leave_backend(flow)
 
-    def _leave_node(self, flow: Flow) -> None:
+    def _leave_backend(self, flow: Flow) -> None:
         flow.asked = False
         flow.held.clear()
         if flow.answer is not None:
@@ -296,8 +313,8 @@
             path.close()
         flow.paths.clear()
 
-    def _join(self, effect: Join) -> None:
-        flow = self.flows[effect.job]
+    def _join(self, effect: StartRelaying) -> None:
+        flow = self.flows[effect.request]
         flow.up = True
         flow.first.clear()
         if flow.answer is not None:
@@ -307,8 +324,8 @@
         for path, data in held:
             self.front.send(data, path.client)
 
-    def _refuse(self, job: int, reason: str) -> None:
-        flow = self.flows[job]
+    def _refuse(self, request: int, reason: str) -> None:
+        flow = self.flows[request]
         if flow.link is not None:  # it stood before this relay knew it
             self._reset(flow.last_id, flow.last_size, flow.client)
         else:
@@ -316,25 +333,27 @@
             self.front.send(close, flow.client)
         self._forget(flow)
 
-    def _requeue(self, effect: Requeue) -> None:
-        self._refuse(effect.job, f"retry after {round(effect.after_ms)} ms" if effect.after_ms else "retry later")
+    def _requeue(self, effect: RejectRequest) -> None:
+        self._refuse(
+            effect.request, f"retry after {round(effect.retry_after_ms)} ms" if effect.retry_after_ms else "retry later"
+        )
 
-    def _deny(self, effect: Deny) -> None:
-        self._refuse(effect.job, "not served")
+    def _deny(self, effect: FailRequest) -> None:
+        self._refuse(effect.request, "not served")
 
-    def _move(self, effect: Move) -> None:
-        self._end(self.flows[effect.job])
+    def _move(self, effect: MigrateConnection) -> None:
+        self._end(self.flows[effect.request])
 
-    def _close(self, effect: Close) -> None:
-        flow = self.flows[effect.job]
-        if effect.ending is Ending.EXPIRED:
+    def _close(self, effect: CloseClientConnection) -> None:
+        flow = self.flows[effect.request]
+        if effect.reason is TerminationReason.IDLE_EXPIRED:
             self._forget(flow, answered=False)
         else:
             self._end(flow)
 
-    def _node_gone(self, effect: NodeGone) -> None:
-        for flow in [f for f in self.flows.values() if f.node == effect.node and f.attempt >= 0]:
-            self.hub.post(AttemptOver(flow.job, flow.attempt, Ending.NODE_GONE))
+    def _backend_gone(self, effect: BackendRemoved) -> None:
+        for flow in [f for f in self.flows.values() if f.backend == effect.backend and f.attempt >= 0]:
+            self.hub.post(AttemptEnded(flow.request, flow.attempt, TerminationReason.BACKEND_REMOVED))
 
     def _end(self, flow: Flow) -> None:
         if flow.last_id:
@@ -348,9 +367,9 @@
             self.front.send(packet, client)
 
     def _forget(self, flow: Flow, answered: bool = True) -> None:
-        self._leave_node(flow)
-        self.hub.forget(flow.job)
-        self.flows.pop(flow.job, None)
+        self._leave_backend(flow)
+        self.hub.forget(flow.request)
+        self.flows.pop(flow.request, None)
         keys: list[bytes | Link] = [*flow.ids]
         for cid in flow.ids:
             self.by_id.pop(cid, None)
@@ -376,9 +395,9 @@
             self.over.popitem(last=False)
         for flow in list(self.flows.values()):
             if flow.up and now >= flow.heard + self.config.idle_s:
-                self.hub.post(AttemptOver(flow.job, flow.attempt, Ending.EXPIRED))
+                self.hub.post(AttemptEnded(flow.request, flow.attempt, TerminationReason.IDLE_EXPIRED))
             elif flow.up and flow.silent_packets >= SILENT_PACKETS and now >= flow.silent_since + SILENT_S:
-                self.hub.post(AttemptOver(flow.job, flow.attempt, Ending.SILENT))
+                self.hub.post(AttemptEnded(flow.request, flow.attempt, TerminationReason.UNRESPONSIVE))
             for client, path in list(flow.paths.items()):
                 if client != flow.client and now >= path.used + PATH_IDLE_S:
                     path.close()
--- a/yarrowspindle/lab/faults.py
+++ b/yarrowspindle/lab/faults.py
@@ -84,7 +84,7 @@
 def schedule(
     words: Sequence[str],
     relays: Sequence[str],
-    nodes: Sequence[str],
+    backends: Sequence[str],
     seed: int,
     from_s: float,
     for_s: float,
@@ -120,7 +120,7 @@
         elif word in ("kill", "stall"):
             one = (order[0],)
         elif word == "nodecut":
-            one, other = (order[0],), (drawn.choice(list(nodes)),)
+            one, other = (order[0],), (drawn.choice(list(backends)),)
         elif word == "listcut":
             one, other = (order[0],), ("list",)
         faults.append(Fault(word, round(at, 3), round(lasts, 3), share, late, one, other))
--- a/yarrowspindle/lab/model/backend.py
+++ b/yarrowspindle/lab/model/backend.py
@@ -6,14 +6,14 @@
 from math import log
 from typing import Any
 
-from yarrowspindle.decisions.events import State
+from yarrowspindle.decisions.events import EndpointState
 
 NEAR, NEAR_LOSS = 0.75, 0.1  # from this load on messages begin to wait; at full load so many of them wait too long
 HANGING = 9.0  # the use that a node reports while it answers nothing
 SHARE_POWER = 2.0  # how fast the share of well-served messages falls once a node holds more than it can carry
 
 
-class ModelNode:
+class ModelBackend:
     """`size` is what the machine list tells; `power` what the node can really do, both in units of 1000 ms of work a
     second. Loads are milliseconds of work a second."""
 
@@ -36,7 +36,7 @@
         self.cold_ms, self.cold_share = cold_ms, cold_share
         self.fall_multiple, self.fall_ms = fall_multiple, fall_ms
         self.group_load, self.set_up_ms, self.most = group_load, set_up_ms, most
-        self.state, self.alive, self.fallen = State.READY, True, False
+        self.state, self.alive, self.fallen = EndpointState.READY, True, False
         self.started = 0.0
         self.load = 0.0
         self.held: dict[Any, tuple[float, int]] = {}  # connection -> its load and group
@@ -99,7 +99,7 @@
     ) -> bool:
         """A new connection, with its class's usual load if that is told. False where the node takes no more; it may
         fall over by it: the rule counts connections against the rate of them that fills it, not one's luck."""
-        if not self.alive or self.state is State.DRAINING or len(self.held) >= self.most:
+        if not self.alive or self.state is EndpointState.DRAINING or len(self.held) >= self.most:
             return False
         self._sent(now, usual or load)
         if not self.alive:
@@ -163,7 +163,7 @@
         self.load = self.worth = 0.0
 
     def restart(self, now: float) -> None:
-        self.alive, self.fallen, self.state, self.started = True, False, State.READY, now
+        self.alive, self.fallen, self.state, self.started = True, False, EndpointState.READY, now
         self.hangs = self.silent = False
         self.slow, self.reported = 1.0, ()
         self.drop_all()
--- a/yarrowspindle/lab/model/client.py
+++ b/yarrowspindle/lab/model/client.py
@@ -10,14 +10,14 @@
 
     zone: int
 
-    def holds(self, submitter: Submitter) -> bool: ...
-    def zone_of(self, submitter: Submitter) -> int | None: ...
-    def leave(self, submitter: Submitter) -> None: ...
-    def served_to_end(self, submitter: Submitter) -> None: ...
-    def load_changed(self, submitter: Submitter, load: float) -> None: ...
+    def holds(self, client: Client) -> bool: ...
+    def zone_of(self, client: Client) -> int | None: ...
+    def leave(self, client: Client) -> None: ...
+    def served_to_end(self, client: Client) -> None: ...
+    def load_changed(self, client: Client, load: float) -> None: ...
 
 
-class Submitter:
+class Client:
     __slots__ = (
         "key",
         "group",
@@ -25,7 +25,7 @@
         "base",
         "ends",
         "relay",
-        "job",
+        "request",
         "answers",
         "deadline",
         "returned",
@@ -41,7 +41,7 @@
         self.cls = cls
         self.key, self.group, self.load, self.base, self.ends = key, group, load, load, ends
         self.relay: Door | None = None
-        self.job = self.answers = self.moves = self.tries = 0
+        self.request = self.answers = self.moves = self.tries = 0
         self.deadline = 0.0
         self.returned = self.up = self.over = False
         self.moved_open = False  # it was moved and is not up again yet
