--- a/yarrowspindle/lab/model/deployments.py
+++ b/yarrowspindle/lab/model/deployments.py
@@ -9,14 +9,14 @@
 
 from collections.abc import Callable
 
-from yarrowspindle.lab.model.backend import ModelNode
+from yarrowspindle.lab.model.backend import ModelBackend
 from yarrowspindle.lab.model.fleet import Fleet, FleetSpec, ModelClass
 
 ASKED = FleetSpec(
     relays=3,
-    nodes=12,
+    backends=12,
     connections=480,
-    life_s=28.0,
+    lifetime_s=28.0,
     filled=0.55,
     load_cv=0.9,
     load_every_s=10.0,
@@ -30,9 +30,9 @@
 )
 PROBED = FleetSpec(
     relays=3,
-    nodes=12,
+    backends=12,
     connections=130,
-    life_s=48.0,
+    lifetime_s=48.0,
     filled=0.4,
     load_cv=1.1,
     load_every_s=12.0,
@@ -61,48 +61,48 @@
 WARM_S, TROUBLE_S, AFTER_S = 8.0, 15.0, 12.0
 
 
-def struck(fleet: Fleet, part: float) -> list[ModelNode]:
+def struck(fleet: Fleet, part: float) -> list[ModelBackend]:
     """The nodes that hold most, so that a trouble is never spent on one that holds nothing."""
-    nodes = sorted(fleet.nodes.values(), key=lambda n: (-len(n.held), n.name))
-    return nodes[: max(1, round(part * len(nodes)))]
+    backends = sorted(fleet.backends.values(), key=lambda n: (-len(n.held), n.name))
+    return backends[: max(1, round(part * len(backends)))]
 
 
 def hang(fleet: Fleet) -> None:
-    nodes = struck(fleet, 0.15)
-    for node in nodes:
-        node.hangs = True
+    backends = struck(fleet, 0.15)
+    for backend in backends:
+        backend.hangs = True
     fleet.run(TROUBLE_S)
-    for node in nodes:
-        node.hangs = False
+    for backend in backends:
+        backend.hangs = False
 
 
 def vanish(fleet: Fleet) -> None:
     """Nothing is said: the list learns of it only after six seconds. They come back cold."""
-    nodes = struck(fleet, 0.15)
-    for node in nodes:
-        node.silent = True
+    backends = struck(fleet, 0.15)
+    for backend in backends:
+        backend.silent = True
     fleet.run(6.0)
-    fleet.kill(*nodes)
+    fleet.kill(*backends)
     fleet.run(TROUBLE_S - 6.0)
-    fleet.bring_back(*nodes)
+    fleet.bring_back(*backends)
 
 
 def slow(fleet: Fleet) -> None:
-    nodes = struck(fleet, 0.2)
-    for node in nodes:
-        node.slow = 6.0
+    backends = struck(fleet, 0.2)
+    for backend in backends:
+        backend.slow = 6.0
     fleet.run(TROUBLE_S)
-    for node in nodes:
-        node.slow = 1.0
+    for backend in backends:
+        backend.slow = 1.0
 
 
 def pauses(fleet: Fleet) -> None:
     """Half of the nodes stand still for 170 ms, each every two seconds: no reason to call them sick."""
-    nodes = struck(fleet, 0.5)
+    backends = struck(fleet, 0.5)
     for step in range(round(TROUBLE_S)):
-        for number, node in enumerate(nodes):
+        for number, backend in enumerate(backends):
             if (step + number) % 2 == 0:
-                node.paused_until = fleet.clock.time + 170.0
+                backend.paused_until = fleet.clock.time + 170.0
         fleet.run(1.0)
 
 
@@ -113,12 +113,12 @@
 
 
 def drain(fleet: Fleet) -> None:
-    nodes = struck(fleet, 0.2)
-    fleet.drain(*nodes)
+    backends = struck(fleet, 0.2)
+    fleet.drain(*backends)
     fleet.run(6.0)
-    fleet.kill(*nodes)
+    fleet.kill(*backends)
     fleet.run(TROUBLE_S - 6.0)
-    fleet.bring_back(*nodes)
+    fleet.bring_back(*backends)
 
 
 def calm(fleet: Fleet) -> None:
--- a/yarrowspindle/lab/model/fleet.py
+++ b/yarrowspindle/lab/model/fleet.py
@@ -7,17 +7,17 @@
 from dataclasses import dataclass, field, replace
 from random import Random
 
-from yarrowspindle.decisions.events import ListKind, State
+from yarrowspindle.decisions.events import EndpointState, ListKind
 from yarrowspindle.decisions.settings import RequestClass, Settings
-from yarrowspindle.lab.model.backend import ModelNode
-from yarrowspindle.lab.model.client import Submitter
+from yarrowspindle.lab.model.backend import ModelBackend
+from yarrowspindle.lab.model.client import Client
 from yarrowspindle.lab.model.clock import VirtualClock
 from yarrowspindle.lab.model.relay import ModelRelay, machine
 from yarrowspindle.lab.model.rules import Rules
 from yarrowspindle.lab.model.talk import Talk
 from yarrowspindle.rebalancing import RebalanceSettings
-from yarrowspindle.routing.events import ListTold, OthersTold, Rebalance
-from yarrowspindle.routing.termination import Ending
+from yarrowspindle.routing.events import EndpointsUpdated, PeerLoadsUpdated, RebalancingConfigured
+from yarrowspindle.routing.termination import TerminationReason
 
 AGAIN_MS = (60.0, 1400.0)  # a moved or broken submitter comes again within this time
 SIZES = (6.0, 4.8, 2.4)  # kinds of machines: three fast cores, four middling, three slow
@@ -41,9 +41,9 @@
     """Times in seconds where the name says `_s`, else milliseconds; loads in milliseconds of work a second."""
 
     relays: int = 3
-    nodes: int = 12
+    backends: int = 12
     connections: int = 2000
-    life_s: float = 600.0
+    lifetime_s: float = 600.0
     filled: float = 0.5  # load over the capacity of all nodes
     load_cv: float = 0.4
     load_every_s: float = 30.0  # a connection's load changes about this often
@@ -60,7 +60,7 @@
     fall_multiple: float = 3.0
     fall_ms: float = 1500.0
     set_up_ms: float = 8.0
-    node_most: int = 10_000  # connections that a node takes; beyond that it turns new ones away
+    backend_most: int = 10_000  # connections that a node takes; beyond that it turns new ones away
     deadline_ms: float = 4800.0
     answer_slack_ms: float = 50.0
     retry_after: bool = True
@@ -92,9 +92,9 @@
         self.random = Random(seed)  # of the submitters and the network
         self.counts: Counter[str] = Counter()
         self.moves_at: Counter[int] = Counter()  # moves in each second of the run
-        self.nodes: dict[str, ModelNode] = {}
+        self.backends: dict[str, ModelBackend] = {}
         self.order: dict[str, int] = {}
-        self.submitters: set[Submitter] = set()
+        self.clients: set[Client] = set()
         self.keys = 0
         self.ended = False  # nobody opens a connection any more
         self.version = 1
@@ -102,7 +102,7 @@
         self.wanted = self.served = 0.0
         self.samples: list[Callable[[float], None]] = []
         drawn = Random(seed + 1)
-        sizes = [SIZES[n % len(SIZES)] for n in range(spec.nodes)]
+        sizes = [SIZES[n % len(SIZES)] for n in range(spec.backends)]
         self.classes = spec.classes or (ModelClass(deadline_ms=spec.deadline_ms),)
         usual = sum(c.share * c.life * c.load for c in self.classes) / sum(c.share * c.life for c in self.classes)
         self.unit_load = spec.filled * sum(sizes) * 1000.0 / max(spec.connections, 1) / (1.0 + spec.grouped / 3.0)
@@ -110,10 +110,12 @@
         self.group_load = spec.group_cost * self.unit_load * usual
         self.crossed = self.stood = 0.0  # seconds of standing connections: across zones, and all
         for size in sizes:
-            self.add_node(size, drawn)
+            self.add_backend(size, drawn)
         settings = Settings(
             classes=tuple(
-                RequestClass(c.aim_ms, c.deadline_ms, worth=c.worth, message_aim_ms=c.message_aim_ms)
+                RequestClass(
+                    c.aim_ms, c.deadline_ms, priority_weight=c.worth, message_latency_objective_ms=c.message_aim_ms
+                )
                 for c in self.classes
             ),
             balancers=spec.relays,
@@ -121,20 +123,20 @@
             max_retry_after_ms=2000.0,
             retry_after=spec.retry_after,
             may_cancel=True,
-            cold_share=spec.cold_share,
-            cold_ms=spec.cold_ms,
-            fall_multiple=spec.fall_multiple,
-            fall_ms=spec.fall_ms,
+            initial_capacity_fraction=spec.cold_share,
+            warmup_ms=spec.cold_ms,
+            overload_multiple=spec.fall_multiple,
+            overload_window_ms=spec.fall_ms,
             answer_slack_ms=spec.answer_slack_ms,
             drain_grace_ms=spec.drain_grace_ms,
-            tells_delay=spec.tells_delay,
-            tells_load=spec.tells_load,
-            by_own_load=spec.by_own_load,
+            backend_reports_latency=spec.tells_delay,
+            backend_reports_load=spec.tells_load,
+            uses_own_load=spec.by_own_load,
             zones=spec.zones,
-            groups=spec.grouped > 0.0,
+            groups_share_work=spec.grouped > 0.0,
             may_probe=spec.report_ms > 0.0,
-            report=("rif", "x0") if spec.report_ms > 0.0 else (),
-            live_weights=spec.weights_ms > 0.0,
+            load_report_fields=("rif", "x0") if spec.report_ms > 0.0 else (),
+            capacity_excludes_load=spec.weights_ms > 0.0,
             cross_zone_price=spec.cross_zone_price if spec.zones > 1 else 0.0,
         )
         self.settings, self.starts = settings, 0
@@ -163,8 +165,8 @@
         if self.talk is not None:
             self.talk.join(
                 relay.index,
-                lambda: relay.reducer.balancer.servers.values(),
-                lambda others: relay.post(OthersTold(others)),
+                lambda: relay.reducer.balancer.backends.values(),
+                lambda others: relay.post(PeerLoadsUpdated(others)),
             )
 
     def kill_relay(self, index: int) -> None:
@@ -191,15 +193,15 @@
         """What SIGHUP does at all relays at once."""
         for relay in self.relays:
             if settings is not None or relay.reducer.rebalance is not None:
-                relay.post(Rebalance(settings, 7 if self.spec.alike else self.seed * 31 + relay.index))
+                relay.post(RebalancingConfigured(settings, 7 if self.spec.alike else self.seed * 31 + relay.index))
 
     # --- nodes and the list ---------------------------------------------------------------------
 
-    def add_node(self, size: float, drawn: Random | None = None, started: bool = False) -> ModelNode:
+    def add_backend(self, size: float, drawn: Random | None = None, started: bool = False) -> ModelBackend:
         spec = self.spec
         name = f"s-{len(self.order):04d}"
         power = size * max(0.5, (drawn or self.random).gauss(1.0, spec.speed_cv))
-        node = ModelNode(
+        backend = ModelBackend(
             name,
             len(self.order) % spec.zones,
             size,
@@ -210,51 +212,53 @@
             fall_ms=spec.fall_ms,
             group_load=self.group_load,
             set_up_ms=spec.set_up_ms,
-            most=spec.node_most,
+            most=spec.backend_most,
         )
-        node.started = self.clock.time if started else 0.0
-        self.nodes[name] = node
+        backend.started = self.clock.time if started else 0.0
+        self.backends[name] = backend
         self.order[name] = len(self.order)
-        return node
+        return backend
 
-    def whole_list(self) -> ListTold:
-        machines = [machine(n, self.order[n.name], n.state) for n in self.nodes.values() if n.state is not State.GONE]
-        return ListTold(ListKind.CACHED, machines, self.version)
+    def whole_list(self) -> EndpointsUpdated:
+        machines = [
+            machine(n, self.order[n.name], n.state) for n in self.backends.values() if n.state is not EndpointState.GONE
+        ]
+        return EndpointsUpdated(ListKind.CACHED, machines, self.version)
 
-    def tell(self, state: State, *nodes: ModelNode) -> None:
+    def tell(self, state: EndpointState, *backends: ModelBackend) -> None:
         """The list says so, in one change; each relay hears of it in its own time."""
         self.version += 1
-        for node in nodes:
-            node.state = state
+        for backend in backends:
+            backend.state = state
         for relay in self.relays:
-            machines = [machine(node, self.order[node.name], state) for node in nodes]
-            told = ListTold(ListKind.DELTA, machines, self.version)
+            machines = [machine(backend, self.order[backend.name], state) for backend in backends]
+            told = EndpointsUpdated(ListKind.DELTA, machines, self.version)
             self.clock.after(self.random.uniform(*self.spec.notice_ms), relay.list_told, told)
 
-    def drain(self, *nodes: ModelNode) -> None:
-        self.tell(State.DRAINING, *nodes)
+    def drain(self, *backends: ModelBackend) -> None:
+        self.tell(EndpointState.DRAINING, *backends)
 
-    def kill(self, *nodes: ModelNode) -> None:
-        for node in nodes:
-            node.alive = False
-            self.node_died(node)
-        self.tell(State.GONE, *nodes)
+    def kill(self, *backends: ModelBackend) -> None:
+        for backend in backends:
+            backend.alive = False
+            self.backend_died(backend)
+        self.tell(EndpointState.GONE, *backends)
 
-    def node_died(self, node: ModelNode) -> None:
-        if node.fallen:
-            self.rules.note("no cold node falls", self.clock.seconds, node.name)
+    def backend_died(self, backend: ModelBackend) -> None:
+        if backend.fallen:
+            self.rules.note("no cold node falls", self.clock.seconds, backend.name)
             self.counts["fallen"] += 1
         for relay in self.relays:
-            relay.node_died(node)
-        node.drop_all()
+            relay.backend_died(backend)
+        backend.drop_all()
 
-    def bring_back(self, *nodes: ModelNode) -> None:
-        for node in nodes:
-            if node.alive:  # a draining one: what it holds ends with its process
-                node.alive = False
-                self.node_died(node)
-            node.restart(self.clock.time)
-        self.tell(State.READY, *nodes)
+    def bring_back(self, *backends: ModelBackend) -> None:
+        for backend in backends:
+            if backend.alive:  # a draining one: what it holds ends with its process
+                backend.alive = False
+                self.backend_died(backend)
+            backend.restart(self.clock.time)
+        self.tell(EndpointState.READY, *backends)
 
     @property
     def hints(self) -> bool:
@@ -291,7 +295,7 @@
         self._arrivals()
 
     def _arrivals(self) -> None:
-        gap = self.spec.life_s * 1000.0 / max(self.spec.connections, 1)
+        gap = self.spec.lifetime_s * 1000.0 / max(self.spec.connections, 1)
         self.clock.after(self.random.expovariate(1.0 / gap), self._next_arrival)
 
     def _next_arrival(self) -> None:
@@ -310,108 +314,108 @@
             # Those that stand from the start on are a sample of what stands, in which long lives are the more.
             shares = [c.share * (c.life if _first else 1.0) for c in self.classes]
             (cls,) = self.random.choices(range(len(shares)), shares)
-        life = self.random.expovariate(1.0 / (spec.life_s * 1000.0 * self.classes[cls].life))
+        life = self.random.expovariate(1.0 / (spec.lifetime_s * 1000.0 * self.classes[cls].life))
         group = 0
         if self.random.random() < spec.grouped:
             group = 1 + self.random.randrange(max(1, int(spec.connections * spec.grouped / spec.group_size)))
         load = self.unit_load * self.random.lognormvariate(-0.5 * spec.load_cv**2, spec.load_cv)
-        submitter = Submitter(self.keys, group, load * self.classes[cls].load, self.clock.time + life, cls)
-        self.submitters.add(submitter)
-        self.clock.after(life, self._end, submitter)
+        client = Client(self.keys, group, load * self.classes[cls].load, self.clock.time + life, cls)
+        self.clients.add(client)
+        self.clock.after(life, self._end, client)
         if spec.load_every_s > 0.0:
-            self.clock.after(self._next_load(), self._swing, submitter)
-        self.open(submitter)
+            self.clock.after(self._next_load(), self._swing, client)
+        self.open(client)
 
     def _next_load(self) -> float:
         return self.random.expovariate(1.0 / (self.spec.load_every_s * 1000.0))
 
-    def _swing(self, submitter: Submitter) -> None:
-        if submitter.over:
+    def _swing(self, client: Client) -> None:
+        if client.over:
             return
-        submitter.load = submitter.base * max(0.1, self.random.gauss(1.0, self.spec.swing))
-        if submitter.up and submitter.relay is not None:
-            submitter.relay.load_changed(submitter, submitter.load)
-        self.clock.after(self._next_load(), self._swing, submitter)
+        client.load = client.base * max(0.1, self.random.gauss(1.0, self.spec.swing))
+        if client.up and client.relay is not None:
+            client.relay.load_changed(client, client.load)
+        self.clock.after(self._next_load(), self._swing, client)
 
-    def open(self, submitter: Submitter) -> None:
-        if submitter.over or self.ended:
+    def open(self, client: Client) -> None:
+        if client.over or self.ended:
             return
         alive = [r for r in self.relays if r.alive]
         if len(alive) == len(self.relays) and not self.spec.weights:
             relay = alive[int(self.random.random() * len(alive))]
         else:
             (relay,) = self.random.choices(alive, [self.weights[r.index] for r in alive])
-        deadline_ms = self.classes[submitter.cls].deadline_ms
-        submitter.deadline = self.clock.time + deadline_ms
-        submitter.tries += 1
+        deadline_ms = self.classes[client.cls].deadline_ms
+        client.deadline = self.clock.time + deadline_ms
+        client.tries += 1
         self.counts["tries"] += 1
-        relay.arrive(submitter, deadline_ms)
+        relay.arrive(client, deadline_ms)
 
-    def submitter_up(self, submitter: Submitter) -> None:
-        submitter.up, submitter.tries, submitter.moved_open = True, 0, False
+    def client_up(self, client: Client) -> None:
+        client.up, client.tries, client.moved_open = True, 0, False
         self.counts["up"] += 1
 
-    def submitter_refused(self, submitter: Submitter, after_ms: float) -> None:
+    def client_refused(self, client: Client, after_ms: float) -> None:
         self.counts["refused"] += 1
-        wait = after_ms or min(200.0 * 2.0 ** min(submitter.tries, 5), 5000.0)
-        self.clock.after(wait * self.random.uniform(1.0, 1.2), self.open, submitter)
+        wait = after_ms or min(200.0 * 2.0 ** min(client.tries, 5), 5000.0)
+        self.clock.after(wait * self.random.uniform(1.0, 1.2), self.open, client)
 
-    def _again(self, submitter: Submitter) -> None:
-        submitter.up, submitter.returned = False, True
-        self.clock.after(self.random.uniform(*AGAIN_MS), self.open, submitter)
+    def _again(self, client: Client) -> None:
+        client.up, client.returned = False, True
+        self.clock.after(self.random.uniform(*AGAIN_MS), self.open, client)
 
-    def submitter_moved(self, submitter: Submitter, node: ModelNode | None) -> None:
+    def client_moved(self, client: Client, backend: ModelBackend | None) -> None:
         self.counts["moves"] += 1
         self.moves_at[int(self.clock.seconds)] += 1
-        submitter.moves += 1
-        submitter.moved_open = True
-        self.moves_most = max(self.moves_most, submitter.moves)
+        client.moves += 1
+        client.moved_open = True
+        self.moves_most = max(self.moves_most, client.moves)
         draw = self.random.random()
         if draw < self.spec.never_back:
-            submitter.up = False
+            client.up = False
             self.counts["never_back"] += 1
-            self._gone(submitter)
+            self._gone(client)
         elif draw < self.spec.never_back + self.spec.late_back:
-            submitter.up, submitter.returned = False, True
-            self.clock.after(self.random.uniform(5000.0, 20_000.0), self.open, submitter)
+            client.up, client.returned = False, True
+            self.clock.after(self.random.uniform(5000.0, 20_000.0), self.open, client)
         else:
-            self._again(submitter)
+            self._again(client)
 
-    def submitter_closed(self, submitter: Submitter, ending: Ending) -> None:
-        if ending is Ending.SERVED:
-            self._gone(submitter)
+    def client_closed(self, client: Client, ending: TerminationReason) -> None:
+        if ending is TerminationReason.COMPLETED:
+            self._gone(client)
             return
         self.counts["broken"] += 1
-        self._again(submitter)
+        self._again(client)
 
-    def _end(self, submitter: Submitter) -> None:
+    def _end(self, client: Client) -> None:
         """Its time is over: the node ends a standing connection, and one that waits is left."""
-        if submitter.over:
+        if client.over:
             return
-        relay = submitter.relay
-        if submitter.up and relay is not None:
-            relay.served_to_end(submitter)
+        relay = client.relay
+        if client.up and relay is not None:
+            relay.served_to_end(client)
         else:
-            if relay is not None and relay.holds(submitter):
-                relay.leave(submitter)
-            self._gone(submitter)
+            if relay is not None and relay.holds(client):
+                relay.leave(client)
+            self._gone(client)
 
-    def _gone(self, submitter: Submitter) -> None:
-        submitter.over, submitter.up, submitter.moved_open = True, False, False
-        self.submitters.discard(submitter)
+    def _gone(self, client: Client) -> None:
+        client.over, client.up, client.moved_open = True, False, False
+        self.clients.discard(client)
 
     # --- what is measured -----------------------------------------------------------------------
 
     def _sample(self) -> None:
         self.clock.after(1000.0, self._sample)
         now = self.clock.time
-        self.wanted += sum(self.classes[s.cls].worth for s in self.submitters)
-        self.served += sum(n.worth * n.share_served(now) for n in self.nodes.values() if n.held)
-        for submitter in self.submitters:
-            zone = submitter.relay.zone_of(submitter) if submitter.up and submitter.relay else None
-            if zone is not None and submitter.relay is not None:
+        self.wanted += sum(self.classes[s.cls].worth for s in self.clients)
+        self.served += sum(n.worth * n.share_served(now) for n in self.backends.values() if n.held)
+        for client in self.clients:
+            zone = client.relay.zone_of(client) if client.up and client.relay else None
+            if zone is not None and client.relay is not None:
                 self.stood += 1.0
-                self.crossed += zone != submitter.relay.zone
+                self.crossed += zone != client.relay.zone
         self._talk(now)
         for sample in self.samples:
             sample(self.clock.seconds)
@@ -419,60 +423,62 @@
     def _talk(self, now: float) -> None:
         """What passes on standing connections: lines that nobody answers, and word of long messages."""
         aim = min(c.message_aim_ms for c in self.classes)
-        for node in self.nodes.values():
-            if not node.held:
+        for backend in self.backends.values():
+            if not backend.held:
                 continue
             for relay in self.relays:
-                if not node.answers:
-                    relay.unanswered(node)
-                elif self.spec.notes and node.message_ms(now, aim) > aim / 3.0:
-                    relay.noted(node, node.message_ms(now, aim))
+                if not backend.answers:
+                    relay.unanswered(backend)
+                elif self.spec.notes and backend.message_ms(now, aim) > aim / 3.0:
+                    relay.noted(backend, backend.message_ms(now, aim))
 
     def _refresh(self) -> None:
         self.clock.after(self.spec.report_ms, self._refresh)
-        for node in self.nodes.values():
-            if node.alive:
-                node.refresh(self.clock.time)
+        for backend in self.backends.values():
+            if backend.alive:
+                backend.refresh(self.clock.time)
 
     def _weigh(self) -> None:
         """The list's weights change, late and the same at all relays."""
         self.clock.after(self.spec.weights_ms, self._weigh)
         self.version += 1
-        ready = [n for n in self.nodes.values() if n.state is State.READY]
+        ready = [n for n in self.backends.values() if n.state is EndpointState.READY]
         for relay in self.relays:
             machines = [machine(n, self.order[n.name], n.state, n.weight(self.spec.cores)) for n in ready]
-            told = ListTold(ListKind.DELTA, machines, self.version)
+            told = EndpointsUpdated(ListKind.DELTA, machines, self.version)
             self.clock.after(self.random.uniform(*self.spec.notice_ms), self._weights_told, relay, told)
 
-    def _weights_told(self, relay: ModelRelay, told: ListTold) -> None:
+    def _weights_told(self, relay: ModelRelay, told: EndpointsUpdated) -> None:
         """A weight must not bring back what the list has taken out meanwhile."""
-        told.machines = [
-            m for m in told.machines if m.name not in relay.stopped_nodes and self.nodes[m.name].state is State.READY
+        told.endpoints = [
+            m
+            for m in told.endpoints
+            if m.name not in relay.stopped_backends and self.backends[m.name].state is EndpointState.READY
         ]
         relay.list_told(told)
 
     def imbalance(self, warm_only: bool = True) -> float:
         """Greatest minus mean of load over the capacity told, over usable nodes (those that are warm)."""
         now = self.clock.time
-        nodes = [
+        backends = [
             n
-            for n in self.nodes.values()
-            if n.alive and n.state is State.READY and (not warm_only or n.ramp(now) >= 1.0)
+            for n in self.backends.values()
+            if n.alive and n.state is EndpointState.READY and (not warm_only or n.ramp(now) >= 1.0)
         ]
-        if not nodes:
+        if not backends:
             return 0.0
-        mean = sum(n.load for n in nodes) / sum(n.size for n in nodes) / 1000.0
-        return max(n.filled() for n in nodes) - mean
+        mean = sum(n.load for n in backends) / sum(n.size for n in backends) / 1000.0
+        return max(n.filled() for n in backends) - mean
 
     def fewest_moves(self) -> int:
         """The fewest moves that would even the fleet out now: from each node above the mean, heaviest first, single
         connections that fit into what lies above it. No plan that must not overshoot needs fewer."""
-        nodes = [n for n in self.nodes.values() if n.alive and n.state is State.READY]
-        mean = sum(n.load for n in nodes) / sum(n.size for n in nodes)
+        backends = [n for n in self.backends.values() if n.alive and n.state is EndpointState.READY]
+        mean = sum(n.load for n in backends) / sum(n.size for n in backends)
         moves = 0
-        for node in nodes:
-            above = node.load - mean * node.size
-            for load, _ in sorted(node.held.values(), reverse=True):
+        for backend in backends:
+            above = backend.load - mean * backend.size
+            for load, _ in sorted(backend.held.values(), reverse=True):
                 if 0.0 < load <= above:
                     above -= load
                     moves += 1
@@ -480,7 +486,7 @@
 
     def lost(self) -> int:
         """Submitters that were moved, want to come again, and have not been up since for longer than they need."""
-        return sum(1 for s in self.submitters if s.moved_open and s.tries > 6)
+        return sum(1 for s in self.clients if s.moved_open and s.tries > 6)
 
     def relay_counts(self, name: str) -> int:
         return sum(r.reducer.rebalance.counts[name] for r in self.relays if r.reducer.rebalance is not None)
--- a/yarrowspindle/lab/model/members.py
+++ b/yarrowspindle/lab/model/members.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from yarrowspindle.decisions.events import Others
+from yarrowspindle.decisions.events import PeerLoads
 from yarrowspindle.lab.faults import Fault, relay_names, schedule
 from yarrowspindle.lab.model.clock import VirtualClock
 from yarrowspindle.lab.model.peering import VirtualNet
@@ -30,26 +30,26 @@
 class Relays:
     """So many relays on one virtual network; each holds something at nodes drawn from its seed."""
 
-    def __init__(self, relays: int, seed: int, nodes: int = 12, held: int = 6, **changes: object) -> None:
+    def __init__(self, relays: int, seed: int, backends: int = 12, held: int = 6, **changes: object) -> None:
         self.clock = VirtualClock()
         self.net = VirtualNet(self.clock, seed, **changes)  # type: ignore[arg-type]
-        self.count, self.nodes, self.random = relays, nodes, Random(f"held {seed}")
+        self.count, self.backends, self.random = relays, backends, Random(f"held {seed}")
         self.holds = [self._drawn(held) for _ in range(relays)]
         self.told: dict[int, dict[int, tuple[int, float]]] = {}  # relay -> what its module knows of the others
-        self.others: dict[int, Others] = {}
+        self.others: dict[int, PeerLoads] = {}
 
     def _drawn(self, held: int) -> dict[int, tuple[int, float]]:
-        nodes = self.random.sample(range(1, self.nodes + 1), min(held, self.nodes))
-        return {node: (self.random.randint(1, 9), float(self.random.randint(1, 500))) for node in nodes}
+        backends = self.random.sample(range(1, self.backends + 1), min(held, self.backends))
+        return {backend: (self.random.randint(1, 9), float(self.random.randint(1, 500))) for backend in backends}
 
     def start(self, index: int) -> None:
         self.told[index] = {}
         self.net.add(index, lambda: Own(dict(self.holds[index])), lambda others: self._told(index, others))
 
-    def _told(self, index: int, others: Others) -> None:
+    def _told(self, index: int, others: PeerLoads) -> None:
         self.others[index] = others
         book = self.told[index]
-        for key, held in others.holds.items():
+        for key, held in others.loads.items():
             if held == (0, 0.0):
                 book.pop(key, None)
             else:
@@ -60,9 +60,9 @@
 
     def change(self, index: int) -> None:
         """Something came or went there."""
-        node = self.random.randint(1, self.nodes)
-        if self.holds[index].pop(node, None) is None:
-            self.holds[index][node] = (self.random.randint(1, 9), float(self.random.randint(1, 500)))
+        backend = self.random.randint(1, self.backends)
+        if self.holds[index].pop(backend, None) is None:
+            self.holds[index][backend] = (self.random.randint(1, 9), float(self.random.randint(1, 500)))
 
     def run(self, seconds: float) -> None:
         self.clock.run_until(self.clock.time + 1000.0 * seconds)
@@ -72,9 +72,9 @@
         found: dict[int, tuple[int, float]] = {}
         for index, peer in self.net.peers.items():
             if index != but and peer.alive:
-                for node, (count, load) in self.holds[index].items():
-                    was = found.get(node, (0, 0.0))
-                    found[node] = (was[0] + count, was[1] + load)
+                for backend, (count, load) in self.holds[index].items():
+                    was = found.get(backend, (0, 0.0))
+                    found[backend] = (was[0] + count, was[1] + load)
         return found
 
     def agree(self) -> bool:
--- a/yarrowspindle/lab/model/peering.py
+++ b/yarrowspindle/lab/model/peering.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from random import Random
 
-from yarrowspindle.decisions.events import Others
+from yarrowspindle.decisions.events import PeerLoads
 from yarrowspindle.lab.faults import Fault, Ways
 from yarrowspindle.lab.model.clock import VirtualClock
 from yarrowspindle.membership import Peers, PeerSettings
@@ -24,7 +24,7 @@
     """One process of a relay as the others meet it; killed, stopped and started by the network that it is in."""
 
     def __init__(
-        self, net: VirtualNet, index: int, life: int, own: Callable[[], Own], told: Callable[[Others], None]
+        self, net: VirtualNet, index: int, life: int, own: Callable[[], Own], told: Callable[[PeerLoads], None]
     ) -> None:
         self.net, self.index, self.own, self.told = net, index, own, told
         self.party, self.address = f"r{index}", address_of(index)
@@ -122,7 +122,7 @@
             changes["cluster"] = f"cell{index // self.cell}"
         return PeerSettings(address, tuple(address_of(first + n) for n in range(self.seeds)), **changes)  # type: ignore[arg-type]
 
-    def add(self, index: int, own: Callable[[], Own], told: Callable[[Others], None]) -> VirtualPeer:
+    def add(self, index: int, own: Callable[[], Own], told: Callable[[PeerLoads], None]) -> VirtualPeer:
         """A process of this relay starts now; one that was there must have ended."""
         self.lives += 1
         peer = VirtualPeer(self, index, self.lives, own, told)
--- a/yarrowspindle/lab/model/relay.py
+++ b/yarrowspindle/lab/model/relay.py
@@ -6,29 +6,40 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
-from yarrowspindle.decisions.events import State
+from yarrowspindle.decisions.events import EndpointState
 from yarrowspindle.decisions.settings import Settings
-from yarrowspindle.lab.model.backend import ModelNode
-from yarrowspindle.lab.model.client import Submitter
+from yarrowspindle.lab.model.backend import ModelBackend
+from yarrowspindle.lab.model.client import Client
 from yarrowspindle.lab.model.clock import Timer, VirtualClock
 from yarrowspindle.lab.model.rules import Rules
-from yarrowspindle.routing.effects import Ask, Close, Deny, Drop, Effect, Join, Move, Probe, Reach, Requeue
+from yarrowspindle.routing.effects import (
+    AbortAttempt,
+    CheckHealth,
+    CloseClientConnection,
+    Effect,
+    FailRequest,
+    ForwardRequest,
+    MigrateConnection,
+    OpenBackendConnection,
+    RejectRequest,
+    StartRelaying,
+)
 from yarrowspindle.routing.events import (
-    Asked,
-    AttemptOver,
+    AttemptEnded,
+    BackendAccepted,
+    BackendConnected,
+    ClientDataForwarded,
+    ClientDisconnected,
+    Endpoint,
+    EndpointsUpdated,
     Event,
-    FigureTold,
-    JobArrived,
-    ListTold,
-    LoadTold,
-    Machine,
-    NodeReached,
-    NodeUp,
-    ProbeOver,
-    SubmitterLeft,
+    HealthCheckCompleted,
+    LoadReported,
+    RequestReceived,
+    UnclassifiedReport,
 )
 from yarrowspindle.routing.reducer import Reducer
-from yarrowspindle.routing.termination import Ending
+from yarrowspindle.routing.termination import TerminationReason
 from yarrowspindle.runtime import Runtime, Timers
 
 GRACE_SLACK_MS = 50.0  # the rules allow it beyond the drain's grace
@@ -39,7 +50,7 @@
 
     clock: VirtualClock
     rules: Rules
-    nodes: dict[str, ModelNode]
+    backends: dict[str, ModelBackend]
     counts: Counter[str]
     unit_load: float
 
@@ -54,18 +65,18 @@
     def latency(self) -> float: ...
     def usual_load(self, cls: int) -> float: ...
     def worth_of(self, cls: int) -> float: ...
-    def node_died(self, node: ModelNode) -> None: ...
-    def submitter_up(self, submitter: Submitter) -> None: ...
-    def submitter_refused(self, submitter: Submitter, after_ms: float) -> None: ...
-    def submitter_moved(self, submitter: Submitter, node: ModelNode | None) -> None: ...
-    def submitter_closed(self, submitter: Submitter, ending: Ending) -> None: ...
+    def backend_died(self, backend: ModelBackend) -> None: ...
+    def client_up(self, client: Client) -> None: ...
+    def client_refused(self, client: Client, after_ms: float) -> None: ...
+    def client_moved(self, client: Client, backend: ModelBackend | None) -> None: ...
+    def client_closed(self, client: Client, ending: TerminationReason) -> None: ...
 
 
 class Attempt:
-    __slots__ = ("job", "number", "node", "sent", "up")
+    __slots__ = ("request", "number", "backend", "sent", "up")
 
-    def __init__(self, job: int, number: int, node: ModelNode | None) -> None:
-        self.job, self.number, self.node = job, number, node
+    def __init__(self, request: int, number: int, backend: ModelBackend | None) -> None:
+        self.request, self.number, self.backend = request, number, backend
         self.sent = self.up = False
 
 
@@ -104,20 +115,20 @@
         self.reducer = self.runtime.reducer
         self.runtime.probe = self._probe
         self.zone = settings.zone
-        self.submitters: dict[int, Submitter] = {}
+        self.clients: dict[int, Client] = {}
         self.attempts: dict[int, Attempt] = {}
-        self.stopped_nodes: dict[str, float] = {}  # told draining or gone: since when
+        self.stopped_backends: dict[str, float] = {}  # told draining or gone: since when
         self.alive = True
         self.log: list[tuple[float, str]] = []
         self.effects: dict[type, Callable[[Any], None]] = {
-            Reach: self._reach,
-            Ask: self._ask,
-            Drop: self._drop,
-            Join: self._join,
-            Requeue: self._requeue,
-            Deny: self._deny,
-            Move: self._move,
-            Close: self._close,
+            OpenBackendConnection: self._reach,
+            ForwardRequest: self._ask,
+            AbortAttempt: self._drop,
+            StartRelaying: self._join,
+            RejectRequest: self._requeue,
+            FailRequest: self._deny,
+            MigrateConnection: self._move,
+            CloseClientConnection: self._close,
         }
 
     def post(self, event: Event) -> None:
@@ -140,200 +151,212 @@
         self.runtime.close()
         for attempt in list(self.attempts.values()):
             self._release(attempt)
-        submitters, self.submitters = list(self.submitters.values()), {}
-        for submitter in submitters:
-            self.fleet.submitter_closed(submitter, Ending.BROKEN)
+        clients, self.clients = list(self.clients.values()), {}
+        for client in clients:
+            self.fleet.client_closed(client, TerminationReason.CONNECTION_RESET)
 
     # --- the list -------------------------------------------------------------------------------
 
-    def list_told(self, told: ListTold) -> None:
-        for machine in told.machines:
-            if machine.state is State.READY:
-                self.stopped_nodes.pop(machine.name, None)
+    def list_told(self, told: EndpointsUpdated) -> None:
+        for machine in told.endpoints:
+            if machine.state is EndpointState.READY:
+                self.stopped_backends.pop(machine.name, None)
             else:
-                self.stopped_nodes.setdefault(machine.name, self.clock.now())
+                self.stopped_backends.setdefault(machine.name, self.clock.now())
         self.post(told)
 
     # --- submitters -----------------------------------------------------------------------------
 
-    def arrive(self, submitter: Submitter, deadline_ms: float) -> None:
-        job = submitter.job = self.runtime.new_job(self)
-        submitter.relay, submitter.answers = self, 0
-        self.submitters[job] = submitter
-        load = submitter.load if self.fleet.hints else 0.0
+    def arrive(self, client: Client, deadline_ms: float) -> None:
+        request = client.request = self.runtime.new_request(self)
+        client.relay, client.answers = self, 0
+        self.clients[request] = client
+        load = client.load if self.fleet.hints else 0.0
         self.post(
-            JobArrived(
-                job,
+            RequestReceived(
+                request,
                 deadline_ms,
-                submitter.cls,
-                key=submitter.key,
-                group=submitter.group,
+                client.cls,
+                key=client.key,
+                group=client.group,
                 load=load,
-                returned=submitter.returned,
+                returned=client.returned,
             )
         )
 
-    def holds(self, submitter: Submitter) -> bool:
-        return self.submitters.get(submitter.job) is submitter
+    def holds(self, client: Client) -> bool:
+        return self.clients.get(client.request) is client
 
-    def zone_of(self, submitter: Submitter) -> int | None:
+    def zone_of(self, client: Client) -> int | None:
         """The zone of the node at which it stands."""
-        attempt = self.attempts.get(submitter.job)
-        return attempt.node.zone if attempt is not None and attempt.node is not None else None
+        attempt = self.attempts.get(client.request)
+        return attempt.backend.zone if attempt is not None and attempt.backend is not None else None
 
-    def leave(self, submitter: Submitter) -> None:
-        self.submitters.pop(submitter.job, None)
-        self.post(SubmitterLeft(submitter.job))
+    def leave(self, client: Client) -> None:
+        self.clients.pop(client.request, None)
+        self.post(ClientDisconnected(client.request))
 
-    def served_to_end(self, submitter: Submitter) -> None:
-        attempt = self.attempts.get(submitter.job)
+    def served_to_end(self, client: Client) -> None:
+        attempt = self.attempts.get(client.request)
         if attempt is not None:
             self._release(attempt)
-            self.post(AttemptOver(attempt.job, attempt.number, Ending.SERVED))
+            self.post(AttemptEnded(attempt.request, attempt.number, TerminationReason.COMPLETED))
 
-    def load_changed(self, submitter: Submitter, load: float) -> None:
-        attempt = self.attempts.get(submitter.job)
-        if attempt is not None and attempt.up and attempt.node is not None:
-            attempt.node.change((self.index, attempt.job), load)
+    def load_changed(self, client: Client, load: float) -> None:
+        attempt = self.attempts.get(client.request)
+        if attempt is not None and attempt.up and attempt.backend is not None:
+            attempt.backend.change((self.index, attempt.request), load)
             if self.fleet.tells_load:
-                self.post(LoadTold(attempt.job, load))
+                self.post(LoadReported(attempt.request, load))
 
     # --- nodes ----------------------------------------------------------------------------------
 
-    def _reach(self, effect: Reach) -> None:
-        if effect.job in self.attempts:
-            self.fleet.rules.note("one attempt out", self.clock.seconds, f"job {effect.job} at relay {self.index}")
-        attempt = self.attempts[effect.job] = Attempt(effect.job, effect.attempt, self.fleet.nodes.get(effect.node))
-        if attempt.node is not None and attempt.node.silent:
+    def _reach(self, effect: OpenBackendConnection) -> None:
+        if effect.request in self.attempts:
+            self.fleet.rules.note("one attempt out", self.clock.seconds, f"job {effect.request} at relay {self.index}")
+        attempt = self.attempts[effect.request] = Attempt(
+            effect.request, effect.attempt, self.fleet.backends.get(effect.backend)
+        )
+        if attempt.backend is not None and attempt.backend.silent:
             self.clock.after(effect.within_ms, self._unreached, attempt)
         else:
             self.clock.after(self.fleet.latency(), self._reached, attempt)
 
     def _unreached(self, attempt: Attempt) -> None:
-        if self.attempts.get(attempt.job) is attempt and not attempt.sent:
-            del self.attempts[attempt.job]
-            self.post(AttemptOver(attempt.job, attempt.number, Ending.UNREACHED))
+        if self.attempts.get(attempt.request) is attempt and not attempt.sent:
+            del self.attempts[attempt.request]
+            self.post(AttemptEnded(attempt.request, attempt.number, TerminationReason.CONNECT_FAILED))
 
     def _reached(self, attempt: Attempt) -> None:
-        if self.attempts.get(attempt.job) is not attempt:
+        if self.attempts.get(attempt.request) is not attempt:
             return
-        if attempt.node is None or not attempt.node.alive:
+        if attempt.backend is None or not attempt.backend.alive:
             self._unreached(attempt)
         else:
-            self.post(NodeReached(attempt.job, attempt.number))
+            self.post(BackendConnected(attempt.request, attempt.number))
 
-    def _ask(self, effect: Ask) -> None:
-        attempt = self.attempts[effect.job]
-        node = attempt.node
-        assert node is not None
+    def _ask(self, effect: ForwardRequest) -> None:
+        attempt = self.attempts[effect.request]
+        backend = attempt.backend
+        assert backend is not None
         attempt.sent = True
-        told = self.stopped_nodes.get(node.name)
+        told = self.stopped_backends.get(backend.name)
         if told is not None and self.clock.now() > told + self.fleet.drain_grace_ms + GRACE_SLACK_MS:
-            self.fleet.rules.note("drain", self.clock.seconds, f"{node.name} was sent job {effect.job}")
-        submitter = self.submitters[effect.job]
+            self.fleet.rules.note("drain", self.clock.seconds, f"{backend.name} was sent job {effect.request}")
+        client = self.clients[effect.request]
         now = self.clock.now()
-        worth, usual = self.fleet.worth_of(submitter.cls), self.fleet.usual_load(submitter.cls)
-        if not node.take(now, (self.index, effect.job), submitter.load, submitter.group, worth, usual):
+        worth, usual = self.fleet.worth_of(client.cls), self.fleet.usual_load(client.cls)
+        if not backend.take(now, (self.index, effect.request), client.load, client.group, worth, usual):
             self.clock.after(self.fleet.latency(), self._turned_away, attempt)
-            if node.fallen:
-                self.fleet.node_died(node)
+            if backend.fallen:
+                self.fleet.backend_died(backend)
             return
-        self.clock.after(node.set_up_time(now) + self.fleet.latency(), self._node_up, attempt)
+        self.clock.after(backend.set_up_time(now) + self.fleet.latency(), self._backend_up, attempt)
 
     def _turned_away(self, attempt: Attempt) -> None:
-        if self.attempts.get(attempt.job) is attempt:
-            del self.attempts[attempt.job]
-            self.post(AttemptOver(attempt.job, attempt.number, Ending.TURNED_AWAY))
+        if self.attempts.get(attempt.request) is attempt:
+            del self.attempts[attempt.request]
+            self.post(AttemptEnded(attempt.request, attempt.number, TerminationReason.REJECTED))
 
-    def _node_up(self, attempt: Attempt) -> None:
-        if self.attempts.get(attempt.job) is attempt and attempt.node is not None and attempt.node.answers:
+    def _backend_up(self, attempt: Attempt) -> None:
+        if self.attempts.get(attempt.request) is attempt and attempt.backend is not None and attempt.backend.answers:
             attempt.up = True
-            self.post(NodeUp(attempt.job, attempt.number))
+            self.post(BackendAccepted(attempt.request, attempt.number))
 
-    def node_died(self, node: ModelNode) -> None:
-        for attempt in [a for a in self.attempts.values() if a.node is node and a.sent]:
-            del self.attempts[attempt.job]
-            self.post(AttemptOver(attempt.job, attempt.number, Ending.BROKEN))
+    def backend_died(self, backend: ModelBackend) -> None:
+        for attempt in [a for a in self.attempts.values() if a.backend is backend and a.sent]:
+            del self.attempts[attempt.request]
+            self.post(AttemptEnded(attempt.request, attempt.number, TerminationReason.CONNECTION_RESET))
 
     # --- what nodes tell ------------------------------------------------------------------------
 
-    def _probe(self, effect: Probe) -> None:
-        node = self.fleet.nodes[effect.node]
+    def _probe(self, effect: CheckHealth) -> None:
+        backend = self.fleet.backends[effect.backend]
         self.fleet.counts["probes"] += 1
-        ending = Ending.SILENT if node.silent else Ending.SERVED if node.alive else Ending.UNREACHED
-        wait = effect.within_ms if node.silent else self.fleet.latency()
-        self.clock.after(wait, self.post, ProbeOver(effect.node, ending, wait, () if node.silent else node.reported))
+        ending = (
+            TerminationReason.UNRESPONSIVE
+            if backend.silent
+            else TerminationReason.COMPLETED
+            if backend.alive
+            else TerminationReason.CONNECT_FAILED
+        )
+        wait = effect.within_ms if backend.silent else self.fleet.latency()
+        self.clock.after(
+            wait,
+            self.post,
+            HealthCheckCompleted(effect.backend, ending, wait, () if backend.silent else backend.reported),
+        )
 
-    def standing_at(self, node: ModelNode) -> list[Attempt]:
-        return [a for a in self.attempts.values() if a.node is node and a.up]
+    def standing_at(self, backend: ModelBackend) -> list[Attempt]:
+        return [a for a in self.attempts.values() if a.backend is backend and a.up]
 
-    def noted(self, node: ModelNode, message_ms: float) -> None:
+    def noted(self, backend: ModelBackend, message_ms: float) -> None:
         """The node tells it on one connection of each relay."""
-        for attempt in self.standing_at(node)[:1]:
-            self.post(FigureTold(attempt.job, message_ms))
+        for attempt in self.standing_at(backend)[:1]:
+            self.post(UnclassifiedReport(attempt.request, message_ms))
 
-    def unanswered(self, node: ModelNode) -> None:
+    def unanswered(self, backend: ModelBackend) -> None:
         """Each submitter that stands there sends a line, and none comes back."""
-        for attempt in self.standing_at(node):
-            if attempt.job in self.attempts:
-                self.post(Asked(attempt.job))
+        for attempt in self.standing_at(backend):
+            if attempt.request in self.attempts:
+                self.post(ClientDataForwarded(attempt.request))
 
     def _release(self, attempt: Attempt) -> None:
-        self.attempts.pop(attempt.job, None)
-        if attempt.node is not None:
-            attempt.node.release((self.index, attempt.job))
+        self.attempts.pop(attempt.request, None)
+        if attempt.backend is not None:
+            attempt.backend.release((self.index, attempt.request))
 
-    def _drop(self, effect: Drop) -> None:
-        attempt = self.attempts.get(effect.job)
+    def _drop(self, effect: AbortAttempt) -> None:
+        attempt = self.attempts.get(effect.request)
         if attempt is not None:
             self._release(attempt)
 
     # --- answers --------------------------------------------------------------------------------
 
-    def _answered(self, job: int, what: str) -> Submitter | None:
+    def _answered(self, request: int, what: str) -> Client | None:
         """Each job has one final answer; the submitter may have left before it."""
-        submitter = self.submitters.get(job)
-        if submitter is not None:
-            submitter.answers += 1
-            if submitter.answers > 1:
-                self.fleet.rules.note("one final answer", self.clock.seconds, f"job {job} got {what}")
-            if self.clock.now() > submitter.deadline + self.fleet.answer_slack_ms:
-                self.fleet.rules.note("in time", self.clock.seconds, f"job {job} got {what}")
-        return submitter
-
-    def _join(self, effect: Join) -> None:
-        submitter = self._answered(effect.job, "UP")
-        if submitter is not None:
-            self.fleet.submitter_up(submitter)
-
-    def _requeue(self, effect: Requeue) -> None:
-        submitter = self._answered(effect.job, "BUSY")
-        self.submitters.pop(effect.job, None)
-        if submitter is not None:
-            self.fleet.submitter_refused(submitter, effect.after_ms)
-
-    def _deny(self, effect: Deny) -> None:
-        submitter = self._answered(effect.job, "ERR")
-        self.submitters.pop(effect.job, None)
-        if submitter is not None:
-            self.fleet.submitter_refused(submitter, 0.0)
-
-    def _move(self, effect: Move) -> None:
-        submitter, attempt = self.submitters.pop(effect.job, None), self.attempts.get(effect.job)
-        if attempt is None or submitter is None:
-            self.fleet.rules.note("moves only what stands", self.clock.seconds, f"job {effect.job}")
+        client = self.clients.get(request)
+        if client is not None:
+            client.answers += 1
+            if client.answers > 1:
+                self.fleet.rules.note("one final answer", self.clock.seconds, f"job {request} got {what}")
+            if self.clock.now() > client.deadline + self.fleet.answer_slack_ms:
+                self.fleet.rules.note("in time", self.clock.seconds, f"job {request} got {what}")
+        return client
+
+    def _join(self, effect: StartRelaying) -> None:
+        client = self._answered(effect.request, "UP")
+        if client is not None:
+            self.fleet.client_up(client)
+
+    def _requeue(self, effect: RejectRequest) -> None:
+        client = self._answered(effect.request, "BUSY")
+        self.clients.pop(effect.request, None)
+        if client is not None:
+            self.fleet.client_refused(client, effect.retry_after_ms)
+
+    def _deny(self, effect: FailRequest) -> None:
+        client = self._answered(effect.request, "ERR")
+        self.clients.pop(effect.request, None)
+        if client is not None:
+            self.fleet.client_refused(client, 0.0)
+
+    def _move(self, effect: MigrateConnection) -> None:
+        client, attempt = self.clients.pop(effect.request, None), self.attempts.get(effect.request)
+        if attempt is None or client is None:
+            self.fleet.rules.note("moves only what stands", self.clock.seconds, f"job {effect.request}")
             return
-        node = attempt.node
+        backend = attempt.backend
         self._release(attempt)
-        self.fleet.submitter_moved(submitter, node)
+        self.fleet.client_moved(client, backend)
 
-    def _close(self, effect: Close) -> None:
-        submitter, attempt = self.submitters.pop(effect.job, None), self.attempts.get(effect.job)
+    def _close(self, effect: CloseClientConnection) -> None:
+        client, attempt = self.clients.pop(effect.request, None), self.attempts.get(effect.request)
         if attempt is not None:
             self._release(attempt)
-        if submitter is not None:
-            self.fleet.submitter_closed(submitter, effect.ending)
+        if client is not None:
+            self.fleet.client_closed(client, effect.reason)
 
 
-def machine(node: ModelNode, index: int, state: State, weight: float = 0.0) -> Machine:
-    return Machine(node.name, ("model", index), state, node.zone, 0, 0, weight or node.size, node.started)
+def machine(backend: ModelBackend, index: int, state: EndpointState, weight: float = 0.0) -> Endpoint:
+    return Endpoint(backend.name, ("model", index), state, backend.zone, 0, 0, weight or backend.size, backend.started)
--- a/yarrowspindle/lab/model/talk.py
+++ b/yarrowspindle/lab/model/talk.py
@@ -5,24 +5,24 @@
 from collections.abc import Callable, Iterable
 from typing import TYPE_CHECKING
 
-from yarrowspindle.decisions.backends import Server
-from yarrowspindle.decisions.events import Others
+from yarrowspindle.decisions.backends import Backend
+from yarrowspindle.decisions.events import PeerLoads
 from yarrowspindle.lab.model.clock import VirtualClock
-from yarrowspindle.runtime.membership_driver import own_word
+from yarrowspindle.runtime.membership_driver import local_load
 
 if TYPE_CHECKING:  # msgspec, which `known` does without
     from yarrowspindle.lab.model.peering import VirtualNet
 
 KNOWN_MS = 25.0  # "at once": on every beat of this length
-Servers = Callable[[], Iterable[Server]]
-Tell = Callable[[Others], None]
+Backends = Callable[[], Iterable[Backend]]
+Tell = Callable[[PeerLoads], None]
 
 
 class Talk:
     """way: "net" or "known". `net` is there for faults where it is "net"."""
 
     def __init__(self, clock: VirtualClock, seed: int, way: str, changes: dict[str, float]) -> None:
-        self.clock, self.known = clock, dict[int, tuple[Servers, Tell]]()
+        self.clock, self.known = clock, dict[int, tuple[Backends, Tell]]()
         self.net: VirtualNet | None = None
         self.before: dict[int, dict[int, tuple[int, float]]] = {}
         self.told: dict[int, float] = {}  # node -> when the newest report was made that all know
@@ -35,11 +35,11 @@
         else:
             raise ValueError(f"{way!r} is no way in which relays hear one another")
 
-    def join(self, index: int, servers: Servers, tell: Tell) -> None:
+    def join(self, index: int, backends: Backends, tell: Tell) -> None:
         if self.net is not None:
-            self.net.add(index, lambda: own_word(servers(), self.clock.now()), tell)
+            self.net.add(index, lambda: local_load(backends(), self.clock.now()), tell)
         else:
-            self.known[index] = (servers, tell)
+            self.known[index] = (backends, tell)
 
     def end(self, index: int) -> None:
         if self.net is not None:
@@ -51,7 +51,7 @@
         """All know what all hold now: the bound that no word over a network can pass."""
         self.clock.after(KNOWN_MS, self._beat)
         now = self.clock.now()
-        words = {index: own_word(servers(), now) for index, (servers, _) in self.known.items()}
+        words = {index: local_load(backends(), now) for index, (backends, _) in self.known.items()}
         reports: dict[int, tuple[float, float, float]] = {}
         for word in words.values():
             for key, report in word.reports.items():
@@ -74,7 +74,7 @@
             gone = dict.fromkeys(before.keys() - sums.keys(), (0, 0.0))
             self.before[index] = sums
             tell(
-                Others(
+                PeerLoads(
                     sums | gone, came, len(words) - 1, len(words), 0.0, frozenset(), reports, sorted(words).index(index)
                 )
             )
--- a/yarrowspindle/lab/model/turning.py
+++ b/yarrowspindle/lab/model/turning.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from yarrowspindle.consensus.register import NONE, Accept, Accepted, Kept, Prepare, Promise, Proposer, Voter
-from yarrowspindle.decisions.events import State
+from yarrowspindle.decisions.events import EndpointState
 from yarrowspindle.lab.faults import Fault, Ways, relay_names, schedule
 from yarrowspindle.lab.model.clock import VirtualClock
 from yarrowspindle.maintenance.codec import decode, encode
@@ -232,7 +232,7 @@
         for to, part_ in self.parcels.due(self.now()):
             world.send(self.name, to, part_)
         looks = [
-            Look(m, n % 2, 1.0, State.READY if world.is_up(m) else State.GONE, world.starts[m])
+            Look(m, n % 2, 1.0, EndpointState.READY if world.is_up(m) else EndpointState.GONE, world.starts[m])
             for n, m in enumerate(world.machines)
         ]
         seen, trouble = self.watch.look(self.now(), looks, self.core.taken)
--- a/yarrowspindle/lab/processes/checker.py
+++ b/yarrowspindle/lab/processes/checker.py
@@ -118,46 +118,46 @@
 
     # --- attempts, as the wires between relays and nodes show them --------------------------------
 
-    def sent(self, relay: str, node: str, job: str, attempt: object) -> None:
+    def sent(self, relay: str, backend: str, request: str, attempt: object) -> None:
         """The last byte of a job's line left the relay for this node."""
         self.counts["attempts"] += 1
-        out = self.attempts.setdefault(job, set())
+        out = self.attempts.setdefault(request, set())
         if out:
-            self.note("one attempt out", f"{relay} sent job {job} to {node} while another attempt was out")
+            self.note("one attempt out", f"{relay} sent job {request} to {backend} while another attempt was out")
         out.add(attempt)
-        told = self.drained.get((relay, node))
+        told = self.drained.get((relay, backend))
         if told is not None:
             late = self.now() - told - self.slept(relay, told)
             if late > self.terms.grace_s + SLACK_S:
-                self.note("drain", f"{relay} sent a job to {node} {late:.2f} s after it was told")
-        self._fed(node)
+                self.note("drain", f"{relay} sent a job to {backend} {late:.2f} s after it was told")
+        self._fed(backend)
 
-    def given_up(self, job: str, attempt: object) -> None:
+    def given_up(self, request: str, attempt: object) -> None:
         """The relay's side of the attempt has ended."""
-        out = self.attempts.get(job)
+        out = self.attempts.get(request)
         if out is not None:
             out.discard(attempt)
             if not out:
-                del self.attempts[job]
+                del self.attempts[request]
 
     # --- nodes and the list ---------------------------------------------------------------------
 
-    def told(self, relay: str, node: str, ready: bool) -> None:
+    def told(self, relay: str, backend: str, ready: bool) -> None:
         if ready:
-            self.drained.pop((relay, node), None)
+            self.drained.pop((relay, backend), None)
         else:
-            self.drained.setdefault((relay, node), self.now())
+            self.drained.setdefault((relay, backend), self.now())
 
     def relay_started(self, relay: str) -> None:
         """A new process has been told nothing yet."""
         for pair in [pair for pair in self.drained if pair[0] == relay]:
             del self.drained[pair]
 
-    def started(self, node: str) -> None:
-        self.cold[node] = Cold(self.now())
+    def started(self, backend: str) -> None:
+        self.cold[backend] = Cold(self.now())
 
-    def _fed(self, node: str) -> None:
-        cold, now, terms = self.cold.get(node), self.now(), self.terms
+    def _fed(self, backend: str) -> None:
+        cold, now, terms = self.cold.get(backend), self.now(), self.terms
         if cold is None or now > cold.started + terms.cold_s:
             return
         cold.sent.append(now)
@@ -169,7 +169,7 @@
         most = terms.fall_multiple * fills
         cold.worst = max(cold.worst, len(cold.sent) / fills)
         if len(cold.sent) > most + CHANCE * sqrt(most):
-            came = f"{node} was sent {len(cold.sent)} connections in {terms.fall_s:g} s"
+            came = f"{backend} was sent {len(cold.sent)} connections in {terms.fall_s:g} s"
             self.note("cold", f"{came}, of which {fills:.1f} fill it and {most:.1f} are allowed")
 
     # --- members, as datagrams show them ----------------------------------------------------------
--- a/yarrowspindle/lab/processes/parties.py
+++ b/yarrowspindle/lab/processes/parties.py
@@ -15,11 +15,11 @@
 LINE_S = 0.5  # a submitter sends a line this often
 
 
-class Node:
+class Backend:
     """Answers each line at once; ends a connection when its time is over."""
 
-    def __init__(self, name: str, address: Address, random: Random, life_s: float) -> None:
-        self.name, self.address, self.random, self.life_s = name, address, random, life_s
+    def __init__(self, name: str, address: Address, random: Random, lifetime_s: float) -> None:
+        self.name, self.address, self.random, self.lifetime_s = name, address, random, lifetime_s
         self.started_ms = 0.0
         self.phase = "ready"
         self.server: asyncio.Server | None = None
@@ -45,7 +45,7 @@
                 return
             self.served += 1
             writer.write(b"UP r%d\r\n" % self.served)
-            ends = asyncio.get_running_loop().time() + self.random.expovariate(1.0 / self.life_s)
+            ends = asyncio.get_running_loop().time() + self.random.expovariate(1.0 / self.lifetime_s)
             while True:
                 left = ends - asyncio.get_running_loop().time()
                 try:
@@ -80,8 +80,8 @@
 class MachineList:
     """One service; each relay asks at an address of its own, since nodes' addresses differ from relay to relay."""
 
-    def __init__(self, nodes: dict[str, Node], reached: Callable[[str, str], Address]) -> None:
-        self.nodes, self.reached = nodes, reached
+    def __init__(self, backends: dict[str, Backend], reached: Callable[[str, str], Address]) -> None:
+        self.backends, self.reached = backends, reached
         self.version = 1
         self.gone: set[str] = set()
         self.watches: set[tuple[str, asyncio.StreamWriter]] = set()
@@ -94,18 +94,18 @@
         self.servers.append(await asyncio.start_server(take, *address))
 
     def whole(self, relay: str) -> dict[str, Any]:
-        members = [n.entry(self.reached(relay, n.name)) for n in self.nodes.values() if n.name not in self.gone]
+        members = [n.entry(self.reached(relay, n.name)) for n in self.backends.values() if n.name not in self.gone]
         return {"revision": self.version, "complete": True, "members": members}
 
-    def tell(self, node: Node, phase: str) -> None:
-        node.phase = phase
+    def tell(self, backend: Backend, phase: str) -> None:
+        backend.phase = phase
         self.version += 1
-        (self.gone.add if phase == "gone" else self.gone.discard)(node.name)
+        (self.gone.add if phase == "gone" else self.gone.discard)(backend.name)
         for relay, writer in list(self.watches):
             told = {
                 "revision": self.version,
                 "complete": False,
-                "members": [node.entry(self.reached(relay, node.name))],
+                "members": [backend.entry(self.reached(relay, backend.name))],
             }
             writer.write(chunk(json.dumps(told)))
 
@@ -142,7 +142,7 @@
     return f"{len(line):x}\r\n".encode() + line + b"\r\n"
 
 
-class Submitters:
+class Clients:
     """So many that want a connection all the time; one that is served to its end makes room for a new one."""
 
     def __init__(
--- a/yarrowspindle/lab/processes/proxy.py
+++ b/yarrowspindle/lab/processes/proxy.py
@@ -79,12 +79,12 @@
 class Pipe:
     """One connection through a proxy."""
 
-    __slots__ = ("proxy", "near", "far", "first", "job", "over")
+    __slots__ = ("proxy", "near", "far", "first", "request", "over")
 
     def __init__(self, proxy: TcpProxy, near: asyncio.StreamWriter) -> None:
         self.proxy, self.near = proxy, near
         self.far: asyncio.StreamWriter | None = None
-        self.first, self.job = b"", ""
+        self.first, self.request = b"", ""
         self.over = False  # the relay's side has ended
 
 
--- a/yarrowspindle/lab/processes/turning.py
+++ b/yarrowspindle/lab/processes/turning.py
@@ -81,7 +81,7 @@
     def __init__(self, world: World, work: Work, out: TurnReport) -> None:
         self.world, self.work, self.out = world, work, out
         self.random = Random(f"operators {world.run.seed}")
-        self.machines = sorted(world.nodes)[: work.machines or None]
+        self.machines = sorted(world.backends)[: work.machines or None]
         self.request = ""
         self.free: dict[str, float] = {}  # machine -> since when somebody says so, until we say done
         self.turn_of: dict[int, str] = {}
@@ -134,23 +134,23 @@
         return [
             proxy.source
             for proxy in self.world.proxies
-            if proxy.target == machine and any(pipe.job and not pipe.over for pipe in proxy.pipes)
+            if proxy.target == machine and any(pipe.request and not pipe.over for pipe in proxy.pipes)
         ]
 
     async def _work(self, machine: str, turn: int) -> None:
         """Looks whether it is really free, works on it, and says so."""
-        world, node = self.world, self.world.nodes[machine]
+        world, backend = self.world, self.world.backends[machine]
         await asyncio.sleep(CLOSING_S if self.work.work_s > CLOSING_S else self.work.work_s)
         for relay in self._connected(machine):
             self.used(relay, machine, "holds a connection")
         if self.work.reboot:
-            node.die()
-            world.list.tell(node, "gone")
+            backend.die()
+            world.list.tell(backend, "gone")
             await asyncio.sleep(0.3)
-            await node.open()
-            node.started_ms = time.time() * 1000.0
+            await backend.open()
+            backend.started_ms = time.time() * 1000.0
             world.checker.started(machine)
-            world.list.tell(node, "ready")
+            world.list.tell(backend, "ready")
         await asyncio.sleep(max(0.0, self.work.work_s - CLOSING_S))
         for relay in self._connected(machine):
             self.used(relay, machine, "holds a connection")
@@ -176,7 +176,7 @@
         zones = [int(machine[1:]) % 2 for machine in out]
         if len(out) > self.work.most or any(zones.count(z) > self.work.most_zone for z in zones):
             note("most out", f"{sorted(out)} are out")
-        left = sum(node.phase == "ready" for name, node in self.world.nodes.items() if name not in out)
+        left = sum(backend.phase == "ready" for name, backend in self.world.backends.items() if name not in out)
         if left < self.work.floor:
             self.out.floor_broken += 1
             note("floor", f"{left} machines are left, {self.work.floor:g} must stay")
@@ -226,18 +226,18 @@
 
     async def death(self) -> None:
         """A machine dies and comes back under a new start."""
-        machine = sorted(self.world.nodes)[-1]
-        node = self.world.nodes[machine]
+        machine = sorted(self.world.backends)[-1]
+        backend = self.world.backends[machine]
         await asyncio.sleep(self.work.dies_s)
         while machine in self.began or machine in self.free:  # it is out: that is another case
             await asyncio.sleep(POLL_S)
-        node.die()
-        self.world.list.tell(node, "gone")
+        backend.die()
+        self.world.list.tell(backend, "gone")
         await asyncio.sleep(self.work.dead_s)
-        await node.open()
-        node.started_ms = time.time() * 1000.0
+        await backend.open()
+        backend.started_ms = time.time() * 1000.0
         self.world.checker.started(machine)
-        self.world.list.tell(node, "ready")
+        self.world.list.tell(backend, "ready")
 
     async def replace_voter(self) -> None:
         """One at a time, and each stands before the next is asked for."""
@@ -332,17 +332,17 @@
         faults = schedule(
             run.words,
             relay_names(run.relays),
-            [f"n{n}" for n in range(run.nodes)],
+            [f"n{n}" for n in range(run.backends)],
             run.seed,
             0.0,
             run.faults_s,
             run.stall_s,
         )
     out = TurnReport(Report(run, list(faults)))
-    out.least_s = run.submitters / max(run.nodes, 1) / run.moves_per_s + work.work_s + run.cold_s
+    out.least_s = run.clients / max(run.backends, 1) / run.moves_per_s + work.work_s + run.cold_s
     async with opened(run, folder) as world:
         operators = Operators(world, work, out)
-        world.submitters.start(run.submitters, run.settle_s / 2.0)
+        world.clients.start(run.clients, run.settle_s / 2.0)
         await asyncio.sleep(run.settle_s)
         world.tasks.append(asyncio.ensure_future(world.sample()))
         over = asyncio.Event()
@@ -357,7 +357,7 @@
         if run.work:
             await operators.run(over)
         else:
-            await asyncio.sleep(out.least_s * run.nodes)
+            await asyncio.sleep(out.least_s * run.backends)
         await asyncio.gather(*inflicted)
         await asyncio.sleep(run.after_s)
         finish(world, out.report)
--- a/yarrowspindle/lab/processes/world.py
+++ b/yarrowspindle/lab/processes/world.py
@@ -21,7 +21,7 @@
 from yarrowspindle.daemon.voter_file import TurnFile
 from yarrowspindle.lab.faults import Fault, Ways, relay_names, schedule
 from yarrowspindle.lab.processes.checker import Checker, Terms
-from yarrowspindle.lab.processes.parties import LINE_S, MachineList, Node, Submitters
+from yarrowspindle.lab.processes.parties import LINE_S, Backend, Clients, MachineList
 from yarrowspindle.lab.processes.proxy import DatagramProxy, Pipe, TcpProxy, Views
 from yarrowspindle.routing.address import Address
 
@@ -64,19 +64,19 @@
     """settle_s: before the faults; faults_s: in which they lie; after_s: after the last of them."""
 
     relays: int = 5
-    nodes: int = 6
-    submitters: int = 200
+    backends: int = 6
+    clients: int = 200
     seed: int = 1
     words: tuple[str, ...] = ("loss", "cut", "kill", "stall")
     settle_s: float = 3.0
     faults_s: float = 6.0
     after_s: float = 5.0
-    life_s: float = 6.0
+    lifetime_s: float = 6.0
     deadline_s: float = 2.0
     line_s: float = LINE_S
     stall_s: float = 3.0
     peers: bool = True
-    nodes_change: bool = True  # one node drains, ends, and comes back cold
+    backends_change: bool = True  # one node drains, ends, and comes back cold
     agree_s: float = 12.0  # after the faults by when members agree
     voters: int = 0  # so many of the relays vote on turns for machines out for work; 0: there are no turns
     moves_per_s: float = 100.0  # of all relays together, off machines that empty
@@ -87,7 +87,7 @@
     @property
     def terms(self) -> Terms:
         # A node carries twice its share of what stands.
-        return Terms(capacity=2.0 * self.submitters / max(self.nodes, 1), cold_s=self.cold_s)
+        return Terms(capacity=2.0 * self.clients / max(self.backends, 1), cold_s=self.cold_s)
 
 
 @dataclass(slots=True)
@@ -105,8 +105,8 @@
 
     def __str__(self) -> str:
         lines = [
-            f"seed {self.run.seed}: {self.run.relays} relays, {self.run.nodes} nodes, "
-            f"{self.run.submitters} submitters, faults {', '.join(self.run.words) or 'none'}"
+            f"seed {self.run.seed}: {self.run.relays} relays, {self.run.backends} nodes, "
+            f"{self.run.clients} submitters, faults {', '.join(self.run.words) or 'none'}"
         ]
         lines += [f"  {fault}" for fault in self.schedule]
         lines += [f"BROKEN: {rule}" for rule in self.broken]
@@ -285,12 +285,12 @@
         # A net of loopback of its own, so that runs side by side do not meet.
         self.net = f"127.{64 + os.getpid() % 128}.{1 + run.seed % 250}"
         self.used: set[Address] = set()
-        self.nodes = {
-            f"n{n}": Node(f"n{n}", self.address(100 + n), Random(f"node {run.seed} {n}"), run.life_s)
-            for n in range(run.nodes)
+        self.backends = {
+            f"n{n}": Backend(f"n{n}", self.address(100 + n), Random(f"node {run.seed} {n}"), run.lifetime_s)
+            for n in range(run.backends)
         }
-        self.node_doors: dict[tuple[str, str], Address] = {}
-        self.list = MachineList(self.nodes, lambda relay, node: self.node_doors[relay, node])
+        self.backend_doors: dict[tuple[str, str], Address] = {}
+        self.list = MachineList(self.backends, lambda relay, backend: self.backend_doors[relay, backend])
         self.relays = [Relay(name, n, self) for n, name in enumerate(relay_names(run.relays))]
         self.voters = tuple(relay.name for relay in self.relays[: run.voters])
         self.lost = ""  # whose file was
@@ -299,9 +299,7 @@
         self.datagram_proxies: list[DatagramProxy] = []
         self.datagrams: Counter[str] = Counter()
         self.views = Views()
-        self.submitters = Submitters(
-            self.checker, self.front, Random(f"submitters {run.seed}"), run.deadline_s, run.line_s
-        )
+        self.clients = Clients(self.checker, self.front, Random(f"submitters {run.seed}"), run.deadline_s, run.line_s)
         self.tasks: list[asyncio.Task[None]] = []
 
     def now(self) -> float:
@@ -337,9 +335,9 @@
             proxy = DatagramProxy(relay.name, relay.inside, parties, self.ways, self._datagram)
             await proxy.open(relay.outside)
             self.datagram_proxies.append(proxy)
-            for node in self.nodes.values():
-                door = self.node_doors[relay.name, node.name] = self.address(relay.index)
-                tcp = TcpProxy(relay.name, node.name, node.address, self.ways)
+            for backend in self.backends.values():
+                door = self.backend_doors[relay.name, backend.name] = self.address(relay.index)
+                tcp = TcpProxy(relay.name, backend.name, backend.address, self.ways)
                 tcp.hears, tcp.ended = self._heard, self._given_up
                 await tcp.open(door)
                 self.proxies.append(tcp)
@@ -349,8 +347,8 @@
             watch.said = self._list_said
             await watch.open(relay.discovery)
             self.proxies.append(watch)
-        for node in self.nodes.values():
-            await node.open()
+        for backend in self.backends.values():
+            await backend.open()
 
     def _datagram(self, source: str, target: str, data: bytes, copies: int) -> None:
         self.datagrams["sent"] += 1
@@ -361,13 +359,13 @@
             self.checker.viewed(source, view)
 
     def _heard(self, pipe: Pipe, line: bytes) -> None:
-        if not pipe.job and line.startswith(b"OPEN "):
-            pipe.job = line.split(b" ")[1].decode("ascii", "replace")
-            self.checker.sent(pipe.proxy.source, pipe.proxy.target, pipe.job, pipe)
+        if not pipe.request and line.startswith(b"OPEN "):
+            pipe.request = line.split(b" ")[1].decode("ascii", "replace")
+            self.checker.sent(pipe.proxy.source, pipe.proxy.target, pipe.request, pipe)
 
     def _given_up(self, pipe: Pipe) -> None:
-        if pipe.job:
-            self.checker.given_up(pipe.job, pipe)
+        if pipe.request:
+            self.checker.given_up(pipe.request, pipe)
 
     def _list_said(self, pipe: Pipe, data: bytes) -> None:
         """What a relay was told counts from when it was written to it."""
@@ -382,7 +380,7 @@
                     names.add(member["id"])
                     self.checker.told(pipe.proxy.source, member["id"], member["phase"] == "ready")
                 if told["complete"]:
-                    for name in self.nodes.keys() - names:
+                    for name in self.backends.keys() - names:
                         self.checker.told(pipe.proxy.source, name, False)
 
     # --- the course of a run --------------------------------------------------------------------
@@ -413,25 +411,25 @@
             finally:
                 self.ways.end(fault)
 
-    async def change_nodes(self) -> None:
+    async def change_backends(self) -> None:
         """One node drains, ends, and comes back cold while the faults last."""
-        node = self.nodes[f"n{self.run.seed % self.run.nodes}"]
+        backend = self.backends[f"n{self.run.seed % self.run.backends}"]
         await asyncio.sleep(0.1 * self.run.faults_s)
-        self.list.tell(node, "draining")
+        self.list.tell(backend, "draining")
         await asyncio.sleep(max(0.25 * self.run.faults_s, 1.0))
-        self.list.tell(node, "gone")
-        node.die()
+        self.list.tell(backend, "gone")
+        backend.die()
         await asyncio.sleep(0.1 * self.run.faults_s)
-        await node.open()
-        node.started_ms = time.time() * 1000.0
-        self.checker.started(node.name)
-        self.list.tell(node, "ready")
+        await backend.open()
+        backend.started_ms = time.time() * 1000.0
+        self.checker.started(backend.name)
+        self.list.tell(backend, "ready")
 
     async def sample(self) -> None:
         while True:
             await asyncio.sleep(0.1)
-            self.submitters.wanted += self.run.submitters
-            self.submitters.stood += len(self.submitters.up)
+            self.clients.wanted += self.run.clients
+            self.clients.stood += len(self.clients.up)
 
     async def agreed(self) -> float:
         """How long after the faults all relays' digests of members are the same, and stay so for a second."""
@@ -446,7 +444,7 @@
         return -1.0
 
     async def close(self) -> None:
-        await self.submitters.stop()
+        await self.clients.stop()
         for task in self.tasks:
             task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
@@ -460,8 +458,8 @@
         for datagram_proxy in self.datagram_proxies:
             datagram_proxy.close()
         self.list.close()
-        for node in self.nodes.values():
-            node.die()
+        for backend in self.backends.values():
+            backend.die()
         await asyncio.sleep(0.15)  # what passed between them ends by itself
 
 
@@ -484,7 +482,7 @@
         faults = schedule(
             run.words,
             relay_names(run.relays),
-            [f"n{n}" for n in range(run.nodes)],
+            [f"n{n}" for n in range(run.backends)],
             run.seed,
             0.0,
             run.faults_s,
@@ -492,13 +490,13 @@
         )
     report = Report(run, faults)
     async with opened(run, folder) as world:
-        world.submitters.start(run.submitters, run.settle_s / 2.0)
+        world.clients.start(run.clients, run.settle_s / 2.0)
         await asyncio.sleep(run.settle_s)
         world.tasks.append(asyncio.ensure_future(world.sample()))
         inflicted = [asyncio.ensure_future(world.inflict(fault)) for fault in faults]
         world.tasks += inflicted
-        if run.nodes_change:
-            inflicted.append(asyncio.ensure_future(world.change_nodes()))
+        if run.backends_change:
+            inflicted.append(asyncio.ensure_future(world.change_backends()))
             world.tasks.append(inflicted[-1])
         if inflicted:
             await asyncio.gather(*inflicted)
@@ -517,7 +515,7 @@
     checker = world.checker
     report.broken, report.counts, report.datagrams = checker.broken, checker.counts, world.datagrams
     report.cold_worst = max((cold.worst for cold in checker.cold.values()), default=0.0)
-    report.served = world.submitters.stood / max(world.submitters.wanted, 1.0)
+    report.served = world.clients.stood / max(world.clients.wanted, 1.0)
     waits = sorted(checker.waits)
     report.wait_p99_ms = 1000.0 * waits[int(0.99 * (len(waits) - 1))] if waits else 0.0
     report.log = {relay.name: relay.log for relay in world.relays}
--- a/yarrowspindle/library/errors.py
+++ b/yarrowspindle/library/errors.py
@@ -7,7 +7,7 @@
     """The base of all that `Placer` raises on its own account."""
 
 
-class Refused(PlacementError):
+class Rejected(PlacementError):
     """No execute node has room; trying again is harmless. `retry_after`: seconds, 0 where no advice is given."""
 
     def __init__(self, retry_after: float = 0.0) -> None:
@@ -22,11 +22,11 @@
         super().__init__("the job could not be placed")
 
 
-class NodeDropped(PlacementError):
+class BackendDropped(PlacementError):
     """The node drains or is gone, or the attempt's time is up: `await placement.failed()` for another."""
 
 
-class Closing(PlacementError):
+class PlacerClosed(PlacementError):
     """The placer is not open: not started yet, about to close, or closed."""
 
 
@@ -34,6 +34,6 @@
     """A placer belongs to the event loop, the thread and the process that started it; make one for each."""
 
 
-class NodeUnreachable(Exception):
+class BackendUnreachable(Exception):
     """Raised by an application before its response starts: the middleware tries another node. Frameworks may make an
     error page of it, which is held back."""
--- a/yarrowspindle/library/placer.py
+++ b/yarrowspindle/library/placer.py
@@ -22,25 +22,44 @@
 from typing import Any
 
 from yarrowspindle.decisions.settings import Settings
-from yarrowspindle.library.errors import Closing, Failed, NodeDropped, NodeUnreachable, Refused, WrongContext
+from yarrowspindle.library.errors import (
+    BackendDropped,
+    BackendUnreachable,
+    Failed,
+    PlacerClosed,
+    Rejected,
+    WrongContext,
+)
 from yarrowspindle.library.settings import LibrarySettings, index_of
 from yarrowspindle.library.sources import Source
-from yarrowspindle.routing.effects import Ask, Close, Deny, Drop, Effect, Join, Move, NodeGone, Reach, Requeue, Watch
+from yarrowspindle.routing.effects import (
+    AbortAttempt,
+    BackendRemoved,
+    CloseClientConnection,
+    Effect,
+    FailRequest,
+    ForwardRequest,
+    MigrateConnection,
+    OpenBackendConnection,
+    RejectRequest,
+    StartRelaying,
+    WatchEndpoints,
+)
 from yarrowspindle.routing.events import (
-    Answered,
-    Asked,
-    AttemptOver,
+    AttemptEnded,
+    BackendAccepted,
+    BackendConnected,
+    BackendDataForwarded,
+    ClientDataForwarded,
+    ClientDisconnected,
+    EndpointsUpdated,
     Event,
-    JobArrived,
-    ListTold,
-    LoadTold,
-    NodeReached,
-    NodeUp,
-    Stop,
-    SubmitterLeft,
+    LoadReported,
+    RequestReceived,
+    ShutdownRequested,
 )
 from yarrowspindle.routing.reducer import Reducer
-from yarrowspindle.routing.termination import Ending
+from yarrowspindle.routing.termination import TerminationReason
 from yarrowspindle.runtime import Clock, Runtime, SystemClock, Timers
 
 log = logging.getLogger("yarrowspindle")
@@ -57,14 +76,16 @@
     moved: set when the connection to the node should end and the client be told to come again; `reason` says why.
     """
 
-    job = 0
-    node, address, attempt = "", NOWHERE, -1
+    request = 0
+    backend, address, attempt = "", NOWHERE, -1
     event: asyncio.Event | None = None  # behind `moved`, made when somebody asks for it
     is_moved = is_up = over = dropped = False
-    reason: Ending | None = None
-    ending: Ending | None = None  # what the host says of the end to come
-    answer: Requeue | Deny | None = None
-    next: Reach | None = None  # where the module would try next, while the host is still at the last node
+    reason: TerminationReason | None = None
+    ending: TerminationReason | None = None  # what the host says of the end to come
+    answer: RejectRequest | FailRequest | None = None
+    next: OpenBackendConnection | None = (
+        None  # where the module would try next, while the host is still at the last node
+    )
     waiting: asyncio.Future[None] | None = None
     task: asyncio.Task[Any] | None = None
     cut = False  # its task was cancelled at the end of a close
@@ -86,7 +107,7 @@
         Raises as `up` does."""
         self._usable()
         if not self.is_up:
-            self.placer.post(NodeReached(self.job, self.attempt))
+            self.placer.post(BackendConnected(self.request, self.attempt))
 
     def up(self) -> None:
         """The connection stands: the job's final answer.
@@ -95,11 +116,13 @@
         may not be used any more."""
         self._usable()
         if not self.is_up and not self.over:
-            self.placer.runtime.post_both(NodeReached(self.job, self.attempt), NodeUp(self.job, self.attempt))
+            self.placer.runtime.post_both(
+                BackendConnected(self.request, self.attempt), BackendAccepted(self.request, self.attempt)
+            )
             if not self.is_up:  # its time was up, or the node's, as we looked
                 self._usable()
 
-    async def failed(self, ending: Ending = Ending.UNREACHED) -> None:
+    async def failed(self, ending: TerminationReason = TerminationReason.CONNECT_FAILED) -> None:
         """The node could not be used: tries another, whose address stands here afterwards.
 
         Raises Refused or Failed where none is left. After `up` it ends the job, and the client has to come again.
@@ -113,30 +136,30 @@
         elif self.next is not None:  # another has been named in the meantime
             self.at_next()
         else:
-            event = None if self.dropped else AttemptOver(self.job, self.attempt, ending)
+            event = None if self.dropped else AttemptEnded(self.request, self.attempt, ending)
             await self.placer.attempt(self, event)
 
-    def unreachable(self) -> NodeUnreachable:
+    def unreachable(self) -> BackendUnreachable:
         """To be raised by an application under the middleware before its response starts: another node is tried."""
-        self.ending = Ending.UNREACHED
-        return NodeUnreachable(self.node)
+        self.ending = TerminationReason.CONNECT_FAILED
+        return BackendUnreachable(self.backend)
 
     def load(self, load: float) -> None:
         """The connection's load now, in milliseconds of work a second."""
         if self.is_up and not self.over:
-            self.placer.post(LoadTold(self.job, load))
+            self.placer.post(LoadReported(self.request, load))
 
     def asked(self, messages: int = 1) -> None:
         """The client sent messages that the node is to answer."""
         if self.is_up and not self.over:
-            self.placer.post(Asked(self.job, messages))
+            self.placer.post(ClientDataForwarded(self.request, messages))
 
     def answered(self, messages: int = 1) -> None:
         """The node answered them."""
         if self.is_up and not self.over:
-            self.placer.post(Answered(self.job, messages))
+            self.placer.post(BackendDataForwarded(self.request, messages))
 
-    def end(self, ending: Ending = Ending.SERVED) -> None:
+    def end(self, ending: TerminationReason = TerminationReason.COMPLETED) -> None:
         """The job is over; called by the context manager where the host has not."""
         if self.over:
             return
@@ -144,20 +167,20 @@
             self.leave()
             return
         self.over = True
-        self.placer.post(AttemptOver(self.job, self.attempt, ending))
+        self.placer.post(AttemptEnded(self.request, self.attempt, ending))
         self.placer.forget(self)
 
     def leave(self) -> None:
         """The client has left, or the host has failed: nothing is owed any more."""
         if not self.over:
             self.over = True
-            self.placer.post(SubmitterLeft(self.job))
+            self.placer.post(ClientDisconnected(self.request))
             self.placer.forget(self)
 
     def raise_answered(self) -> None:
-        if isinstance(self.answer, Requeue):
-            raise Refused(self.answer.after_ms / 1000.0)
-        if isinstance(self.answer, Deny):
+        if isinstance(self.answer, RejectRequest):
+            raise Rejected(self.answer.retry_after_ms / 1000.0)
+        if isinstance(self.answer, FailRequest):
             raise Failed()
 
     def _usable(self) -> None:
@@ -165,7 +188,7 @@
         if self.answer is not None:
             self.raise_answered()
         if self.dropped or self.next is not None:
-            raise NodeDropped(f"{self.node} is not to be used any more")
+            raise BackendDropped(f"{self.backend} is not to be used any more")
 
     # --- effects on this job --------------------------------------------------------------------
 
@@ -173,39 +196,39 @@
         """As the runtime's front of this one job."""
         TOLD[type(effect)](self, effect)
 
-    def _told_reach(self, effect: Reach) -> None:
+    def _told_reach(self, effect: OpenBackendConnection) -> None:
         self.dropped, self.next = False, effect
         self._wake()
 
-    def _told_answer(self, effect: Requeue | Deny) -> None:
+    def _told_answer(self, effect: RejectRequest | FailRequest) -> None:
         self.answer, self.over, self.next = effect, True, None
-        self.placer.counts["refused" if isinstance(effect, Requeue) else "failed"] += 1
+        self.placer.counts["refused" if isinstance(effect, RejectRequest) else "failed"] += 1
         self.placer.forget(self)
         if not self._wake():  # the host is still busy with an attempt whose time is up
-            self.ask_to_end(Ending.OVERDUE)
+            self.ask_to_end(TerminationReason.DEADLINE_EXCEEDED)
 
-    def _told_join(self, effect: Join) -> None:
+    def _told_join(self, effect: StartRelaying) -> None:
         self.is_up = True
         self.placer.counts["up"] += 1
 
-    def _told_drop(self, effect: Drop) -> None:
+    def _told_drop(self, effect: AbortAttempt) -> None:
         self.dropped, self.next = True, None
-        self.ask_to_end(Ending.NEVER_SENT)
+        self.ask_to_end(TerminationReason.NOT_SENT)
 
-    def _told_end(self, effect: Move | Close) -> None:
-        moved = isinstance(effect, Move)
+    def _told_end(self, effect: MigrateConnection | CloseClientConnection) -> None:
+        moved = isinstance(effect, MigrateConnection)
         self.over = True
         self.placer.counts["moved"] += moved
         self.placer.forget(self)
-        self.ask_to_end(Ending.MOVED if moved else effect.ending)  # type: ignore[union-attr]
+        self.ask_to_end(TerminationReason.MIGRATED if moved else effect.reason)
 
     def at_next(self) -> None:
         """Goes to the node that was named last, or raises the answer that was given instead."""
         if self.next is None:
             self.raise_answered()
-            raise Closing("the placer is closing")
+            raise PlacerClosed("the placer is closing")
         reach, self.next = self.next, None
-        self.node, self.address, self.attempt = reach.node, reach.address, reach.attempt
+        self.backend, self.address, self.attempt = reach.backend, reach.address, reach.attempt
         if self.is_moved:
             self.is_moved, self.reason = False, None
             if self.event is not None:
@@ -218,7 +241,7 @@
             self.waiting.set_result(None)
         return True
 
-    def ask_to_end(self, why: Ending) -> None:
+    def ask_to_end(self, why: TerminationReason) -> None:
         if self.waiting is None and not self.is_moved:
             self.reason, self.is_moved = why, True
             if self.event is not None:
@@ -244,21 +267,21 @@
 
 
 TOLD: dict[type, Callable[[Placement, Any], None]] = {
-    Reach: Placement._told_reach,
-    Requeue: Placement._told_answer,
-    Deny: Placement._told_answer,
-    Join: Placement._told_join,
-    Drop: Placement._told_drop,
-    Move: Placement._told_end,
-    Close: Placement._told_end,
-    Ask: nothing,
+    OpenBackendConnection: Placement._told_reach,
+    RejectRequest: Placement._told_answer,
+    FailRequest: Placement._told_answer,
+    StartRelaying: Placement._told_join,
+    AbortAttempt: Placement._told_drop,
+    MigrateConnection: Placement._told_end,
+    CloseClientConnection: Placement._told_end,
+    ForwardRequest: nothing,
 }
 
 
 class Placing:
     """What `place` returns: enter it for the Placement, leave it and the job is over."""
 
-    def __init__(self, placer: Placer, event: JobArrived) -> None:
+    def __init__(self, placer: Placer, event: RequestReceived) -> None:
         self.placer, self.event = placer, event
         self.placement: Placement | None = None
 
@@ -295,7 +318,7 @@
         self.source, self.clock = source, clock or SystemClock()
         self.seed = SystemRandom().getrandbits(63) if seed is None else seed
         self.class_names = [c.name for c in self.settings.classes] if self.settings else range_names(self.core)
-        self.jobs_most = self.settings.jobs_most if self.settings else 100_000
+        self.requests_most = self.settings.jobs_most if self.settings else 100_000
         self.runtime = Runtime(Reducer(self.core, self.seed, self.clock.now()), self.clock, self._log, timers)
         self.runtime.watch = self._ask
         if isinstance(self.clock, SystemClock):
@@ -330,7 +353,7 @@
             self.check()
             return
         if self.state != "new":
-            raise Closing("this placer was closed; make a new one")
+            raise PlacerClosed("this placer was closed; make a new one")
         self.loop = asyncio.get_running_loop()
         self.thread, self.process = threading.get_ident(), os.getpid()
         self.state = "open"
@@ -357,9 +380,9 @@
                 self.source.close()
             for placement in list(self.placements.values()):
                 if placement.waiting is not None and not placement.waiting.done():
-                    placement.waiting.set_exception(Closing("the placer is closing"))
+                    placement.waiting.set_exception(PlacerClosed("the placer is closing"))
                     placement.leave()
-            self.runtime.post(Stop(within_s * 1000.0))
+            self.runtime.post(ShutdownRequested(within_s * 1000.0))
             self.closing = loop.create_task(self._close(loop, asyncio.current_task()))
         await asyncio.shield(self.closing)
 
@@ -368,7 +391,7 @@
             await asyncio.sleep(min(0.02, max(self.close_at - loop.time(), 0.0)))
         for placement in list(self.inside):  # they were asked to end and have not, or were not asked yet
             placement.leave()
-            placement.ask_to_end(Ending.MOVED)
+            placement.ask_to_end(TerminationReason.MIGRATED)
             if placement.task is not None and placement.task is not closer:
                 self.counts["cut"] += 1
                 placement.cut = True
@@ -386,7 +409,7 @@
         if self.state == "open" and self.loop is asyncio.get_running_loop() and self.process == os.getpid():
             return
         if self.state == "new":
-            raise Closing("this placer has not been started: use it as `async with`, or await its start()")
+            raise PlacerClosed("this placer has not been started: use it as `async with`, or await its start()")
         if os.getpid() != self.process:
             raise WrongContext("this placer was started by another process; each worker makes its own, numbered one")
         if threading.get_ident() != self.thread:
@@ -394,15 +417,15 @@
         if asyncio.get_running_loop() is not self.loop:
             raise WrongContext("this placer belongs to another event loop")
         if self.state != "open" and not closing:
-            raise Closing("the placer is closing")
+            raise PlacerClosed("the placer is closing")
 
     # --- placing --------------------------------------------------------------------------------
 
-    def place(self, **job: Any) -> Placing:
+    def place(self, **request: Any) -> Placing:
         """A job: `async with placer.place(key=7) as placement`; takes what `arrival` takes.
 
         Entering raises Refused, Failed or Closing."""
-        return Placing(self, self.arrival(**job))
+        return Placing(self, self.arrival(**request))
 
     def arrival(
         self,
@@ -414,7 +437,7 @@
         load: float = 0.0,
         deadline: float | None = None,
         returned: bool = False,
-    ) -> JobArrived:
+    ) -> RequestReceived:
         """A job as `begin` takes it. Raises SettingError on a bad value.
 
         key, group: whole numbers that name the submitter and its group, 0 for none. cls, tenant: by name or number.
@@ -424,14 +447,14 @@
         number = index_of(self.class_names, cls, "cls") if cls else 0
         of = index_of(self.settings.tenants if self.settings else (), tenant, "tenant") if tenant else 0
         left = self.core.classes[number].deadline_ms if deadline is None else max(deadline, 0.0) * 1000.0
-        return JobArrived(0, left, number, of, key, load, group, False, returned)
+        return RequestReceived(0, left, number, of, key, load, group, False, returned)
 
-    async def begin(self, event: JobArrived) -> Placement:
+    async def begin(self, event: RequestReceived) -> Placement:
         """A job's first node; raises Refused, Failed or Closing. Whoever calls it ends the job."""
         self.check()
-        if len(self.placements) >= self.jobs_most:  # a bound on memory, whatever the host does
+        if len(self.placements) >= self.requests_most:  # a bound on memory, whatever the host does
             self.counts["over_bound"] += 1
-            raise Refused(self.core.max_retry_after_ms / 1000.0)
+            raise Rejected(self.core.max_retry_after_ms / 1000.0)
         placement = Placement(self)
         placement.task = asyncio.current_task()
         self.arrive(placement, event)
@@ -442,14 +465,14 @@
         self.inside.add(placement)
         return placement
 
-    def arrive(self, placement: Placement, event: JobArrived) -> None:
+    def arrive(self, placement: Placement, event: RequestReceived) -> None:
         """Takes a new job on; its effects go to the placement."""
-        placement.job = event.job = self.runtime.new_job(placement)
-        self.placements[placement.job] = placement
+        placement.request = event.request = self.runtime.new_request(placement)
+        self.placements[placement.request] = placement
         self.counts["jobs"] += 1
         self.post(event)
 
-    async def attempt(self, placement: Placement, event: AttemptOver | None) -> None:
+    async def attempt(self, placement: Placement, event: AttemptEnded | None) -> None:
         """Posts the event and waits for the next node; raises Refused, Failed or Closing."""
         if event is not None:
             self.post(event)
@@ -467,23 +490,23 @@
         placement.at_next()
 
     def forget(self, placement: Placement) -> None:
-        self.placements.pop(placement.job, None)
-        self.runtime.forget(placement.job)
+        self.placements.pop(placement.request, None)
+        self.runtime.forget(placement.request)
 
     def carry_out(self, effect: Effect) -> None:
         """As the runtime's front: what concerns no job."""
-        if isinstance(effect, NodeGone):
-            for placement in [p for p in self.placements.values() if p.node == effect.node and p.is_up]:
-                placement.ask_to_end(Ending.NODE_GONE)
+        if isinstance(effect, BackendRemoved):
+            for placement in [p for p in self.placements.values() if p.backend == effect.backend and p.is_up]:
+                placement.ask_to_end(TerminationReason.BACKEND_REMOVED)
 
     # --- the machine list, the log, counters ----------------------------------------------------
 
-    def _listed(self, told: ListTold) -> None:
+    def _listed(self, told: EndpointsUpdated) -> None:
         if self.state == "open":
             self.counts["lists"] += 1
             self.post(told)
 
-    def _ask(self, effect: Watch) -> None:
+    def _ask(self, effect: WatchEndpoints) -> None:
         if self.source is not None and self.state == "open":
             self.source.ask(effect.version)
 
--- a/yarrowspindle/library/settings.py
+++ b/yarrowspindle/library/settings.py
@@ -21,7 +21,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class JobClass:
+class ConnectionClass:
     """One class of jobs. Times in seconds: set up within `aim_s`, given up after `deadline_s`; messages wanted within
     `message_aim_s` (0: no aim)."""
 
@@ -48,7 +48,7 @@
     zone, zones: the zone that this placer is in, and the names of all.
     """
 
-    classes: tuple[JobClass, ...] = (JobClass("default"),)
+    classes: tuple[ConnectionClass, ...] = (ConnectionClass("default"),)
     tenants: tuple[str, ...] = ()
     relays: int = 1
     number: int = 0
@@ -85,7 +85,9 @@
         """The same for the decision module."""
         return Settings(
             classes=tuple(
-                RequestClass(c.aim_s * 1000.0, c.deadline_s * 1000.0, message_aim_ms=c.message_aim_s * 1000.0)
+                RequestClass(
+                    c.aim_s * 1000.0, c.deadline_s * 1000.0, message_latency_objective_ms=c.message_aim_s * 1000.0
+                )
                 for c in self.classes
             ),
             zone=self.zones.index(self.zone) if self.zone else 0,
@@ -93,11 +95,11 @@
             number=self.number,
             balancers=self.relays,
             tenants=tuple(Tenant() for _ in self.tenants),
-            asks=True,
-            cold_share=self.cold_share,
-            cold_ms=self.cold_s * 1000.0,
-            fall_multiple=self.fall_multiple,
-            fall_ms=self.fall_s * 1000.0,
+            polls_discovery=True,
+            initial_capacity_fraction=self.cold_share,
+            warmup_ms=self.cold_s * 1000.0,
+            overload_multiple=self.fall_multiple,
+            overload_window_ms=self.fall_s * 1000.0,
             connect_timeout_ms=self.connect_s * 1000.0,
             max_attempts=self.attempts,
             max_retry_after_ms=self.retry_after_s * 1000.0,
--- a/yarrowspindle/library/sources.py
+++ b/yarrowspindle/library/sources.py
@@ -9,13 +9,13 @@
 from yarrowspindle.decisions.events import ListKind
 from yarrowspindle.protocol.endpoint_list import Names, parse_address
 from yarrowspindle.routing.address import Address
-from yarrowspindle.routing.events import ListTold, Machine
+from yarrowspindle.routing.events import Endpoint, EndpointsUpdated
 
 ANSWER_S = 5.0  # a callback that has not answered by then has failed
 
 
 class Source(Protocol):
-    def open(self, told: Callable[[ListTold], None], failed: Callable[[str], None]) -> None:
+    def open(self, told: Callable[[EndpointsUpdated], None], failed: Callable[[str], None]) -> None:
         """Called once, inside the loop. `told` takes each list, also `ListTold(FAILED)`; `failed` a reason to log."""
 
     def ask(self, version: int) -> None:
@@ -27,23 +27,23 @@
 class StaticList:
     """A fixed list; `change` replaces it (a node that is left out counts as gone)."""
 
-    def __init__(self, machines: Iterable[Machine]) -> None:
+    def __init__(self, machines: Iterable[Endpoint]) -> None:
         self.machines = list(machines)
         self.version = 1
-        self.told: Callable[[ListTold], None] | None = None
+        self.told: Callable[[EndpointsUpdated], None] | None = None
 
-    def open(self, told: Callable[[ListTold], None], failed: Callable[[str], None]) -> None:
+    def open(self, told: Callable[[EndpointsUpdated], None], failed: Callable[[str], None]) -> None:
         self.told = told
         self._tell()
 
-    def change(self, machines: Iterable[Machine]) -> None:
+    def change(self, machines: Iterable[Endpoint]) -> None:
         self.machines = list(machines)
         self.version += 1
         self._tell()
 
     def _tell(self) -> None:
         if self.told is not None:
-            self.told(ListTold(ListKind.FULL, list(self.machines), self.version))
+            self.told(EndpointsUpdated(ListKind.FULL, list(self.machines), self.version))
 
     def ask(self, version: int) -> None:
         """There is nothing to ask: what there is was told."""
@@ -59,7 +59,7 @@
         self.address: Address = parse_address(address)
         self.names = Names(list(zones), list(kinds))
 
-    def open(self, told: Callable[[ListTold], None], failed: Callable[[str], None]) -> None:
+    def open(self, told: Callable[[EndpointsUpdated], None], failed: Callable[[str], None]) -> None:
         from yarrowspindle.runtime.endpoint_watch import ListWatch  # needs httptools
 
         self.watch = ListWatch(self.names, told, failed)
@@ -75,13 +75,13 @@
 class CallbackList:
     """Calls `fetch` for the whole list when the module asks and every `every_s` seconds; one call at a time."""
 
-    def __init__(self, fetch: Callable[[], Awaitable[Iterable[Machine]]], every_s: float = 2.0) -> None:
+    def __init__(self, fetch: Callable[[], Awaitable[Iterable[Endpoint]]], every_s: float = 2.0) -> None:
         self.fetch, self.every_s = fetch, every_s
         self.version = 0
         self.task: asyncio.Task[None] | None = None
         self.asked = asyncio.Event()
 
-    def open(self, told: Callable[[ListTold], None], failed: Callable[[str], None]) -> None:
+    def open(self, told: Callable[[EndpointsUpdated], None], failed: Callable[[str], None]) -> None:
         self.told, self.failed = told, failed
         self.task = asyncio.get_running_loop().create_task(self._run())
 
@@ -99,11 +99,11 @@
                 machines = list(await asyncio.wait_for(self.fetch(), ANSWER_S))
             except Exception as error:  # whatever the host's function raises: the old list stands
                 self.failed(f"the machine list could not be fetched: {error!r}")
-                self.told(ListTold(ListKind.FAILED))
+                self.told(EndpointsUpdated(ListKind.FAILED))
                 await self.asked.wait()  # the module asks again, later each time
                 continue
             self.version += 1
-            self.told(ListTold(ListKind.FULL, machines, self.version))
+            self.told(EndpointsUpdated(ListKind.FULL, machines, self.version))
             try:
                 await asyncio.wait_for(self.asked.wait(), self.every_s)
             except TimeoutError:
--- a/yarrowspindle/maintenance/evacuation.py
+++ b/yarrowspindle/maintenance/evacuation.py
@@ -37,7 +37,7 @@
         wanted = task.empty or {}
         self.until = {m: self.until.get(m, now + 1000.0 * s) if s else now for m, s in wanted.items()}
 
-    def beat(self, now: float, task: Task, jobs: Mapping[str, Iterable[int]]) -> list[int]:
+    def beat(self, now: float, task: Task, requests: Mapping[str, Iterable[int]]) -> list[int]:
         """Jobs to be moved now: machines by deadline, jobs as they are given."""
         self.part = max(SLOWEST, self.part / 2.0) if self.refused else min(1.0, self.part + 0.05)
         self.refused = False
@@ -45,12 +45,12 @@
         self.bucket.fill(now, rate, max(1.0, rate * BEAT_MS / 1000.0))
         moved: list[int] = []
         for machine, until in sorted(self.until.items(), key=lambda item: item[1]):
-            here = list(jobs.get(machine, ()))
+            here = list(requests.get(machine, ()))
             # What the rate leaves over is spread over the last beats, not dropped on the others in one.
             beats = max(1, ceil((until - now) / BEAT_MS))
             must = len(here) if now >= until else len(here) // beats if beats <= 20 else 0
-            for number, job in enumerate(here):
+            for number, request in enumerate(here):
                 if not self.bucket.take() and number >= must:
                     break
-                moved.append(job)
+                moved.append(request)
         return moved
--- a/yarrowspindle/maintenance/fleet_health.py
+++ b/yarrowspindle/maintenance/fleet_health.py
@@ -5,7 +5,7 @@
 from collections.abc import Collection, Iterable, Mapping
 from dataclasses import dataclass
 
-from yarrowspindle.decisions.events import State
+from yarrowspindle.decisions.events import EndpointState
 from yarrowspindle.maintenance.state import EMPTYING, WARMING, Seen, TurnState
 
 TROUBLE_MS = 10_000.0  # a machine that died is trouble for so long, then it is how things are
@@ -20,7 +20,7 @@
     name: str
     zone: int
     capacity: float
-    state: State
+    state: EndpointState
     started: float
     failing: bool = False
     held: int = 0
@@ -28,7 +28,7 @@
 
 @dataclass(slots=True)
 class Known:
-    state: State
+    state: EndpointState
     started: float
     warm_at: float
 
@@ -53,34 +53,34 @@
         failing = []
         for at in machines:
             known = self.machines.get(at.name)
-            if known is None or known.started != at.started or known.state is State.GONE:
-                warm_at = now + self.cold_ms if self.looked and at.state is State.READY else now
+            if known is None or known.started != at.started or known.state is EndpointState.GONE:
+                warm_at = now + self.cold_ms if self.looked and at.state is EndpointState.READY else now
                 self.machines[at.name] = known = Known(at.state, at.started, warm_at)
             out = state.out.get(at.name)
             if out is not None and out.stage != WARMING:
                 known.warm_at = now + self.cold_ms  # whatever the list says: it comes back cold
-                if out.stage == EMPTYING and known.state is State.READY and at.state is State.GONE:
+                if out.stage == EMPTYING and known.state is EndpointState.READY and at.state is EndpointState.GONE:
                     self.died[at.name] = now
-            elif known.state is State.READY and at.state is State.GONE:
+            elif known.state is EndpointState.READY and at.state is EndpointState.GONE:
                 self.died[at.name] = now
-            elif at.failing and at.state is State.READY and out is None:
+            elif at.failing and at.state is EndpointState.READY and out is None:
                 failing.append(at.name)
             known.state = at.state
-            ready = at.state is State.READY and now >= known.warm_at and not at.failing
-            if at.state is not State.GONE:
+            ready = at.state is EndpointState.READY and now >= known.warm_at and not at.failing
+            if at.state is not EndpointState.GONE:
                 seen[at.name] = Seen(at.zone, at.capacity, ready, at.held)
         for name in self.machines.keys() - seen.keys():
             known = self.machines[name]
-            if known.state is State.READY and (name not in state.out or state.out[name].stage == EMPTYING):
+            if known.state is EndpointState.READY and (name not in state.out or state.out[name].stage == EMPTYING):
                 self.died[name] = now
-            known.state = State.GONE
+            known.state = EndpointState.GONE
         self.looked = bool(self.machines)
         return seen, self._trouble(now, failing, asked, refused)
 
     def _trouble(self, now: float, failing: Collection[str], asked: int, refused: int) -> str:
         for name in [n for n, at in self.died.items() if now >= at + TROUBLE_MS]:
             del self.died[name]
-            if self.machines[name].state is State.GONE:
+            if self.machines[name].state is EndpointState.GONE:
                 del self.machines[name]
         self.counts.append((now, asked, refused))
         while self.counts[0][0] < now - WINDOW_MS:
--- a/yarrowspindle/membership/core.py
+++ b/yarrowspindle/membership/core.py
@@ -479,8 +479,8 @@
     def _tell_module(self) -> None:
         names, me = self.members.names, self.members.me.name
         others = self.signals.others(self.now, len(names), names.index(me) if me in names else 0)
-        now = (others.heard, others.balancers)
-        if now != self.last or others.heard or others.holds:
+        now = (others.reporting_relays, others.relays)
+        if now != self.last or others.reporting_relays or others.loads:
             self.last = now
             self.effects.append(Told(others))
         self._wake(max(1000.0 * self.settings.signal_s, min(TELL_MOST_MS, TELL_EACH_MS * self.members.size)), TELL)
--- a/yarrowspindle/membership/load_signals.py
+++ b/yarrowspindle/membership/load_signals.py
@@ -13,7 +13,7 @@
 from itertools import islice
 from math import inf
 
-from yarrowspindle.decisions.events import Others
+from yarrowspindle.decisions.events import PeerLoads
 from yarrowspindle.membership.codec import Signal
 from yarrowspindle.membership.messages import Own
 
@@ -262,7 +262,7 @@
 
     # --- what goes to the module ------------------------------------------------------------------
 
-    def others(self, now: float, size: int, rank: int) -> Others:
+    def others(self, now: float, size: int, rank: int) -> PeerLoads:
         """As far as it changed since this was last asked."""
         ages = []
         for heard in self.heard.values():
@@ -277,7 +277,7 @@
         holds = {
             key: (int(total[0]), float(total[1])) if (total := self.sums.get(key)) else (0, 0.0) for key in self.changed
         }
-        told = Others(
+        told = PeerLoads(
             holds,
             {key: by for key, by in self.came.items() if by},
             len(ages),
--- a/yarrowspindle/membership/messages.py
+++ b/yarrowspindle/membership/messages.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass, field
 
-from yarrowspindle.decisions.events import Others
+from yarrowspindle.decisions.events import PeerLoads
 from yarrowspindle.routing.address import Address
 
 # --- events -------------------------------------------------------------------------------------
@@ -78,7 +78,7 @@
 class Told:
     """What the others hold, as far as it changed since the last time: for the module, as it is."""
 
-    others: Others
+    others: PeerLoads
 
 
 @dataclass(slots=True)
--- a/yarrowspindle/middleware/asgi.py
+++ b/yarrowspindle/middleware/asgi.py
@@ -12,10 +12,17 @@
 from math import ceil
 from typing import Any
 
-from yarrowspindle.library.errors import Closing, Failed, NodeDropped, NodeUnreachable, PlacementError, Refused
+from yarrowspindle.library.errors import (
+    BackendDropped,
+    BackendUnreachable,
+    Failed,
+    PlacementError,
+    PlacerClosed,
+    Rejected,
+)
 from yarrowspindle.library.placer import Placement, Placer
 from yarrowspindle.library.settings import SettingError
-from yarrowspindle.routing.termination import Ending
+from yarrowspindle.routing.termination import TerminationReason
 
 Scope = MutableMapping[str, Any]
 Message = MutableMapping[str, Any]
@@ -94,23 +101,23 @@
                 await self.app({**scope, SCOPE_KEY: placement}, receive, answers.send)
                 if answers.started or answers.error is None:
                     return
-            except (NodeUnreachable, NodeDropped):
+            except (BackendUnreachable, BackendDropped):
                 if answers.started:
-                    placement.ending = Ending.BROKEN
+                    placement.ending = TerminationReason.CONNECTION_RESET
                     raise
-            except (Refused, Failed, Closing) as error:
+            except (Rejected, Failed, PlacerClosed) as error:
                 if answers.started:
                     raise
                 answers.error = error
             except Exception:
                 if answers.started:
-                    placement.ending = Ending.ERRED
+                    placement.ending = TerminationReason.BACKEND_ERROR
                     raise
                 if answers.error is None:  # the framework has turned our own error into one of its own
                     raise
-            if not isinstance(answers.error, Refused | Failed | Closing):
+            if not isinstance(answers.error, Rejected | Failed | PlacerClosed):
                 try:
-                    ending, placement.ending = placement.ending or Ending.UNREACHED, None
+                    ending, placement.ending = placement.ending or TerminationReason.CONNECT_FAILED, None
                     await placement.failed(ending)
                     answers.error = None
                     continue
@@ -131,8 +138,8 @@
     async def send(self, message: Message) -> None:
         kind = message["type"]
         if not self.started:
-            if self.error is None and self.placement.ending is Ending.UNREACHED:
-                self.error = NodeUnreachable(self.placement.node)
+            if self.error is None and self.placement.ending is TerminationReason.CONNECT_FAILED:
+                self.error = BackendUnreachable(self.placement.backend)
             if self.error is not None:
                 return  # an error page of the framework, for an attempt that has another after it
             if kind == "websocket.accept" or kind == "http.response.start" and message["status"] < 400:
@@ -154,7 +161,7 @@
             return
         self.ended = True
         if not self.started:
-            await refuse(self.scope, self.outer, Closing("the placer is closing"))
+            await refuse(self.scope, self.outer, PlacerClosed("the placer is closing"))
         elif self.scope["type"] == "websocket":
             await self.outer({"type": "websocket.close", "code": COME_AGAIN, "reason": "come again"})
         else:
@@ -211,7 +218,7 @@
 
 
 async def refuse(scope: Scope, send: Send, error: Exception | None) -> None:
-    after = error.retry_after if isinstance(error, Refused) else 1.0
+    after = error.retry_after if isinstance(error, Rejected) else 1.0
     headers = [(b"retry-after", b"%d" % max(1, ceil(after)))]
     await answer(scope, send, 503, TRY_AGAIN_LATER, NOT_PLACED, headers)
 
--- a/yarrowspindle/middleware/streams.py
+++ b/yarrowspindle/middleware/streams.py
@@ -12,7 +12,7 @@
 from yarrowspindle.library.placer import Placement
 from yarrowspindle.middleware.asgi import COME_AGAIN
 from yarrowspindle.routing.address import Address
-from yarrowspindle.routing.termination import Ending
+from yarrowspindle.routing.termination import TerminationReason
 
 CONNECT_S = 0.25
 LINE_MOST = 65_536
@@ -61,11 +61,11 @@
         try:
             link = await open_link(placement.address)
         except OSError:  # a time-out among them
-            await placement.failed(Ending.UNREACHED)
+            await placement.failed(TerminationReason.CONNECT_FAILED)
             continue
         if placement.moved.is_set():  # the node drained, or the time was up, while the connection came up
             await link.close()
-            await placement.failed(Ending.NEVER_SENT)
+            await placement.failed(TerminationReason.NOT_SENT)
             continue
         placement.reached()
         return link
@@ -80,30 +80,30 @@
     try:
         await websocket.accept()
 
-        async def from_client() -> tuple[int, Ending]:
+        async def from_client() -> tuple[int, TerminationReason]:
             while True:
                 message = await websocket.receive()
                 if message["type"] == "websocket.disconnect":
-                    return 0, Ending.SUBMITTER_LEFT
+                    return 0, TerminationReason.CLIENT_DISCONNECTED
                 placement.asked()
                 await link.write(message.get("text") or (message.get("bytes") or b"").decode("utf-8", "replace"))
 
-        async def from_node() -> tuple[int, Ending]:
+        async def from_backend() -> tuple[int, TerminationReason]:
             while True:
                 try:
                     message = await link.read()
                 except OSError:
-                    return 1011, Ending.BROKEN
+                    return 1011, TerminationReason.CONNECTION_RESET
                 if message is None:
-                    return 1000, Ending.SERVED
+                    return 1000, TerminationReason.COMPLETED
                 placement.answered()
                 await websocket.send_text(message)
 
-        async def moved() -> tuple[int, Ending]:
+        async def moved() -> tuple[int, TerminationReason]:
             await placement.moved.wait()
-            return COME_AGAIN, Ending.MOVED
+            return COME_AGAIN, TerminationReason.MIGRATED
 
-        code, ending = await first_of(from_client(), from_node(), moved())
+        code, ending = await first_of(from_client(), from_backend(), moved())
         if not placement.over:
             placement.ending = ending
         if code:
@@ -127,7 +127,7 @@
             try:
                 message = reading.result()
             except OSError:
-                placement.ending = Ending.BROKEN
+                placement.ending = TerminationReason.CONNECTION_RESET
                 return
             if message is None:
                 return
@@ -139,12 +139,12 @@
         await link.close()
 
 
-async def first_of(*works: Any) -> tuple[int, Ending]:
+async def first_of(*works: Any) -> tuple[int, TerminationReason]:
     """The first that ends decides; the others are cancelled, and what they raise meanwhile is passed over."""
     tasks = [asyncio.ensure_future(work) for work in works]
     try:
         done, _ = await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
-        found: tuple[int, Ending] = next(t for t in tasks if t in done).result()
+        found: tuple[int, TerminationReason] = next(t for t in tasks if t in done).result()
         return found
     finally:
         for task in tasks:
--- a/yarrowspindle/protocol/endpoint_list.py
+++ b/yarrowspindle/protocol/endpoint_list.py
@@ -8,11 +8,11 @@
 
 import httptools
 
-from yarrowspindle.decisions.events import ListKind, State
+from yarrowspindle.decisions.events import EndpointState, ListKind
 from yarrowspindle.routing.address import Address
-from yarrowspindle.routing.events import ListTold, Machine
+from yarrowspindle.routing.events import Endpoint, EndpointsUpdated
 
-STATES = {"ready": State.READY, "draining": State.DRAINING, "gone": State.GONE}
+STATES = {"ready": EndpointState.READY, "draining": EndpointState.DRAINING, "gone": EndpointState.GONE}
 LONGEST = 4 << 20
 PORT_MOST, CELL_MOST, SIZE_MOST = 65_535, 1e9, 1e9
 TIME_MOST_MS = 1e14  # of a Unix time: the year 5138
@@ -57,12 +57,12 @@
     return float(value) or default
 
 
-def parse_list(data: object, names: Names, kind: ListKind | None = None) -> ListTold:
+def parse_list(data: object, names: Names, kind: ListKind | None = None) -> EndpointsUpdated:
     if not isinstance(data, dict) or not isinstance(data.get("members"), list):
         raise ListError("a list without members")
     try:
         machines = [
-            Machine(
+            Endpoint(
                 name=parse_name(m["id"]),
                 address=parse_address(m["host_port"]),
                 state=STATES[m["phase"]],
@@ -79,7 +79,7 @@
         raise ListError(f"a member that makes no sense: {error!r}") from error
     if kind is None:
         kind = ListKind.FULL if data.get("complete") else ListKind.DELTA
-    return ListTold(kind, machines, version)
+    return EndpointsUpdated(kind, machines, version)
 
 
 def watch_request(host: str, version: int) -> bytes:
@@ -97,10 +97,10 @@
         self.rest = b""
         self.held: list[bytes] = []  # lines of an object that goes on, where lists come indented
         self.depth = self.size = 0
-        self.told: list[ListTold] = []
+        self.told: list[EndpointsUpdated] = []
         self.ended = False
 
-    def feed(self, data: bytes) -> list[ListTold]:
+    def feed(self, data: bytes) -> list[EndpointsUpdated]:
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserError as error:  # what a callback raised comes wrapped
--- a/yarrowspindle/protocol/platform_settings.py
+++ b/yarrowspindle/protocol/platform_settings.py
@@ -6,11 +6,11 @@
 from collections.abc import Mapping
 from typing import TypeVar
 
-from yarrowspindle.decisions.settings import Effect, Group, RequestClass, Settings, Tenant
+from yarrowspindle.decisions.settings import DeduplicationScope, Idempotency, RequestClass, Settings, Tenant
 
 T = TypeVar("T")
-EFFECTS = {"pure": Effect.SAFE, "token": Effect.KEYED, "side_effect": Effect.UNSAFE}
-GROUPS = {"all": Group.ALL, "zone": Group.ZONE, "cell": Group.CELL}
+EFFECTS = {"pure": Idempotency.IDEMPOTENT, "token": Idempotency.KEYED, "side_effect": Idempotency.NON_IDEMPOTENT}
+GROUPS = {"all": DeduplicationScope.ALL, "zone": DeduplicationScope.ZONE, "cell": DeduplicationScope.CELL}
 
 
 class SettingsError(Exception):
@@ -75,13 +75,13 @@
     message_aims = p.numbers("family_info.message_aim_ms")
     classes = tuple(
         RequestClass(
-            aim_ms=p.number(f"categories.{i}.slo_ms"),
+            setup_latency_objective_ms=p.number(f"categories.{i}.slo_ms"),
             deadline_ms=p.number(f"categories.{i}.deadline_ms"),
-            effect=p.choice(f"categories.{i}.effect", EFFECTS, "side_effect"),
-            group=p.choice(f"categories.{i}.group", GROUPS, "cell"),
-            window_ms=p.number(f"categories.{i}.window_ms", 0.0),
-            worth=p.number(f"categories.{i}.points", 1.0),
-            message_aim_ms=message_aims[i] if i < len(message_aims) else 0.0,
+            idempotency=p.choice(f"categories.{i}.effect", EFFECTS, "side_effect"),
+            deduplication_scope=p.choice(f"categories.{i}.group", GROUPS, "cell"),
+            idempotency_window_ms=p.number(f"categories.{i}.window_ms", 0.0),
+            priority_weight=p.number(f"categories.{i}.points", 1.0),
+            message_latency_objective_ms=message_aims[i] if i < len(message_aims) else 0.0,
         )
         for i in range(p.whole("categories.count"))
     )
@@ -105,15 +105,15 @@
         number=p.whole("slot_no"),
         balancers=p.whole("balancers"),
         tenants=tenants,
-        over_share_worth=p.number("over_share_worth", 1.0),
-        asks=p.choice("discovery", {"automatic": False, "subscribe": True}, "automatic"),
-        ask_within_ms=p.number("obligations.ask_within_ms", 10_000.0),
+        over_quota_priority_weight=p.number("over_share_worth", 1.0),
+        polls_discovery=p.choice("discovery", {"automatic": False, "subscribe": True}, "automatic"),
+        poll_interval_ms=p.number("obligations.ask_within_ms", 10_000.0),
         drain_grace_ms=p.number("obligations.drain_grace_ms"),
         answer_slack_ms=p.number("obligations.answer_slack_ms"),
-        cold_share=p.number("obligations.cold_share"),
-        cold_ms=p.number("obligations.cold_ms"),
-        fall_multiple=p.number("obligations.fall_multiple"),
-        fall_ms=p.number("obligations.fall_ms"),
+        initial_capacity_fraction=p.number("obligations.cold_share"),
+        warmup_ms=p.number("obligations.cold_ms"),
+        overload_multiple=p.number("obligations.fall_multiple"),
+        overload_window_ms=p.number("obligations.fall_ms"),
         connect_timeout_ms=p.number("limits.connect_timeout_ms", 250.0),
         conn_idle_ms=p.number("limits.conn_idle_ms", 30_000.0),
         tick_ms=p.number("step_ms", 1.0),
@@ -122,13 +122,13 @@
         retry_after=p.flag("limits.retry_after"),
         may_cancel=p.flag("limits.cancel"),
         may_probe=p.flag("limits.probing"),
-        may_tell=p.flag("limits.may_tell"),
+        can_gossip=p.flag("limits.may_tell"),
         cross_zone_price=p.number("deductions.cross_zone", 0.0),
-        tells_load=p.flag("family_info.tells_load", True),
-        tells_delay=p.flag("family_info.tells_delay", True),
+        backend_reports_load=p.flag("family_info.tells_load", True),
+        backend_reports_latency=p.flag("family_info.tells_delay", True),
         move_price=p.number("deductions.moves", 0.0),
         probe_price=p.number("deductions.probe", 0.0),
-        live_weights=p.text("weight_kind", "nominal") == "live",
-        groups=p.flag("family_info.groups"),
-        report=tuple(p.names("stats.columns")) if p.text("stats.source", "none") != "none" else (),
+        capacity_excludes_load=p.text("weight_kind", "nominal") == "live",
+        groups_share_work=p.flag("family_info.groups"),
+        load_report_fields=tuple(p.names("stats.columns")) if p.text("stats.source", "none") != "none" else (),
     )
--- a/yarrowspindle/protocol/quic.py
+++ b/yarrowspindle/protocol/quic.py
@@ -97,7 +97,7 @@
     return headers
 
 
-class NodeIds:
+class BackendIds:
     """Connection ids in the manner of QUIC-LB's single-pass encryption, with a key that nodes and relays share.
 
     The block holds the server id and a nonce that no other id of that server has. Nodes keep the nonce unique
--- a/yarrowspindle/rebalancing/effect_monitor.py
+++ b/yarrowspindle/rebalancing/effect_monitor.py
@@ -51,25 +51,25 @@
         self.failures: dict[str, int] = {}
         self.paused, self.until = "", -1.0
         self.in_vain = 0  # pauses on end for want of results; each is twice as long as the one before
-        self.effect_at, self.effect_from, self.effect_moves, self.effect_nodes = -1.0, 0.0, 0.0, 0
+        self.effect_at, self.effect_from, self.effect_moves, self.effect_backends = -1.0, 0.0, 0.0, 0
 
-    def came_back(self, now: float, node: str) -> None:
+    def came_back(self, now: float, backend: str) -> None:
         """A returning submitter is up at this node, which makes up for failures there."""
         self.back.add(now)
-        self.failures.pop(node, None)
+        self.failures.pop(backend, None)
 
-    def failed(self, node: str) -> bool:
+    def failed(self, backend: str) -> bool:
         """A returning submitter was turned away there; true where the node is to be left alone for a while."""
         if len(self.failures) >= FAILURES_MOST:  # nodes that came and went: their failures say nothing any more
             self.failures.clear()
-        self.failures[node] = self.failures.get(node, 0) + 1
-        if self.failures[node] < SPOILT:
+        self.failures[backend] = self.failures.get(backend, 0) + 1
+        if self.failures[backend] < SPOILT:
             return False
-        del self.failures[node]
+        del self.failures[backend]
         return True
 
     def judge(
-        self, now: float, standing: int, nodes: int, excess: float, mean: float, settings: RebalanceSettings
+        self, now: float, standing: int, backends: int, excess: float, mean: float, settings: RebalanceSettings
     ) -> str:
         """Why the plan must pause from now on; empty where it may go on.
 
@@ -85,7 +85,7 @@
         moved, back = self.moved.sum(now, LAG_MS), self.back.sum(now)
         if moved >= LEAST_MOVES and back < settings.return_least * moved:
             return "lost"
-        return self._no_effect(now, nodes, excess, mean)
+        return self._no_effect(now, backends, excess, mean)
 
     def proof(self, now: float, settings: RebalanceSettings) -> bool | None:
         """Whether as many come back as is usual; None while too few were moved to tell."""
@@ -96,12 +96,12 @@
         """Moved of late, less those that came back here: about nothing where all relays rebalance alike."""
         return max(0.0, self.moved.sum(now, LAG_MS) - self.back.sum(now))
 
-    def _no_effect(self, now: float, nodes: int, excess: float, mean: float) -> str:
+    def _no_effect(self, now: float, backends: int, excess: float, mean: float) -> str:
         """A minute of moves must have taken a tenth of their load off the excess, or they are of no use.
 
         Counted from the first move on, and anew whenever other nodes take part."""
-        if not self.effect_moves or nodes != self.effect_nodes:
-            self.effect_at, self.effect_from, self.effect_moves, self.effect_nodes = now, excess, 0.0, nodes
+        if not self.effect_moves or backends != self.effect_backends:
+            self.effect_at, self.effect_from, self.effect_moves, self.effect_backends = now, excess, 0.0, backends
         elif now >= self.effect_at + EFFECT_MS:
             idle = self.effect_moves >= LEAST_MOVES and self.effect_from - excess < 0.1 * self.effect_moves * mean
             self.effect_moves = 0.0
--- a/yarrowspindle/rebalancing/fleet_view.py
+++ b/yarrowspindle/rebalancing/fleet_view.py
@@ -9,7 +9,7 @@
 from collections.abc import Iterable
 from typing import Protocol
 
-from yarrowspindle.decisions.events import State
+from yarrowspindle.decisions.events import EndpointState
 
 FLAPS_MOST = 6  # times that the settling time doubles
 FLAPS_FORGOTTEN_MS = 600_000.0
@@ -20,16 +20,18 @@
     """What a list says of a node."""
 
     name: str
-    state: State
+    state: EndpointState
 
 
 class Held:
     """One standing job."""
 
-    __slots__ = ("job", "node", "load", "key", "group", "since", "returned")
+    __slots__ = ("request", "backend", "load", "key", "group", "since", "returned")
 
-    def __init__(self, job: int, node: Book, load: float, key: int, group: int, since: float, returned: bool) -> None:
-        self.job, self.node, self.load, self.key, self.group = job, node, load, key, group
+    def __init__(
+        self, request: int, backend: Book, load: float, key: int, group: int, since: float, returned: bool
+    ) -> None:
+        self.request, self.backend, self.load, self.key, self.group = request, backend, load, key, group
         self.since, self.returned = since, returned
 
 
@@ -47,7 +49,7 @@
         "flaps",
         "flapped_at",
         "load",
-        "jobs",
+        "requests",
         "groups",
         "hot_since",
         "spoilt_until",
@@ -56,12 +58,12 @@
     def __init__(self, name: str, number: int) -> None:
         self.name, self.number = name, number
         self.capacity, self.started = 1.0, 0.0
-        self.state = State.GONE
+        self.state = EndpointState.GONE
         self.ready_at = 0.0  # since when it has been ready without a break
         self.came_at = -1.0  # when it came as a newcomer; below 0: it did not
         self.flaps, self.flapped_at = 0, 0.0
         self.load = 0.0
-        self.jobs: dict[int, Held] = {}  # oldest first
+        self.requests: dict[int, Held] = {}  # oldest first
         self.groups: dict[int, set[int]] = {}
         self.hot_since = -1.0
         self.spoilt_until = -1.0  # it turned submitters away: no target for a while
@@ -76,18 +78,20 @@
         self.cold_ms, self.cold_share = cold_ms, cold_share
         self.books: dict[str, Book] = {}
         self.numbers: dict[int, Book] = {}
-        self.jobs: dict[int, Held] = {}
+        self.requests: dict[int, Held] = {}
         self.mean_load = 0.0
         self.listed = False  # a list has come: who is new in a later one is a newcomer
 
     # --- nodes ----------------------------------------------------------------------------------
 
-    def node(self, now: float, name: str, number: int, state: State, capacity: float, started: float) -> None:
+    def backend(
+        self, now: float, name: str, number: int, state: EndpointState, capacity: float, started: float
+    ) -> None:
         book = self.books.get(name)
         new = book is None
         if book is None:
             book = self.books[name] = self.numbers[number] = Book(name, number)
-        if state is State.READY and (book.state is not State.READY or started != book.started):
+        if state is EndpointState.READY and (book.state is not EndpointState.READY or started != book.started):
             book.ready_at, book.hot_since, book.spoilt_until = now, -1.0, -1.0
             if self.listed:
                 book.came_at = now
@@ -103,12 +107,12 @@
 
         A node that flapped is remembered for longer than its absence, within bounds."""
         self.listed = True
-        for node in touched:
-            book = self.books.get(node.name)
-            if book is None or node.state is not State.GONE:
+        for backend in touched:
+            book = self.books.get(backend.name)
+            if book is None or backend.state is not EndpointState.GONE:
                 continue
-            book.state = State.GONE
-            if not book.jobs and (not book.flaps or len(self.books) > BOOKS_MOST):
+            book.state = EndpointState.GONE
+            if not book.requests and (not book.flaps or len(self.books) > BOOKS_MOST):
                 del self.books[book.name], self.numbers[book.number]
 
     def ramp(self, now: float, book: Book) -> float:
@@ -120,39 +124,39 @@
     def settled(self, now: float, book: Book, settle_ms: float) -> bool:
         """Ready, warm, and steady for long enough to be counted on; each flap doubles how long that is."""
         wait = settle_ms * 2.0 ** max(0, book.flaps - 1)
-        return book.state is State.READY and self.ramp(now, book) >= 1.0 and now >= book.ready_at + wait
+        return book.state is EndpointState.READY and self.ramp(now, book) >= 1.0 and now >= book.ready_at + wait
 
     # --- jobs -----------------------------------------------------------------------------------
 
-    def opened(self, now: float, job: int, name: str, load: float, key: int, group: int, returned: bool) -> None:
+    def opened(self, now: float, request: int, name: str, load: float, key: int, group: int, returned: bool) -> None:
         book = self.books.get(name)
         if book is None:  # adopted from a list that no longer names it
             return
         if load > 0.0:
             self.mean_load += (load - self.mean_load) * (0.05 if self.mean_load else 1.0)
-        held = Held(job, book, load or self.mean_load or 1.0, key, group, now, returned)
-        self.jobs[job] = book.jobs[job] = held
+        held = Held(request, book, load or self.mean_load or 1.0, key, group, now, returned)
+        self.requests[request] = book.requests[request] = held
         book.load += held.load
         if group:
-            book.groups.setdefault(group, set()).add(job)
+            book.groups.setdefault(group, set()).add(request)
 
-    def load(self, job: int, load: float) -> None:
-        held = self.jobs.get(job)
+    def load(self, request: int, load: float) -> None:
+        held = self.requests.get(request)
         if held is not None and load > 0.0:
             self.mean_load += (load - self.mean_load) * (0.05 if self.mean_load else 1.0)
-            held.node.load += load - held.load
+            held.backend.load += load - held.load
             held.load = load
 
-    def over(self, job: int) -> Held | None:
-        held = self.jobs.pop(job, None)
+    def over(self, request: int) -> Held | None:
+        held = self.requests.pop(request, None)
         if held is None:
             return None
-        book = held.node
-        del book.jobs[job]
-        book.load = book.load - held.load if book.jobs else 0.0
+        book = held.backend
+        del book.requests[request]
+        book.load = book.load - held.load if book.requests else 0.0
         if held.group:
             members = book.groups[held.group]
-            members.discard(job)
+            members.discard(request)
             if not members:
                 del book.groups[held.group]
         return held
--- a/yarrowspindle/rebalancing/migration_rate.py
+++ b/yarrowspindle/rebalancing/migration_rate.py
@@ -31,22 +31,22 @@
 
     def __init__(self, now: float) -> None:
         self.all = Bucket(0.0, 1.0, now)
-        self.by_node: dict[tuple[str, str], Bucket] = {}  # ("source" or "target", node)
+        self.by_backend: dict[tuple[str, str], Bucket] = {}  # ("source" or "target", node)
         self.factor = 1.0
 
     def begin(self, now: float, rate: float, beat_s: float) -> None:
         """At each beat: what the relay may move now. Buckets of nodes that are full again are forgotten."""
         rate *= self.factor
         self.all.fill(now, rate, max(1.0, rate * beat_s))
-        for key in [k for k, b in self.by_node.items() if b.tokens + b.rate * (now - b.at) / 1000.0 >= b.burst]:
-            del self.by_node[key]
+        for key in [k for k, b in self.by_backend.items() if b.tokens + b.rate * (now - b.at) / 1000.0 >= b.burst]:
+            del self.by_backend[key]
 
-    def node(self, now: float, role: str, name: str, rate: float, beat_s: float) -> Bucket:
+    def backend(self, now: float, role: str, name: str, rate: float, beat_s: float) -> Bucket:
         rate *= self.factor
         burst = max(1.0, rate * beat_s)
-        bucket = self.by_node.get((role, name))
+        bucket = self.by_backend.get((role, name))
         if bucket is None:
-            bucket = self.by_node[role, name] = Bucket(rate, burst, now)
+            bucket = self.by_backend[role, name] = Bucket(rate, burst, now)
         bucket.fill(now, rate, burst)
         return bucket
 
--- a/yarrowspindle/rebalancing/plan.py
+++ b/yarrowspindle/rebalancing/plan.py
@@ -63,7 +63,7 @@
         if book.filled > top:
             found.sources.append(book)
             found.excess += (book.filled - level) * book.capacity
-        chance = SIGMAS * mean * sqrt(len(book.jobs) + 1.0) / book.capacity
+        chance = SIGMAS * mean * sqrt(len(book.requests) + 1.0) / book.capacity
         hot = book.filled > level + max(settings.spread * level, chance)
         book.hot_since = (book.hot_since if book.hot_since >= 0.0 else now) if hot else -1.0
     if newcomers > max(0.0, mean * 0.5):
@@ -109,12 +109,12 @@
 
         def go(held: Held) -> bool:
             """One move, if all three buckets have a token; room is booked at the emptiest target that has one."""
-            name = held.node.name
-            source = pace.node(now, "source", name, settings.source_moves_per_s, settings.beat_s)
+            name = held.backend.name
+            source = pace.backend(now, "source", name, settings.source_moves_per_s, settings.beat_s)
             rate = settings.target_moves_per_s / sharers
             while room:
                 target = room[0]
-                goal = pace.node(now, "target", target[1], rate, settings.beat_s)
+                goal = pace.backend(now, "target", target[1], rate, settings.beat_s)
                 if goal.tokens >= 1.0 - 1e-9:
                     break
                 heapq.heappop(room)  # it is given no more in this beat
@@ -126,14 +126,14 @@
             heapq.heapreplace(room, (target[0] + held.load, target[1]))
             excess[name] -= held.load
             moves.append(held)
-            taken.add(held.job)
+            taken.add(held.request)
             return True
 
         # The rest of a group follows it, if nothing has changed under it.
         waiting, self.waiting = self.waiting, []
-        for number, job in enumerate(waiting):
-            held = view.jobs.get(job)
-            if held is None or held.node.name not in sources or allowed(held):
+        for number, request in enumerate(waiting):
+            held = view.requests.get(request)
+            if held is None or held.backend.name not in sources or allowed(held):
                 continue
             if not go(held):
                 self.waiting = waiting[number:]
@@ -156,7 +156,7 @@
             budget -= sum(h.load for h in unit)
             for number, held in enumerate(unit[1:], 1):
                 if len(moves) >= most or not go(held):
-                    self.waiting += [h.job for h in unit[number:]]
+                    self.waiting += [h.request for h in unit[number:]]
                     break
             if self.waiting:
                 break
@@ -176,19 +176,21 @@
     ) -> list[Held]:
         """What goes next off this node: one job, or a whole group where groups are kept together."""
         self.turn += 1
-        count = len(book.jobs)
+        count = len(book.requests)
         if count <= SCAN_MOST:
-            jobs = list(book.jobs.values())
+            requests = list(book.requests.values())
         else:  # a window that goes round, so that no job is passed over for good
             first = self.turn * SCAN_MOST % count
-            jobs = list(islice(chain(islice(book.jobs.values(), first, None), book.jobs.values()), SCAN_MOST))
+            requests = list(
+                islice(chain(islice(book.requests.values(), first, None), book.requests.values()), SCAN_MOST)
+            )
         best: list[Held] = []
         best_load = 0.0
         seen: set[int] = set()
         together = settings.order is Order.GROUP
-        for held in jobs:
+        for held in requests:
             unit = [held]
-            if held.job in taken or held.group in seen and together:
+            if held.request in taken or held.group in seen and together:
                 continue
             if together and held.group:
                 seen.add(held.group)
@@ -196,7 +198,7 @@
                 if len(members) > SCAN_MOST:
                     held_back["group"] += 1
                     continue
-                unit = [view.jobs[j] for j in sorted(members)]
+                unit = [view.requests[j] for j in sorted(members)]
             load = sum(h.load for h in unit)
             if load > gap:  # it would only swap the imbalance
                 held_back["group" if len(unit) > 1 else "giant"] += 1
@@ -204,7 +206,9 @@
             if load < settings.least_gain * mean * len(unit):
                 held_back["light"] += 1
                 continue
-            why = next((w for h in unit if (w := allowed(h))), "") or ("taken" if taken & {h.job for h in unit} else "")
+            why = next((w for h in unit if (w := allowed(h))), "") or (
+                "taken" if taken & {h.request for h in unit} else ""
+            )
             if why:
                 held_back[why] += 1
                 continue
--- a/yarrowspindle/rebalancing/rebalancer.py
+++ b/yarrowspindle/rebalancing/rebalancer.py
@@ -6,7 +6,7 @@
 from collections.abc import Sequence
 from random import Random
 
-from yarrowspindle.decisions.events import State
+from yarrowspindle.decisions.events import EndpointState
 from yarrowspindle.rebalancing.effect_monitor import IN_VAIN, SPOILT_MS, Watch
 from yarrowspindle.rebalancing.fleet_view import Held, View
 from yarrowspindle.rebalancing.migration_rate import Moved, Pace
@@ -63,21 +63,21 @@
     def refused(self, now: float) -> None:
         self.watch.refused.add(now)
 
-    def opened(self, now: float, job: int, node: str, load: float, key: int, group: int, returned: bool) -> None:
-        self.view.opened(now, job, node, load, key, group, returned)
+    def opened(self, now: float, request: int, backend: str, load: float, key: int, group: int, returned: bool) -> None:
+        self.view.opened(now, request, backend, load, key, group, returned)
         if returned:
             self.counts["returned"] += 1
-            self.watch.came_back(now, node)
+            self.watch.came_back(now, backend)
 
-    def attempt_failed(self, now: float, node: str, returned: bool) -> None:
-        if returned and self.watch.failed(node):
-            book = self.view.books.get(node)
+    def attempt_failed(self, now: float, backend: str, returned: bool) -> None:
+        if returned and self.watch.failed(backend):
+            book = self.view.books.get(backend)
             if book is not None:
                 book.spoilt_until = now + SPOILT_MS
                 self.counts["spoilt"] += 1
 
-    def over(self, now: float, job: int, broken: bool) -> None:
-        if self.view.over(job) is not None and broken:
+    def over(self, now: float, request: int, broken: bool) -> None:
+        if self.view.over(request) is not None and broken:
             self.watch.broken.add(now)
 
     # --- the beat -------------------------------------------------------------------------------
@@ -91,7 +91,7 @@
         self.idle = (
             "stopping" if self.stopped else "quiet" if settings.is_quiet(now) else "" if self.found.cause else "even"
         )
-        standing = len(self.view.jobs)
+        standing = len(self.view.requests)
         mean = self.view.mean_load or 1.0
         why = watch.judge(now, standing, len(self.found.taking_part), self.found.excess, mean, settings)
         if why:
@@ -126,13 +126,13 @@
             sharers or self.relays,
         )
         for held in moves:
-            self.moved.add(now, held.key or -held.job, settings.submitter_window_s * 1000.0)
+            self.moved.add(now, held.key or -held.request, settings.submitter_window_s * 1000.0)
             watch.moved.add(now)
             watch.effect_moves += 1.0
         self.counts[f"moves.{self.found.cause}"] += len(moves)
         for name, count in held_back.items():
             self.counts[f"held.{name}"] += count
-        return [held.job for held in moves]
+        return [held.request for held in moves]
 
     def _resumes(self, why: str) -> str:
         if why not in IN_VAIN:
@@ -146,7 +146,7 @@
         window = settings.submitter_window_s * 1000.0
         if now < held.since + settings.dwell_s * 1000.0:
             return "dwell"
-        if held.node.state is not State.READY:
+        if held.backend.state is not EndpointState.READY:
             return "draining"
         times = self.moved.count(now, held.key, window) if held.key else 0
         if held.returned and not times and now < held.since + window:
--- a/yarrowspindle/replay/player.py
+++ b/yarrowspindle/replay/player.py
@@ -10,8 +10,17 @@
 
 from yarrowspindle.library.placer import Placement, Placer
 from yarrowspindle.replay.sequence import Header
-from yarrowspindle.routing.effects import Close, Deny, Drop, Effect, Join, Move, Reach, Requeue
-from yarrowspindle.routing.events import Event, JobArrived, ListTold, SubmitterLeft
+from yarrowspindle.routing.effects import (
+    AbortAttempt,
+    CloseClientConnection,
+    Effect,
+    FailRequest,
+    MigrateConnection,
+    OpenBackendConnection,
+    RejectRequest,
+    StartRelaying,
+)
+from yarrowspindle.routing.events import ClientDisconnected, EndpointsUpdated, Event, RequestReceived
 from yarrowspindle.runtime import NoTimers
 from yarrowspindle.telemetry.published_names import EFFECTS, ENDINGS
 
@@ -39,14 +48,14 @@
         choice = choice_of(effect)
         if choice is not None:
             self.choices.append(choice)
-        if isinstance(effect, Join | Requeue | Deny):
-            self.answers[effect.job].append(ANSWERS[type(effect)])
+        if isinstance(effect, StartRelaying | RejectRequest | FailRequest):
+            self.answers[effect.request].append(ANSWERS[type(effect)])
 
     def event(self, event: Event) -> None:
-        if isinstance(event, JobArrived):
-            self.answers[event.job] = []
-        elif isinstance(event, SubmitterLeft) and self.answers.get(event.job) == []:
-            self.answers[event.job].append("left")
+        if isinstance(event, RequestReceived):
+            self.answers[event.request] = []
+        elif isinstance(event, ClientDisconnected) and self.answers.get(event.request) == []:
+            self.answers[event.request].append("left")
 
     def counts(self) -> dict[str, int]:
         found: Counter[str] = Counter(a for answers in self.answers.values() for a in answers)
@@ -55,33 +64,35 @@
         return dict(found)
 
 
-ANSWERS = {Join: "up", Requeue: "refused", Deny: "failed"}
+ANSWERS = {StartRelaying: "up", RejectRequest: "refused", FailRequest: "failed"}
 
 
 def choice_of(effect: Effect) -> Choice | None:
     """What the core chose, without what only concerns timers, the list or the log."""
-    if isinstance(effect, Reach):
-        return ("reach", effect.job, effect.attempt, effect.node, effect.within_ms)
-    if isinstance(effect, Requeue):
-        return ("requeue", effect.job, effect.after_ms)
-    if isinstance(effect, Deny | Move | Join):
-        return (EFFECTS[type(effect)].lower(), effect.job)
-    if isinstance(effect, Drop):
-        return ("drop", effect.job, effect.attempt)
-    if isinstance(effect, Close):
-        return ("close", effect.job, ENDINGS[effect.ending].upper())
+    if isinstance(effect, OpenBackendConnection):
+        return ("reach", effect.request, effect.attempt, effect.backend, effect.within_ms)
+    if isinstance(effect, RejectRequest):
+        return ("requeue", effect.request, effect.retry_after_ms)
+    if isinstance(effect, FailRequest | MigrateConnection | StartRelaying):
+        return (EFFECTS[type(effect)].lower(), effect.request)
+    if isinstance(effect, AbortAttempt):
+        return ("drop", effect.request, effect.attempt)
+    if isinstance(effect, CloseClientConnection):
+        return ("close", effect.request, ENDINGS[effect.reason].upper())
     return None
 
 
 def play_daemon(header: Header, events: Iterable[tuple[float, Event]]) -> Played:
     """The daemon's own wiring (`program/hub.py`), with its clock and timers taken from the sequence."""
     from yarrowspindle.daemon.config import Config
-    from yarrowspindle.daemon.relay_service import Hub
+    from yarrowspindle.daemon.relay_service import RelayService
 
     played, clock = Played(), RecordedClock(header.started)
     nowhere = ("127.0.0.1", 1)
-    known = ListTold(kind=0)  # type: ignore[arg-type]  # not posted: the sequence has the lists
-    hub = Hub(Config("replay", nowhere, nowhere, header.seed, header.settings, known), clock, timers=NoTimers(clock))
+    known = EndpointsUpdated(kind=0)  # type: ignore[arg-type]  # not posted: the sequence has the lists
+    hub = RelayService(
+        Config("replay", nowhere, nowhere, header.seed, header.settings, known), clock, timers=NoTimers(clock)
+    )
     hub.runtime.watch = lambda effect: None
 
     class Front:
@@ -91,10 +102,10 @@
     front = Front()
 
     def tell(event: Event) -> None:
-        if isinstance(event, JobArrived):
-            number = hub.new_job(front)
-            if number != event.job:
-                raise ValueError(f"job {event.job} is out of order: {number} would be next")
+        if isinstance(event, RequestReceived):
+            number = hub.new_request(front)
+            if number != event.request:
+                raise ValueError(f"job {event.request} is out of order: {number} would be next")
         hub.post(event)
 
     return _feed(played, clock, events, tell)
@@ -104,19 +115,19 @@
     """The library's Placer, with its clock and timers taken from the sequence."""
     played, clock = Played(), RecordedClock(header.started)
     placer = Placer(header.settings, seed=header.seed, clock=clock, timers=NoTimers(clock))
-    placer.jobs_most = 1 << 62
+    placer.requests_most = 1 << 62
     asyncio.run(_open(placer))
     placer.runtime.late_at = inf  # stalls stand in the sequence
     placer.runtime.effect = played.effect
 
     def tell(event: Event) -> None:
-        if isinstance(event, JobArrived):
-            wanted = event.job
+        if isinstance(event, RequestReceived):
+            wanted = event.request
             placer.arrive(Placement(placer), event)
-            if event.job != wanted:
-                raise ValueError(f"job {wanted} is out of order: {event.job} would be next")
-        elif isinstance(event, SubmitterLeft) and event.job in placer.placements:
-            placer.placements[event.job].leave()
+            if event.request != wanted:
+                raise ValueError(f"job {wanted} is out of order: {event.request} would be next")
+        elif isinstance(event, ClientDisconnected) and event.request in placer.placements:
+            placer.placements[event.request].leave()
         else:
             placer.post(event)
 
--- a/yarrowspindle/replay/recorded_form.py
+++ b/yarrowspindle/replay/recorded_form.py
@@ -12,11 +12,11 @@
 from types import UnionType
 from typing import Any, Union, get_args, get_origin, get_type_hints
 
-from yarrowspindle.decisions.events import Others
-from yarrowspindle.decisions.settings import RequestClass, Settings, Tenant
+from yarrowspindle.decisions.events import PeerLoads
+from yarrowspindle.decisions.settings import RequestClass, Settings
 from yarrowspindle.rebalancing import RebalanceSettings
 from yarrowspindle.routing import events
-from yarrowspindle.routing.termination import Ending
+from yarrowspindle.routing.termination import TerminationReason
 
 
 @dataclass(slots=True)
@@ -28,55 +28,101 @@
 
 
 EVENTS: Mapping[str, type] = {
-    "JobArrived": events.JobArrived,
-    "SubmitterLeft": events.SubmitterLeft,
-    "OutOfTurn": events.OutOfTurn,
-    "NodeReached": events.NodeReached,
-    "NodeUp": events.NodeUp,
-    "AttemptOver": events.AttemptOver,
-    "LoadTold": events.LoadTold,
-    "FigureTold": events.FigureTold,
-    "Asked": events.Asked,
-    "Answered": events.Answered,
-    "ListTold": events.ListTold,
-    "Woke": events.Woke,
-    "Stop": events.Stop,
-    "Reloaded": events.Reloaded,
-    "Stalled": events.Stalled,
-    "OthersTold": events.OthersTold,
+    "JobArrived": events.RequestReceived,
+    "SubmitterLeft": events.ClientDisconnected,
+    "OutOfTurn": events.UnexpectedClientData,
+    "NodeReached": events.BackendConnected,
+    "NodeUp": events.BackendAccepted,
+    "AttemptOver": events.AttemptEnded,
+    "LoadTold": events.LoadReported,
+    "FigureTold": events.UnclassifiedReport,
+    "Asked": events.ClientDataForwarded,
+    "Answered": events.BackendDataForwarded,
+    "ListTold": events.EndpointsUpdated,
+    "Woke": events.TimerFired,
+    "Stop": events.ShutdownRequested,
+    "Reloaded": events.DiscoveryAddressChanged,
+    "Stalled": events.EventLoopStalled,
+    "OthersTold": events.PeerLoadsUpdated,
     "Rebalance": RecordedRebalance,
 }
 
-EVENT_NAMES: Mapping[type, str] = {kind: name for name, kind in EVENTS.items()} | {events.Rebalance: "Rebalance"}
+EVENT_NAMES: Mapping[type, str] = {kind: name for name, kind in EVENTS.items()} | {
+    events.RebalancingConfigured: "Rebalance"
+}
 
 # Type -> name of a field in the code -> its recorded name, where the two differ.
 FIELDS: Mapping[type, Mapping[str, str]] = {
-    Settings: {},
-    RequestClass: {},
-    Tenant: {},
-    Others: {},
-    events.Machine: {},
+    Settings: {
+        "backend_reports_latency": "tells_delay",
+        "backend_reports_load": "tells_load",
+        "can_gossip": "may_tell",
+        "capacity_excludes_load": "live_weights",
+        "groups_share_work": "groups",
+        "initial_capacity_fraction": "cold_share",
+        "load_report_fields": "report",
+        "over_quota_priority_weight": "over_share_worth",
+        "overload_multiple": "fall_multiple",
+        "overload_window_ms": "fall_ms",
+        "poll_interval_ms": "ask_within_ms",
+        "polls_discovery": "asks",
+        "slow_message_ms": "slow_ms",
+        "uses_own_load": "by_own_load",
+        "warmup_ms": "cold_ms",
+    },
+    RequestClass: {
+        "deduplication_scope": "group",
+        "idempotency": "effect",
+        "idempotency_window_ms": "window_ms",
+        "message_latency_objective_ms": "message_aim_ms",
+        "priority_weight": "worth",
+        "setup_latency_objective_ms": "aim_ms",
+    },
+    PeerLoads: {
+        "connection_changes": "came",
+        "ejected_by_peers": "shunned",
+        "loads": "holds",
+        "relays": "balancers",
+        "reporting_relays": "heard",
+    },
+    events.RequestReceived: {"request": "job"},
+    events.ClientDisconnected: {"request": "job"},
+    events.UnexpectedClientData: {"request": "job"},
+    events.BackendConnected: {"request": "job"},
+    events.BackendAccepted: {"request": "job"},
+    events.AttemptEnded: {"reason": "ending", "request": "job"},
+    events.LoadReported: {"request": "job"},
+    events.UnclassifiedReport: {"request": "job"},
+    events.ClientDataForwarded: {"request": "job"},
+    events.BackendDataForwarded: {"request": "job"},
+    events.EndpointsUpdated: {"endpoints": "machines"},
+    events.TimerFired: {"timer": "what"},
+    events.ShutdownRequested: {"process_exits": "exits"},
+    events.DiscoveryAddressChanged: {"address": "list_at"},
+    events.PeerLoadsUpdated: {"loads": "others"},
 }
 
 # The texts by which a sequence tells how an attempt ended.
-ENDINGS: Mapping[Ending, str] = {
-    Ending.SERVED: "the execute node served it to its end",
-    Ending.SENT_AWAY: "the execute node asked the submitter to come again",
-    Ending.TURNED_AWAY: "the execute node took it for nothing: full, draining, or no time left",
-    Ending.ERRED: "the execute node answered with an error",
-    Ending.NOT_UNDERSTOOD: "the execute node answered with nothing that the protocol knows",
-    Ending.UNREACHED: "no connection came up, or it broke before all was sent",
-    Ending.BROKEN: "the connection to the execute node broke or ended",
-    Ending.SILENT: "the execute node brought nothing back for too long",
-    Ending.NODE_GONE: "the machine list says that the execute node is gone",
-    Ending.EXPIRED: "nothing came from either side for so long that it must have ended",
-    Ending.OVERDUE: "the relay stopped waiting: the deadline has passed",
-    Ending.STALLED: "the deadline passed while this process stood still: nobody knows what the execute node did",
-    Ending.SUBMITTER_LEFT: "the submitter left, or its connection broke",
-    Ending.MOVED: "the relay told the submitter to come again",
-    Ending.NEVER_SENT: "nothing was sent: the execute node drains or is gone, or there was no time",
+ENDINGS: Mapping[TerminationReason, str] = {
+    TerminationReason.COMPLETED: "the execute node served it to its end",
+    TerminationReason.BACKEND_DRAINING: "the execute node asked the submitter to come again",
+    TerminationReason.REJECTED: "the execute node took it for nothing: full, draining, or no time left",
+    TerminationReason.BACKEND_ERROR: "the execute node answered with an error",
+    TerminationReason.PROTOCOL_ERROR: "the execute node answered with nothing that the protocol knows",
+    TerminationReason.CONNECT_FAILED: "no connection came up, or it broke before all was sent",
+    TerminationReason.CONNECTION_RESET: "the connection to the execute node broke or ended",
+    TerminationReason.UNRESPONSIVE: "the execute node brought nothing back for too long",
+    TerminationReason.BACKEND_REMOVED: "the machine list says that the execute node is gone",
+    TerminationReason.IDLE_EXPIRED: "nothing came from either side for so long that it must have ended",
+    TerminationReason.DEADLINE_EXCEEDED: "the relay stopped waiting: the deadline has passed",
+    TerminationReason.EVENT_LOOP_STALLED: (
+        "the deadline passed while this process stood still: nobody knows what the execute node did"
+    ),
+    TerminationReason.CLIENT_DISCONNECTED: "the submitter left, or its connection broke",
+    TerminationReason.MIGRATED: "the relay told the submitter to come again",
+    TerminationReason.NOT_SENT: "nothing was sent: the execute node drains or is gone, or there was no time",
 }
-ENDINGS_BY_TEXT: Mapping[str, Ending] = {text: ending for ending, text in ENDINGS.items()}
+ENDINGS_BY_TEXT: Mapping[str, TerminationReason] = {text: ending for ending, text in ENDINGS.items()}
 
 _NO_FIELDS: Mapping[str, str] = {}
 
@@ -86,7 +132,7 @@
     if is_dataclass(value) and not isinstance(value, type):
         names = FIELDS.get(type(value), _NO_FIELDS)
         return {names.get(f.name, f.name): to_recorded(getattr(value, f.name)) for f in fields(value)}
-    if isinstance(value, Ending):
+    if isinstance(value, TerminationReason):
         return ENDINGS[value]
     if isinstance(value, list | tuple):
         return [to_recorded(item) for item in value]
@@ -102,7 +148,7 @@
         hints = _hints(kind)
         found = {names.get(str(name), str(name)): item for name, item in data.items()}
         return {name: from_recorded(hints.get(name), item) for name, item in found.items()}
-    if kind is Ending and isinstance(data, str):
+    if kind is TerminationReason and isinstance(data, str):
         return ENDINGS_BY_TEXT.get(data, data)
     if isinstance(data, list) and get_origin(kind) in (list, tuple):
         return [from_recorded(get_args(kind)[0], item) for item in data]
--- a/yarrowspindle/replay/sequence.py
+++ b/yarrowspindle/replay/sequence.py
@@ -78,8 +78,8 @@
         if now < last:
             raise SequenceError(f"line {number}: the time goes back from {last} to {now}")
         last = now
-        if isinstance(event, events.Woke) and isinstance(event.what, list):
-            event.what = tuple(event.what)  # JSON has no tuples
+        if isinstance(event, events.TimerFired) and isinstance(event.timer, list):
+            event.timer = tuple(event.timer)  # JSON has no tuples
         if isinstance(event, RecordedRebalance):
-            event = events.Rebalance(event.settings, event.seed)
+            event = events.RebalancingConfigured(event.settings, event.seed)
         yield now, event
--- a/yarrowspindle/routing/effects.py
+++ b/yarrowspindle/routing/effects.py
@@ -4,93 +4,93 @@
 
 from dataclasses import dataclass
 
-from yarrowspindle.decisions.rejection import Refusal
+from yarrowspindle.decisions.rejection import RejectionReason
 from yarrowspindle.routing.address import Address
-from yarrowspindle.routing.termination import Ending
+from yarrowspindle.routing.termination import TerminationReason
 
 
 @dataclass(slots=True)
-class Reach:
+class OpenBackendConnection:
     """Open a connection to the execute node for this attempt."""
 
-    job: int
+    request: int
     attempt: int
-    node: str
+    backend: str
     address: Address
     within_ms: float
 
 
 @dataclass(slots=True)
-class Ask:
+class ForwardRequest:
     """Send the job on the connection that has come up."""
 
-    job: int
+    request: int
     attempt: int
     left_ms: float
 
 
 @dataclass(slots=True)
-class Drop:
+class AbortAttempt:
     """Give the attempt up: end the connection to the execute node."""
 
-    job: int
+    request: int
     attempt: int
-    why: Ending | Refusal | None = None
+    reason: TerminationReason | RejectionReason | None = None
 
 
 @dataclass(slots=True)
-class Join:
+class StartRelaying:
     """Pass the execute node's first answer back; from now on both sides flow."""
 
-    job: int
+    request: int
 
 
 @dataclass(slots=True)
-class Requeue:
+class RejectRequest:
     """Final answer: not served, come again after this time."""
 
-    job: int
-    after_ms: float
-    why: Refusal | None = None
+    request: int
+    retry_after_ms: float
+    reason: RejectionReason | None = None
 
 
 @dataclass(slots=True)
-class Deny:
+class FailRequest:
     """Final answer: failed."""
 
-    job: int
-    why: Refusal | None = None
+    request: int
+    reason: RejectionReason | None = None
 
 
 @dataclass(slots=True)
-class Move:
+class MigrateConnection:
     """Tell the submitter to come again, and end both sides."""
 
-    job: int
-    why: Ending = Ending.MOVED
+    request: int
+    reason: TerminationReason = TerminationReason.MIGRATED
 
 
 @dataclass(slots=True)
-class Close:
+class CloseClientConnection:
     """End the submitter's side as the execute node's side ended."""
 
-    job: int
-    ending: Ending
+    request: int
+    reason: TerminationReason
 
 
 @dataclass(slots=True)
-class Wake:
+class SetTimer:
     delay_ms: float
-    what: object
+    timer: object
 
 
 @dataclass(slots=True)
-class Unwake:
-    what: object
+class CancelTimer:
+    timer: object
 
 
 @dataclass(slots=True)
-class Watch:
+class WatchEndpoints:
     """Watch the machine list at this address, from this version on; a watch at another address is given up for it.
 
     renew: also where a watch is open there already; that one is kept until the new one has told something."""
@@ -101,47 +101,47 @@
 
 
 @dataclass(slots=True)
-class Probe:
+class CheckHealth:
     """Ask the execute node for its load report; one `ProbeOver` answers it, within this time."""
 
-    node: str
+    backend: str
     address: Address
     within_ms: float
 
 
 @dataclass(slots=True)
-class Unprobe:
+class CancelHealthCheck:
     """Take back what is asked of this node, and ask nothing more on its connection."""
 
-    node: str
+    backend: str
 
 
 @dataclass(slots=True)
-class NodeGone:
+class BackendRemoved:
     """The machine list says that the node is gone; a wire on which that does not show ends what it held."""
 
-    node: str
+    backend: str
 
 
 @dataclass(slots=True)
-class Note:
+class LogMessage:
     text: str
 
 
 Effect = (
-    Reach
-    | Ask
-    | Drop
-    | Join
-    | Requeue
-    | Deny
-    | Move
-    | Close
-    | Wake
-    | Unwake
-    | Watch
-    | Probe
-    | Unprobe
-    | NodeGone
-    | Note
+    OpenBackendConnection
+    | ForwardRequest
+    | AbortAttempt
+    | StartRelaying
+    | RejectRequest
+    | FailRequest
+    | MigrateConnection
+    | CloseClientConnection
+    | SetTimer
+    | CancelTimer
+    | WatchEndpoints
+    | CheckHealth
+    | CancelHealthCheck
+    | BackendRemoved
+    | LogMessage
 )
--- a/yarrowspindle/routing/events.py
+++ b/yarrowspindle/routing/events.py
@@ -5,10 +5,10 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
-from yarrowspindle.decisions.events import ListKind, Others, State
+from yarrowspindle.decisions.events import EndpointState, ListKind, PeerLoads
 from yarrowspindle.decisions.settings import Settings
 from yarrowspindle.routing.address import Address
-from yarrowspindle.routing.termination import Ending
+from yarrowspindle.routing.termination import TerminationReason
 
 if TYPE_CHECKING:  # the platform does without these packages
     from yarrowspindle.maintenance.evacuation import Task
@@ -16,8 +16,8 @@
 
 
 @dataclass(slots=True)
-class JobArrived:
-    job: int
+class RequestReceived:
+    request: int
     left_ms: float
     cls: int = 0
     tenant: int = 0
@@ -31,75 +31,75 @@
 
 
 @dataclass(slots=True)
-class SubmitterLeft:
-    job: int
+class ClientDisconnected:
+    request: int
 
 
 @dataclass(slots=True)
-class OutOfTurn:
+class UnexpectedClientData:
     """The submitter sent more while it had to wait for its answer."""
 
-    job: int
+    request: int
 
 
 @dataclass(slots=True)
-class NodeReached:
-    job: int
+class BackendConnected:
+    request: int
     attempt: int
 
 
 @dataclass(slots=True)
-class NodeUp:
-    job: int
+class BackendAccepted:
+    request: int
     attempt: int
 
 
 @dataclass(slots=True)
-class AttemptOver:
+class AttemptEnded:
     """The execute node's side of an attempt or of a standing connection has ended."""
 
-    job: int
+    request: int
     attempt: int
-    ending: Ending
+    reason: TerminationReason
 
 
 @dataclass(slots=True)
-class LoadTold:
-    job: int
+class LoadReported:
+    request: int
     load: float
 
 
 @dataclass(slots=True)
-class FigureTold:
+class UnclassifiedReport:
     """The figure of a node's `LOAD` line as it came: a load or a message time, see `routing.figures`."""
 
-    job: int
+    request: int
     figure: float
 
 
 @dataclass(slots=True)
-class Asked:
+class ClientDataForwarded:
     """The submitter sent lines on a standing connection."""
 
-    job: int
+    request: int
     lines: int = 1
 
 
 @dataclass(slots=True)
-class Answered:
+class BackendDataForwarded:
     """The execute node sent lines back on it."""
 
-    job: int
+    request: int
     lines: int = 1
 
 
 @dataclass(slots=True)
-class Machine:
+class Endpoint:
     """One entry of the machine list."""
 
     name: str
     address: Address
-    state: State = State.READY
+    state: EndpointState = EndpointState.READY
     zone: int = 0
     cell: int = 0
     kind: int = 0
@@ -108,75 +108,75 @@
 
 
 @dataclass(slots=True)
-class ListTold:
+class EndpointsUpdated:
     """quiet_ms: how long ago discovery was last heard before this, so that what it tells as changed has changed since
     then; None where it was not heard before."""
 
     kind: ListKind
-    machines: list[Machine] = field(default_factory=list)
+    endpoints: list[Endpoint] = field(default_factory=list)
     version: int = 0
     quiet_ms: float | None = None
 
 
 @dataclass(slots=True)
-class Woke:
-    what: object
+class TimerFired:
+    timer: object
 
 
 @dataclass(slots=True)
-class Stop:
+class ShutdownRequested:
     """A planned restart or a drain: all clients are to be moved within this time; a drain is outlived."""
 
     within_ms: float
-    exits: bool = True
+    process_exits: bool = True
 
 
 @dataclass(slots=True)
-class Retune:
+class SettingsChanged:
     """New settings; their classes keep the numbers of those under way (`program.config.retune`). anew: numbers that
     nobody uses and that stand for another class than before."""
 
     settings: Settings
-    anew: frozenset[int] = frozenset()
+    reassigned_classes: frozenset[int] = frozenset()
 
 
 @dataclass(slots=True)
-class Rejoin:
+class DrainCancelled:
     """Back to work after a drain: nobody is moved for it any more."""
 
 
 @dataclass(slots=True)
-class Reloaded:
+class DiscoveryAddressChanged:
     """The operator's new configuration: where the machine list is from now on."""
 
-    list_at: Address
+    address: Address
 
 
 @dataclass(slots=True)
-class Stalled:
+class EventLoopStalled:
     """This process did nothing for so long: what stayed unanswered meanwhile is not the nodes' doing."""
 
     for_ms: float
 
 
 @dataclass(slots=True)
-class StepFailed:
+class InternalError:
     """A step or an effect on this job failed (a fault of the program, which was logged): its client is answered now.
     arrived: it failed as the job came, so that the reducer may not know of it."""
 
-    job: int
+    request: int
     arrived: bool = False
 
 
 @dataclass(slots=True)
-class ClockStepped:
+class WallClockStepped:
     """This machine's wall clock was set to another time while the process ran."""
 
     by_ms: float
 
 
 @dataclass(slots=True)
-class Rebalance:
+class RebalancingConfigured:
     """Standing jobs are to be moved towards balance from now on, or with other settings, or no longer (None)."""
 
     settings: RebalanceSettings | None
@@ -184,51 +184,51 @@
 
 
 @dataclass(slots=True)
-class ProbeOver:
+class HealthCheckCompleted:
     """How a probe of an execute node ended: SERVED with the values of its load report, or why there is none."""
 
-    node: str
-    ending: Ending
+    backend: str
+    reason: TerminationReason
     took_ms: float = 0.0
     report: tuple[float, ...] = ()
 
 
 @dataclass(slots=True)
-class OthersTold:
+class PeerLoadsUpdated:
     """What other relays hold, where relays hear one another."""
 
-    others: Others
+    loads: PeerLoads
 
 
 @dataclass(slots=True)
-class TurnsTold:
+class MaintenanceUpdated:
     """What relays have agreed on of machines out for work."""
 
-    task: Task
+    plan: Task
 
 
 Event = (
-    JobArrived
-    | SubmitterLeft
-    | OutOfTurn
-    | NodeReached
-    | NodeUp
-    | AttemptOver
-    | LoadTold
-    | FigureTold
-    | Asked
-    | Answered
-    | ProbeOver
-    | ListTold
-    | Woke
-    | Stop
-    | Rejoin
-    | Retune
-    | Reloaded
-    | Rebalance
-    | Stalled
-    | ClockStepped
-    | StepFailed
-    | OthersTold
-    | TurnsTold
+    RequestReceived
+    | ClientDisconnected
+    | UnexpectedClientData
+    | BackendConnected
+    | BackendAccepted
+    | AttemptEnded
+    | LoadReported
+    | UnclassifiedReport
+    | ClientDataForwarded
+    | BackendDataForwarded
+    | HealthCheckCompleted
+    | EndpointsUpdated
+    | TimerFired
+    | ShutdownRequested
+    | DrainCancelled
+    | SettingsChanged
+    | DiscoveryAddressChanged
+    | RebalancingConfigured
+    | EventLoopStalled
+    | WallClockStepped
+    | InternalError
+    | PeerLoadsUpdated
+    | MaintenanceUpdated
 )
--- a/yarrowspindle/routing/load_reports.py
+++ b/yarrowspindle/routing/load_reports.py
@@ -23,28 +23,28 @@
     OPEN = "not known yet; `settle` tells later if it was a load"
 
 
-class Figures:
+class LoadReportClassifier:
     """Of one node, as one relay hears them. Times are the caller's, in milliseconds.
 
     slow: a figure above this is a long message; the beat ends with one below it."""
 
-    __slots__ = ("slow", "job", "at", "beating", "open")
+    __slots__ = ("slow", "request", "at", "beating", "open")
 
     def __init__(self, slow_ms: float) -> None:
         self.slow = slow_ms
-        self.job = 0  # on which the last figure came that is, or may be, a time
+        self.request = 0  # on which the last figure came that is, or may be, a time
         self.at = -1e18
         self.beating = False  # times come
         self.open: tuple[int, float] | None = None  # job and figure that may be either
 
-    def told(self, now: float, job: int, figure: float, stands: Callable[[int], bool]) -> Kind:
+    def told(self, now: float, request: int, figure: float, stands: Callable[[int], bool]) -> Kind:
         """`stands`: whether a job's connection still does; a beat goes on elsewhere only where its own has ended."""
         if self.slow <= 0.0 or figure > MOST_MS:
             return Kind.LOAD
         late = now - self.at - BEAT_MS
-        same = job == self.job and (self.beating or self.open is not None)
-        if abs(late) <= OFF_MS and (same or self.beating and not stands(self.job)):
-            self.job, self.at, self.open = job, now, None
+        same = request == self.request and (self.beating or self.open is not None)
+        if abs(late) <= OFF_MS and (same or self.beating and not stands(self.request)):
+            self.request, self.at, self.open = request, now, None
             self.beating = figure > self.slow
             return Kind.TIME
         if self.beating and late < OFF_MS:  # between two beats: a small load
@@ -52,7 +52,7 @@
         if figure <= self.slow:
             return Kind.LOAD  # nothing that begins a beat
         self.beating = False
-        self.job, self.at, self.open = job, now, (job, figure)
+        self.request, self.at, self.open = request, now, (request, figure)
         return Kind.OPEN
 
     def settle(self, now: float) -> tuple[int, float] | None:
--- a/yarrowspindle/routing/start_times.py
+++ b/yarrowspindle/routing/start_times.py
@@ -38,11 +38,11 @@
         self.agree = True
         self.departed: OrderedDict[str, Departure] = OrderedDict()
 
-    def dated(self, server: str, told_ms: float, known: Start | None, now: float, quiet_ms: float | None) -> Start:
+    def dated(self, backend: str, told_ms: float, known: Start | None, now: float, quiet_ms: float | None) -> Start:
         """known: the server's start so far, None where it is not listed. quiet_ms: how long ago discovery was last
         heard before it told this, None where it was not."""
         earliest = -inf if quiet_ms is None else now - quiet_ms
-        if known is None and (departure := self.departed.pop(server, None)) is not None:
+        if known is None and (departure := self.departed.pop(backend, None)) is not None:
             known, earliest = departure.start, departure.at_ms
         if known is not None and told_ms == known.told_ms:
             return known
@@ -56,10 +56,10 @@
         plausible = self.agree and earliest <= told_ms <= now
         return Start(told_ms, told_ms if plausible else now)
 
-    def gone(self, server: str, start: Start, now: float) -> None:
+    def gone(self, backend: str, start: Start, now: float) -> None:
         """The server is no longer listed."""
-        self.departed[server] = Departure(start, now)
-        self.departed.move_to_end(server)
+        self.departed[backend] = Departure(start, now)
+        self.departed.move_to_end(backend)
         while len(self.departed) > REMEMBERED_MOST:
             self.departed.popitem(last=False)
 
--- a/yarrowspindle/routing/state.py
+++ b/yarrowspindle/routing/state.py
@@ -6,40 +6,40 @@
 from enum import Enum
 from math import inf
 
-from yarrowspindle.decisions.events import Adopted, State
-from yarrowspindle.routing.events import JobArrived, Machine
-from yarrowspindle.routing.load_reports import Figures
+from yarrowspindle.decisions.events import EndpointState, ExistingConnection
+from yarrowspindle.routing.events import Endpoint, RequestReceived
+from yarrowspindle.routing.load_reports import LoadReportClassifier
 from yarrowspindle.routing.start_times import Start
 
 
 class Phase(Enum):
-    HELD = "taken; nothing is out"
-    REACHING = "an attempt is out; its connection is not up yet and nothing was sent"
-    ASKED = "an attempt is out and was sent"
-    OPEN = "the connection stands"
-    OVER = "answered, ended or left by its submitter"
+    QUEUED = "taken; nothing is out"
+    CONNECTING = "an attempt is out; its connection is not up yet and nothing was sent"
+    AWAITING_RESPONSE = "an attempt is out and was sent"
+    ESTABLISHED = "the connection stands"
+    CLOSED = "answered, ended or left by its submitter"
 
     __hash__ = object.__hash__  # each is one object; Enum would hash its name, in Python, at every step
 
 
 STEPS = {
-    Phase.HELD: {Phase.REACHING, Phase.OVER},
-    Phase.REACHING: {Phase.ASKED, Phase.HELD, Phase.OVER},
-    Phase.ASKED: {Phase.OPEN, Phase.HELD, Phase.OVER},
-    Phase.OPEN: {Phase.OVER},
-    Phase.OVER: set(),
+    Phase.QUEUED: {Phase.CONNECTING, Phase.CLOSED},
+    Phase.CONNECTING: {Phase.AWAITING_RESPONSE, Phase.QUEUED, Phase.CLOSED},
+    Phase.AWAITING_RESPONSE: {Phase.ESTABLISHED, Phase.QUEUED, Phase.CLOSED},
+    Phase.ESTABLISHED: {Phase.CLOSED},
+    Phase.CLOSED: set(),
 }
 
 
 UNANSWERED_MOST = 64
 
 
-class Job:
+class Request:
     __slots__ = (
         "id",
         "phase",
         "attempt",
-        "node",
+        "backend",
         "deadline",
         "sent",
         "adoption",
@@ -51,20 +51,20 @@
         "begin_by",
     )
 
-    def __init__(self, job: int, now: float, left_ms: float, came: JobArrived | None = None) -> None:
-        self.id, self.phase, self.came = job, Phase.HELD, came or JobArrived(job, left_ms)
+    def __init__(self, request: int, now: float, left_ms: float, came: RequestReceived | None = None) -> None:
+        self.id, self.phase, self.came = request, Phase.QUEUED, came or RequestReceived(request, left_ms)
         self.load, self.since = self.came.load, now  # as last told; when it came, then since when it stands
         self.attempt = -1  # number of the newest, as the module counts
-        self.node: Node | None = None  # of the newest attempt
+        self.backend: Backend | None = None  # of the newest attempt
         self.deadline, self.sent = now + left_ms, now
-        self.adoption: Adopted | None = None  # open before the run, and not up again yet
+        self.adoption: ExistingConnection | None = None  # open before the run, and not up again yet
         self.unanswered: deque[list[float]] = deque()  # when lines came that had no line back, and how many
         self.ref = ""  # its submitter's name for it
         self.begin_by = inf  # when the newest attempt must have begun
 
     @property
     def out(self) -> bool:
-        return self.phase in (Phase.REACHING, Phase.ASKED)
+        return self.phase in (Phase.CONNECTING, Phase.AWAITING_RESPONSE)
 
     def asked(self, now: float, lines: int) -> None:
         """Bounded: a submitter that sends without end and is not answered adds to the last entry."""
@@ -90,7 +90,7 @@
         self.phase = phase
 
 
-class Node:
+class Backend:
     __slots__ = (
         "name",
         "number",
@@ -100,7 +100,7 @@
         "told_at",
         "took",
         "heard",
-        "jobs",
+        "requests",
         "capacity",
         "started",
         "figures",
@@ -111,15 +111,15 @@
 
     def __init__(self, name: str, number: int, slow_ms: float = 0.0) -> None:
         self.name, self.number = name, number
-        self.figures = Figures(slow_ms)
+        self.figures = LoadReportClassifier(slow_ms)
         self.address = ("", 0)
-        self.state = State.GONE
+        self.state = EndpointState.GONE
         self.capacity, self.started = 1.0, 0.0
         self.slow = False  # the module was told that messages take long
         self.told_at = 0.0
         self.heard = 0.0  # when any connection to it last brought something
         self.took: list[float] = []  # message times since then
-        self.jobs: set[int] = set()  # attempts out and standing connections
-        self.listed: Machine | None = None  # as the machine list has it, whatever the relays agreed on
+        self.requests: set[int] = set()  # attempts out and standing connections
+        self.listed: Endpoint | None = None  # as the machine list has it, whatever the relays agreed on
         self.cold_from = 0.0  # when it came back from work; 0: it was not out
         self.start: Start | None = None  # its process's, as last listed
--- a/yarrowspindle/routing/termination.py
+++ b/yarrowspindle/routing/termination.py
@@ -8,38 +8,38 @@
 
 
 @unique
-class Ending(Enum):
-    SERVED = "the execute node served it to its end"
-    SENT_AWAY = "the execute node asked the submitter to come again"
-    TURNED_AWAY = "the execute node took it for nothing: full, draining, or no time left"
-    ERRED = "the execute node answered with an error"
-    NOT_UNDERSTOOD = "the execute node answered with nothing that the protocol knows"
-    UNREACHED = "no connection came up, or it broke before all was sent"
-    BROKEN = "the connection to the execute node broke or ended"
-    SILENT = "the execute node brought nothing back for too long"
-    NODE_GONE = "the machine list says that the execute node is gone"
-    EXPIRED = "nothing came from either side for so long that it must have ended"
-    OVERDUE = "the relay stopped waiting: the deadline has passed"
-    STALLED = "the deadline passed while this process stood still: nobody knows what the execute node did"
-    SUBMITTER_LEFT = "the submitter left, or its connection broke"
-    MOVED = "the relay told the submitter to come again"
-    NEVER_SENT = "nothing was sent: the execute node drains or is gone, or there was no time"
+class TerminationReason(Enum):
+    COMPLETED = "the execute node served it to its end"
+    BACKEND_DRAINING = "the execute node asked the submitter to come again"
+    REJECTED = "the execute node took it for nothing: full, draining, or no time left"
+    BACKEND_ERROR = "the execute node answered with an error"
+    PROTOCOL_ERROR = "the execute node answered with nothing that the protocol knows"
+    CONNECT_FAILED = "no connection came up, or it broke before all was sent"
+    CONNECTION_RESET = "the connection to the execute node broke or ended"
+    UNRESPONSIVE = "the execute node brought nothing back for too long"
+    BACKEND_REMOVED = "the machine list says that the execute node is gone"
+    IDLE_EXPIRED = "nothing came from either side for so long that it must have ended"
+    DEADLINE_EXCEEDED = "the relay stopped waiting: the deadline has passed"
+    EVENT_LOOP_STALLED = "the deadline passed while this process stood still: nobody knows what the execute node did"
+    CLIENT_DISCONNECTED = "the submitter left, or its connection broke"
+    MIGRATED = "the relay told the submitter to come again"
+    NOT_SENT = "nothing was sent: the execute node drains or is gone, or there was no time"
 
 
 OUTCOMES = {
-    Ending.SERVED: Outcome.OK,
-    Ending.SENT_AWAY: Outcome.CANCELLED,
-    Ending.TURNED_AWAY: Outcome.FULL,
-    Ending.ERRED: Outcome.ERROR,
-    Ending.NOT_UNDERSTOOD: Outcome.ERROR,
-    Ending.UNREACHED: Outcome.CONNECT_FAILED,
-    Ending.BROKEN: Outcome.RESET,
-    Ending.SILENT: Outcome.RESET,
-    Ending.NODE_GONE: Outcome.RESET,
-    Ending.EXPIRED: Outcome.OK,
-    Ending.OVERDUE: Outcome.TIMEOUT,
-    Ending.STALLED: Outcome.CANCELLED,
-    Ending.SUBMITTER_LEFT: Outcome.CANCELLED,
-    Ending.MOVED: Outcome.CANCELLED,
-    Ending.NEVER_SENT: Outcome.MOOT,
+    TerminationReason.COMPLETED: Outcome.OK,
+    TerminationReason.BACKEND_DRAINING: Outcome.CANCELLED,
+    TerminationReason.REJECTED: Outcome.REJECTED,
+    TerminationReason.BACKEND_ERROR: Outcome.ERROR,
+    TerminationReason.PROTOCOL_ERROR: Outcome.ERROR,
+    TerminationReason.CONNECT_FAILED: Outcome.CONNECT_FAILED,
+    TerminationReason.CONNECTION_RESET: Outcome.RESET,
+    TerminationReason.UNRESPONSIVE: Outcome.RESET,
+    TerminationReason.BACKEND_REMOVED: Outcome.RESET,
+    TerminationReason.IDLE_EXPIRED: Outcome.OK,
+    TerminationReason.DEADLINE_EXCEEDED: Outcome.TIMEOUT,
+    TerminationReason.EVENT_LOOP_STALLED: Outcome.CANCELLED,
+    TerminationReason.CLIENT_DISCONNECTED: Outcome.CANCELLED,
+    TerminationReason.MIGRATED: Outcome.CANCELLED,
+    TerminationReason.NOT_SENT: Outcome.NOT_SENT,
 }
--- a/yarrowspindle/runtime/endpoint_watch.py
+++ b/yarrowspindle/runtime/endpoint_watch.py
@@ -10,7 +10,7 @@
 from yarrowspindle.decisions.events import ListKind
 from yarrowspindle.protocol.endpoint_list import Names
 from yarrowspindle.routing.address import Address
-from yarrowspindle.routing.events import ListTold
+from yarrowspindle.routing.events import EndpointsUpdated
 from yarrowspindle.transport.connecting import Connecting
 from yarrowspindle.transport.endpoint_list import WatchSide
 
@@ -20,7 +20,7 @@
 class ListWatch:
     """`told` is given each list; `failed` is told why a watch is over. Whoever asks for another is the module."""
 
-    def __init__(self, names: Names, told: Callable[[ListTold], None], failed: Callable[[str], None]) -> None:
+    def __init__(self, names: Names, told: Callable[[EndpointsUpdated], None], failed: Callable[[str], None]) -> None:
         self.names, self.told, self.failed = names, told, failed
         self.watch: WatchSide | None = None
         self.watch_at: Address | None = None
@@ -97,7 +97,7 @@
             return None
         return (asyncio.get_running_loop().time() - self.heard_at) * 1000.0
 
-    def list_told(self, watch: WatchSide, told: ListTold) -> None:
+    def list_told(self, watch: WatchSide, told: EndpointsUpdated) -> None:
         """Word that is older than what is known would undo drains. A whole list like that is asked for once more, and
         believed then: the service may count anew."""
         if watch in self.slow:
@@ -130,4 +130,4 @@
             self.watch = None
             if not self.closed:
                 self.failed(why)
-                self.told(ListTold(ListKind.FAILED))
+                self.told(EndpointsUpdated(ListKind.FAILED))
