--- a/yarrowspindle/runtime/health_checker.py
+++ b/yarrowspindle/runtime/health_checker.py
@@ -13,9 +13,9 @@
 
 from yarrowspindle.protocol.lines import report_of
 from yarrowspindle.routing.address import Address
-from yarrowspindle.routing.effects import Probe
-from yarrowspindle.routing.events import ProbeOver
-from yarrowspindle.routing.termination import Ending
+from yarrowspindle.routing.effects import CheckHealth
+from yarrowspindle.routing.events import HealthCheckCompleted
+from yarrowspindle.routing.termination import TerminationReason
 from yarrowspindle.telemetry.published_names import ENDINGS
 from yarrowspindle.transport.connecting import ConnectFailure, Connecting
 from yarrowspindle.transport.probe import ProbeSide
@@ -44,33 +44,33 @@
         self,
         fields: tuple[str, ...],
         idle_s: float,
-        over: Callable[[ProbeOver], None],
+        over: Callable[[HealthCheckCompleted], None],
         bad: Callable[[str], None],
         most: int = MOST,
     ) -> None:
         self.fields, self.idle_s, self.over, self.bad, self.most = fields, idle_s, over, bad, most
-        self.nodes: dict[str, Asked] = {}  # used longest ago first
+        self.backends: dict[str, Asked] = {}  # used longest ago first
         self.counts: Counter[str] = Counter()
         self.mute: set[str] = set()  # nodes whose last probe was not answered, so that the log says so once
         self.closed = False
 
-    def probe(self, effect: Probe) -> None:
+    def probe(self, effect: CheckHealth) -> None:
         loop = asyncio.get_running_loop()
-        asked = self.nodes.pop(effect.node, None)
+        asked = self.backends.pop(effect.backend, None)
         if asked is not None and asked.address != effect.address:
             self._close(asked)
             asked = None
         if asked is not None and asked.side.asked:  # the last question is still out, and has its own end
-            self.nodes[effect.node] = asked
+            self.backends[effect.backend] = asked
             return
         if self.closed or asked is None and not self._room():
-            self._tell(effect.node, Ending.NEVER_SENT, 0.0)
+            self._tell(effect.backend, TerminationReason.NOT_SENT, 0.0)
             return
         if asked is None:
-            asked = Asked(ProbeSide(self, effect.node), effect.address)
+            asked = Asked(ProbeSide(self, effect.backend), effect.address)
             asked.opening = Connecting(asked.side, effect.address, partial(self._unreached, asked.side))
             asked.opening.start()
-        self.nodes[effect.node] = asked
+        self.backends[effect.backend] = asked
         self.counts["sent"] += 1
         asked.since, asked.stalled = loop.time(), False
         if asked.late is not None:
@@ -80,17 +80,17 @@
 
     def close(self) -> None:
         self.closed = True
-        for asked in list(self.nodes.values()):
+        for asked in list(self.backends.values()):
             self._close(asked)
-        self.nodes.clear()
+        self.backends.clear()
 
-    def leave(self, nodes: Collection[str]) -> None:
+    def leave(self, backends: Collection[str]) -> None:
         """Nothing of ours stands there any more."""
-        for node in self.nodes.keys() & nodes:
-            asked = self.nodes.pop(node)
+        for backend in self.backends.keys() & backends:
+            asked = self.backends.pop(backend)
             self._close(asked)
             if asked.side.asked:
-                self._tell(node, Ending.NEVER_SENT, asked.since)
+                self._tell(backend, TerminationReason.NOT_SENT, asked.since)
 
     def _late(self, asked: Asked, within_s: float) -> None:
         """Silence is the node's only where this process was awake: after a stall its answer may wait in the socket."""
@@ -99,22 +99,22 @@
             asked.stalled = True
             asked.late = loop.call_later(LATE_S, self._late, asked, within_s)
         else:
-            asked.side.end(Ending.SILENT, "no answer in time")
+            asked.side.end(TerminationReason.UNRESPONSIVE, "no answer in time")
 
     def _room(self) -> bool:
         """Whether one more connection may be opened; the one used longest ago goes where that is needed."""
-        if len(self.nodes) < self.most:
+        if len(self.backends) < self.most:
             return True
-        for node, asked in self.nodes.items():
+        for backend, asked in self.backends.items():
             if not asked.side.asked:
-                del self.nodes[node]
+                del self.backends[backend]
                 self._close(asked)
                 return True
         return False
 
     @staticmethod
     def _unreached(side: ProbeSide, failure: ConnectFailure) -> None:
-        side.end(Ending.NEVER_SENT if failure.own else Ending.UNREACHED, str(failure))
+        side.end(TerminationReason.NOT_SENT if failure.own else TerminationReason.CONNECT_FAILED, str(failure))
 
     def _close(self, asked: Asked) -> None:
         asked.side.over = True  # nothing more is told of it
@@ -124,44 +124,44 @@
             if pending is not None:
                 pending.cancel()
 
-    def _tell(self, node: str, ending: Ending, since: float, report: tuple[float, ...] = ()) -> None:
+    def _tell(self, backend: str, ending: TerminationReason, since: float, report: tuple[float, ...] = ()) -> None:
         took = (asyncio.get_running_loop().time() - since) * 1000.0 if since else 0.0
         self.counts[ENDINGS[ending]] += 1
-        self.over(ProbeOver(node, ending, took, report))
+        self.over(HealthCheckCompleted(backend, ending, took, report))
 
     # --- reports of the transport ---------------------------------------------------------------
 
     def probe_answered(self, side: ProbeSide, line: bytes) -> None:
-        asked = self.nodes.get(side.node)
+        asked = self.backends.get(side.backend)
         if asked is None or asked.side is not side:
             return
         report = report_of(line, self.fields)  # a LineError ends the connection
         if asked.late is not None:
             asked.late.cancel()
         asked.late = asyncio.get_running_loop().call_later(self.idle_s, self._idle, side)
-        if side.node in self.mute:
-            self.mute.discard(side.node)
-            self.bad(f"execute node {side.node} answers its probes again")
-        self._tell(side.node, Ending.SERVED, asked.since, report)
+        if side.backend in self.mute:
+            self.mute.discard(side.backend)
+            self.bad(f"execute node {side.backend} answers its probes again")
+        self._tell(side.backend, TerminationReason.COMPLETED, asked.since, report)
 
     def _idle(self, side: ProbeSide) -> None:
-        asked = self.nodes.get(side.node)
+        asked = self.backends.get(side.backend)
         if asked is not None and asked.side is side and not side.asked:
-            del self.nodes[side.node]
+            del self.backends[side.backend]
             self._close(asked)
 
-    def probe_over(self, side: ProbeSide, ending: Ending, why: str) -> None:
-        asked = self.nodes.get(side.node)
+    def probe_over(self, side: ProbeSide, ending: TerminationReason, why: str) -> None:
+        asked = self.backends.get(side.backend)
         if asked is None or asked.side is not side:
             return
-        del self.nodes[side.node]
+        del self.backends[side.backend]
         self._close(asked)
-        if ending is Ending.NOT_UNDERSTOOD:
-            self.bad(f"execute node {side.node}: {why}")
-        if side.asked and side.node not in self.mute:
+        if ending is TerminationReason.PROTOCOL_ERROR:
+            self.bad(f"execute node {side.backend}: {why}")
+        if side.asked and side.backend not in self.mute:
             if len(self.mute) >= MUTE_MOST:
                 self.mute.clear()
-            self.mute.add(side.node)
-            self.bad(f"execute node {side.node} does not answer its probe: {why}")
-        if side.asked or ending is Ending.NOT_UNDERSTOOD:
-            self._tell(side.node, ending, asked.since)
+            self.mute.add(side.backend)
+            self.bad(f"execute node {side.backend} does not answer its probe: {why}")
+        if side.asked or ending is TerminationReason.PROTOCOL_ERROR:
+            self._tell(side.backend, ending, asked.since)
--- a/yarrowspindle/runtime/membership_driver.py
+++ b/yarrowspindle/runtime/membership_driver.py
@@ -7,8 +7,8 @@
 from collections import deque
 from collections.abc import Callable, Iterable
 
-from yarrowspindle.decisions.backends import Server
-from yarrowspindle.decisions.events import SERVER_KEY, Others, group_key
+from yarrowspindle.decisions.backends import Backend
+from yarrowspindle.decisions.events import BACKEND_KEY_MASK, PeerLoads, group_key
 from yarrowspindle.membership.core import SIGNAL, Peers
 from yarrowspindle.membership.messages import Brought, Effect, Event, Look, Own, Send, Told, Wake, Woke
 from yarrowspindle.routing.address import Address
@@ -30,7 +30,7 @@
         after: Callable[[float, Callable[[], None]], object],
         send: Callable[[Address, bytes], None],
         own: Callable[[], Own],
-        told: Callable[[Others], None],
+        told: Callable[[PeerLoads], None],
         note: Callable[[str, bool], None],
         failed: Callable[[Event], None] | None = None,
     ) -> None:
@@ -104,18 +104,18 @@
         self.after(effect.delay_ms, lambda: self.post(Woke(effect.what, due)))
 
 
-def own_word(servers: Iterable[Server], now: float) -> Own:
+def local_load(backends: Iterable[Backend], now: float) -> Own:
     """What this balancer holds, passes over and was told by probes, for the others."""
     own = Own({})
-    for server in servers:
-        key = server.id & SERVER_KEY
-        if server.open:
-            own.holds[key] = (server.open, server.load)
-            for group, count in server.groups.items():
+    for backend in backends:
+        key = backend.id & BACKEND_KEY_MASK
+        if backend.open:
+            own.holds[key] = (backend.open, backend.load)
+            for group, count in backend.groups.items():
                 if group:
-                    own.holds[group_key(server.id, group)] = (count, 0.0)
-        if now < server.bad_until:
-            own.passed[key] = server.bad_until - now
-        if now <= server.told_at + REPORT_MS:
-            own.reports[key] = (server.used, server.holds, now - server.told_at)
+                    own.holds[group_key(backend.id, group)] = (count, 0.0)
+        if now < backend.bad_until:
+            own.passed[key] = backend.bad_until - now
+        if now <= backend.told_at + REPORT_MS:
+            own.reports[key] = (backend.used, backend.holds, now - backend.told_at)
     return own
--- a/yarrowspindle/runtime/runtime.py
+++ b/yarrowspindle/runtime/runtime.py
@@ -7,8 +7,24 @@
 from math import inf
 from typing import Any, Protocol
 
-from yarrowspindle.routing.effects import Effect, NodeGone, Note, Probe, Unprobe, Unwake, Wake, Watch
-from yarrowspindle.routing.events import ClockStepped, Event, JobArrived, Stalled, StepFailed, Woke
+from yarrowspindle.routing.effects import (
+    BackendRemoved,
+    CancelHealthCheck,
+    CancelTimer,
+    CheckHealth,
+    Effect,
+    LogMessage,
+    SetTimer,
+    WatchEndpoints,
+)
+from yarrowspindle.routing.events import (
+    Event,
+    EventLoopStalled,
+    InternalError,
+    RequestReceived,
+    TimerFired,
+    WallClockStepped,
+)
 from yarrowspindle.routing.reducer import Reducer
 from yarrowspindle.runtime.timers import Clock, Timers
 
@@ -44,20 +60,20 @@
         self.busy = self.closed = False
         self.fronts: list[Front] = []
         self.owners: dict[int, Front] = {}
-        self.jobs = 0
-        self.watch: Callable[[Watch], None] = lambda effect: None
-        self.probe: Callable[[Probe], None] = lambda effect: None
-        self.unprobe: Callable[[Unprobe], None] = lambda effect: None
+        self.requests = 0
+        self.watch: Callable[[WatchEndpoints], None] = lambda effect: None
+        self.probe: Callable[[CheckHealth], None] = lambda effect: None
+        self.unprobe: Callable[[CancelHealthCheck], None] = lambda effect: None
         self.seen: list[Callable[[float, Event], None]] = []
         self.effect: Callable[[Effect], None] | None = None
         self.handlers: dict[type, Callable[[Any], None]] = {
-            Wake: lambda effect: self.timers.set(effect.delay_ms, effect.what),
-            Unwake: lambda effect: self.timers.cancel(effect.what),
-            Watch: lambda effect: self.watch(effect),
-            Probe: lambda effect: self.probe(effect),
-            Unprobe: lambda effect: self.unprobe(effect),
-            Note: lambda effect: self.log("info", effect.text),
-            NodeGone: self._node_gone,
+            SetTimer: lambda effect: self.timers.set(effect.delay_ms, effect.timer),
+            CancelTimer: lambda effect: self.timers.cancel(effect.timer),
+            WatchEndpoints: lambda effect: self.watch(effect),
+            CheckHealth: lambda effect: self.probe(effect),
+            CancelHealthCheck: lambda effect: self.unprobe(effect),
+            LogMessage: lambda effect: self.log("info", effect.text),
+            BackendRemoved: self._backend_gone,
         }
         self.counts: Counter[str] = Counter()
         self.ticked = 0.0
@@ -75,13 +91,13 @@
         self.timers.clear()
         self.owners.clear()
 
-    def new_job(self, front: Front) -> int:
-        self.jobs += 1
-        self.owners[self.jobs] = front
-        return self.jobs
+    def new_request(self, front: Front) -> int:
+        self.requests += 1
+        self.owners[self.requests] = front
+        return self.requests
 
-    def forget(self, job: int) -> None:
-        self.owners.pop(job, None)
+    def forget(self, request: int) -> None:
+        self.owners.pop(request, None)
 
     def post(self, event: Event) -> None:
         """Tells the reducer. What has fallen due by now comes first, and a stall before that."""
@@ -125,7 +141,7 @@
                         if handler is not None:
                             handler(effect)
                             continue
-                        front = owners.get(effect.job)  # type: ignore[union-attr]  # all others are of a job
+                        front = owners.get(effect.request)  # type: ignore[union-attr]  # all others are of a job
                         if front is not None:
                             if self.effect is not None:
                                 self.effect(effect)
@@ -141,18 +157,18 @@
     def _failed(self, what: Event | Effect) -> None:
         self.counts["failures"] += 1
         self.log("error", f"the reducer or an effect failed: {what!r}")
-        job = self._job_of(what)
-        if job and not isinstance(what, StepFailed):
-            self.queue.append(StepFailed(job, isinstance(what, JobArrived)))
+        request = self._request_of(what)
+        if request and not isinstance(what, InternalError):
+            self.queue.append(InternalError(request, isinstance(what, RequestReceived)))
 
     @staticmethod
-    def _job_of(what: Event | Effect) -> int:
+    def _request_of(what: Event | Effect) -> int:
         """Whose answer may hang on it; 0: nobody's."""
-        if isinstance(what, Wake | Woke):
-            return what.what[1] if isinstance(what.what, tuple) and isinstance(what.what[1], int) else 0
-        return getattr(what, "job", 0)
+        if isinstance(what, SetTimer | TimerFired):
+            return what.timer[1] if isinstance(what.timer, tuple) and isinstance(what.timer[1], int) else 0
+        return getattr(what, "request", 0)
 
-    def _node_gone(self, effect: NodeGone) -> None:
+    def _backend_gone(self, effect: BackendRemoved) -> None:
         for front in self.fronts:
             front.carry_out(effect)
 
@@ -167,7 +183,7 @@
             self.wall_stepped_ms += step
             self.counts["clock_steps"] += 1
             self.log("warning", f"the wall clock was stepped by {step:.0f} ms")
-            self._run(ClockStepped(step))
+            self._run(WallClockStepped(step))
 
     def _stalled(self) -> None:
         """The loop may have stood still from the last tick on: nobody knows better."""
@@ -176,7 +192,7 @@
         self.counts["stalls"] += 1
         self.counts["stalled_ms"] += int(late)
         self.log("warning", f"the event loop stood still for {late:.0f} ms")
-        self._run(Stalled(late))
+        self._run(EventLoopStalled(late))
 
     def _due(self, what: object) -> None:
         if self.clock.now() > self.late_at:
@@ -184,4 +200,4 @@
         if what == TICK:
             self._tick()
         else:
-            self._run(Woke(what))
+            self._run(TimerFired(what))
--- a/yarrowspindle/simulator/adapter.py
+++ b/yarrowspindle/simulator/adapter.py
@@ -7,63 +7,74 @@
 from collections.abc import Callable, Mapping
 from typing import BinaryIO, TypeVar
 
-from yarrowspindle.decisions.actions import Action, Cancel, Fail, Log, Move, Probe, Refuse, Send, SetTimer, Subscribe
+from yarrowspindle.decisions.actions import (
+    Action,
+    CancelAttempt,
+    CheckHealth,
+    FailRequest,
+    LogMessage,
+    MigrateConnection,
+    RejectRequest,
+    SetTimer,
+    StartAttempt,
+    WatchEndpoints,
+)
 from yarrowspindle.decisions.balancer import Balancer
 from yarrowspindle.decisions.events import (
-    Adopted,
     AttemptEnded,
-    ClientGone,
-    Established,
+    ClientDisconnected,
+    ConnectionEstablished,
+    Endpoint,
+    EndpointList,
+    EndpointState,
     Event,
+    ExistingConnection,
+    HealthCheckCompleted,
     ListKind,
     LoadChanged,
     Outcome,
     PeerMessage,
-    Probed,
-    Request,
-    ServerEntry,
-    ServerList,
-    ServerSlow,
-    State,
-    TimerDue,
+    RequestReceived,
+    SlowMessageObserved,
+    TimerFired,
 )
 from yarrowspindle.protocol.platform_settings import SettingsError, read_settings
 from yarrowspindle.simulator import wire
 
 T = TypeVar("T")
-STATES = {1: State.READY, 0: State.DRAINING, 3: State.GONE}
+STATES = {1: EndpointState.READY, 0: EndpointState.DRAINING, 3: EndpointState.GONE}
 LIST_KINDS = {0: ListKind.DELTA, 1: ListKind.FULL, 2: ListKind.CACHED, 3: ListKind.FAILED}
 OUTCOMES = {
     100: Outcome.OK,
     301: Outcome.ERROR,
-    302: Outcome.FULL,
+    302: Outcome.REJECTED,
     303: Outcome.TIMEOUT,
     304: Outcome.CONNECT_FAILED,
     305: Outcome.RESET,
     306: Outcome.CANCELLED,
-    307: Outcome.MOOT,
+    307: Outcome.NOT_SENT,
 }
 HINT, REPEATED, MID_FLOW, RETURNED = 1, 2, 8, 16
 
 
 def encode(action: Action) -> bytes:
-    if isinstance(action, Send):
-        return wire.ROUTE.pack(wire.ROUTE_CODE, 16, action.request, action.server, action.timeout_ms)
+    if isinstance(action, StartAttempt):
+        return wire.ROUTE.pack(wire.ROUTE_CODE, 16, action.request, action.backend, action.timeout_ms)
     if isinstance(action, SetTimer):
         return wire.NOTIFY_ME.pack(wire.NOTIFY_ME_CODE, 12, action.delay_ms, action.token)
-    if isinstance(action, Refuse):
+    if isinstance(action, RejectRequest):
         return wire.BOUNCE.pack(wire.BOUNCE_CODE, 12, action.request, action.retry_after_ms)
-    if isinstance(action, Fail):
+    if isinstance(action, FailRequest):
         return wire.ONE_ID.pack(wire.GIVE_UP_CODE, 4, action.request)
-    if isinstance(action, Move):
+    if isinstance(action, MigrateConnection):
         return wire.ONE_ID.pack(wire.RELOCATE_CODE, 4, action.request)
-    if isinstance(action, Cancel):
+    if isinstance(action, CancelAttempt):
         return wire.UNDO_SEND.pack(wire.UNDO_SEND_CODE, 6, action.request, action.attempt)
-    if isinstance(action, Probe):
-        return wire.ONE_ID.pack(wire.ASK_LOAD_CODE, 4, action.server)
-    if isinstance(action, Subscribe):
+    if isinstance(action, CheckHealth):
+        return wire.ONE_ID.pack(wire.ASK_LOAD_CODE, 4, action.backend)
+    if isinstance(action, WatchEndpoints):
         return wire.LISTEN.pack(wire.LISTEN_CODE, 1, int(action.on))
-    if isinstance(action, Log):
+    if isinstance(action, LogMessage):
         return wire.text_action(wire.JOURNAL_LINE_CODE, action.text)
     raise TypeError(f"no such action: {action!r}")
 
@@ -81,18 +92,18 @@
     if at + count * wire.ENTRY.size > end:
         raise wire.WireError("a server list is cut off")
     entries = [
-        ServerEntry(server, zone, cell, lookup(STATES, state, "server state"), capacity, started, kind)
-        for server, zone, kind, cell, state, capacity, started in wire.ENTRY.iter_unpack(
+        Endpoint(backend, zone, cell, lookup(STATES, state, "server state"), capacity, started, kind)
+        for backend, zone, kind, cell, state, capacity, started in wire.ENTRY.iter_unpack(
             body[at : at + count * wire.ENTRY.size]
         )
     ]
-    return ServerList(lookup(LIST_KINDS, how, "kind of list"), entries, version)
+    return EndpointList(lookup(LIST_KINDS, how, "kind of list"), entries, version)
 
 
 def read_demand(body: bytes, at: int, end: int) -> Event:
-    job, cls, tenant, key, left, hint, group, bits = wire.fields(wire.DEMAND_BODY, body, at, end)
-    return Request(
-        job,
+    request, cls, tenant, key, left, hint, group, bits = wire.fields(wire.DEMAND_BODY, body, at, end)
+    return RequestReceived(
+        request,
         cls,
         tenant,
         key,
@@ -106,33 +117,33 @@
 
 
 def read_adopted(body: bytes, at: int, end: int) -> Event:
-    job, hint, _, key, server, group, tenant, bits, cls = wire.fields(wire.ADOPTED_BODY, body, at, end)
-    return Adopted(job, server, cls, tenant, key, hint if bits & HINT else 0.0, group)
+    request, hint, _, key, backend, group, tenant, bits, cls = wire.fields(wire.ADOPTED_BODY, body, at, end)
+    return ExistingConnection(request, backend, cls, tenant, key, hint if bits & HINT else 0.0, group)
 
 
 def read_started(body: bytes, at: int, end: int) -> Event:
-    job, attempt, latency, server = wire.fields(wire.STARTED_BODY, body, at, end)
-    return Established(job, attempt, server, latency)
+    request, attempt, latency, backend = wire.fields(wire.STARTED_BODY, body, at, end)
+    return ConnectionEstablished(request, attempt, backend, latency)
 
 
 def read_done(body: bytes, at: int, end: int) -> Event:
-    job, attempt, server, finished, code, latency, n = wire.fields(wire.DONE_BODY, body, at, end)
+    request, attempt, backend, finished, code, latency, n = wire.fields(wire.DONE_BODY, body, at, end)
     wire.report(body, at + wire.DONE_BODY.size, end, n)  # not asked for; a cut one is an error all the same
-    return AttemptEnded(job, attempt, server, lookup(OUTCOMES, code, "outcome"), bool(finished), latency)
+    return AttemptEnded(request, attempt, backend, lookup(OUTCOMES, code, "outcome"), bool(finished), latency)
 
 
 def read_gone(body: bytes, at: int, end: int) -> Event:
-    return ClientGone(wire.fields(wire.U32, body, at, end)[0])
+    return ClientDisconnected(wire.fields(wire.U32, body, at, end)[0])
 
 
 def read_wakeup(body: bytes, at: int, end: int) -> Event:
-    return TimerDue(wire.fields(wire.U32, body, at, end)[0])
+    return TimerFired(wire.fields(wire.U32, body, at, end)[0])
 
 
 def read_health(body: bytes, at: int, end: int) -> Event:
-    server, code, latency, n = wire.fields(wire.HEALTH_BODY, body, at, end)
-    return Probed(
-        server, lookup(OUTCOMES, code, "outcome"), latency, wire.report(body, at + wire.HEALTH_BODY.size, end, n)
+    backend, code, latency, n = wire.fields(wire.HEALTH_BODY, body, at, end)
+    return HealthCheckCompleted(
+        backend, lookup(OUTCOMES, code, "outcome"), latency, wire.report(body, at + wire.HEALTH_BODY.size, end, n)
     )
 
 
@@ -145,10 +156,10 @@
 
 
 def read_signal(body: bytes, at: int, end: int) -> Event | None:
-    job, server, sort, amount, _ = wire.fields(wire.SIGNAL_BODY, body, at, end)
+    request, backend, sort, amount, _ = wire.fields(wire.SIGNAL_BODY, body, at, end)
     if sort == 1:
-        return LoadChanged(job, server, amount / 1000.0)  # always told in microseconds a second
-    return ServerSlow(job, server, amount) if sort == 2 else None
+        return LoadChanged(request, backend, amount / 1000.0)  # always told in microseconds a second
+    return SlowMessageObserved(request, backend, amount) if sort == 2 else None
 
 
 READERS: dict[int, Callable[[bytes, int, int], Event | None]] = {
--- a/yarrowspindle/subsets/subset_ring.py
+++ b/yarrowspindle/subsets/subset_ring.py
@@ -46,7 +46,7 @@
     def __init__(self, part: float = 0.1) -> None:
         self.part = part
         self.relays: dict[str, int] = {}  # name -> points
-        self.nodes: dict[str, int] = {}  # name -> place
+        self.backends: dict[str, int] = {}  # name -> place
         self.points: list[tuple[int, str]] = []
         self.places: list[tuple[int, str]] = []
         self.known: dict[str, list[int]] = {}  # places of a relay's points, as far as they were worked out
@@ -73,50 +73,52 @@
             del self.points[bisect_left(self.points, (at, name))]
         self.known.pop(name, None)
 
-    def node(self, name: str) -> None:
-        if name not in self.nodes:
-            self.nodes[name] = place(name)
-            insort(self.places, (self.nodes[name], name))
+    def backend(self, name: str) -> None:
+        if name not in self.backends:
+            self.backends[name] = place(name)
+            insort(self.places, (self.backends[name], name))
 
     def gone(self, name: str) -> None:
-        at = self.nodes.pop(name, None)
+        at = self.backends.pop(name, None)
         if at is not None:
             del self.places[bisect_left(self.places, (at, name))]
 
-    def told(self, relays: Mapping[str, float], nodes: Iterable[str]) -> None:
+    def told(self, relays: Mapping[str, float], backends: Iterable[str]) -> None:
         """The whole view: what is not in it is gone."""
         for name in [name for name in self.relays if name not in relays]:
             self.left(name)
         for name, share in relays.items():
             self.relay(name, share)
-        wanted = set(nodes)
-        for name in [name for name in self.nodes if name not in wanted]:
+        wanted = set(backends)
+        for name in [name for name in self.backends if name not in wanted]:
             self.gone(name)
         for name in wanted:
-            self.node(name)
+            self.backend(name)
 
     @property
     def cover(self) -> int:
         """m: how many points lie over each node. In powers of two, so that it seldom changes."""
         if not self.points or not self.places:
             return 0
-        relays, nodes = len(self.points) / POINTS, len(self.places)
-        part = max(self.part, 2 * LEAST / nodes)
+        relays, backends = len(self.points) / POINTS, len(self.places)
+        part = max(self.part, 2 * LEAST / backends)
         # By chance a relay has more or fewer nodes than its part; over a node that evens out among so many relays.
-        wanted = ceil(max(COVER_LEAST, part * relays, EVEN * sqrt(relays / nodes)))
+        wanted = ceil(max(COVER_LEAST, part * relays, EVEN * sqrt(relays / backends)))
         return min(len(self.points), 1 << (wanted - 1).bit_length())
 
     def subset(self, name: str) -> Subset:
         """Of this relay; all nodes, each once, where arcs would be no smaller."""
         cover, count = self.cover, len(self.points)
         if name not in self.relays or 2 * POINTS * cover > count or not self.places:
-            return Subset(dict.fromkeys(self.nodes, 1))
+            return Subset(dict.fromkeys(self.backends, 1))
         times: dict[str, int] = {}
         for at in self._places(name, self.relays[name]):
             first = bisect_left(self.points, (at, name))
             end = self.points[(first + cover) % count][0]
             low, high = bisect_left(self.places, (at, "")), bisect_left(self.places, (end, ""))
             inside = self.places[low:high] if at < end else self.places[low:] + self.places[:high]
-            for _, node in inside:
-                times[node] = times.get(node, 0) + 1
-        return Subset(times) if len(times) >= min(LEAST, len(self.nodes)) else Subset(dict.fromkeys(self.nodes, 1))
+            for _, backend in inside:
+                times[backend] = times.get(backend, 0) + 1
+        return (
+            Subset(times) if len(times) >= min(LEAST, len(self.backends)) else Subset(dict.fromkeys(self.backends, 1))
+        )
--- a/yarrowspindle/telemetry/counts.py
+++ b/yarrowspindle/telemetry/counts.py
@@ -11,12 +11,12 @@
 from collections import Counter
 from collections.abc import Callable
 
-from yarrowspindle.decisions.events import State
-from yarrowspindle.routing.effects import Ask, Deny, Effect, Join, Requeue
-from yarrowspindle.routing.events import Event, JobArrived, SubmitterLeft
+from yarrowspindle.decisions.events import EndpointState
+from yarrowspindle.routing.effects import Effect, FailRequest, ForwardRequest, RejectRequest, StartRelaying
+from yarrowspindle.routing.events import ClientDisconnected, Event, RequestReceived
 from yarrowspindle.routing.reducer import Reducer
 
-OUTCOMES = {Join: "success", Requeue: "busy", Deny: "failure"}
+OUTCOMES = {StartRelaying: "success", RejectRequest: "busy", FailRequest: "failure"}
 FIGURES = ("success", "busy", "failure")
 
 CLASSES_MOST, OTHER = 256, "other"  # names of classes told apart in a process's life; later ones are counted together
@@ -31,30 +31,30 @@
         self.classes: dict[str, None] = {}  # every class that was ever seen, by its name: numbers are used again
 
     def event(self, event: Event) -> None:
-        if isinstance(event, JobArrived):
+        if isinstance(event, RequestReceived):
             name = self.class_name(event.cls)
             if name not in self.classes:
                 name = name if len(self.classes) < CLASSES_MOST else OTHER
                 self.classes[name] = None
-            self.waiting[event.job] = name
+            self.waiting[event.request] = name
             self.counts[f"taken.{name}"] += 1
-        elif isinstance(event, SubmitterLeft):
-            self._count("abandoned", event.job)
+        elif isinstance(event, ClientDisconnected):
+            self._count("abandoned", event.request)
 
     def effect(self, effect: Effect) -> None:
         kind = type(effect)
-        if kind is Ask:
+        if kind is ForwardRequest:
             self.counts["backend_calls"] += 1
             return
         figure = OUTCOMES.get(kind)
         if figure is not None:
-            self._count(figure, effect.job)  # type: ignore[union-attr]  # all three are of a job
+            self._count(figure, effect.request)  # type: ignore[union-attr]  # all three are of a job
 
     def reloaded(self, taken: bool) -> None:
         self.counts["reconfig_ok" if taken else "reconfig_failed"] += 1
 
-    def _count(self, figure: str, job: int) -> None:
-        name = self.waiting.pop(job, None)
+    def _count(self, figure: str, request: int) -> None:
+        name = self.waiting.pop(request, None)
         if name is not None:
             self.counts[f"{figure}.{name}"] += 1
 
@@ -65,13 +65,15 @@
         for name in self.classes:
             for figure in FIGURES:
                 found[f"{figure}.{name}"] = self.counts[f"{figure}.{name}"]
-        listed = [node for node in reducer.nodes.values() if node.state is not State.GONE]
+        listed = [backend for backend in reducer.backends.values() if backend.state is not EndpointState.GONE]
         avoided = reducer.balancer.avoided(reducer.now)
         found |= {
             "backend_calls": self.counts["backend_calls"],
-            "inflight": len(reducer.jobs),
+            "inflight": len(reducer.requests),
             "hosts_listed": len(listed),
-            "hosts_down": sum(1 for node in listed if node.state is not State.READY or node.number in avoided),
+            "hosts_down": sum(
+                1 for backend in listed if backend.state is not EndpointState.READY or backend.number in avoided
+            ),
             "reconfig_ok": self.counts["reconfig_ok"],
             "reconfig_failed": self.counts["reconfig_failed"],
         }
--- a/yarrowspindle/telemetry/guard.py
+++ b/yarrowspindle/telemetry/guard.py
@@ -11,10 +11,27 @@
 from enum import Enum, unique
 from math import inf, sqrt
 
-from yarrowspindle.decisions.events import ListKind, State
+from yarrowspindle.decisions.events import EndpointState, ListKind
 from yarrowspindle.decisions.settings import Settings
-from yarrowspindle.routing.effects import Ask, Deny, Drop, Effect, Join, Reach, Requeue
-from yarrowspindle.routing.events import AttemptOver, Event, JobArrived, ListTold, Machine, Stalled, SubmitterLeft, Woke
+from yarrowspindle.routing.effects import (
+    AbortAttempt,
+    Effect,
+    FailRequest,
+    ForwardRequest,
+    OpenBackendConnection,
+    RejectRequest,
+    StartRelaying,
+)
+from yarrowspindle.routing.events import (
+    AttemptEnded,
+    ClientDisconnected,
+    Endpoint,
+    EndpointsUpdated,
+    Event,
+    EventLoopStalled,
+    RequestReceived,
+    TimerFired,
+)
 
 OVERDUE_MS = 500.0  # an answer so long after the deadline is none
 LOOK_MS = 1000.0  # how often requests without an answer are looked for
@@ -26,8 +43,10 @@
     """The invariants; the value is the name in logs and metrics."""
 
     ONE_FINAL_ANSWER = "one_final_answer"
-    ONE_ATTEMPT_OUT = "one_attempt_out"
-    SERVER_TOLD = "server_told"  # no byte to a server that is known to drain, to be gone, or to have started anew
+    ONE_ATTEMPT_IN_FLIGHT = "one_attempt_out"
+    NO_SEND_TO_UNAVAILABLE_BACKEND = (
+        "server_told"  # no byte to a server that is known to drain, to be gone, or to have started anew
+    )
     CLIENT_GONE = "client_gone"  # no attempt for a client that has left, or has its answer
     DEADLINE = "deadline"  # no request written after its deadline
     SLOW_START = "slow_start"  # a cold server's share of what this relay sends
@@ -37,12 +56,12 @@
 class Open:
     """A request without its final answer."""
 
-    __slots__ = ("arrived", "attempt", "deadline", "name", "noted", "pinned", "server", "start")
+    __slots__ = ("arrived", "attempt", "deadline", "name", "noted", "pinned", "backend", "start")
 
     def __init__(self, name: str, arrived: float, deadline: float, pinned: bool) -> None:
         self.name, self.arrived, self.deadline, self.pinned = name, arrived, deadline, pinned
         self.attempt: int | None = None  # that is out
-        self.server, self.start = "", 0.0  # of that attempt, as listed when it began
+        self.backend, self.start = "", 0.0  # of that attempt, as listed when it began
         self.noted: tuple[Rule, ...] = ()
 
 
@@ -53,27 +72,27 @@
         self.settings, self.violated = settings, violated
         self.now = 0.0
         self.open: dict[int, Open] = {}
-        self.servers: dict[str, Machine] = {}
+        self.backends: dict[str, Endpoint] = {}
         self.counts: Counter[str] = Counter({rule.value: 0 for rule in Rule})
         self.looked_at = -inf
         self.seen_at: dict[str, float] = {}  # when a server's present start was first seen
         self.sent: dict[str, deque[float]] = {}  # to servers that started a moment ago
         self.writes: deque[float] = deque()  # to all servers, of the time in which a fall is judged
         self.events: dict[type, Callable[..., None]] = {
-            JobArrived: self._arrived,
-            SubmitterLeft: self._left,
-            AttemptOver: self._over,
-            ListTold: self._listed,
-            Stalled: self._stalled,
-            Woke: lambda event: self._look(),
+            RequestReceived: self._arrived,
+            ClientDisconnected: self._left,
+            AttemptEnded: self._over,
+            EndpointsUpdated: self._listed,
+            EventLoopStalled: self._stalled,
+            TimerFired: lambda event: self._look(),
         }
         self.effects: dict[type, Callable[..., None]] = {
-            Reach: self._reach,
-            Ask: self._ask,
-            Drop: self._over,
-            Join: self._answered,
-            Requeue: self._answered,
-            Deny: self._answered,
+            OpenBackendConnection: self._reach,
+            ForwardRequest: self._ask,
+            AbortAttempt: self._over,
+            StartRelaying: self._answered,
+            RejectRequest: self._answered,
+            FailRequest: self._answered,
         }
 
     def event(self, now: float, event: Event) -> None:
@@ -97,50 +116,56 @@
 
     # --- requests -------------------------------------------------------------------------------
 
-    def _arrived(self, event: JobArrived) -> None:
+    def _arrived(self, event: RequestReceived) -> None:
         pinned = bool(event.at)
         deadline = inf if pinned else self.now + event.left_ms
-        self.open[event.job] = Open(event.ref or str(event.job), self.now, deadline, pinned)
+        self.open[event.request] = Open(event.ref or str(event.request), self.now, deadline, pinned)
 
-    def _left(self, event: SubmitterLeft) -> None:
-        self.open.pop(event.job, None)
+    def _left(self, event: ClientDisconnected) -> None:
+        self.open.pop(event.request, None)
 
-    def _reach(self, effect: Reach) -> None:
-        request = self.open.get(effect.job)
+    def _reach(self, effect: OpenBackendConnection) -> None:
+        request = self.open.get(effect.request)
         if request is None:
-            self._violation(Rule.CLIENT_GONE, None, f"job {effect.job}: an attempt at {effect.node} begins")
+            self._violation(Rule.CLIENT_GONE, None, f"job {effect.request}: an attempt at {effect.backend} begins")
             return
         if request.attempt is not None:
-            self._violation(Rule.ONE_ATTEMPT_OUT, request, f"attempt {request.attempt} is out, {effect.attempt} begins")
-        listed = self.servers.get(effect.node)
-        request.attempt, request.server = effect.attempt, effect.node
+            self._violation(
+                Rule.ONE_ATTEMPT_IN_FLIGHT, request, f"attempt {request.attempt} is out, {effect.attempt} begins"
+            )
+        listed = self.backends.get(effect.backend)
+        request.attempt, request.backend = effect.attempt, effect.backend
         request.start = listed.started_ms if listed is not None else 0.0
 
-    def _ask(self, effect: Ask) -> None:
-        request = self.open.get(effect.job)
+    def _ask(self, effect: ForwardRequest) -> None:
+        request = self.open.get(effect.request)
         if request is None:
-            self._violation(Rule.CLIENT_GONE, None, f"job {effect.job}: it is written")
+            self._violation(Rule.CLIENT_GONE, None, f"job {effect.request}: it is written")
             return
         if self.now > request.deadline:
             self._violation(Rule.DEADLINE, request, f"written {self.now - request.deadline:.0f} ms after its deadline")
         if request.pinned:
             return
-        listed = self.servers.get(request.server)
-        if listed is None or listed.state is not State.READY or listed.started_ms != request.start:
+        listed = self.backends.get(request.backend)
+        if listed is None or listed.state is not EndpointState.READY or listed.started_ms != request.start:
             state = "gone" if listed is None else listed.state.name.lower()
-            self._violation(Rule.SERVER_TOLD, request, f"written to {request.server}, which is known as {state}")
+            self._violation(
+                Rule.NO_SEND_TO_UNAVAILABLE_BACKEND, request, f"written to {request.backend}, which is known as {state}"
+            )
         self._written(request)
 
-    def _over(self, ended: AttemptOver | Drop) -> None:
-        request = self.open.get(ended.job)
+    def _over(self, ended: AttemptEnded | AbortAttempt) -> None:
+        request = self.open.get(ended.request)
         if request is not None and request.attempt == ended.attempt:
             request.attempt = None
 
-    def _answered(self, effect: Join | Requeue | Deny) -> None:
-        if self.open.pop(effect.job, None) is None:
-            self._violation(Rule.ONE_FINAL_ANSWER, None, f"job {effect.job}: {type(effect).__name__} after its answer")
+    def _answered(self, effect: StartRelaying | RejectRequest | FailRequest) -> None:
+        if self.open.pop(effect.request, None) is None:
+            self._violation(
+                Rule.ONE_FINAL_ANSWER, None, f"job {effect.request}: {type(effect).__name__} after its answer"
+            )
 
-    def _stalled(self, event: Stalled) -> None:
+    def _stalled(self, event: EventLoopStalled) -> None:
         """What could not be answered while the process stood still is judged from its end."""
         for request in self.open.values():
             if request.deadline < self.now:
@@ -157,42 +182,45 @@
 
     # --- servers --------------------------------------------------------------------------------
 
-    def _listed(self, event: ListTold) -> None:
+    def _listed(self, event: EndpointsUpdated) -> None:
         if event.kind is ListKind.FAILED:
             return
         if event.kind is not ListKind.DELTA:
-            self.servers = {}
-        for machine in event.machines:
-            known = self.servers.get(machine.name)
+            self.backends = {}
+        for machine in event.endpoints:
+            known = self.backends.get(machine.name)
             if known is not None and known.started_ms != machine.started_ms and machine.started_ms > 0.0:
                 self.seen_at[machine.name] = self.now
                 self.sent[machine.name] = deque()
-            if machine.state is State.GONE:
-                self.servers.pop(machine.name, None)
+            if machine.state is EndpointState.GONE:
+                self.backends.pop(machine.name, None)
             else:
-                self.servers[machine.name] = machine
+                self.backends[machine.name] = machine
 
     def _written(self, request: Open) -> None:
         """A server that was seen to start anew gets no more than the settings allow, by what warm ones get here."""
         settings = self.settings()
-        window = settings.fall_ms
+        window = settings.overload_window_ms
         self.writes.append(self.now)
         while self.writes[0] < self.now - window:
             self.writes.popleft()
-        began = self.seen_at.get(request.server)
+        began = self.seen_at.get(request.backend)
         if began is None:
             return
-        if self.now > began + settings.cold_ms:
-            del self.seen_at[request.server], self.sent[request.server]
+        if self.now > began + settings.warmup_ms:
+            del self.seen_at[request.backend], self.sent[request.backend]
             return
-        sent = self.sent[request.server]
+        sent = self.sent[request.backend]
         sent.append(self.now)
         while sent[0] < self.now - window:
             sent.popleft()
-        ramp = settings.cold_share + (1.0 - settings.cold_share) * (self.now - began) / settings.cold_ms
-        warm = (len(self.writes) - len(sent)) / max(1, len(self.servers) - 1)  # what each of the others got
-        allowed = SHARE_MOST * settings.fall_multiple * ramp * warm
+        ramp = (
+            settings.initial_capacity_fraction
+            + (1.0 - settings.initial_capacity_fraction) * (self.now - began) / settings.warmup_ms
+        )
+        warm = (len(self.writes) - len(sent)) / max(1, len(self.backends) - 1)  # what each of the others got
+        allowed = SHARE_MOST * settings.overload_multiple * ramp * warm
         most = allowed + 3.0 * sqrt(allowed) + 3.0
         if len(sent) > most:
-            what = f"{request.server} got {len(sent)} in {window:.0f} ms, {most:.0f} at most"
+            what = f"{request.backend} got {len(sent)} in {window:.0f} ms, {most:.0f} at most"
             self._violation(Rule.SLOW_START, request, what)
--- a/yarrowspindle/telemetry/published_names.py
+++ b/yarrowspindle/telemetry/published_names.py
@@ -7,55 +7,55 @@
 
 from collections.abc import Mapping
 
-from yarrowspindle.decisions.rejection import Refusal
+from yarrowspindle.decisions.rejection import RejectionReason
 from yarrowspindle.routing import effects, events
 from yarrowspindle.routing.state import Phase
-from yarrowspindle.routing.termination import Ending
+from yarrowspindle.routing.termination import TerminationReason
 
 EVENTS: Mapping[type, str] = {
-    events.JobArrived: "JobArrived",
-    events.SubmitterLeft: "SubmitterLeft",
-    events.ListTold: "ListTold",
+    events.RequestReceived: "JobArrived",
+    events.ClientDisconnected: "SubmitterLeft",
+    events.EndpointsUpdated: "ListTold",
 }
 
 EFFECTS: Mapping[type, str] = {
-    effects.Reach: "Reach",
-    effects.Ask: "Ask",
-    effects.Join: "Join",
-    effects.Requeue: "Requeue",
-    effects.Deny: "Deny",
-    effects.Move: "Move",
-    effects.Close: "Close",
+    effects.OpenBackendConnection: "Reach",
+    effects.ForwardRequest: "Ask",
+    effects.StartRelaying: "Join",
+    effects.RejectRequest: "Requeue",
+    effects.FailRequest: "Deny",
+    effects.MigrateConnection: "Move",
+    effects.CloseClientConnection: "Close",
 }
 
-ENDINGS: Mapping[Ending, str] = {
-    Ending.SERVED: "served",
-    Ending.SENT_AWAY: "sent_away",
-    Ending.TURNED_AWAY: "turned_away",
-    Ending.ERRED: "erred",
-    Ending.NOT_UNDERSTOOD: "not_understood",
-    Ending.UNREACHED: "unreached",
-    Ending.BROKEN: "broken",
-    Ending.SILENT: "silent",
-    Ending.NODE_GONE: "node_gone",
-    Ending.EXPIRED: "expired",
-    Ending.OVERDUE: "overdue",
-    Ending.STALLED: "stalled",
-    Ending.SUBMITTER_LEFT: "submitter_left",
-    Ending.MOVED: "moved",
-    Ending.NEVER_SENT: "never_sent",
+ENDINGS: Mapping[TerminationReason, str] = {
+    TerminationReason.COMPLETED: "served",
+    TerminationReason.BACKEND_DRAINING: "sent_away",
+    TerminationReason.REJECTED: "turned_away",
+    TerminationReason.BACKEND_ERROR: "erred",
+    TerminationReason.PROTOCOL_ERROR: "not_understood",
+    TerminationReason.CONNECT_FAILED: "unreached",
+    TerminationReason.CONNECTION_RESET: "broken",
+    TerminationReason.UNRESPONSIVE: "silent",
+    TerminationReason.BACKEND_REMOVED: "node_gone",
+    TerminationReason.IDLE_EXPIRED: "expired",
+    TerminationReason.DEADLINE_EXCEEDED: "overdue",
+    TerminationReason.EVENT_LOOP_STALLED: "stalled",
+    TerminationReason.CLIENT_DISCONNECTED: "submitter_left",
+    TerminationReason.MIGRATED: "moved",
+    TerminationReason.NOT_SENT: "never_sent",
 }
 
 PHASES: Mapping[Phase, str] = {
-    Phase.HELD: "held",
-    Phase.REACHING: "reaching",
-    Phase.ASKED: "asked",
-    Phase.OPEN: "open",
+    Phase.QUEUED: "held",
+    Phase.CONNECTING: "reaching",
+    Phase.AWAITING_RESPONSE: "asked",
+    Phase.ESTABLISHED: "open",
 }
 
 
-def reason(why: Refusal | Ending | None) -> str:
+def reason(why: RejectionReason | TerminationReason | None) -> str:
     """The published name of the reason that an answer, a move or an aborted attempt carries."""
     if why is None:
         return "none"
-    return why.value if isinstance(why, Refusal) else ENDINGS[why]
+    return why.value if isinstance(why, RejectionReason) else ENDINGS[why]
--- a/yarrowspindle/transport/backend.py
+++ b/yarrowspindle/transport/backend.py
@@ -7,34 +7,39 @@
 
 from yarrowspindle.protocol import lines
 from yarrowspindle.protocol.lines import LineError, Lines, Word, load_of, word_of
-from yarrowspindle.routing.termination import Ending
-from yarrowspindle.transport.line_connection import Side
+from yarrowspindle.routing.termination import TerminationReason
+from yarrowspindle.transport.line_connection import LineConnection
 
 MOVE_WAIT_S = 0.5  # for the rest of a line that a MOVE must not cut
 
-ANSWERS = {Word.BYE: Ending.SERVED, Word.MOVE: Ending.SENT_AWAY, Word.ERR: Ending.ERRED, Word.BUSY: Ending.TURNED_AWAY}
-
-
-class NodeSink(Protocol):
-    def node_reached(self, side: NodeSide) -> None: ...
-    def node_up(self, side: NodeSide) -> None: ...
-    def node_answered(self, job: int, lines: int) -> None: ...
-    def node_load(self, job: int, load: float) -> None: ...
-    def node_lost(self, side: NodeSide) -> None: ...
-    def node_over(self, side: NodeSide, ending: Ending) -> None: ...
+ANSWERS = {
+    Word.BYE: TerminationReason.COMPLETED,
+    Word.MOVE: TerminationReason.BACKEND_DRAINING,
+    Word.ERR: TerminationReason.BACKEND_ERROR,
+    Word.BUSY: TerminationReason.REJECTED,
+}
+
+
+class BackendSink(Protocol):
+    def backend_reached(self, side: BackendSide) -> None: ...
+    def backend_up(self, side: BackendSide) -> None: ...
+    def backend_answered(self, request: int, lines: int) -> None: ...
+    def backend_load(self, request: int, load: float) -> None: ...
+    def backend_lost(self, side: BackendSide) -> None: ...
+    def backend_over(self, side: BackendSide, ending: TerminationReason) -> None: ...
     def bad_line(self, text: str) -> None: ...
 
 
-class NodeSide(Side):
-    def __init__(self, sink: NodeSink, job: int, attempt: int, node: str = "") -> None:
+class BackendSide(LineConnection):
+    def __init__(self, sink: BackendSink, request: int, attempt: int, backend: str = "") -> None:
         super().__init__()
-        self.sink, self.job, self.attempt, self.node = sink, job, attempt, node
+        self.sink, self.request, self.attempt, self.backend = sink, request, attempt, backend
         self.lines = Lines()
         self.first = b""  # the UP line, as it came
         self.early = b""  # what came right behind it
         self.asked = self.up = self.told = False
-        self.last: Ending | None = None  # what the node's last line says of the end to come
-        self.moving: Side | None = None
+        self.last: TerminationReason | None = None  # what the node's last line says of the end to come
+        self.moving: LineConnection | None = None
         self.later: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -42,7 +47,7 @@
         if self.told:  # given up while it came up
             self.abort()
         else:
-            self.sink.node_reached(self)
+            self.sink.backend_reached(self)
 
     def ask(self, line: bytes) -> None:
         self.asked = True
@@ -59,7 +64,7 @@
             whole = self.lines.feed(data)
         except LineError as error:
             self.sink.bad_line(f"an execute node sent {error}")
-            self._over(Ending.NOT_UNDERSTOOD)
+            self._over(TerminationReason.PROTOCOL_ERROR)
             return
         if not whole:
             return
@@ -69,11 +74,11 @@
             self.first = whole[0] + lines.END
             self.early = b"".join(line + lines.END for line in whole[1:]) + self.lines.rest
             self.lines.rest = b""
-            self.sink.node_up(self)
+            self.sink.backend_up(self)
         else:
             if word not in ANSWERS:
                 self.sink.bad_line(f"an execute node answered {whole[0][:60]!r}")
-            self._over(ANSWERS.get(word, Ending.NOT_UNDERSTOOD))
+            self._over(ANSWERS.get(word, TerminationReason.PROTOCOL_ERROR))
 
     def flow(self) -> None:
         """Called once the other side is set; what came with the UP line follows it."""
@@ -93,7 +98,7 @@
             whole = self.lines.feed(data)
         except LineError as error:
             self.sink.bad_line(f"an execute node sent {error}")
-            self._over(Ending.BROKEN)
+            self._over(TerminationReason.CONNECTION_RESET)
             return
         answers = 0
         for line in whole:
@@ -101,16 +106,16 @@
             if word is Word.LOAD:
                 load = load_of(line)
                 if load is not None:
-                    self.sink.node_load(self.job, load)
+                    self.sink.backend_load(self.request, load)
             else:
                 self.last = ANSWERS.get(word)
                 answers += self.last is None
         if answers:
-            self.sink.node_answered(self.job, answers)
+            self.sink.backend_answered(self.request, answers)
 
-    def move(self, submitter: Side) -> None:
+    def move(self, client: LineConnection) -> None:
         """Send the submitter away, at once if its stream stands between two lines, else behind the line."""
-        self.moving = submitter
+        self.moving = client
         if self.lines.between:
             self._moved()
         else:
@@ -139,12 +144,12 @@
         self.told = True
         self.finish()
 
-    def unreached(self, ending: Ending) -> None:
+    def unreached(self, ending: TerminationReason) -> None:
         """Its connection has not come up; one that does all the same is closed without a byte."""
         self.closing = True
         if not self.told:
             self.told = True
-            self.sink.node_over(self, ending)
+            self.sink.backend_over(self, ending)
 
     def drop(self) -> None:
         """The attempt is given up: end the connection, and say nothing more of it."""
@@ -157,7 +162,7 @@
 
     def connection_lost(self, exc: Exception | None) -> None:
         super().connection_lost(exc)
-        self.sink.node_lost(self)
+        self.sink.backend_lost(self)
         sent = self.asked and (self.transport is None or self.transport.get_write_buffer_size() == 0)
         self.transport = None
         if self.moving is not None:
@@ -166,12 +171,12 @@
 
     def _end(self, sent: bool = True) -> None:
         if self.up:
-            self._over(self.last or Ending.BROKEN)
+            self._over(self.last or TerminationReason.CONNECTION_RESET)
         else:
-            self._over(Ending.BROKEN if self.asked and sent else Ending.UNREACHED)
+            self._over(TerminationReason.CONNECTION_RESET if self.asked and sent else TerminationReason.CONNECT_FAILED)
 
-    def _over(self, ending: Ending) -> None:
+    def _over(self, ending: TerminationReason) -> None:
         if not self.told:
             self.told = True
-            self.sink.node_over(self, ending)
+            self.sink.backend_over(self, ending)
             self.finish()
--- a/yarrowspindle/transport/client.py
+++ b/yarrowspindle/transport/client.py
@@ -7,28 +7,28 @@
 
 from yarrowspindle.protocol import lines
 from yarrowspindle.protocol.lines import LineError, Open, Opening
-from yarrowspindle.transport.line_connection import Side
+from yarrowspindle.transport.line_connection import LineConnection
 
 FIRST_LINE_S = 2.0  # a connection that has sent no OPEN line by then is ended, whatever else it said
 
 
-class SubmitterSink(Protocol):
+class ClientSink(Protocol):
     def ready(self) -> bool: ...
-    def submitter_came(self, side: Submitter) -> None: ...
-    def job_came(self, side: Submitter, opened: Open) -> None: ...
-    def job_out_of_turn(self, job: int) -> None: ...
-    def job_asked(self, job: int, lines: int) -> None: ...
-    def job_left(self, job: int) -> None: ...
-    def submitter_lost(self, side: Submitter) -> None: ...
-    def submitter_refused(self, side: Submitter, why: str) -> None: ...
-    def submitter_ended(self, side: Submitter) -> None: ...
-
-
-class Submitter(Side):
-    def __init__(self, sink: SubmitterSink) -> None:
+    def client_came(self, side: ClientConnection) -> None: ...
+    def request_came(self, side: ClientConnection, opened: Open) -> None: ...
+    def request_out_of_turn(self, request: int) -> None: ...
+    def request_asked(self, request: int, lines: int) -> None: ...
+    def request_left(self, request: int) -> None: ...
+    def client_lost(self, side: ClientConnection) -> None: ...
+    def client_refused(self, side: ClientConnection, why: str) -> None: ...
+    def client_ended(self, side: ClientConnection) -> None: ...
+
+
+class ClientConnection(LineConnection):
+    def __init__(self, sink: ClientSink) -> None:
         super().__init__()
         self.sink = sink
-        self.job = 0  # 0: no OPEN line so far
+        self.request = 0  # 0: no OPEN line so far
         self.opening = Opening()
         self.gone = False  # its end was told
         self.wait: asyncio.TimerHandle | None = None
@@ -36,16 +36,16 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         super().connection_made(transport)
         self.wait = asyncio.get_running_loop().call_later(FIRST_LINE_S, self._late)
-        self.sink.submitter_came(self)
+        self.sink.client_came(self)
 
     def data_received(self, data: bytes) -> None:
         if self.closing:
             self.thrown += len(data)
         elif self.other is not None:
-            self.sink.job_asked(self.job, data.count(b"\n"))
+            self.sink.request_asked(self.request, data.count(b"\n"))
             self.other.write(data)
-        elif self.job:  # it has to wait for its answer; what it sends is neither kept nor passed on
-            self.sink.job_out_of_turn(self.job)
+        elif self.request:  # it has to wait for its answer; what it sends is neither kept nor passed on
+            self.sink.request_out_of_turn(self.request)
         else:
             self._open(data)
 
@@ -55,7 +55,7 @@
             if answers:
                 self.write(answers)
             if opened is not None:
-                self.sink.job_came(self, opened)
+                self.sink.request_came(self, opened)
                 self._heard()
         except LineError as error:
             self._refuse(str(error))
@@ -63,7 +63,7 @@
     def _refuse(self, why: str) -> None:
         self._heard()
         self.finish(lines.FAILED)
-        self.sink.submitter_refused(self, why)
+        self.sink.client_refused(self, why)
 
     def _late(self) -> None:
         if self.opening.rest:
@@ -75,20 +75,20 @@
         """Ends a connection that has asked for nothing: in order, since its line may be on its way."""
         self._heard()
         self.finish()
-        self.sink.submitter_ended(self)
+        self.sink.client_ended(self)
 
     def _heard(self) -> None:
         if self.wait is not None:
             self.wait.cancel()
             self.wait = None
 
-    def join(self, other: Side, first: bytes) -> None:
+    def join(self, other: LineConnection, first: bytes) -> None:
         """Both sides flow from here."""
         self.write(first)
         self.other, other.other = other, self
 
     def eof_received(self) -> bool:
-        if not self.job and not self.closing and self.opening.rest:
+        if not self.request and not self.closing and self.opening.rest:
             self._refuse("half a line")
         self._leave()
         return False  # the transport closes once all is written
@@ -98,9 +98,9 @@
         self._heard()
         self._leave()
         self.transport = None
-        self.sink.submitter_lost(self)
+        self.sink.client_lost(self)
 
     def _leave(self) -> None:
-        if self.job and not self.gone and not self.closing:
+        if self.request and not self.gone and not self.closing:
             self.gone = True
-            self.sink.job_left(self.job)
+            self.sink.request_left(self.request)
--- a/yarrowspindle/transport/connecting.py
+++ b/yarrowspindle/transport/connecting.py
@@ -75,12 +75,12 @@
     def __init__(self) -> None:
         self.failed = ""  # the first server to which there was no way since a connection came up
 
-    def at_fault(self, server: str, failure: ConnectFailure) -> bool:
+    def at_fault(self, backend: str, failure: ConnectFailure) -> bool:
         """Whether this failure says nothing of the server."""
         if not failure.no_way:
             return failure.own
-        self.failed = self.failed or server
-        return self.failed != server
+        self.failed = self.failed or backend
+        return self.failed != backend
 
     def works(self) -> None:
         """A connection came up."""
--- a/yarrowspindle/transport/endpoint_list.py
+++ b/yarrowspindle/transport/endpoint_list.py
@@ -7,7 +7,7 @@
 
 from yarrowspindle.protocol.endpoint_list import ListError, Names, WatchAnswer, watch_request
 from yarrowspindle.routing.address import Address
-from yarrowspindle.routing.events import ListTold
+from yarrowspindle.routing.events import EndpointsUpdated
 
 # What a silent watch misses counts as told 6 s after its last word, so these and the waits between calls fit into that.
 ANSWER_S = 2.2  # from the opening of the connection to the first list; the service lets a call wait about so long
@@ -15,7 +15,7 @@
 
 
 class WatchSink(Protocol):
-    def list_told(self, watch: WatchSide, told: ListTold) -> None: ...
+    def list_told(self, watch: WatchSide, told: EndpointsUpdated) -> None: ...
     def watch_heard(self, watch: WatchSide) -> None: ...
     def watch_over(self, watch: WatchSide, why: str) -> None: ...
 
--- a/yarrowspindle/transport/line_connection.py
+++ b/yarrowspindle/transport/line_connection.py
@@ -18,10 +18,10 @@
 INT = struct.Struct("@i")
 
 
-class Side(asyncio.Protocol):
+class LineConnection(asyncio.Protocol):
     def __init__(self) -> None:
         self.transport: asyncio.Transport | None = None
-        self.other: Side | None = None  # set once both sides flow
+        self.other: LineConnection | None = None  # set once both sides flow
         self.closing = False
         self.thrown = 0  # bytes that came after our end
         self.late: asyncio.TimerHandle | None = None
--- a/yarrowspindle/transport/probe.py
+++ b/yarrowspindle/transport/probe.py
@@ -6,19 +6,19 @@
 from typing import Protocol, cast
 
 from yarrowspindle.protocol.lines import STATS, LineError, Lines
-from yarrowspindle.routing.termination import Ending
+from yarrowspindle.routing.termination import TerminationReason
 
 
 class ProbeSink(Protocol):
     def probe_answered(self, side: ProbeSide, line: bytes) -> None: ...
-    def probe_over(self, side: ProbeSide, ending: Ending, why: str) -> None: ...
+    def probe_over(self, side: ProbeSide, ending: TerminationReason, why: str) -> None: ...
 
 
 class ProbeSide(asyncio.Protocol):
     """Reports to its sink and obeys it; one question is out at a time."""
 
-    def __init__(self, sink: ProbeSink, node: str) -> None:
-        self.sink, self.node = sink, node
+    def __init__(self, sink: ProbeSink, backend: str) -> None:
+        self.sink, self.backend = sink, backend
         self.transport: asyncio.Transport | None = None
         self.lines = Lines()
         self.asked = False  # an answer is awaited
@@ -47,12 +47,12 @@
                 self.asked = False
                 self.sink.probe_answered(self, line)
         except LineError as error:
-            self.end(Ending.NOT_UNDERSTOOD, str(error))
+            self.end(TerminationReason.PROTOCOL_ERROR, str(error))
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.end(Ending.BROKEN, "the connection ended")
+        self.end(TerminationReason.CONNECTION_RESET, "the connection ended")
 
-    def end(self, ending: Ending, why: str) -> None:
+    def end(self, ending: TerminationReason, why: str) -> None:
         if not self.over:
             self.over = True
             if self.transport is not None:
