--- a/benchmarks/capacity/__main__.py
+++ b/benchmarks/capacity/__main__.py
@@ -17,13 +17,13 @@
 from benchmarks.common import finish, options
 
 PARTS = ("slopes", "change", "faults", "data")
-EACH_MOST = 400  # relays
+MAX_EACH = 400  # relays
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
     parser = options("Capacity at the fleet ahead.")
     parser.add_argument("--only", default=",".join(PARTS), help="parts, with commas between: " + ", ".join(PARTS))
-    parser.add_argument("--relays", type=int, help=f"another fleet; each to all is played up to {EACH_MOST}")
+    parser.add_argument("--relays", type=int, help=f"another fleet; each to all is played up to {MAX_EACH}")
     parser.add_argument("--plot", metavar="FILE.png", help="draw the slopes with their fits")
     chosen = parser.parse_args(arguments)
     only = [part for part in chosen.only.split(",") if part]
@@ -34,7 +34,7 @@
     started, broken, result = time.perf_counter(), list[str](), dict[str, Any]()
     if "slopes" in only:
         # Each to all costs the square: 400 relays take minutes of a core, 1,200 an hour.
-        checked = min(chosen.relays, EACH_MOST) if chosen.relays else None
+        checked = min(chosen.relays, MAX_EACH) if chosen.relays else None
         result["slopes"] = slopes.run(chosen.seed, chosen.size, checked, chosen.plot, broken)
     if "change" in only or "faults" in only:
         result["change"] = change.run(chosen.seed, chosen.size, chosen.relays, broken, only)
--- a/benchmarks/capacity/hollow.py
+++ b/benchmarks/capacity/hollow.py
@@ -34,9 +34,9 @@
 SWAP_S = 0.1  # at one node a relay's last connection ends and at another its first comes: 20 changes told a second
 CELL = 12  # relays
 START_MS = 2000.0  # over which the relays start
-KNOWN_MOST_S = 20.0
+MAX_KNOWN_S = 20.0
 LOOK_S = 0.025
-LATE_MOST_MS = 50.0  # of the event loop, in 99 of 100 looks: beyond that the machine is measured, not the relays
+MAX_LATE_MS = 50.0  # of the event loop, in 99 of 100 looks: beyond that the machine is measured, not the relays
 Holds = dict[int, tuple[int, float]]
 
 
@@ -139,7 +139,7 @@
     names, knew, began = {peers[index].core.members.me.name for index in killed}, list[float](), world.clock.seconds
     for index in killed:
         world.kill(index)
-    while names and world.clock.seconds < began + KNOWN_MOST_S:
+    while names and world.clock.seconds < began + MAX_KNOWN_S:
         world.run(SWAP_S)
         known = {name for name in names if not any(name in p.core.members.names for p in peers if p.alive)}
         names -= known
@@ -288,7 +288,7 @@
                 found["silence"] = silence
         name, cell = f"r{sockets.silenced}", sockets.silenced % sockets.cells
         ask = [relay for relay in relays if relay.index % sockets.cells == cell and relay.index != sockets.silenced]
-        while any(relay.knew < 0.0 for relay in ask) and time.monotonic() < silence + KNOWN_MOST_S:
+        while any(relay.knew < 0.0 for relay in ask) and time.monotonic() < silence + MAX_KNOWN_S:
             await asyncio.sleep(0.05)
             for relay in ask:
                 if relay.knew < 0.0 and name not in relay.core.members.names:
@@ -296,7 +296,7 @@
         if _knowing is not None:  # others of the cell must still be served until all of them know
             with _knowing.get_lock():
                 _knowing.value += 1
-            while _knowing.value < sockets.processes and time.monotonic() < silence + KNOWN_MOST_S:
+            while _knowing.value < sockets.processes and time.monotonic() < silence + MAX_KNOWN_S:
                 await asyncio.sleep(0.05)
         return found | {"knew": [relay.knew for relay in ask]}
     finally:
@@ -358,7 +358,7 @@
         "suspicions": counts["suspicions"],
         "lost": counts["sent"] - counts["came"],
         "strangers": counts["dropped_another_cluster"],
-        "machine_bound": late > LATE_MOST_MS,
+        "machine_bound": late > MAX_LATE_MS,
     }
 
 
--- a/benchmarks/capacity/slopes.py
+++ b/benchmarks/capacity/slopes.py
@@ -29,8 +29,8 @@
 from yarrowspindle.decisions.events import group_key
 from yarrowspindle.maintenance.codec import encode, encode_file
 from yarrowspindle.maintenance.coordinator import Learn
-from yarrowspindle.maintenance.state import RELAYS_MOST, Seen, TurnState, Wish
-from yarrowspindle.membership.load_signals import KEYS_MOST, OwnWord, Signals
+from yarrowspindle.maintenance.state import MAX_RELAYS, Seen, TurnState, Wish
+from yarrowspindle.membership.load_signals import MAX_KEYS, OwnWord, Signals
 from yarrowspindle.membership.messages import Own
 from yarrowspindle.protocol.fragments import PART
 
@@ -258,7 +258,7 @@
         broken.append(f"{name}: {row['strangers']} datagrams came from another cell")
 
 
-def turns_state(over: list[str], sizes: Sequence[int] = (50, 200, 600, RELAYS_MOST)) -> list[dict[str, Any]]:
+def turns_state(over: list[str], sizes: Sequence[int] = (50, 200, 600, MAX_RELAYS)) -> list[dict[str, Any]]:
     """Bytes of the settled state, as a message to one relay and in a voter's file, with so many machines out that all
     relays but one have confirmed. told_mb: what the relay that settles one change sends, as it tells all others."""
     rows = list[dict[str, Any]]()
@@ -303,8 +303,8 @@
         for row in rows
         if row["bytes of"] == "message"
     ]
-    if AHEAD > RELAYS_MOST:
-        over.append(f"turns: {RELAYS_MOST} relays may register, {AHEAD} are ahead")
+    if AHEAD > MAX_RELAYS:
+        over.append(f"turns: {MAX_RELAYS} relays may register, {AHEAD} are ahead")
     return rows
 
 
@@ -334,7 +334,7 @@
                 "kb": deep_kb(hearer),
             }
         )
-        if len(keys) > KEYS_MOST:
+        if len(keys) > MAX_KEYS:
             over.append(f"signals: {len(keys)} keys, {rows[-1]['kept']} are told and kept")
     print("\nPeers' table of signals: one relay heard, all that it holds told once")
     shown(rows, tuple(rows[0]))
--- a/benchmarks/capacity/sockets.py
+++ b/benchmarks/capacity/sockets.py
@@ -40,7 +40,7 @@
 from yarrowspindle.transport.datagrams import Front
 
 PARCELS_S, LOOK_S = 0.05, 0.02
-LATE_MOST_MS = 50.0  # of the event loop, in 99 of 100 looks: beyond that the machine is measured, not the relays
+MAX_LATE_MS = 50.0  # of the event loop, in 99 of 100 looks: beyond that the machine is measured, not the relays
 A_SECOND, WARM_S, IN_FORCE_S = 2.0, 3.0, 3.0
 FAULTS = ("none", "loss", "kill", "stop", "cut")
 
@@ -148,7 +148,7 @@
             first,
             self.voter.kept.identity if self.voter else "",
             self.voter.kept.state if self.voter else first,
-            self.link.life,
+            self.link.incarnation,
             check,
             int.from_bytes(os.urandom(4), "big"),
             self.now(),
@@ -374,7 +374,7 @@
         "busiest_process": round(max(cores), 3),
         "rss_mb_of_a_process": round(max(one["rss_kb"] for one in told) / 1024),
         "late_ms": round(max(late), 1),
-        "machine_bound": max(late) > LATE_MOST_MS or max(cores) > 0.7,
+        "machine_bound": max(late) > MAX_LATE_MS or max(cores) > 0.7,
         "load": os.getloadavg()[0],
         "seed": seed,
         "rows": rows,
--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -26,7 +26,7 @@
 
 SMALL, LARGE = 100, 5000
 STANDING, REQUESTS, DELTAS, ROUNDS = 400, 1500, 400, 5
-DELTA_MOST, REQUEST_MOST = 3.0, 1.3  # how much dearer it may be in the large fleet
+MAX_DELTA, MAX_REQUEST = 3.0, 1.3  # how much dearer it may be in the large fleet
 
 
 class Core:
@@ -104,7 +104,7 @@
     for name, us in found.items():
         print(f"  {name:24} {us}")
     broken = []
-    for what, most in (("delta", DELTA_MOST), ("job", REQUEST_MOST)):
+    for what, most in (("delta", MAX_DELTA), ("job", MAX_REQUEST)):
         for kind in ("", "_blind"):
             ratio = found[f"us_per_{what}_{LARGE}{kind}"] / found[f"us_per_{what}_{SMALL}{kind}"]
             print(f"  {what}{kind}: {ratio:.2f} times, {most} at most")
--- a/benchmarks/rebalance.py
+++ b/benchmarks/rebalance.py
@@ -20,7 +20,7 @@
 
 SCENARIOS = ("return", "extra", "steady", "lost-clients", "skewed", "large")
 SETTLE_S = 40.0  # from the start until the fleet is as placement leaves it
-RISE_MOST = 0.03  # of the imbalance, from one window of 5 s to the next
+MAX_RISE = 0.03  # of the imbalance, from one window of 5 s to the next
 WINDOW_S = 5
 
 
@@ -215,7 +215,7 @@
         rise = max((b - a for a, b in zip(values, values[1:], strict=False)), default=0.0)
         half, off_half = r["half_life_s"], r["off_half_life_s"]
         must += [
-            (rise <= RISE_MOST, f"the imbalance rose by {rise:.3f} in a window"),
+            (rise <= MAX_RISE, f"the imbalance rose by {rise:.3f} in a window"),
             (half is not None and (off_half is None or half <= off_half / 3.0), "the half-life is above a third"),
             (r["lost"] == 0, "moved submitters are lost"),
             (r["served"] >= r["off_served"], "less is served than with it off"),
--- a/benchmarks/relay_cost.py
+++ b/benchmarks/relay_cost.py
@@ -24,7 +24,7 @@
 HERE = Path(__file__).resolve().parents[1]
 SIDE_BY_SIDE = 20
 BACKENDS = 4
-STARTS_MOST = 100
+MAX_STARTS = 100
 
 
 class Backend(asyncio.Protocol):
@@ -111,7 +111,7 @@
 
 async def measured(pid: int, port: int, made: int, said: int) -> tuple[float, float]:
     """As `play` returns it, of a relay that is about to serve."""
-    for _ in range(STARTS_MOST):
+    for _ in range(MAX_STARTS):
         try:
             await setups(port, 20, 1)
             break
--- a/benchmarks/signals.py
+++ b/benchmarks/signals.py
@@ -48,7 +48,7 @@
 COST = {"small": (10, 100), "machine": (40, 400), "large": (200, 2000)}
 COST_S = 8.0
 CLOSED, CLOSED_LOSS, SAME = 0.7, 0.5, 0.01
-BYTES_MOST, CPU_MOST, DETECT_MOST_S, AGREE_MOST_S = 64_000.0, 0.01, 5.0, 15.0
+MAX_BYTES, MAX_CPU, MAX_DETECT_S, MAX_AGREE_S = 64_000.0, 0.01, 5.0, 15.0
 
 
 def sized(base: FleetSpec, relays: int) -> FleetSpec:
@@ -285,11 +285,11 @@
         days = list(pool.map(member_day, [(seed, MEMBER_SETS[0]) for seed in seeds], chunksize=4))
         others = list(pool.map(member_day, [(s, MEMBER_SETS[1 + s // 3 % 8]) for s in seeds], chunksize=4))
         detect = list(pool.map(detect_day, range(first, first + 20)))
-    late = [seed for seed, agreed, _ in days + others if not 0.0 <= agreed <= AGREE_MOST_S]
+    late = [seed for seed, agreed, _ in days + others if not 0.0 <= agreed <= MAX_AGREE_S]
     if late:
-        broken.append(f"members do not agree {AGREE_MOST_S:g} s after the faults: seeds {late[:8]}")
-    if min(detect) < 0.0 or max(detect) > DETECT_MOST_S:
-        broken.append(f"a killed relay's part is gone after {max(detect):.1f} s: {DETECT_MOST_S:g} s at most")
+        broken.append(f"members do not agree {MAX_AGREE_S:g} s after the faults: seeds {late[:8]}")
+    if min(detect) < 0.0 or max(detect) > MAX_DETECT_S:
+        broken.append(f"a killed relay's part is gone after {max(detect):.1f} s: {MAX_DETECT_S:g} s at most")
     print(
         f"{relays} relays, {backends} nodes: {whole['bytes']:.0f} bytes/s sent by each, {whole['members']:.0f} for "
         f"members, {whole['datagrams']:.0f} datagrams/s, {100 * whole['cpu']:.2f} % of a core, "
@@ -299,10 +299,10 @@
         f"members alone: {members['members']:.0f} bytes/s at {relays} relays, {fewer['members']:.0f} at "
         f"{max(relays // 4, 3)}"
     )
-    if size == "large" and (whole["bytes"] > BYTES_MOST or whole["cpu"] > CPU_MOST):
+    if size == "large" and (whole["bytes"] > MAX_BYTES or whole["cpu"] > MAX_CPU):
         broken.append(
             f"{whole['bytes']:.0f} bytes/s and {100 * whole['cpu']:.2f} % of a core: "
-            f"{BYTES_MOST:.0f} and {100 * CPU_MOST:g} % at most"
+            f"{MAX_BYTES:.0f} and {100 * MAX_CPU:g} % at most"
         )
     agreed, worst = (max(agreed for _, agreed, _ in some) for some in (days, others))
     print(f"{len(others)} seeds of other sets of faults: all agree at most {worst:.1f} s after them")
--- a/benchmarks/soak/__main__.py
+++ b/benchmarks/soak/__main__.py
@@ -18,22 +18,22 @@
 from benchmarks.soak.play import RULES, Report, play
 from benchmarks.soak.shim import build
 
-RELAYS_LEAST, RELAYS_MOST = 10, 40
+MIN_RELAYS, MAX_RELAYS = 10, 40
 
 
 def arguments() -> argparse.Namespace:
     parser = argparse.ArgumentParser(prog="python -m benchmarks.soak", description="a randomized fault soak")
     parser.add_argument("--seed", type=int, default=1, help="the first seed; the same plays the same schedule again")
     parser.add_argument("--seeds", type=int, default=1, help="how many, one after another")
-    parser.add_argument("--processes", type=int, default=RELAYS_LEAST, help="relays, 10 to 40")
+    parser.add_argument("--processes", type=int, default=MIN_RELAYS, help="relays, 10 to 40")
     parser.add_argument("--seconds", type=float, default=12.0, help="of each seed, at least 8")
     parser.add_argument("--faults", default="", help=f"words out of: {', '.join(TROUBLES)}")
     parser.add_argument("--planted", default="", choices=("", *DEFECTS), help="a defect that has to be found")
     parser.add_argument("--logs", type=Path, default=None, help="a folder that keeps the relays' logs")
     parser.add_argument("--json", action="store_true", help="the last line is one JSON object")
     found = parser.parse_args()
-    if not RELAYS_LEAST <= found.processes <= RELAYS_MOST or found.seconds < 8.0 or found.seeds < 1:
-        parser.error(f"--processes {RELAYS_LEAST} to {RELAYS_MOST}, --seconds at least 8, --seeds at least 1")
+    if not MIN_RELAYS <= found.processes <= MAX_RELAYS or found.seconds < 8.0 or found.seeds < 1:
+        parser.error(f"--processes {MIN_RELAYS} to {MAX_RELAYS}, --seconds at least 8, --seeds at least 1")
     unknown = sorted(set(words_of(found.faults)) - TROUBLES.keys())
     if unknown:
         parser.error(f"no such faults: {', '.join(unknown)}")
--- a/benchmarks/soak/backends.py
+++ b/benchmarks/soak/backends.py
@@ -11,7 +11,7 @@
 from benchmarks.soak.oracle import Attempt
 from benchmarks.soak.world import LINE_END, World
 
-FIRST_MOST = 8192
+MAX_FIRST = 8192
 HOLD_S = (0.05, 0.6)  # for how long a connection that is up is served
 
 
@@ -126,7 +126,7 @@
 
     def data_received(self, data: bytes) -> None:
         now = self.world.now()
-        if self.attempt is None and len(self.first) < FIRST_MOST:
+        if self.attempt is None and len(self.first) < MAX_FIRST:
             self.first_at = self.first_at if self.first else now
             self.first += data
             self._look(now)
--- a/benchmarks/soak/plan.py
+++ b/benchmarks/soak/plan.py
@@ -29,7 +29,7 @@
 }
 NEEDS_SHIM = frozenset(("clock", "calls", "pieces"))
 RATES_EACH = (14.0, 14.0, 40.0)  # requests a second to each relay
-RATE_MOST = 420.0  # of all together: what one process of stand-ins serves without being late itself
+MAX_RATE = 420.0  # of all together: what one process of stand-ins serves without being late itself
 FIRST_S, REST_S = 1.2, 3.0  # before the first trouble, and after the last
 
 
@@ -162,5 +162,5 @@
             troubles.append(Trouble(word, begins, length * random.uniform(0.55, 0.75), random.getrandbits(30)))
     stepped = random.choice((0, 0, -3_600_000, 3_600_000, -4000, 4000)) if "clock" in words else 0
     troubles.sort(key=lambda trouble: trouble.at_s)
-    rate = min(random.choice(RATES_EACH), RATE_MOST / relays)
+    rate = min(random.choice(RATES_EACH), MAX_RATE / relays)
     return Plan(seed, relays, backends, seconds, settings, tuple(troubles), stepped, rate)
--- a/benchmarks/soak/play.py
+++ b/benchmarks/soak/play.py
@@ -23,7 +23,7 @@
 from benchmarks.soak.world import World
 
 PART = 0.5  # of the backends that a trouble befalls
-SHOWN_MOST = 12
+MAX_SHOWN = 12
 
 
 @dataclass(slots=True)
@@ -48,11 +48,11 @@
             f"{self.answered} answered, late by {1000 * self.worst_lag_s:.0f} ms at most"
         )
         found = [head] + [f"  {trouble}" for trouble in plan.troubles]
-        for violation in self.violations[:SHOWN_MOST]:
+        for violation in self.violations[:MAX_SHOWN]:
             found.append(f"  VIOLATION {violation.rule.value} {violation.request}: {violation.what}")
             found += [f"      {row}" for row in self.timelines.get(violation.request, [])]
-        if len(self.violations) > SHOWN_MOST:
-            found.append(f"  and {len(self.violations) - SHOWN_MOST} more violations")
+        if len(self.violations) > MAX_SHOWN:
+            found.append(f"  and {len(self.violations) - MAX_SHOWN} more violations")
         return found
 
 
@@ -132,7 +132,7 @@
             found,
         )
         report.timelines = {v.request: oracle.timeline(v.request) for v in found if v.request}
-        for name in list(report.timelines)[:SHOWN_MOST]:
+        for name in list(report.timelines)[:MAX_SHOWN]:
             self._add_log(name, report)
         return report
 
--- a/benchmarks/soak/world.py
+++ b/benchmarks/soak/world.py
@@ -11,7 +11,7 @@
 from benchmarks.soak.oracle import Oracle
 from benchmarks.soak.plan import Plan
 
-LAG_LOOK_S, LAG_LEAST_S = 0.005, 0.01
+LAG_LOOK_S, MIN_LAG_S = 0.005, 0.01
 LINE_END = b"\r\n"
 FIRST_PORT = 20_000
 
@@ -52,5 +52,5 @@
             due = time.monotonic() + LAG_LOOK_S
             await asyncio.sleep(LAG_LOOK_S)
             late = time.monotonic() - due
-            if late >= LAG_LEAST_S:
+            if late >= MIN_LAG_S:
                 self.oracle.lags.append((self.now(), late))
--- a/benchmarks/subsets.py
+++ b/benchmarks/subsets.py
@@ -29,7 +29,7 @@
 }
 PART, LEAST = 0.1, 12
 A_BACKEND = 20  # connections held for each node
-COVER_MOST, LOAD_MOST, MOVED_MOST, REDRAW_MOST_US = 1.15, 0.05, 2.0, 5000.0
+MAX_COVER, MAX_LOAD, MAX_MOVED, REDRAW_MOST_US = 1.15, 0.05, 2.0, 5000.0
 Way = Callable[[list[str], list[str]], dict[str, dict[str, int]]]  # relays, nodes -> the nodes of each, how often
 
 
@@ -157,14 +157,14 @@
                 continue
             where = f"{relays} relays, {backends} nodes"
             for key, most in (
-                ("coverage_max_over_mean", COVER_MOST),
-                ("moved_share", MOVED_MOST),
-                ("moved_share_node", MOVED_MOST),
+                ("coverage_max_over_mean", MAX_COVER),
+                ("moved_share", MAX_MOVED),
+                ("moved_share_node", MAX_MOVED),
                 ("took_us", REDRAW_MOST_US),
             ):
                 if row[key] > most:
                     broken.append(f"{where}: {key} is {row[key]}, {most:g} at most")
-            if row["load_max_over_mean"] > row["load_all"] + LOAD_MOST:
+            if row["load_max_over_mean"] > row["load_all"] + MAX_LOAD:
                 broken.append(f"{where}: load {row['load_max_over_mean']}, {row['load_all']} from all nodes")
     result = {key: [row[key] for row in rows] for key in rows[0]}
     return finish(result, broken, started, chosen.json, chosen.seed, chosen.size)
--- a/benchmarks/turns.py
+++ b/benchmarks/turns.py
@@ -35,7 +35,7 @@
 SEEDS = {"small": 100, "machine": 10_000, "large": 10_000}
 STEP_SEEDS = {"small": 1, "machine": 20, "large": 20}
 DEPTH = {"small": 3, "machine": 6, "large": 6}
-STATES_MOST = 2_000_000
+MAX_STATES = 2_000_000
 DEFECT_SEEDS = {"small": 0, "machine": 4000, "large": 4000}
 REAL_SEEDS = {"small": 1, "machine": 30, "large": 0}
 REAL_SETS = (
@@ -47,7 +47,7 @@
     ("kill", "kill", "loss"),
 )
 AT_ONCE = 3  # real runs side by side
-SLOWER_MOST, WORTH_MOST = 1.5, 0.01
+MAX_SLOWER, MAX_WORTH = 1.5, 0.01
 
 
 def day_of(seed: int, **more: Any) -> TurnDay:
@@ -184,7 +184,7 @@
 def exhaustive(pool: ProcessPoolExecutor, workers: int, depth: int, result: dict[str, Any], broken: list[str]) -> None:
     total = 0
     for stage in STAGES:
-        found = explore(depth, STATES_MOST, None, stage, pool, workers)
+        found = explore(depth, MAX_STATES, None, stage, pool, workers)
         total += found.states
         print(f"exhaustive from {stage}: {found.states} states, depth {found.depth}", flush=True)
         if found.broken or not found.whole:
@@ -241,9 +241,9 @@
         "served_off": round(fmean(off), 4),
         "served_on": round(fmean(on), 4),
     }
-    if each > SLOWER_MOST * least:
-        broken.append(f"{each:.2f} s a machine, {SLOWER_MOST} times {least:.2f} s are allowed")
-    if size != "small" and fmean(on) < fmean(off) - WORTH_MOST:
+    if each > MAX_SLOWER * least:
+        broken.append(f"{each:.2f} s a machine, {MAX_SLOWER} times {least:.2f} s are allowed")
+    if size != "small" and fmean(on) < fmean(off) - MAX_WORTH:
         broken.append(f"served {fmean(on):.4f} with work, {fmean(off):.4f} without")
 
 
--- a/examples/asgi_host.py
+++ b/examples/asgi_host.py
@@ -13,7 +13,7 @@
 App = Callable[
     [MutableMapping[str, Any], Callable[[], Awaitable[Message]], Callable[[Message], Awaitable[None]]], Awaitable[None]
 ]
-HEAD_MOST, BODY_MOST = 32_768, 1 << 20
+MAX_HEAD, MAX_BODY = 32_768, 1 << 20
 
 
 class HostConnection(asyncio.Protocol):
@@ -37,7 +37,7 @@
     def data_received(self, data: bytes) -> None:
         self.size += len(data)
         try:
-            if self.size > HEAD_MOST + BODY_MOST:
+            if self.size > MAX_HEAD + MAX_BODY:
                 raise httptools.HttpParserError("too much")
             self.parser.feed_data(data)
         except httptools.HttpParserError:
--- a/tests/configuration/test_configuration.py
+++ b/tests/configuration/test_configuration.py
@@ -10,8 +10,8 @@
 
 from yarrowspindle.configuration import codec
 from yarrowspindle.configuration.agent import AHEAD_MS, SILENT_MS, Agent
-from yarrowspindle.configuration.controller import EXPIRE_MS, LOG_MOST, ORDERS_MOST, RELAYS_MOST, SURE_MS, Controller
-from yarrowspindle.configuration.link import LIVES_MOST, SOURCE_PER_S, Link
+from yarrowspindle.configuration.controller import EXPIRE_MS, MAX_LOG, MAX_ORDERS, MAX_RELAYS, SURE_MS, Controller
+from yarrowspindle.configuration.link import MAX_INCARNATIONS, SOURCE_PER_S, Link
 from yarrowspindle.configuration.messages import (
     Answer,
     Beat,
@@ -38,11 +38,11 @@
 )
 from yarrowspindle.configuration.settings import Machine
 from yarrowspindle.configuration.state import (
-    CONTENT_MOST,
-    DONE_MOST,
-    ENTRIES_MOST,
-    STEPS_MOST,
-    VALUE_MOST,
+    MAX_CONTENT,
+    MAX_DONE,
+    MAX_ENTRIES,
+    MAX_STEPS,
+    MAX_VALUE,
     ControlState,
     Done,
     Entries,
@@ -70,11 +70,11 @@
     return state
 
 
-def after(*steps: Step, state: ControlState = FIRST, taker: str = "c01", life: int = 1) -> ControlState:
+def after(*steps: Step, state: ControlState = FIRST, taker: str = "c01", incarnation: int = 1) -> ControlState:
     """These orders of one taker, settled."""
     before, number = state.takers.get(taker, (0, 0))
-    for n, step in enumerate(steps, number + 1 if before == life else 1):
-        state = settled(state.settled(Order(taker, life, n, step), check))
+    for n, step in enumerate(steps, number + 1 if before == incarnation else 1):
+        state = settled(state.settled(Order(taker, incarnation, n, step), check))
     return state
 
 
@@ -101,23 +101,23 @@
     assert refused.version == 2 and refused.entries == {"left": "1"}
     assert refused.done[-1] == Done(2, {}, "left and right are not both possible", "c02", 1, 1)
     assert settled(refused.settled(Order("c02", 1, 2, {"left": None, "right": "1"}), check)).entries == {"right": "1"}
-    many = {f"k{n}": "x" * (CONTENT_MOST // 8) for n in range(9)}
+    many = {f"k{n}": "x" * (MAX_CONTENT // 8) for n in range(9)}
     assert "at most" in settled(FIRST.settled(Order("c02", 1, 1, many), check)).done[-1].why
 
 
 @pytest.mark.parametrize(
     "entries",
-    [{"": "x"}, {"k" * 65: "x"}, {"k": "x" * (VALUE_MOST + 1)}, {f"k{n}": "" for n in range(ENTRIES_MOST + 1)}],
+    [{"": "x"}, {"k" * 65: "x"}, {"k": "x" * (MAX_VALUE + 1)}, {f"k{n}": "" for n in range(MAX_ENTRIES + 1)}],
 )
 def test_entries_have_bounds(entries: dict[str, str]) -> None:
-    assert bounds(entries) and not bounds({"k": "x" * VALUE_MOST})
+    assert bounds(entries) and not bounds({"k": "x" * MAX_VALUE})
 
 
 def test_the_steps_that_are_kept_are_bounded_and_without_a_gap() -> None:
-    state = after(*({"k": f"{n}"} for n in range(DONE_MOST + 9)))
-    assert [d.version for d in state.done] == list(range(10, DONE_MOST + 10))
+    state = after(*({"k": f"{n}"} for n in range(MAX_DONE + 9)))
+    assert [d.version for d in state.done] == list(range(10, MAX_DONE + 10))
     state = after(*({"k": f"{n}" * 8000} for n in range(9)))
-    assert sum(len(d.step["k"] or "") for d in state.done) <= STEPS_MOST and state.done[-1].version == 9
+    assert sum(len(d.step["k"] or "") for d in state.done) <= MAX_STEPS and state.done[-1].version == 9
 
 
 def test_a_digest_speaks_of_version_and_content() -> None:
@@ -159,7 +159,7 @@
         whole[:1] + b"\x77" + whole[2:],
         codec.encode(Newest(-1, b"x" * 8)),
         codec.encode(Newest(1, b"x")),
-        codec.encode(Difference(0, 99, b"x" * 8, [{}] * (DONE_MOST + 1))),
+        codec.encode(Difference(0, 99, b"x" * 8, [{}] * (MAX_DONE + 1))),
     ):
         with pytest.raises(BadMessage):
             codec.decode(bad)
@@ -172,7 +172,7 @@
         ControlState({"c": "f"}, 3),
         ControlState({"c": "f"}, 3, done=(Done(1, {}), Done(3, {}))),
         ControlState({"c": "f"}, -1),
-        ControlState({"c": "f"}, entries={"k": "x" * (VALUE_MOST + 1)}),
+        ControlState({"c": "f"}, entries={"k": "x" * (MAX_VALUE + 1)}),
         ControlState({"c" * 99: "f"}),
         ControlState({"c": "f"}, takers={f"t{n}": (1, 1) for n in range(65)}),
     ],
@@ -185,15 +185,15 @@
 # --- the link -------------------------------------------------------------------------------------
 
 
-def link(name: str = "c00", life: int = 5, cluster: str = "fleet", host: str = "10.0.0.1") -> Link:
-    return Link(name, (host, 7950), cluster, life, 1, 0.0)
+def link(name: str = "c00", incarnation: int = 5, cluster: str = "fleet", host: str = "10.0.0.1") -> Link:
+    return Link(name, (host, 7950), cluster, incarnation, 1, 0.0)
 
 
 def test_other_clusters_and_changed_bytes_are_dropped_and_counted() -> None:
     here, there = link(), link("r0", host="10.0.1.1")
     (data,) = there.packed(1.0, here.address, Leave())
     sender, message, replies = here.came(1.0, data, there.address)
-    assert (sender.name, sender.life, message, replies) == ("r0", 5, Leave(), [])
+    assert (sender.name, sender.incarnation, message, replies) == ("r0", 5, Leave(), [])
     (strange,) = link("r0", cluster="other", host="10.0.1.1").packed(1.0, here.address, Leave())
     for bad in (strange, data[:-1], bytes((data[0] ^ 1,)) + data[1:], b"", b"junk"):
         with pytest.raises(Dropped):
@@ -213,22 +213,22 @@
     assert here.came(1002.0, there.packed(1.0, here.address, Leave())[0], there.address)[1] == Leave()
 
 
-def test_a_process_whose_clock_went_back_takes_a_higher_life_and_is_heard() -> None:
+def test_a_process_whose_clock_went_back_takes_a_higher_incarnation_and_is_heard() -> None:
     here, before, now = link(), link("r0", 900, host="10.0.1.1"), link("r0", 3, host="10.0.1.1")
     here.came(1.0, before.packed(1.0, here.address, Leave())[0], before.address)
     sender, message, (later,) = here.came(2.0, now.packed(2.0, here.address, Leave())[0], now.address)
-    assert message is None and now.came(2.0, later, here.address)[1] is None and now.life == 901
+    assert message is None and now.came(2.0, later, here.address)[1] is None and now.incarnation == 901
     assert here.came(3.0, now.packed(3.0, here.address, Leave())[0], now.address)[1] == Leave()
-    assert now.came(4.0, here.packed(4.0, now.address, Later(7))[0], here.address)[1] is None and now.life == 901
+    assert now.came(4.0, here.packed(4.0, now.address, Later(7))[0], here.address)[1] is None and now.incarnation == 901
 
 
 def test_the_tables_of_a_link_are_bounded() -> None:
     here = link()
-    for n in range(LIVES_MOST + 9):
+    for n in range(MAX_INCARNATIONS + 9):
         there = link("r", host=f"10.{n >> 8}.{n & 255}.9")
         here.sources.clear()
         here.came(1.0, there.packed(1.0, here.address, Leave())[0], there.address)
-    assert len(here.lives) == LIVES_MOST
+    assert len(here.incarnations) == MAX_INCARNATIONS
     for _ in range(600):
         here.packed(1.0, RELAY.address, Whole(1, b"x" * 8, {f"{n}": f"{hash((n, 7))}" * 9 for n in range(40)}))
     assert len(here.parcels.sent) <= 256
@@ -391,17 +391,19 @@
 class Control:
     """One controller, its voter, and what it asked for. Others are heard by `came`."""
 
-    def __init__(self, name: str = "c00", life: int = 1, seed: int = 1, kept: Kept[ControlState] | None = None) -> None:
+    def __init__(
+        self, name: str = "c00", incarnation: int = 1, seed: int = 1, kept: Kept[ControlState] | None = None
+    ) -> None:
         machine = next(m for m in MACHINES if m.name == name)
         self.kept = kept or Kept("file", NONE, NONE, FIRST)
-        self.me = Sender(name, machine.address, life)
+        self.me = Sender(name, machine.address, incarnation)
         self.core = Controller(
             machine,
             MACHINES,
             FIRST,
             self.kept.identity if machine.voter else "",
             self.kept.state,
-            life,
+            incarnation,
             check,
             seed,
             0.0,
@@ -427,7 +429,7 @@
 
     def came(self, sender: Sender, message: object, late_ms: float = 1.0) -> list[Any]:
         self.at += 1
-        return self.post(Came(Sender(sender.name, sender.address, sender.life, self.at), message), late_ms)
+        return self.post(Came(Sender(sender.name, sender.address, sender.incarnation, self.at), message), late_ms)
 
     def answers(self) -> list[tuple[int, int, str]]:
         return [(e.ticket, e.version, e.why) for e in self.effects if isinstance(e, Answer)]
@@ -467,7 +469,7 @@
     ("step", "why"),
     [
         ({"a": "nonsense"}, "makes no sense"),
-        ({"a": "x" * (VALUE_MOST + 1)}, "at most"),
+        ({"a": "x" * (MAX_VALUE + 1)}, "at most"),
         ({"": "x"}, "characters"),
         ({"right": "1"}, "not both possible"),
     ],
@@ -488,7 +490,7 @@
     assert control.core.shown()["refused"] == [{"version": 2, "why": "left and right are not both possible"}]
 
 
-def test_without_a_majority_orders_end_with_the_cause_and_the_next_go_under_a_new_life() -> None:
+def test_without_a_majority_orders_end_with_the_cause_and_the_next_go_under_a_new_incarnation() -> None:
     control = Control("c01")  # no voter, and nobody answers
     control.post(Ordered(1, {"a": "1"}))
     control.post(Woke(), EXPIRE_MS + 100.0)
@@ -500,12 +502,12 @@
 
 def test_waiting_orders_are_bounded() -> None:
     control = Control("c01")
-    for n in range(ORDERS_MOST + 1):
+    for n in range(MAX_ORDERS + 1):
         control.post(Ordered(n, {"a": f"{n}"}), 0.0)
-    assert "wait already" in control.answers()[0][2] and len(control.core.pending) == ORDERS_MOST
-    for n in range(2 * ORDERS_MOST):
+    assert "wait already" in control.answers()[0][2] and len(control.core.pending) == MAX_ORDERS
+    for n in range(2 * MAX_ORDERS):
         control.came(Sender("c02", MACHINES[2].address, 4), Order("c02", 4, n + 2, {"a": "1"}), 0.0)
-    assert len(control.core.round.queue) <= ORDERS_MOST
+    assert len(control.core.round.queue) <= MAX_ORDERS
 
 
 def test_orders_and_votes_and_states_of_strangers_change_nothing() -> None:
@@ -578,20 +580,20 @@
 
 def test_the_table_of_relays_is_bounded_and_the_longest_silent_goes() -> None:
     control = Control()
-    for n in range(RELAYS_MOST + 1):
+    for n in range(MAX_RELAYS + 1):
         control.came(Sender(f"r{n}", (f"10.1.{n >> 8}.{n & 255}", 1), 1), beat(), 0.0)
-    assert len(control.core.relays) == RELAYS_MOST and control.core.counts["no_room"] == 1
+    assert len(control.core.relays) == MAX_RELAYS and control.core.counts["no_room"] == 1
     control.came(Sender("late", ("10.2.0.1", 1), 1), beat(), 5000.0)
-    assert len(control.core.relays) == RELAYS_MOST and ("10.2.0.1", 1) in control.core.relays
+    assert len(control.core.relays) == MAX_RELAYS and ("10.2.0.1", 1) in control.core.relays
 
 
 def test_steps_that_are_no_longer_known_are_told_as_a_whole() -> None:
     control, c01 = Control(), Sender("c01", MACHINES[1].address, 1)
     state = FIRST
-    for _ in range(LOG_MOST // DONE_MOST + 2):
-        state = after(*({"k": f"{n}" * 9, f"x{n}": "y" * 40} for n in range(DONE_MOST)), state=state)
+    for _ in range(MAX_LOG // MAX_DONE + 2):
+        state = after(*({"k": f"{n}" * 9, f"x{n}": "y" * 40} for n in range(MAX_DONE)), state=state)
         control.came(c01, Learn(state))
-    assert len(control.core.log) <= LOG_MOST
+    assert len(control.core.log) <= MAX_LOG
     newest = state.version
     control.came(RELAY, beat(newest - 2, state.entries), 300.0)
     assert [d.base for d in control.sent(Difference)] == [newest - 2]
@@ -599,7 +601,7 @@
     assert control.sent(Whole) == [whole(newest, state.entries)]
     control.came(RELAY, beat(newest - 1, state.entries, whole=True))
     assert control.sent(Whole) == [whole(newest, state.entries)], "who asks for all gets all"
-    far = after(*({"k": f"{n}"} for n in range(DONE_MOST + 30)), state=state)
+    far = after(*({"k": f"{n}"} for n in range(MAX_DONE + 30)), state=state)
     control.came(c01, Learn(far))
     control.came(RELAY, beat(newest, state.entries), 300.0)
     assert control.sent(Whole) and not control.sent(Difference), "over a gap"
@@ -617,22 +619,22 @@
     assert len(ballots) == 2 and len({number for number, _ in ballots}) == 1
 
 
-def test_orders_that_an_earlier_process_with_a_higher_life_overtook_are_settled_once() -> None:
+def test_orders_that_an_earlier_process_with_a_higher_incarnation_overtook_are_settled_once() -> None:
     """The clock went back. The earlier process's order was still on its way, and came between this one's."""
-    control, c00 = Control("c01", life=502), Sender("c00", MACHINES[0].address, 1)
+    control, c00 = Control("c01", incarnation=502), Sender("c00", MACHINES[0].address, 1)
     for ticket in (1, 2, 3):
         control.post(Ordered(ticket, {"a": f"{ticket}"}))
-    state = after({"a": "1"}, {"a": "2"}, taker="c01", life=502)
-    control.came(c00, Learn(after({"b": "old"}, state=state, taker="c01", life=1000)))
+    state = after({"a": "1"}, {"a": "2"}, taker="c01", incarnation=502)
+    control.came(c00, Learn(after({"b": "old"}, state=state, taker="c01", incarnation=1000)))
     assert control.answers() == [(1, 1, ""), (2, 2, "")]
     assert [p.order for p in control.core.pending] == [Order("c01", 1001, 1, {"a": "3"})]
 
 
 def test_orders_of_which_nobody_knows_any_more_are_answered_so() -> None:
-    control, c00 = Control("c01", life=502), Sender("c00", MACHINES[0].address, 1)
+    control, c00 = Control("c01", incarnation=502), Sender("c00", MACHINES[0].address, 1)
     control.post(Ordered(1, {"a": "1"}))
-    state = after({"b": "old"}, state=after({"a": "1"}, taker="c01", life=502), taker="c01", life=1000)
-    control.came(c00, Learn(after(*({"z": f"{n}"} for n in range(DONE_MOST)), state=state, taker="c02")))
+    state = after({"b": "old"}, state=after({"a": "1"}, taker="c01", incarnation=502), taker="c01", incarnation=1000)
+    control.came(c00, Learn(after(*({"z": f"{n}"} for n in range(MAX_DONE)), state=state, taker="c02")))
     ((_, version, why),) = control.answers()
     assert version == 0 and "see `show`" in why and not control.core.pending
 
@@ -676,14 +678,14 @@
     control.came(RELAY, beat())
     control.post(Ordered(1, {"a": "1"}))
     control.came(RELAY, beat(1, {"a": "1"}))
-    life = 2 if what == "new life" else 1
+    incarnation = 2 if what == "new life" else 1
     if what != "silent":
-        control.came(Sender("c01", MACHINES[1].address, life), Sum(1, 0, [], []))
+        control.came(Sender("c01", MACHINES[1].address, incarnation), Sum(1, 0, [], []))
     assert control.core.shown()["in_force"] == 0, "a relay may be on its way from one to another"
     for _ in range(int(SURE_MS / 100.0) + 2):
         control.came(RELAY, beat(1, {"a": "1"}), 0.0)
         if what != "silent":
-            control.came(Sender("c01", MACHINES[1].address, life), Sum(1, 0, [], []), 0.0)
+            control.came(Sender("c01", MACHINES[1].address, incarnation), Sum(1, 0, [], []), 0.0)
         control.post(Woke(), 100.0)
     assert control.core.shown()["in_force"] == 1
 
--- a/tests/daemon/test_operations.py
+++ b/tests/daemon/test_operations.py
@@ -18,7 +18,7 @@
 from yarrowspindle.routing.events import ClientDisconnected, RequestReceived
 from yarrowspindle.routing.reducer import Reducer
 from yarrowspindle.telemetry import Telemetry
-from yarrowspindle.telemetry.counts import CLASSES_MOST
+from yarrowspindle.telemetry.counts import MAX_CLASSES
 from yarrowspindle.transport.listener import Listener
 
 
@@ -194,5 +194,5 @@
     for request in range(1000):
         telemetry.event(RequestReceived(request, 4800.0, request))
         telemetry.event(ClientDisconnected(request))
-    assert telemetry.counts["taken.class255"] == 1 and telemetry.counts["taken.other"] == 1000 - CLASSES_MOST
-    assert len(telemetry.counts) == 2 * (CLASSES_MOST + 1) and not telemetry.waiting
+    assert telemetry.counts["taken.class255"] == 1 and telemetry.counts["taken.other"] == 1000 - MAX_CLASSES
+    assert len(telemetry.counts) == 2 * (MAX_CLASSES + 1) and not telemetry.waiting
--- a/tests/maintenance/test_maintenance.py
+++ b/tests/maintenance/test_maintenance.py
@@ -115,7 +115,7 @@
     assert list(fewest.out) == ["m3"], "the one with fewest connections goes first"
 
 
-def test_free_needs_each_registered_life_and_this_turn() -> None:
+def test_free_needs_each_registered_incarnation_and_this_turn() -> None:
     state = granted()
     assert state.waits_for("m0") == ["r0", "r1"] and state.confirmed("r0", 1, {"m0": 7}) is None
     assert state.confirmed("r0", 9, {"m0": 1}) is None, "another life"
--- a/tests/membership/test_members.py
+++ b/tests/membership/test_members.py
@@ -25,7 +25,7 @@
 )
 from yarrowspindle.membership.core import Peers
 from yarrowspindle.membership.failure_detector import Detector, Probe
-from yarrowspindle.membership.load_signals import ENTRIES, FIGURE_MOST, OwnWord, Signals
+from yarrowspindle.membership.load_signals import ENTRIES, MAX_FIGURE, OwnWord, Signals
 from yarrowspindle.membership.members import Members
 from yarrowspindle.membership.messages import Came, Own, Send
 from yarrowspindle.membership.settings import PeerError, PeerSettings, read_peers
@@ -33,8 +33,8 @@
 HERE, THERE = ("10.0.0.1", 7946), ("10.0.0.2", 7946)
 
 
-def word(state: int, life: int = 1, turn: int = 0, name: str = "b", by: str = "") -> Rumour:
-    return Rumour(name, *THERE, life, turn, state, by)
+def word(state: int, incarnation: int = 1, turn: int = 0, name: str = "b", by: str = "") -> Rumour:
+    return Rumour(name, *THERE, incarnation, turn, state, by)
 
 
 WORDS = st.builds(word, st.integers(ALIVE, LEFT), st.integers(1, 3), st.integers(0, 3), st.sampled_from("bc"))
@@ -42,7 +42,7 @@
 
 def state_of(members: Members, name: str = "b") -> tuple[int, int, int] | None:
     member = members.table.get(name)
-    return None if member is None else (member.life, member.turn, member.state)
+    return None if member is None else (member.incarnation, member.turn, member.state)
 
 
 @settings(derandomize=True, max_examples=300, deadline=None)
@@ -63,7 +63,7 @@
     assert table(words) == table(shuffled)
 
 
-def test_a_life_that_left_never_returns_and_a_dead_one_only_by_a_later_turn() -> None:
+def test_a_incarnation_that_left_never_returns_and_a_dead_one_only_by_a_later_turn() -> None:
     members = Members("a", HERE, 1, 0.0)
     members.told(word(ALIVE), 0.0)
     members.told(word(DEAD), 1.0)
@@ -72,23 +72,23 @@
     assert members.told(word(ALIVE, turn=1), 2.0) is not None and members.size == 2
     members.told(word(LEFT, turn=1), 3.0)
     assert members.told(word(ALIVE, turn=9), 4.0) is None and members.size == 1
-    assert members.told(word(ALIVE, life=2), 5.0) is not None and members.names == ["a", "b"]
+    assert members.told(word(ALIVE, incarnation=2), 5.0) is not None and members.names == ["a", "b"]
 
 
-def test_one_objects_to_a_suspicion_and_takes_a_later_life_than_any_that_is_told_of() -> None:
+def test_one_objects_to_a_suspicion_and_takes_a_later_incarnation_than_any_that_is_told_of() -> None:
     members = Members("a", HERE, 5, 0.0)
     members.told(Rumour("a", *HERE, 5, 0, SUSPECT, "b"), 0.0)
-    assert (members.me.life, members.me.turn) == (5, 1)
+    assert (members.me.incarnation, members.me.turn) == (5, 1)
     members.told(Rumour("a", *HERE, 9, 3, DEAD, "b"), 0.0)  # an earlier process under a clock that was ahead
-    assert (members.me.life, members.me.turn) == (10, 0) and not members.displaced
+    assert (members.me.incarnation, members.me.turn) == (10, 0) and not members.displaced
 
 
 def test_a_name_taken_twice_is_the_later_process_s_until_that_has_ended() -> None:
     members = Members("a", HERE, 5, 0.0)
     members.told(Rumour("a", *THERE, 6, 0, ALIVE), 0.0)
-    assert members.displaced and members.me.life == 5
+    assert members.displaced and members.me.incarnation == 5
     members.told(Rumour("a", *THERE, 6, 0, DEAD), 1.0)
-    assert not members.displaced and members.me.life == 7
+    assert not members.displaced and members.me.incarnation == 7
 
 
 def test_the_table_and_its_rumours_are_bounded() -> None:
@@ -181,7 +181,7 @@
     rng, t = random.Random(seed), Told()
     for _ in range(60):
         for _ in range(rng.randrange(1 + keys // 4)):
-            key = rng.randrange(1, keys + 1) * 7919 % FIGURE_MOST
+            key = rng.randrange(1, keys + 1) * 7919 % MAX_FIGURE
             t.holds[key] = (rng.randrange(1, 60), float(rng.randrange(1000)))
             if rng.random() < 0.3:
                 del t.holds[key]
@@ -197,7 +197,7 @@
     }
 
 
-def test_what_one_held_goes_with_it_and_word_from_an_earlier_life_does_not_bring_it_back() -> None:
+def test_what_one_held_goes_with_it_and_word_from_an_earlier_incarnation_does_not_bring_it_back() -> None:
     signals = Signals()
     signals.of("b", 1).clock(0.0, 0.0)
     signals.told("b", 1, 10, Signal(0, 1, [5, 2, 100]), 10.0)
@@ -231,7 +231,7 @@
     core.take_effects()
     for n in range(300):
         core.members.told(Rumour(f"{n:064d}", "100.100.100.100", 65_535, 1 << 52, 7, ALIVE), 0.0)
-    big = FIGURE_MOST - 1
+    big = MAX_FIGURE - 1
     own = Own(
         {big - 17 * n: (big, float(big)) for n in range(2000)},
         {big - n: 1e9 for n in range(500)},
--- a/tests/membership/test_membership_days.py
+++ b/tests/membership/test_membership_days.py
@@ -104,15 +104,18 @@
     assert (world.net.bytes - before) / 100 / max(world.clock.seconds - 1.0, 1.0) < 100_000.0
 
 
-def test_all_restart_one_after_the_other_as_new_lives() -> None:
+def test_all_restart_one_after_the_other_as_new_incarnations() -> None:
     world = started(5)
-    lives = [peer.core.members.me.life for peer in world.net.peers.values()]
+    incarnations = [peer.core.members.me.incarnation for peer in world.net.peers.values()]
     fault(world, "restart", 10.0, "")
     assert 0.0 <= world.until(lambda: world.agree() and world.true_sums(), 5.0)
-    assert all(peer.core.members.me.life > life for peer, life in zip(world.net.peers.values(), lives, strict=True))
+    assert all(
+        peer.core.members.me.incarnation > incarnation
+        for peer, incarnation in zip(world.net.peers.values(), incarnations, strict=True)
+    )
 
 
-def test_late_and_doubled_word_from_an_earlier_life_moves_nothing() -> None:
+def test_late_and_doubled_word_from_an_earlier_incarnation_moves_nothing() -> None:
     world = started(3)
     heard: list[bytes] = []
     target = world.net.peers[0]
--- a/tests/test_deprecated_names.py
+++ b/tests/test_deprecated_names.py
@@ -27,6 +27,6 @@
 
 def test_a_name_that_never_was_is_no_attribute() -> None:
     with pytest.raises(AttributeError):
-        _ = library.Nothing  # type: ignore[attr-defined]
+        _ = library.Nothing
     with pytest.raises(AttributeError):
         _ = interface.Nothing
--- a/yarrowspindle/configuration/agent.py
+++ b/yarrowspindle/configuration/agent.py
@@ -16,7 +16,7 @@
 from random import Random
 
 from yarrowspindle.configuration.messages import (
-    WHY_MOST,
+    MAX_WHY,
     Beat,
     Came,
     Difference,
@@ -135,7 +135,7 @@
         self.effects.append(
             Send(
                 to.sender,
-                Beat(self.known, self.digest, self.taken, self.why[:WHY_MOST], self.whole, to is self.current, before),
+                Beat(self.known, self.digest, self.taken, self.why[:MAX_WHY], self.whole, to is self.current, before),
             )
         )
 
--- a/yarrowspindle/configuration/codec.py
+++ b/yarrowspindle/configuration/codec.py
@@ -3,12 +3,12 @@
 from __future__ import annotations
 
 from yarrowspindle.configuration.messages import Beat, Difference, Keep, Later, Learn, Leave, Moved, Newest, Sum, Whole
-from yarrowspindle.configuration.state import DONE_MOST, NAME_MOST, ControlState, Order, bounds
+from yarrowspindle.configuration.state import MAX_DONE, MAX_NAME, ControlState, Order, bounds
 from yarrowspindle.consensus.register import Accept, Accepted, Kept, Prepare, Promise, Refused
 from yarrowspindle.maintenance.codec import BadMessage, FileCodec, Kinds
 
 VERSION = 1
-VOTERS_MOST, TAKERS_MOST = 64, 64
+MAX_VOTERS, MAX_TAKERS = 64, 64
 
 
 def within(state: ControlState | None) -> None:
@@ -17,10 +17,10 @@
         return
     versions = [done.version for done in state.done]
     if (
-        not 0 < len(state.voters) <= VOTERS_MOST
-        or len(state.takers) > TAKERS_MOST
-        or len(versions) > DONE_MOST
-        or any(len(name) > NAME_MOST for name in [*state.voters, *state.takers])
+        not 0 < len(state.voters) <= MAX_VOTERS
+        or len(state.takers) > MAX_TAKERS
+        or len(versions) > MAX_DONE
+        or any(len(name) > MAX_NAME for name in [*state.voters, *state.takers])
         or versions != list(range(state.version - len(versions) + 1, state.version + 1))
         or bool(versions) != (state.version > 0)
         or min(state.version, state.epoch) < 0
--- a/yarrowspindle/configuration/controller.py
+++ b/yarrowspindle/configuration/controller.py
@@ -20,9 +20,9 @@
 from typing import Any
 
 from yarrowspindle.configuration.messages import (
-    COUNTS_MOST,
-    NAMED_MOST,
-    WHY_MOST,
+    MAX_COUNTS,
+    MAX_NAMED,
+    MAX_WHY,
     Answer,
     Beat,
     Came,
@@ -48,7 +48,7 @@
 )
 from yarrowspindle.configuration.settings import Machine
 from yarrowspindle.configuration.state import (
-    DONE_MOST,
+    MAX_DONE,
     Check,
     ControlState,
     Order,
@@ -68,11 +68,11 @@
 FORGET_MS = 60_000.0  # and after so long it is no longer named
 PUSH_MS = 200.0  # a relay is told of changes this often at most, and again where it has not confirmed
 ORDER_MS, OWN_MS, EXPIRE_MS = 250.0, 1600.0, 10_000.0  # an order is said again; proposed by its taker; given up
-ROUND_MS, READ_MS, GAP_MS, BACK_MOST_MS = 500.0, 10_000.0, 1000.0, 800.0
+ROUND_MS, READ_MS, GAP_MS, MAX_BACK_MS = 500.0, 10_000.0, 1000.0, 800.0
 AHEAD_MS = 5000.0  # a relay that knows more for so long did not just hear it elsewhere
 SURE_MS = 3000.0  # after a controller came or went all relays have found another, and it has told of them
 LEARN_MS = 400.0  # a controller that is behind is told the state this often at most
-RELAYS_MOST, ORDERS_MOST, BATCH_MOST, LOG_MOST = 4096, 256, 16, 512
+MAX_RELAYS, MAX_ORDERS, MAX_BATCH, MAX_LOG = 4096, 256, 16, 512
 
 
 @dataclass(slots=True)
@@ -110,13 +110,13 @@
     machine: Machine
     sum: Sum | None = None
     heard: float = -1e9
-    life: int = 0
+    incarnation: int = 0
     at: int = -1
     told: float = -1e9  # the state
     behind: int = 0  # sums in a row that were
 
     def is_newer(self, sender: Sender) -> bool:
-        return (sender.life, sender.at) > (self.life, self.at)
+        return (sender.incarnation, sender.at) > (self.incarnation, self.at)
 
 
 @dataclass(slots=True)
@@ -141,7 +141,7 @@
         first: ControlState,
         identity: str,
         guide: ControlState,
-        life: int,
+        incarnation: int,
         check: Check,
         seed: int,
         now: float,
@@ -152,10 +152,10 @@
         self.others = {one.name: Other(one) for one in machines if one is not machine}
         self.random = Random(seed)
         # No two processes propose under one ballot: what an earlier one sent may still come.
-        self.proposer = proposer(f"{machine.name} {life} {self.random.getrandbits(32):x}", first, self.random)
+        self.proposer = proposer(f"{machine.name} {incarnation} {self.random.getrandbits(32):x}", first, self.random)
         self.proposer.guide = max(first, guide, key=lambda s: s.epoch)
         self.round = Round()
-        self.life, self.number = life, 0  # of the orders that this controller takes
+        self.incarnation, self.number = incarnation, 0  # of the orders that this controller takes
         self.pending: list[Pending] = []
         self.relays: dict[Address, Attached] = {}
         self.clashes: dict[str, float] = {}  # names that two relays have, and when that was said
@@ -165,7 +165,7 @@
         self.digest = first.digest
         self.took_at = now
         self.in_force = self.said = 0  # the newest version that was, and of which that was said
-        self.lives: dict[str, int] = {}  # of the other controllers that are heard
+        self.incarnations: dict[str, int] = {}  # of the other controllers that are heard
         self.sure_at = now + SURE_MS
         self.sum_at = now
         self.counts: Counter[str] = Counter()
@@ -229,18 +229,18 @@
             return
         known = self.relays.get(sender.address)
         if known is None:
-            if len(self.relays) >= RELAYS_MOST and not self._room():
+            if len(self.relays) >= MAX_RELAYS and not self._room():
                 self.counts["no_room"] += 1
                 return
             self._clash(sender)
-        elif (sender.life, sender.at) <= (known.sender.life, known.sender.at):
+        elif (sender.incarnation, sender.at) <= (known.sender.incarnation, known.sender.at):
             return  # overtaken on its way
         relay = Attached(sender, beat.known, beat.taken, beat.why, self.now, whole=beat.whole)
         if known is not None:
             relay.told, relay.since = known.told, known.since
         self.relays[sender.address] = relay
         if beat.before in self.others:
-            self._send(beat.before, Moved(*sender.address, sender.life, sender.at))
+            self._send(beat.before, Moved(*sender.address, sender.incarnation, sender.at))
         if beat.known > version and self.now > max(self.took_at, self.started) + AHEAD_MS:
             self.counts["ahead"] += 1
             self.effects.append(
@@ -266,7 +266,7 @@
         """Two relays of one name are both served; operators have to know."""
         for other in self.relays.values():
             if other.sender.name == sender.name and not other.left and self.now <= other.heard + LIVE_MS:
-                if self.now >= self.clashes.get(sender.name, -1e9) + FORGET_MS and len(self.clashes) < RELAYS_MOST:
+                if self.now >= self.clashes.get(sender.name, -1e9) + FORGET_MS and len(self.clashes) < MAX_RELAYS:
                     self.clashes[sender.name] = self.now
                     (a, b), (c, d) = other.sender.address, sender.address
                     self.effects.append(Note(f"two relays are called {sender.name}: {a}:{b} and {c}:{d}", bad=True))
@@ -274,7 +274,7 @@
 
     def _leave(self, sender: Sender, _: object) -> None:
         known = self.relays.get(sender.address)
-        if known is not None and (sender.life, sender.at) > (known.sender.life, known.sender.at):
+        if known is not None and (sender.incarnation, sender.at) > (known.sender.incarnation, known.sender.at):
             known.sender, known.left = sender, self.now + SURE_MS
 
     def _moved(self, sender: Sender, moved: Moved) -> None:
@@ -282,9 +282,11 @@
         if (
             sender.name in self.others
             and known is not None
-            and (moved.life, moved.at) > (known.sender.life, known.sender.at)
+            and (moved.incarnation, moved.at) > (known.sender.incarnation, known.sender.at)
         ):
-            sure = SILENT_MS + SUM_MS if sender.name in self.lives else SURE_MS  # where that one dies, it is missed
+            sure = (
+                SILENT_MS + SUM_MS if sender.name in self.incarnations else SURE_MS
+            )  # where that one dies, it is missed
             known.left = min(known.left or self.now + SURE_MS, self.now + sure)
 
     def _mark(self, relay: Attached) -> None:
@@ -310,7 +312,7 @@
         version, entries = self.taken.version, self.taken.entries
         steps = [self.log.get(number) for number in range(base + 1, version + 1)] if base >= 0 else [None]
         found = [step for step in steps if step is not None]
-        if len(found) < len(steps) or len(found) > DONE_MOST or sum(map(size, found)) > size(entries) + 400:
+        if len(found) < len(steps) or len(found) > MAX_DONE or sum(map(size, found)) > size(entries) + 400:
             return Whole(version, self.digest, dict(entries))
         return Difference(base, version, self.digest, [dict(step) for step in found])
 
@@ -328,9 +330,9 @@
         other = self.others.get(sender.name)
         if other is None or not other.is_newer(sender):
             return
-        if sender.life != other.life:
+        if sender.incarnation != other.incarnation:
             self.sure_at = self.now + SURE_MS
-        other.sum, other.heard, other.life, other.at = told, self.now, sender.life, sender.at
+        other.sum, other.heard, other.incarnation, other.at = told, self.now, sender.incarnation, sender.at
         other.behind = other.behind + 1 if told.version < self.taken.version else 0
         if other.behind >= (1 if self.leads else 3):
             self._teach(other)
@@ -354,7 +356,7 @@
         if min(steps, default=0) > self.taken.version + 1:
             self.log.clear()  # there is a gap: relays that are further behind get all entries
         self.log.update(steps)
-        for version in sorted(self.log)[: max(0, len(self.log) - LOG_MOST)]:
+        for version in sorted(self.log)[: max(0, len(self.log) - MAX_LOG)]:
             del self.log[version]
         self.taken, self.digest, self.took_at = state, state.digest, self.now
         self.effects.append(Took(state))
@@ -362,9 +364,9 @@
             self._mark(relay)
         self._push(self._due())
         self._settle()
-        life, _ = state.takers.get(self.me.name, (0, 0))
-        if life > self.life:
-            self._renumber(life + 1)  # an earlier process of this controller had a clock that was ahead
+        incarnation, _ = state.takers.get(self.me.name, (0, 0))
+        if incarnation > self.incarnation:
+            self._renumber(incarnation + 1)  # an earlier process of this controller had a clock that was ahead
 
     def _due(self) -> list[Attached]:
         """Living relays that have not got the newest, and were told nothing in the last moment: many changes in one
@@ -407,16 +409,16 @@
                 now.why = effect.why
                 now.failures = min(now.failures + 1, 5)
                 # Who leads gets through: the others stand back for longer.
-                most = min(BACK_MOST_MS, 30.0 * 2.0**now.failures) if self.leads else 2.0 * BACK_MOST_MS
+                most = min(MAX_BACK_MS, 30.0 * 2.0**now.failures) if self.leads else 2.0 * MAX_BACK_MS
                 now.wait_until = self.now + self.random.uniform(0.0, most)
         self._take()  # a round may show what is committed, and fail all the same
 
     def _change(self, state: ControlState) -> ControlState | None:
         """All orders that wait, in their turn, as one state; and this voter's new file."""
         found = state
-        for _, (order, _) in sorted(self.round.queue.items())[:ORDERS_MOST]:
+        for _, (order, _) in sorted(self.round.queue.items())[:MAX_ORDERS]:
             found = found.settled(order, self.check) or found
-            if found.version >= state.version + BATCH_MOST:
+            if found.version >= state.version + MAX_BATCH:
                 break
         if self.identity and self.me.name in state.voters:
             found = found.with_voter(self.me.name, self.identity) or found
@@ -448,22 +450,24 @@
     def _ordered(self, event: Ordered) -> None:
         entries = stepped(self.taken.entries, event.step)
         why = bounds_of(event.step) or bounds(entries) or self.check(entries)
-        if not why and len(self.pending) >= ORDERS_MOST:
-            why = f"{ORDERS_MOST} changes wait already"
+        if not why and len(self.pending) >= MAX_ORDERS:
+            why = f"{MAX_ORDERS} changes wait already"
         if why:
             self.effects.append(Answer(event.ticket, 0, why))
             return
-        if self.taken.takers.get(self.me.name, (0, 0))[0] == self.life and not self.number:
-            self._renumber(self.life + 1)
+        if self.taken.takers.get(self.me.name, (0, 0))[0] == self.incarnation and not self.number:
+            self._renumber(self.incarnation + 1)
         self.number += 1
-        self.pending.append(Pending(event.ticket, Order(self.me.name, self.life, self.number, event.step), self.now))
+        self.pending.append(
+            Pending(event.ticket, Order(self.me.name, self.incarnation, self.number, event.step), self.now)
+        )
         self._hand_on()
 
-    def _renumber(self, life: int) -> None:
-        self.life, self.number = life, 0
+    def _renumber(self, incarnation: int) -> None:
+        self.incarnation, self.number = incarnation, 0
         for pending in self.pending:
             self.number += 1
-            pending.order = Order(self.me.name, life, self.number, pending.order.step)
+            pending.order = Order(self.me.name, incarnation, self.number, pending.order.step)
             pending.sent = -1e9
 
     def _hand_on(self) -> None:
@@ -481,7 +485,7 @@
                     )
                 )
             self.pending.clear()
-            self._renumber(self.life + 1)
+            self._renumber(self.incarnation + 1)
         if not self.taken.version and any(other.sum and other.sum.version for other in self.others.values()):
             return  # it has not read yet what an earlier process of it has had settled
         for pending in self.pending:
@@ -502,19 +506,23 @@
             self._propose()
 
     def _enqueue(self, order: Order) -> None:
-        queue, key = self.round.queue, (order.taker, order.life, order.number)
-        if not self.taken.is_settled(order) and (key in queue or len(queue) < ORDERS_MOST):
+        queue, key = self.round.queue, (order.taker, order.incarnation, order.number)
+        if not self.taken.is_settled(order) and (key in queue or len(queue) < MAX_ORDERS):
             queue.setdefault(key, (order, self.now))
 
     def _settle(self) -> None:
         """Answers for orders that stand in the newest state. One that a later life's overtook stands only where a step
         says so: it is given again, under another number."""
-        life, _ = self.taken.takers.get(self.me.name, (0, 0))
+        incarnation, _ = self.taken.takers.get(self.me.name, (0, 0))
         oldest = self.taken.done[0].version if self.taken.done else self.taken.version + 1
-        found = {(d.life, d.number): d for d in self.taken.done if d.taker == self.me.name}
+        found = {(d.incarnation, d.number): d for d in self.taken.done if d.taker == self.me.name}
         for pending in [p for p in self.pending if self.taken.is_settled(p.order)]:
-            done = found.get((pending.order.life, pending.order.number))
-            if done is None and pending.order.life < life and (pending.version < 0 or oldest <= pending.version + 1):
+            done = found.get((pending.order.incarnation, pending.order.number))
+            if (
+                done is None
+                and pending.order.incarnation < incarnation
+                and (pending.version < 0 or oldest <= pending.version + 1)
+            ):
                 continue
             self.pending.remove(pending)
             if done is None:
@@ -525,9 +533,9 @@
     # --- time -----------------------------------------------------------------------------------
 
     def _tick(self) -> None:
-        lives = {name: o.life for name, o in self.others.items() if self.now <= o.heard + SILENT_MS}
-        if lives != self.lives:
-            self.lives, self.sure_at = lives, self.now + SURE_MS
+        incarnations = {name: o.incarnation for name, o in self.others.items() if self.now <= o.heard + SILENT_MS}
+        if incarnations != self.incarnations:
+            self.incarnations, self.sure_at = incarnations, self.now + SURE_MS
         self._hand_on()
         self._propose()
         self._push(self._due())
@@ -545,15 +553,15 @@
         """Of the relays that talk with this controller."""
         living = [r for r in self.relays.values() if self.now <= (r.left or r.heard + LIVE_MS)]
         counts = sorted(Counter(r.taken for r in living).items())
-        if len(counts) > COUNTS_MOST:
-            counts = [*counts[: COUNTS_MOST - 1], (counts[COUNTS_MOST - 1][0], sum(n for _, n in counts[COUNTS_MOST:]))]
+        if len(counts) > MAX_COUNTS:
+            counts = [*counts[: MAX_COUNTS - 1], (counts[MAX_COUNTS - 1][0], sum(n for _, n in counts[MAX_COUNTS:]))]
         named = [Named(r.sender.name, r.taken, max(0, int(self.now - since)), why) for r, since, why in self._wanting()]
         return Sum(
             self.taken.version,
             sum(not r.left for r in living),
             counts,
-            named[:NAMED_MOST],
-            max(0, len(named) - NAMED_MOST),
+            named[:MAX_NAMED],
+            max(0, len(named) - MAX_NAMED),
         )
 
     def _wanting(self) -> list[tuple[Attached, float, str]]:
@@ -563,7 +571,7 @@
             if self.now > relay.heard + LIVE_MS:
                 found.append((relay, relay.heard, "silent"))
             elif relay.taken < self.taken.version:
-                found.append((relay, relay.since, relay.why[:WHY_MOST] or "behind"))
+                found.append((relay, relay.since, relay.why[:MAX_WHY] or "behind"))
         return sorted(found, key=lambda one: one[1])
 
     def _say(self, own: Sum) -> None:
@@ -597,7 +605,7 @@
                 "relays": known.relays if known else 0,
                 "version": known.version if known else 0,
             }
-            if known is not None and name in self.lives:
+            if known is not None and name in self.incarnations:
                 sums[name] = known
         lowest = min((count[0] for told in sums.values() for count in told.counts), default=self.taken.version)
         lowest = min(lowest, *(told.version for told in sums.values()))
--- a/yarrowspindle/configuration/link.py
+++ b/yarrowspindle/configuration/link.py
@@ -15,21 +15,21 @@
 from yarrowspindle.protocol.fragments import Parcels
 from yarrowspindle.routing.address import Address
 
-LIVES_MOST = 4096  # addresses whose newest life is remembered
-SOURCE_PER_S, SOURCES_MOST = 1000, 4096  # datagrams taken of one address in a second, and addresses
-SENT_MOST = 256  # messages of several parcels that are kept to send parts again
+MAX_INCARNATIONS = 4096  # addresses whose newest life is remembered
+SOURCE_PER_S, MAX_SOURCES = 1000, 4096  # datagrams taken of one address in a second, and addresses
+MAX_SENT = 256  # messages of several parcels that are kept to send parts again
 
 
 class Link:
     """life: grows from one process to the next at this address; where the clock behind it went back, the others say
     so. first: a number for parcels that an earlier process did not use of late; any will do."""
 
-    def __init__(self, name: str, address: Address, cluster: str, life: int, first: int, now: float) -> None:
-        self.name, self.address, self.cluster, self.life = name, address, cluster, life
+    def __init__(self, name: str, address: Address, cluster: str, incarnation: int, first: int, now: float) -> None:
+        self.name, self.address, self.cluster, self.incarnation = name, address, cluster, incarnation
         self.codec = Codec(cluster)
-        self.parcels = Parcels(first, SENT_MOST)
+        self.parcels = Parcels(first, MAX_SENT)
         self.started, self.at = now, -1
-        self.lives: OrderedDict[Address, int] = OrderedDict()
+        self.incarnations: OrderedDict[Address, int] = OrderedDict()
         self.sources: Counter[Address] = Counter()
         self.sources_at = now
         self.counts: Counter[str] = Counter()
@@ -38,7 +38,7 @@
     def _sealed(self, now: float, data: bytes) -> bytes:
         self.at = max(int(now - self.started), self.at + 1)
         sealed = self.codec.encode(
-            Datagram(VERSION, self.cluster, self.name, *self.address, self.life, 0, self.at, Carried(data))
+            Datagram(VERSION, self.cluster, self.name, *self.address, self.incarnation, 0, self.at, Carried(data))
         )
         self.counts["sent"] += 1
         self.counts["sent_bytes"] += len(sealed)
@@ -58,21 +58,21 @@
         if now >= self.sources_at + 1000.0:
             self.sources_at = now
             self.sources.clear()
-        if self.sources[source] >= SOURCE_PER_S or len(self.sources) > SOURCES_MOST:
+        if self.sources[source] >= SOURCE_PER_S or len(self.sources) > MAX_SOURCES:
             raise self._dropped("flood")
         self.sources[source] += 1
         try:
             datagram = self.codec.decode(data)
         except Dropped as why:
             raise self._dropped(str(why)) from None
-        sender = Sender(datagram.name, datagram.address, datagram.life, datagram.at)
+        sender = Sender(datagram.name, datagram.address, datagram.incarnation, datagram.at)
         if sender.address == self.address or not isinstance(datagram.body, Carried):
             raise self._dropped("no message of control")
-        known = self.lives.pop(sender.address, 0)
-        self.lives[sender.address] = max(known, sender.life)
-        while len(self.lives) > LIVES_MOST:
-            self.lives.popitem(last=False)
-        if sender.life < known:
+        known = self.incarnations.pop(sender.address, 0)
+        self.incarnations[sender.address] = max(known, sender.incarnation)
+        while len(self.incarnations) > MAX_INCARNATIONS:
+            self.incarnations.popitem(last=False)
+        if sender.incarnation < known:
             self.counts["earlier_life"] += 1
             return sender, None, self.packed(now, sender.address, Later(known))
         place = f"{sender.address[0]}:{sender.address[1]}"
@@ -85,8 +85,8 @@
         except BadMessage as why:
             raise self._dropped(str(why)) from None
         if isinstance(message, Later):
-            if message.life >= self.life:
-                self.life = message.life + 1
+            if message.incarnation >= self.incarnation:
+                self.incarnation = message.incarnation + 1
             return sender, None, replies
         return sender, message, replies
 
--- a/yarrowspindle/configuration/messages.py
+++ b/yarrowspindle/configuration/messages.py
@@ -9,15 +9,15 @@
 
 from msgspec import Meta, Struct
 
-from yarrowspindle.configuration.state import DONE_MOST, ENTRIES_MOST, NAME_MOST, ControlState, Entries, Step
+from yarrowspindle.configuration.state import MAX_DONE, MAX_ENTRIES, MAX_NAME, ControlState, Entries, Step
 from yarrowspindle.routing.address import Address
 
 Number = Annotated[int, Meta(ge=0, lt=1 << 53)]
 Digest = Annotated[bytes, Meta(min_length=8, max_length=8)]
-Name = Annotated[str, Meta(max_length=NAME_MOST)]
+Name = Annotated[str, Meta(max_length=MAX_NAME)]
 Why = Annotated[str, Meta(max_length=400)]
-NAMED_MOST, COUNTS_MOST = 12, 6  # relays named, and versions told apart, in one sum
-WHY_MOST = 120  # characters of a cause, as relays tell it
+MAX_NAMED, MAX_COUNTS = 12, 6  # relays named, and versions told apart, in one sum
+MAX_WHY = 120  # characters of a cause, as relays tell it
 
 # --- on the wire --------------------------------------------------------------------------------
 
@@ -49,13 +49,13 @@
     base: Number
     version: Number
     digest: Digest
-    steps: Annotated[list[dict[str, str | None]], Meta(max_length=DONE_MOST)]
+    steps: Annotated[list[dict[str, str | None]], Meta(max_length=MAX_DONE)]
 
 
 class Whole(Struct, array_like=True, frozen=True):
     version: Number
     digest: Digest
-    entries: Annotated[dict[str, str], Meta(max_length=ENTRIES_MOST)]
+    entries: Annotated[dict[str, str], Meta(max_length=MAX_ENTRIES)]
 
 
 class Leave(Struct, array_like=True, frozen=True):
@@ -67,14 +67,14 @@
 
     host: str
     port: int
-    life: Number
+    incarnation: Number
     at: Number
 
 
 class Later(Struct, array_like=True, frozen=True):
     """A later life of the same address is known here: the receiver must take a higher one to be heard."""
 
-    life: Number
+    incarnation: Number
 
 
 class Named(Struct, array_like=True, frozen=True):
@@ -93,8 +93,8 @@
 
     version: Number
     relays: Number
-    counts: Annotated[list[tuple[int, int]], Meta(max_length=COUNTS_MOST)]
-    named: Annotated[list[Named], Meta(max_length=NAMED_MOST)]
+    counts: Annotated[list[tuple[int, int]], Meta(max_length=MAX_COUNTS)]
+    named: Annotated[list[Named], Meta(max_length=MAX_NAMED)]
     more: Number = 0
 
 
@@ -114,7 +114,7 @@
 
     name: str
     address: Address
-    life: int = 0
+    incarnation: int = 0
     at: int = 0
 
 
--- a/yarrowspindle/configuration/settings.py
+++ b/yarrowspindle/configuration/settings.py
@@ -9,12 +9,12 @@
 from typing import Any
 
 from yarrowspindle.configuration.messages import Sender
-from yarrowspindle.configuration.state import NAME_MOST, ControlError
+from yarrowspindle.configuration.state import MAX_NAME, ControlError
 from yarrowspindle.membership.settings import PeerError, read_address
 from yarrowspindle.routing.address import Address
 
 RELAY, CONTROLLER = "relay", "controller"
-MACHINES_MOST, VOTERS_MOST = 32, 15
+MAX_MACHINES, MAX_VOTERS = 32, 15
 
 
 @dataclass(slots=True, frozen=True)
@@ -60,16 +60,16 @@
             raise ControlError(f'control.role is {self.role!r}: "{RELAY}" or "{CONTROLLER}" is wanted')
         for key in ("cluster", "name", "zone", "region", "directory"):
             value = getattr(self, key)
-            if not isinstance(value, str) or key != "directory" and len(value.encode()) > NAME_MOST:
-                raise ControlError(f"control.{key} is {value!r}: a text of at most {NAME_MOST} bytes is wanted")
+            if not isinstance(value, str) or key != "directory" and len(value.encode()) > MAX_NAME:
+                raise ControlError(f"control.{key} is {value!r}: a text of at most {MAX_NAME} bytes is wanted")
         places = [m.address for m in self.machines]
-        if not 0 < len(self.machines) <= MACHINES_MOST:
-            raise ControlError(f"control.machine is there {len(self.machines)} times: 1 to {MACHINES_MOST} are wanted")
+        if not 0 < len(self.machines) <= MAX_MACHINES:
+            raise ControlError(f"control.machine is there {len(self.machines)} times: 1 to {MAX_MACHINES} are wanted")
         for what, given in (("name", [m.name for m in self.machines]), ("address", [f"{a}:{b}" for a, b in places])):
             if twice := [one for one in given if given.count(one) > 1]:
                 raise ControlError(f"two of control.machine have the {what} {twice[0]}")
-        if not 0 < sum(m.voter for m in self.machines) <= VOTERS_MOST:
-            raise ControlError(f"1 to {VOTERS_MOST} of control.machine are voters")
+        if not 0 < sum(m.voter for m in self.machines) <= MAX_VOTERS:
+            raise ControlError(f"1 to {MAX_VOTERS} of control.machine are voters")
         if self.role == CONTROLLER:
             if not self.directory:
                 raise ControlError("control.directory is missing: a controller keeps its voter's file there")
@@ -139,6 +139,6 @@
         if key in one and not isinstance(one[key], wanted):
             raise ControlError(f"control.machine.{key} is {one[key]!r}, of another kind than is wanted")
     name = one.get("name", "")
-    if not 0 < len(name.encode()) <= NAME_MOST or "address" not in one:
+    if not 0 < len(name.encode()) <= MAX_NAME or "address" not in one:
         raise ControlError("each control.machine has a name and an address")
     return Machine(**{**one, "address": read_address("machine.address", one["address"])})
--- a/yarrowspindle/configuration/state.py
+++ b/yarrowspindle/configuration/state.py
@@ -16,9 +16,9 @@
 Step = Mapping[str, str | None]  # what one change sets; None: removes
 Check = Callable[[Entries], str]  # why a relay cannot serve by these entries; empty: it can. The same at all relays
 
-KEY_MOST, VALUE_MOST, ENTRIES_MOST, CONTENT_MOST = 64, 16_384, 128, 65_536  # characters; entries; characters in all
-DONE_MOST, STEPS_MOST = 64, 32_768  # newest steps kept in the state, and their characters
-NAME_MOST, WHY_MOST = 64, 400
+MAX_KEY, MAX_VALUE, MAX_ENTRIES, MAX_CONTENT = 64, 16_384, 128, 65_536  # characters; entries; characters in all
+MAX_DONE, MAX_STEPS = 64, 32_768  # newest steps kept in the state, and their characters
+MAX_NAME, MAX_WHY = 64, 400
 
 
 class ControlError(ValueError):
@@ -33,10 +33,10 @@
 def bounds(entries: Entries) -> str:
     """What is out of bounds in entries; empty: nothing."""
     for key, value in entries.items():
-        if not 0 < len(key) <= KEY_MOST or len(value) > VALUE_MOST:
-            return f"{key[:KEY_MOST]!r}: a key has 1 to {KEY_MOST} characters, a value {VALUE_MOST} at most"
-    if len(entries) > ENTRIES_MOST or size(entries) > CONTENT_MOST:
-        return f"{len(entries)} entries of {size(entries)} characters: {ENTRIES_MOST} and {CONTENT_MOST} at most"
+        if not 0 < len(key) <= MAX_KEY or len(value) > MAX_VALUE:
+            return f"{key[:MAX_KEY]!r}: a key has 1 to {MAX_KEY} characters, a value {MAX_VALUE} at most"
+    if len(entries) > MAX_ENTRIES or size(entries) > MAX_CONTENT:
+        return f"{len(entries)} entries of {size(entries)} characters: {MAX_ENTRIES} and {MAX_CONTENT} at most"
     return ""
 
 
@@ -57,24 +57,24 @@
     return found | {key: value for key, value in step.items() if value is not None}
 
 
-class Order(Struct, frozen=True, rename={"life": "life"}):
+class Order(Struct, frozen=True, rename={"incarnation": "life"}):
     """A change that an operator gave to `taker`, a controller, as the number-th of that life of its orders. Each is
     settled once and in its turn: one that was held up on its way undoes nothing newer."""
 
     taker: str
-    life: int
+    incarnation: int
     number: int
     step: Step
 
 
-class Done(Struct, frozen=True, rename={"life": "life"}):
+class Done(Struct, frozen=True, rename={"incarnation": "life"}):
     """The step to a version. why: it was refused, and changes nothing; taker, life, number: whose order it was."""
 
     version: int
     step: Step
     why: str = ""
     taker: str = ""
-    life: int = 0
+    incarnation: int = 0
     number: int = 0
 
 
@@ -98,21 +98,25 @@
         return replace(self, epoch=epoch)
 
     def is_settled(self, order: Order) -> bool:
-        return (order.life, order.number) <= self.takers.get(order.taker, (0, 0))
+        return (order.incarnation, order.number) <= self.takers.get(order.taker, (0, 0))
 
     def is_next(self, order: Order) -> bool:
         """It is this order's turn among its taker's."""
-        life, number = self.takers.get(order.taker, (0, 0))
-        return (order.life, order.number) == (life, number + 1) or order.life > life and order.number == 1
+        incarnation, number = self.takers.get(order.taker, (0, 0))
+        return (
+            (order.incarnation, order.number) == (incarnation, number + 1)
+            or order.incarnation > incarnation
+            and order.number == 1
+        )
 
     def settled(self, order: Order, check: Check) -> ControlState | None:
         """With this order's step, or its refusal, as the next version; None: it is settled, or not yet its turn."""
         if not self.is_next(order):
             return None
         entries = stepped(self.entries, order.step)
-        why = (bounds_of(order.step) or bounds(entries) or check(entries))[:WHY_MOST]
-        done = Done(self.version + 1, {} if why else order.step, why, order.taker, order.life, order.number)
-        takers = dict(self.takers) | {order.taker: (order.life, order.number)}
+        why = (bounds_of(order.step) or bounds(entries) or check(entries))[:MAX_WHY]
+        done = Done(self.version + 1, {} if why else order.step, why, order.taker, order.incarnation, order.number)
+        takers = dict(self.takers) | {order.taker: (order.incarnation, order.number)}
         return replace(self._with(done), entries=self.entries if why else entries, takers=takers)
 
     def with_voter(self, name: str, identity: str) -> ControlState | None:
@@ -123,7 +127,7 @@
         return replace(changed, voters=dict(self.voters) | {name: identity}, epoch=self.epoch + 1)
 
     def _with(self, done: Done) -> ControlState:
-        kept = [*self.done, done][-DONE_MOST:]
-        while len(kept) > 1 and sum(size(one.step) for one in kept) > STEPS_MOST:
+        kept = [*self.done, done][-MAX_DONE:]
+        while len(kept) > 1 and sum(size(one.step) for one in kept) > MAX_STEPS:
             del kept[0]
         return replace(self, version=done.version, done=tuple(kept))
--- a/yarrowspindle/daemon/configuration_endpoint.py
+++ b/yarrowspindle/daemon/configuration_endpoint.py
@@ -23,7 +23,7 @@
 from yarrowspindle.daemon.config import ConfigError
 from yarrowspindle.daemon.log import Bounded
 from yarrowspindle.daemon.relay_service import RelayService
-from yarrowspindle.daemon.shared_settings import WHY_MOST, check
+from yarrowspindle.daemon.shared_settings import MAX_WHY, check
 from yarrowspindle.membership.codec import Dropped
 from yarrowspindle.routing.address import Address
 from yarrowspindle.storage.durable_file import KeptFile, NoFile
@@ -33,7 +33,7 @@
 DUE_S = 0.05  # how often parts that are missing are asked for
 FLUSH_S = 0.02
 LAST_KEEP_S = 0.1  # for a last try to keep what was taken, before the process ends
-SAID_S, SAID_MOST = 60.0, 1024  # one and the same warning is said once in this time
+SAID_S, MAX_SAID = 60.0, 1024  # one and the same warning is said once in this time
 KEPT = "taken"
 READS, READ_AGAIN_S = 20, 0.05  # of a kept file at the start, before anybody is served
 
@@ -52,8 +52,8 @@
         self.loop = asyncio.get_running_loop()
         self.front = Front(self._datagram)
         # Only a hint: where this clock went back, the others say so.
-        self.life = int(time.time() * 1000.0)
-        self.link = Link(name, settings.reached_at, settings.cluster, self.life, some_number(), self._now())
+        self.incarnation = int(time.time() * 1000.0)
+        self.link = Link(name, settings.reached_at, settings.cluster, self.incarnation, some_number(), self._now())
         self.counts: Counter[str] = Counter()
         self.bounded = Bounded(time.monotonic)
         self.said: set[str] = set()
@@ -158,7 +158,7 @@
 
     def _warn(self, text: str) -> None:
         """What others can cause, or what comes again and again."""
-        if self._now() >= self.said_at + 1000.0 * SAID_S or len(self.said) >= SAID_MOST:
+        if self._now() >= self.said_at + 1000.0 * SAID_S or len(self.said) >= MAX_SAID:
             self.said_at = self._now()
             self.said.clear()
         if text not in self.said:
@@ -294,7 +294,7 @@
         except Exception as error:
             if not isinstance(error, ConfigError):
                 logger.exception("control: version {} cannot be taken", take.version)
-            return str(error)[:WHY_MOST] or repr(error)
+            return str(error)[:MAX_WHY] or repr(error)
         logger.info(
             "control: served by version {}{}",
             take.version,
--- a/yarrowspindle/daemon/connection_limiter.py
+++ b/yarrowspindle/daemon/connection_limiter.py
@@ -15,8 +15,8 @@
 from yarrowspindle.transport.line_connection import LineConnection
 
 SPARE = 24  # for what comes and goes: watches, the configuration's file, sockets that are about to close
-STRANGERS_PART = 0.2
-STRANGERS_LEAST = 8
+STRANGERS_FRACTION = 0.2
+MIN_STRANGERS = 8
 YOUNG_S = 0.03  # a usual submitter's line comes with its connection; nobody is sent away sooner than this
 
 
@@ -35,7 +35,7 @@
 class Door:
     def __init__(self, most: int, clock: Callable[[], float]) -> None:
         self.most, self.clock = most - SPARE, clock
-        self.strangers_most = max(STRANGERS_LEAST, int(self.most * STRANGERS_PART))
+        self.strangers_most = max(MIN_STRANGERS, int(self.most * STRANGERS_FRACTION))
         self.held: set[LineConnection] = set()  # all sides that have a descriptor, or are about to
         self.strangers: dict[LineConnection, float] = {}  # since when; oldest first
         self.leaving: dict[LineConnection, float] = {}
--- a/yarrowspindle/daemon/controller.py
+++ b/yarrowspindle/daemon/controller.py
@@ -28,10 +28,10 @@
 
 LOCK_S = 0.2
 AGREED = "agreed"
-VOTES_MOST = 256  # that wait for the disk; more are lost, as any message may be
-ANSWERS_MOST = 1024
+MAX_VOTES = 256  # that wait for the disk; more are lost, as any message may be
+MAX_ANSWERS = 1024
 STEPS_SAID = 8  # newest versions that the log names where many were missed
-BODY_MOST = 512 * 1024
+MAX_BODY = 512 * 1024
 APART = ("quic", "rebalance", "peers", "turns")  # sections of a relay
 
 
@@ -109,7 +109,7 @@
             agreed,
             kept.identity if kept else "",
             kept.state if kept else self.first,
-            self.life,
+            self.incarnation,
             check,
             some_number(),
             self._now(),
@@ -129,7 +129,7 @@
                 {"/control": {"GET": lambda: (200, self._json(self.shown()))}},
                 lambda text: logger.error("control: a call failed: {}", text),
                 routes,
-                BODY_MOST,
+                MAX_BODY,
             )
             try:
                 await self.api.start(*self.settings.command)
@@ -172,7 +172,7 @@
 
     def _vote(self, vote: Vote) -> None:
         """On a thread, one at a time, in their order."""
-        if self.voter is not None and self.votes < VOTES_MOST:
+        if self.voter is not None and self.votes < MAX_VOTES:
             self.votes += 1
             asked = self.loop.run_in_executor(self.disk, self.voter.told, vote.message)
             asked.add_done_callback(partial(self._voted, vote.sender))
@@ -241,7 +241,7 @@
             raise ControlError(f"there is no entry {', '.join(absent)[:200]}")
         self.ticket += 1
         self.answers[self.ticket] = None
-        while len(self.answers) > ANSWERS_MOST:
+        while len(self.answers) > MAX_ANSWERS:
             self.answers.popitem(last=False)
         self.post(Ordered(self.ticket, step))
         return {"ticket": self.ticket}
--- a/yarrowspindle/daemon/main.py
+++ b/yarrowspindle/daemon/main.py
@@ -23,7 +23,7 @@
 from yarrowspindle.runtime import SystemClock
 
 T = TypeVar("T")
-START_MOST_S, START_AGAIN_S = 9.0, 0.05  # a relay is to be ready within 10 s
+MAX_START_S, START_AGAIN_S = 9.0, 0.05  # a relay is to be ready within 10 s
 FOR_A_MOMENT = frozenset(
     (errno.EADDRINUSE, errno.EADDRNOTAVAIL, errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EINTR)
 )
@@ -33,7 +33,7 @@
 async def once_free(what: str, start: Callable[[], Awaitable[T]]) -> T:
     """Starts what needs a socket, again and again while the system has none to give: an address that the process
     before still holds, descriptors or memory that are short just now. Raises OSError after START_MOST_S."""
-    until, said = time.monotonic() + START_MOST_S, ""
+    until, said = time.monotonic() + MAX_START_S, ""
     while True:
         try:
             return await start()
--- a/yarrowspindle/daemon/maintenance_endpoint.py
+++ b/yarrowspindle/daemon/maintenance_endpoint.py
@@ -38,8 +38,8 @@
 LOCK_S = 0.2
 LOOK_S, HOLDS_S, PARCELS_S = 0.5, 0.15, 0.05
 LEAVE_S = 0.6
-VOTES_MOST = 256  # that wait for the disk; more are lost, as any message may be
-BODY_MOST = 64 * 1024
+MAX_VOTES = 256  # that wait for the disk; more are lost, as any message may be
+MAX_BODY = 64 * 1024
 DEADLINE_S = 120.0  # of a machine whose request is no longer known
 
 
@@ -81,7 +81,7 @@
                 {"/turns": {"GET": lambda: (200, self._json(self.shown()))}},
                 lambda text: logger.error("turns: a call failed: {}", text),
                 self._routes(),
-                BODY_MOST,
+                MAX_BODY,
             )
             try:
                 await self.api.start(*self.settings.command)
@@ -93,9 +93,9 @@
         """Leaves in good order where nothing is held any more; else the next process of this name, or an operator,
         says that this one has ended."""
         if self.core.registered and not any(connected() for connected in self.hub.connected):
-            self._post(Order("ended", self.name, self.core.life))
+            self._post(Order("ended", self.name, self.core.incarnation))
             until = self.loop.time() + LEAVE_S
-            while self.core.taken.relays.get(self.name) == self.core.life and self.loop.time() < until:
+            while self.core.taken.relays.get(self.name) == self.core.incarnation and self.loop.time() < until:
                 await asyncio.sleep(0.02)
         self.closed = True
         for task in self.tasks:
@@ -227,7 +227,7 @@
     def _vote(self, vote: Vote) -> None:
         """On a thread: the disk must not make jobs late. One at a time, in their order."""
         voter = self.voter
-        if voter is None or self.votes >= VOTES_MOST:
+        if voter is None or self.votes >= MAX_VOTES:
             return
         self.votes += 1
         self.disk.submit(voter.told, vote.message).add_done_callback(
@@ -407,13 +407,13 @@
 
     def _ended(self, told: dict[str, Any]) -> object:
         name = self._text(told, "relay")
-        life = self.core.state.relays.get(name)
-        if life is None:
+        incarnation = self.core.state.relays.get(name)
+        if incarnation is None:
             raise TurnError(f"{name} is not registered; registered are {', '.join(sorted(self.core.state.relays))}")
         if name in self._there() and not told.get("force"):
             raise TurnError(f"{name} is there and answers; one that has ended is wanted")
-        self._post(Order("ended", name, life))
-        return life
+        self._post(Order("ended", name, incarnation))
+        return incarnation
 
     def _pause(self, told: dict[str, Any]) -> object:
         why = str(told.get("why") or "an operator paused them")[:200]
--- a/yarrowspindle/daemon/membership_endpoint.py
+++ b/yarrowspindle/daemon/membership_endpoint.py
@@ -36,8 +36,8 @@
         self.opening: asyncio.Task[None] | None = None
         name = settings.name or hub.config.name
         # Only a hint: where this clock went back, what the others remember of the name corrects it.
-        life = int(time.time() * 1000.0)
-        self.core = Peers(settings, name, life, int.from_bytes(os.urandom(8), "big"), self._now())
+        incarnation = int(time.time() * 1000.0)
+        self.core = Peers(settings, name, incarnation, int.from_bytes(os.urandom(8), "big"), self._now())
         self.pump = PeerPump(
             self.core, self._now, self._after, self._send, self._own, self._told, self._note, self._failed
         )
--- a/yarrowspindle/daemon/relay_service.py
+++ b/yarrowspindle/daemon/relay_service.py
@@ -29,7 +29,7 @@
 from yarrowspindle.telemetry.trace import Trace
 
 TRACED = ("TRACE", "DEBUG")  # log levels at which each step of each request is logged
-IDLE_PART = 0.8  # of the time after which nodes close idle connections: the relay closes them first
+IDLE_FRACTION = 0.8  # of the time after which nodes close idle connections: the relay closes them first
 # SIGKILL comes no sooner after SIGTERM than the longest deadline (counted as 3 s where it is longer) and 0.7 s more.
 LONGEST_MS, KILL_AFTER_MS = 3000.0, 700.0
 ENDING_MS = 400.0  # of that for the ends of connections and of the process
@@ -75,7 +75,7 @@
         self.bad_probes = Bounded(time.monotonic)
         self.prober = Prober(
             config.settings.load_report_fields,
-            IDLE_PART * config.settings.conn_idle_ms / 1000.0,
+            IDLE_FRACTION * config.settings.conn_idle_ms / 1000.0,
             self.post,
             self.bad_probes.warn,
         )
--- a/yarrowspindle/daemon/shared_settings.py
+++ b/yarrowspindle/daemon/shared_settings.py
@@ -27,7 +27,7 @@
     "weight_kind",
 )
 STAND_IN = {"zone": 0, "slot_no": 0, "azs": ["a"], "skus": ["m"], "realms": []}  # for the own members of any relay
-WHY_MOST = 300  # characters
+MAX_WHY = 300  # characters
 
 
 def unknown(keys: Iterable[str]) -> str:
@@ -51,7 +51,7 @@
             shared_settings(STAND_IN, entries)
         except ConfigError as error:
             why = str(error)
-    return why[:WHY_MOST]
+    return why[:MAX_WHY]
 
 
 def text_of(value: object) -> str:
--- a/yarrowspindle/decisions/balancer.py
+++ b/yarrowspindle/decisions/balancer.py
@@ -58,14 +58,14 @@
 GOLDEN = (5**0.5 - 1) / 2  # multiples of it spread evenly over a ring, whichever numbers are taken
 DEAR = 0.05  # a crossing that costs more of a request's worth than this is worth staying at home for
 AWAY = 90.0  # against other zones, in load of all balancers a unit of capacity, where we go by own load
-MOVE_PART = 0.8  # chance of a move for a slow note, where the server is the only slow one
+MOVE_FRACTION = 0.8  # chance of a move for a slow note, where the server is the only slow one
 SHED = 0.3  # the least of that chance, in a general overload where clients can be told to wait
-STRIKES_MOST = 2  # failures in a row that still make the time longer for which a server is passed over
+MAX_STRIKES = 2  # failures in a row that still make the time longer for which a server is passed over
 BREAKS, BREAKS_MS = 3, 1000.0  # so many connections that break off within this time are a server's own doing
 RETURNED_DRAWS = 16  # for clients that come again while servers are levelled: two seldom find who has room
 BEAT_MS = 500.0  # where reports can be had: servers are probed and connections moved on this beat
-PROBES, PROBES_MOST = 1.5, 200.0  # that each new connection pays for, and saved up for later
-FULL, FULL_PART = 1.1, 0.25  # above this use a server is emptied, a part on each beat
+PROBES, MAX_PROBES = 1.5, 200.0  # that each new connection pays for, and saved up for later
+FULL, FULL_FRACTION = 1.1, 0.25  # above this use a server is emptied, a part on each beat
 FORGET_MS = 5000.0  # slow notes come once a second; after five that did not come we know nothing any more
 TOLD_MS, CALL_MS = 6000.0, 250.0  # the list counts as told so long after it could be had; a call
 
@@ -293,7 +293,7 @@
         for _, number, backend in gains:
             quota, request = backend.id if backend.used > FULL else -1, self.requests[-number]
             # Looked at anew: who was moved before it will be there by then.
-            if left.setdefault(quota, 1 + int(FULL_PART * backend.open)) <= 0:
+            if left.setdefault(quota, 1 + int(FULL_FRACTION * backend.open)) <= 0:
                 continue
             if costs.gain(request, backend, self.settings, self.now, enough) > enough:
                 left[quota] -= 1
@@ -336,7 +336,7 @@
             raise ValueError(f"request {event.request} has an unknown class: {event.cls}")
         request = Request(event.request, event.cls, self.loads.of(event.load), self.now, event.left_ms)
         request.returned, request.group, request.most = event.returned, event.group, self.settings.max_attempts
-        self.probes = min(self.probes + PROBES, PROBES_MOST)
+        self.probes = min(self.probes + PROBES, MAX_PROBES)
         self.requests[request.id] = request
         self._place(request)
 
@@ -412,7 +412,7 @@
         request = Request(event.request, event.cls, self.loads.of(event.load), self.now, 0.0)
         request.backend = self.backends.setdefault(event.backend, Backend(event.backend))
         request.attempts, request.out, request.established, request.group = 1, True, True, event.group
-        self.probes = min(self.probes + PROBES, PROBES_MOST)
+        self.probes = min(self.probes + PROBES, MAX_PROBES)
         self.requests[request.id] = request
         self._hold_on(request.backend, request)
 
@@ -441,7 +441,7 @@
             # Passed over at once, for longer each time it fails again; then a request tries it.
             backend.strikes += 1
             rest = max(c.deadline_ms for c in self.settings.classes) * (0.5 + self.random())
-            backend.bad_until = self.now + rest * 2.0 ** (min(backend.strikes, STRIKES_MOST) - 1)
+            backend.bad_until = self.now + rest * 2.0 ** (min(backend.strikes, MAX_STRIKES) - 1)
             self._mark(backend)
         if not request.established and event.outcome in (Outcome.ERROR, Outcome.TIMEOUT):
             self.set_up.took(1.0)
@@ -495,7 +495,7 @@
             return
         # A move is one more set-up: fewer while these take long.
         trouble = self.trouble.share(backend.zone, self.held_at, self.now)
-        if self.random() < MOVE_PART * max(shed, 1.0 - trouble) * (1.0 - self.set_up.part):
+        if self.random() < MOVE_FRACTION * max(shed, 1.0 - trouble) * (1.0 - self.set_up.part):
             # The heaviest that we hold there: a move costs the same for each and brings most relief with it.
             if backend.open > 1:
                 held = (j for j in self.requests.values() if j.backend is backend and j.established and j.owed)
--- a/yarrowspindle/decisions/cost_placement.py
+++ b/yarrowspindle/decisions/cost_placement.py
@@ -17,7 +17,7 @@
 
 ROUNDS = 3  # draws, while all that were drawn cost more than the connection is worth
 DRAWS = 2  # servers drawn from each ring in a round
-MOVE_GAIN, FIRM_PART = 0.05, 0.33  # worth a move, in mean worth; counted of what is only estimated
+MOVE_GAIN, FIRM_FRACTION = 0.05, 0.33  # worth a move, in mean worth; counted of what is only estimated
 
 
 class CostPlacement:
@@ -102,7 +102,7 @@
         nearer = (backend.zone != settings.zone) - (best.zone != settings.zone)
         firm = nearer * settings.cross_zone_price * known.worth
         estimated = stays - least - firm
-        gain = firm + estimated * (FIRM_PART if estimated > 0.0 else 1.0)
+        gain = firm + estimated * (FIRM_FRACTION if estimated > 0.0 else 1.0)
         if gain > reserve_above:
             known.reserve(best, request, now)
         return gain
--- a/yarrowspindle/decisions/load_estimates.py
+++ b/yarrowspindle/decisions/load_estimates.py
@@ -20,9 +20,9 @@
 GUESS = 0.5  # the use of a server that has not reported
 AGE_MS = 1000.0  # a report speaks of a time up to so long ago: what was placed since is not in it
 SICK = 9.0  # the use of a server that does not answer
-SINCE_MOST = 256  # placements since a report, one by one
+MAX_SINCE = 256  # placements since a report, one by one
 LEARN, LEARN_UNIT = 0.05, 0.05
-LOAD_LEAST, LOAD_MOST = 0.1, 4.0  # of a class, in mean connections
+MIN_LOAD, MAX_LOAD = 0.1, 4.0  # of a class, in mean connections
 SOUND = 1.5  # above this use a report tells of a sick server, not of its connections' load
 
 
@@ -98,7 +98,7 @@
             self.told(backend, report[2], tuple(fields.get(name, 0.0) for name in self.report))
             backend.told_at = -inf  # not told to us
         if came and backend.used >= 0.0:
-            if len(backend.since) > SINCE_MOST:  # reports have stopped: only the sum is of use
+            if len(backend.since) > MAX_SINCE:  # reports have stopped: only the sum is of use
                 backend.since = [(now, sum(by for _, by in backend.since))]
             backend.since.append((now, came * self.unit / backend.capacity))
 
@@ -124,9 +124,7 @@
         held = [backend.classes.get(c, 0) + others * n for c, n in enumerate(self.counts)]
         guess = sum(n * load for n, load in zip(held, self.loads, strict=True)) + GROUP * len(backend.groups)
         step = LEARN * (backend.used * backend.capacity / self.unit - guess) / (1.0 + sum(n * n for n in held))
-        self.loads = [
-            min(LOAD_MOST, max(LOAD_LEAST, load + step * n)) for n, load in zip(held, self.loads, strict=True)
-        ]
+        self.loads = [min(MAX_LOAD, max(MIN_LOAD, load + step * n)) for n, load in zip(held, self.loads, strict=True)]
 
     def noted(self, backend: Backend, message_ms: float, now: float) -> None:
         """Messages take so long there now: word of what reports will tell later."""
--- a/yarrowspindle/decisions/retries.py
+++ b/yarrowspindle/decisions/retries.py
@@ -10,19 +10,19 @@
 from yarrowspindle.decisions.settings import DeduplicationScope, RequestClass, Settings
 from yarrowspindle.decisions.weighted_ring import WeightedRing
 
-RETRY_PART = 0.2  # other attempts allowed at once for each connection set up: retries add a fifth at most
-SPARE_MOST = 2.0  # and saved up for later
+RETRY_FRACTION = 0.2  # other attempts allowed at once for each connection set up: retries add a fifth at most
+MAX_SPARE = 2.0  # and saved up for later
 
 
 class RetryBudget:
     """Other attempts that may go out at once; without one they wait, since what many servers share has failed."""
 
     def __init__(self) -> None:
-        self.spare = SPARE_MOST
+        self.spare = MAX_SPARE
 
     def earn(self) -> None:
         """A connection was set up."""
-        self.spare = min(self.spare + RETRY_PART, SPARE_MOST)
+        self.spare = min(self.spare + RETRY_FRACTION, MAX_SPARE)
 
     def spend(self, free: bool) -> bool:
         """Whether another attempt may go out at once. free: the last one was never sent, so this one costs nothing."""
--- a/yarrowspindle/decisions/slow_start.py
+++ b/yarrowspindle/decisions/slow_start.py
@@ -17,7 +17,7 @@
 from yarrowspindle.decisions.settings import Settings
 from yarrowspindle.decisions.weighted_ring import WeightedRing
 
-BUDGET_PART = 0.75  # of the fall multiple, used of a cold server's budget; the rest is for chance
+BUDGET_FRACTION = 0.75  # of the fall multiple, used of a cold server's budget; the rest is for chance
 HEADROOM = 2.0  # what fills a server, over its share of what stands as a rule
 LOOKS = 32.0  # in the time in which a fall is judged: how often cold servers are looked up
 CANDIDATES = 2
@@ -52,7 +52,7 @@
         since, self.fed_at = now - self.fed_at, now
         if not self.cold:
             return []
-        part = BUDGET_PART * HEADROOM * settings.overload_multiple * self.cold_ends[-1] / fed.usual
+        part = BUDGET_FRACTION * HEADROOM * settings.overload_multiple * self.cold_ends[-1] / fed.usual
         stands = max(standing / settings.warmup_ms, self.ended.get(now))
         if gate.may_feed(part * stands * min(since, 2.0 * settings.overload_window_ms), self.random()):
             return []
--- a/yarrowspindle/lab/model/controlling.py
+++ b/yarrowspindle/lab/model/controlling.py
@@ -50,7 +50,7 @@
 REGIONS = {"z1": "a", "z2": "a", "z3": "a", "z4": "b", "z5": "b", "z6": "b"}
 LATENCY = {0: (0.2, 1.0), 1: (0.5, 3.0), 2: (15.0, 40.0)}  # milliseconds in a zone, in a region, between regions
 DISK_MS = (1.0, 8.0)  # until a voter's file is written
-WAITING_MOST = 300  # datagrams that wait in a stopped process's socket; more are lost
+MAX_WAITING = 300  # datagrams that wait in a stopped process's socket; more are lost
 PORT = 7950
 
 
@@ -140,10 +140,10 @@
                 self.two += 1
                 self.broken(f"two steps to version {done.version}: {controller} took another")
             if done.taker:
-                order = (done.taker, done.life, done.number)
+                order = (done.taker, done.incarnation, done.number)
                 if self.orders.setdefault(order, done.version) != done.version:
                     self.broken(f"order {order} was settled by versions {self.orders[order]} and {done.version}")
-                if done.number > 1 and (done.taker, done.life, done.number - 1) not in self.orders:
+                if done.number > 1 and (done.taker, done.incarnation, done.number - 1) not in self.orders:
                     self.broken(f"order {order} was settled before the one before it")
             before = self.contents.get(done.version - 1)
             if before is not None and done.version not in self.contents:
@@ -190,8 +190,8 @@
         self.world, self.name, self.address, self.zone, self.region = world, name, address, zone, REGIONS[zone]
         self.alive, self.stalled_until = True, 0.0
         self.ahead_ms = world.random.uniform(0.0, 600_000.0)  # of its clock
-        self.life = world.life(name)
-        self.link = Link(name, address, CLUSTER, self.life, world.random.getrandbits(40), self.now())
+        self.incarnation = world.incarnation(name)
+        self.link = Link(name, address, CLUSTER, self.incarnation, world.random.getrandbits(40), self.now())
         self.core: Agent | Controller
         self.waiting: list[tuple[bytes, Address]] = []
         self.asks = False  # for parts that are missing
@@ -233,7 +233,7 @@
     def send(self, to: Address, message: object) -> None:
         if to == self.address:
             # At once, but after what is under way here.
-            self.world.clock.after(0.0, self.post, Came(Sender(self.name, self.address, self.life, 0), message))
+            self.world.clock.after(0.0, self.post, Came(Sender(self.name, self.address, self.incarnation, 0), message))
             return
         began = time.thread_time() if self.world.measures else 0.0
         datagrams = self.link.packed(self.now(), to, message)
@@ -247,7 +247,7 @@
         if not self.alive:
             return
         if self.stalled_until > self.world.clock.now():
-            if len(self.waiting) < WAITING_MOST:
+            if len(self.waiting) < MAX_WAITING:
                 self.waiting.append((data, source))
                 if len(self.waiting) == 1:
                     self.world.clock.after(self.stalled_until - self.world.clock.now(), self._awake)
@@ -362,7 +362,7 @@
             world.first,
             kept.identity if kept is not None else "",
             kept.state if kept is not None else world.first,
-            self.life,
+            self.incarnation,
             check,
             world.random.randrange(1 << 30),
             self.now(),
@@ -437,7 +437,7 @@
             m.name: Kept(FIRST, NONE, NONE, self.first) for m in self.machines if m.voter
         }
         self.kept: dict[str, tuple[int, Entries]] = {}
-        self.lives: Counter[str] = Counter()
+        self.incarnations: Counter[str] = Counter()
         self.clock_back: set[str] = set()  # whose next life is lower than the one before
         self.full_disks: set[str] = set()
         self.bad_memories: set[str] = set()  # controllers that change what they send to relays
@@ -463,12 +463,12 @@
 
     # --- processes ------------------------------------------------------------------------------
 
-    def life(self, name: str) -> int:
-        self.lives[name] += 1
+    def incarnation(self, name: str) -> int:
+        self.incarnations[name] += 1
         if name in self.clock_back:
             self.clock_back.discard(name)
-            return 500 + self.lives[name]
-        return 1000 * self.lives[name]
+            return 500 + self.incarnations[name]
+        return 1000 * self.incarnations[name]
 
     def start(self, name: str) -> Host:
         """A process starts; one that was there must have ended."""
--- a/yarrowspindle/lab/model/fleet.py
+++ b/yarrowspindle/lab/model/fleet.py
@@ -29,7 +29,7 @@
 
     share: float = 1.0
     load: float = 1.0
-    life: float = 1.0
+    incarnation: float = 1.0
     worth: float = 1.0
     aim_ms: float = 800.0
     deadline_ms: float = 4800.0
@@ -104,7 +104,9 @@
         drawn = Random(seed + 1)
         sizes = [SIZES[n % len(SIZES)] for n in range(spec.backends)]
         self.classes = spec.classes or (ModelClass(deadline_ms=spec.deadline_ms),)
-        usual = sum(c.share * c.life * c.load for c in self.classes) / sum(c.share * c.life for c in self.classes)
+        usual = sum(c.share * c.incarnation * c.load for c in self.classes) / sum(
+            c.share * c.incarnation for c in self.classes
+        )
         self.unit_load = spec.filled * sum(sizes) * 1000.0 / max(spec.connections, 1) / (1.0 + spec.grouped / 3.0)
         self.unit_load /= usual  # of a connection of load 1
         self.group_load = spec.group_cost * self.unit_load * usual
@@ -312,16 +314,16 @@
         cls = 0
         if len(self.classes) > 1:
             # Those that stand from the start on are a sample of what stands, in which long lives are the more.
-            shares = [c.share * (c.life if _first else 1.0) for c in self.classes]
+            shares = [c.share * (c.incarnation if _first else 1.0) for c in self.classes]
             (cls,) = self.random.choices(range(len(shares)), shares)
-        life = self.random.expovariate(1.0 / (spec.lifetime_s * 1000.0 * self.classes[cls].life))
+        incarnation = self.random.expovariate(1.0 / (spec.lifetime_s * 1000.0 * self.classes[cls].incarnation))
         group = 0
         if self.random.random() < spec.grouped:
             group = 1 + self.random.randrange(max(1, int(spec.connections * spec.grouped / spec.group_size)))
         load = self.unit_load * self.random.lognormvariate(-0.5 * spec.load_cv**2, spec.load_cv)
-        client = Client(self.keys, group, load * self.classes[cls].load, self.clock.time + life, cls)
+        client = Client(self.keys, group, load * self.classes[cls].load, self.clock.time + incarnation, cls)
         self.clients.add(client)
-        self.clock.after(life, self._end, client)
+        self.clock.after(incarnation, self._end, client)
         if spec.load_every_s > 0.0:
             self.clock.after(self._next_load(), self._swing, client)
         self.open(client)
--- a/yarrowspindle/lab/model/lending.py
+++ b/yarrowspindle/lab/model/lending.py
@@ -10,7 +10,7 @@
 
 from yarrowspindle.lab.faults import Fault, Ways, relay_names, schedule
 from yarrowspindle.lab.model.clock import VirtualClock
-from yarrowspindle.subsets.leases import NEED_PART, Ask, Bank, Borrower, Held, Lend
+from yarrowspindle.subsets.leases import NEED_FRACTION, Ask, Bank, Borrower, Held, Lend
 
 TERM_MS, STEP_MS = 2000.0, 50.0
 TOTAL, RESERVE, BANKS = 1000.0, 0.2, 5
@@ -33,13 +33,13 @@
 
 
 class LeaseRelay:
-    def __init__(self, world: LeaseWorld, name: str, life: int) -> None:
+    def __init__(self, world: LeaseWorld, name: str, incarnation: int) -> None:
         self.world, self.name = world, name
         self.alive, self.stalled_until, self.rate = True, 0.0, world.random.uniform(0.98, 1.02)
         self.ahead = world.random.uniform(0.0, 600_000.0)
         solo = RESERVE * TOTAL / len(world.names)
         banks = tuple(world.names[:BANKS])
-        self.borrower = world.parts.borrower(life, solo, TERM_MS, banks)
+        self.borrower = world.parts.borrower(incarnation, solo, TERM_MS, banks)
         part = (1.0 - RESERVE) * TOTAL / len(banks)
         self.bank = world.parts.bank(part, TERM_MS, self.now()) if name in banks else None
         world.clock.after(world.random.uniform(0.0, 500.0), self.beat)
@@ -83,7 +83,7 @@
         self.parts, self.names = parts or Parts(), relay_names(relays)
         self.needs = {name: self.random.choice((0.0, 20.0, 100.0, 400.0)) for name in self.names}
         self.relays: dict[str, LeaseRelay] = {}
-        self.lives, self.most = 0, 0.0
+        self.incarnations, self.most = 0, 0.0
         for name in self.names:
             self.start(name)
         self.clock.after(STEP_MS, self._check)
@@ -91,8 +91,8 @@
     def start(self, name: str) -> None:
         if name in self.relays:
             self.kill(name)
-        self.lives += 1
-        self.relays[name] = LeaseRelay(self, name, self.lives)
+        self.incarnations += 1
+        self.relays[name] = LeaseRelay(self, name, self.incarnations)
 
     def kill(self, name: str) -> None:
         self.relays[name].alive = False
@@ -117,7 +117,7 @@
         banks = sum(relay.alive and relay.bank is not None for relay in self.relays.values())
         solo, part = RESERVE * TOTAL / len(self.names), (1.0 - RESERVE) * TOTAL / min(BANKS, len(self.names))
         living = [relay for relay in self.relays.values() if relay.alive]
-        least = NEED_PART * part * banks / len(living)  # who needs nothing has that for a first need
+        least = NEED_FRACTION * part * banks / len(living)  # who needs nothing has that for a first need
         wanted = {relay.name: max(self.needs[relay.name] - solo, least) for relay in living}
         left, waiting = part * banks, len(living)
         for name, need in sorted(wanted.items(), key=lambda item: item[1]):
@@ -155,7 +155,7 @@
 
     def asked(self, now: float, name: str, ask: Ask) -> Lend | None:
         answer = super().asked(now, name, ask)
-        account = self.accounts.get((name, ask.life))
+        account = self.accounts.get((name, ask.incarnation))
         if answer is not None and account is not None:
             account.loans = {ask.number: account.loans[ask.number]}
         return answer
--- a/yarrowspindle/lab/model/peering.py
+++ b/yarrowspindle/lab/model/peering.py
@@ -13,7 +13,7 @@
 from yarrowspindle.routing.address import Address
 from yarrowspindle.runtime.membership_driver import PeerPump
 
-WAITING_MOST = 300  # datagrams that wait in a stopped process's socket; more are lost
+MAX_WAITING = 300  # datagrams that wait in a stopped process's socket; more are lost
 
 
 def address_of(index: int) -> Address:
@@ -24,14 +24,14 @@
     """One process of a relay as the others meet it; killed, stopped and started by the network that it is in."""
 
     def __init__(
-        self, net: VirtualNet, index: int, life: int, own: Callable[[], Own], told: Callable[[PeerLoads], None]
+        self, net: VirtualNet, index: int, incarnation: int, own: Callable[[], Own], told: Callable[[PeerLoads], None]
     ) -> None:
         self.net, self.index, self.own, self.told = net, index, own, told
         self.party, self.address = f"r{index}", address_of(index)
         settings = net.settings(self.address, index)
         # Each process has a clock of its own, that says nothing of the others'.
         self.offset = net.random.uniform(0.0, 1e9)
-        self.made = (settings, net.names.get(index, self.party), life, net.random.randrange(1 << 32), self.now())
+        self.made = (settings, net.names.get(index, self.party), incarnation, net.random.randrange(1 << 32), self.now())
         self.core = Peers(*self.made)
         self.pump = PeerPump(self.core, self.now, self._after, self._send, own, told, self._note)
         self.log: list[tuple[float, str]] = []
@@ -68,7 +68,7 @@
             return
         event = Came(data, source)
         if self.stalled_until > self.net.clock.now():
-            if len(self.waiting) < WAITING_MOST:
+            if len(self.waiting) < MAX_WAITING:
                 self.waiting.append(event)
                 if len(self.waiting) == 1:
                     self.net.clock.after(self.stalled_until - self.net.clock.now(), self._awake)
@@ -112,7 +112,7 @@
         self.peers: dict[int, VirtualPeer] = {}
         self.at: dict[Address, VirtualPeer] = {}
         self.names: dict[int, str] = {}
-        self.lives = 0
+        self.incarnations = 0
         self.bytes = self.datagrams = 0
 
     def settings(self, address: Address, index: int) -> PeerSettings:
@@ -124,8 +124,8 @@
 
     def add(self, index: int, own: Callable[[], Own], told: Callable[[PeerLoads], None]) -> VirtualPeer:
         """A process of this relay starts now; one that was there must have ended."""
-        self.lives += 1
-        peer = VirtualPeer(self, index, self.lives, own, told)
+        self.incarnations += 1
+        peer = VirtualPeer(self, index, self.incarnations, own, told)
         self.peers[index] = self.at[peer.address] = peer
         peer.start()
         return peer
--- a/yarrowspindle/lab/model/planted.py
+++ b/yarrowspindle/lab/model/planted.py
@@ -206,7 +206,7 @@
 
     def _confirms(self, state: TurnState) -> TurnState | None:
         mine = {m: out.turn for m, out in state.out.items() if out.stage == EMPTYING and m not in self.fleet.holds}
-        return state.confirmed(self.name, self.life, mine) if mine else None
+        return state.confirmed(self.name, self.incarnation, mine) if mine else None
 
 
 class TakesUpWhatComes(Turns):
--- a/yarrowspindle/lab/model/planted_control.py
+++ b/yarrowspindle/lab/model/planted_control.py
@@ -75,7 +75,7 @@
     def _again(self, state: ControlState, order: Order) -> ControlState | None:
         if not state.is_settled(order):
             return None
-        before = (order.life, order.number - 1)
+        before = (order.incarnation, order.number - 1)
         found = replace(state, takers=dict(state.takers) | {order.taker: before}).settled(order, self.check)
         return found and replace(found, takers=dict(state.takers))
 
@@ -87,7 +87,7 @@
         found = state
         for _, (order, _) in sorted(self.round.queue.items(), reverse=True):
             if not found.is_settled(order):
-                takers = dict(found.takers) | {order.taker: (order.life, order.number - 1)}
+                takers = dict(found.takers) | {order.taker: (order.incarnation, order.number - 1)}
                 found = replace(found, takers=takers).settled(order, self.check) or found
         return found if found.version > state.version else None
 
@@ -144,9 +144,9 @@
     """Orders get new numbers before it is looked up whether they stand under the old ones."""
 
     def _settle(self) -> None:
-        life, _ = self.taken.takers.get(self.me.name, (0, 0))
-        if life > self.life:
-            self._renumber(life + 1)
+        incarnation, _ = self.taken.takers.get(self.me.name, (0, 0))
+        if incarnation > self.incarnation:
+            self._renumber(incarnation + 1)
         super()._settle()
 
 
--- a/yarrowspindle/lab/model/turning.py
+++ b/yarrowspindle/lab/model/turning.py
@@ -25,7 +25,7 @@
 LIFE_MS, MOVED_MS = 3000.0, 400.0  # of a connection, and of one that is asked to move
 STEP_MS = 100.0
 COLD_MS = 1500.0
-PLACED_PART = 0.3  # of a relay's events that a connection comes right after
+PLACED_FRACTION = 0.3  # of a relay's events that a connection comes right after
 FIRST = "first"
 
 
@@ -168,7 +168,7 @@
             self.world.clock.after(left + self.world.random.random(), self.post, event)
             return
         self.carry_out(self.core.step(self.now(), event))
-        if self.world.random.random() < PLACED_PART * self.world.plan.busy:
+        if self.world.random.random() < PLACED_FRACTION * self.world.plan.busy:
             self.place()
 
     def carry_out(self, effects: Sequence[Any]) -> None:
@@ -354,9 +354,9 @@
 
     def _ended(self, name: str) -> None:
         """Until it stands in the state: an operator looks."""
-        life = self.checker.newest.relays.get(name)
-        if life is not None:
-            self.order(Order("ended", name, life))
+        incarnation = self.checker.newest.relays.get(name)
+        if incarnation is not None:
+            self.order(Order("ended", name, incarnation))
         self.clock.after(2000.0, self._ended, name)  # its word may have been on the way when it ended
 
     def _cancel(self) -> None:
--- a/yarrowspindle/lab/processes/proxy.py
+++ b/yarrowspindle/lab/processes/proxy.py
@@ -12,8 +12,8 @@
 from yarrowspindle.membership.codec import Ack, Datagram, Ping, Sealed
 from yarrowspindle.routing.address import Address
 
-CONNECTIONS_MOST = 4096
-HELD_MOST = 1 << 20  # bytes that wait in a connection that is cut
+MAX_CONNECTIONS = 4096
+MAX_HELD = 1 << 20  # bytes that wait in a connection that is cut
 
 
 class DatagramProxy(asyncio.DatagramProtocol):
@@ -110,7 +110,7 @@
         return self.ways.cut(self.source, self.target) or self.ways.cut(self.target, self.source)
 
     async def _take(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        if len(self.pipes) >= CONNECTIONS_MOST:
+        if len(self.pipes) >= MAX_CONNECTIONS:
             writer.close()
             return
         pipe = Pipe(self, writer)
@@ -156,7 +156,7 @@
             while b"\n" in pipe.first:
                 line, _, pipe.first = pipe.first.partition(b"\n")
                 self.hears(pipe, line)
-            pipe.first = pipe.first[-HELD_MOST:]
+            pipe.first = pipe.first[-MAX_HELD:]
             pipe.far.write(data)
         if pipe.far is not None and not silent:
             try:
--- a/yarrowspindle/lab/processes/world.py
+++ b/yarrowspindle/lab/processes/world.py
@@ -27,7 +27,7 @@
 
 START_S = 15.0  # a relay that does not serve by then has failed to start
 STOP_S = 6.0
-LOG_MOST = 20_000
+MAX_LOG = 20_000
 ROOT = Path(__file__).resolve().parents[3]
 SETTINGS: dict[str, Any] = {
     "azs": ["a", "b"],
@@ -134,7 +134,7 @@
         self.reading: asyncio.Task[None] | None = None
         self.log: list[str] = []
         self.serves = asyncio.Event()
-        self.lives = 0
+        self.incarnations = 0
         self.stopped = False
 
     @property
@@ -162,7 +162,7 @@
             "name": self.name,
             "listen": text_of(self.client),
             "discovery": text_of(self.discovery),
-            "seed": f"{run.seed * 1000 + self.index * 10 + self.lives:x}",
+            "seed": f"{run.seed * 1000 + self.index * 10 + self.incarnations:x}",
             "settings": settings,
             "known": world.list.whole(self.name) | {"revision": 1},
             "limits": {"sockets": 0},
@@ -191,7 +191,7 @@
         run, voters = self.world.run, self.world.voters
         if not voters:
             return ""
-        if self.name in voters and self.lives == 1:
+        if self.name in voters and self.incarnations == 1:
             self.file.begin(voters)
         return (
             f'[turns]\ndirectory = "{self.file.folder}"\nvoters = {json.dumps(voters)}\n'
@@ -199,7 +199,7 @@
         )
 
     async def start(self) -> None:
-        self.lives += 1
+        self.incarnations += 1
         self.serves.clear()
         told = self.write()
         env = {k: v for k, v in os.environ.items() if not k.startswith("ROUTER_")} | told
@@ -226,7 +226,7 @@
     async def _read(self, process: asyncio.subprocess.Process) -> None:
         assert process.stderr is not None
         while line := (await process.stderr.readline()).decode("utf-8", "replace").rstrip():
-            if len(self.log) < LOG_MOST:
+            if len(self.log) < MAX_LOG:
                 self.log.append(f"{self.world.now():7.3f} {line}")
             if " turns: turn " in line:
                 self.world.turn_said(self.name, line.partition(" turns: ")[2])
--- a/yarrowspindle/maintenance/codec.py
+++ b/yarrowspindle/maintenance/codec.py
@@ -13,7 +13,7 @@
 
 from yarrowspindle.consensus.register import Accept, Accepted, Kept, Prepare, Promise, Refused
 from yarrowspindle.maintenance.coordinator import Behind, Enter, Learn, Newest, Says
-from yarrowspindle.maintenance.state import MACHINES_MOST, NAME_MOST, RELAYS_MOST, REQUESTS_MOST, TurnState
+from yarrowspindle.maintenance.state import MAX_MACHINES, MAX_NAME, MAX_RELAYS, MAX_REQUESTS, TurnState
 
 VERSION = 1
 MOST = 1 << 20  # bytes of a message once it is unpressed
@@ -97,12 +97,12 @@
         return
     names = [*state.voters, *state.relays, *state.out]
     if (
-        len(state.requests) > 2 * REQUESTS_MOST + 1
-        or len(state.out) > REQUESTS_MOST * MACHINES_MOST
-        or len(state.relays) > RELAYS_MOST
+        len(state.requests) > 2 * MAX_REQUESTS + 1
+        or len(state.out) > MAX_REQUESTS * MAX_MACHINES
+        or len(state.relays) > MAX_RELAYS
         or len(state.voters) > 64
         or not state.voters
-        or any(len(name) > NAME_MOST for name in names)
+        or any(len(name) > MAX_NAME for name in names)
         or min(state.version, state.epoch, state.turn) < 0
     ):
         raise BadMessage("a state out of bounds")
--- a/yarrowspindle/maintenance/coordinator.py
+++ b/yarrowspindle/maintenance/coordinator.py
@@ -11,6 +11,8 @@
 from random import Random
 from typing import Any
 
+from msgspec import Struct
+
 from yarrowspindle.consensus import register
 from yarrowspindle.consensus.register import Accept, Accepted, Committed, Failed, Prepare, Promise, Proposer, Refused
 from yarrowspindle.maintenance.state import EMPTYING, Seen, TurnState, Wish
@@ -20,13 +22,13 @@
 SAY_MS = 600.0  # what was said and is not written after so long is written by the relay itself
 ENTER_MS = 1500.0  # the same for a process that is to be registered
 NEWEST_MS = 2000.0  # the others are told what is newest this often; twice a second while something is out
-ASKED_MOST = 3  # relays that are asked at once by one that cannot find the voters
+MAX_ASKED = 3  # relays that are asked at once by one that cannot find the voters
 TELL_MS = 500.0  # who has not confirmed is told the state again this often
-BACK_MOST_MS = 1200.0
+MAX_BACK_MS = 1200.0
 FRESH_MS = 1000.0  # nothing is granted by a look at the machines that is older
 CALM_MS = 10_000.0  # without trouble, until turns are granted again
 BEAT = "beat"
-WANTS_MOST, ENTERING_MOST = 64, 1024
+MAX_WANTS, MAX_ENTERING = 64, 1024
 
 
 # --- events -------------------------------------------------------------------------------------
@@ -118,12 +120,11 @@
     state: TurnState
 
 
-@dataclass(slots=True, frozen=True)
-class Says:
+class Says(Struct, frozen=True, rename={"incarnation": "life"}):
     """The sender holds nothing at these machines, by their turns, and knows of the turns. That stays true for as long
     as they last, so it may come late or twice; who brings things on writes it down for many at once."""
 
-    life: int
+    incarnation: int
     turns: Mapping[str, int]
 
 
@@ -197,7 +198,7 @@
             if event.trouble:
                 self.calm_since = self.now
         elif isinstance(event, Order):
-            if len(self.orders) < WANTS_MOST and event not in self.orders:
+            if len(self.orders) < MAX_WANTS and event not in self.orders:
                 self.orders.append(event)
         else:
             self._beat()
@@ -214,10 +215,10 @@
 
     @property
     def registered(self) -> bool:
-        return self.life > 0
+        return self.incarnation > 0
 
     @property
-    def life(self) -> int:
+    def incarnation(self) -> int:
         """As it is registered; 0: it is not."""
         return self.taken.relays.get(self.name, 0) if self.taken.keys.get(self.name) == self.key else 0
 
@@ -247,7 +248,7 @@
             if event.source in self.taken.relays:
                 self.said[event.source] = message
         elif isinstance(message, Enter):
-            if event.source in self.entering or len(self.entering) < ENTERING_MOST:
+            if event.source in self.entering or len(self.entering) < MAX_ENTERING:
                 self.entering[event.source] = (message.key, self.now)
         elif isinstance(message, Newest):
             if message.version <= self.state.version:
@@ -272,26 +273,26 @@
                 self._wait()
                 if not self.registered:
                     others = [name for name in self.fleet.there if name != self.name]
-                    for name in self.random.sample(others, min(ASKED_MOST, len(others))):
+                    for name in self.random.sample(others, min(MAX_ASKED, len(others))):
                         self.effects.append(Send(name, Behind(self.state.version)))
 
     def _wait(self) -> None:
         """So that two proposers do not keep one another from their majority."""
         self.failures = min(self.failures + 1, 6)
-        self.wait_until = self.now + self.random.uniform(0.0, min(BACK_MOST_MS, BEAT_MS * 2.0**self.failures))
+        self.wait_until = self.now + self.random.uniform(0.0, min(MAX_BACK_MS, BEAT_MS * 2.0**self.failures))
 
     def _take(self) -> None:
         if self.state.version > self.taken.version:
             self._say(self.taken, self.state)
-            was = self.life
+            was = self.incarnation
             self.taken, self.looked = self.state, False
             self.effects.append(Took(self.state))
-            if self.life != was:
+            if self.incarnation != was:
                 took = (self.now - self.started) / 1000.0
                 self.effects.append(
                     Note(
-                        f"registered as life {self.life}, {took:.1f} s after the start"
-                        if self.life
+                        f"registered as life {self.incarnation}, {took:.1f} s after the start"
+                        if self.incarnation
                         else "somebody said that this relay has ended: nothing is placed until it is registered anew"
                     )
                 )
@@ -326,7 +327,7 @@
         else:
             self.say_since = self.say_since or self.now
             if not self._duty():
-                self.effects.append(Send(min(self.fleet.there), Says(self.life, mine)))
+                self.effects.append(Send(min(self.fleet.there), Says(self.incarnation, mine)))
         if not self.registered and not self._duty():
             self.effects.append(Send(min(self.fleet.there), Enter(self.key)))
         if self.proposer.round is not None and self.now >= self.began + ROUND_MS:
@@ -379,7 +380,7 @@
                 for name, (key, _) in self.entering.items()
             ]
             steps += [
-                lambda s, n=name, w=word: s.confirmed(n, w.life, w.turns)  # type: ignore[misc]
+                lambda s, n=name, w=word: s.confirmed(n, w.incarnation, w.turns)  # type: ignore[misc]
                 for name, word in self.said.items()
             ]
             steps += [self._troubled, self._advances]
@@ -420,13 +421,15 @@
         return {
             m: out.turn
             for m, out in self.taken.out.items()
-            if out.stage == EMPTYING and m not in self.fleet.holds and (self.name, self.life) not in out.confirmed
+            if out.stage == EMPTYING
+            and m not in self.fleet.holds
+            and (self.name, self.incarnation) not in out.confirmed
         }
 
     def _confirms(self, state: TurnState) -> TurnState | None:
         mine = self._mine()
         itself = self._duty() or self.now >= self.say_since + SAY_MS
-        return state.confirmed(self.name, self.life, mine) if mine and itself else None
+        return state.confirmed(self.name, self.incarnation, mine) if mine and itself else None
 
     def _votes_again(self, state: TurnState) -> TurnState | None:
         """With another file than the voters know of: the one before was lost, and what it promised with it. The
--- a/yarrowspindle/maintenance/fleet_health.py
+++ b/yarrowspindle/maintenance/fleet_health.py
@@ -9,8 +9,8 @@
 from yarrowspindle.maintenance.state import EMPTYING, WARMING, Seen, TurnState
 
 TROUBLE_MS = 10_000.0  # a machine that died is trouble for so long, then it is how things are
-WINDOW_MS, ASKED_LEAST = 5000.0, 20
-NAMED_MOST = 3
+WINDOW_MS, MIN_ASKED = 5000.0, 20
+MAX_NAMED = 3
 
 
 @dataclass(slots=True, frozen=True)
@@ -90,11 +90,11 @@
             return f"{named(self.died)} died"
         if failing:
             return f"{named(failing)} {'fails' if len(failing) == 1 else 'fail'}"
-        if came >= ASKED_LEAST and turned > self.pressure * came:
+        if came >= MIN_ASKED and turned > self.pressure * came:
             return f"the fleet is under pressure: {turned / came:.0%} of the jobs were refused"
         return ""
 
 
 def named(names: Collection[str]) -> str:
-    some = ", ".join(sorted(names)[:NAMED_MOST])
-    return f"{some} and {len(names) - NAMED_MOST} more" if len(names) > NAMED_MOST else some
+    some = ", ".join(sorted(names)[:MAX_NAMED])
+    return f"{some} and {len(names) - MAX_NAMED} more" if len(names) > MAX_NAMED else some
--- a/yarrowspindle/maintenance/settings.py
+++ b/yarrowspindle/maintenance/settings.py
@@ -8,13 +8,13 @@
 from ipaddress import IPv4Address
 from typing import Any
 
-from yarrowspindle.maintenance.state import FEWEST, GIVEN, NAME_MOST, REQUESTS_MOST, TurnError, Wish
+from yarrowspindle.maintenance.state import FEWEST, GIVEN, MAX_NAME, MAX_REQUESTS, TurnError, Wish
 from yarrowspindle.membership.settings import PeerError, read_address
 from yarrowspindle.routing.address import Address
 
 ZONES = "zones"
 ORDERS = (GIVEN, FEWEST, ZONES)
-VOTERS_MOST = 15
+MAX_VOTERS = 15
 
 
 @dataclass(slots=True, frozen=True)
@@ -41,8 +41,8 @@
             raise TurnError("a request names machines, or a zone, or a kind")
         if self.order not in ORDERS:
             raise TurnError(f"order is {self.order!r}: one of {', '.join(ORDERS)} is wanted")
-        if len(self.name) > NAME_MOST:
-            raise TurnError(f"a name has at most {NAME_MOST} characters")
+        if len(self.name) > MAX_NAME:
+            raise TurnError(f"a name has at most {MAX_NAME} characters")
         self.wish(self.machines or ("any",), {})  # the figures
 
     def wish(self, machines: tuple[str, ...], zones: Mapping[str, int]) -> Wish:
@@ -100,10 +100,10 @@
                 raise TurnError(f"turns.{key} is {value!r}: a number from {least:g} to {most:g} is wanted")
         if not isinstance(self.directory, str) or not self.directory:
             raise TurnError("turns.directory is missing: a folder of this relay's own")
-        if not 1 <= len(self.voters) <= VOTERS_MOST or len(set(self.voters)) != len(self.voters):
-            raise TurnError(f"turns.voters names 1 to {VOTERS_MOST} relays, each once")
-        if len(self.requests) > REQUESTS_MOST:
-            raise TurnError(f"turns.request: {REQUESTS_MOST} at most")
+        if not 1 <= len(self.voters) <= MAX_VOTERS or len(set(self.voters)) != len(self.voters):
+            raise TurnError(f"turns.voters names 1 to {MAX_VOTERS} relays, each once")
+        if len(self.requests) > MAX_REQUESTS:
+            raise TurnError(f"turns.request: {MAX_REQUESTS} at most")
 
 
 def _known(values: Iterable[str], of: type, where: str) -> None:
@@ -121,7 +121,7 @@
     if not isinstance(requests, list) or not all(isinstance(r, dict) for r in requests):
         raise TurnError("[[turns.request]] is a list of tables")
     voters = values.get("voters", [])
-    if not isinstance(voters, list) or not all(isinstance(v, str) and 0 < len(v) <= NAME_MOST for v in voters):
+    if not isinstance(voters, list) or not all(isinstance(v, str) and 0 < len(v) <= MAX_NAME for v in voters):
         raise TurnError(f"turns.voters is {voters!r}: a list of relays' names is wanted")
     values["voters"], values["requests"] = tuple(voters), tuple(read_asking(r) for r in requests)
     if "command" in values:
--- a/yarrowspindle/maintenance/state.py
+++ b/yarrowspindle/maintenance/state.py
@@ -16,7 +16,7 @@
 EMPTYING, FREE, WARMING = "emptying", "free", "warming"
 QUEUED, REFUSED, DONE, CANCELLED = "queued", "refused", "done", "cancelled"
 GIVEN, FEWEST = "given", "fewest"
-REQUESTS_MOST, MACHINES_MOST, ENDED_MOST, NAME_MOST, RELAYS_MOST = 16, 512, 16, 64, 1024
+MAX_REQUESTS, MAX_MACHINES, MAX_ENDED, MAX_NAME, MAX_RELAYS = 16, 512, 16, 64, 1024
 
 
 class TurnError(ValueError):
@@ -50,10 +50,10 @@
     name: str = ""
 
     def __post_init__(self) -> None:
-        if not self.machines or len(set(self.machines)) != len(self.machines) or len(self.machines) > MACHINES_MOST:
-            raise TurnError(f"a request names 1 to {MACHINES_MOST} machines, each once")
-        if any(not 0 < len(name) <= NAME_MOST for name in self.machines):
-            raise TurnError(f"a machine's name has 1 to {NAME_MOST} characters")
+        if not self.machines or len(set(self.machines)) != len(self.machines) or len(self.machines) > MAX_MACHINES:
+            raise TurnError(f"a request names 1 to {MAX_MACHINES} machines, each once")
+        if any(not 0 < len(name) <= MAX_NAME for name in self.machines):
+            raise TurnError(f"a machine's name has 1 to {MAX_NAME} characters")
         if min(self.most, self.most_zone) < 1 or not 0.0 <= self.floor < inf or not 0.0 < self.deadline_s <= 86_400.0:
             raise TurnError("most and most_zone are at least 1, floor is not below 0, deadline_s is 86,400 at most")
         if self.order not in (GIVEN, FEWEST):
@@ -125,35 +125,35 @@
     def waits_for(self, machine: str) -> list[str]:
         """Relays whose word is missing for this machine to be free."""
         out = self.out[machine]
-        return sorted(name for name, life in self.relays.items() if (name, life) not in out.confirmed)
+        return sorted(name for name, incarnation in self.relays.items() if (name, incarnation) not in out.confirmed)
 
     # --- relays ---------------------------------------------------------------------------------
 
     def registered(self, name: str, key: str) -> TurnState | None:
         """A process is there, and reads this state once it sees itself in it. An earlier life of its name has ended.
         Its life is the version that it is registered with, so that no two lives are the same."""
-        if self.keys.get(name) == key or (len(self.relays) >= RELAYS_MOST and name not in self.relays):
+        if self.keys.get(name) == key or (len(self.relays) >= MAX_RELAYS and name not in self.relays):
             return None
         return self.changed(relays={**self.relays, name: self.version + 1}, keys={**self.keys, name: key})._freed()
 
-    def left(self, name: str, life: int) -> TurnState | None:
+    def left(self, name: str, incarnation: int) -> TurnState | None:
         """It ended in good order, or an operator says that it has ended."""
-        if self.relays.get(name) != life:
+        if self.relays.get(name) != incarnation:
             return None
         return self.changed(
             relays={n: at for n, at in self.relays.items() if n != name},
             keys={n: key for n, key in self.keys.items() if n != name},
         )._freed()
 
-    def confirmed(self, name: str, life: int, turns: Mapping[str, int]) -> TurnState | None:
+    def confirmed(self, name: str, incarnation: int, turns: Mapping[str, int]) -> TurnState | None:
         """This relay holds nothing at these machines, whose turns have these numbers."""
-        if self.relays.get(name) != life:
+        if self.relays.get(name) != incarnation:
             return None  # it must register first: it may not know what has happened since
         out = dict(self.out)
         for machine, turn in turns.items():
             one = out.get(machine)
             if one is not None and one.turn == turn and one.stage == EMPTYING:
-                out[machine] = replace(one, confirmed=one.confirmed | {(name, life)})
+                out[machine] = replace(one, confirmed=one.confirmed | {(name, incarnation)})
         return None if out == dict(self.out) else self.changed(out=out)._freed()
 
     def _freed(self) -> TurnState:
@@ -179,12 +179,12 @@
         requests = {i: r for i, r in self.requests.items() if i != wish.id}
         if clash is not None:
             requests[wish.id] = Request(wish, (), REFUSED, f"{clash} is in request {taken[clash]} already", at)
-        elif sum(r.state == QUEUED for r in requests.values()) >= REQUESTS_MOST:
-            requests[wish.id] = Request(wish, (), REFUSED, f"{REQUESTS_MOST} requests are open already", at)
+        elif sum(r.state == QUEUED for r in requests.values()) >= MAX_REQUESTS:
+            requests[wish.id] = Request(wish, (), REFUSED, f"{MAX_REQUESTS} requests are open already", at)
         else:
             requests[wish.id] = Request(wish, wish.machines, at=at)
         ended = [i for i, r in requests.items() if r.state != QUEUED]
-        for old in ended[: max(0, len(ended) - ENDED_MOST)]:
+        for old in ended[: max(0, len(ended) - MAX_ENDED)]:
             del requests[old]
         return self.changed(requests=requests)
 
--- a/yarrowspindle/maintenance/status_report.py
+++ b/yarrowspindle/maintenance/status_report.py
@@ -53,7 +53,7 @@
     return {
         "relay": core.name,
         "registered": core.registered,
-        "life": core.life,
+        "life": core.incarnation,
         "version": state.version,
         "epoch": state.epoch,
         "turn": state.turn,
--- a/yarrowspindle/membership/codec.py
+++ b/yarrowspindle/membership/codec.py
@@ -12,12 +12,12 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from yarrowspindle.membership.settings import NAME_MOST
+from yarrowspindle.membership.settings import MAX_NAME
 from yarrowspindle.routing.address import Address
 
 VERSION = 1
 MOST = 1200  # bytes of a datagram
-Name = Annotated[str, Meta(min_length=1, max_length=NAME_MOST)]
+Name = Annotated[str, Meta(min_length=1, max_length=MAX_NAME)]
 Host = Annotated[str, Meta(max_length=15, pattern=r"^[0-9]{1,3}(\.[0-9]{1,3}){3}$")]
 Port = Annotated[int, Meta(ge=1, le=65_535)]
 Number = Annotated[int, Meta(ge=0, lt=1 << 53)]
@@ -37,10 +37,10 @@
     name: Name
     host: Host
     port: Port
-    life: Number
+    incarnation: Number
     turn: Number
     state: Annotated[int, Meta(ge=ALIVE, le=LEFT)]
-    by: Annotated[str, Meta(max_length=NAME_MOST)] = ""  # of a suspicion: who has it
+    by: Annotated[str, Meta(max_length=MAX_NAME)] = ""  # of a suspicion: who has it
 
 
 class Ping(Struct, array_like=True, tag=1, frozen=True):
@@ -115,11 +115,11 @@
 
 class Datagram(Struct, array_like=True, frozen=True):
     version: int
-    cluster: Annotated[str, Meta(max_length=NAME_MOST)]
+    cluster: Annotated[str, Meta(max_length=MAX_NAME)]
     name: Name
     host: Host
     port: Port
-    life: Number
+    incarnation: Number
     turn: Number
     at: Number  # the sender's own monotonic milliseconds
     body: Body
--- a/yarrowspindle/membership/core.py
+++ b/yarrowspindle/membership/core.py
@@ -34,7 +34,7 @@
     Tell,
     Wanted,
 )
-from yarrowspindle.membership.failure_detector import HELPERS, NACK_PART, Detector, Probe
+from yarrowspindle.membership.failure_detector import HELPERS, NACK_FRACTION, Detector, Probe
 from yarrowspindle.membership.load_signals import TOLD_TIMES, Signals
 from yarrowspindle.membership.members import Change, Member, Members, rumour_bytes
 from yarrowspindle.membership.messages import (
@@ -56,16 +56,16 @@
 from yarrowspindle.routing.address import Address
 
 BEAT, DIRECT, NACK, SIGNAL, TELL, JOIN = "beat", "direct", "nack", "signal", "tell", "join"
-JOIN_MS, JOIN_MOST_MS = 500.0, 5000.0  # between calls at seeds while nobody is known, growing
+JOIN_MS, MAX_JOIN_MS = 500.0, 5000.0  # between calls at seeds while nobody is known, growing
 AGAIN_MS = 2000.0  # a relay held dead, or a seed that nobody knows of, is called this often, so that a cut heals
 WHOLES_PER_S, WHOLE_EACH_MS = 8.0, 1000.0  # whole tables and wholes of signals sent, in all and to each
 SELDOM_S = 0.5  # beats that are longer tell each change once
-TELL_EACH_MS, TELL_MOST_MS = 5.0, 1000.0  # the module is told the less often, the more relays there are
+TELL_EACH_MS, MAX_TELL_MS = 5.0, 1000.0  # the module is told the less often, the more relays there are
 # Datagrams of signals a second: 125 up to 40 relays (at 50 word was 0.4 s old there, and they herded), 50 from 100 on.
-SIGNALS_PER_S, SIGNALS_MOST, SIGNALS_ALL = 50.0, 125.0, 5000.0
+SIGNALS_PER_S, MAX_SIGNALS, SIGNALS_ALL = 50.0, 125.0, 5000.0
 CLOCKS = 10  # pings a beat for clocks that are not known
-PINGS_MOST = 1024
-SOURCE_PER_S, SOURCES_MOST = 1000, 1024  # datagrams taken of one address in a second, and addresses
+MAX_PINGS = 1024
+SOURCE_PER_S, MAX_SOURCES = 1000, 1024  # datagrams taken of one address in a second, and addresses
 TRIES_WHILE_STOPPING = 3
 
 
@@ -73,11 +73,11 @@
     """life: a number that grows from one process of a name to the next; the start in Unix milliseconds will do, and
     where that clock went back the others' word corrects it."""
 
-    def __init__(self, settings: PeerSettings, name: str, life: int, seed: int, now: float) -> None:
+    def __init__(self, settings: PeerSettings, name: str, incarnation: int, seed: int, now: float) -> None:
         self.settings, self.now, self.started = settings, now, now
         self.random = Random(seed)
         self.codec = Codec(settings.cluster)
-        self.members = Members(name, settings.reached_at, life, now)
+        self.members = Members(name, settings.reached_at, incarnation, now)
         self.detector = Detector(1000.0 * settings.probe_s, 1000.0 * settings.suspicion_s, self.random.shuffle)
         self.signals = Signals()
         self.counts: Counter[str] = Counter()
@@ -141,7 +141,7 @@
         me = self.members.me
         self.at = max(int(self.now - self.started), self.at + 1)
         datagram = Datagram(
-            VERSION, self.settings.cluster, me.name, *me.address, me.life, me.turn, self.at, body, rumours or []
+            VERSION, self.settings.cluster, me.name, *me.address, me.incarnation, me.turn, self.at, body, rumours or []
         )
         data = self.codec.encode(datagram)
         if rumours is None and not self.members.displaced:
@@ -153,7 +153,7 @@
                     datagram.name,
                     datagram.host,
                     datagram.port,
-                    datagram.life,
+                    datagram.incarnation,
                     datagram.turn,
                     datagram.at,
                     body,
@@ -177,7 +177,7 @@
     def _ask(self, member: Member) -> int:
         number = self._number()
         self.pings[number] = (member.name, self.now)
-        while len(self.pings) > PINGS_MOST:
+        while len(self.pings) > MAX_PINGS:
             del self.pings[next(iter(self.pings))]
         self._send(member.address, Ping(number, member.name, self.members.view), first=member.name)
         return number
@@ -194,7 +194,7 @@
         if self.now >= self.sources_at + 1000.0:
             self.sources_at = self.now
             self.sources.clear()
-        if self.sources[event.source] >= SOURCE_PER_S or len(self.sources) > SOURCES_MOST:
+        if self.sources[event.source] >= SOURCE_PER_S or len(self.sources) > MAX_SOURCES:
             return self._drop("flood", event)
         self.sources[event.source] += 1
         try:
@@ -205,14 +205,14 @@
             self._namesake(datagram)
             return self._drop("own name", event)
         known = self.members.table.get(datagram.name)
-        if known is not None and datagram.life < known.life:
+        if known is not None and datagram.incarnation < known.incarnation:
             self._behind(known, datagram)
             return self._drop("earlier life", event)
-        self._rumour(Rumour(datagram.name, datagram.host, datagram.port, datagram.life, datagram.turn, ALIVE))
+        self._rumour(Rumour(datagram.name, datagram.host, datagram.port, datagram.incarnation, datagram.turn, ALIVE))
         for rumour in datagram.rumours:
             self._rumour(rumour)
         member = self.members.table.get(datagram.name)
-        if member is None or member.life != datagram.life:
+        if member is None or member.incarnation != datagram.incarnation:
             return self._drop("no room", event)
         if member.state != ALIVE:
             self._behind(member, datagram)
@@ -229,9 +229,9 @@
     def _namesake(self, datagram: Datagram) -> None:
         """Somebody else says that it has our name: the later life has it, and the other is told so."""
         me = self.members.me
-        if datagram.address == me.address and datagram.life == me.life:
+        if datagram.address == me.address and datagram.incarnation == me.incarnation:
             return  # our own word, sent back to us
-        self._rumour(Rumour(datagram.name, datagram.host, datagram.port, datagram.life, datagram.turn, ALIVE))
+        self._rumour(Rumour(datagram.name, datagram.host, datagram.port, datagram.incarnation, datagram.turn, ALIVE))
         if not self.members.displaced:
             self._send(datagram.address, Tell(), [me.rumour()])
 
@@ -248,8 +248,8 @@
                 member is not None
                 and member.state == SUSPECT
                 and word.by
-                and (member.life, member.turn) == (word.life, word.turn)
-                and self.detector.suspect(word.name, word.life, word.turn, word.by, self.now)
+                and (member.incarnation, member.turn) == (word.incarnation, word.turn)
+                and self.detector.suspect(word.name, word.incarnation, word.turn, word.by, self.now)
                 and change is None
             ):
                 self.members.spread(word)  # one more has it: that shortens it elsewhere too
@@ -274,9 +274,9 @@
         self.counts[STATES[member.state]] += 1
         if member.state != SUSPECT:
             self.detector.cleared(member.name)
-        if not member.here or change.new_life:
+        if not member.here or change.new_incarnation:
             self.signals.gone(member.name)
-        if change.new_life and here:
+        if change.new_incarnation and here:
             self.effects.append(Note(f"relay {member.name} has started anew"))
         elif member.here != here:
             how = {ALIVE: "is there", SUSPECT: "is there", DEAD: "does not answer any more", LEFT: "has left"}
@@ -296,7 +296,7 @@
             self.counts["acks_late"] += 1
             return
         if datagram.name == ack.of:
-            self.signals.of(member.name, member.life).clock(datagram.at, asked)
+            self.signals.of(member.name, member.incarnation).clock(datagram.at, asked)
             self._compare(member, ack.view)
         probe = self.detector.probe
         if probe is not None and probe.number == ack.number:
@@ -308,13 +308,13 @@
                 self._send(asker.address, Ack(wanted[1], ack.view, ack.of))
 
     def _ping_for(self, member: Member, datagram: Datagram, event: PingFor) -> None:
-        if event.to == self.members.me.name or len(self.asked_for) >= PINGS_MOST:
+        if event.to == self.members.me.name or len(self.asked_for) >= MAX_PINGS:
             return
         number = self._number()
         self.pings[number] = (event.to, self.now)
         self.asked_for[number] = (datagram.name, event.number)
         self._send((event.host, event.port), Ping(number, event.to, self.members.view), first=event.to)
-        self._wake(NACK_PART * self.detector.probe_ms, (NACK, number))
+        self._wake(NACK_FRACTION * self.detector.probe_ms, (NACK, number))
 
     def _nack(self, member: Member, datagram: Datagram, nack: Nack) -> None:
         probe = self.detector.probe
@@ -366,7 +366,7 @@
             return
         me = self.members.me.name
         change = self.members.judge(name, SUSPECT, self.now)
-        if self.detector.suspect(name, member.life, member.turn, me, self.now):
+        if self.detector.suspect(name, member.incarnation, member.turn, me, self.now):
             self.counts["suspicions"] += 1
             self.effects.append(Note(f"relay {name} does not answer a probe, nor {HELPERS} others for us"))
             if change is None:  # somebody else had it first
@@ -385,7 +385,7 @@
             if seed != self.members.me.address:
                 self._send(seed, Tell(True), [self.members.me.rumour()])
         self._wake(self.join_ms * self.random.uniform(0.75, 1.25), JOIN)
-        self.join_ms = min(2.0 * self.join_ms, JOIN_MOST_MS)
+        self.join_ms = min(2.0 * self.join_ms, MAX_JOIN_MS)
 
     def _again(self) -> None:
         """One of those held dead, or a seed that is no member: after a cut somebody must call first."""
@@ -409,7 +409,7 @@
         self.wholes_at = self.now
         if self.wholes < 1.0 or self.now < self.whole_to.get((what, name), -WHOLE_EACH_MS) + WHOLE_EACH_MS:
             return False
-        if len(self.whole_to) > PINGS_MOST:
+        if len(self.whole_to) > MAX_PINGS:
             self.whole_to.clear()
         self.wholes -= 1.0
         self.whole_to[(what, name)] = self.now
@@ -457,7 +457,7 @@
         """Tells all others at once, as often as the bytes allow."""
         there = self._there()
         count = max(len(there), 1)
-        least = max(self.settings.signal_s, count / max(SIGNALS_PER_S, min(SIGNALS_MOST, SIGNALS_ALL / count)))
+        least = max(self.settings.signal_s, count / max(SIGNALS_PER_S, min(MAX_SIGNALS, SIGNALS_ALL / count)))
         # Where words come seldom, one that is lost is not made up for by the next two: its whole is asked for.
         data = self._encode(self.signals.own.signal(event, self.now, TOLD_TIMES if least < SELDOM_S else 1))
         for member in there:
@@ -467,7 +467,7 @@
         self._wake(1000.0 * max(least, sent / self.settings.bytes_per_s), SIGNAL)
 
     def _signal(self, member: Member, datagram: Datagram, signal: Signal) -> None:
-        if member.here and self.signals.told(member.name, member.life, datagram.at, signal, self.now):
+        if member.here and self.signals.told(member.name, member.incarnation, datagram.at, signal, self.now):
             self._send(member.address, Wanted())
 
     def _wanted(self, member: Member, datagram: Datagram, wanted: Wanted) -> None:
@@ -483,7 +483,7 @@
         if now != self.last or others.reporting_relays or others.loads:
             self.last = now
             self.effects.append(Told(others))
-        self._wake(max(1000.0 * self.settings.signal_s, min(TELL_MOST_MS, TELL_EACH_MS * self.members.size)), TELL)
+        self._wake(max(1000.0 * self.settings.signal_s, min(MAX_TELL_MS, TELL_EACH_MS * self.members.size)), TELL)
 
     # --- time, the end ----------------------------------------------------------------------------
 
--- a/yarrowspindle/membership/failure_detector.py
+++ b/yarrowspindle/membership/failure_detector.py
@@ -10,12 +10,12 @@
 from dataclasses import dataclass, field
 from math import log, log10
 
-HEALTH_MOST = 4  # probes at the slowest five times as rare: trust is back within 8 s of answers
+MAX_HEALTH = 4  # probes at the slowest five times as rare: trust is back within 8 s of answers
 HELPERS = 3
-SUSPICION_MOST = 3.0  # times the shortest suspicion, where nobody else shares it
-DIRECT_PART = 0.4  # of a probe's time; the rest is for the helpers
-NACK_PART = 0.36  # after which a helper says that it has no answer either: well within that rest
-STOOD_PART = 0.5  # a beat that comes so late, in probe times: this relay stood still
+MAX_SUSPICION = 3.0  # times the shortest suspicion, where nobody else shares it
+DIRECT_FRACTION = 0.4  # of a probe's time; the rest is for the helpers
+NACK_FRACTION = 0.36  # after which a helper says that it has no answer either: well within that rest
+STOOD_FRACTION = 0.5  # a beat that comes so late, in probe times: this relay stood still
 
 
 @dataclass(slots=True)
@@ -32,7 +32,7 @@
 
 @dataclass(slots=True)
 class Suspicion:
-    life: int
+    incarnation: int
     turn: int
     since: float
     by: set[str] = field(default_factory=set)
@@ -52,7 +52,7 @@
     # --- oneself --------------------------------------------------------------------------------
 
     def worse(self, by: int = 1) -> None:
-        self.health = min(HEALTH_MOST, max(0, self.health + by))
+        self.health = min(MAX_HEALTH, max(0, self.health + by))
 
     @property
     def beat_ms(self) -> float:
@@ -60,12 +60,12 @@
 
     @property
     def direct_ms(self) -> float:
-        return self.beat_ms * DIRECT_PART
+        return self.beat_ms * DIRECT_FRACTION
 
     def stood(self, late_ms: float, now: float) -> bool:
         """A beat came late by so much. What was waited for meanwhile is nobody's fault, and for a while the others'
         answers may still lie in our own sockets."""
-        if late_ms < STOOD_PART * self.probe_ms:
+        if late_ms < STOOD_FRACTION * self.probe_ms:
             return False
         self.worse(2)
         self.probe = None
@@ -101,12 +101,12 @@
 
     # --- suspicions -----------------------------------------------------------------------------
 
-    def suspect(self, name: str, life: int, turn: int, by: str, now: float) -> bool:
+    def suspect(self, name: str, incarnation: int, turn: int, by: str, now: float) -> bool:
         """One more holds it; whether that is news."""
         known = self.suspicions.get(name)
-        if known is None or (known.life, known.turn) < (life, turn):
-            known = self.suspicions[name] = Suspicion(life, turn, now)
-        elif (known.life, known.turn) > (life, turn):
+        if known is None or (known.incarnation, known.turn) < (incarnation, turn):
+            known = self.suspicions[name] = Suspicion(incarnation, turn, now)
+        elif (known.incarnation, known.turn) > (incarnation, turn):
             return False
         if by in known.by or len(known.by) > HELPERS:
             return False
@@ -122,7 +122,7 @@
         wanted = min(HELPERS, max(0, size - 2))
         if not wanted:
             return least
-        most = SUSPICION_MOST * least
+        most = MAX_SUSPICION * least
         return max(least, most - (most - least) * log(len(suspicion.by)) / log(wanted + 1)) if suspicion.by else most
 
     def ended(self, size: int, now: float) -> list[str]:
--- a/yarrowspindle/membership/load_signals.py
+++ b/yarrowspindle/membership/load_signals.py
@@ -17,13 +17,13 @@
 from yarrowspindle.membership.codec import Signal
 from yarrowspindle.membership.messages import Own
 
-FIGURE_MOST = (1 << 32) - 1
+MAX_FIGURE = (1 << 32) - 1
 ENTRIES = 50  # of three figures in a datagram, the whole of it at most 1,200 bytes with the heads and rumours
 REPORTS, PASSED = 12, 12  # at most in a datagram, which holds fewer entries then, half of them at the least
 TOLD_TIMES = 3
-TOLD_MOST = 400  # changes that wait to be told, of half a datagram each: all that may be held, once over
+MAX_TOLD = 400  # changes that wait to be told, of half a datagram each: all that may be held, once over
 PART_EVERY = 4  # beats between parts of the whole
-KEYS_MOST = 8192  # nodes that one relay may say it holds something at
+MAX_KEYS = 8192  # nodes that one relay may say it holds something at
 LEAST_CHANGE = 0.05  # of a load alone, that is told
 OLD_MS = 4500.0  # word that is older counts for nothing
 WINDOW_MS = 60_000.0  # the bound on another's clock is taken anew within two of these
@@ -63,7 +63,7 @@
         reports = self._reports(own, now)
         room = self._room(passed, reports)
         # What never found room is given up, the oldest first: who misses a version asks for the whole.
-        while len(self.told) > TOLD_MOST:
+        while len(self.told) > MAX_TOLD:
             self.told.popleft()
         while self.told and self.told[0].times >= times:
             self.told.popleft()
@@ -88,14 +88,14 @@
         keys, words, first = sorted(self.holds), list[Signal](), 0
         for start in range(0, max(len(keys), 1), ENTRIES):
             some = keys[start : start + ENTRIES]
-            last = some[-1] if start + ENTRIES < len(keys) else FIGURE_MOST
+            last = some[-1] if start + ENTRIES < len(keys) else MAX_FIGURE
             words.append(Signal(0, self.version, [], first, last, self._entries(some)))
             first = last + 1
         return words
 
     def _changed(self, own: Own) -> list[int]:
         before, changed = self.holds, []
-        for key, (count, load) in islice(own.holds.items(), KEYS_MOST):
+        for key, (count, load) in islice(own.holds.items(), MAX_KEYS):
             now = (figure(count), figure(load))
             was = before.get(key)
             if was is None or was[0] != now[0] or abs(was[1] - now[1]) > LEAST_CHANGE * max(was[1], now[1]):
@@ -112,7 +112,7 @@
             if age < REPORT_AGE_MS and now - age > self.reports_told.get(key, -inf) + 1.0 and len(told) < 4 * REPORTS:
                 self.reports_told[key] = now - age
                 told += [key, figure(1000.0 * used), figure(holds), figure(age)]
-        if len(self.reports_told) > KEYS_MOST:
+        if len(self.reports_told) > MAX_KEYS:
             self.reports_told.clear()
         return told
 
@@ -122,11 +122,11 @@
 
     def _part(self, most: int) -> tuple[int, int, list[int]]:
         """The next part of the whole: where it starts and ends, and what is in it."""
-        if self.cursor > FIGURE_MOST:
+        if self.cursor > MAX_FIGURE:
             self.cursor = 0
         first = self.cursor
         keys = sorted(key for key in self.holds if key >= first)
-        last = keys[most - 1] if len(keys) > most else FIGURE_MOST
+        last = keys[most - 1] if len(keys) > most else MAX_FIGURE
         self.cursor = last + 1
         return first, last, self._entries(keys[:most])
 
@@ -137,10 +137,10 @@
 class Heard:
     """What one other relay said."""
 
-    __slots__ = ("life", "at", "version", "holds", "passed", "bounds", "counted", "wanted_at", "lost", "least")
+    __slots__ = ("incarnation", "at", "version", "holds", "passed", "bounds", "counted", "wanted_at", "lost", "least")
 
-    def __init__(self, life: int) -> None:
-        self.life, self.at, self.version = life, -1, -1
+    def __init__(self, incarnation: int) -> None:
+        self.incarnation, self.at, self.version = incarnation, -1, -1
         self.holds: dict[int, tuple[int, int]] = {}
         self.passed: dict[int, float] = {}  # node -> until when
         self.bounds: list[tuple[float, float]] = []  # windows: since when, the least (its clock minus ours)
@@ -175,11 +175,11 @@
 
     # --- what comes in --------------------------------------------------------------------------
 
-    def of(self, name: str, life: int) -> Heard:
+    def of(self, name: str, incarnation: int) -> Heard:
         heard = self.heard.get(name)
-        if heard is None or heard.life != life:
+        if heard is None or heard.incarnation != incarnation:
             self.gone(name)
-            heard = self.heard[name] = Heard(life)
+            heard = self.heard[name] = Heard(incarnation)
         return heard
 
     def gone(self, name: str) -> None:
@@ -188,13 +188,13 @@
         if heard is not None:
             self._count(heard, False)
 
-    def told(self, name: str, life: int, at: int, word: Signal, now: float) -> bool:
+    def told(self, name: str, incarnation: int, at: int, word: Signal, now: float) -> bool:
         """A word came; whether the whole should be asked for."""
-        heard = self.of(name, life)
+        heard = self.of(name, incarnation)
         if at <= heard.at:
             self.counts["signals_old"] += 1
             return False
-        if word.first == 0 and word.last == FIGURE_MOST:  # all of it
+        if word.first == 0 and word.last == MAX_FIGURE:  # all of it
             heard.lost = False
         elif word.base > heard.version:
             heard.lost = True
@@ -226,7 +226,7 @@
                 continue
             if not count and not load:
                 del holds[key]
-            elif was is NOTHING and len(holds) >= KEYS_MOST:
+            elif was is NOTHING and len(holds) >= MAX_KEYS:
                 continue
             else:
                 holds[key] = (count, load)
@@ -302,4 +302,4 @@
 
 
 def figure(value: float) -> int:
-    return min(max(int(value + 0.5), 0), FIGURE_MOST)
+    return min(max(int(value + 0.5), 0), MAX_FIGURE)
--- a/yarrowspindle/membership/members.py
+++ b/yarrowspindle/membership/members.py
@@ -17,7 +17,7 @@
 from yarrowspindle.membership.codec import ALIVE, DEAD, LEFT, STATES, SUSPECT, Rumour
 from yarrowspindle.routing.address import Address
 
-MEMBERS_MOST = 4096  # names remembered, those of the dead included
+MAX_MEMBERS = 4096  # names remembered, those of the dead included
 RETOLD = 3.0  # times log2 of the members that a rumour is told
 
 
@@ -25,7 +25,7 @@
 class Member:
     name: str
     address: Address
-    life: int
+    incarnation: int
     turn: int
     state: int
     since: float  # of the state
@@ -36,7 +36,7 @@
         return self.state <= SUSPECT
 
     def rumour(self, by: str = "") -> Rumour:
-        return Rumour(self.name, *self.address, self.life, self.turn, self.state, by)
+        return Rumour(self.name, *self.address, self.incarnation, self.turn, self.state, by)
 
 
 @dataclass(slots=True, frozen=True)
@@ -45,12 +45,12 @@
 
     member: Member
     was: int | None
-    new_life: bool = False
+    new_incarnation: bool = False
 
 
 class Members:
-    def __init__(self, name: str, address: Address, life: int, now: float) -> None:
-        self.me = Member(name, address, life, 0, ALIVE, now, now)
+    def __init__(self, name: str, address: Address, incarnation: int, now: float) -> None:
+        self.me = Member(name, address, incarnation, 0, ALIVE, now, now)
         self.table: dict[str, Member] = {name: self.me}
         self.rumours: dict[str, tuple[Rumour, int]] = {}  # newest last; how often each was told
         self.displaced = False  # another process took this name
@@ -79,7 +79,9 @@
     def view(self) -> int:
         """A digest of who is there in which life; equal at all who agree."""
         if self._view is None:
-            text = ";".join(f"{m.name},{m.life}" for m in sorted(self.table.values(), key=lambda m: m.name) if m.here)
+            text = ";".join(
+                f"{m.name},{m.incarnation}" for m in sorted(self.table.values(), key=lambda m: m.name) if m.here
+            )
             self._view = int.from_bytes(blake2b(text.encode(), digest_size=6).digest(), "big")
         return self._view
 
@@ -93,29 +95,33 @@
         if known is None:
             if word.state in (DEAD, LEFT) or not self._room():
                 return None  # of whom nothing is known nothing ends; the dead are not passed on for ever
-            member = Member(word.name, (word.host, word.port), word.life, word.turn, word.state, now)
+            member = Member(word.name, (word.host, word.port), word.incarnation, word.turn, word.state, now)
             self.table[word.name] = member
             return self._changed(member, None, word)
-        if (word.life, word.turn, word.state) <= (known.life, known.turn, known.state):
+        if (word.incarnation, word.turn, word.state) <= (known.incarnation, known.turn, known.state):
             return None
-        if word.life == known.life and known.state == LEFT:
+        if word.incarnation == known.incarnation and known.state == LEFT:
             return None  # it said itself that it ends: no word of that life counts any more
-        was, new_life = known.state, word.life > known.life
+        was, new_incarnation = known.state, word.incarnation > known.incarnation
         known.address = (word.host, word.port)
-        known.life, known.turn, known.state, known.since = word.life, word.turn, word.state, now
-        return self._changed(known, was, word, new_life)
+        known.incarnation, known.turn, known.state, known.since = word.incarnation, word.turn, word.state, now
+        return self._changed(known, was, word, new_incarnation)
 
     def _told_of_me(self, word: Rumour, now: float) -> Change | None:
         me = self.me
-        if word.life < me.life or self.displaced and (word.state <= SUSPECT or word.life == me.life):
+        if (
+            word.incarnation < me.incarnation
+            or self.displaced
+            and (word.state <= SUSPECT or word.incarnation == me.incarnation)
+        ):
             return None
         self.displaced = False  # at the most until the process that took this name has ended
-        if word.life > me.life and (word.host, word.port) != me.address and word.state <= SUSPECT:
+        if word.incarnation > me.incarnation and (word.host, word.port) != me.address and word.state <= SUSPECT:
             self.displaced = True  # a later process elsewhere has this name: it is not disputed for ever
             return None
-        if word.life > me.life:
+        if word.incarnation > me.incarnation:
             # Our own earlier life by a clock that was ahead (or its end): this one is later all the same.
-            me.life, me.turn = word.life + 1, 0
+            me.incarnation, me.turn = word.incarnation + 1, 0
             self._view = None
         elif word.state == ALIVE or word.turn < me.turn:
             return None
@@ -138,10 +144,10 @@
         member = self.table.get(name)
         if member is None or member is self.me:
             return None
-        return self.told(Rumour(name, *member.address, member.life, member.turn, state, self.me.name), now)
+        return self.told(Rumour(name, *member.address, member.incarnation, member.turn, state, self.me.name), now)
 
     def _room(self) -> bool:
-        if len(self.table) < MEMBERS_MOST:
+        if len(self.table) < MAX_MEMBERS:
             return True
         gone = min((m for m in self.table.values() if not m.here), key=lambda m: m.since, default=None)
         if gone is not None:
@@ -155,13 +161,13 @@
             del self.table[name]
             self.rumours.pop(name, None)
 
-    def _changed(self, member: Member, was: int | None, word: Rumour, new_life: bool = False) -> Change:
+    def _changed(self, member: Member, was: int | None, word: Rumour, new_incarnation: bool = False) -> Change:
         here = was is not None and was <= SUSPECT
-        if here != member.here or new_life:
+        if here != member.here or new_incarnation:
             self._size += member.here - here
             self._view = self._names = None
         self.spread(word)
-        return Change(member, was, new_life)
+        return Change(member, was, new_incarnation)
 
     # --- rumours --------------------------------------------------------------------------------
 
--- a/yarrowspindle/membership/settings.py
+++ b/yarrowspindle/membership/settings.py
@@ -10,8 +10,8 @@
 from yarrowspindle.protocol.endpoint_list import ListError, parse_address
 from yarrowspindle.routing.address import Address
 
-NAME_MOST = 64
-SEEDS_MOST = 64
+MAX_NAME = 64
+MAX_SEEDS = 64
 
 
 class PeerError(ValueError):
@@ -50,10 +50,10 @@
                 raise PeerError(f"peers.{key} is {value!r}: a number from {least:g} to {most:g} is wanted")
         for key in ("cluster", "name"):
             value = getattr(self, key)
-            if not isinstance(value, str) or len(value.encode()) > NAME_MOST or (key == "cluster" and not value):
-                raise PeerError(f"peers.{key} is {value!r}: a text of at most {NAME_MOST} bytes is wanted")
-        if len(self.seeds) > SEEDS_MOST:
-            raise PeerError(f"peers.seeds names {len(self.seeds)} addresses: {SEEDS_MOST} at most")
+            if not isinstance(value, str) or len(value.encode()) > MAX_NAME or (key == "cluster" and not value):
+                raise PeerError(f"peers.{key} is {value!r}: a text of at most {MAX_NAME} bytes is wanted")
+        if len(self.seeds) > MAX_SEEDS:
+            raise PeerError(f"peers.seeds names {len(self.seeds)} addresses: {MAX_SEEDS} at most")
         if self.forget_s < 4.0 * self.suspicion_s:
             raise PeerError("peers.forget_s must be at least four times peers.suspicion_s")
 
--- a/yarrowspindle/middleware/streams.py
+++ b/yarrowspindle/middleware/streams.py
@@ -15,7 +15,7 @@
 from yarrowspindle.routing.termination import TerminationReason
 
 CONNECT_S = 0.25
-LINE_MOST = 65_536
+MAX_LINE = 65_536
 AGAIN_MS = 400  # what an event stream tells its client to wait before it comes again after a move
 
 
@@ -52,7 +52,7 @@
 
 
 async def open_line_link(address: Address) -> Link:
-    return LineLink(*await asyncio.wait_for(asyncio.open_connection(*address, limit=LINE_MOST), CONNECT_S))
+    return LineLink(*await asyncio.wait_for(asyncio.open_connection(*address, limit=MAX_LINE), CONNECT_S))
 
 
 async def reach(placement: Placement, open_link: OpenLink = open_line_link) -> Link:
--- a/yarrowspindle/operator_api/http.py
+++ b/yarrowspindle/operator_api/http.py
@@ -16,9 +16,9 @@
 
 MOST = 32  # connections at once; the oldest is ended for a new one
 DEADLINE_S = 2.0  # for a whole call; answers are due within 1 s, callers that dawdle hold their place no longer
-HEAD_MOST = 8192  # bytes of the request line and headers
-URL_MOST = 1024
-BODY_MOST = 4096  # a PUT may carry a small body, which is not read
+MAX_HEAD = 8192  # bytes of the request line and headers
+MAX_URL = 1024
+MAX_BODY = 4096  # a PUT may carry a small body, which is not read
 REASONS = {
     200: "OK",
     204: "No Content",
@@ -81,7 +81,7 @@
             if not self.headed:
                 self.head += len(data)
             self.parser.feed_data(data)
-            if not self.headed and self.head > HEAD_MOST:
+            if not self.headed and self.head > MAX_HEAD:
                 raise Refused(431)
         except Refused as refused:
             self.answer(refused.status)
@@ -107,12 +107,12 @@
 
     def on_url(self, url: bytes) -> None:
         self.url += url
-        if len(self.url) > URL_MOST:
+        if len(self.url) > MAX_URL:
             raise Refused(414)
 
     def on_header(self, name: bytes, value: bytes) -> None:
         self.fields += len(name) + len(value) + 4
-        if self.fields > HEAD_MOST:
+        if self.fields > MAX_HEAD:
             raise Refused(431)
         if name.lower() == b"content-length" and value.strip().isdigit() and int(value) > self.api.body_most:
             raise Refused(413)
@@ -177,7 +177,7 @@
         routes: Routes,
         failed: Callable[[str], None],
         reading: BodyRoutes | None = None,
-        body_most: int = BODY_MOST,
+        body_most: int = MAX_BODY,
     ) -> None:
         self.routes, self.failed, self.reading, self.body_most = routes, failed, reading or {}, body_most
         self.calls: dict[Call, None] = {}  # oldest first
--- a/yarrowspindle/protocol/endpoint_list.py
+++ b/yarrowspindle/protocol/endpoint_list.py
@@ -14,8 +14,8 @@
 
 STATES = {"ready": EndpointState.READY, "draining": EndpointState.DRAINING, "gone": EndpointState.GONE}
 LONGEST = 4 << 20
-PORT_MOST, CELL_MOST, SIZE_MOST = 65_535, 1e9, 1e9
-TIME_MOST_MS = 1e14  # of a Unix time: the year 5138
+MAX_PORT, MAX_CELL, MAX_SIZE = 65_535, 1e9, 1e9
+MAX_TIME_MS = 1e14  # of a Unix time: the year 5138
 STRING = re.compile(rb'"(?:[^"\\]|\\.)*"')
 
 
@@ -37,7 +37,7 @@
 
 def parse_address(text: str) -> Address:
     host, _, port = text.rpartition(":")
-    if not host or not port.isascii() or not port.isdigit() or not 0 < int(port) <= PORT_MOST:
+    if not host or not port.isascii() or not port.isdigit() or not 0 < int(port) <= MAX_PORT:
         raise ListError(f"not an address: {text!r}")
     return host, int(port)
 
@@ -67,10 +67,10 @@
                 address=parse_address(m["host_port"]),
                 state=STATES[m["phase"]],
                 zone=place(names.zones, m.get("locality")),
-                cell=int(parse_figure(m.get("cell"), 0.0, CELL_MOST)),
+                cell=int(parse_figure(m.get("cell"), 0.0, MAX_CELL)),
                 kind=place(names.kinds, m.get("flavor")),
-                capacity=parse_figure(m.get("size"), 1.0, SIZE_MOST),
-                started_ms=parse_figure(m.get("up_since_ms"), 0.0, TIME_MOST_MS),
+                capacity=parse_figure(m.get("size"), 1.0, MAX_SIZE),
+                started_ms=parse_figure(m.get("up_since_ms"), 0.0, MAX_TIME_MS),
             )
             for m in data["members"]
         ]
--- a/yarrowspindle/protocol/fragments.py
+++ b/yarrowspindle/protocol/fragments.py
@@ -12,8 +12,8 @@
 from msgspec.msgpack import Decoder, Encoder
 
 PART = 900  # bytes, so that a datagram of peers holds one with its head
-PARTS_MOST = 400  # of one message
-SENT_MOST, HALF_MOST = 64, 32  # messages kept to send parts again, and such that are not whole yet
+MAX_PARTS = 400  # of one message
+MAX_SENT, MAX_HALF = 64, 32  # messages kept to send parts again, and such that are not whole yet
 AGAIN_MS, GIVE_UP_MS = 60.0, 1500.0
 
 
@@ -43,7 +43,7 @@
     """first: a number that an earlier process of this relay has not used of late; any will do. sent_most: messages
     that are kept to send parts again."""
 
-    def __init__(self, first: int, sent_most: int = SENT_MOST) -> None:
+    def __init__(self, first: int, sent_most: int = MAX_SENT) -> None:
         self.number, self.sent_most = first, sent_most
         self.sent: OrderedDict[tuple[str, int], list[bytes]] = OrderedDict()
         self.half: OrderedDict[tuple[str, int], Half] = OrderedDict()
@@ -69,8 +69,8 @@
             return None, []
         if isinstance(part, More):
             parts = self.sent.get((source, part.number), [])
-            return None, [parts[i] for i in part.missing[:PARTS_MOST] if 0 <= i < len(parts)]
-        if not 0 <= part.index < part.count <= PARTS_MOST:
+            return None, [parts[i] for i in part.missing[:MAX_PARTS] if 0 <= i < len(parts)]
+        if not 0 <= part.index < part.count <= MAX_PARTS:
             return None, []
         if part.count == 1:
             return part.data, []
@@ -84,10 +84,10 @@
         if len(half.parts) == half.count:
             del self.half[key]
             self.whole[key] = None
-            while len(self.whole) > HALF_MOST:
+            while len(self.whole) > MAX_HALF:
                 self.whole.popitem(last=False)
             return b"".join(half.parts[i] for i in range(half.count)), []
-        while len(self.half) > HALF_MOST:
+        while len(self.half) > MAX_HALF:
             self.half.popitem(last=False)
         return None, []
 
--- a/yarrowspindle/protocol/lines.py
+++ b/yarrowspindle/protocol/lines.py
@@ -10,7 +10,7 @@
 END = b"\r\n"
 PING, PONG, MOVE, FAILED, NO = b"PING\r\n", b"PONG\r\n", b"MOVE\r\n", b"ERR\r\n", b"NO\r\n"
 PROBES = {b"PING": PONG, b"STATS": NO}  # what a connection may ask before its OPEN line
-PROBES_MOST = 4
+MAX_PROBES = 4
 STATS = b"STATS\r\n"
 # Narrower than what int() and float() take: signs, underscores and exponents are no figures of this protocol.
 OPEN_LINE = re.compile(r"OPEN ([0-9a-f]{16}) ([0-9a-f]{16}) (\S+)")
@@ -106,7 +106,7 @@
                     raise LineError("more than one line at once")
                 return answers, parse_open(line)
             self.probes += 1
-            if self.probes > PROBES_MOST:
+            if self.probes > MAX_PROBES:
                 raise LineError("too many probes")
             answers += PROBES[line] if ready or line != b"PING" else NO
         if len(data) - at >= LONGEST:
--- a/yarrowspindle/rebalancing/effect_monitor.py
+++ b/yarrowspindle/rebalancing/effect_monitor.py
@@ -16,10 +16,10 @@
 LEAST_MOVES = 12  # fewer tell nothing
 EFFECT_MS = 60_000.0
 STORM_MS = 5000.0
-STORM_PART, STORM_LEAST = 0.1, 10  # of the standing ones broken off within that time
-REFUSED_PART, REFUSED_LEAST = 0.1, 5  # of the arrivals turned away within that time
-FAILURES_MOST = 4096  # nodes with failures that are kept count of
-IN_VAIN, IN_VAIN_MOST = ("lost", "no-effect"), 5  # causes that slow the pace down until there is proof; doublings
+STORM_FRACTION, MIN_STORM = 0.1, 10  # of the standing ones broken off within that time
+REFUSED_FRACTION, MIN_REFUSED = 0.1, 5  # of the arrivals turned away within that time
+MAX_FAILURES = 4096  # nodes with failures that are kept count of
+IN_VAIN, MAX_IN_VAIN = ("lost", "no-effect"), 5  # causes that slow the pace down until there is proof; doublings
 SPOILT, SPOILT_MS = 3, 30_000.0  # failures of returning submitters at one node, and how long it is left alone then
 
 
@@ -60,7 +60,7 @@
 
     def failed(self, backend: str) -> bool:
         """A returning submitter was turned away there; true where the node is to be left alone for a while."""
-        if len(self.failures) >= FAILURES_MOST:  # nodes that came and went: their failures say nothing any more
+        if len(self.failures) >= MAX_FAILURES:  # nodes that came and went: their failures say nothing any more
             self.failures.clear()
         self.failures[backend] = self.failures.get(backend, 0) + 1
         if self.failures[backend] < SPOILT:
@@ -76,9 +76,9 @@
         Leaves a pause only when its time is over and, for a storm or refusals, when they have ended as well.
         """
         arrived, refused = self.arrived.sum(now), self.refused.sum(now)
-        if self.broken.sum(now) >= max(STORM_LEAST, STORM_PART * standing):
+        if self.broken.sum(now) >= max(MIN_STORM, STORM_FRACTION * standing):
             return "storm"
-        if refused >= max(REFUSED_LEAST, REFUSED_PART * arrived):
+        if refused >= max(MIN_REFUSED, REFUSED_FRACTION * arrived):
             return "refusals"
         if now < self.until:
             return "pausing"
@@ -115,7 +115,7 @@
             return False
         new = why != self.paused
         if new and why in IN_VAIN:
-            self.in_vain = min(self.in_vain + 1, IN_VAIN_MOST)
+            self.in_vain = min(self.in_vain + 1, MAX_IN_VAIN)
         longer = 2.0 ** (self.in_vain - 1) if why in IN_VAIN else 1.0
         self.until = max(self.until, now + settings.pause_s * longer * 1000.0)
         if new:
--- a/yarrowspindle/rebalancing/fleet_view.py
+++ b/yarrowspindle/rebalancing/fleet_view.py
@@ -11,9 +11,9 @@
 
 from yarrowspindle.decisions.events import EndpointState
 
-FLAPS_MOST = 6  # times that the settling time doubles
+MAX_FLAPS = 6  # times that the settling time doubles
 FLAPS_FORGOTTEN_MS = 600_000.0
-BOOKS_MOST = 20_000  # above it, nodes that flapped are forgotten as well
+MAX_BOOKS = 20_000  # above it, nodes that flapped are forgotten as well
 
 
 class Listed(Protocol):
@@ -98,7 +98,7 @@
             if not new:
                 if now > book.flapped_at + FLAPS_FORGOTTEN_MS:
                     book.flaps = 0
-                book.flaps = min(book.flaps + 1, FLAPS_MOST)
+                book.flaps = min(book.flaps + 1, MAX_FLAPS)
                 book.flapped_at = now
         book.state, book.capacity, book.started = state, max(capacity, 1e-6), started
 
@@ -112,7 +112,7 @@
             if book is None or backend.state is not EndpointState.GONE:
                 continue
             book.state = EndpointState.GONE
-            if not book.requests and (not book.flaps or len(self.books) > BOOKS_MOST):
+            if not book.requests and (not book.flaps or len(self.books) > MAX_BOOKS):
                 del self.books[book.name], self.numbers[book.number]
 
     def ramp(self, now: float, book: Book) -> float:
--- a/yarrowspindle/rebalancing/migration_rate.py
+++ b/yarrowspindle/rebalancing/migration_rate.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-FACTOR_LEAST = 1.0 / 16.0
+MIN_FACTOR = 1.0 / 16.0
 
 
 class Bucket:
@@ -51,7 +51,7 @@
         return bucket
 
     def slower(self) -> None:
-        self.factor = max(FACTOR_LEAST, self.factor / 2.0)
+        self.factor = max(MIN_FACTOR, self.factor / 2.0)
 
     def faster(self, beat_s: float) -> None:
         """Back to the full pace within about 16 s of beats without trouble."""
--- a/yarrowspindle/rebalancing/plan.py
+++ b/yarrowspindle/rebalancing/plan.py
@@ -18,7 +18,7 @@
 from yarrowspindle.rebalancing.migration_rate import Pace
 from yarrowspindle.rebalancing.settings import Order, RebalanceSettings
 
-SCAN_MOST = 64
+MAX_SCAN = 64
 GAIN = 0.5  # of the excess and of the room, in one beat: see the design note on why this is stable
 SIGMAS = 3.0  # beyond this many deviations an own load is no longer chance
 HOT_MOVES = 1  # without a newcomer a beat moves no more than this
@@ -177,12 +177,12 @@
         """What goes next off this node: one job, or a whole group where groups are kept together."""
         self.turn += 1
         count = len(book.requests)
-        if count <= SCAN_MOST:
+        if count <= MAX_SCAN:
             requests = list(book.requests.values())
         else:  # a window that goes round, so that no job is passed over for good
-            first = self.turn * SCAN_MOST % count
+            first = self.turn * MAX_SCAN % count
             requests = list(
-                islice(chain(islice(book.requests.values(), first, None), book.requests.values()), SCAN_MOST)
+                islice(chain(islice(book.requests.values(), first, None), book.requests.values()), MAX_SCAN)
             )
         best: list[Held] = []
         best_load = 0.0
@@ -195,7 +195,7 @@
             if together and held.group:
                 seen.add(held.group)
                 members = book.groups[held.group]
-                if len(members) > SCAN_MOST:
+                if len(members) > MAX_SCAN:
                     held_back["group"] += 1
                     continue
                 unit = [view.requests[j] for j in sorted(members)]
--- a/yarrowspindle/replay/sequence.py
+++ b/yarrowspindle/replay/sequence.py
@@ -17,7 +17,7 @@
 from yarrowspindle.routing.events import Event
 
 FORM, VERSION = "yarrowspindle-sequence", 1
-LINE_MOST = 16 << 20  # a machine list of tens of thousands of nodes fits
+MAX_LINE = 16 << 20  # a machine list of tens of thousands of nodes fits
 
 
 class SequenceError(ValueError):
@@ -53,7 +53,7 @@
 def read_sequence(source: BinaryIO) -> tuple[Header, Iterator[tuple[float, Event]]]:
     """The header, and the events with their times as they are read. Raises SequenceError."""
     try:
-        read = msgspec.json.decode(source.readline(LINE_MOST), type=dict[str, Any])
+        read = msgspec.json.decode(source.readline(MAX_LINE), type=dict[str, Any])
         settings = from_recorded(Settings, read.get("settings"))
         header = msgspec.convert(read | {"settings": settings}, Header, str_keys=True)
     except (msgspec.MsgspecError, ValueError) as error:
@@ -65,7 +65,7 @@
 
 def _events(source: BinaryIO) -> Iterator[tuple[float, Event]]:
     number, last = 1, 0.0
-    while line := source.readline(LINE_MOST):
+    while line := source.readline(MAX_LINE):
         number += 1
         try:
             now, name, recorded = LINE.decode(line)
--- a/yarrowspindle/routing/reducer.py
+++ b/yarrowspindle/routing/reducer.py
@@ -77,14 +77,14 @@
 PULSE_MS = 250.0
 # Where lists are pushed, what the agent on this machine has counts as told at once, also on a watch that has fallen
 # silent: the watch is renewed so that such word still comes within the drain's grace. The agent's answers cost nothing.
-RENEW_PART, RENEW_LEAST_MS = 0.5, 250.0
+RENEW_FRACTION, MIN_RENEW_MS = 0.5, 250.0
 SILENT_MS = 2500.0  # a standing connection whose lines go unanswered this long is moved (the rule says 7 s)
 MUTE_MS = 1000.0  # an attempt at a node with such a connection, and with no word on any other, is given up
 TELL_MS = 1000.0  # message times are told once a second for each node
 PINNED_MS = 38_000.0  # connections from before the run have 40 s to come up
 PINNED_AGAIN_MS = 400.0
 STOP_BEAT_MS = 50.0
-NAMED_MOST = 8  # nodes in one line of the log
+MAX_NAMED = 8  # nodes in one line of the log
 PROBE_MS = 500.0  # an execute node that pauses for a quarter of a second answers within this, a lost one never
 # Nobody is moved sooner after SIGTERM: the front still sends new connections here for 0.4 s, and in a rolling restart
 # the relay before this one is up again only after 1.7 s (measured); who is moved before that finds no door.
@@ -482,7 +482,7 @@
         if event.kind is ListKind.FAILED:
             self._tell(balancer_events.EndpointList(event.kind))
             if not self.settings.polls_discovery:
-                self.effects.append(SetTimer(RENEW_LEAST_MS, LIST))
+                self.effects.append(SetTimer(MIN_RENEW_MS, LIST))
             return
         self.version = event.version
         # Only what is told is looked at: one word on one node must not cost a walk over the fleet.
@@ -530,8 +530,8 @@
         changed = [self.backends[name] for name in sorted(touched)]
         turned = [backend for backend in changed if backend.state is not touched[backend.name]]
         if turned and said and event.kind is not ListKind.CACHED:  # operators ask what was told, and when
-            named = ", ".join(f"{backend.name} {backend.state.name.lower()}" for backend in turned[:NAMED_MOST])
-            more = f" and {len(turned) - NAMED_MOST} more" if len(turned) > NAMED_MOST else ""
+            named = ", ".join(f"{backend.name} {backend.state.name.lower()}" for backend in turned[:MAX_NAMED])
+            more = f" and {len(turned) - MAX_NAMED} more" if len(turned) > MAX_NAMED else ""
             self.effects.append(LogMessage(f"machine list {event.version}: {named}{more}"))
         other = (backend for backend in changed if backend.state is not EndpointState.READY or backend.name in renewed)
         for number in sorted(n for backend in other for n in backend.requests):
@@ -595,7 +595,7 @@
         """The module asks for the list only where it must; where lists are pushed a watch is open all the time."""
         if not self.settings.polls_discovery:
             self.effects.append(WatchEndpoints(self.version, self.list_at, renew))
-            self.effects.append(SetTimer(max(RENEW_PART * self.settings.drain_grace_ms, RENEW_LEAST_MS), LIST))
+            self.effects.append(SetTimer(max(RENEW_FRACTION * self.settings.drain_grace_ms, MIN_RENEW_MS), LIST))
 
     def _forget(self, backend: Backend) -> None:
         if backend.state is EndpointState.GONE and not backend.requests and self.backends.get(backend.name) is backend:
--- a/yarrowspindle/routing/start_times.py
+++ b/yarrowspindle/routing/start_times.py
@@ -12,7 +12,7 @@
 from math import inf
 
 AHEAD_MS = 50.0  # a start told so far in the future is the slack of clocks; beyond it they do not agree
-REMEMBERED_MOST = 4096  # servers that went and may return under a new start
+MAX_REMEMBERED = 4096  # servers that went and may return under a new start
 
 
 @dataclass(slots=True, frozen=True)
@@ -60,7 +60,7 @@
         """The server is no longer listed."""
         self.departed[backend] = Departure(start, now)
         self.departed.move_to_end(backend)
-        while len(self.departed) > REMEMBERED_MOST:
+        while len(self.departed) > MAX_REMEMBERED:
             self.departed.popitem(last=False)
 
     def stepped(self) -> None:
--- a/yarrowspindle/routing/state.py
+++ b/yarrowspindle/routing/state.py
@@ -31,7 +31,7 @@
 }
 
 
-UNANSWERED_MOST = 64
+MAX_UNANSWERED = 64
 
 
 class Request:
@@ -68,7 +68,7 @@
 
     def asked(self, now: float, lines: int) -> None:
         """Bounded: a submitter that sends without end and is not answered adds to the last entry."""
-        if len(self.unanswered) < UNANSWERED_MOST:
+        if len(self.unanswered) < MAX_UNANSWERED:
             self.unanswered.append([now, lines])
         else:
             self.unanswered[-1][1] += lines
--- a/yarrowspindle/runtime/endpoint_watch.py
+++ b/yarrowspindle/runtime/endpoint_watch.py
@@ -14,7 +14,7 @@
 from yarrowspindle.transport.connecting import Connecting
 from yarrowspindle.transport.endpoint_list import WatchSide
 
-SLOW_MOST = 12  # calls under way beside the newest; each ends by itself after its time
+MAX_SLOW = 12  # calls under way beside the newest; each ends by itself after its time
 
 
 class ListWatch:
@@ -57,7 +57,7 @@
             self.former = replaced
         elif not replaced.told and replaced.address == address:
             self.slow.append(replaced)
-            if len(self.slow) > SLOW_MOST:
+            if len(self.slow) > MAX_SLOW:
                 self._end(self.slow.popleft(), "too many calls are under way")
         else:  # nothing is lost with it
             self._end(replaced, "another is opened in its place")
--- a/yarrowspindle/runtime/health_checker.py
+++ b/yarrowspindle/runtime/health_checker.py
@@ -21,7 +21,7 @@
 from yarrowspindle.transport.probe import ProbeSide
 
 MOST = 32  # connections; descriptors are set aside for them
-MUTE_MOST = 1024
+MAX_MUTE = 1024
 LATE_S = 0.05  # a timer that is so late: the loop stood still
 
 
@@ -159,7 +159,7 @@
         if ending is TerminationReason.PROTOCOL_ERROR:
             self.bad(f"execute node {side.backend}: {why}")
         if side.asked and side.backend not in self.mute:
-            if len(self.mute) >= MUTE_MOST:
+            if len(self.mute) >= MAX_MUTE:
                 self.mute.clear()
             self.mute.add(side.backend)
             self.bad(f"execute node {side.backend} does not answer its probe: {why}")
--- a/yarrowspindle/runtime/runtime.py
+++ b/yarrowspindle/runtime/runtime.py
@@ -29,7 +29,7 @@
 from yarrowspindle.runtime.timers import Clock, Timers
 
 TICK, TICK_MS = "tick", 100.0
-STEP_LEAST_MS = 50.0  # a smaller change of the wall clock is its ordinary correction
+MIN_STEP_MS = 50.0  # a smaller change of the wall clock is its ordinary correction
 LATE_MS = TICK_MS + 150.0  # a tick that is so late: the loop stood still
 
 
@@ -179,7 +179,7 @@
         self.late_at = self.ticked + LATE_MS
         self.timers.set(TICK_MS, TICK)
         step = self.wall_step_ms() - self.wall_stepped_ms
-        if abs(step) >= STEP_LEAST_MS:
+        if abs(step) >= MIN_STEP_MS:
             self.wall_stepped_ms += step
             self.counts["clock_steps"] += 1
             self.log("warning", f"the wall clock was stepped by {step:.0f} ms")
--- a/yarrowspindle/storage/durable_file.py
+++ b/yarrowspindle/storage/durable_file.py
@@ -16,7 +16,7 @@
 
 VOTER, LOCK = "voter", "lock"
 FIRST = "the first file"
-FILE_MOST = 4 << 20
+MAX_FILE = 4 << 20
 K = TypeVar("K")
 S = TypeVar("S", bound=Held)
 
@@ -63,11 +63,11 @@
         that says nothing of what is there, and it is to be read again."""
         try:
             with self.path.open("rb") as file:
-                data = file.read(FILE_MOST + 1)
+                data = file.read(MAX_FILE + 1)
         except FileNotFoundError:
             raise NoFile("there is none") from None
         try:
-            if len(data) > FILE_MOST:
+            if len(data) > MAX_FILE:
                 raise BadMessage("it is too long")
             return self.codec.decode(data, self.owner, self.cluster)
         except BadMessage as why:
--- a/yarrowspindle/subsets/leases.py
+++ b/yarrowspindle/subsets/leases.py
@@ -17,8 +17,8 @@
 from dataclasses import dataclass, field
 
 MARGIN = 0.05  # of a term: clocks do not run apart by more
-BORROWERS_MOST = 1024
-NEED_PART = 0.1  # of an equal part, lent also to who needs nothing, so that a first need is met at once
+MAX_BORROWERS = 1024
+NEED_FRACTION = 0.1  # of an equal part, lent also to who needs nothing, so that a first need is met at once
 Borrower_ = tuple[str, int]  # a relay's name and life
 
 
@@ -26,7 +26,7 @@
 class Ask:
     """number: grows with each; holding: the newest loan that the sender has; need: as much as it could spend."""
 
-    life: int
+    incarnation: int
     number: int
     holding: int
     need: float
@@ -34,7 +34,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Lend:
-    life: int
+    incarnation: int
     number: int
     amount: float
 
@@ -77,12 +77,12 @@
         return self.term_ms * (1.0 + MARGIN)
 
     def asked(self, now: float, name: str, ask: Ask) -> Lend | None:
-        who = (name, ask.life)
+        who = (name, ask.incarnation)
         account = self.accounts.get(who)
         if account is None:
-            if len(self.accounts) >= BORROWERS_MOST:
+            if len(self.accounts) >= MAX_BORROWERS:
                 self._forget(now)
-            if len(self.accounts) >= BORROWERS_MOST:
+            if len(self.accounts) >= MAX_BORROWERS:
                 return None
             account = self.accounts[who] = Account()
         if ask.number <= account.newest:
@@ -94,11 +94,11 @@
             return None
         amount = min(self._share(now, who), self._free(now, who))
         account.loans[ask.number] = (amount, now + self.keeps_ms)
-        return Lend(ask.life, ask.number, amount)
+        return Lend(ask.incarnation, ask.number, amount)
 
     def _share(self, now: float, who: Borrower_) -> float:
         living = {w: a.need for w, a in self.accounts.items() if now < a.heard + self.keeps_ms}
-        least = NEED_PART * self.part / len(living)
+        least = NEED_FRACTION * self.part / len(living)
         return divided(self.part, {w: max(need, least) for w, need in living.items()})[who]
 
     def _free(self, now: float, who: Borrower_) -> float:
@@ -124,8 +124,8 @@
 class Borrower:
     """One relay's side of one budget. solo: its reserved part, which it may always spend."""
 
-    def __init__(self, life: int, solo: float, term_ms: float, banks: tuple[str, ...]) -> None:
-        self.life, self.solo, self.term_ms, self.banks = life, solo, term_ms, banks
+    def __init__(self, incarnation: int, solo: float, term_ms: float, banks: tuple[str, ...]) -> None:
+        self.incarnation, self.solo, self.term_ms, self.banks = incarnation, solo, term_ms, banks
         self.numbers = 0
         self.asked: dict[int, tuple[str, float]] = {}  # number -> bank, and when it was asked
         self.held = {bank: Held() for bank in banks}
@@ -138,12 +138,12 @@
         for bank in self.banks:
             self.numbers += 1
             self.asked[self.numbers] = (bank, now)
-            found.append((bank, Ask(self.life, self.numbers, self.held[bank].number, wanted)))
+            found.append((bank, Ask(self.incarnation, self.numbers, self.held[bank].number, wanted)))
         return found
 
     def lent(self, now: float, bank: str, lend: Lend) -> None:
         whom, at = self.asked.pop(lend.number, ("", 0.0))
-        if lend.life != self.life or whom != bank or lend.number <= self.held[bank].number:
+        if lend.incarnation != self.incarnation or whom != bank or lend.number <= self.held[bank].number:
             return
         self.held[bank] = Held(lend.number, lend.amount, at + self.term_ms)
 
--- a/yarrowspindle/subsets/subset_ring.py
+++ b/yarrowspindle/subsets/subset_ring.py
@@ -13,10 +13,10 @@
 
 SPAN = 1 << 64
 POINTS = 64  # of a relay with the mean traffic
-POINTS_MOST = 8  # times that, of one with more
+MAX_POINTS = 8  # times that, of one with more
 EVEN = 24.0  # the fullest node has about 1 + 2.7 / EVEN times the mean
 LEAST = 12  # nodes of a relay, so that two honest draws are left when a quarter is lost
-COVER_LEAST = 16  # relays over each node, so that chance evens out; up to twice as many relays draw from all nodes
+MIN_COVER = 16  # relays over each node, so that chance evens out; up to twice as many relays draw from all nodes
 
 
 def place(text: str) -> int:
@@ -35,7 +35,7 @@
 
 def points_of(share: float) -> int:
     """share: of the traffic, in that of a mean relay. In steps of a quarter, so that small changes change nothing."""
-    return max(POINTS // 4, min(POINTS * POINTS_MOST, round(4.0 * share) * POINTS // 4))
+    return max(POINTS // 4, min(POINTS * MAX_POINTS, round(4.0 * share) * POINTS // 4))
 
 
 class Arcs:
@@ -103,7 +103,7 @@
         relays, backends = len(self.points) / POINTS, len(self.places)
         part = max(self.part, 2 * LEAST / backends)
         # By chance a relay has more or fewer nodes than its part; over a node that evens out among so many relays.
-        wanted = ceil(max(COVER_LEAST, part * relays, EVEN * sqrt(relays / backends)))
+        wanted = ceil(max(MIN_COVER, part * relays, EVEN * sqrt(relays / backends)))
         return min(len(self.points), 1 << (wanted - 1).bit_length())
 
     def subset(self, name: str) -> Subset:
--- a/yarrowspindle/telemetry/counts.py
+++ b/yarrowspindle/telemetry/counts.py
@@ -19,7 +19,7 @@
 OUTCOMES = {StartRelaying: "success", RejectRequest: "busy", FailRequest: "failure"}
 FIGURES = ("success", "busy", "failure")
 
-CLASSES_MOST, OTHER = 256, "other"  # names of classes told apart in a process's life; later ones are counted together
+MAX_CLASSES, OTHER = 256, "other"  # names of classes told apart in a process's life; later ones are counted together
 
 
 class Telemetry:
@@ -34,7 +34,7 @@
         if isinstance(event, RequestReceived):
             name = self.class_name(event.cls)
             if name not in self.classes:
-                name = name if len(self.classes) < CLASSES_MOST else OTHER
+                name = name if len(self.classes) < MAX_CLASSES else OTHER
                 self.classes[name] = None
             self.waiting[event.request] = name
             self.counts[f"taken.{name}"] += 1
--- a/yarrowspindle/telemetry/guard.py
+++ b/yarrowspindle/telemetry/guard.py
@@ -35,7 +35,7 @@
 
 OVERDUE_MS = 500.0  # an answer so long after the deadline is none
 LOOK_MS = 1000.0  # how often requests without an answer are looked for
-SHARE_MOST = 4.0  # of what a warm server gets here, for each multiple that the settings allow a cold one
+MAX_SHARE = 4.0  # of what a warm server gets here, for each multiple that the settings allow a cold one
 
 
 @unique
@@ -219,7 +219,7 @@
             + (1.0 - settings.initial_capacity_fraction) * (self.now - began) / settings.warmup_ms
         )
         warm = (len(self.writes) - len(sent)) / max(1, len(self.backends) - 1)  # what each of the others got
-        allowed = SHARE_MOST * settings.overload_multiple * ramp * warm
+        allowed = MAX_SHARE * settings.overload_multiple * ramp * warm
         most = allowed + 3.0 * sqrt(allowed) + 3.0
         if len(sent) > most:
             what = f"{request.backend} got {len(sent)} in {window:.0f} ms, {most:.0f} at most"
--- a/yarrowspindle/transport/line_connection.py
+++ b/yarrowspindle/transport/line_connection.py
@@ -12,7 +12,7 @@
 
 GRACE_S = 0.5  # after our end of sending, for the peer to end as well, if it sends nothing more
 THROWN_S = 5.0  # for a peer that goes on sending: it reads our last line once it has sent all
-THROWN_MOST = 256 << 20
+MAX_THROWN = 256 << 20
 STUCK_S = 2.0  # a peer that takes none of what is still to be sent for so long is waited for no longer
 TAIL_S = 60.0  # nor is one that reads ever so slowly, after so long
 INT = struct.Struct("@i")
@@ -81,7 +81,7 @@
         reads = unsent > 0 and now < min(self.read_at + STUCK_S, self.finished_at + TAIL_S)
         if reads:
             until = now + THROWN_S
-        if reads or (thrown < self.thrown < THROWN_MOST and now < until):
+        if reads or (thrown < self.thrown < MAX_THROWN and now < until):
             self.late = loop.call_later(GRACE_S, self._linger, self.thrown, until)
         else:
             self.abort()
