--- a/yarrowspindle/transport/receivers.py
+++ b/yarrowspindle/transport/receivers.py
@@ -12,8 +12,8 @@
 from yarrowspindle.transport.connecting import ConnectFailure, Connecting
 
 CONNECT_S = 2.0
-AGAIN_LEAST_S, AGAIN_MOST_S = 1.0, 60.0
-UNSENT_MOST = 1 << 16
+MIN_AGAIN_S, MAX_AGAIN_S = 1.0, 60.0
+MAX_UNSENT = 1 << 16
 
 
 class Receiver(asyncio.Protocol):
@@ -23,20 +23,20 @@
         self.address = address
         self.transport: asyncio.Transport | None = None
         self.connecting: Connecting | None = None
-        self.again_at, self.wait = 0.0, AGAIN_LEAST_S
+        self.again_at, self.wait = 0.0, MIN_AGAIN_S
         self.lost = 0  # reports thrown away
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
         self.connecting = None
-        self.wait = AGAIN_LEAST_S
+        self.wait = MIN_AGAIN_S
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.transport = None
 
     def send(self, data: bytes) -> None:
         loop = asyncio.get_running_loop()
-        if self.transport is not None and self.transport.get_write_buffer_size() + len(data) <= UNSENT_MOST:
+        if self.transport is not None and self.transport.get_write_buffer_size() + len(data) <= MAX_UNSENT:
             self.transport.write(data)
             return
         self.lost += 1
@@ -49,7 +49,7 @@
     def _unreached(self, failure: ConnectFailure) -> None:
         self.connecting = None
         self.again_at = asyncio.get_running_loop().time() + self.wait
-        self.wait = min(2.0 * self.wait, AGAIN_MOST_S)
+        self.wait = min(2.0 * self.wait, MAX_AGAIN_S)
 
 
 class Datagrams(asyncio.DatagramProtocol):
