--- a/benchmarks/capacity/hollow.py
+++ b/benchmarks/capacity/hollow.py
@@ -23,8 +23,8 @@
 
 from benchmarks.signals import datagram_s, deep_kb, played_again, recorded
 from yarrowspindle.lab.model.members import Relays
-from yarrowspindle.membership import Peers, PeerSettings
-from yarrowspindle.membership.messages import Came, Own
+from yarrowspindle.membership import Membership, PeerSettings
+from yarrowspindle.membership.messages import DatagramReceived, LocalLoad
 from yarrowspindle.routing.address import Address
 from yarrowspindle.runtime.membership_driver import PeerPump
 from yarrowspindle.transport.datagrams import Front
@@ -75,9 +75,9 @@
         self.told[index] = {}
         self.net.add(index, lambda: self._own(index), lambda others: self._told(index, others))
 
-    def _own(self, index: int) -> Own:
+    def _own(self, index: int) -> LocalLoad:
         self.looks[index] += 1
-        return Own(dict(self.holds[index]))
+        return LocalLoad(dict(self.holds[index]))
 
     def change(self, index: int) -> None:
         swap(self.holds[index], self.backends, self.random)
@@ -189,8 +189,8 @@
         self.settings = sockets.settings(index)
         self.random = Random(f"sockets {sockets.seed} {index}")
         self.holds: Holds = {backend: (1, 100.0) for backend in self.random.sample(range(1, BACKENDS + 1), HELD)}
-        self.front = Front(lambda data, source: self.pump.post(Came(data, source)))
-        self.core = Peers(self.settings, f"r{index}", 1, self.random.randrange(1 << 32), self.now())
+        self.front = Front(lambda data, source: self.pump.post(DatagramReceived(data, source)))
+        self.core = Membership(self.settings, f"r{index}", 1, self.random.randrange(1 << 32), self.now())
         self.pump = PeerPump(
             self.core, self.now, self._after, self._send, self._own, lambda others: None, lambda text, bounded: None
         )
@@ -209,9 +209,9 @@
         except (OSError, ValueError):
             self.core.counts["unsendable"] += 1
 
-    def _own(self) -> Own:
+    def _own(self) -> LocalLoad:
         self.looks += 1
-        return Own(dict(self.holds))
+        return LocalLoad(dict(self.holds))
 
     async def open(self) -> None:
         await self.loop.create_datagram_endpoint(lambda: self.front, local_addr=self.settings.listen)
--- a/benchmarks/capacity/slopes.py
+++ b/benchmarks/capacity/slopes.py
@@ -25,13 +25,13 @@
 from benchmarks.capacity.hollow import CELL, HELD, Day, cells_of, on_sockets, play
 from benchmarks.common import finish, options
 from benchmarks.signals import deep_kb
-from yarrowspindle.consensus.register import Kept
+from yarrowspindle.consensus.register import AcceptorState
 from yarrowspindle.decisions.events import group_key
 from yarrowspindle.maintenance.codec import encode, encode_file
-from yarrowspindle.maintenance.coordinator import Learn
-from yarrowspindle.maintenance.state import MAX_RELAYS, Seen, TurnState, Wish
-from yarrowspindle.membership.load_signals import MAX_KEYS, OwnWord, Signals
-from yarrowspindle.membership.messages import Own
+from yarrowspindle.maintenance.coordinator import StateUpdate
+from yarrowspindle.maintenance.state import MAX_RELAYS, BackendObservation, MaintenanceRequest, MaintenanceState
+from yarrowspindle.membership.load_signals import MAX_KEYS, LoadSignals, LocalLoadLog
+from yarrowspindle.membership.messages import LocalLoad
 from yarrowspindle.protocol.fragments import PART
 
 AHEAD = 1200  # relays of the fleet ahead
@@ -267,18 +267,18 @@
         names = tuple(f"node-{n:04}" for n in range(machines))
         for relays in sizes:
             random = Random(relays)
-            state = TurnState(voters={f"relay-{n:04}": f"{random.getrandbits(128):032x}" for n in range(5)})
+            state = MaintenanceState(voters={f"relay-{n:04}": f"{random.getrandbits(128):032x}" for n in range(5)})
             for n in range(relays):
                 state = state.registered(f"relay-{n:04}", f"{random.getrandbits(128):032x}") or state
             if machines:
-                state = state.asked(Wish(names, machines, machines)) or state
+                state = state.asked(MaintenanceRequest(names, machines, machines)) or state
                 for _ in names:
-                    state = state.advanced({name: Seen(0, 1.0, True) for name in names}) or state
+                    state = state.advanced({name: BackendObservation(0, 1.0, True) for name in names}) or state
                 turns = {name: out.turn for name, out in state.out.items()}
                 for relay, life in list(state.relays.items())[:-1]:
                     state = state.confirmed(relay, life, turns) or state
-            found["message"].append(len(encode(Learn(state))))
-            kept = Kept("v" * 32, (1, "relay-0000"), (1, "relay-0000"), state)
+            found["message"].append(len(encode(StateUpdate(state))))
+            kept = AcceptorState("v" * 32, (1, "relay-0000"), (1, "relay-0000"), state)
             found["file"].append(len(encode_file(kept, "r", "c")))
         for what, values in found.items():
             slope, first = linear_regression(sizes, values)
@@ -317,8 +317,8 @@
             *range(1, backends + 1),
             *(group_key(backend, group) for backend in range(1, backends + 1) for group in range(1, groups + 1)),
         ]
-        teller, hearer = OwnWord(), Signals()
-        teller.signal(Own({key: (1 + key % 9, 100.0 + key % 500) for key in keys}), 0.0)
+        teller, hearer = LocalLoadLog(), LoadSignals()
+        teller.signal(LocalLoad({key: (1 + key % 9, 100.0 + key % 500) for key in keys}), 0.0)
         words = teller.whole()
         hearer.of("r1", 1).clock(0.0, 0.0)
         for at, word in enumerate(words):
--- a/benchmarks/capacity/sockets.py
+++ b/benchmarks/capacity/sockets.py
@@ -29,14 +29,25 @@
 from yarrowspindle.configuration.codec import FILE
 from yarrowspindle.configuration.controller import Controller
 from yarrowspindle.configuration.link import Link
-from yarrowspindle.configuration.messages import Answer, Came, Event, Ordered, Send, Sender, Take, Vote, Wake, Woke
-from yarrowspindle.configuration.settings import Machine, preferred
+from yarrowspindle.configuration.messages import (
+    ApplySettings,
+    AskAcceptor,
+    ChangeAnswered,
+    ChangeRequested,
+    Event,
+    MessageReceived,
+    Sender,
+    SendMessage,
+    SetTimer,
+    TimerFired,
+)
+from yarrowspindle.configuration.settings import ControllerAddress, preferred
 from yarrowspindle.configuration.state import ControlState
-from yarrowspindle.consensus.register import Voter
+from yarrowspindle.consensus.register import Acceptor
 from yarrowspindle.lab.model.controlling import CLUSTER, REGIONS, ZONES, check, controllers_of
-from yarrowspindle.membership.codec import Dropped
+from yarrowspindle.membership.codec import DroppedDatagramError
 from yarrowspindle.routing.address import Address
-from yarrowspindle.storage.durable_file import NoFile, VoterFile
+from yarrowspindle.storage.durable_file import FileUnavailableError, VoterFile
 from yarrowspindle.transport.datagrams import Front
 
 PARCELS_S, LOOK_S = 0.05, 0.02
@@ -45,10 +56,10 @@
 FAULTS = ("none", "loss", "kill", "stop", "cut")
 
 
-def machines_at(port: int) -> tuple[Machine, ...]:
+def machines_at(port: int) -> tuple[ControllerAddress, ...]:
     """As in the model, on the loopback network."""
     return tuple(
-        Machine(m.name, (f"127.30.{n + 1}.1", port), m.zone, m.region, m.voter)
+        ControllerAddress(m.name, (f"127.30.{n + 1}.1", port), m.zone, m.region, m.voter)
         for n, m in enumerate(controllers_of(11, 5))
     )
 
@@ -82,14 +93,14 @@
 
     def carry_out(self, effects: Sequence[Any]) -> None:
         for effect in effects:
-            if isinstance(effect, Send):
+            if isinstance(effect, SendMessage):
                 if effect.to.address == self.address:
-                    self.loop.call_soon(self.post, Came(Sender(self.name, self.address), effect.message))
+                    self.loop.call_soon(self.post, MessageReceived(Sender(self.name, self.address), effect.message))
                 else:
                     for data in self.link.packed(self.now(), effect.to.address, effect.message):
                         self.put(effect.to.address, data)
-            elif isinstance(effect, Wake):
-                self.loop.call_later(effect.delay_ms / 1000.0, self.post, Woke())
+            elif isinstance(effect, SetTimer):
+                self.loop.call_later(effect.delay_ms / 1000.0, self.post, TimerFired())
             else:
                 self.effect(effect)
 
@@ -103,12 +114,12 @@
     def _came(self, data: bytes, source: Address) -> None:
         try:
             sender, message, back = self.link.came(self.now(), data, source)
-        except Dropped:
+        except DroppedDatagramError:
             return
         for datagram in back:
             self.put(sender.address, datagram)
         if message is not None:
-            self.post(Came(sender, message))
+            self.post(MessageReceived(sender, message))
 
     def parcels(self) -> None:
         for to, data in self.link.due(self.now()):
@@ -116,30 +127,32 @@
 
 
 class Relay(Endpoint):
-    def __init__(self, network: Network, number: int, port: int, machines: tuple[Machine, ...]) -> None:
+    def __init__(self, network: Network, number: int, port: int, machines: tuple[ControllerAddress, ...]) -> None:
         address, zone = relay_at(number, port)
         super().__init__(network, f"r{number:04d}", address, REGIONS[zone])
         self.took: list[tuple[int, float]] = []
         self.core = Agent(preferred(machines, self.name, zone, self.region), check, number, self.now())
 
     def effect(self, effect: Any) -> None:
-        if isinstance(effect, Take):
+        if isinstance(effect, ApplySettings):
             self.took.append((effect.version, time.monotonic()))
 
 
 class Control(Endpoint):
-    def __init__(self, network: Network, machine: Machine, machines: tuple[Machine, ...], folder: str) -> None:
+    def __init__(
+        self, network: Network, machine: ControllerAddress, machines: tuple[ControllerAddress, ...], folder: str
+    ) -> None:
         super().__init__(network, machine.name, machine.address, machine.region)
         first = ControlState({m.name: "the first file" for m in machines if m.voter})
         self.file = VoterFile(str(Path(folder) / machine.name), machine.name, CLUSTER, FILE)
-        self.voter: Voter[ControlState] | None = None
+        self.voter: Acceptor[ControlState] | None = None
         if machine.voter:
             try:
                 kept = self.file.load()
-            except NoFile:
+            except FileUnavailableError:
                 self.file.make_first(first)
                 kept = self.file.load()
-            self.voter = Voter(kept, self.file.store, self.now)
+            self.voter = Acceptor(kept, self.file.store, self.now)
         self.disk = ThreadPoolExecutor(1)
         self.answers: list[tuple[int, int, str, float]] = []
         self.core = Controller(
@@ -155,15 +168,15 @@
         )
 
     def effect(self, effect: Any) -> None:
-        if isinstance(effect, Vote) and self.voter is not None:
+        if isinstance(effect, AskAcceptor) and self.voter is not None:
             done = self.disk.submit(self.voter.told, effect.message)
             done.add_done_callback(lambda it: self.loop.call_soon_threadsafe(self._voted, effect.sender, it))
-        elif isinstance(effect, Answer):
+        elif isinstance(effect, ChangeAnswered):
             self.answers.append((effect.ticket, effect.version, effect.why, time.monotonic()))
 
     def _voted(self, to: Sender, done: Any) -> None:
         if done.exception() is None:
-            self.carry_out([Send(to, done.result())])
+            self.carry_out([SendMessage(to, done.result())])
 
 
 class Network:
@@ -218,7 +231,7 @@
         elif word == "cut":
             network.cut = value
         elif word == "order":
-            ends[0].post(Ordered(*value))
+            ends[0].post(ChangeRequested(*value))
         elif word == "clear":
             late.clear()
             for end in ends:
--- a/benchmarks/signals.py
+++ b/benchmarks/signals.py
@@ -26,7 +26,7 @@
 from yarrowspindle.lab.model import BrokenRule, Fleet, FleetSpec
 from yarrowspindle.lab.model.deployments import ASKED, PROBED
 from yarrowspindle.lab.model.members import Relays, play_members
-from yarrowspindle.membership import Peers
+from yarrowspindle.membership import Membership
 
 FILLED, RUN_S = 0.75, 30.0
 BASES = {"asked": replace(ASKED, by_own_load=True), "probed": PROBED}  # the daemon always judges by own load too
@@ -134,7 +134,7 @@
         return (time.process_time() - began) / 5000
 
 
-def recorded(core: Peers) -> list[tuple[float, Any]]:
+def recorded(core: Membership) -> list[tuple[float, Any]]:
     """All that this core is told from now on."""
     events, step = list[tuple[float, Any]](), core.step
 
@@ -148,7 +148,7 @@
 
 def played_again(made: tuple[Any, ...], events: list[tuple[float, Any]], start: float) -> float:
     """Processor time in seconds that it takes from `start` on."""
-    core = Peers(*made)
+    core = Membership(*made)
     core.take_effects()
     for now, event in events:
         if now < start:
--- a/benchmarks/subsets.py
+++ b/benchmarks/subsets.py
@@ -20,7 +20,7 @@
 from typing import Any
 
 from benchmarks.common import finish, options
-from yarrowspindle.subsets import Arcs
+from yarrowspindle.subsets import SubsetRing
 
 SIZES = {
     "small": ((3, 10), (10, 100), (40, 400)),
@@ -73,7 +73,7 @@
 
 
 def arcs(relays: list[str], backends: list[str]) -> dict[str, dict[str, int]]:
-    view = Arcs(PART)
+    view = SubsetRing(PART)
     view.told(dict.fromkeys(relays, 1.0), backends)
     return {relay: dict(view.subset(relay).times) for relay in relays}
 
@@ -121,7 +121,7 @@
     least = len(joined[f"{seed}-new"]) or 1
     least_backend = sum(f"{seed}-node" in part for part in listed.values()) or 1
     if way == "arcs":
-        view = Arcs(PART)
+        view = SubsetRing(PART)
         view.told(dict.fromkeys(names, 1.0), machines)
         began = time.perf_counter()
         view.relay(f"{seed}-new")
--- a/tests/configuration/test_configuration.py
+++ b/tests/configuration/test_configuration.py
@@ -13,54 +13,54 @@
 from yarrowspindle.configuration.controller import EXPIRE_MS, MAX_LOG, MAX_ORDERS, MAX_RELAYS, SURE_MS, Controller
 from yarrowspindle.configuration.link import MAX_INCARNATIONS, SOURCE_PER_S, Link
 from yarrowspindle.configuration.messages import (
-    Answer,
-    Beat,
-    Came,
-    Difference,
+    ApplySettings,
+    AskAcceptor,
+    ChangeAnswered,
+    ChangeRequested,
+    Delta,
+    Detach,
     Event,
-    Keep,
-    Later,
-    Learn,
-    Leave,
-    Moved,
-    Newest,
-    Note,
-    Ordered,
-    Send,
+    Heartbeat,
+    LatestVersion,
+    LogMessage,
+    MessageReceived,
+    NewerIncarnation,
+    Persist,
+    RelayReattached,
+    RelaySummary,
     Sender,
-    Sum,
-    Take,
-    Took,
-    Turned,
-    Vote,
-    Whole,
-    Woke,
+    SendMessage,
+    SettingsRejected,
+    Snapshot,
+    StateCommitted,
+    StateUpdate,
+    TimerFired,
 )
-from yarrowspindle.configuration.settings import Machine
+from yarrowspindle.configuration.settings import ControllerAddress
 from yarrowspindle.configuration.state import (
     MAX_CONTENT,
     MAX_DONE,
     MAX_ENTRIES,
     MAX_STEPS,
     MAX_VALUE,
+    ChangeOrder,
+    CommittedStep,
     ControlState,
-    Done,
     Entries,
-    Order,
     Step,
     bounds,
     digest,
     stepped,
 )
-from yarrowspindle.consensus.register import NONE, Accept, Kept, Prepare, Promise, Refused, Voter
+from yarrowspindle.consensus.register import NONE, Accept, Acceptor, AcceptorState, Prepare, Promise, Rejected
 from yarrowspindle.lab.faults import Fault
 from yarrowspindle.lab.model.controlling import check
 from yarrowspindle.lab.model.controlling_days import KINDS, play_control, seeds
 from yarrowspindle.lab.model.planted_control import DEFECTS
-from yarrowspindle.maintenance.codec import BadMessage
-from yarrowspindle.membership.codec import Dropped
+from yarrowspindle.maintenance.codec import InvalidMessageError
+from yarrowspindle.membership.codec import DroppedDatagramError
 
-MACHINES = tuple(Machine(f"c{n:02d}", (f"10.0.0.{n + 1}", 7950), voter=n == 0) for n in range(3))
+MACHINES = tuple(ControllerAddress(f"c{n:02d}", (f"10.0.0.{n + 1}", 7950), voter=n == 0) for n in range(3))
 FIRST = ControlState({"c00": "file"})
 RELAY = Sender("r0", ("10.0.1.1", 7950), 1, 1)
 
@@ -74,7 +74,7 @@
     """These orders of one taker, settled."""
     before, number = state.takers.get(taker, (0, 0))
     for n, step in enumerate(steps, number + 1 if before == incarnation else 1):
-        state = settled(state.settled(Order(taker, incarnation, n, step), check))
+        state = settled(state.settled(ChangeOrder(taker, incarnation, n, step), check))
     return state
 
 
@@ -82,27 +82,31 @@
 
 
 def test_an_order_is_settled_once_and_in_its_turn() -> None:
-    order, next_ = Order("c01", 5, 1, {"a": "1"}), Order("c01", 5, 2, {"a": "2"})
+    order, next_ = ChangeOrder("c01", 5, 1, {"a": "1"}), ChangeOrder("c01", 5, 2, {"a": "2"})
     assert FIRST.settled(next_, check) is None, "the first has not been"
     one = settled(FIRST.settled(order, check))
     assert one.settled(order, check) is None and one.is_settled(order) and not one.is_settled(next_)
     two = settled(one.settled(next_, check))
     assert two.entries == {"a": "2"} and two.settled(order, check) is None
-    assert two.settled(Order("c01", 4, 1, {"a": "0"}), check) is None, "an earlier process's, held up"
-    assert two.settled(Order("c01", 6, 2, {"a": "0"}), check) is None
-    three = settled(two.settled(Order("c01", 6, 1, {"a": None}), check))
-    assert three.entries == {} and three.settled(Order("c01", 5, 3, {"a": "0"}), check) is None
-    assert settled(three.settled(Order("c02", 1, 1, {"b": "1"}), check)).version == 4, "another taker's turn is its own"
+    assert two.settled(ChangeOrder("c01", 4, 1, {"a": "0"}), check) is None, "an earlier process's, held up"
+    assert two.settled(ChangeOrder("c01", 6, 2, {"a": "0"}), check) is None
+    three = settled(two.settled(ChangeOrder("c01", 6, 1, {"a": None}), check))
+    assert three.entries == {} and three.settled(ChangeOrder("c01", 5, 3, {"a": "0"}), check) is None
+    assert settled(three.settled(ChangeOrder("c02", 1, 1, {"b": "1"}), check)).version == 4, (
+        "another taker's turn is its own"
+    )
 
 
 def test_what_makes_no_sense_where_it_is_written_is_refused_under_a_version_of_its_own() -> None:
     state = after({"left": "1"})
-    refused = settled(state.settled(Order("c02", 1, 1, {"right": "1"}), check))
+    refused = settled(state.settled(ChangeOrder("c02", 1, 1, {"right": "1"}), check))
     assert refused.version == 2 and refused.entries == {"left": "1"}
-    assert refused.done[-1] == Done(2, {}, "left and right are not both possible", "c02", 1, 1)
-    assert settled(refused.settled(Order("c02", 1, 2, {"left": None, "right": "1"}), check)).entries == {"right": "1"}
+    assert refused.done[-1] == CommittedStep(2, {}, "left and right are not both possible", "c02", 1, 1)
+    assert settled(refused.settled(ChangeOrder("c02", 1, 2, {"left": None, "right": "1"}), check)).entries == {
+        "right": "1"
+    }
     many = {f"k{n}": "x" * (MAX_CONTENT // 8) for n in range(9)}
-    assert "at most" in settled(FIRST.settled(Order("c02", 1, 1, many), check)).done[-1].why
+    assert "at most" in settled(FIRST.settled(ChangeOrder("c02", 1, 1, many), check)).done[-1].why
 
 
 @pytest.mark.parametrize(
@@ -136,32 +140,32 @@
 
 
 def test_messages_come_back_as_they_were_and_nonsense_does_not() -> None:
-    state = replace(after({"a": "1"}, {"a": None}), done=[Done(1, {"a": "1"}), Done(2, {"a": None})])
+    state = replace(after({"a": "1"}, {"a": None}), done=[CommittedStep(1, {"a": "1"}), CommittedStep(2, {"a": None})])
     for message in (
-        Beat(3, b"x" * 8, 2, "why", True, True, "c01"),
-        Newest(3, b"x" * 8),
-        Learn(state),
-        Leave(),
-        Difference(1, 2, b"x" * 8, [{"a": None}]),
-        Whole(2, b"x" * 8, {"a": "1"}),
-        Later(3),
-        Moved("10.0.0.1", 1, 2, 3),
-        Order("c01", 1, 2, {"a": None}),
+        Heartbeat(3, b"x" * 8, 2, "why", True, True, "c01"),
+        LatestVersion(3, b"x" * 8),
+        StateUpdate(state),
+        Detach(),
+        Delta(1, 2, b"x" * 8, [{"a": None}]),
+        Snapshot(2, b"x" * 8, {"a": "1"}),
+        NewerIncarnation(3),
+        RelayReattached("10.0.0.1", 1, 2, 3),
+        ChangeOrder("c01", 1, 2, {"a": None}),
         Promise((1, "c"), "i", NONE, state),
         Accept((1, "c"), 0, "i", state),
     ):
         assert codec.decode(codec.encode(message)) == message
-    whole = codec.encode(Newest(3, b"x" * 8))
+    whole = codec.encode(LatestVersion(3, b"x" * 8))
     for bad in (
         b"",
         whole[:-3],
         bytes((codec.VERSION + 1,)) + whole[1:],
         whole[:1] + b"\x77" + whole[2:],
-        codec.encode(Newest(-1, b"x" * 8)),
-        codec.encode(Newest(1, b"x")),
-        codec.encode(Difference(0, 99, b"x" * 8, [{}] * (MAX_DONE + 1))),
+        codec.encode(LatestVersion(-1, b"x" * 8)),
+        codec.encode(LatestVersion(1, b"x")),
+        codec.encode(Delta(0, 99, b"x" * 8, [{}] * (MAX_DONE + 1))),
     ):
-        with pytest.raises(BadMessage):
+        with pytest.raises(InvalidMessageError):
             codec.decode(bad)
 
 
@@ -170,7 +174,7 @@
     [
         ControlState({}),
         ControlState({"c": "f"}, 3),
-        ControlState({"c": "f"}, 3, done=(Done(1, {}), Done(3, {}))),
+        ControlState({"c": "f"}, 3, done=(CommittedStep(1, {}), CommittedStep(3, {}))),
         ControlState({"c": "f"}, -1),
         ControlState({"c": "f"}, entries={"k": "x" * (MAX_VALUE + 1)}),
         ControlState({"c" * 99: "f"}),
@@ -178,8 +182,8 @@
     ],
 )
 def test_a_state_that_no_controller_could_have_made_is_not_taken_up(wrong: ControlState) -> None:
-    with pytest.raises(BadMessage):
-        codec.decode(codec.encode(Learn(wrong)))
+    with pytest.raises(InvalidMessageError):
+        codec.decode(codec.encode(StateUpdate(wrong)))
 
 
 # --- the link -------------------------------------------------------------------------------------
@@ -191,14 +195,14 @@
 
 def test_other_clusters_and_changed_bytes_are_dropped_and_counted() -> None:
     here, there = link(), link("r0", host="10.0.1.1")
-    (data,) = there.packed(1.0, here.address, Leave())
+    (data,) = there.packed(1.0, here.address, Detach())
     sender, message, replies = here.came(1.0, data, there.address)
-    assert (sender.name, sender.incarnation, message, replies) == ("r0", 5, Leave(), [])
-    (strange,) = link("r0", cluster="other", host="10.0.1.1").packed(1.0, here.address, Leave())
+    assert (sender.name, sender.incarnation, message, replies) == ("r0", 5, Detach(), [])
+    (strange,) = link("r0", cluster="other", host="10.0.1.1").packed(1.0, here.address, Detach())
     for bad in (strange, data[:-1], bytes((data[0] ^ 1,)) + data[1:], b"", b"junk"):
-        with pytest.raises(Dropped):
+        with pytest.raises(DroppedDatagramError):
             here.came(1.0, bad, there.address)
-    with pytest.raises(Dropped):
+    with pytest.raises(DroppedDatagramError):
         there.came(1.0, data, there.address)  # its own, back
     assert sum(n for why, n in here.counts.items() if why.startswith("dropped")) == 5
 
@@ -206,20 +210,23 @@
 def test_a_flood_from_one_address_is_dropped_and_others_are_heard() -> None:
     here, there, third = link(), link("r0", host="10.0.1.1"), link("r1", host="10.0.1.2")
     for _ in range(SOURCE_PER_S):
-        here.came(1.0, there.packed(1.0, here.address, Leave())[0], there.address)
-    with pytest.raises(Dropped, match="flood"):
-        here.came(1.0, there.packed(1.0, here.address, Leave())[0], there.address)
-    assert here.came(1.0, third.packed(1.0, here.address, Leave())[0], third.address)[1] == Leave()
-    assert here.came(1002.0, there.packed(1.0, here.address, Leave())[0], there.address)[1] == Leave()
+        here.came(1.0, there.packed(1.0, here.address, Detach())[0], there.address)
+    with pytest.raises(DroppedDatagramError, match="flood"):
+        here.came(1.0, there.packed(1.0, here.address, Detach())[0], there.address)
+    assert here.came(1.0, third.packed(1.0, here.address, Detach())[0], third.address)[1] == Detach()
+    assert here.came(1002.0, there.packed(1.0, here.address, Detach())[0], there.address)[1] == Detach()
 
 
 def test_a_process_whose_clock_went_back_takes_a_higher_incarnation_and_is_heard() -> None:
     here, before, now = link(), link("r0", 900, host="10.0.1.1"), link("r0", 3, host="10.0.1.1")
-    here.came(1.0, before.packed(1.0, here.address, Leave())[0], before.address)
-    sender, message, (later,) = here.came(2.0, now.packed(2.0, here.address, Leave())[0], now.address)
+    here.came(1.0, before.packed(1.0, here.address, Detach())[0], before.address)
+    sender, message, (later,) = here.came(2.0, now.packed(2.0, here.address, Detach())[0], now.address)
     assert message is None and now.came(2.0, later, here.address)[1] is None and now.incarnation == 901
-    assert here.came(3.0, now.packed(3.0, here.address, Leave())[0], now.address)[1] == Leave()
-    assert now.came(4.0, here.packed(4.0, now.address, Later(7))[0], here.address)[1] is None and now.incarnation == 901
+    assert here.came(3.0, now.packed(3.0, here.address, Detach())[0], now.address)[1] == Detach()
+    assert (
+        now.came(4.0, here.packed(4.0, now.address, NewerIncarnation(7))[0], here.address)[1] is None
+        and now.incarnation == 901
+    )
 
 
 def test_the_tables_of_a_link_are_bounded() -> None:
@@ -227,10 +234,10 @@
     for n in range(MAX_INCARNATIONS + 9):
         there = link("r", host=f"10.{n >> 8}.{n & 255}.9")
         here.sources.clear()
-        here.came(1.0, there.packed(1.0, here.address, Leave())[0], there.address)
+        here.came(1.0, there.packed(1.0, here.address, Detach())[0], there.address)
     assert len(here.incarnations) == MAX_INCARNATIONS
     for _ in range(600):
-        here.packed(1.0, RELAY.address, Whole(1, b"x" * 8, {f"{n}": f"{hash((n, 7))}" * 9 for n in range(40)}))
+        here.packed(1.0, RELAY.address, Snapshot(1, b"x" * 8, {f"{n}": f"{hash((n, 7))}" * 9 for n in range(40)}))
     assert len(here.parcels.sent) <= 256
 
 
@@ -250,40 +257,40 @@
         self.effects = self.agent.step(self.now, event)
         return self.effects
 
-    def came(self, message: object, machine: Machine = MACHINES[0], late_ms: float = 1.0) -> list[Any]:
+    def came(self, message: object, machine: ControllerAddress = MACHINES[0], late_ms: float = 1.0) -> list[Any]:
         self.at += 1
-        return self.post(Came(Sender(machine.name, machine.address, 1, self.at), message), late_ms)
+        return self.post(MessageReceived(Sender(machine.name, machine.address, 1, self.at), message), late_ms)
 
     def takes(self) -> list[tuple[int, Entries]]:
-        return [(e.version, e.entries) for e in self.effects if isinstance(e, Take)]
+        return [(e.version, e.entries) for e in self.effects if isinstance(e, ApplySettings)]
 
-    def beats(self) -> list[Beat]:
-        return [e.message for e in self.effects if isinstance(e, Send) and isinstance(e.message, Beat)]
+    def beats(self) -> list[Heartbeat]:
+        return [e.message for e in self.effects if isinstance(e, SendMessage) and isinstance(e.message, Heartbeat)]
 
     def notes(self) -> list[str]:
-        return [e.text for e in self.effects if isinstance(e, Note)]
+        return [e.text for e in self.effects if isinstance(e, LogMessage)]
 
 
-def whole(version: int, entries: Entries) -> Whole:
-    return Whole(version, digest(version, entries), dict(entries))
+def whole(version: int, entries: Entries) -> Snapshot:
+    return Snapshot(version, digest(version, entries), dict(entries))
 
 
-def difference(base: int, before: Entries, *steps: Step) -> Difference:
+def difference(base: int, before: Entries, *steps: Step) -> Delta:
     entries = before
     for step in steps:
         entries = stepped(entries, step)
     version = base + len(steps)
-    return Difference(base, version, digest(version, entries), [dict(step) for step in steps])
+    return Delta(base, version, digest(version, entries), [dict(step) for step in steps])
 
 
 def test_steps_are_taken_in_their_order_and_kept() -> None:
     relay = Relay()
     relay.came(difference(0, {}, {"a": "1"}, {"a": "2", "b": "1"}))
-    assert relay.takes() == [(2, {"a": "2", "b": "1"})] and Keep(2, {"a": "2", "b": "1"}) in relay.effects
+    assert relay.takes() == [(2, {"a": "2", "b": "1"})] and Persist(2, {"a": "2", "b": "1"}) in relay.effects
     assert relay.beats()[-1].taken == 2
     relay.came(difference(1, {"a": "1"}, {"a": "2", "b": "1"}, {"a": None}))
     assert relay.takes() == [(3, {"b": "1"})], "of steps that overlap those that it has not"
-    (take,) = [e for e in relay.effects if isinstance(e, Take)]
+    (take,) = [e for e in relay.effects if isinstance(e, ApplySettings)]
     assert take.changed == {"a"}
 
 
@@ -295,7 +302,7 @@
         whole(5, {"a": "other"}),
         difference(3, {}, {"a": "4"}),
         difference(6, {"a": "5"}, {"a": "7"}),
-        Difference(4, 9, digest(9, {"a": "9"}), [{"a": "9"}]),
+        Delta(4, 9, digest(9, {"a": "9"}), [{"a": "9"}]),
     ):
         relay.came(message)
         assert not relay.takes() and relay.agent.taken == 5, message
@@ -305,9 +312,9 @@
 def test_a_wrong_digest_is_not_taken_and_all_is_asked_for_and_no_storm_comes_of_it() -> None:
     relay = Relay()
     relay.came(whole(1, {"a": "1"}))
-    relay.came(Difference(1, 2, digest(2, {"a": "2"}), [{"a": "3"}]))
+    relay.came(Delta(1, 2, digest(2, {"a": "2"}), [{"a": "3"}]))
     assert not relay.takes() and relay.beats()[-1].whole
-    relay.came(Whole(2, b"12345678", {"a": "2"}))
+    relay.came(Snapshot(2, b"12345678", {"a": "2"}))
     assert not relay.takes() and not relay.beats(), "a sender with a fault that stays would answer at once"
     relay.came(whole(2, {"a": "2"}))
     assert relay.takes() == [(2, {"a": "2"})] and not relay.beats()[-1].whole
@@ -316,7 +323,7 @@
 def test_another_content_under_its_version_is_said_and_the_next_is_taken_whole() -> None:
     relay = Relay()
     relay.came(whole(1, {"a": "1"}))
-    relay.came(Newest(1, digest(1, {"a": "2"})))
+    relay.came(LatestVersion(1, digest(1, {"a": "2"})))
     assert "another content" in relay.notes()[0] and relay.agent.whole and not relay.takes()
 
 
@@ -334,13 +341,13 @@
     relay = Relay()
     relay.came(whole(1, {"a": "1"}))
     relay.came(whole(2, {"a": "2"}))
-    relay.post(Turned(1, "too late to matter"))
+    relay.post(SettingsRejected(1, "too late to matter"))
     assert relay.agent.taken == 2
-    relay.post(Turned(2, "no memory"))
+    relay.post(SettingsRejected(2, "no memory"))
     assert (relay.agent.taken, relay.agent.served) == (1, {"a": "1"})
     assert (relay.beats()[-1].known, relay.beats()[-1].taken, relay.beats()[-1].why) == (2, 1, "no memory")
     relay.came(difference(2, {"a": "2"}, {"b": "3"}))
-    (take,) = [e for e in relay.effects if isinstance(e, Take)]
+    (take,) = [e for e in relay.effects if isinstance(e, ApplySettings)]
     assert take.changed == {"a", "b"}, "from what it serves by"
 
 
@@ -354,35 +361,35 @@
 
 def test_a_relay_that_is_ahead_takes_nothing_older_and_says_that_the_controllers_lost_something() -> None:
     relay = Relay(7, {"a": "7"})
-    assert not relay.came(Newest(3, digest(3, {}))) or not relay.notes()
-    relay.came(Newest(3, digest(3, {})), late_ms=AHEAD_MS + 1.0)
+    assert not relay.came(LatestVersion(3, digest(3, {}))) or not relay.notes()
+    relay.came(LatestVersion(3, digest(3, {})), late_ms=AHEAD_MS + 1.0)
     assert "nothing older is taken" in relay.notes()[0] and relay.agent.taken == 7
-    relay.came(Newest(7, relay.agent.digest))
-    relay.came(Newest(3, digest(3, {})), late_ms=AHEAD_MS + 1.0)
+    relay.came(LatestVersion(7, relay.agent.digest))
+    relay.came(LatestVersion(3, digest(3, {})), late_ms=AHEAD_MS + 1.0)
     assert not relay.notes(), "one that is behind for a moment is not noted"
 
 
 def test_who_is_none_of_the_controllers_is_not_heard() -> None:
     relay = Relay()
     for sender in (Sender("c99", ("10.0.0.9", 1)), Sender("c00", ("10.0.0.99", 7950))):
-        relay.post(Came(sender, whole(9, {"a": "9"})))
+        relay.post(MessageReceived(sender, whole(9, {"a": "9"})))
         assert not relay.takes() and "none of the controllers here" in relay.notes()[0]
 
 
 def test_a_silent_controller_is_left_for_another_and_a_better_one_is_gone_back_to() -> None:
     relay = Relay()
-    relay.came(Newest(0, digest(0, {})), MACHINES[1])
+    relay.came(LatestVersion(0, digest(0, {})), MACHINES[1])
     assert relay.agent.current is MACHINES[1]
-    relay.came(Newest(0, digest(0, {})), MACHINES[2])
+    relay.came(LatestVersion(0, digest(0, {})), MACHINES[2])
     assert relay.agent.current is MACHINES[1], "one that answers is kept"
-    relay.came(Newest(0, digest(0, {})), MACHINES[0])
-    left = [e.to.name for e in relay.effects if isinstance(e, Send) and isinstance(e.message, Leave)]
+    relay.came(LatestVersion(0, digest(0, {})), MACHINES[0])
+    left = [e.to.name for e in relay.effects if isinstance(e, SendMessage) and isinstance(e.message, Detach)]
     assert relay.agent.current is MACHINES[0] and left == ["c01"]
-    relay.post(Woke(), SILENT_MS + 1.0)
-    assert {e.to.name for e in relay.effects if isinstance(e, Send)} >= {"c00", "c01"}, "it asks others"
-    relay.came(Newest(0, digest(0, {})), MACHINES[2])
+    relay.post(TimerFired(), SILENT_MS + 1.0)
+    assert {e.to.name for e in relay.effects if isinstance(e, SendMessage)} >= {"c00", "c01"}, "it asks others"
+    relay.came(LatestVersion(0, digest(0, {})), MACHINES[2])
     assert relay.agent.current is MACHINES[2] and relay.beats()[-1].before == "c00"
-    assert [type(e.message) for e in relay.agent.leave() if isinstance(e, Send)] == [Leave]
+    assert [type(e.message) for e in relay.agent.leave() if isinstance(e, SendMessage)] == [Detach]
 
 
 # --- the controller -------------------------------------------------------------------------------
@@ -392,10 +399,10 @@
     """One controller, its voter, and what it asked for. Others are heard by `came`."""
 
     def __init__(
-        self, name: str = "c00", incarnation: int = 1, seed: int = 1, kept: Kept[ControlState] | None = None
+        self, name: str = "c00", incarnation: int = 1, seed: int = 1, kept: AcceptorState[ControlState] | None = None
     ) -> None:
         machine = next(m for m in MACHINES if m.name == name)
-        self.kept = kept or Kept("file", NONE, NONE, FIRST)
+        self.kept = kept or AcceptorState("file", NONE, NONE, FIRST)
         self.me = Sender(name, machine.address, incarnation)
         self.core = Controller(
             machine,
@@ -409,7 +416,7 @@
             0.0,
         )
         self.core.take_effects()
-        self.voter = Voter(self.kept, lambda kept: None)
+        self.voter = Acceptor(self.kept, lambda kept: None)
         self.now, self.at = 0.0, 0
         self.effects: list[Any] = []
 
@@ -419,49 +426,51 @@
         self.effects, events = [], [event]
         while events:
             for effect in self.core.step(self.now, events.pop(0)):
-                if isinstance(effect, Send) and effect.to.name == self.me.name:
-                    events.append(Came(self.me, effect.message))
-                elif isinstance(effect, Vote):
-                    events.append(Came(self.me, self.voter.told(effect.message)))
+                if isinstance(effect, SendMessage) and effect.to.name == self.me.name:
+                    events.append(MessageReceived(self.me, effect.message))
+                elif isinstance(effect, AskAcceptor):
+                    events.append(MessageReceived(self.me, self.voter.told(effect.message)))
                 else:
                     self.effects.append(effect)
         return self.effects
 
     def came(self, sender: Sender, message: object, late_ms: float = 1.0) -> list[Any]:
         self.at += 1
-        return self.post(Came(Sender(sender.name, sender.address, sender.incarnation, self.at), message), late_ms)
+        return self.post(
+            MessageReceived(Sender(sender.name, sender.address, sender.incarnation, self.at), message), late_ms
+        )
 
     def answers(self) -> list[tuple[int, int, str]]:
-        return [(e.ticket, e.version, e.why) for e in self.effects if isinstance(e, Answer)]
+        return [(e.ticket, e.version, e.why) for e in self.effects if isinstance(e, ChangeAnswered)]
 
     def sent(self, kind: type) -> list[Any]:
-        return [e.message for e in self.effects if isinstance(e, Send) and isinstance(e.message, kind)]
+        return [e.message for e in self.effects if isinstance(e, SendMessage) and isinstance(e.message, kind)]
 
     def notes(self) -> list[str]:
-        return [e.text for e in self.effects if isinstance(e, Note)]
+        return [e.text for e in self.effects if isinstance(e, LogMessage)]
 
 
-def beat(known: int = 0, entries: Entries | None = None, **more: Any) -> Beat:
-    return Beat(known, digest(known, entries or {}), more.pop("taken", known), attached=True, **more)
+def beat(known: int = 0, entries: Entries | None = None, **more: Any) -> Heartbeat:
+    return Heartbeat(known, digest(known, entries or {}), more.pop("taken", known), attached=True, **more)
 
 
 def test_an_order_is_agreed_on_answered_and_told_to_relays_at_once() -> None:
     control = Control()
     control.came(RELAY, beat())
-    control.post(Ordered(7, {"a": "1"}))
-    assert control.answers() == [(7, 1, "")] and control.sent(Difference) == [difference(0, {}, {"a": "1"})]
-    assert [e.state.version for e in control.effects if isinstance(e, Took)] == [1]
-    assert [m.state.entries for m in control.sent(Learn)] == [{"a": "1"}] * 2, "and to the other controllers"
+    control.post(ChangeRequested(7, {"a": "1"}))
+    assert control.answers() == [(7, 1, "")] and control.sent(Delta) == [difference(0, {}, {"a": "1"})]
+    assert [e.state.version for e in control.effects if isinstance(e, StateCommitted)] == [1]
+    assert [m.state.entries for m in control.sent(StateUpdate)] == [{"a": "1"}] * 2, "and to the other controllers"
 
 
 def test_an_order_whose_turn_has_not_come_does_not_start_a_round_each_beat() -> None:
     """The one before it may come late or never: with a round in each beat nobody else got a majority (seed 77997)."""
     control = Control()
-    control.came(Sender("c01", MACHINES[1].address, 1), Order("c01", 1, 2, {"a": "2"}))
+    control.came(Sender("c01", MACHINES[1].address, 1), ChangeOrder("c01", 1, 2, {"a": "2"}))
     for _ in range(20):
-        control.post(Woke(), 100.0)
+        control.post(TimerFired(), 100.0)
     assert control.core.proposer.highest <= 4
-    control.came(Sender("c01", MACHINES[1].address, 1), Order("c01", 1, 1, {"a": "1"}))
+    control.came(Sender("c01", MACHINES[1].address, 1), ChangeOrder("c01", 1, 1, {"a": "1"}))
     assert control.core.state.entries == {"a": "2"} and control.core.state.version == 2
 
 
@@ -476,37 +485,37 @@
 )
 def test_a_change_that_makes_no_sense_is_turned_down_at_the_door(step: Step, why: str) -> None:
     control = Control()
-    control.post(Ordered(1, {"left": "1"}))
-    control.post(Ordered(2, step))
+    control.post(ChangeRequested(1, {"left": "1"}))
+    control.post(ChangeRequested(2, step))
     ((ticket, version, said),) = control.answers()
     assert (ticket, version) == (2, 0) and why in said and control.core.state.version == 1
 
 
 def test_of_two_orders_that_clash_the_later_is_refused_by_name_of_the_cause() -> None:
     control = Control()
-    control.came(Sender("c01", MACHINES[1].address, 4), Order("c01", 4, 1, {"left": "1"}))
-    control.post(Came(Sender("c02", MACHINES[2].address, 4, 9), Order("c02", 4, 1, {"right": "1"})))
+    control.came(Sender("c01", MACHINES[1].address, 4), ChangeOrder("c01", 4, 1, {"left": "1"}))
+    control.post(MessageReceived(Sender("c02", MACHINES[2].address, 4, 9), ChangeOrder("c02", 4, 1, {"right": "1"})))
     assert control.core.state.entries == {"left": "1"}
     assert control.core.shown()["refused"] == [{"version": 2, "why": "left and right are not both possible"}]
 
 
 def test_without_a_majority_orders_end_with_the_cause_and_the_next_go_under_a_new_incarnation() -> None:
     control = Control("c01")  # no voter, and nobody answers
-    control.post(Ordered(1, {"a": "1"}))
-    control.post(Woke(), EXPIRE_MS + 100.0)
+    control.post(ChangeRequested(1, {"a": "1"}))
+    control.post(TimerFired(), EXPIRE_MS + 100.0)
     ((ticket, version, why),) = control.answers()
     assert (ticket, version) == (1, 0) and "may still come" in why and not control.core.pending
-    control.post(Ordered(2, {"a": "2"}))
-    assert control.core.pending[0].order == Order("c01", 2, 1, {"a": "2"})
+    control.post(ChangeRequested(2, {"a": "2"}))
+    assert control.core.pending[0].order == ChangeOrder("c01", 2, 1, {"a": "2"})
 
 
 def test_waiting_orders_are_bounded() -> None:
     control = Control("c01")
     for n in range(MAX_ORDERS + 1):
-        control.post(Ordered(n, {"a": f"{n}"}), 0.0)
+        control.post(ChangeRequested(n, {"a": f"{n}"}), 0.0)
     assert "wait already" in control.answers()[0][2] and len(control.core.pending) == MAX_ORDERS
     for n in range(2 * MAX_ORDERS):
-        control.came(Sender("c02", MACHINES[2].address, 4), Order("c02", 4, n + 2, {"a": "1"}), 0.0)
+        control.came(Sender("c02", MACHINES[2].address, 4), ChangeOrder("c02", 4, n + 2, {"a": "1"}), 0.0)
     assert len(control.core.round.queue) <= MAX_ORDERS
 
 
@@ -515,17 +524,17 @@
     for name in ("c99", "r0"):
         stranger = Sender(name, ("10.9.9.9", 1), 1)
         for message in (
-            Order(name, 1, 1, {"a": "1"}),
-            Learn(far),
-            Sum(9, 0, [], []),
-            Leave(),
+            ChangeOrder(name, 1, 1, {"a": "1"}),
+            StateUpdate(far),
+            RelaySummary(9, 0, [], []),
+            Detach(),
             Promise((1, "x"), "file", NONE, far),
-            Moved(*RELAY.address, 9, 9),
+            RelayReattached(*RELAY.address, 9, 9),
             Prepare((99, name), 0, "file"),
         ):
             control.came(stranger, message)
-            assert not [e for e in control.effects if not isinstance(e, Note)], message
-    control.came(Sender("c01", MACHINES[1].address, 1), Order("c02", 1, 1, {"a": "1"}))
+            assert not [e for e in control.effects if not isinstance(e, LogMessage)], message
+    control.came(Sender("c01", MACHINES[1].address, 1), ChangeOrder("c02", 1, 1, {"a": "1"}))
     control.came(Sender("c01", MACHINES[1].address, 1), "what is this")
     assert control.core.state.version == 0 and not control.core.round.queue
 
@@ -533,7 +542,7 @@
 def test_who_has_no_file_is_no_voter() -> None:
     control = Control("c01")
     control.came(Sender("c00", MACHINES[0].address, 1), Prepare((1, "x"), 0, "file"))
-    (refused,) = control.sent(Refused)
+    (refused,) = control.sent(Rejected)
     assert refused.not_voter
 
 
@@ -541,9 +550,9 @@
     control = Control("c01")
     one, two = after({"a": "1"}), after({"a": "1"}, {"a": "2"})
     c00 = Sender("c00", MACHINES[0].address, 1)
-    control.came(c00, Learn(two))
-    control.came(c00, Learn(one))
-    assert control.core.state == two and not [e for e in control.effects if isinstance(e, Took)]
+    control.came(c00, StateUpdate(two))
+    control.came(c00, StateUpdate(one))
+    assert control.core.state == two and not [e for e in control.effects if isinstance(e, StateCommitted)]
 
 
 def test_two_relays_of_one_name_are_served_and_said_once() -> None:
@@ -560,21 +569,21 @@
     control = Control()
     control.came(RELAY, beat(9), late_ms=6000.0)
     assert "newer than what is agreed on here" in control.notes()[0]
-    assert control.sent(Newest) and not control.sent(Whole) and not control.sent(Difference)
+    assert control.sent(LatestVersion) and not control.sent(Snapshot) and not control.sent(Delta)
 
 
 def test_what_was_overtaken_on_its_way_changes_nothing() -> None:
     control = Control()
-    control.post(Came(Sender("r0", RELAY.address, 2, 50), beat(taken=0)))
+    control.post(MessageReceived(Sender("r0", RELAY.address, 2, 50), beat(taken=0)))
     for sender in (Sender("r0", RELAY.address, 2, 49), Sender("r0", RELAY.address, 1, 99)):
-        control.post(Came(sender, beat(4)))
-        control.post(Came(sender, Leave()))
+        control.post(MessageReceived(sender, beat(4)))
+        control.post(MessageReceived(sender, Detach()))
     c01 = MACHINES[1]
-    control.post(Came(Sender("c01", c01.address, 1, 1), Moved(*RELAY.address, 2, 49)))
+    control.post(MessageReceived(Sender("c01", c01.address, 1, 1), RelayReattached(*RELAY.address, 2, 49)))
     (relay,) = control.core.relays.values()
     assert relay.known == 0 and not relay.left
-    control.post(Came(Sender("c01", c01.address, 2, 50), Sum(0, 7, [(0, 7)], [])))
-    control.post(Came(Sender("c01", c01.address, 2, 49), Sum(0, 1, [(0, 1)], [])))
+    control.post(MessageReceived(Sender("c01", c01.address, 2, 50), RelaySummary(0, 7, [(0, 7)], [])))
+    control.post(MessageReceived(Sender("c01", c01.address, 2, 49), RelaySummary(0, 1, [(0, 1)], [])))
     assert control.core.shown()["controllers"]["c01"]["relays"] == 7
 
 
@@ -592,19 +601,19 @@
     state = FIRST
     for _ in range(MAX_LOG // MAX_DONE + 2):
         state = after(*({"k": f"{n}" * 9, f"x{n}": "y" * 40} for n in range(MAX_DONE)), state=state)
-        control.came(c01, Learn(state))
+        control.came(c01, StateUpdate(state))
     assert len(control.core.log) <= MAX_LOG
     newest = state.version
     control.came(RELAY, beat(newest - 2, state.entries), 300.0)
-    assert [d.base for d in control.sent(Difference)] == [newest - 2]
+    assert [d.base for d in control.sent(Delta)] == [newest - 2]
     control.came(RELAY, beat(newest - 100, state.entries), 300.0)
-    assert control.sent(Whole) == [whole(newest, state.entries)]
+    assert control.sent(Snapshot) == [whole(newest, state.entries)]
     control.came(RELAY, beat(newest - 1, state.entries, whole=True))
-    assert control.sent(Whole) == [whole(newest, state.entries)], "who asks for all gets all"
+    assert control.sent(Snapshot) == [whole(newest, state.entries)], "who asks for all gets all"
     far = after(*({"k": f"{n}"} for n in range(MAX_DONE + 30)), state=state)
-    control.came(c01, Learn(far))
+    control.came(c01, StateUpdate(far))
     control.came(RELAY, beat(newest, state.entries), 300.0)
-    assert control.sent(Whole) and not control.sent(Difference), "over a gap"
+    assert control.sent(Snapshot) and not control.sent(Delta), "over a gap"
 
 
 def test_no_two_processes_of_a_controller_propose_under_one_ballot() -> None:
@@ -613,8 +622,8 @@
         control = Control(seed=seed)
         ballots |= {
             e.message.ballot
-            for e in control.core.step(500.0, Woke())
-            if isinstance(e, Send) and isinstance(e.message, Prepare)
+            for e in control.core.step(500.0, TimerFired())
+            if isinstance(e, SendMessage) and isinstance(e.message, Prepare)
         }
     assert len(ballots) == 2 and len({number for number, _ in ballots}) == 1
 
@@ -623,18 +632,18 @@
     """The clock went back. The earlier process's order was still on its way, and came between this one's."""
     control, c00 = Control("c01", incarnation=502), Sender("c00", MACHINES[0].address, 1)
     for ticket in (1, 2, 3):
-        control.post(Ordered(ticket, {"a": f"{ticket}"}))
+        control.post(ChangeRequested(ticket, {"a": f"{ticket}"}))
     state = after({"a": "1"}, {"a": "2"}, taker="c01", incarnation=502)
-    control.came(c00, Learn(after({"b": "old"}, state=state, taker="c01", incarnation=1000)))
+    control.came(c00, StateUpdate(after({"b": "old"}, state=state, taker="c01", incarnation=1000)))
     assert control.answers() == [(1, 1, ""), (2, 2, "")]
-    assert [p.order for p in control.core.pending] == [Order("c01", 1001, 1, {"a": "3"})]
+    assert [p.order for p in control.core.pending] == [ChangeOrder("c01", 1001, 1, {"a": "3"})]
 
 
 def test_orders_of_which_nobody_knows_any_more_are_answered_so() -> None:
     control, c00 = Control("c01", incarnation=502), Sender("c00", MACHINES[0].address, 1)
-    control.post(Ordered(1, {"a": "1"}))
+    control.post(ChangeRequested(1, {"a": "1"}))
     state = after({"b": "old"}, state=after({"a": "1"}, taker="c01", incarnation=502), taker="c01", incarnation=1000)
-    control.came(c00, Learn(after(*({"z": f"{n}"} for n in range(MAX_DONE)), state=state, taker="c02")))
+    control.came(c00, StateUpdate(after(*({"z": f"{n}"} for n in range(MAX_DONE)), state=state, taker="c02")))
     ((_, version, why),) = control.answers()
     assert version == 0 and "see `show`" in why and not control.core.pending
 
@@ -647,20 +656,20 @@
     control, c01 = Control(), Sender("c01", MACHINES[1].address, 1)
     for _ in range(int(SURE_MS / 100.0) + 5):
         control.came(RELAY, beat(), 0.0)
-        control.came(c01, Sum(0, 1, [(0, 1)], []), 0.0)
-        control.post(Woke(), 100.0)
+        control.came(c01, RelaySummary(0, 1, [(0, 1)], []), 0.0)
+        control.post(TimerFired(), 100.0)
     return control
 
 
 def test_in_force_is_what_all_relays_of_all_controllers_have() -> None:
     control, c01 = steady(), Sender("c01", MACHINES[1].address, 1)
-    control.post(Ordered(1, {"a": "1"}))
+    control.post(ChangeRequested(1, {"a": "1"}))
     assert control.core.shown()["in_force"] == 0
     control.came(RELAY, beat(1, {"a": "1"}))
     assert control.core.shown()["in_force"] == 0, "c01's relay has not"
-    control.came(c01, Sum(1, 1, [(1, 1)], []))
+    control.came(c01, RelaySummary(1, 1, [(1, 1)], []))
     assert control.core.shown()["in_force"] == 1
-    notes = [note for _ in range(4) for note in control.post(Woke(), 100.0) and control.notes()]
+    notes = [note for _ in range(4) for note in control.post(TimerFired(), 100.0) and control.notes()]
     assert ["version 1 is in force at 2 relays" in note for note in notes] == [True], "said once"
 
 
@@ -670,41 +679,41 @@
     c01 = Sender("c01", MACHINES[1].address, 1)
     if what == "silent":
         for _ in range(12):
-            control.post(Woke(), 100.0)
+            control.post(TimerFired(), 100.0)
     elif what == "new life":
-        control.came(Sender("c01", MACHINES[1].address, 2), Sum(0, 0, [], []))
+        control.came(Sender("c01", MACHINES[1].address, 2), RelaySummary(0, 0, [], []))
     elif what == "stood still":
-        control.came(c01, Sum(0, 0, [], []), 1500.0)
+        control.came(c01, RelaySummary(0, 0, [], []), 1500.0)
     control.came(RELAY, beat())
-    control.post(Ordered(1, {"a": "1"}))
+    control.post(ChangeRequested(1, {"a": "1"}))
     control.came(RELAY, beat(1, {"a": "1"}))
     incarnation = 2 if what == "new life" else 1
     if what != "silent":
-        control.came(Sender("c01", MACHINES[1].address, incarnation), Sum(1, 0, [], []))
+        control.came(Sender("c01", MACHINES[1].address, incarnation), RelaySummary(1, 0, [], []))
     assert control.core.shown()["in_force"] == 0, "a relay may be on its way from one to another"
     for _ in range(int(SURE_MS / 100.0) + 2):
         control.came(RELAY, beat(1, {"a": "1"}), 0.0)
         if what != "silent":
-            control.came(Sender("c01", MACHINES[1].address, incarnation), Sum(1, 0, [], []), 0.0)
-        control.post(Woke(), 100.0)
+            control.came(Sender("c01", MACHINES[1].address, incarnation), RelaySummary(1, 0, [], []), 0.0)
+        control.post(TimerFired(), 100.0)
     assert control.core.shown()["in_force"] == 1
 
 
 @pytest.mark.parametrize("told", [True, False])
 def test_a_relay_that_left_counts_until_its_next_controller_has_told_of_it(told: bool) -> None:
     control, c01 = steady(), Sender("c01", MACHINES[1].address, 1)
-    control.came(c01, Sum(0, 0, [], []))
-    control.post(Came(Sender("r0", RELAY.address, 1, 10_000), Leave()))
-    control.post(Ordered(1, {"a": "1"}))
+    control.came(c01, RelaySummary(0, 0, [], []))
+    control.post(MessageReceived(Sender("r0", RELAY.address, 1, 10_000), Detach()))
+    control.post(ChangeRequested(1, {"a": "1"}))
     assert control.core.shown()["in_force"] == 0 and control.core.shown()["relays"] == 0
-    assert not control.sent(Difference), "it is told by another"
+    assert not control.sent(Delta), "it is told by another"
     if told:
-        control.came(c01, Moved(*RELAY.address, 1, 10_001))
+        control.came(c01, RelayReattached(*RELAY.address, 1, 10_001))
     for n in range(int(SURE_MS / 100.0) + 4):
         if n == 20:
             assert control.core.shown()["in_force"] == (1 if told else 0)
-        control.came(c01, Sum(1, 1, [(1, 1)], []), 0.0)
-        control.post(Woke(), 100.0)
+        control.came(c01, RelaySummary(1, 1, [(1, 1)], []), 0.0)
+        control.post(TimerFired(), 100.0)
     assert control.core.shown()["in_force"] == 1 and not control.core.relays
 
 
--- a/tests/daemon/test_cached_settings.py
+++ b/tests/daemon/test_cached_settings.py
@@ -10,7 +10,7 @@
 import pytest
 
 from tests.daemon.test_configuration_daemon import ENTRIES, Cluster
-from yarrowspindle.configuration.messages import Came, Whole
+from yarrowspindle.configuration.messages import MessageReceived, Snapshot
 from yarrowspindle.configuration.state import digest
 from yarrowspindle.daemon import configuration_endpoint as control
 from yarrowspindle.daemon.config import read_operator
@@ -41,7 +41,7 @@
 
         monkeypatch.setattr(endpoint.file, "store", on_bad_disk)
         endpoint.start()
-        endpoint.post(Came(settings.machines[0].sender, Whole(1, digest(1, ENTRIES), ENTRIES)))
+        endpoint.post(MessageReceived(settings.machines[0].sender, Snapshot(1, digest(1, ENTRIES), ENTRIES)))
         while not endpoint.counts["unkept"]:
             await asyncio.sleep(0.01)
         failing = not well_again
--- a/tests/daemon/test_configuration_daemon.py
+++ b/tests/daemon/test_configuration_daemon.py
@@ -24,9 +24,19 @@
 from yarrowspindle.configuration.codec import TAKEN
 from yarrowspindle.configuration.controller import Controller as CoreController
 from yarrowspindle.configuration.link import Link
-from yarrowspindle.configuration.messages import Came, Difference, Keep, Learn, Newest, Sender, Wake, Whole, Woke
-from yarrowspindle.configuration.settings import Machine
-from yarrowspindle.configuration.state import ControlState, Order, digest
+from yarrowspindle.configuration.messages import (
+    Delta,
+    LatestVersion,
+    MessageReceived,
+    Persist,
+    Sender,
+    SetTimer,
+    Snapshot,
+    StateUpdate,
+    TimerFired,
+)
+from yarrowspindle.configuration.settings import ControllerAddress
+from yarrowspindle.configuration.state import ChangeOrder, ControlState, digest
 from yarrowspindle.daemon.config import ConfigError, Operator, load_operator, read_config, read_operator
 from yarrowspindle.daemon.configuration_endpoint import RelayEndpoint
 from yarrowspindle.daemon.relay_service import RelayService
@@ -36,7 +46,7 @@
 from yarrowspindle.routing.address import Address
 from yarrowspindle.routing.events import RequestReceived
 from yarrowspindle.runtime import SystemClock
-from yarrowspindle.storage.durable_file import FIRST, KeptFile
+from yarrowspindle.storage.durable_file import FIRST, DurableFile
 
 CHAT = dict(SETTINGS["categories"][0])
 ENTRIES, _, _ = shared_of(SETTINGS)
@@ -137,8 +147,8 @@
             f'cluster = "{self.name}"\ndirectory = "{self.folder}/{name}-kept"\n{more}{self.machines}'
         )
 
-    def file(self, name: str) -> KeptFile[Keep]:
-        return KeptFile(f"{self.folder}/{name}-kept", name, self.name, "taken", TAKEN)
+    def file(self, name: str) -> DurableFile[Persist]:
+        return DurableFile(f"{self.folder}/{name}-kept", name, self.name, "taken", TAKEN)
 
     async def say(self, at: int, *words: str) -> int:
         return await asyncio.to_thread(main, ["--at", text(self.controllers[at].command), *words])
@@ -309,7 +319,7 @@
             for name, version in (("ahead", 50), ("cut", 7)):
                 file = world.file(name)
                 file.folder.mkdir()
-                file.store(Keep(version, ENTRIES | {"categories": chat(900.0).partition("=")[2]}))
+                file.store(Persist(version, ENTRIES | {"categories": chat(900.0).partition("=")[2]}))
             file.path.write_bytes(file.path.read_bytes()[:-9])
             names = ["ahead", "cut", "twin", "twin"]
             flooded = address()
@@ -356,7 +366,7 @@
 
 async def flood(at: Address) -> None:
     """Of many strangers; some look like somebody's datagram."""
-    sealed = Link("x", address(), "lab", 1, 1, 0.0).packed(0.0, at, Newest(1, bytes(8)))[0]
+    sealed = Link("x", address(), "lab", 1, 1, 0.0).packed(0.0, at, LatestVersion(1, bytes(8)))[0]
     for n in range(150):
         with socket.socket(type=socket.SOCK_DGRAM) as stranger:
             for data in (b"", os.urandom(1 + n), sealed, sealed[:-n] + os.urandom(n), os.urandom(1400)):
@@ -448,17 +458,17 @@
         endpoint._send = lambda send: sent.append(send.message)  # type: ignore[method-assign]
         endpoint.carry_out(endpoint.core.take_effects())
         sender = settings.machines[0].sender
-        endpoint.post(Came(sender, Whole(1, digest(1, ENTRIES), ENTRIES)))
+        endpoint.post(MessageReceived(sender, Snapshot(1, digest(1, ENTRIES), ENTRIES)))
         assert (endpoint.core.known, endpoint.core.taken, endpoint.core.why) == (1, 0, "no room")
         assert endpoint.unkept is None and {beat.taken for beat in sent} == {0} and sent[-1].why == "no room"
         cannot = False
-        endpoint.post(Came(sender, Difference(1, 2, digest(2, ENTRIES), [{}])))
+        endpoint.post(MessageReceived(sender, Delta(1, 2, digest(2, ENTRIES), [{}])))
         assert endpoint.core.taken == 2 == sent[-1].taken and endpoint.unkept is not None
         effects: list[Any] = []
         monkeypatch.setattr(endpoint, "carry_out", effects.extend)
         monkeypatch.setattr(endpoint.core, "step", None)
-        endpoint.post(Woke())  # a core that fails is counted, and its beat goes on
-        assert endpoint.counts["failures"] == 1 and effects == [Wake(1000.0)]
+        endpoint.post(TimerFired())  # a core that fails is counted, and its beat goes on
+        assert endpoint.counts["failures"] == 1 and effects == [SetTimer(1000.0)]
         monkeypatch.undo()
         await endpoint.close()
 
@@ -518,13 +528,13 @@
 
 
 def test_a_machine_with_a_controllers_name_is_not_heard_from_elsewhere() -> None:
-    machines = tuple(Machine(f"c{n}", (f"10.0.0.{n}", 1), voter=True) for n in range(3))
+    machines = tuple(ControllerAddress(f"c{n}", (f"10.0.0.{n}", 1), voter=True) for n in range(3))
     first = ControlState({machine.name: FIRST for machine in machines})
-    learned = first.settled(Order("c1", 1, 1, ENTRIES), check)
+    learned = first.settled(ChangeOrder("c1", 1, 1, ENTRIES), check)
     assert learned is not None
     for at, version in ((("10.0.0.9", 1), 0), (machines[1].address, 1)):
         core = CoreController(machines[0], machines, first, FIRST, first, 5, check, 1, 0.0)
-        core.step(1.0, Came(Sender("c1", at, 1, 1), Learn(learned)))
+        core.step(1.0, MessageReceived(Sender("c1", at, 1, 1), StateUpdate(learned)))
         assert core.state.version == version and core.counts["strangers"] == 1 - version
 
 
--- a/tests/forms/published.py
+++ b/tests/forms/published.py
@@ -11,13 +11,13 @@
 from yarrowspindle.commands.configuration import control
 from yarrowspindle.commands.maintenance import turns
 from yarrowspindle.configuration.controller import Controller
-from yarrowspindle.configuration.messages import Named, Sum
-from yarrowspindle.configuration.settings import Machine
+from yarrowspindle.configuration.messages import LaggingRelay, RelaySummary
+from yarrowspindle.configuration.settings import ControllerAddress
 from yarrowspindle.daemon.metrics import Metrics
 from yarrowspindle.decisions.rejection import RejectionReason
 from yarrowspindle.maintenance import status_report as report
-from yarrowspindle.maintenance.coordinator import Fleet, Turns
-from yarrowspindle.maintenance.state import Seen
+from yarrowspindle.maintenance.coordinator import FleetObserved, MaintenanceCoordinator
+from yarrowspindle.maintenance.state import BackendObservation
 from yarrowspindle.routing import effects
 from yarrowspindle.routing.reducer import Reducer
 from yarrowspindle.routing.state import Phase, Request
@@ -100,17 +100,23 @@
 
 def shown_turns() -> dict[str, Any]:
     """What `turns show --json` gives, and the gauges."""
-    core = Turns("n1", "k1", TURN_STATE, "aa", TURN_STATE, 7, 0.0)
-    fleet = {"s-1": Seen(1, 1.0, True, 3), "s-2": Seen(0, 1.5, True, 4), "s-3": Seen(0, 1.0, False)}
-    core.step(1.0, Fleet(frozenset({"s-3"}), fleet, ("n1", "n2")))
+    core = MaintenanceCoordinator("n1", "k1", TURN_STATE, "aa", TURN_STATE, 7, 0.0)
+    fleet = {
+        "s-1": BackendObservation(1, 1.0, True, 3),
+        "s-2": BackendObservation(0, 1.5, True, 4),
+        "s-3": BackendObservation(0, 1.0, False),
+    }
+    core.step(1.0, FleetObserved(frozenset({"s-3"}), fleet, ("n1", "n2")))
     return {"shown": report.show(core, 50.0, {7: 10.0}, {"n1"}), "gauges": report.gauges(core, 50.0)}
 
 
 def shown_control() -> dict[str, Any]:
     """What `control show --json` gives of a controller's core."""
-    machines = tuple(Machine(name, ("127.0.0.1", 7000 + number)) for number, name in enumerate(("c1", "c2", "c3")))
+    machines = tuple(
+        ControllerAddress(name, ("127.0.0.1", 7000 + number)) for number, name in enumerate(("c1", "c2", "c3"))
+    )
     core = Controller(machines[0], machines, CONTROL_STATE, "aa", CONTROL_STATE, 17, lambda entries: "", 7, 0.0)
-    return dict(core.shown(Sum(2, 12, [(1, 2), (2, 10)], [Named("n7", 1, 2500, "refused")], 3)))
+    return dict(core.shown(RelaySummary(2, 12, [(1, 2), (2, 10)], [LaggingRelay("n7", 1, 2500, "refused")], 3)))
 
 
 def options(command: click.Command) -> dict[str, Any]:
--- a/tests/forms/samples.py
+++ b/tests/forms/samples.py
@@ -7,15 +7,23 @@
 
 from yarrowspindle.configuration import codec as control_codec
 from yarrowspindle.configuration import messages as control
-from yarrowspindle.configuration.state import ControlState, Done, Order
-from yarrowspindle.consensus.register import Accept, Accepted, Kept, Prepare, Promise, Refused
+from yarrowspindle.configuration.state import ChangeOrder, CommittedStep, ControlState
+from yarrowspindle.consensus.register import Accept, Accepted, AcceptorState, Prepare, Promise, Rejected
 from yarrowspindle.decisions.events import EndpointState, ListKind, PeerLoads
 from yarrowspindle.decisions.settings import DeduplicationScope, Idempotency, RequestClass, Settings, Tenant
 from yarrowspindle.maintenance import codec as turns_codec
 from yarrowspindle.maintenance import coordinator as turns
-from yarrowspindle.maintenance.state import FEWEST, REFUSED, WARMING, Out, Request, TurnState, Wish
+from yarrowspindle.maintenance.state import (
+    FEWEST,
+    REFUSED,
+    WARMING,
+    Evacuation,
+    MaintenanceRequest,
+    MaintenanceState,
+    RequestStatus,
+)
 from yarrowspindle.membership import codec as peers
-from yarrowspindle.protocol.fragments import Parcels
+from yarrowspindle.protocol.fragments import Fragmenter
 from yarrowspindle.rebalancing import RebalanceSettings
 from yarrowspindle.replay.sequence import Recorder
 from yarrowspindle.routing import events
@@ -23,19 +31,19 @@
 
 OWNER, CLUSTER = "n3", "lisboa"
 
-WISH = Wish(("s-1", "s-2"), 2, 1, 3.5, 90.0, FEWEST, "kernel")
-TURN_STATE = TurnState(
+WISH = MaintenanceRequest(("s-1", "s-2"), 2, 1, 3.5, 90.0, FEWEST, "kernel")
+TURN_STATE = MaintenanceState(
     voters={"n1": "aa", "n2": "bb", "n3": "cc"},
     version=41,
     epoch=2,
     turn=7,
     requests={
-        WISH.id: Request(WISH, ("s-2",)),
-        "0badc0ffee00": Request(Wish(("s-9",)), (), REFUSED, "s-9 is in another request", 12),
+        WISH.id: RequestStatus(WISH, ("s-2",)),
+        "0badc0ffee00": RequestStatus(MaintenanceRequest(("s-9",)), (), REFUSED, "s-9 is in another request", 12),
     },
     out={
-        "s-1": Out(6, WISH.id, 1, WARMING, frozenset({("n1", 3)})),
-        "s-3": Out(7, WISH.id, 0, confirmed=frozenset({("n2", 4)})),
+        "s-1": Evacuation(6, WISH.id, 1, WARMING, frozenset({("n1", 3)})),
+        "s-3": Evacuation(7, WISH.id, 0, confirmed=frozenset({("n2", 4)})),
     },
     relays={"n1": 3, "n2": 4},
     keys={"n1": "k1", "n2": "k2"},
@@ -49,7 +57,10 @@
     epoch=1,
     entries={"step_ms": "2"},
     takers={"c1": (1700000000000, 2)},
-    done=[Done(1, {"step_ms": "1", "limits": "{}"}, "", "c1", 1700000000000, 1), Done(2, STEP, "no", "c1", 17, 2)],
+    done=[
+        CommittedStep(1, {"step_ms": "1", "limits": "{}"}, "", "c1", 1700000000000, 1),
+        CommittedStep(2, STEP, "no", "c1", 17, 2),
+    ],
 )
 DIGEST = CONTROL_STATE.digest
 
@@ -61,49 +72,49 @@
         Promise((5, "n1 k1"), "bb", (4, "n2 k2"), state),
         Accept((5, "n1 k1"), 2, "bb", state),
         Accepted((5, "n1 k1"), "bb"),
-        Refused((5, "n1 k1"), (6, "n3 k3"), state, True),
-        Refused((5, "n1 k1"), (6, "n3 k3")),
+        Rejected((5, "n1 k1"), (6, "n3 k3"), state, True),
+        Rejected((5, "n1 k1"), (6, "n3 k3")),
     ]
 
 
 def turns_messages() -> list[Any]:
     return [
         *register_messages(TURN_STATE),
-        turns.Learn(TURN_STATE),
-        turns.Behind(40),
-        turns.Says(3, {"s-1": 6, "s-3": 7}),
-        turns.Enter("0123456789abcdef"),
-        turns.Newest(41),
+        turns.StateUpdate(TURN_STATE),
+        turns.CatchUpRequest(40),
+        turns.ReleaseConfirmation(3, {"s-1": 6, "s-3": 7}),
+        turns.RegisterRelay("0123456789abcdef"),
+        turns.LatestVersion(41),
     ]
 
 
 def control_messages() -> list[Any]:
-    named = control.Named("n7", 1, 2500, "limits make no sense")
+    named = control.LaggingRelay("n7", 1, 2500, "limits make no sense")
     return [
-        control.Beat(2, DIGEST, 1, "limits make no sense", True, True, "c2"),
-        control.Newest(2, DIGEST),
-        control.Difference(1, 2, DIGEST, [STEP]),
-        control.Whole(2, DIGEST, {"step_ms": "2"}),
-        control.Leave(),
-        control.Moved("127.0.0.9", 7946, 1700000000000, 1234),
-        control.Later(1700000000001),
-        control.Sum(2, 12, [(1, 2), (2, 10)], [named], 3),
-        control.Learn(CONTROL_STATE),
-        Order("c1", 1700000000000, 3, STEP),
+        control.Heartbeat(2, DIGEST, 1, "limits make no sense", True, True, "c2"),
+        control.LatestVersion(2, DIGEST),
+        control.Delta(1, 2, DIGEST, [STEP]),
+        control.Snapshot(2, DIGEST, {"step_ms": "2"}),
+        control.Detach(),
+        control.RelayReattached("127.0.0.9", 7946, 1700000000000, 1234),
+        control.NewerIncarnation(1700000000001),
+        control.RelaySummary(2, 12, [(1, 2), (2, 10)], [named], 3),
+        control.StateUpdate(CONTROL_STATE),
+        ChangeOrder("c1", 1700000000000, 3, STEP),
         *register_messages(CONTROL_STATE),
     ]
 
 
 def peers_datagrams() -> list[peers.Datagram]:
-    rumour = peers.Rumour("n2", "127.0.0.2", 7946, 1700000000000, 4, peers.SUSPECT, "n1")
+    rumour = peers.MembershipUpdate("n2", "127.0.0.2", 7946, 1700000000000, 4, peers.SUSPECT, "n1")
     bodies: list[Any] = [
         peers.Ping(9, "n2", 123456789),
         peers.Ack(9, 123456789, "n2"),
-        peers.PingFor(10, "n4", "127.0.0.4", 7946),
+        peers.PingRequest(10, "n4", "127.0.0.4", 7946),
         peers.Nack(10),
-        peers.Tell(True),
-        peers.Signal(3, 5, [11, 2, 3000], 1, 99, [12, 4, 5000], [13, 700], [14, 950, 6, 120]),
-        peers.Wanted(),
+        peers.SyncRequest(True),
+        peers.LoadSignal(3, 5, [11, 2, 3000], 1, 99, [12, 4, 5000], [13, 700], [14, 950, 6, 120]),
+        peers.FullLoadRequest(),
         peers.Carried(b"carried"),
     ]
     return [
@@ -115,16 +126,16 @@
 def stored() -> dict[str, tuple[Any, Any]]:
     """Name -> codec and value of each file."""
     return {
-        "turns voter": (turns_codec.FILE, Kept("cc", (6, "n1 k1"), (5, "n2 k2"), TURN_STATE)),
-        "control voter": (control_codec.FILE, Kept("cc", (6, "c1 k1"), (5, "c2 k2"), CONTROL_STATE)),
-        "control settings of a relay": (control_codec.TAKEN, control.Keep(2, {"step_ms": "2"})),
+        "turns voter": (turns_codec.FILE, AcceptorState("cc", (6, "n1 k1"), (5, "n2 k2"), TURN_STATE)),
+        "control voter": (control_codec.FILE, AcceptorState("cc", (6, "c1 k1"), (5, "c2 k2"), CONTROL_STATE)),
+        "control settings of a relay": (control_codec.TAKEN, control.Persist(2, {"step_ms": "2"})),
         "control state of a controller": (control_codec.AGREED, CONTROL_STATE),
     }
 
 
 def parcels() -> list[bytes]:
     """A message of three parts, and what asks for the missing ones."""
-    sender, receiver = Parcels(7), Parcels(100)
+    sender, receiver = Fragmenter(7), Fragmenter(100)
     parts = sender.cut("n2", bytes(range(256)) * 8)
     receiver.came(0.0, "n1", parts[1])
     return [*parts, *(data for _, data in receiver.due(60.0))]
--- a/tests/maintenance/test_maintenance.py
+++ b/tests/maintenance/test_maintenance.py
@@ -8,15 +8,23 @@
 
 from benchmarks.turns import day_of as day
 from benchmarks.turns import dies
-from yarrowspindle.consensus.register import NONE, Accept, Kept, Prepare, Promise, Refused, Voter
+from yarrowspindle.consensus.register import NONE, Accept, Acceptor, AcceptorState, Prepare, Promise, Rejected
 from yarrowspindle.lab.faults import Fault
 from yarrowspindle.lab.model.exhaustive import STAGES, explore
 from yarrowspindle.lab.model.planted import DEFECTS
 from yarrowspindle.lab.model.turning import FIRST, STEPS, Plan, play_turns
-from yarrowspindle.maintenance.state import EMPTYING, FREE, WARMING, Seen, TurnError, TurnState, Wish
+from yarrowspindle.maintenance.state import (
+    EMPTYING,
+    FREE,
+    WARMING,
+    BackendObservation,
+    MaintenanceError,
+    MaintenanceRequest,
+    MaintenanceState,
+)
 
-SEEN = {f"m{n}": Seen(n % 2, 1.0, True) for n in range(4)}
-WISH = Wish(("m0", "m1", "m2"), 2, 1, 2.0)
+SEEN = {f"m{n}": BackendObservation(n % 2, 1.0, True) for n in range(4)}
+WISH = MaintenanceRequest(("m0", "m1", "m2"), 2, 1, 2.0)
 
 
 @pytest.mark.parametrize("first", range(0, 48, 12))
@@ -74,21 +82,21 @@
     assert explore(3, 100_000, DEFECTS["places before it has read"], "free").broken
 
 
-def settled(state: TurnState | None) -> TurnState:
+def settled(state: MaintenanceState | None) -> MaintenanceState:
     assert state is not None
     return state
 
 
-def granted() -> TurnState:
-    state = settled(TurnState({"r0": FIRST}).registered("r0", "x"))
+def granted() -> MaintenanceState:
+    state = settled(MaintenanceState({"r0": FIRST}).registered("r0", "x"))
     state = settled(settled(state.registered("r1", "y")).asked(WISH))
     return settled(state.advanced(SEEN))
 
 
 def test_the_same_wish_twice_is_one_and_one_that_clashes_is_told_why() -> None:
     state = granted()
-    assert state.asked(Wish(("m0", "m1", "m2"), 2, 1, 2.0)) is None
-    refused = settled(state.asked(Wish(("m3", "m1")))).requests[Wish(("m3", "m1")).id]
+    assert state.asked(MaintenanceRequest(("m0", "m1", "m2"), 2, 1, 2.0)) is None
+    refused = settled(state.asked(MaintenanceRequest(("m3", "m1")))).requests[MaintenanceRequest(("m3", "m1")).id]
     assert refused.state == "refused" and refused.why == f"m1 is in request {WISH.id} already"
     wrongs: list[dict[str, Any]] = [
         {"machines": ()},
@@ -97,8 +105,8 @@
         {"machines": ("a",), "deadline_s": 0.0},
     ]
     for wrong in wrongs:
-        with pytest.raises(TurnError):
-            Wish(**wrong)
+        with pytest.raises(MaintenanceError):
+            MaintenanceRequest(**wrong)
 
 
 def test_turns_keep_to_most_zone_and_floor() -> None:
@@ -107,11 +115,13 @@
     state = settled(state.advanced(SEEN))
     assert list(state.out) == ["m0", "m1"] and [o.turn for o in state.out.values()] == [1, 2]
     assert state.advanced(SEEN) is None, "two are out"
-    alone = settled(settled(TurnState().asked(Wish(("m0", "m2"), 2, 1, 0.0))).advanced(SEEN))
+    alone = settled(settled(MaintenanceState().asked(MaintenanceRequest(("m0", "m2"), 2, 1, 0.0))).advanced(SEEN))
     assert alone.advanced(SEEN) is None, "they are in one zone"
-    assert settled(TurnState().asked(Wish(("m0",), 1, 1, 3.5))).advanced(SEEN) is None, "the floor"
-    held = {m: Seen(s.zone, s.capacity, s.ready, 9 - int(m[1])) for m, s in SEEN.items()}
-    fewest = settled(settled(TurnState().asked(Wish(("m0", "m3", "m1"), order="fewest"))).advanced(held))
+    assert settled(MaintenanceState().asked(MaintenanceRequest(("m0",), 1, 1, 3.5))).advanced(SEEN) is None, "the floor"
+    held = {m: BackendObservation(s.zone, s.capacity, s.ready, 9 - int(m[1])) for m, s in SEEN.items()}
+    fewest = settled(
+        settled(MaintenanceState().asked(MaintenanceRequest(("m0", "m3", "m1"), order="fewest"))).advanced(held)
+    )
     assert list(fewest.out) == ["m3"], "the one with fewest connections goes first"
 
 
@@ -141,7 +151,7 @@
     assert kept.done("m0", 0) is None, "a word on an earlier turn"
     warming = settled(kept.done("m0", 1))
     assert warming.out["m0"].stage == WARMING and not warming.keeps_off("m0")
-    cold = SEEN | {"m0": Seen(0, 1.0, False)}
+    cold = SEEN | {"m0": BackendObservation(0, 1.0, False)}
     assert warming.advanced(cold) is None and not settled(warming.advanced(SEEN)).out
 
 
@@ -157,28 +167,28 @@
 
 
 def test_a_voter_answers_only_what_it_has_written_and_no_other_identity() -> None:
-    written: list[Kept[TurnState]] = []
+    written: list[AcceptorState[MaintenanceState]] = []
 
-    def full(kept: Kept[TurnState]) -> None:
+    def full(kept: AcceptorState[MaintenanceState]) -> None:
         raise OSError("no space left")
 
-    first = Kept(FIRST, NONE, NONE, TurnState({"r0": FIRST}))
-    voter = Voter(first, full)
+    first = AcceptorState(FIRST, NONE, NONE, MaintenanceState({"r0": FIRST}))
+    voter = Acceptor(first, full)
     with pytest.raises(OSError):
         voter.told(Prepare((1, "r0"), 0, FIRST))
     assert voter.kept is first
-    voter = Voter(first, written.append)
+    voter = Acceptor(first, written.append)
     assert isinstance(voter.told(Prepare((3, "r0"), 0, FIRST)), Promise) and written[-1].promised == (3, "r0")
     for message in (
         Prepare((2, "r1"), 0, FIRST),
         Prepare((9, "r1"), 0, "another file"),
-        Accept((2, "r1"), 0, FIRST, TurnState()),
+        Accept((2, "r1"), 0, FIRST, MaintenanceState()),
     ):
-        assert isinstance(voter.told(message), Refused)
-    newer = TurnState({"r0": FIRST}, 4, 2)
+        assert isinstance(voter.told(message), Rejected)
+    newer = MaintenanceState({"r0": FIRST}, 4, 2)
     voter.told(Accept((4, "r0"), 2, FIRST, newer))
     late = voter.told(Prepare((5, "r1"), 1, FIRST))
-    assert isinstance(late, Refused) and late.newer == newer, "its voter set is old"
+    assert isinstance(late, Rejected) and late.newer == newer, "its voter set is old"
 
 
 # The first seed that found each defect; six more of DEFECTS need more seeds than fit here (docs/design/turns.md).
--- a/tests/maintenance/test_maintenance_parts.py
+++ b/tests/maintenance/test_maintenance_parts.py
@@ -10,30 +10,36 @@
 
 import pytest
 
-from yarrowspindle.consensus.register import NONE, Accept, Kept, Prepare, Promise, Refused, Voter
+from yarrowspindle.consensus.register import NONE, Accept, Acceptor, AcceptorState, Prepare, Promise, Rejected
 from yarrowspindle.consensus.register import Send as RegisterSend
 from yarrowspindle.daemon.config import ConfigError, read_operator
-from yarrowspindle.daemon.voter_file import TurnFile, first_state
+from yarrowspindle.daemon.voter_file import MaintenanceVoterFile, first_state
 from yarrowspindle.decisions.events import EndpointState
 from yarrowspindle.maintenance import codec
-from yarrowspindle.maintenance.coordinator import Enter, Learn, Newest, Says, Turns
-from yarrowspindle.maintenance.evacuation import BEAT_MS, Emptying, Task
-from yarrowspindle.maintenance.fleet_health import TROUBLE_MS, FleetWatch, Look
+from yarrowspindle.maintenance.coordinator import (
+    LatestVersion,
+    MaintenanceCoordinator,
+    RegisterRelay,
+    ReleaseConfirmation,
+    StateUpdate,
+)
+from yarrowspindle.maintenance.evacuation import BEAT_MS, BackendEvacuator, MaintenancePlan
+from yarrowspindle.maintenance.fleet_health import TROUBLE_MS, BackendSample, FleetHealth
 from yarrowspindle.maintenance.settings import Asking, read_asking
-from yarrowspindle.maintenance.state import Seen, TurnError, TurnState, Wish
-from yarrowspindle.protocol.fragments import AGAIN_MS, GIVE_UP_MS, PART, Parcels
-from yarrowspindle.storage.durable_file import FIRST, NoFile
+from yarrowspindle.maintenance.state import BackendObservation, MaintenanceError, MaintenanceRequest, MaintenanceState
+from yarrowspindle.protocol.fragments import AGAIN_MS, GIVE_UP_MS, PART, Fragmenter
+from yarrowspindle.storage.durable_file import FIRST, FileUnavailableError
 
 VOTERS = ("r0", "r1", "r2")
 
 
-def a_state(machines: int = 40) -> TurnState:
+def a_state(machines: int = 40) -> MaintenanceState:
     names = tuple(f"machine-{n}" for n in range(machines))
     state = first_state(VOTERS).registered("r0", "x")
     assert state is not None
-    state = state.asked(Wish(names, 3, 3))
+    state = state.asked(MaintenanceRequest(names, 3, 3))
     assert state is not None
-    granted = state.advanced({name: Seen(0, 1.0, True) for name in names})
+    granted = state.advanced({name: BackendObservation(0, 1.0, True) for name in names})
     assert granted is not None
     return granted
 
@@ -43,28 +49,28 @@
 
 def test_messages_come_back_as_they_were_and_nonsense_does_not() -> None:
     for message in (
-        Learn(a_state()),
+        StateUpdate(a_state()),
         Prepare((3, "r1"), 2, "x"),
         Accept((1, "r0"), 0, "i", a_state()),
-        Says(7, {"a": 1}),
-        Enter("k"),
-        Newest(3),
-        Refused((1, "a"), (2, "b"), a_state()),
-        Refused((1, "a"), (2, "b"), not_voter=True),
+        ReleaseConfirmation(7, {"a": 1}),
+        RegisterRelay("k"),
+        LatestVersion(3),
+        Rejected((1, "a"), (2, "b"), a_state()),
+        Rejected((1, "a"), (2, "b"), not_voter=True),
     ):
         assert codec.decode(codec.encode(message)) == message
-    whole = codec.encode(Learn(a_state()))
+    whole = codec.encode(StateUpdate(a_state()))
     bomb = bytes((codec.VERSION, 6)) + zlib.compress(b"\0" * (8 << 20))
     for bad in (b"", whole[:-4], rb"\9" + whole[1:], whole[:1] + b"\x63" + whole[2:], whole[:2] + b"junk", bomb):
-        with pytest.raises(codec.BadMessage):
+        with pytest.raises(codec.InvalidMessageError):
             codec.decode(bad)
-    far = TurnState(dict.fromkeys([f"r{n}" for n in range(65)], FIRST))
-    with pytest.raises(codec.BadMessage, match="out of bounds"):
-        codec.decode(codec.encode(Learn(far)))
+    far = MaintenanceState(dict.fromkeys([f"r{n}" for n in range(65)], FIRST))
+    with pytest.raises(codec.InvalidMessageError, match="out of bounds"):
+        codec.decode(codec.encode(StateUpdate(far)))
 
 
 def test_parcels_come_whole_though_parts_are_lost_doubled_and_out_of_order() -> None:
-    drawn, here, there = Random(3), Parcels(100), Parcels(5)
+    drawn, here, there = Random(3), Fragmenter(100), Fragmenter(5)
     data = drawn.randbytes(20 * PART + 17)
     parts = here.cut("there", data)
     assert len(parts) == 21 and all(len(part) < 1000 for part in parts)
@@ -87,16 +93,16 @@
 
 
 def test_a_file_is_loaded_only_whole_and_only_by_its_owner(tmp_path: Path) -> None:
-    file = TurnFile(str(tmp_path / "r0"), "r0", "lab")
-    with pytest.raises(NoFile, match="there is none"):
+    file = MaintenanceVoterFile(str(tmp_path / "r0"), "r0", "lab")
+    with pytest.raises(FileUnavailableError, match="there is none"):
         file.load()
     file.begin(VOTERS)
-    assert file.load() == Kept(FIRST, NONE, NONE, first_state(VOTERS))
-    with pytest.raises(NoFile, match="is there already"):
+    assert file.load() == AcceptorState(FIRST, NONE, NONE, first_state(VOTERS))
+    with pytest.raises(FileUnavailableError, match="is there already"):
         file.begin(VOTERS)
-    with pytest.raises(NoFile, match="none of the voters"):
-        TurnFile(str(tmp_path / "r9"), "r9", "lab").begin(VOTERS)
-    kept = Kept(FIRST, (7, "r2"), (6, "r1"), a_state())
+    with pytest.raises(FileUnavailableError, match="none of the voters"):
+        MaintenanceVoterFile(str(tmp_path / "r9"), "r9", "lab").begin(VOTERS)
+    kept = AcceptorState(FIRST, (7, "r2"), (6, "r1"), a_state())
     file.store(kept)
     assert file.load() == kept and not list(tmp_path.glob("r0/*.new"))
     whole = file.path.read_bytes()
@@ -107,17 +113,20 @@
         (b"\xff" * 50, "cut off"),
     ):
         file.path.write_bytes(bad)
-        with pytest.raises(NoFile, match=says):
+        with pytest.raises(FileUnavailableError, match=says):
             file.load()
     file.path.write_bytes(whole)
-    for other in (TurnFile(str(file.folder), "r1", "lab"), TurnFile(str(file.folder), "r0", "other")):
-        with pytest.raises(NoFile, match="it is r0's of cluster lab"):
+    for other in (
+        MaintenanceVoterFile(str(file.folder), "r1", "lab"),
+        MaintenanceVoterFile(str(file.folder), "r0", "other"),
+    ):
+        with pytest.raises(FileUnavailableError, match="it is r0's of cluster lab"):
             other.load()
 
 
 @pytest.mark.parametrize("call", ["write", "fsync", "replace"])
 def test_a_disk_that_fails_leaves_what_was_there(tmp_path: Path, call: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    file = TurnFile(str(tmp_path), "r0", "lab")
+    file = MaintenanceVoterFile(str(tmp_path), "r0", "lab")
     file.begin(VOTERS)
 
     def full(*given: Any) -> Any:
@@ -125,13 +134,13 @@
 
     monkeypatch.setattr(os, call, full)
     with pytest.raises(OSError, match="No space"):
-        file.store(Kept(FIRST, (9, "r0"), NONE, first_state(VOTERS)))
+        file.store(AcceptorState(FIRST, (9, "r0"), NONE, first_state(VOTERS)))
     monkeypatch.undo()
     assert file.load().promised == NONE
 
 
 def test_only_one_process_has_the_lock(tmp_path: Path) -> None:
-    one, other = TurnFile(str(tmp_path), "r0", "lab"), TurnFile(str(tmp_path), "r0", "lab")
+    one, other = MaintenanceVoterFile(str(tmp_path), "r0", "lab"), MaintenanceVoterFile(str(tmp_path), "r0", "lab")
     assert one.take_lock() and one.take_lock() and not other.take_lock()
     os.close(one.lock)
     assert other.take_lock()
@@ -141,8 +150,10 @@
     """A promise that comes late was given before the earlier process wrote what it is about; counted by the next one,
     under the same ballot, it would let that one write over what was agreed on."""
     first = first_state(VOTERS)
-    earlier, later = (Turns("r0", key, first, "", first, 1, 0.0).proposer for key in ("key-1", "key-2"))
-    voters = {name: Voter(Kept(FIRST, NONE, NONE, first), lambda kept: None) for name in VOTERS}
+    earlier, later = (
+        MaintenanceCoordinator("r0", key, first, "", first, 1, 0.0).proposer for key in ("key-1", "key-2")
+    )
+    voters = {name: Acceptor(AcceptorState(FIRST, NONE, NONE, first), lambda kept: None) for name in VOTERS}
     late = {}
     for effect in earlier.start(lambda state: state):
         assert isinstance(effect, RegisterSend) and isinstance(effect.message, Prepare)
@@ -194,21 +205,22 @@
         {},
         {"machines": ["a"], "deadline_s": True},
     ):
-        with pytest.raises(TurnError):
+        with pytest.raises(MaintenanceError):
             read_asking(wrong)
 
 
 # --- trouble and pace -----------------------------------------------------------------------------
 
 
-def looks(**changes: Any) -> list[Look]:
+def looks(**changes: Any) -> list[BackendSample]:
     return [
-        Look(name, 0, 1.0, EndpointState.READY, 5.0, **(changes if name == "m1" else {})) for name in ("m0", "m1", "m2")
+        BackendSample(name, 0, 1.0, EndpointState.READY, 5.0, **(changes if name == "m1" else {}))
+        for name in ("m0", "m1", "m2")
     ]
 
 
 def test_trouble_is_a_machine_that_dies_or_fails_or_pressure_and_ends() -> None:
-    watch, state = FleetWatch(3000.0, 0.1), TurnState()
+    watch, state = FleetHealth(3000.0, 0.1), MaintenanceState()
     seen, trouble = watch.look(0.0, looks(), state)
     assert not trouble and all(s.ready for s in seen.values()), "what is there at the first look is warm"
     assert watch.look(500.0, looks(failing=True), state)[1] == "m1 fails"
@@ -225,15 +237,15 @@
 
 
 def test_a_machine_that_is_out_may_go_and_comes_back_cold() -> None:
-    granted = TurnState({"r0": FIRST}).asked(Wish(("m1",)))
+    granted = MaintenanceState({"r0": FIRST}).asked(MaintenanceRequest(("m1",)))
     assert granted is not None
-    granted = granted.advanced({"m1": Seen(0, 1.0, True)})
+    granted = granted.advanced({"m1": BackendObservation(0, 1.0, True)})
     assert granted is not None
     free = granted._freed()
-    watch = FleetWatch(3000.0, 0.1)
+    watch = FleetHealth(3000.0, 0.1)
     watch.look(0.0, looks(), granted)
     assert watch.look(500.0, looks()[::2], granted)[1] == "m1 died", "it has not emptied yet"
-    watch = FleetWatch(3000.0, 0.1)
+    watch = FleetHealth(3000.0, 0.1)
     watch.look(0.0, looks(), free)
     assert not watch.look(500.0, looks()[::2], free)[1], "somebody works on it"
     done = free.done("m1", 1)
@@ -242,8 +254,8 @@
 
 
 def test_emptying_keeps_to_its_part_of_the_rate_and_to_the_deadline() -> None:
-    task = Task(frozenset("m"), {"m": 10.0}, relays=4, rate=40.0)
-    emptying, requests, now, moved = Emptying(0.0), list(range(200)), 0.0, list[int]()
+    task = MaintenancePlan(frozenset("m"), {"m": 10.0}, relays=4, rate=40.0)
+    emptying, requests, now, moved = BackendEvacuator(0.0), list(range(200)), 0.0, list[int]()
     emptying.told(now, task)
     while now < 8000.0 - 1.0:
         now += BEAT_MS
@@ -258,5 +270,5 @@
         emptying.told(now, task)  # told again: the time counts from the first
         moved += emptying.beat(now, task, {"m": requests[len(moved) :]})
     assert len(moved) == 200 > slow, "at the deadline nothing is left"
-    emptying.told(now, Task(frozenset("mn"), {"m": 10.0, "n": 0.0}))
+    emptying.told(now, MaintenancePlan(frozenset("mn"), {"m": 10.0, "n": 0.0}))
     assert emptying.beat(now, task, {"n": [7, 8, 9]}) == [7, 8, 9], "what is free already is left at once"
--- a/tests/membership/test_members.py
+++ b/tests/membership/test_members.py
@@ -18,23 +18,23 @@
     SUSPECT,
     Codec,
     Datagram,
-    Dropped,
+    DroppedDatagramError,
+    LoadSignal,
+    MembershipUpdate,
     Ping,
-    Rumour,
-    Signal,
 )
-from yarrowspindle.membership.core import Peers
+from yarrowspindle.membership.core import Membership
 from yarrowspindle.membership.failure_detector import Detector, Probe
-from yarrowspindle.membership.load_signals import ENTRIES, MAX_FIGURE, OwnWord, Signals
+from yarrowspindle.membership.load_signals import ENTRIES, MAX_FIGURE, LoadSignals, LocalLoadLog
 from yarrowspindle.membership.members import Members
-from yarrowspindle.membership.messages import Came, Own, Send
+from yarrowspindle.membership.messages import DatagramReceived, LocalLoad, SendDatagram
 from yarrowspindle.membership.settings import PeerError, PeerSettings, read_peers
 
 HERE, THERE = ("10.0.0.1", 7946), ("10.0.0.2", 7946)
 
 
-def word(state: int, incarnation: int = 1, turn: int = 0, name: str = "b", by: str = "") -> Rumour:
-    return Rumour(name, *THERE, incarnation, turn, state, by)
+def word(state: int, incarnation: int = 1, turn: int = 0, name: str = "b", by: str = "") -> MembershipUpdate:
+    return MembershipUpdate(name, *THERE, incarnation, turn, state, by)
 
 
 WORDS = st.builds(word, st.integers(ALIVE, LEFT), st.integers(1, 3), st.integers(0, 3), st.sampled_from("bc"))
@@ -47,8 +47,10 @@
 
 @settings(derandomize=True, max_examples=300, deadline=None)
 @given(st.lists(WORDS, max_size=12), st.randoms(use_true_random=False))
-def test_the_same_words_in_any_order_and_number_end_in_the_same_table(words: list[Rumour], rng: random.Random) -> None:
-    def table(order: list[Rumour]) -> list[tuple[int, int, int] | None]:
+def test_the_same_words_in_any_order_and_number_end_in_the_same_table(
+    words: list[MembershipUpdate], rng: random.Random
+) -> None:
+    def table(order: list[MembershipUpdate]) -> list[tuple[int, int, int] | None]:
         members = Members("a", HERE, 1, 0.0)
         for name in "bc":  # both are known from the start: of whom nothing is known nothing ends
             members.told(word(ALIVE, 1, 0, name), 0.0)
@@ -77,17 +79,17 @@
 
 def test_one_objects_to_a_suspicion_and_takes_a_later_incarnation_than_any_that_is_told_of() -> None:
     members = Members("a", HERE, 5, 0.0)
-    members.told(Rumour("a", *HERE, 5, 0, SUSPECT, "b"), 0.0)
+    members.told(MembershipUpdate("a", *HERE, 5, 0, SUSPECT, "b"), 0.0)
     assert (members.me.incarnation, members.me.turn) == (5, 1)
-    members.told(Rumour("a", *HERE, 9, 3, DEAD, "b"), 0.0)  # an earlier process under a clock that was ahead
+    members.told(MembershipUpdate("a", *HERE, 9, 3, DEAD, "b"), 0.0)  # an earlier process under a clock that was ahead
     assert (members.me.incarnation, members.me.turn) == (10, 0) and not members.displaced
 
 
 def test_a_name_taken_twice_is_the_later_process_s_until_that_has_ended() -> None:
     members = Members("a", HERE, 5, 0.0)
-    members.told(Rumour("a", *THERE, 6, 0, ALIVE), 0.0)
+    members.told(MembershipUpdate("a", *THERE, 6, 0, ALIVE), 0.0)
     assert members.displaced and members.me.incarnation == 5
-    members.told(Rumour("a", *THERE, 6, 0, DEAD), 1.0)
+    members.told(MembershipUpdate("a", *THERE, 6, 0, DEAD), 1.0)
     assert not members.displaced and members.me.incarnation == 7
 
 
@@ -153,13 +155,13 @@
     """Two ends of signals; words are lost, doubled and swapped by a generator."""
 
     def __init__(self) -> None:
-        self.own, self.other, self.at, self.holds = OwnWord(), Signals(), 0, dict[int, tuple[int, float]]()
-        self.waiting: list[tuple[int, Signal]] = []
+        self.own, self.other, self.at, self.holds = LocalLoadLog(), LoadSignals(), 0, dict[int, tuple[int, float]]()
+        self.waiting: list[tuple[int, LoadSignal]] = []
         self.other.of("b", 1).clock(0.0, 0.0)
 
     def beat(self, rng: random.Random, loss: float) -> None:
         self.at += 1
-        self.waiting.append((self.at, self.own.signal(Own(dict(self.holds)), float(self.at), rng.choice((1, 3)))))
+        self.waiting.append((self.at, self.own.signal(LocalLoad(dict(self.holds)), float(self.at), rng.choice((1, 3)))))
         if rng.random() < 0.2 and len(self.waiting) < 3:
             return  # overtaken by the next
         wanted = False
@@ -198,9 +200,9 @@
 
 
 def test_what_one_held_goes_with_it_and_word_from_an_earlier_incarnation_does_not_bring_it_back() -> None:
-    signals = Signals()
+    signals = LoadSignals()
     signals.of("b", 1).clock(0.0, 0.0)
-    signals.told("b", 1, 10, Signal(0, 1, [5, 2, 100]), 10.0)
+    signals.told("b", 1, 10, LoadSignal(0, 1, [5, 2, 100]), 10.0)
     assert signals.others(20.0, 2, 0).loads == {5: (2, 100.0)}
     signals.gone("b")
     assert signals.others(30.0, 1, 0).loads == {5: (0, 0.0)} and not signals.sums
@@ -209,10 +211,10 @@
 
 
 def test_word_that_was_held_back_is_known_to_be_old_and_decays_to_what_is_done_without() -> None:
-    signals = Signals()
+    signals = LoadSignals()
     heard = signals.of("b", 1)
     heard.clock(1000.0, 0.0)  # its clock showed 1,000 when ours showed 0 or more
-    signals.told("b", 1, 1000, Signal(0, 1, [5, 2, 100]), 5000.0)  # on its way for 5 s
+    signals.told("b", 1, 1000, LoadSignal(0, 1, [5, 2, 100]), 5000.0)  # on its way for 5 s
     others = signals.others(5000.0, 2, 0)
     assert heard.age(5000.0) == 5000.0 and others.reporting_relays == 0 and others.loads == {}
     book = PeerLoadTable(4)
@@ -227,24 +229,24 @@
 
 def test_datagrams_stay_within_their_bytes_whatever_is_held() -> None:
     name = "n" * 64
-    core = Peers(PeerSettings(HERE, cluster="c" * 64), name, (1 << 52), 1, 0.0)
+    core = Membership(PeerSettings(HERE, cluster="c" * 64), name, (1 << 52), 1, 0.0)
     core.take_effects()
     for n in range(300):
-        core.members.told(Rumour(f"{n:064d}", "100.100.100.100", 65_535, 1 << 52, 7, ALIVE), 0.0)
+        core.members.told(MembershipUpdate(f"{n:064d}", "100.100.100.100", 65_535, 1 << 52, 7, ALIVE), 0.0)
     big = MAX_FIGURE - 1
-    own = Own(
+    own = LocalLoad(
         {big - 17 * n: (big, float(big)) for n in range(2000)},
         {big - n: 1e9 for n in range(500)},
         {big - n: (1e6, 1e9, 1.0) for n in range(500)},
     )
-    sent = [e for _ in range(8) for e in core.step(1e7, own) if isinstance(e, Send)]
+    sent = [e for _ in range(8) for e in core.step(1e7, own) if isinstance(e, SendDatagram)]
     assert sent and max(len(e.data) for e in sent) <= MOST
     core._whole_table(core.members.table[f"{1:064d}"])
-    assert max(len(e.data) for e in core.take_effects() if isinstance(e, Send)) <= MOST
+    assert max(len(e.data) for e in core.take_effects() if isinstance(e, SendDatagram)) <= MOST
 
 
 def test_nonsense_strangers_and_floods_are_counted_and_dropped() -> None:
-    core = Peers(PeerSettings(HERE), "a", 1, 1, 0.0)
+    core = Membership(PeerSettings(HERE), "a", 1, 1, 0.0)
     codec, rng = Codec("default"), random.Random(3)
 
     def datagram(cluster: str = "default", version: int = 1, name: str = "b", **more: Any) -> bytes:
@@ -254,17 +256,17 @@
     cases = [rng.randbytes(rng.randrange(1300)) for _ in range(300)] + [whole[:n] for n in range(len(whole))]
     cases += [datagram("other"), datagram(version=2), b"\xc1", b"", datagram(name="a")]
     for n, data in enumerate(cases):
-        core.step(float(n), Came(data, THERE))
+        core.step(float(n), DatagramReceived(data, THERE))
     assert core.members.size == 1
     assert core.counts["dropped_another_cluster"] == core.counts["dropped_another_version"] == 1
     for position in range(len(whole)):
         bent = whole[:position] + bytes((whole[position] ^ 1,)) + whole[position + 1 :]
-        with pytest.raises(Dropped):
+        with pytest.raises(DroppedDatagramError):
             codec.decode(bent)
     for _ in range(5000):
-        core.step(5000.0, Came(datagram(), THERE))
+        core.step(5000.0, DatagramReceived(datagram(), THERE))
     assert core.counts["dropped_flood"] >= 3900 and core.members.size == 2
-    core.step(6001.0, Came(datagram(), THERE))
+    core.step(6001.0, DatagramReceived(datagram(), THERE))
     assert core.members.table["b"].heard == 6001.0
 
 
@@ -299,10 +301,10 @@
 
 def test_changes_that_never_find_room_are_given_up_and_the_whole_is_asked_for() -> None:
     """Where more changes at each beat than a datagram holds, what waits to be told must not grow with time."""
-    word, heard_to = OwnWord(), 0
+    word, heard_to = LocalLoadLog(), 0
     for beat in range(200):
         loads = {key: (1, 100.0 + 37.0 * ((beat + key) % 2)) for key in range(600)}
-        signal = word.signal(Own(loads), 1000.0 + 100.0 * beat)
+        signal = word.signal(LocalLoad(loads), 1000.0 + 100.0 * beat)
         if signal.base <= heard_to:
             heard_to = signal.last
     assert len(word.told) <= 400 + 600 // (ENTRIES // 2)
--- a/tests/membership/test_membership_days.py
+++ b/tests/membership/test_membership_days.py
@@ -7,7 +7,7 @@
 from yarrowspindle.lab.faults import WORDS, Fault, FaultError, Ways, read_words, relay_names, schedule
 from yarrowspindle.lab.model.members import Relays, play_members
 from yarrowspindle.lab.model.peering import address_of
-from yarrowspindle.membership.messages import Came, Own
+from yarrowspindle.membership.messages import DatagramReceived, LocalLoad
 
 SETS = (
     ("loss", "stall"),
@@ -134,7 +134,7 @@
     world.holds[1] = {1: (1, 1.0)}
     assert 0.0 <= world.until(lambda: world.agree() and world.true_sums(), 5.0)
     for data in heard * 3:
-        world.net.peers[0].pump.post(Came(data, address_of(1)))
+        world.net.peers[0].pump.post(DatagramReceived(data, address_of(1)))
     assert target.core.counts["dropped_earlier_life"] > 0 and target.core.signals.counts["signals_old"] > 0
     world.run(0.5)
     assert world.agree() and world.true_sums()
@@ -224,14 +224,14 @@
     failed: list[str] = []
     peer.pump.failed = lambda event: failed.append(type(event).__name__)
     beat = peer.core.wakes["beat"]
-    own = peer.core.handlers[Own]
+    own = peer.core.handlers[LocalLoad]
 
     def fails(*_: object) -> None:
         raise RuntimeError("on purpose")
 
-    peer.core.wakes["beat"], peer.core.handlers[Own] = fails, fails
+    peer.core.wakes["beat"], peer.core.handlers[LocalLoad] = fails, fails
     world.run(2.5)
-    assert "Woke" in failed and "Own" in failed
-    peer.core.wakes["beat"], peer.core.handlers[Own] = beat, own
+    assert "TimerFired" in failed and "LocalLoad" in failed
+    peer.core.wakes["beat"], peer.core.handlers[LocalLoad] = beat, own
     world.change(0)
     assert 0.0 <= world.until(lambda: world.agree() and world.true_sums(), 10.0)
--- a/tests/routing/test_reducer_model.py
+++ b/tests/routing/test_reducer_model.py
@@ -13,7 +13,7 @@
 from tests import helpers
 from yarrowspindle.decisions.events import EndpointState, ListKind
 from yarrowspindle.decisions.settings import RequestClass
-from yarrowspindle.maintenance.evacuation import Task
+from yarrowspindle.maintenance.evacuation import MaintenancePlan
 from yarrowspindle.routing.effects import (
     AbortAttempt,
     CancelTimer,
@@ -225,7 +225,7 @@
         """Machines are out for work, or this process does not know which: nothing is placed there."""
         back = self.off - off
         self.off = frozenset(NAMES) if unread else off
-        self.tell(MaintenanceUpdated(Task(None if unread else off, dict.fromkeys(off, deadline), back)))
+        self.tell(MaintenanceUpdated(MaintenancePlan(None if unread else off, dict.fromkeys(off, deadline), back)))
         for request in self.requests.values():
             assert (
                 request.over
--- a/tests/storage/test_durable_file.py
+++ b/tests/storage/test_durable_file.py
@@ -13,8 +13,8 @@
 from tests.daemon.test_maintenance_daemon import COLD, operator
 from tests.ports import free_port
 from tests.stand_ins import relay
-from yarrowspindle.consensus.register import NONE, Kept
-from yarrowspindle.daemon.voter_file import TurnFile, first_state
+from yarrowspindle.consensus.register import NONE, AcceptorState
+from yarrowspindle.daemon.voter_file import MaintenanceVoterFile, first_state
 from yarrowspindle.storage.durable_file import FIRST as FIRST_IDENTITY
 
 VOTERS = ("n0",)
@@ -35,7 +35,7 @@
     """A voter that forgot what it promised would lie; one that waits for its disk only says nothing."""
 
     async def body() -> None:
-        file = TurnFile(f"{tmp_path}/turns", "n0", "default")
+        file = MaintenanceVoterFile(f"{tmp_path}/turns", "n0", "default")
         file.begin(VOTERS)
         make_unreadable(file.path)
         with pytest.raises(OSError):
@@ -55,10 +55,10 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """`store` has failed then: what it was to keep was not promised to anybody, whichever of the two is found."""
-    file = TurnFile(str(tmp_path), "n0", "lab")
+    file = MaintenanceVoterFile(str(tmp_path), "n0", "lab")
     file.begin(VOTERS)
     old = file.load()
-    new = Kept(FIRST_IDENTITY, (9, "n0"), NONE, first_state(VOTERS))
+    new = AcceptorState(FIRST_IDENTITY, (9, "n0"), NONE, first_state(VOTERS))
     sync, calls = os.fsync, []
 
     def second_fails(descriptor: int) -> Any:
@@ -72,19 +72,19 @@
         file.store(new)
     monkeypatch.undo()
     assert file.load() in (old, new)
-    newer = Kept(FIRST_IDENTITY, (10, "n0"), NONE, first_state(VOTERS))
+    newer = AcceptorState(FIRST_IDENTITY, (10, "n0"), NONE, first_state(VOTERS))
     file.store(newer)
     assert file.load() == newer
 
 
 def test_a_write_that_is_cut_at_any_byte_by_a_kill_leaves_the_old_file(tmp_path: Path) -> None:
-    file = TurnFile(str(tmp_path), "n0", "lab")
+    file = MaintenanceVoterFile(str(tmp_path), "n0", "lab")
     file.begin(VOTERS)
     old = file.load()
-    new = Kept(FIRST_IDENTITY, (9, "n0"), NONE, first_state(VOTERS))
+    new = AcceptorState(FIRST_IDENTITY, (9, "n0"), NONE, first_state(VOTERS))
     data = file.codec.encode(new, file.owner, file.cluster)
     for length in range(0, len(data), 7):
         file.path.with_name(f"{file.path.name}.new").write_bytes(data[:length])
-        assert TurnFile(str(tmp_path), "n0", "lab").load() == old
+        assert MaintenanceVoterFile(str(tmp_path), "n0", "lab").load() == old
     file.store(new)
     assert file.load() == new
--- a/tests/subsets/test_leases.py
+++ b/tests/subsets/test_leases.py
@@ -6,7 +6,7 @@
 
 from yarrowspindle.lab.model.lending import DEFECTS, TERM_MS, play_leases
 from yarrowspindle.lab.model.planted import SETS
-from yarrowspindle.subsets.leases import MARGIN, Ask, Bank, Borrower, divided
+from yarrowspindle.subsets.leases import MARGIN, LeaseRequest, QuotaHolder, QuotaPool, divided
 
 
 def test_never_more_than_the_total_and_needs_are_met_again() -> None:
@@ -41,30 +41,30 @@
 
 
 def test_a_bank_counts_what_may_be_in_use_until_it_cannot_be() -> None:
-    bank, keeps = Bank(100.0, TERM_MS, 0.0), TERM_MS * (1.0 + MARGIN)
-    assert bank.asked(1.0, "a", Ask(1, 1, 0, 500.0)) is None, "a process before this one may have lent it all"
+    bank, keeps = QuotaPool(100.0, TERM_MS, 0.0), TERM_MS * (1.0 + MARGIN)
+    assert bank.asked(1.0, "a", LeaseRequest(1, 1, 0, 500.0)) is None, "a process before this one may have lent it all"
     now = keeps + 1.0
-    first = bank.asked(now, "a", Ask(1, 2, 0, 500.0))
+    first = bank.asked(now, "a", LeaseRequest(1, 2, 0, 500.0))
     assert first is not None and first.amount == 100.0
-    other = bank.asked(now + 1.0, "b", Ask(1, 1, 0, 500.0))
+    other = bank.asked(now + 1.0, "b", LeaseRequest(1, 1, 0, 500.0))
     assert other is not None and other.amount == 0.0, "a may be using it"
-    assert bank.asked(now + 2.0, "a", Ask(1, 2, 0, 500.0)) is None, "doubled"
-    less = bank.asked(now + 2.0, "a", Ask(1, 3, 2, 500.0))
+    assert bank.asked(now + 2.0, "a", LeaseRequest(1, 2, 0, 500.0)) is None, "doubled"
+    less = bank.asked(now + 2.0, "a", LeaseRequest(1, 3, 2, 500.0))
     assert less is not None and less.amount == 50.0 and bank.lent(now + 2.0) == 100.0, "it may not have heard yet"
-    bank.asked(now + 3.0, "a", Ask(1, 4, 3, 500.0))
-    again = bank.asked(now + 4.0, "b", Ask(1, 2, 1, 500.0))
+    bank.asked(now + 3.0, "a", LeaseRequest(1, 4, 3, 500.0))
+    again = bank.asked(now + 4.0, "b", LeaseRequest(1, 2, 1, 500.0))
     assert again is not None and again.amount == 50.0, "now it has"
 
 
 def test_a_borrower_spends_a_loan_from_when_it_asked() -> None:
-    borrower = Borrower(1, 5.0, TERM_MS, ("a",))
+    borrower = QuotaHolder(1, 5.0, TERM_MS, ("a",))
     ((_, ask),) = borrower.ask(100.0, 50.0)
-    lend = Bank(100.0, TERM_MS, -9000.0).asked(0.0, "me", ask)
+    lend = QuotaPool(100.0, TERM_MS, -9000.0).asked(0.0, "me", ask)
     assert lend is not None and lend.amount == 45.0
     borrower.lent(1500.0, "b", lend)
     assert borrower.budget(1500.0) == 5.0, "that bank was not asked"
     ((_, ask),) = borrower.ask(100.0, 50.0)
-    lend = Bank(100.0, TERM_MS, -9000.0).asked(0.0, "me", ask)
+    lend = QuotaPool(100.0, TERM_MS, -9000.0).asked(0.0, "me", ask)
     assert lend is not None
     borrower.lent(1500.0, "a", lend)
     borrower.lent(1600.0, "a", lend)
--- a/tests/subsets/test_subset_ring.py
+++ b/tests/subsets/test_subset_ring.py
@@ -7,11 +7,11 @@
 import pytest
 
 from benchmarks.subsets import measured
-from yarrowspindle.subsets.subset_ring import LEAST, POINTS, Arcs, points_of
+from yarrowspindle.subsets.subset_ring import LEAST, POINTS, SubsetRing, points_of
 
 
-def seen(relays: dict[str, float], backends: list[str]) -> Arcs:
-    view = Arcs()
+def seen(relays: dict[str, float], backends: list[str]) -> SubsetRing:
+    view = SubsetRing()
     view.told(relays, backends)
     return view
 
@@ -32,7 +32,7 @@
 
 
 def test_the_same_view_gives_the_same_subsets_whatever_the_way_to_it() -> None:
-    drawn, view = Random(4), Arcs()
+    drawn, view = Random(4), SubsetRing()
     relays, backends = {f"r{n}": 1.0 + n % 3 for n in range(30)}, [f"s{n}" for n in range(80)]
     for _ in range(300):  # anything at all before
         kind, number = drawn.randrange(4), drawn.randrange(40)
--- a/yarrowspindle/commands/configuration.py
+++ b/yarrowspindle/commands/configuration.py
@@ -14,7 +14,7 @@
 from yarrowspindle.daemon.config import load_operator
 from yarrowspindle.daemon.controller import file_of, first_state
 from yarrowspindle.daemon.shared_settings import shared_of, text_of
-from yarrowspindle.storage.durable_file import NoFile
+from yarrowspindle.storage.durable_file import FileUnavailableError
 
 ANSWER_S, POLL_S = 12.0, 0.05
 
@@ -151,7 +151,7 @@
     file = file_of(known)
     try:
         file.make_first(first_state(known))
-    except (NoFile, OSError) as error:
+    except (FileUnavailableError, OSError) as error:
         raise click.ClickException(str(error)) from error
     click.echo(f"{file.path} is made for {file.owner}")
 
--- a/yarrowspindle/commands/maintenance.py
+++ b/yarrowspindle/commands/maintenance.py
@@ -9,10 +9,10 @@
 
 from yarrowspindle.commands import api_client as calls
 from yarrowspindle.daemon.config import load_config, load_operator
-from yarrowspindle.daemon.voter_file import TurnFile
+from yarrowspindle.daemon.voter_file import MaintenanceVoterFile
 from yarrowspindle.maintenance.settings import ORDERS
 from yarrowspindle.maintenance.status_report import table
-from yarrowspindle.storage.durable_file import NoFile
+from yarrowspindle.storage.durable_file import FileUnavailableError
 
 
 def call(at: str | None, method: str, path: str, told: dict[str, Any] | None = None) -> Any:
@@ -115,10 +115,10 @@
     config, operator = load_config(), load_operator()
     if operator.turns is None or operator.peers is None:
         raise click.ClickException("the operator's file has no [turns]")
-    file = TurnFile(operator.turns.directory, operator.peers.name or config.name, operator.peers.cluster)
+    file = MaintenanceVoterFile(operator.turns.directory, operator.peers.name or config.name, operator.peers.cluster)
     try:
         file.begin(operator.turns.voters)
-    except (NoFile, OSError) as error:
+    except (FileUnavailableError, OSError) as error:
         raise click.ClickException(str(error)) from error
     click.echo(f"{file.path} is made for {file.owner}")
 
--- a/yarrowspindle/configuration/agent.py
+++ b/yarrowspindle/configuration/agent.py
@@ -17,23 +17,23 @@
 
 from yarrowspindle.configuration.messages import (
     MAX_WHY,
-    Beat,
-    Came,
-    Difference,
+    ApplySettings,
+    Delta,
+    Detach,
     Effect,
     Event,
-    Keep,
-    Leave,
-    Newest,
-    Note,
-    Send,
-    Take,
-    Turned,
-    Wake,
-    Whole,
-    Woke,
+    Heartbeat,
+    LatestVersion,
+    LogMessage,
+    MessageReceived,
+    Persist,
+    SendMessage,
+    SetTimer,
+    SettingsRejected,
+    Snapshot,
+    TimerFired,
 )
-from yarrowspindle.configuration.settings import Machine
+from yarrowspindle.configuration.settings import ControllerAddress
 from yarrowspindle.configuration.state import Check, Entries, bounds, digest, stepped
 
 TICK_MS, BEAT_MS = 250.0, 500.0  # how often it looks; how often it says that it is there
@@ -50,7 +50,7 @@
 
     def __init__(
         self,
-        machines: list[Machine],
+        machines: list[ControllerAddress],
         check: Check,
         seed: int,
         now: float,
@@ -65,7 +65,7 @@
         self.taken, self.why = 0, ""
         self.served: Entries = {}  # by which the relay serves
         self.previous: tuple[int, Entries] = (0, {})  # the same before the last that was taken
-        self.current: Machine | None = None
+        self.current: ControllerAddress | None = None
         self.heard = now  # the current one
         self.beat_at = now
         self.asked_at = -1.0  # a beat went out that has no answer yet
@@ -78,15 +78,15 @@
         self.effects: list[Effect] = []
         if self.known:
             self._take()
-        self.effects.append(Wake(TICK_MS * self.random.random()))
+        self.effects.append(SetTimer(TICK_MS * self.random.random()))
 
     def step(self, now: float, event: Event) -> list[Effect]:
         self.now = max(self.now, now)
-        if isinstance(event, Came):
+        if isinstance(event, MessageReceived):
             self._came(event)
-        elif isinstance(event, Woke):
+        elif isinstance(event, TimerFired):
             self._tick()
-        elif isinstance(event, Turned) and event.version == self.taken:
+        elif isinstance(event, SettingsRejected) and event.version == self.taken:
             self.taken, self.served = self.previous
             self._refused(event.why)
             self._again()
@@ -99,7 +99,7 @@
     def leave(self) -> list[Effect]:
         """The relay ends in good order."""
         if self.current is not None:
-            self.effects.append(Send(self.current.sender, Leave()))
+            self.effects.append(SendMessage(self.current.sender, Detach()))
         return self.take_effects()
 
     # --- who is talked with ---------------------------------------------------------------------
@@ -124,46 +124,48 @@
             self.home_at = self.now + HOME_MS * self.random.uniform(0.5, 1.0)
             for better in self.machines[: min(self.rank[self.current.name], ASKED)]:
                 self._beat(better)
-        self.effects.append(Wake(TICK_MS * self.random.uniform(0.9, 1.1)))
+        self.effects.append(SetTimer(TICK_MS * self.random.uniform(0.9, 1.1)))
 
-    def _beat(self, to: Machine) -> None:
+    def _beat(self, to: ControllerAddress) -> None:
         before = ""
         if to is self.current and self.before_beats:
             self.before_beats -= 1
             before = self.before
         self.counts["beats"] += 1
         self.effects.append(
-            Send(
+            SendMessage(
                 to.sender,
-                Beat(self.known, self.digest, self.taken, self.why[:MAX_WHY], self.whole, to is self.current, before),
+                Heartbeat(
+                    self.known, self.digest, self.taken, self.why[:MAX_WHY], self.whole, to is self.current, before
+                ),
             )
         )
 
-    def _came(self, event: Came) -> None:
+    def _came(self, event: MessageReceived) -> None:
         rank = self.rank.get(event.sender.name)
         if rank is None or self.machines[rank].address != event.sender.address:
             where = f"{event.sender.address[0]}:{event.sender.address[1]}"
             self.counts["strangers"] += 1
-            self.effects.append(Note(f"{event.sender.name} at {where} is none of the controllers here", True))
+            self.effects.append(LogMessage(f"{event.sender.name} at {where} is none of the controllers here", True))
             return
         source, message = self.machines[rank], event.message
         if self.current is None or source is not self.current and (self.alone or rank < self.rank[self.current.name]):
             self._move(source)
         if source is self.current:
             self.heard, self.asked_at = self.now, -1.0
-        elif not isinstance(message, Newest):
-            self.effects.append(Send(source.sender, Leave()))  # it takes this relay for its own
-        if isinstance(message, Newest):
+        elif not isinstance(message, LatestVersion):
+            self.effects.append(SendMessage(source.sender, Detach()))  # it takes this relay for its own
+        if isinstance(message, LatestVersion):
             self._newest(message)
-        elif isinstance(message, Difference):
+        elif isinstance(message, Delta):
             self._difference(message)
-        elif isinstance(message, Whole):
+        elif isinstance(message, Snapshot):
             self._came_whole(message)
 
-    def _move(self, to: Machine) -> None:
+    def _move(self, to: ControllerAddress) -> None:
         if self.current is not None:
             self.before, self.before_beats = self.current.name, BEFORE_BEATS
-            self.effects.append(Send(self.current.sender, Leave()))
+            self.effects.append(SendMessage(self.current.sender, Detach()))
             self.counts["moves"] += 1
         self.current = to
         self.heard = self.now
@@ -171,7 +173,7 @@
 
     # --- what is taken --------------------------------------------------------------------------
 
-    def _newest(self, message: Newest) -> None:
+    def _newest(self, message: LatestVersion) -> None:
         if message.version == self.known and message.digest != self.digest:
             self._differs()
         if message.version >= self.known:
@@ -181,7 +183,7 @@
         elif self.now >= self.ahead_since + AHEAD_MS:
             self.ahead_since = self.now
             self.effects.append(
-                Note(
+                LogMessage(
                     f"the controllers know of version {message.version}, this relay has {self.known}: "
                     "they lost what was agreed on, or are another fleet's; nothing older is taken",
                     bad=True,
@@ -191,7 +193,7 @@
     def _differs(self) -> None:
         self.counts["differs"] += 1
         self.effects.append(
-            Note(
+            LogMessage(
                 f"version {self.known} has another content here than at the controller: the next "
                 "version is taken whole",
                 True,
@@ -200,7 +202,7 @@
         )
         self.whole = True
 
-    def _difference(self, message: Difference) -> None:
+    def _difference(self, message: Delta) -> None:
         if message.version <= self.known:
             return
         if message.base > self.known or message.version - message.base != len(message.steps):
@@ -211,7 +213,7 @@
             entries = stepped(entries, step)
         self._learned(message.version, entries, message.digest)
 
-    def _came_whole(self, message: Whole) -> None:
+    def _came_whole(self, message: Snapshot) -> None:
         if message.version > self.known:
             self.counts["wholes"] += 1
             self._learned(message.version, message.entries, message.digest)
@@ -242,10 +244,12 @@
         )
         self.previous = (self.taken, self.served)
         self.taken, self.served, self.why = self.known, self.entries, ""
-        self.effects.append(Take(self.known, self.entries, changed))
-        self.effects.append(Keep(self.known, self.entries))
+        self.effects.append(ApplySettings(self.known, self.entries, changed))
+        self.effects.append(Persist(self.known, self.entries))
 
     def _refused(self, why: str) -> None:
         self.why = why
         self.counts["refused"] += 1
-        self.effects.append(Note(f"version {self.known} is turned down, version {self.taken} stays: {why}", bad=True))
+        self.effects.append(
+            LogMessage(f"version {self.known} is turned down, version {self.taken} stays: {why}", bad=True)
+        )
--- a/yarrowspindle/configuration/codec.py
+++ b/yarrowspindle/configuration/codec.py
@@ -2,10 +2,21 @@
 
 from __future__ import annotations
 
-from yarrowspindle.configuration.messages import Beat, Difference, Keep, Later, Learn, Leave, Moved, Newest, Sum, Whole
-from yarrowspindle.configuration.state import MAX_DONE, MAX_NAME, ControlState, Order, bounds
-from yarrowspindle.consensus.register import Accept, Accepted, Kept, Prepare, Promise, Refused
-from yarrowspindle.maintenance.codec import BadMessage, FileCodec, Kinds
+from yarrowspindle.configuration.messages import (
+    Delta,
+    Detach,
+    Heartbeat,
+    LatestVersion,
+    NewerIncarnation,
+    Persist,
+    RelayReattached,
+    RelaySummary,
+    Snapshot,
+    StateUpdate,
+)
+from yarrowspindle.configuration.state import MAX_DONE, MAX_NAME, ChangeOrder, ControlState, bounds
+from yarrowspindle.consensus.register import Accept, Accepted, AcceptorState, Prepare, Promise, Rejected
+from yarrowspindle.maintenance.codec import FileCodec, InvalidMessageError, MessageCodec
 
 VERSION = 1
 MAX_VOTERS, MAX_TAKERS = 64, 64
@@ -26,33 +37,35 @@
         or min(state.version, state.epoch) < 0
         or bounds(state.entries)
     ):
-        raise BadMessage("a state out of bounds")
+        raise InvalidMessageError("a state out of bounds")
 
 
-def _kept_within(kept: Keep) -> None:
+def _kept_within(kept: Persist) -> None:
     if not 0 < kept.version < 1 << 53 or bounds(kept.entries):
-        raise BadMessage("entries out of bounds")
+        raise InvalidMessageError("entries out of bounds")
 
 
 KINDS = (
-    Beat,
-    Newest,
-    Difference,
-    Whole,
-    Leave,
-    Moved,
-    Later,
-    Sum,
-    Learn,
-    Order,
+    Heartbeat,
+    LatestVersion,
+    Delta,
+    Snapshot,
+    Detach,
+    RelayReattached,
+    NewerIncarnation,
+    RelaySummary,
+    StateUpdate,
+    ChangeOrder,
     Prepare,
     Promise[ControlState],
     Accept[ControlState],
     Accepted,
-    Refused[ControlState],
+    Rejected[ControlState],
+)
+MESSAGES = MessageCodec(VERSION, KINDS, within)
+FILE: FileCodec[AcceptorState[ControlState]] = FileCodec(
+    VERSION, AcceptorState[ControlState], lambda kept: within(kept.state)
 )
-MESSAGES = Kinds(VERSION, KINDS, within)
-FILE: FileCodec[Kept[ControlState]] = FileCodec(VERSION, Kept[ControlState], lambda kept: within(kept.state))
-TAKEN: FileCodec[Keep] = FileCodec(VERSION, Keep, _kept_within)  # by a relay
+TAKEN: FileCodec[Persist] = FileCodec(VERSION, Persist, _kept_within)  # by a relay
 AGREED: FileCodec[ControlState] = FileCodec(VERSION, ControlState, within)  # what a controller knows is committed
 encode, decode = MESSAGES.encode, MESSAGES.decode
--- a/yarrowspindle/configuration/controller.py
+++ b/yarrowspindle/configuration/controller.py
@@ -23,35 +23,35 @@
     MAX_COUNTS,
     MAX_NAMED,
     MAX_WHY,
-    Answer,
-    Beat,
-    Came,
-    Difference,
+    AskAcceptor,
+    ChangeAnswered,
+    ChangeRequested,
+    Delta,
+    Detach,
     Effect,
     Event,
-    Learn,
-    Leave,
-    Moved,
-    Named,
-    Newest,
-    Note,
-    Ordered,
-    Send,
+    Heartbeat,
+    LaggingRelay,
+    LatestVersion,
+    LogMessage,
+    MessageReceived,
+    RelayReattached,
+    RelaySummary,
     Sender,
+    SendMessage,
+    SetTimer,
     Shown,
-    Sum,
-    Took,
-    Vote,
-    Wake,
-    Whole,
-    Woke,
+    Snapshot,
+    StateCommitted,
+    StateUpdate,
+    TimerFired,
 )
-from yarrowspindle.configuration.settings import Machine
+from yarrowspindle.configuration.settings import ControllerAddress
 from yarrowspindle.configuration.state import (
     MAX_DONE,
+    ChangeOrder,
     Check,
     ControlState,
-    Order,
     Step,
     bounds,
     bounds_of,
@@ -59,7 +59,7 @@
     stepped,
 )
 from yarrowspindle.consensus import register
-from yarrowspindle.consensus.register import Accept, Accepted, Committed, Failed, Prepare, Promise, Proposer, Refused
+from yarrowspindle.consensus.register import Accept, Accepted, Committed, Failed, Prepare, Promise, Proposer, Rejected
 from yarrowspindle.routing.address import Address
 
 TICK_MS, SUM_MS = 100.0, 250.0  # how often it looks; how often the others are told
@@ -76,7 +76,7 @@
 
 
 @dataclass(slots=True)
-class Attached:
+class AttachedRelay:
     """A relay that talks with this controller. since: when it began to be behind or silent. left: it went to another,
     and counts until then, so that no sum is without it before that one has told of it."""
 
@@ -92,11 +92,11 @@
 
 
 @dataclass(slots=True)
-class Pending:
+class PendingChange:
     """An operator's order that this controller took. sent: to who proposes now."""
 
     ticket: int
-    order: Order
+    order: ChangeOrder
     at: float
     version: int = -1  # the newest that was known when it was handed on first
     sent: float = -1e9
@@ -104,11 +104,11 @@
 
 
 @dataclass(slots=True)
-class Other:
+class PeerController:
     """Another controller, as last heard."""
 
-    machine: Machine
-    sum: Sum | None = None
+    machine: ControllerAddress
+    sum: RelaySummary | None = None
     heard: float = -1e9
     incarnation: int = 0
     at: int = -1
@@ -127,7 +127,7 @@
     read_at: float = -1e9
     why: str = ""
     led: bool = False  # this controller was the first by name when it last looked
-    queue: dict[tuple[str, int, int], tuple[Order, float]] = field(default_factory=dict)
+    queue: dict[tuple[str, int, int], tuple[ChangeOrder, float]] = field(default_factory=dict)
 
 
 class Controller:
@@ -136,8 +136,8 @@
 
     def __init__(
         self,
-        machine: Machine,
-        machines: tuple[Machine, ...],
+        machine: ControllerAddress,
+        machines: tuple[ControllerAddress, ...],
         first: ControlState,
         identity: str,
         guide: ControlState,
@@ -149,15 +149,15 @@
     ) -> None:
         self.me, self.check, self.identity, self.now, self.started = machine, check, identity, now, now
         self.machines = {one.name: one for one in machines}
-        self.others = {one.name: Other(one) for one in machines if one is not machine}
+        self.others = {one.name: PeerController(one) for one in machines if one is not machine}
         self.random = Random(seed)
         # No two processes propose under one ballot: what an earlier one sent may still come.
         self.proposer = proposer(f"{machine.name} {incarnation} {self.random.getrandbits(32):x}", first, self.random)
         self.proposer.guide = max(first, guide, key=lambda s: s.epoch)
         self.round = Round()
         self.incarnation, self.number = incarnation, 0  # of the orders that this controller takes
-        self.pending: list[Pending] = []
-        self.relays: dict[Address, Attached] = {}
+        self.pending: list[PendingChange] = []
+        self.relays: dict[Address, AttachedRelay] = {}
         self.clashes: dict[str, float] = {}  # names that two relays have, and when that was said
         # Version -> its step, without a gap up to the newest.
         self.log: dict[int, Step] = {done.version: done.step for done in first.done}
@@ -169,43 +169,43 @@
         self.sure_at = now + SURE_MS
         self.sum_at = now
         self.counts: Counter[str] = Counter()
-        self.effects: list[Effect] = [Wake(TICK_MS * self.random.random())]
+        self.effects: list[Effect] = [SetTimer(TICK_MS * self.random.random())]
         self.handlers: dict[type, Callable[[Sender, Any], None]] = {
-            Beat: self._beat,
-            Leave: self._leave,
-            Moved: self._moved,
-            Sum: self._sum,
-            Learn: self._learn,
-            Order: self._order,
+            Heartbeat: self._beat,
+            Detach: self._leave,
+            RelayReattached: self._moved,
+            RelaySummary: self._sum,
+            StateUpdate: self._learn,
+            ChangeOrder: self._order,
             Prepare: self._vote,
             Accept: self._vote,
             Promise: self._voted,
             Accepted: self._voted,
-            Refused: self._voted,
+            Rejected: self._voted,
         }
 
     def step(self, now: float, event: Event) -> list[Effect]:
         if now > self.now + SILENT_MS:  # it stood still: others may have come and gone
             self.sure_at = now + SURE_MS
         self.now = max(self.now, now)
-        if isinstance(event, Came):
+        if isinstance(event, MessageReceived):
             handler = self.handlers.get(type(event.message))
             if handler is not None and self._from_its_own_place(event):
                 handler(event.sender, event.message)
-        elif isinstance(event, Woke):
+        elif isinstance(event, TimerFired):
             self._tick()
-        elif isinstance(event, Ordered):
+        elif isinstance(event, ChangeRequested):
             self._ordered(event)
         return self.take_effects()
 
-    def _from_its_own_place(self, event: Came) -> bool:
+    def _from_its_own_place(self, event: MessageReceived) -> bool:
         """What controllers say is heard from where they are reached: another machine may have one's name, and vote."""
         named = self.machines.get(event.sender.name)
-        if isinstance(event.message, Beat | Leave) or named is not None and named.address == event.sender.address:
+        if isinstance(event.message, Heartbeat | Detach) or named is not None and named.address == event.sender.address:
             return True
         (host, port) = event.sender.address
         self.counts["strangers"] += 1
-        self.effects.append(Note(f"{event.sender.name} at {host}:{port} is none of the controllers here", True))
+        self.effects.append(LogMessage(f"{event.sender.name} at {host}:{port} is none of the controllers here", True))
         return False
 
     def take_effects(self) -> list[Effect]:
@@ -218,14 +218,14 @@
         return self.taken
 
     def _send(self, to: str, message: object) -> None:
-        self.effects.append(Send(self.machines[to].sender, message))
+        self.effects.append(SendMessage(self.machines[to].sender, message))
 
     # --- relays ---------------------------------------------------------------------------------
 
-    def _beat(self, sender: Sender, beat: Beat) -> None:
+    def _beat(self, sender: Sender, beat: Heartbeat) -> None:
         version = self.taken.version
         if not beat.attached:
-            self.effects.append(Send(sender, Newest(version, self.digest)))
+            self.effects.append(SendMessage(sender, LatestVersion(version, self.digest)))
             return
         known = self.relays.get(sender.address)
         if known is None:
@@ -235,16 +235,16 @@
             self._clash(sender)
         elif (sender.incarnation, sender.at) <= (known.sender.incarnation, known.sender.at):
             return  # overtaken on its way
-        relay = Attached(sender, beat.known, beat.taken, beat.why, self.now, whole=beat.whole)
+        relay = AttachedRelay(sender, beat.known, beat.taken, beat.why, self.now, whole=beat.whole)
         if known is not None:
             relay.told, relay.since = known.told, known.since
         self.relays[sender.address] = relay
         if beat.before in self.others:
-            self._send(beat.before, Moved(*sender.address, sender.incarnation, sender.at))
+            self._send(beat.before, RelayReattached(*sender.address, sender.incarnation, sender.at))
         if beat.known > version and self.now > max(self.took_at, self.started) + AHEAD_MS:
             self.counts["ahead"] += 1
             self.effects.append(
-                Note(
+                LogMessage(
                     f"relay {sender.name} has version {beat.known}, newer than what is agreed on here ({version})", True
                 )
             )
@@ -252,7 +252,7 @@
         if beat.known < version and (beat.whole or self.now >= relay.told + PUSH_MS):
             self._push([relay])
         elif known is None or beat.known <= known.known:  # what says that a version came needs no answer
-            self.effects.append(Send(sender, Newest(version, self.digest)))
+            self.effects.append(SendMessage(sender, LatestVersion(version, self.digest)))
 
     def _room(self) -> bool:
         """The relay that has been silent for the longest goes."""
@@ -269,7 +269,9 @@
                 if self.now >= self.clashes.get(sender.name, -1e9) + FORGET_MS and len(self.clashes) < MAX_RELAYS:
                     self.clashes[sender.name] = self.now
                     (a, b), (c, d) = other.sender.address, sender.address
-                    self.effects.append(Note(f"two relays are called {sender.name}: {a}:{b} and {c}:{d}", bad=True))
+                    self.effects.append(
+                        LogMessage(f"two relays are called {sender.name}: {a}:{b} and {c}:{d}", bad=True)
+                    )
                 return
 
     def _leave(self, sender: Sender, _: object) -> None:
@@ -277,7 +279,7 @@
         if known is not None and (sender.incarnation, sender.at) > (known.sender.incarnation, known.sender.at):
             known.sender, known.left = sender, self.now + SURE_MS
 
-    def _moved(self, sender: Sender, moved: Moved) -> None:
+    def _moved(self, sender: Sender, moved: RelayReattached) -> None:
         known = self.relays.get((moved.host, moved.port))
         if (
             sender.name in self.others
@@ -289,14 +291,14 @@
             )  # where that one dies, it is missed
             known.left = min(known.left or self.now + SURE_MS, self.now + sure)
 
-    def _mark(self, relay: Attached) -> None:
+    def _mark(self, relay: AttachedRelay) -> None:
         """Since when it is behind."""
         if relay.taken >= self.taken.version:
             relay.since = 0.0
         elif not relay.since:
             relay.since = self.now
 
-    def _push(self, relays: Iterable[Attached]) -> None:
+    def _push(self, relays: Iterable[AttachedRelay]) -> None:
         """Each gets the steps that it has not got, or all entries where these are no longer known. One message for
         all that are as far."""
         made: dict[int, object] = {}
@@ -304,17 +306,17 @@
             base = -1 if relay.whole else relay.known
             if base not in made:
                 made[base] = self._steps(base)
-                self.counts["wholes" if isinstance(made[base], Whole) else "differences"] += 1
+                self.counts["wholes" if isinstance(made[base], Snapshot) else "differences"] += 1
             relay.told = self.now
-            self.effects.append(Send(relay.sender, made[base]))
+            self.effects.append(SendMessage(relay.sender, made[base]))
 
     def _steps(self, base: int) -> object:
         version, entries = self.taken.version, self.taken.entries
         steps = [self.log.get(number) for number in range(base + 1, version + 1)] if base >= 0 else [None]
         found = [step for step in steps if step is not None]
         if len(found) < len(steps) or len(found) > MAX_DONE or sum(map(size, found)) > size(entries) + 400:
-            return Whole(version, self.digest, dict(entries))
-        return Difference(base, version, self.digest, [dict(step) for step in found])
+            return Snapshot(version, self.digest, dict(entries))
+        return Delta(base, version, self.digest, [dict(step) for step in found])
 
     # --- other controllers ----------------------------------------------------------------------
 
@@ -326,7 +328,7 @@
     def _leader(self) -> str:
         return min([n for n, o in self.others.items() if self.now <= o.heard + SILENT_MS], default=self.me.name)
 
-    def _sum(self, sender: Sender, told: Sum) -> None:
+    def _sum(self, sender: Sender, told: RelaySummary) -> None:
         other = self.others.get(sender.name)
         if other is None or not other.is_newer(sender):
             return
@@ -337,12 +339,12 @@
         if other.behind >= (1 if self.leads else 3):
             self._teach(other)
 
-    def _teach(self, other: Other) -> None:
+    def _teach(self, other: PeerController) -> None:
         if self.now >= other.told + LEARN_MS:
             other.told = self.now
-            self._send(other.machine.name, Learn(self.taken))
+            self._send(other.machine.name, StateUpdate(self.taken))
 
-    def _learn(self, sender: Sender, learn: Learn) -> None:
+    def _learn(self, sender: Sender, learn: StateUpdate) -> None:
         if sender.name in self.others:
             self.proposer.learned(learn.state)
             self._take()
@@ -359,7 +361,7 @@
         for version in sorted(self.log)[: max(0, len(self.log) - MAX_LOG)]:
             del self.log[version]
         self.taken, self.digest, self.took_at = state, state.digest, self.now
-        self.effects.append(Took(state))
+        self.effects.append(StateCommitted(state))
         for relay in self.relays.values():
             self._mark(relay)
         self._push(self._due())
@@ -368,7 +370,7 @@
         if incarnation > self.incarnation:
             self._renumber(incarnation + 1)  # an earlier process of this controller had a clock that was ahead
 
-    def _due(self) -> list[Attached]:
+    def _due(self) -> list[AttachedRelay]:
         """Living relays that have not got the newest, and were told nothing in the last moment: many changes in one
         second go down together."""
         version = self.taken.version
@@ -384,9 +386,9 @@
         if sender.name not in self.machines:
             return
         if self.identity:
-            self.effects.append(Vote(sender, message))
+            self.effects.append(AskAcceptor(sender, message))
         else:
-            self.effects.append(Send(sender, Refused(message.ballot, register.NONE, not_voter=True)))
+            self.effects.append(SendMessage(sender, Rejected(message.ballot, register.NONE, not_voter=True)))
 
     def _voted(self, sender: Sender, message: Any) -> None:
         if sender.name in self.machines:
@@ -447,19 +449,19 @@
 
     # --- orders ---------------------------------------------------------------------------------
 
-    def _ordered(self, event: Ordered) -> None:
+    def _ordered(self, event: ChangeRequested) -> None:
         entries = stepped(self.taken.entries, event.step)
         why = bounds_of(event.step) or bounds(entries) or self.check(entries)
         if not why and len(self.pending) >= MAX_ORDERS:
             why = f"{MAX_ORDERS} changes wait already"
         if why:
-            self.effects.append(Answer(event.ticket, 0, why))
+            self.effects.append(ChangeAnswered(event.ticket, 0, why))
             return
         if self.taken.takers.get(self.me.name, (0, 0))[0] == self.incarnation and not self.number:
             self._renumber(self.incarnation + 1)
         self.number += 1
         self.pending.append(
-            Pending(event.ticket, Order(self.me.name, self.incarnation, self.number, event.step), self.now)
+            PendingChange(event.ticket, ChangeOrder(self.me.name, self.incarnation, self.number, event.step), self.now)
         )
         self._hand_on()
 
@@ -467,7 +469,7 @@
         self.incarnation, self.number = incarnation, 0
         for pending in self.pending:
             self.number += 1
-            pending.order = Order(self.me.name, incarnation, self.number, pending.order.step)
+            pending.order = ChangeOrder(self.me.name, incarnation, self.number, pending.order.step)
             pending.sent = -1e9
 
     def _hand_on(self) -> None:
@@ -476,7 +478,7 @@
             # In their turn none after it is settled either. All end: no order ever goes under two numbers.
             for pending in self.pending:
                 self.effects.append(
-                    Answer(
+                    ChangeAnswered(
                         pending.ticket,
                         0,
                         "no majority of the voters has settled it in "
@@ -500,12 +502,12 @@
         if self.pending:
             self._propose()
 
-    def _order(self, sender: Sender, order: Order) -> None:
+    def _order(self, sender: Sender, order: ChangeOrder) -> None:
         if sender.name in self.others and order.taker == sender.name:
             self._enqueue(order)
             self._propose()
 
-    def _enqueue(self, order: Order) -> None:
+    def _enqueue(self, order: ChangeOrder) -> None:
         queue, key = self.round.queue, (order.taker, order.incarnation, order.number)
         if not self.taken.is_settled(order) and (key in queue or len(queue) < MAX_ORDERS):
             queue.setdefault(key, (order, self.now))
@@ -526,9 +528,11 @@
                 continue
             self.pending.remove(pending)
             if done is None:
-                self.effects.append(Answer(pending.ticket, 0, "nobody knows any more whether it stands: see `show`"))
+                self.effects.append(
+                    ChangeAnswered(pending.ticket, 0, "nobody knows any more whether it stands: see `show`")
+                )
             else:
-                self.effects.append(Answer(pending.ticket, 0 if done.why else done.version, done.why))
+                self.effects.append(ChangeAnswered(pending.ticket, 0 if done.why else done.version, done.why))
 
     # --- time -----------------------------------------------------------------------------------
 
@@ -547,16 +551,19 @@
             for name in self.others:
                 self._send(name, told)
             self._say(told)
-        self.effects.append(Wake(TICK_MS * self.random.uniform(0.9, 1.1)))
+        self.effects.append(SetTimer(TICK_MS * self.random.uniform(0.9, 1.1)))
 
-    def summed(self) -> Sum:
+    def summed(self) -> RelaySummary:
         """Of the relays that talk with this controller."""
         living = [r for r in self.relays.values() if self.now <= (r.left or r.heard + LIVE_MS)]
         counts = sorted(Counter(r.taken for r in living).items())
         if len(counts) > MAX_COUNTS:
             counts = [*counts[: MAX_COUNTS - 1], (counts[MAX_COUNTS - 1][0], sum(n for _, n in counts[MAX_COUNTS:]))]
-        named = [Named(r.sender.name, r.taken, max(0, int(self.now - since)), why) for r, since, why in self._wanting()]
-        return Sum(
+        named = [
+            LaggingRelay(r.sender.name, r.taken, max(0, int(self.now - since)), why)
+            for r, since, why in self._wanting()
+        ]
+        return RelaySummary(
             self.taken.version,
             sum(not r.left for r in living),
             counts,
@@ -564,7 +571,7 @@
             max(0, len(named) - MAX_NAMED),
         )
 
-    def _wanting(self) -> list[tuple[Attached, float, str]]:
+    def _wanting(self) -> list[tuple[AttachedRelay, float, str]]:
         """Relays that are silent, refuse or are behind, those of the longest standing first; since when; and why."""
         found = []
         for relay in [r for r in self.relays.values() if not r.left]:
@@ -574,7 +581,7 @@
                 found.append((relay, relay.since, relay.why[:MAX_WHY] or "behind"))
         return sorted(found, key=lambda one: one[1])
 
-    def _say(self, own: Sum) -> None:
+    def _say(self, own: RelaySummary) -> None:
         """Once for each version that all living relays have taken."""
         shown = self.shown(own)
         self.in_force = max(self.in_force, shown["in_force"])
@@ -582,13 +589,13 @@
             self.said = self.in_force
             took = (self.now - self.took_at) / 1000.0
             self.effects.append(
-                Note(
+                LogMessage(
                     f"version {self.in_force} is in force at {shown['relays']} relays, {took:.1f} s "
                     f"after it was agreed on; {len(shown['named'])} are named"
                 )
             )
 
-    def shown(self, own: Sum | None = None) -> Shown:
+    def shown(self, own: RelaySummary | None = None) -> Shown:
         """What an operator asks for. in_force: the newest version that all living relays of all controllers that are
         heard serve by, and nothing newer than before for a while after one came or went, when relays may be with one
         that is not heard; named: relays that are behind, silent or refuse; controllers: who is heard, since when in
--- a/yarrowspindle/configuration/link.py
+++ b/yarrowspindle/configuration/link.py
@@ -9,10 +9,10 @@
 from collections import Counter, OrderedDict
 
 from yarrowspindle.configuration import codec
-from yarrowspindle.configuration.messages import Later, Sender
-from yarrowspindle.maintenance.codec import BadMessage
-from yarrowspindle.membership.codec import VERSION, Carried, Codec, Datagram, Dropped
-from yarrowspindle.protocol.fragments import Parcels
+from yarrowspindle.configuration.messages import NewerIncarnation, Sender
+from yarrowspindle.maintenance.codec import InvalidMessageError
+from yarrowspindle.membership.codec import VERSION, Carried, Codec, Datagram, DroppedDatagramError
+from yarrowspindle.protocol.fragments import Fragmenter
 from yarrowspindle.routing.address import Address
 
 MAX_INCARNATIONS = 4096  # addresses whose newest life is remembered
@@ -27,7 +27,7 @@
     def __init__(self, name: str, address: Address, cluster: str, incarnation: int, first: int, now: float) -> None:
         self.name, self.address, self.cluster, self.incarnation = name, address, cluster, incarnation
         self.codec = Codec(cluster)
-        self.parcels = Parcels(first, MAX_SENT)
+        self.parcels = Fragmenter(first, MAX_SENT)
         self.started, self.at = now, -1
         self.incarnations: OrderedDict[Address, int] = OrderedDict()
         self.sources: Counter[Address] = Counter()
@@ -63,7 +63,7 @@
         self.sources[source] += 1
         try:
             datagram = self.codec.decode(data)
-        except Dropped as why:
+        except DroppedDatagramError as why:
             raise self._dropped(str(why)) from None
         sender = Sender(datagram.name, datagram.address, datagram.incarnation, datagram.at)
         if sender.address == self.address or not isinstance(datagram.body, Carried):
@@ -74,7 +74,7 @@
             self.incarnations.popitem(last=False)
         if sender.incarnation < known:
             self.counts["earlier_life"] += 1
-            return sender, None, self.packed(now, sender.address, Later(known))
+            return sender, None, self.packed(now, sender.address, NewerIncarnation(known))
         place = f"{sender.address[0]}:{sender.address[1]}"
         whole, back = self.parcels.came(now, place, datagram.body.data)
         replies = [self._sealed(now, part) for part in back]
@@ -82,9 +82,9 @@
             return sender, None, replies
         try:
             message = codec.decode(whole)
-        except BadMessage as why:
+        except InvalidMessageError as why:
             raise self._dropped(str(why)) from None
-        if isinstance(message, Later):
+        if isinstance(message, NewerIncarnation):
             if message.incarnation >= self.incarnation:
                 self.incarnation = message.incarnation + 1
             return sender, None, replies
@@ -98,6 +98,6 @@
             found.append(((host, int(port)), self._sealed(now, data)))
         return found
 
-    def _dropped(self, why: str) -> Dropped:
+    def _dropped(self, why: str) -> DroppedDatagramError:
         self.counts[f"dropped_{why.replace(' ', '_')}"] += 1
-        return Dropped(why)
+        return DroppedDatagramError(why)
--- a/yarrowspindle/configuration/messages.py
+++ b/yarrowspindle/configuration/messages.py
@@ -22,7 +22,7 @@
 # --- on the wire --------------------------------------------------------------------------------
 
 
-class Beat(Struct, array_like=True, frozen=True):
+class Heartbeat(Struct, array_like=True, frozen=True):
     """A relay is there. known: the newest version that it has, of this digest; taken: the one that it serves by, older
     only where it refused the newest, for which `why` stands. whole: send all entries. attached: the relay talks with
     this controller, and does not only ask whether it is there. before: the one that it talked with until now."""
@@ -36,14 +36,14 @@
     before: Name = ""
 
 
-class Newest(Struct, array_like=True, frozen=True):
+class LatestVersion(Struct, array_like=True, frozen=True):
     """The controller is there, and knows of this."""
 
     version: Number
     digest: Digest
 
 
-class Difference(Struct, array_like=True, frozen=True):
+class Delta(Struct, array_like=True, frozen=True):
     """All steps from `base` to `version`, in order; digest: of what comes out."""
 
     base: Number
@@ -52,17 +52,17 @@
     steps: Annotated[list[dict[str, str | None]], Meta(max_length=MAX_DONE)]
 
 
-class Whole(Struct, array_like=True, frozen=True):
+class Snapshot(Struct, array_like=True, frozen=True):
     version: Number
     digest: Digest
     entries: Annotated[dict[str, str], Meta(max_length=MAX_ENTRIES)]
 
 
-class Leave(Struct, array_like=True, frozen=True):
+class Detach(Struct, array_like=True, frozen=True):
     """The relay talks with another controller, or ends."""
 
 
-class Moved(Struct, array_like=True, frozen=True):
+class RelayReattached(Struct, array_like=True, frozen=True):
     """Between controllers: this relay talks with the sender now, since `at` of its own clock in this life."""
 
     host: str
@@ -71,13 +71,13 @@
     at: Number
 
 
-class Later(Struct, array_like=True, frozen=True):
+class NewerIncarnation(Struct, array_like=True, frozen=True):
     """A later life of the same address is known here: the receiver must take a higher one to be heard."""
 
     incarnation: Number
 
 
-class Named(Struct, array_like=True, frozen=True):
+class LaggingRelay(Struct, array_like=True, frozen=True):
     """A relay that is behind, silent or refuses. age_ms: since when."""
 
     name: Name
@@ -86,7 +86,7 @@
     why: Why
 
 
-class Sum(Struct, array_like=True, frozen=True):
+class RelaySummary(Struct, array_like=True, frozen=True):
     """Between controllers: the newest version that the sender knows; how many living relays talk with it, how many of
     them serve by which version (lowest first; what does not fit is under the last), and those to be named. more: how
     many are not named for want of room."""
@@ -94,11 +94,11 @@
     version: Number
     relays: Number
     counts: Annotated[list[tuple[int, int]], Meta(max_length=MAX_COUNTS)]
-    named: Annotated[list[Named], Meta(max_length=MAX_NAMED)]
+    named: Annotated[list[LaggingRelay], Meta(max_length=MAX_NAMED)]
     more: Number = 0
 
 
-class Learn(Struct, array_like=True, frozen=True):
+class StateUpdate(Struct, array_like=True, frozen=True):
     """Between controllers: a committed state."""
 
     state: ControlState
@@ -119,18 +119,18 @@
 
 
 @dataclass(slots=True)
-class Came:
+class MessageReceived:
     sender: Sender
     message: Any
 
 
 @dataclass(slots=True)
-class Woke:
+class TimerFired:
     pass
 
 
 @dataclass(slots=True)
-class Ordered:
+class ChangeRequested:
     """An operator's change; the `Answer` comes under the same ticket."""
 
     ticket: int
@@ -138,32 +138,32 @@
 
 
 @dataclass(slots=True)
-class Turned:
+class SettingsRejected:
     """What was to be taken could not be: the relay serves on as before."""
 
     version: int
     why: str
 
 
-Event = Came | Woke | Ordered | Turned
+Event = MessageReceived | TimerFired | ChangeRequested | SettingsRejected
 
 
 # --- effects ------------------------------------------------------------------------------------
 
 
 @dataclass(slots=True)
-class Send:
+class SendMessage:
     to: Sender
     message: Any
 
 
 @dataclass(slots=True)
-class Wake:
+class SetTimer:
     delay_ms: float
 
 
 @dataclass(slots=True)
-class Take:
+class ApplySettings:
     """Serve by these entries from now on; none: by the relay's own file. changed: keys that differ from before."""
 
     version: int
@@ -172,7 +172,7 @@
 
 
 @dataclass(slots=True)
-class Keep:
+class Persist:
     """To be found again after a restart."""
 
     version: int
@@ -180,7 +180,7 @@
 
 
 @dataclass(slots=True)
-class Vote:
+class AskAcceptor:
     """To this machine's voter, whose answer goes back to the sender."""
 
     sender: Sender
@@ -188,14 +188,14 @@
 
 
 @dataclass(slots=True)
-class Took:
+class StateCommitted:
     """A controller took up a committed state."""
 
     state: ControlState
 
 
 @dataclass(slots=True)
-class Answer:
+class ChangeAnswered:
     """To an operator. version: the change stands there; 0: it was turned down, or nobody knows (`why`)."""
 
     ticket: int
@@ -204,7 +204,7 @@
 
 
 @dataclass(slots=True)
-class Note:
+class LogMessage:
     """For the log; `bounded`: strangers can cause it; `bad`: an operator should look."""
 
     text: str
@@ -212,5 +212,5 @@
     bad: bool = False
 
 
-Effect = Send | Wake | Take | Keep | Vote | Took | Answer | Note
+Effect = SendMessage | SetTimer | ApplySettings | Persist | AskAcceptor | StateCommitted | ChangeAnswered | LogMessage
 Shown = Mapping[str, Any]
--- a/yarrowspindle/configuration/settings.py
+++ b/yarrowspindle/configuration/settings.py
@@ -18,7 +18,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Machine:
+class ControllerAddress:
     """A controller. voter: it keeps a file and votes; the same in all files."""
 
     name: str
@@ -46,7 +46,7 @@
 
     role: str
     listen: Address
-    machines: tuple[Machine, ...]
+    machines: tuple[ControllerAddress, ...]
     advertise: Address | None = None
     cluster: str = "default"
     name: str = ""
@@ -84,7 +84,7 @@
         return self.advertise or self.listen
 
     @property
-    def me(self) -> Machine:
+    def me(self) -> ControllerAddress:
         """Of a controller: itself, by its address."""
         return next(m for m in self.machines if m.address == self.reached_at)
 
@@ -93,11 +93,11 @@
         return tuple(sorted(m.name for m in self.machines if m.voter))
 
 
-def preferred(machines: tuple[Machine, ...], name: str, zone: str, region: str) -> list[Machine]:
+def preferred(machines: tuple[ControllerAddress, ...], name: str, zone: str, region: str) -> list[ControllerAddress]:
     """The controllers as a relay of this name tries them: its zone's, its region's, the rest; among alike ones by
     hash, so that the relays of a zone spread over them."""
 
-    def rank(machine: Machine) -> tuple[bool, bool, bytes]:
+    def rank(machine: ControllerAddress) -> tuple[bool, bool, bytes]:
         mixed = blake2b(f"{name} {machine.name}".encode(), digest_size=8).digest()
         return machine.zone != zone, machine.region != region, mixed
 
@@ -129,8 +129,8 @@
     return ControlSettings(**values)
 
 
-def _machine(one: Mapping[str, Any]) -> Machine:
-    known = [f.name for f in fields(Machine)]
+def _machine(one: Mapping[str, Any]) -> ControllerAddress:
+    known = [f.name for f in fields(ControllerAddress)]
     for key in one.keys() - set(known):
         near = get_close_matches(key, known, 1)
         raise ControlError(f"control.machine.{key} is not known" + (f"; {near[0]} is" if near else ""))
@@ -141,4 +141,4 @@
     name = one.get("name", "")
     if not 0 < len(name.encode()) <= MAX_NAME or "address" not in one:
         raise ControlError("each control.machine has a name and an address")
-    return Machine(**{**one, "address": read_address("machine.address", one["address"])})
+    return ControllerAddress(**{**one, "address": read_address("machine.address", one["address"])})
--- a/yarrowspindle/configuration/state.py
+++ b/yarrowspindle/configuration/state.py
@@ -57,7 +57,7 @@
     return found | {key: value for key, value in step.items() if value is not None}
 
 
-class Order(Struct, frozen=True, rename={"incarnation": "life"}):
+class ChangeOrder(Struct, frozen=True, rename={"incarnation": "life"}):
     """A change that an operator gave to `taker`, a controller, as the number-th of that life of its orders. Each is
     settled once and in its turn: one that was held up on its way undoes nothing newer."""
 
@@ -67,7 +67,7 @@
     step: Step
 
 
-class Done(Struct, frozen=True, rename={"incarnation": "life"}):
+class CommittedStep(Struct, frozen=True, rename={"incarnation": "life"}):
     """The step to a version. why: it was refused, and changes nothing; taker, life, number: whose order it was."""
 
     version: int
@@ -88,7 +88,7 @@
     epoch: int = 0
     entries: Entries = field(default_factory=dict)
     takers: Mapping[str, tuple[int, int]] = field(default_factory=dict)
-    done: Sequence[Done] = ()
+    done: Sequence[CommittedStep] = ()
 
     @property
     def digest(self) -> bytes:
@@ -97,10 +97,10 @@
     def at_epoch(self, epoch: int) -> ControlState:
         return replace(self, epoch=epoch)
 
-    def is_settled(self, order: Order) -> bool:
+    def is_settled(self, order: ChangeOrder) -> bool:
         return (order.incarnation, order.number) <= self.takers.get(order.taker, (0, 0))
 
-    def is_next(self, order: Order) -> bool:
+    def is_next(self, order: ChangeOrder) -> bool:
         """It is this order's turn among its taker's."""
         incarnation, number = self.takers.get(order.taker, (0, 0))
         return (
@@ -109,13 +109,15 @@
             and order.number == 1
         )
 
-    def settled(self, order: Order, check: Check) -> ControlState | None:
+    def settled(self, order: ChangeOrder, check: Check) -> ControlState | None:
         """With this order's step, or its refusal, as the next version; None: it is settled, or not yet its turn."""
         if not self.is_next(order):
             return None
         entries = stepped(self.entries, order.step)
         why = (bounds_of(order.step) or bounds(entries) or check(entries))[:MAX_WHY]
-        done = Done(self.version + 1, {} if why else order.step, why, order.taker, order.incarnation, order.number)
+        done = CommittedStep(
+            self.version + 1, {} if why else order.step, why, order.taker, order.incarnation, order.number
+        )
         takers = dict(self.takers) | {order.taker: (order.incarnation, order.number)}
         return replace(self._with(done), entries=self.entries if why else entries, takers=takers)
 
@@ -123,10 +125,10 @@
         """This voter has another file from here on; None: it has it already."""
         if self.voters.get(name) == identity:
             return None
-        changed = self._with(Done(self.version + 1, {}))
+        changed = self._with(CommittedStep(self.version + 1, {}))
         return replace(changed, voters=dict(self.voters) | {name: identity}, epoch=self.epoch + 1)
 
-    def _with(self, done: Done) -> ControlState:
+    def _with(self, done: CommittedStep) -> ControlState:
         kept = [*self.done, done][-MAX_DONE:]
         while len(kept) > 1 and sum(size(one.step) for one in kept) > MAX_STEPS:
             del kept[0]
--- a/yarrowspindle/consensus/register.py
+++ b/yarrowspindle/consensus/register.py
@@ -16,7 +16,7 @@
 LATE_MS = 1000.0
 
 
-class Held(Protocol):
+class ReplicatedState(Protocol):
     """What the register needs to know of a state. voters: name -> identity of the voter's file."""
 
     @property
@@ -28,7 +28,7 @@
     def at_epoch(self: S, epoch: int) -> S: ...
 
 
-S = TypeVar("S", bound=Held)
+S = TypeVar("S", bound=ReplicatedState)
 
 
 def majority(voters: Mapping[str, str]) -> int:
@@ -70,7 +70,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Refused(Generic[S]):
+class Rejected(Generic[S]):
     """Promised to a higher ballot, or the proposer's epoch is old: then with the newer state, which it may not be
     committed, but whose voters are those to ask. not_voter: asked for another identity than its own."""
 
@@ -80,14 +80,14 @@
     not_voter: bool = False
 
 
-Message = Prepare | Promise[S] | Accept[S] | Accepted | Refused[S]
+Message = Prepare | Promise[S] | Accept[S] | Accepted | Rejected[S]
 
 
 # --- the voter ----------------------------------------------------------------------------------
 
 
 @dataclass(slots=True, frozen=True)
-class Kept(Generic[S]):
+class AcceptorState(Generic[S]):
     """What a voter must not forget."""
 
     identity: str
@@ -96,36 +96,38 @@
     state: S
 
 
-class Voter(Generic[S]):
+class Acceptor(Generic[S]):
     """`store` writes and syncs; it raises where that fails, and then nothing was promised and nothing is answered.
 
     now: this voter's own milliseconds. Its proposer gave up long ago what comes so late after the promise, and what it
     changes may fit the world no more. That is no matter of safety: whoever is refused tries again."""
 
-    def __init__(self, kept: Kept[S], store: Callable[[Kept[S]], None], now: Callable[[], float] = lambda: 0.0) -> None:
+    def __init__(
+        self, kept: AcceptorState[S], store: Callable[[AcceptorState[S]], None], now: Callable[[], float] = lambda: 0.0
+    ) -> None:
         self.kept, self.store, self.now = kept, store, now
         self.promised_at = -LATE_MS
 
-    def _keep(self, kept: Kept[S]) -> None:
+    def _keep(self, kept: AcceptorState[S]) -> None:
         self.store(kept)
         self.kept = kept
 
-    def told(self, message: Prepare | Accept[S]) -> Promise[S] | Accepted | Refused[S]:
+    def told(self, message: Prepare | Accept[S]) -> Promise[S] | Accepted | Rejected[S]:
         kept = self.kept
         if message.identity != kept.identity:
-            return Refused(message.ballot, kept.promised, not_voter=True)
+            return Rejected(message.ballot, kept.promised, not_voter=True)
         if message.epoch < kept.state.epoch:
-            return Refused(message.ballot, kept.promised, kept.state)
+            return Rejected(message.ballot, kept.promised, kept.state)
         if isinstance(message, Prepare):
             if message.ballot <= kept.promised:
-                return Refused(message.ballot, kept.promised)
+                return Rejected(message.ballot, kept.promised)
             self._keep(replace(kept, promised=message.ballot))
             self.promised_at = self.now()
             return Promise(message.ballot, kept.identity, kept.accepted, kept.state)
         late = message.ballot == kept.promised > kept.accepted and self.now() > self.promised_at + LATE_MS
         if message.ballot < kept.promised or late:
-            return Refused(message.ballot, kept.promised)
-        self._keep(Kept(kept.identity, message.ballot, message.ballot, message.state))
+            return Rejected(message.ballot, kept.promised)
+        self._keep(AcceptorState(kept.identity, message.ballot, message.ballot, message.state))
         return Accepted(message.ballot, kept.identity)
 
 
@@ -208,13 +210,13 @@
         if state.epoch >= self.guide.epoch:
             self.guide = state
 
-    def told(self, source: str, message: Promise[S] | Accepted | Refused[S]) -> list[Effect[S]]:
+    def told(self, source: str, message: Promise[S] | Accepted | Rejected[S]) -> list[Effect[S]]:
         now = self.round
-        if isinstance(message, Refused):
+        if isinstance(message, Rejected):
             self.highest = max(self.highest, message.promised[0])
         if now is None or message.ballot != now.ballot:
             return []
-        if isinstance(message, Refused):
+        if isinstance(message, Rejected):
             return self._refused(now, message)
         if source not in self._asked(now) or message.identity != self._asked(now)[source]:
             return []  # not the voter that was meant: another file
@@ -229,7 +231,7 @@
             found |= now.proposed.voters
         return found
 
-    def _refused(self, now: Round[S], message: Refused[S]) -> list[Effect[S]]:
+    def _refused(self, now: Round[S], message: Rejected[S]) -> list[Effect[S]]:
         """One refusal for its epoch proves nothing: a change of voters that came to nothing may have left it. Where the
         change was committed too few are left to promise."""
         now.refused += 1
--- a/yarrowspindle/daemon/configuration_endpoint.py
+++ b/yarrowspindle/daemon/configuration_endpoint.py
@@ -17,16 +17,27 @@
 from yarrowspindle.configuration.codec import TAKEN
 from yarrowspindle.configuration.controller import Controller
 from yarrowspindle.configuration.link import Link
-from yarrowspindle.configuration.messages import Came, Effect, Event, Keep, Note, Send, Take, Turned, Wake, Woke
+from yarrowspindle.configuration.messages import (
+    ApplySettings,
+    Effect,
+    Event,
+    LogMessage,
+    MessageReceived,
+    Persist,
+    SendMessage,
+    SetTimer,
+    SettingsRejected,
+    TimerFired,
+)
 from yarrowspindle.configuration.settings import ControlSettings, preferred
 from yarrowspindle.configuration.state import ControlState
 from yarrowspindle.daemon.config import ConfigError
 from yarrowspindle.daemon.log import Bounded
 from yarrowspindle.daemon.relay_service import RelayService
 from yarrowspindle.daemon.shared_settings import MAX_WHY, check
-from yarrowspindle.membership.codec import Dropped
+from yarrowspindle.membership.codec import DroppedDatagramError
 from yarrowspindle.routing.address import Address
-from yarrowspindle.storage.durable_file import KeptFile, NoFile
+from yarrowspindle.storage.durable_file import DurableFile, FileUnavailableError
 from yarrowspindle.transport.datagrams import Front
 
 AGAIN_S = 1.0  # a lock, a disk or a core that failed is tried again after so long
@@ -61,7 +72,7 @@
         self.tasks: list[asyncio.Task[None]] = []
         self.disk = ThreadPoolExecutor(1, "control")  # the disk must not make jobs or beats late
         self.closed = False
-        self.unkept: Keep | ControlState | None = None  # what is to be kept and is not yet
+        self.unkept: Persist | ControlState | None = None  # what is to be kept and is not yet
         self.keeping = asyncio.Event()
 
     def open(self) -> None:
@@ -105,13 +116,13 @@
     def _datagram(self, data: bytes, source: Address) -> None:
         try:
             sender, message, replies = self.link.came(self._now(), data, source)
-        except Dropped as why:
+        except DroppedDatagramError as why:
             self._warn(f"dropped what {source[0]}:{source[1]} sent: {why}")
             return
         for reply in replies:
             self._datagram_to(sender.address, reply)
         if message is not None:
-            self.post(Came(sender, message))
+            self.post(MessageReceived(sender, message))
 
     def _datagram_to(self, to: Address, data: bytes) -> None:
         try:
@@ -128,29 +139,29 @@
             self.counts["failures"] += 1
             logger.exception("control: the core failed at {}", type(event).__name__)
             effects = self.core.take_effects()
-            if isinstance(event, Woke):
-                effects.append(Wake(1000.0 * AGAIN_S))
+            if isinstance(event, TimerFired):
+                effects.append(SetTimer(1000.0 * AGAIN_S))
         self.carry_out(effects)
 
     def carry_out(self, effects: Sequence[Effect]) -> None:
         for effect in effects:
-            if isinstance(effect, Send):
+            if isinstance(effect, SendMessage):
                 self._send(effect)
-            elif isinstance(effect, Wake):
-                self.loop.call_later(effect.delay_ms / 1000.0, self.post, Woke())
-            elif isinstance(effect, Note):
+            elif isinstance(effect, SetTimer):
+                self.loop.call_later(effect.delay_ms / 1000.0, self.post, TimerFired())
+            elif isinstance(effect, LogMessage):
                 self._note(effect)
             else:
                 self._effect(effect)
 
-    def _send(self, send: Send) -> None:
+    def _send(self, send: SendMessage) -> None:
         for data in self.link.packed(self._now(), send.to.address, send.message):
             self._datagram_to(send.to.address, data)
 
     def _effect(self, effect: Effect) -> None:
         """What only one of the two roles has."""
 
-    def _note(self, note: Note) -> None:
+    def _note(self, note: LogMessage) -> None:
         if note.bounded:
             self._warn(note.text)
         else:
@@ -167,11 +178,11 @@
 
     # --- what is found again after a restart ------------------------------------------------------
 
-    def keep(self, what: Keep | ControlState) -> None:
+    def keep(self, what: Persist | ControlState) -> None:
         self.unkept = what
         self.keeping.set()
 
-    async def _keep(self, file: KeptFile[Any]) -> None:
+    async def _keep(self, file: DurableFile[Any]) -> None:
         """Until a disk that fails is well again what was kept before stands, and the newest is kept after that. A
         process that is about to end has the lock, and keeps what it takes itself."""
         said = ""
@@ -200,7 +211,7 @@
                 await asyncio.sleep(AGAIN_S)
             said = why
 
-    def kept_in(self) -> KeptFile[Any] | None:
+    def kept_in(self) -> DurableFile[Any] | None:
         """The file of what is found again after a restart; None: there is none."""
         return None
 
@@ -228,14 +239,14 @@
     def __init__(self, hub: RelayService, settings: ControlSettings) -> None:
         super().__init__(settings, settings.name or hub.config.name)
         self.hub = hub
-        self.file: KeptFile[Keep] | None = None
+        self.file: DurableFile[Persist] | None = None
         version, entries = 0, {}
         if settings.directory:
-            self.file = KeptFile(settings.directory, self.name, settings.cluster, KEPT, TAKEN)
+            self.file = DurableFile(settings.directory, self.name, settings.cluster, KEPT, TAKEN)
             try:
                 kept = self._loaded(self.file)
                 version, entries = kept.version, dict(kept.entries)
-            except NoFile as why:
+            except FileUnavailableError as why:
                 logger.log(
                     "WARNING" if self.file.path.exists() else "INFO",
                     "control: nothing was kept that can be used in {}: {}; this relay serves by its own file "
@@ -249,7 +260,7 @@
         hub.metrics.more_gauges.append(self.gauges)
 
     @staticmethod
-    def _loaded(file: KeptFile[Keep]) -> Keep:
+    def _loaded(file: DurableFile[Persist]) -> Persist:
         """Tried again for a moment where the disk cannot be read: what was taken is to be served from the first
         request on. After that a controller tells it. Raises NoFile."""
         for _ in range(READS - 1):
@@ -260,7 +271,7 @@
         try:
             return file.load()
         except OSError as error:
-            raise NoFile(f"it cannot be read: {error}") from error
+            raise FileUnavailableError(f"it cannot be read: {error}") from error
 
     def start(self) -> None:
         """What was kept is served from the first job on."""
@@ -274,20 +285,20 @@
         await super().close()
 
     def carry_out(self, effects: Sequence[Effect]) -> None:
-        for take in [effect for effect in effects if isinstance(effect, Take)]:
+        for take in [effect for effect in effects if isinstance(effect, ApplySettings)]:
             if why := self._take(take):  # whatever else was asked for rests on it
-                effects = [effect for effect in effects if isinstance(effect, Wake | Note)]
-                effects += self.core.step(self._now(), Turned(take.version, why))
+                effects = [effect for effect in effects if isinstance(effect, SetTimer | LogMessage)]
+                effects += self.core.step(self._now(), SettingsRejected(take.version, why))
         super().carry_out(effects)
 
-    def kept_in(self) -> KeptFile[Any] | None:
+    def kept_in(self) -> DurableFile[Any] | None:
         return self.file
 
     def _effect(self, effect: Effect) -> None:
-        if isinstance(effect, Keep):
+        if isinstance(effect, Persist):
             self.keep(effect)
 
-    def _take(self, take: Take) -> str:
+    def _take(self, take: ApplySettings) -> str:
         """Why the relay serves on by what it had; empty: it serves by this version."""
         try:
             self.hub.take(take.entries)
--- a/yarrowspindle/daemon/controller.py
+++ b/yarrowspindle/daemon/controller.py
@@ -14,17 +14,26 @@
 
 from yarrowspindle.configuration import codec
 from yarrowspindle.configuration.controller import Controller
-from yarrowspindle.configuration.messages import Answer, Came, Effect, Ordered, Send, Sender, Took, Vote
+from yarrowspindle.configuration.messages import (
+    AskAcceptor,
+    ChangeAnswered,
+    ChangeRequested,
+    Effect,
+    MessageReceived,
+    Sender,
+    SendMessage,
+    StateCommitted,
+)
 from yarrowspindle.configuration.settings import ControlSettings
 from yarrowspindle.configuration.state import ControlError, ControlState
-from yarrowspindle.consensus.register import Kept, Voter
+from yarrowspindle.consensus.register import Acceptor, AcceptorState
 from yarrowspindle.daemon.config import ConfigError, Operator
 from yarrowspindle.daemon.configuration_endpoint import Endpoint, some_number
 from yarrowspindle.daemon.metrics import report
 from yarrowspindle.daemon.shared_settings import check
 from yarrowspindle.operator_api import OperatorApi
 from yarrowspindle.operator_api.http import Answer as HttpAnswer
-from yarrowspindle.storage.durable_file import FIRST, K, KeptFile, NoFile, VoterFile
+from yarrowspindle.storage.durable_file import FIRST, DurableFile, FileUnavailableError, K, VoterFile
 
 LOCK_S = 0.2
 AGREED = "agreed"
@@ -49,10 +58,10 @@
 
     def __init__(self, settings: ControlSettings) -> None:
         self.voter = file_of(settings)
-        self.agreed = KeptFile(settings.directory, settings.me.name, settings.cluster, AGREED, codec.AGREED)
-        self.kept: Kept[ControlState] | None = None
+        self.agreed = DurableFile(settings.directory, settings.me.name, settings.cluster, AGREED, codec.AGREED)
+        self.kept: AcceptorState[ControlState] | None = None
         self.state: ControlState | None = None
-        self.unusable: dict[KeptFile[Any], NoFile] = {}
+        self.unusable: dict[DurableFile[Any], FileUnavailableError] = {}
 
     def not_yet(self) -> str:
         """Why they cannot be used yet: another process has them, or the disk cannot be read just now; empty: they
@@ -66,10 +75,10 @@
             return f"what is kept in {self.voter.folder} cannot be read just now: {error}"
         return ""
 
-    def _loaded(self, file: KeptFile[K]) -> K | None:
+    def _loaded(self, file: DurableFile[K]) -> K | None:
         try:
             return file.load()
-        except NoFile as why:
+        except FileUnavailableError as why:
             self.unusable[file] = why
             return None
 
@@ -80,10 +89,10 @@
     def __init__(self, settings: ControlSettings, files: Files) -> None:
         super().__init__(settings, settings.me.name)
         self.file, self.agreed, self.first = files.voter, files.agreed, first_state(settings)
-        self.voter: Voter[ControlState] | None = None
+        self.voter: Acceptor[ControlState] | None = None
         self.votes = 0
         self.said_version = 0
-        self.answers: OrderedDict[int, Answer | None] = OrderedDict()  # None: not settled yet
+        self.answers: OrderedDict[int, ChangeAnswered | None] = OrderedDict()  # None: not settled yet
         self.ticket = some_number()
         self.api: OperatorApi | None = None
         agreed, kept = files.state or self.first, files.kept
@@ -142,27 +151,27 @@
             self.api.close()
         await super().close()
 
-    def kept_in(self) -> KeptFile[Any] | None:
+    def kept_in(self) -> DurableFile[Any] | None:
         return self.agreed
 
     # --- the core's sides -----------------------------------------------------------------------
 
-    def _send(self, send: Send) -> None:
+    def _send(self, send: SendMessage) -> None:
         if send.to.address == self.settings.reached_at:
-            self.loop.call_soon(self.post, Came(self.settings.me.sender, send.message))
+            self.loop.call_soon(self.post, MessageReceived(self.settings.me.sender, send.message))
         else:
             super()._send(send)
 
     def _effect(self, effect: Effect) -> None:
-        if isinstance(effect, Vote):
+        if isinstance(effect, AskAcceptor):
             self._vote(effect)
-        elif isinstance(effect, Took):
+        elif isinstance(effect, StateCommitted):
             self._took(effect.state)
-        elif isinstance(effect, Answer):
+        elif isinstance(effect, ChangeAnswered):
             self.answers[effect.ticket] = effect
 
-    def _vote_with(self, kept: Kept[ControlState]) -> None:
-        self.voter = Voter(kept, self.file.store, self._now)
+    def _vote_with(self, kept: AcceptorState[ControlState]) -> None:
+        self.voter = Acceptor(kept, self.file.store, self._now)
         logger.info(
             "control: {} has its voter's file, promised {}, accepted version {}",
             self.name,
@@ -170,7 +179,7 @@
             kept.state.version,
         )
 
-    def _vote(self, vote: Vote) -> None:
+    def _vote(self, vote: AskAcceptor) -> None:
         """On a thread, one at a time, in their order."""
         if self.voter is not None and self.votes < MAX_VOTES:
             self.votes += 1
@@ -183,7 +192,7 @@
             return
         error = asked.exception()
         if error is None:
-            self._send(Send(sender, asked.result()))
+            self._send(SendMessage(sender, asked.result()))
             return
         self.counts["unwritten"] += 1
         self._warn(f"the voter's file cannot be written, so nothing is voted: {error}")
@@ -243,7 +252,7 @@
         self.answers[self.ticket] = None
         while len(self.answers) > MAX_ANSWERS:
             self.answers.popitem(last=False)
-        self.post(Ordered(self.ticket, step))
+        self.post(ChangeRequested(self.ticket, step))
         return {"ticket": self.ticket}
 
     def _answered(self, told: dict[str, Any]) -> object:
--- a/yarrowspindle/daemon/main.py
+++ b/yarrowspindle/daemon/main.py
@@ -87,15 +87,17 @@
         await QuicFront(hub, operator.quic).start()
     peering = None
     if operator.peers is not None:
-        from yarrowspindle.daemon.membership_endpoint import Peering  # needs a package that the platform does without
+        from yarrowspindle.daemon.membership_endpoint import (
+            MembershipEndpoint,  # needs a package that the platform does without
+        )
 
-        peering = Peering(hub, operator.peers)
+        peering = MembershipEndpoint(hub, operator.peers)
         peering.start()
     turning = None
     if operator.turns is not None and peering is not None:
-        from yarrowspindle.daemon.maintenance_endpoint import Turning
+        from yarrowspindle.daemon.maintenance_endpoint import MaintenanceEndpoint
 
-        turning = Turning(hub, peering, operator.turns)
+        turning = MaintenanceEndpoint(hub, peering, operator.turns)
         await turning.start()
     reports = []
     if operator.metrics is not None:
--- a/yarrowspindle/daemon/maintenance_endpoint.py
+++ b/yarrowspindle/daemon/maintenance_endpoint.py
@@ -14,26 +14,38 @@
 import msgspec
 from loguru import logger
 
-from yarrowspindle.consensus.register import Kept, Voter
+from yarrowspindle.consensus.register import Acceptor, AcceptorState
 from yarrowspindle.daemon.config import Operator
 from yarrowspindle.daemon.log import Bounded
-from yarrowspindle.daemon.membership_endpoint import Peering
+from yarrowspindle.daemon.membership_endpoint import MembershipEndpoint
 from yarrowspindle.daemon.relay_service import RelayService
-from yarrowspindle.daemon.voter_file import TurnFile, first_state
+from yarrowspindle.daemon.voter_file import MaintenanceVoterFile, first_state
 from yarrowspindle.decisions.events import BACKEND_KEY_MASK, EndpointState
 from yarrowspindle.maintenance import codec
 from yarrowspindle.maintenance import status_report as report
-from yarrowspindle.maintenance.coordinator import Came, Effect, Event, Fleet, Order, Send, Took, Turns, Vote, Wake, Woke
-from yarrowspindle.maintenance.evacuation import Task
-from yarrowspindle.maintenance.fleet_health import FleetWatch, Look
+from yarrowspindle.maintenance.coordinator import (
+    AskAcceptor,
+    Effect,
+    Event,
+    FleetObserved,
+    MaintenanceCoordinator,
+    MessageReceived,
+    OperatorCommand,
+    SendMessage,
+    SetTimer,
+    StateCommitted,
+    TimerFired,
+)
+from yarrowspindle.maintenance.evacuation import MaintenancePlan
+from yarrowspindle.maintenance.fleet_health import BackendSample, FleetHealth
 from yarrowspindle.maintenance.settings import Asking, TurnSettings, read_asking
-from yarrowspindle.maintenance.state import EMPTYING, FREE, QUEUED, WARMING, TurnError, TurnState
-from yarrowspindle.membership.messages import Carry
+from yarrowspindle.maintenance.state import EMPTYING, FREE, QUEUED, WARMING, MaintenanceError, MaintenanceState
+from yarrowspindle.membership.messages import SendPayload
 from yarrowspindle.operator_api import OperatorApi
 from yarrowspindle.operator_api.http import Answer, BodyRoutes
-from yarrowspindle.protocol.fragments import Parcels
+from yarrowspindle.protocol.fragments import Fragmenter
 from yarrowspindle.routing.events import MaintenanceUpdated
-from yarrowspindle.storage.durable_file import NoFile
+from yarrowspindle.storage.durable_file import FileUnavailableError
 
 LOCK_S = 0.2
 LOOK_S, HOLDS_S, PARCELS_S = 0.5, 0.15, 0.05
@@ -43,26 +55,28 @@
 DEADLINE_S = 120.0  # of a machine whose request is no longer known
 
 
-class Turning:
+class MaintenanceEndpoint:
     """Nothing here is waited for by jobs, but that a process which has not registered places none."""
 
-    def __init__(self, hub: RelayService, peering: Peering, settings: TurnSettings) -> None:
+    def __init__(self, hub: RelayService, peering: MembershipEndpoint, settings: TurnSettings) -> None:
         self.hub, self.peering, self.settings = hub, peering, settings
         self.loop = asyncio.get_running_loop()
         self.name = peering.core.members.me.name
-        self.file = TurnFile(settings.directory, self.name, peering.settings.cluster)
+        self.file = MaintenanceVoterFile(settings.directory, self.name, peering.settings.cluster)
         self.first = first_state(settings.voters)
-        self.voter: Voter[TurnState] | None = None
+        self.voter: Acceptor[MaintenanceState] | None = None
         seed = int.from_bytes(os.urandom(8), "big")
-        self.core = Turns(self.name, os.urandom(16).hex(), self.first, "", self.first, seed, self._now())
+        self.core = MaintenanceCoordinator(
+            self.name, os.urandom(16).hex(), self.first, "", self.first, seed, self._now()
+        )
         self.disk = ThreadPoolExecutor(1, "voter")
         self.votes = 0
-        self.parcels = Parcels(int.from_bytes(os.urandom(6), "big"))
-        self.watch = FleetWatch(hub.config.settings.warmup_ms, settings.pressure)
+        self.parcels = Fragmenter(int.from_bytes(os.urandom(6), "big"))
+        self.watch = FleetHealth(hub.config.settings.warmup_ms, settings.pressure)
         self.seen: tuple[Any, str] = ({}, "")
         self.looked = 0.0
         self.since: dict[int, float] = {}
-        self.task = Task(rate=settings.moves_per_s)
+        self.task = MaintenancePlan(rate=settings.moves_per_s)
         self.requests = settings.requests
         self.counts: Counter[str] = Counter()
         self.bounded = Bounded(time.monotonic)
@@ -93,7 +107,7 @@
         """Leaves in good order where nothing is held any more; else the next process of this name, or an operator,
         says that this one has ended."""
         if self.core.registered and not any(connected() for connected in self.hub.connected):
-            self._post(Order("ended", self.name, self.core.incarnation))
+            self._post(OperatorCommand("ended", self.name, self.core.incarnation))
             until = self.loop.time() + LEAVE_S
             while self.core.taken.relays.get(self.name) == self.core.incarnation and self.loop.time() < until:
                 await asyncio.sleep(0.02)
@@ -119,7 +133,7 @@
             self.core.proposer.guide = max(
                 self.first, self.voter.kept.state if self.voter else self.first, key=lambda state: state.epoch
             )
-        except NoFile as why:
+        except FileUnavailableError as why:
             if self.name in self.settings.voters:
                 logger.warning(
                     "turns: no voter's file in {}: {}; this relay has no voice until the others have taken "
@@ -133,7 +147,7 @@
             emptying = any(out.stage == EMPTYING for out in self.core.taken.out.values())
             await asyncio.sleep(HOLDS_S if emptying else LOOK_S)
 
-    async def _loaded(self) -> Kept[TurnState]:
+    async def _loaded(self) -> AcceptorState[MaintenanceState]:
         """Raises NoFile. A disk that cannot be read just now is waited for: what stands there is still owed."""
         said = ""
         while True:
@@ -145,8 +159,8 @@
                 said = why
             await asyncio.sleep(LOCK_S)
 
-    def _vote_with(self, kept: Kept[TurnState]) -> None:
-        self.voter = Voter(kept, self.file.store, self._now)
+    def _vote_with(self, kept: AcceptorState[MaintenanceState]) -> None:
+        self.voter = Acceptor(kept, self.file.store, self._now)
         self.core.identity = kept.identity
         logger.info(
             "turns: {} has its voter's file, promised {}, accepted state {}",
@@ -179,19 +193,19 @@
             self.counts["failures"] += 1
             logger.exception("turns: the core failed at {}", type(event).__name__)
             effects = self.core.take_effects()
-            if isinstance(event, Woke):
-                effects.append(Wake(1000.0, event.what))
+            if isinstance(event, TimerFired):
+                effects.append(SetTimer(1000.0, event.what))
         self._carry_out(effects)
 
     def _carry_out(self, effects: Sequence[Effect]) -> None:
         for effect in effects:
-            if isinstance(effect, Send):
+            if isinstance(effect, SendMessage):
                 self._send(effect.to, effect.message)
-            elif isinstance(effect, Wake):
-                self.loop.call_later(effect.delay_ms / 1000.0, self._post, Woke(effect.what))
-            elif isinstance(effect, Vote):
+            elif isinstance(effect, SetTimer):
+                self.loop.call_later(effect.delay_ms / 1000.0, self._post, TimerFired(effect.what))
+            elif isinstance(effect, AskAcceptor):
                 self._vote(effect)
-            elif isinstance(effect, Took):
+            elif isinstance(effect, StateCommitted):
                 self._took(effect.state)
             else:
                 logger.info("turns: {}", effect.text)
@@ -199,32 +213,32 @@
     def _send(self, to: str, message: Any) -> None:
         self.counts["sent"] += 1
         if to == self.name:
-            self.loop.call_soon(self._post, Came(to, message))
+            self.loop.call_soon(self._post, MessageReceived(to, message))
             return
         for part in self.parcels.cut(to, codec.encode(message)):
-            self.peering.pump.post(Carry(to, part))
+            self.peering.pump.post(SendPayload(to, part))
 
     def _brought(self, source: str, data: bytes) -> None:
         whole, back = self.parcels.came(self._now(), source, data)
         for part in back:
-            self.peering.pump.post(Carry(source, part))
+            self.peering.pump.post(SendPayload(source, part))
         if whole is None:
             return
         try:
             message = codec.decode(whole)
-        except codec.BadMessage as why:
+        except codec.InvalidMessageError as why:
             self.counts["dropped"] += 1
             self.bounded.warn(f"turns: a message of {source} is dropped: {why}")
             return
-        self._post(Came(source, message))
+        self._post(MessageReceived(source, message))
 
     async def _parcels(self) -> None:
         while True:
             await asyncio.sleep(PARCELS_S)
             for source, data in self.parcels.due(self._now()):
-                self.peering.pump.post(Carry(source, data))
+                self.peering.pump.post(SendPayload(source, data))
 
-    def _vote(self, vote: Vote) -> None:
+    def _vote(self, vote: AskAcceptor) -> None:
         """On a thread: the disk must not make jobs late. One at a time, in their order."""
         voter = self.voter
         if voter is None or self.votes >= MAX_VOTES:
@@ -245,7 +259,7 @@
         self.counts["unwritten"] += 1
         self.bounded.warn(f"turns: the voter's file cannot be written, so nothing is voted: {error}")
 
-    def _took(self, state: TurnState) -> None:
+    def _took(self, state: MaintenanceState) -> None:
         now = self._now()
         self.since = {o.turn: self.since.get(o.turn, now) for o in state.out.values()}
         if not self.core.identity and self.name in state.voters and state.version > 0:
@@ -256,7 +270,7 @@
             for m, o in state.out.items()
             if o.stage != WARMING
         }
-        self.task = Task(
+        self.task = MaintenancePlan(
             off if self.core.registered else None,
             empty,
             frozenset(m for m, o in state.out.items() if o.stage == WARMING),
@@ -267,7 +281,7 @@
         self.hub.prober.leave(off)
 
     @staticmethod
-    def _deadline_s(state: TurnState, request: str) -> float:
+    def _deadline_s(state: MaintenanceState, request: str) -> float:
         known = state.requests.get(request)
         return known.wish.deadline_s if known is not None else DEADLINE_S
 
@@ -280,7 +294,7 @@
             avoided, others = reducer.balancer.avoided(reducer.now), reducer.balancer.others.holds
             # By what the list says; what the relays agreed on is laid over it elsewhere.
             looks = [
-                Look(
+                BackendSample(
                     name,
                     m.zone,
                     m.capacity,
@@ -305,7 +319,7 @@
             }
             for connected in self.hub.connected:  # also such as are only being closed
                 holds |= connected()
-        self._post(Fleet(frozenset(holds), self.seen[0], tuple(self._there()), self.seen[1]))
+        self._post(FleetObserved(frozenset(holds), self.seen[0], tuple(self._there()), self.seen[1]))
 
     def _there(self) -> list[str]:
         return self.peering.core.members.names
@@ -332,7 +346,7 @@
                 try:
                     wanted = self._ask(asking, -1)
                     logger.info("turns: request {} is asked for by the operator's file", wanted)
-                except TurnError as error:
+                except MaintenanceError as error:
                     logger.error("turns: a request of the operator's file cannot be asked for: {}", error)
 
     def _ask(self, asking: Asking, since: float) -> str:
@@ -347,17 +361,17 @@
         if asking.zone or asking.kind:
             known, what = (names.zones, asking.zone) if asking.zone else (names.kinds, asking.kind)
             if what not in known:
-                raise TurnError(f"{what!r} is none of {', '.join(known)}")
+                raise MaintenanceError(f"{what!r} is none of {', '.join(known)}")
             number = known.index(what)
             machines = tuple(
                 sorted(name for name, m in listed.items() if (m.zone if asking.zone else m.kind) == number)
             )
             if not machines:
-                raise TurnError(f"no machine of {what!r} is in the machine list")
+                raise MaintenanceError(f"no machine of {what!r} is in the machine list")
         elif unknown := [m for m in machines if m not in listed]:
-            raise TurnError(f"not in the machine list: {', '.join(unknown[:8])}")
+            raise MaintenanceError(f"not in the machine list: {', '.join(unknown[:8])}")
         wish = asking.wish(machines, {name: m.zone for name, m in listed.items()})
-        self._post(Order("ask", wish, since))
+        self._post(OperatorCommand("ask", wish, since))
         return wish.id
 
     def _routes(self) -> BodyRoutes:
@@ -366,7 +380,7 @@
                 try:
                     told = msgspec.json.decode(body or b"{}", type=dict[str, Any])
                     return 200, self._json({"done": act(told), "registered": self.core.registered})
-                except (TurnError, msgspec.DecodeError, msgspec.ValidationError) as error:
+                except (MaintenanceError, msgspec.DecodeError, msgspec.ValidationError) as error:
                     return 409, self._json({"error": str(error)})
 
             return answer
@@ -388,66 +402,68 @@
         machine = self._text(told, "machine")
         out = self.core.state.out.get(machine)
         if out is None:
-            raise TurnError(f"{machine} is not out")
+            raise MaintenanceError(f"{machine} is not out")
         if out.turn != told.get("turn", out.turn):
-            raise TurnError(f"{machine} is out by turn {out.turn}, not {told['turn']}")
+            raise MaintenanceError(f"{machine} is out by turn {out.turn}, not {told['turn']}")
         if out.stage not in stages:
             waits = report.waits_for(self.core, machine, self._there()) if machine in self.core.taken.out else []
-            raise TurnError(f"{machine} is {out.stage}: it waits for {'; '.join(waits)}")
-        self._post(Order(kind, machine, out.turn))
+            raise MaintenanceError(f"{machine} is {out.stage}: it waits for {'; '.join(waits)}")
+        self._post(OperatorCommand(kind, machine, out.turn))
         return out.turn
 
     def _cancel(self, told: dict[str, Any]) -> object:
         wanted = self._text(told, "request")
         found = [i for i, r in self.core.state.requests.items() if wanted in (i, r.wish.name) and r.state == QUEUED]
         if len(found) != 1:
-            raise TurnError(f"{len(found) or 'no'} open requests are called {wanted}")
-        self._post(Order("cancel", found[0], self.core.state.requests[found[0]].at))
+            raise MaintenanceError(f"{len(found) or 'no'} open requests are called {wanted}")
+        self._post(OperatorCommand("cancel", found[0], self.core.state.requests[found[0]].at))
         return found[0]
 
     def _ended(self, told: dict[str, Any]) -> object:
         name = self._text(told, "relay")
         incarnation = self.core.state.relays.get(name)
         if incarnation is None:
-            raise TurnError(f"{name} is not registered; registered are {', '.join(sorted(self.core.state.relays))}")
+            raise MaintenanceError(
+                f"{name} is not registered; registered are {', '.join(sorted(self.core.state.relays))}"
+            )
         if name in self._there() and not told.get("force"):
-            raise TurnError(f"{name} is there and answers; one that has ended is wanted")
-        self._post(Order("ended", name, incarnation))
+            raise MaintenanceError(f"{name} is there and answers; one that has ended is wanted")
+        self._post(OperatorCommand("ended", name, incarnation))
         return incarnation
 
     def _pause(self, told: dict[str, Any]) -> object:
         why = str(told.get("why") or "an operator paused them")[:200]
-        self._post(Order("pause", why))
+        self._post(OperatorCommand("pause", why))
         return why
 
     def _resume(self, told: dict[str, Any]) -> object:
         if not self.core.state.paused:
-            raise TurnError("turns are not paused")
-        self._post(Order("resume", self.core.state.paused))
+            raise MaintenanceError("turns are not paused")
+        self._post(OperatorCommand("resume", self.core.state.paused))
         return self.core.state.paused
 
     def _want_vote(self, told: dict[str, Any]) -> object:
         """This relay is to be a voter."""
         if self.core.state.version == 0:
-            raise TurnError("this relay has not heard from the voters yet")
+            raise MaintenanceError("this relay has not heard from the voters yet")
         if self.name in self.core.state.voters:
-            raise TurnError(f"{self.name} is a voter already")
+            raise MaintenanceError(f"{self.name} is a voter already")
         identity = self.core.identity or self._made_anew()
         if not identity:
-            raise TurnError("its file cannot be made; the log says why")
-        self._post(Order("voter", self.name, identity))
+            raise MaintenanceError("its file cannot be made; the log says why")
+        self._post(OperatorCommand("voter", self.name, identity))
         return self.name
 
     def _unvote(self, told: dict[str, Any]) -> object:
         name, voters = self._text(told, "relay"), self.core.state.voters
         if name not in voters or len(voters) == 1:
-            raise TurnError(f"{name} is not one of several voters: {', '.join(sorted(voters))}")
-        self._post(Order("no voter", name))
+            raise MaintenanceError(f"{name} is not one of several voters: {', '.join(sorted(voters))}")
+        self._post(OperatorCommand("no voter", name))
         return name
 
     @staticmethod
     def _text(told: dict[str, Any], key: str) -> str:
         value = told.get(key)
         if not isinstance(value, str) or not value:
-            raise TurnError(f"{key} is missing")
+            raise MaintenanceError(f"{key} is missing")
         return value
--- a/yarrowspindle/daemon/membership_endpoint.py
+++ b/yarrowspindle/daemon/membership_endpoint.py
@@ -15,8 +15,8 @@
 from yarrowspindle.daemon.log import Bounded
 from yarrowspindle.daemon.relay_service import RelayService
 from yarrowspindle.decisions.events import PeerLoads
-from yarrowspindle.membership import Peers, PeerSettings
-from yarrowspindle.membership.messages import Came, Event, Leave, Own
+from yarrowspindle.membership import Membership, PeerSettings
+from yarrowspindle.membership.messages import DatagramReceived, Event, LeaveCluster, LocalLoad
 from yarrowspindle.routing.address import Address
 from yarrowspindle.routing.events import PeerLoadsUpdated
 from yarrowspindle.runtime.membership_driver import PeerPump, local_load
@@ -25,7 +25,7 @@
 FLUSH_S = 0.02
 
 
-class Peering:
+class MembershipEndpoint:
     """What the others hold reaches the reducer as `OthersTold`; nothing here waits for them, and nothing waits for
     this."""
 
@@ -37,7 +37,7 @@
         name = settings.name or hub.config.name
         # Only a hint: where this clock went back, what the others remember of the name corrects it.
         incarnation = int(time.time() * 1000.0)
-        self.core = Peers(settings, name, incarnation, int.from_bytes(os.urandom(8), "big"), self._now())
+        self.core = Membership(settings, name, incarnation, int.from_bytes(os.urandom(8), "big"), self._now())
         self.pump = PeerPump(
             self.core, self._now, self._after, self._send, self._own, self._told, self._note, self._failed
         )
@@ -53,7 +53,7 @@
         """Leaves in good order."""
         if self.opening is not None:
             self.opening.cancel()
-        self.pump.post(Leave())
+        self.pump.post(LeaveCluster())
         self.pump.close()
         for handle in self.handles:
             handle.cancel()
@@ -100,9 +100,9 @@
             self.core.counts["unsendable"] += 1
 
     def _came(self, data: bytes, source: Address) -> None:
-        self.pump.post(Came(data, source))
+        self.pump.post(DatagramReceived(data, source))
 
-    def _own(self) -> Own:
+    def _own(self) -> LocalLoad:
         return local_load(self.hub.reducer.balancer.backends.values(), self.hub.runtime.clock.now())
 
     def _told(self, others: PeerLoads) -> None:
--- a/yarrowspindle/daemon/relay_service.py
+++ b/yarrowspindle/daemon/relay_service.py
@@ -86,9 +86,9 @@
     def start(self) -> None:
         self.runtime.start()
         if self.operator.turns is not None:
-            from yarrowspindle.maintenance.evacuation import Task  # the platform does without it
+            from yarrowspindle.maintenance.evacuation import MaintenancePlan  # the platform does without it
 
-            self.post(MaintenanceUpdated(Task()))  # nothing is placed before this process knows what is out
+            self.post(MaintenanceUpdated(MaintenancePlan()))  # nothing is placed before this process knows what is out
         self.post(self.config.known)
         self._rebalance()
 
