--- a/yarrowspindle/lab/model/controlling.py
+++ b/yarrowspindle/lab/model/controlling.py
@@ -19,28 +19,28 @@
 from yarrowspindle.configuration.controller import Controller
 from yarrowspindle.configuration.link import Link
 from yarrowspindle.configuration.messages import (
-    Answer,
-    Came,
-    Difference,
-    Keep,
-    Note,
-    Ordered,
-    Send,
+    ApplySettings,
+    AskAcceptor,
+    ChangeAnswered,
+    ChangeRequested,
+    Delta,
+    LogMessage,
+    MessageReceived,
+    Persist,
     Sender,
-    Take,
-    Took,
-    Turned,
-    Vote,
-    Wake,
-    Whole,
-    Woke,
+    SendMessage,
+    SetTimer,
+    SettingsRejected,
+    Snapshot,
+    StateCommitted,
+    TimerFired,
 )
-from yarrowspindle.configuration.settings import Machine, preferred
-from yarrowspindle.configuration.state import ControlState, Done, Entries, Step, stepped
-from yarrowspindle.consensus.register import NONE, Kept, Proposer, Voter
+from yarrowspindle.configuration.settings import ControllerAddress, preferred
+from yarrowspindle.configuration.state import CommittedStep, ControlState, Entries, Step, stepped
+from yarrowspindle.consensus.register import NONE, Acceptor, AcceptorState, Proposer
 from yarrowspindle.lab.faults import Ways
 from yarrowspindle.lab.model.clock import VirtualClock
-from yarrowspindle.membership.codec import Dropped
+from yarrowspindle.membership.codec import DroppedDatagramError
 from yarrowspindle.protocol.fragments import AGAIN_MS
 from yarrowspindle.routing.address import Address
 
@@ -54,12 +54,12 @@
 PORT = 7950
 
 
-def controllers_of(count: int, voters: int) -> tuple[Machine, ...]:
+def controllers_of(count: int, voters: int) -> tuple[ControllerAddress, ...]:
     """Spread over zones and regions; the voters in as many zones as there are."""
     found = []
     for n in range(count):
         zone = ZONES[n % len(ZONES)]
-        found.append(Machine(f"c{n:02d}", (f"10.200.0.{n + 1}", PORT), zone, REGIONS[zone], n < voters))
+        found.append(ControllerAddress(f"c{n:02d}", (f"10.200.0.{n + 1}", PORT), zone, REGIONS[zone], n < voters))
     return tuple(found)
 
 
@@ -77,9 +77,9 @@
     return check(entries) or (f"{novel[0]} is not known here" if novel else "")
 
 
-def bent(message: Difference | Whole) -> Difference | Whole:
+def bent(message: Delta | Snapshot) -> Delta | Snapshot:
     """The same out of a bad memory."""
-    if isinstance(message, Whole):
+    if isinstance(message, Snapshot):
         return msgspec.structs.replace(message, entries={**message.entries, "k0": "bent"})
     steps = [*message.steps[:-1], {**message.steps[-1], "k0": "bent"}]
     return msgspec.structs.replace(message, steps=steps)
@@ -92,7 +92,7 @@
 
     agent: type[Agent] = Agent
     controller: type[Controller] = Controller
-    voter: type[Voter[ControlState]] = Voter
+    voter: type[Acceptor[ControlState]] = Acceptor
     proposer: type[Proposer[ControlState]] = Proposer
     forgets: bool = False
     lies: bool = False
@@ -120,7 +120,7 @@
 
     def __init__(self) -> None:
         self.violations: list[str] = []
-        self.done: dict[int, Done] = {}
+        self.done: dict[int, CommittedStep] = {}
         self.contents: dict[int, Entries] = {0: {}}
         self.orders: dict[tuple[str, int, int], int] = {}
         self.served: dict[str, int] = {}  # by relays, also before their restarts
@@ -220,10 +220,10 @@
         for effect in effects:
             if not self.alive:
                 return
-            if isinstance(effect, Send):
+            if isinstance(effect, SendMessage):
                 self.send(effect.to.address, effect.message)
-            elif isinstance(effect, Wake):
-                self.world.clock.after(effect.delay_ms, self.post, Woke())
+            elif isinstance(effect, SetTimer):
+                self.world.clock.after(effect.delay_ms, self.post, TimerFired())
             else:
                 self.effect(effect)
 
@@ -233,7 +233,9 @@
     def send(self, to: Address, message: object) -> None:
         if to == self.address:
             # At once, but after what is under way here.
-            self.world.clock.after(0.0, self.post, Came(Sender(self.name, self.address, self.incarnation, 0), message))
+            self.world.clock.after(
+                0.0, self.post, MessageReceived(Sender(self.name, self.address, self.incarnation, 0), message)
+            )
             return
         began = time.thread_time() if self.world.measures else 0.0
         datagrams = self.link.packed(self.now(), to, message)
@@ -255,7 +257,7 @@
         began = time.thread_time() if self.world.measures else 0.0
         try:
             sender, message, back = self.link.came(self.now(), data, source)
-        except Dropped:
+        except DroppedDatagramError:
             return
         finally:
             if self.world.measures:
@@ -263,7 +265,7 @@
         for datagram in back:
             self.world.send(self, sender.address, datagram)
         if message is not None:
-            self.post(Came(sender, message))
+            self.post(MessageReceived(sender, message))
         self._ask()
 
     def _awake(self) -> None:
@@ -303,9 +305,9 @@
         world.checker.serves(name, self.taken)
 
     def post(self, event: Any) -> None:
-        message = event.message if isinstance(event, Came) else None
-        if isinstance(message, Whole) or (
-            isinstance(message, Difference)
+        message = event.message if isinstance(event, MessageReceived) else None
+        if isinstance(message, Snapshot) or (
+            isinstance(message, Delta)
             and message.base <= self.reached
             and len(message.steps) == message.version - message.base
         ):
@@ -321,20 +323,20 @@
         )
 
     def carry_out(self, effects: Sequence[Any]) -> None:
-        for take in [effect for effect in effects if isinstance(effect, Take)]:
+        for take in [effect for effect in effects if isinstance(effect, ApplySettings)]:
             if take.version == self.turns_down:  # whatever else was asked for rests on it
-                effects = [effect for effect in effects if isinstance(effect, Wake | Note)]
-                effects += self.core.step(self.now(), Turned(take.version, "this relay cannot"))
+                effects = [effect for effect in effects if isinstance(effect, SetTimer | LogMessage)]
+                effects += self.core.step(self.now(), SettingsRejected(take.version, "this relay cannot"))
         super().carry_out(effects)
 
     def effect(self, effect: Any) -> None:
-        if isinstance(effect, Take):
+        if isinstance(effect, ApplySettings):
             self.world.checker.took_down(
                 self.name, effect.version, effect.entries, self.check(effect.entries), self.reached
             )
             self.taken = effect.version
             self.world.taken(self)
-        elif isinstance(effect, Keep):
+        elif isinstance(effect, Persist):
             if not self.world.parts.unkept:
                 self.world.kept[self.name] = effect.version, dict(effect.entries)
         else:
@@ -351,7 +353,7 @@
         machine = next(m for m in world.machines if m.name == name)
         kept = world.files.get(name)
         if kept is None and machine.voter:
-            kept = Kept(
+            kept = AcceptorState(
                 FIRST if world.parts.lies else f"{name} {world.random.getrandbits(60):x}", NONE, NONE, world.first
             )
             world.files[name] = kept
@@ -372,35 +374,35 @@
         self.carry_out(self.core.take_effects())
 
     def post(self, event: Any) -> None:
-        if isinstance(event, Ordered) and self.alive and self.stalled_until <= self.world.clock.now():
+        if isinstance(event, ChangeRequested) and self.alive and self.stalled_until <= self.world.clock.now():
             self.heard.append(event.ticket)
         super().post(event)
 
     def send(self, to: Address, message: object) -> None:
-        if self.name in self.world.bad_memories and isinstance(message, Difference | Whole):
+        if self.name in self.world.bad_memories and isinstance(message, Delta | Snapshot):
             message = bent(message)
         super().send(to, message)
 
-    def _store(self, kept: Kept[ControlState]) -> None:
+    def _store(self, kept: AcceptorState[ControlState]) -> None:
         if self.name in self.world.full_disks:
             raise OSError("no space left on the device")
         if not self.world.parts.forgets:
             self.world.files[self.name] = kept
 
     def effect(self, effect: Any) -> None:
-        if isinstance(effect, Vote):
+        if isinstance(effect, AskAcceptor):
             # One at a time, on a thread of its own.
             clock = self.world.clock
             self.disk_free = max(self.disk_free, clock.now()) + self.world.random.uniform(*DISK_MS)
             clock.after(self.disk_free - clock.now(), self._vote, effect)
-        elif isinstance(effect, Took):
+        elif isinstance(effect, StateCommitted):
             self.world.took(self, effect.state)
-        elif isinstance(effect, Answer):
+        elif isinstance(effect, ChangeAnswered):
             self.world.answered(self, effect)
         else:
             super().effect(effect)
 
-    def _vote(self, vote: Vote) -> None:
+    def _vote(self, vote: AskAcceptor) -> None:
         if not self.alive or self.voter is None:
             return
         left = self.stalled_until - self.world.clock.now()
@@ -433,8 +435,8 @@
         self.random, self.wires = Random(f"control {seed}"), Random(f"control wires {seed}")
         self.machines = controllers_of(controllers, voters)
         self.first = ControlState({m.name: FIRST for m in self.machines if m.voter})
-        self.files: dict[str, Kept[ControlState]] = {
-            m.name: Kept(FIRST, NONE, NONE, self.first) for m in self.machines if m.voter
+        self.files: dict[str, AcceptorState[ControlState]] = {
+            m.name: AcceptorState(FIRST, NONE, NONE, self.first) for m in self.machines if m.voter
         }
         self.kept: dict[str, tuple[int, Entries]] = {}
         self.incarnations: Counter[str] = Counter()
@@ -542,7 +544,7 @@
         self.tickets += 1
         change = Change(step, self.clock.seconds)
         self.changes[controller, self.tickets] = change
-        self.hosts[controller].post(Ordered(self.tickets, step))
+        self.hosts[controller].post(ChangeRequested(self.tickets, step))
         return change
 
     def took(self, host: ControllerHost, state: ControlState) -> None:
@@ -580,7 +582,7 @@
             change.in_force_s = self.clock.seconds
             del self.open[version]
 
-    def answered(self, host: ControllerHost, answer: Answer) -> None:
+    def answered(self, host: ControllerHost, answer: ChangeAnswered) -> None:
         change = self.changes[host.name, answer.ticket]
         if change.answered is not None:
             self.checker.broken(f"{host.name} answered an order twice")
--- a/yarrowspindle/lab/model/exhaustive.py
+++ b/yarrowspindle/lab/model/exhaustive.py
@@ -19,14 +19,24 @@
 
 import msgspec
 
-from yarrowspindle.consensus.register import NONE, Kept, Voter
+from yarrowspindle.consensus.register import NONE, Acceptor, AcceptorState
 from yarrowspindle.lab.model.turning import FIRST, Parts
 from yarrowspindle.maintenance.codec import decode, encode
-from yarrowspindle.maintenance.coordinator import BEAT, Came, Fleet, Order, Send, Took, Turns, Vote, Woke
-from yarrowspindle.maintenance.state import FREE, Seen, TurnState, Wish
+from yarrowspindle.maintenance.coordinator import (
+    BEAT,
+    AskAcceptor,
+    FleetObserved,
+    MaintenanceCoordinator,
+    MessageReceived,
+    OperatorCommand,
+    SendMessage,
+    StateCommitted,
+    TimerFired,
+)
+from yarrowspindle.maintenance.state import FREE, BackendObservation, MaintenanceRequest, MaintenanceState
 
 NAMES, MACHINES = ("r0", "r1", "r2"), ("m0", "m1")
-SEEN = {machine: Seen(0, 1.0, True) for machine in MACHINES}
+SEEN = {machine: BackendObservation(0, 1.0, True) for machine in MACHINES}
 FAR_MS = 100_000.0  # past every wait
 IN_FLIGHT = 12  # messages that are kept; the oldest are lost
 _key = msgspec.msgpack.Encoder(order="deterministic").encode
@@ -58,7 +68,7 @@
     relays: tuple[One, ...]
     messages: tuple[tuple[str, str, bytes], ...]
     committed: tuple[tuple[int, bytes], ...]  # version -> digest, as any relay has taken it up
-    newest: TurnState
+    newest: MaintenanceState
     crashes: int = 1
     places: int = 1
     path: tuple[str, ...] = ()
@@ -73,18 +83,18 @@
     """A rule does not hold; the text says which, and by which way."""
 
 
-Loaded = tuple[Turns, Voter[TurnState]]
+Loaded = tuple[MaintenanceCoordinator, Acceptor[MaintenanceState]]
 
 
-def _store(kept: Kept[TurnState]) -> None:
+def _store(kept: AcceptorState[MaintenanceState]) -> None:
     """The voter's bytes outlive a crash."""
 
 
-def _forget(kept: Kept[TurnState]) -> None:
+def _forget(kept: AcceptorState[MaintenanceState]) -> None:
     """Planted: nothing is written. `crash` looks for this."""
 
 
-def made(parts: Parts, name: str, kept: Kept[TurnState], key: str = "first") -> Loaded:
+def made(parts: Parts, name: str, kept: AcceptorState[MaintenanceState], key: str = "first") -> Loaded:
     voter = parts.voter(kept, _forget if parts.forgets else _store, float)
     core = parts.turns(name, key, parts.state({n: FIRST for n in NAMES}), FIRST, kept.state, 1, FAR_MS, parts.proposer)
     core.random = core.proposer.random = Still()  # type: ignore[assignment]
@@ -115,13 +125,13 @@
     effects = deque(act(loaded, holds))
     while effects:
         effect = effects.popleft()
-        if isinstance(effect, Vote):
-            effect = Send(effect.source, voter.told(effect.message))
-        if isinstance(effect, Send) and effect.to == name:
-            effects.extend(core.step(FAR_MS, Came(name, effect.message)))
-        elif isinstance(effect, Send):
+        if isinstance(effect, AskAcceptor):
+            effect = SendMessage(effect.source, voter.told(effect.message))
+        if isinstance(effect, SendMessage) and effect.to == name:
+            effects.extend(core.step(FAR_MS, MessageReceived(name, effect.message)))
+        elif isinstance(effect, SendMessage):
             messages.append((name, effect.to, encode(effect.message)))
-        elif isinstance(effect, Took):
+        elif isinstance(effect, StateCommitted):
             digest = blake2b(_key(effect.state), digest_size=8).digest()
             if committed.setdefault(effect.state.version, digest) != digest:
                 raise Broken(f"two states of version {effect.state.version}: {' '.join(path)}")
@@ -144,17 +154,17 @@
     return found
 
 
-def fleet(holds: set[str]) -> Fleet:
-    return Fleet(frozenset(holds), SEEN, NAMES)
+def fleet(holds: set[str]) -> FleetObserved:
+    return FleetObserved(frozenset(holds), SEEN, NAMES)
 
 
 def beat(loaded: Loaded, holds: set[str]) -> list[Any]:
     core = loaded[0]
-    return core.step(FAR_MS, Woke(BEAT))
+    return core.step(FAR_MS, TimerFired(BEAT))
 
 
 def came(source: str, data: bytes, loaded: Loaded, holds: set[str]) -> list[Any]:
-    return loaded[0].step(FAR_MS, Came(source, decode(data)))
+    return loaded[0].step(FAR_MS, MessageReceived(source, decode(data)))
 
 
 def look(loaded: Loaded, holds: set[str]) -> list[Any]:
@@ -171,7 +181,7 @@
     return []
 
 
-def ordered(order: Order, loaded: Loaded, holds: set[str]) -> list[Any]:
+def ordered(order: OperatorCommand, loaded: Loaded, holds: set[str]) -> list[Any]:
     return loaded[0].step(FAR_MS, order)
 
 
@@ -184,7 +194,7 @@
                 yield after
     for index, one in enumerate(state.relays):
         name = NAMES[index]
-        core: Turns = pickle.loads(one.core)[0]
+        core: MaintenanceCoordinator = pickle.loads(one.core)[0]
         yield step(state, index, f"{name}!beat", beat)
         for machine in MACHINES:
             if machine in one.holds and core.taken.keeps_off(machine):
@@ -194,13 +204,13 @@
         if not core.looked:
             yield step(state, index, f"{name}!look", look)
         for machine, out in core.taken.out.items():
-            order = Order("done", machine, out.turn)
+            order = OperatorCommand("done", machine, out.turn)
             if out.stage == FREE and order not in core.orders:
                 yield step(state, index, f"{name}!done {machine}", partial(ordered, order))
         if state.crashes:
-            voter: Voter[TurnState] = pickle.loads(one.core)[1]
+            voter: Acceptor[MaintenanceState] = pickle.loads(one.core)[1]
             first = parts.state({n: FIRST for n in NAMES})
-            kept = Kept(FIRST, NONE, NONE, first) if voter.store is _forget else voter.kept
+            kept = AcceptorState(FIRST, NONE, NONE, first) if voter.store is _forget else voter.kept
             again = packed(made(parts, name, kept, "second"), frozenset())
             relays = tuple(again if n == index else r for n, r in enumerate(state.relays))
             yield replace(state, relays=relays, crashes=0, path=(*state.path, f"{name}!crash"))
@@ -214,7 +224,7 @@
     holds a connection at the first, whose turn all have taken up; last: but for one relay all have confirmed; free: all
     have; back: the work is done, and the second machine's turn is granted."""
     first = parts.state({n: FIRST for n in NAMES})
-    relays = tuple(packed(made(parts, name, Kept(FIRST, NONE, NONE, first)), frozenset()) for name in NAMES)
+    relays = tuple(packed(made(parts, name, AcceptorState(FIRST, NONE, NONE, first)), frozenset()) for name in NAMES)
     state = State(relays, (), (), first)
 
     def settle(state: State, index: int, act: Callable[[Loaded, set[str]], list[Any]]) -> State:
@@ -228,7 +238,7 @@
         state = settle(state, index, beat)
     for index in range(3):
         state = settle(state, index, place_first)
-    state = settle(settle(state, 0, partial(ordered, Order("ask", Wish(MACHINES), 0))), 0, beat)
+    state = settle(settle(state, 0, partial(ordered, OperatorCommand("ask", MaintenanceRequest(MACHINES), 0))), 0, beat)
     todo = STAGES.index(stage)
     if todo >= 1:
         gone = (1, 2, 0)[: 3 if todo >= 2 else 2]
@@ -238,7 +248,7 @@
             state = settle(settle(state, index, look), index, beat)
     if todo >= 3:
         turn = state.newest.out[MACHINES[0]].turn
-        state = settle(settle(state, 0, partial(ordered, Order("done", MACHINES[0], turn))), 0, beat)
+        state = settle(settle(state, 0, partial(ordered, OperatorCommand("done", MACHINES[0], turn))), 0, beat)
     return replace(state, path=())
 
 
--- a/yarrowspindle/lab/model/lending.py
+++ b/yarrowspindle/lab/model/lending.py
@@ -10,7 +10,7 @@
 
 from yarrowspindle.lab.faults import Fault, Ways, relay_names, schedule
 from yarrowspindle.lab.model.clock import VirtualClock
-from yarrowspindle.subsets.leases import NEED_FRACTION, Ask, Bank, Borrower, Held, Lend
+from yarrowspindle.subsets.leases import NEED_FRACTION, Held, LeaseGrant, LeaseRequest, QuotaHolder, QuotaPool
 
 TERM_MS, STEP_MS = 2000.0, 50.0
 TOTAL, RESERVE, BANKS = 1000.0, 0.2, 5
@@ -18,8 +18,8 @@
 
 @dataclass(slots=True, frozen=True)
 class Parts:
-    bank: type[Bank] = Bank
-    borrower: type[Borrower] = Borrower
+    bank: type[QuotaPool] = QuotaPool
+    borrower: type[QuotaHolder] = QuotaHolder
 
 
 @dataclass(slots=True)
@@ -65,7 +65,7 @@
             return
         if not self.awake:  # it waits in the socket
             self.world.clock.after(self.stalled_until - self.world.clock.now() + 1.0, self.came, source, message)
-        elif isinstance(message, Ask):
+        elif isinstance(message, LeaseRequest):
             answer = self.bank.asked(self.now(), source, message) if self.bank is not None else None
             if answer is not None:
                 self.world.send(self.name, source, answer)
@@ -134,7 +134,7 @@
 # --- defects, planted -----------------------------------------------------------------------------
 
 
-class NoMargin(Bank):
+class NoMargin(QuotaPool):
     """Counts a loan as over as soon as its term is, by a clock that may run faster than the borrower's."""
 
     @property
@@ -142,7 +142,7 @@
         return 0.98 * self.term_ms
 
 
-class OpensAtOnce(Bank):
+class OpensAtOnce(QuotaPool):
     """Lends though loans of the process before it may be in use."""
 
     def __init__(self, part: float, term_ms: float, now: float) -> None:
@@ -150,10 +150,10 @@
         self.opens_at = now
 
 
-class ForgetsWhatItLent(Bank):
+class ForgetsWhatItLent(QuotaPool):
     """Takes the newest loan for the only one."""
 
-    def asked(self, now: float, name: str, ask: Ask) -> Lend | None:
+    def asked(self, now: float, name: str, ask: LeaseRequest) -> LeaseGrant | None:
         answer = super().asked(now, name, ask)
         account = self.accounts.get((name, ask.incarnation))
         if answer is not None and account is not None:
@@ -161,41 +161,41 @@
         return answer
 
 
-class LendsByShareAlone(Bank):
+class LendsByShareAlone(QuotaPool):
     """Lends what is due to each, whatever others still have."""
 
     def _free(self, now: float, who: tuple[str, int]) -> float:
         return self.part
 
 
-class CountsFromTheAnswer(Borrower):
+class CountsFromTheAnswer(QuotaHolder):
     """Counts its term from when the answer came."""
 
-    def lent(self, now: float, bank: str, lend: Lend) -> None:
+    def lent(self, now: float, bank: str, lend: LeaseGrant) -> None:
         before = self.held[bank].number
         super().lent(now, bank, lend)
         if self.held[bank].number != before:
             self.held[bank].until = now + self.term_ms
 
 
-class NeverEnds(Borrower):
+class NeverEnds(QuotaHolder):
     """Spends its last loan until it hears of another."""
 
     def budget(self, now: float) -> float:
         return self.solo + sum(held.amount for held in self.held.values())
 
 
-class TakesAnyAnswer(Borrower):
+class TakesAnyAnswer(QuotaHolder):
     """Takes doubled and old answers, each as if it came in time."""
 
-    def lent(self, now: float, bank: str, lend: Lend) -> None:
+    def lent(self, now: float, bank: str, lend: LeaseGrant) -> None:
         self.held[bank] = Held(max(lend.number, self.held[bank].number), lend.amount, now + self.term_ms)
 
 
-class KeepsTheLarger(Borrower):
+class KeepsTheLarger(QuotaHolder):
     """Gives nothing back before its end."""
 
-    def lent(self, now: float, bank: str, lend: Lend) -> None:
+    def lent(self, now: float, bank: str, lend: LeaseGrant) -> None:
         had = self.held[bank]
         super().lent(now, bank, lend)
         if now < had.until and had.amount > self.held[bank].amount:
--- a/yarrowspindle/lab/model/members.py
+++ b/yarrowspindle/lab/model/members.py
@@ -10,7 +10,7 @@
 from yarrowspindle.lab.faults import Fault, relay_names, schedule
 from yarrowspindle.lab.model.clock import VirtualClock
 from yarrowspindle.lab.model.peering import VirtualNet
-from yarrowspindle.membership.messages import Own
+from yarrowspindle.membership.messages import LocalLoad
 
 STEP_MS = 100.0
 
@@ -44,7 +44,7 @@
 
     def start(self, index: int) -> None:
         self.told[index] = {}
-        self.net.add(index, lambda: Own(dict(self.holds[index])), lambda others: self._told(index, others))
+        self.net.add(index, lambda: LocalLoad(dict(self.holds[index])), lambda others: self._told(index, others))
 
     def _told(self, index: int, others: PeerLoads) -> None:
         self.others[index] = others
--- a/yarrowspindle/lab/model/peering.py
+++ b/yarrowspindle/lab/model/peering.py
@@ -8,8 +8,8 @@
 from yarrowspindle.decisions.events import PeerLoads
 from yarrowspindle.lab.faults import Fault, Ways
 from yarrowspindle.lab.model.clock import VirtualClock
-from yarrowspindle.membership import Peers, PeerSettings
-from yarrowspindle.membership.messages import Came, Event, Leave, Own
+from yarrowspindle.membership import Membership, PeerSettings
+from yarrowspindle.membership.messages import DatagramReceived, Event, LeaveCluster, LocalLoad
 from yarrowspindle.routing.address import Address
 from yarrowspindle.runtime.membership_driver import PeerPump
 
@@ -24,7 +24,12 @@
     """One process of a relay as the others meet it; killed, stopped and started by the network that it is in."""
 
     def __init__(
-        self, net: VirtualNet, index: int, incarnation: int, own: Callable[[], Own], told: Callable[[PeerLoads], None]
+        self,
+        net: VirtualNet,
+        index: int,
+        incarnation: int,
+        own: Callable[[], LocalLoad],
+        told: Callable[[PeerLoads], None],
     ) -> None:
         self.net, self.index, self.own, self.told = net, index, own, told
         self.party, self.address = f"r{index}", address_of(index)
@@ -32,7 +37,7 @@
         # Each process has a clock of its own, that says nothing of the others'.
         self.offset = net.random.uniform(0.0, 1e9)
         self.made = (settings, net.names.get(index, self.party), incarnation, net.random.randrange(1 << 32), self.now())
-        self.core = Peers(*self.made)
+        self.core = Membership(*self.made)
         self.pump = PeerPump(self.core, self.now, self._after, self._send, own, told, self._note)
         self.log: list[tuple[float, str]] = []
         self.alive, self.stalled_until = True, 0.0
@@ -66,7 +71,7 @@
     def came(self, data: bytes, source: Address) -> None:
         if not self.alive:
             return
-        event = Came(data, source)
+        event = DatagramReceived(data, source)
         if self.stalled_until > self.net.clock.now():
             if len(self.waiting) < MAX_WAITING:
                 self.waiting.append(event)
@@ -89,7 +94,7 @@
         self.pump.close()
 
     def leave(self) -> None:
-        self.pump.post(Leave())
+        self.pump.post(LeaveCluster())
         self.die()
 
 
@@ -122,7 +127,7 @@
             changes["cluster"] = f"cell{index // self.cell}"
         return PeerSettings(address, tuple(address_of(first + n) for n in range(self.seeds)), **changes)  # type: ignore[arg-type]
 
-    def add(self, index: int, own: Callable[[], Own], told: Callable[[PeerLoads], None]) -> VirtualPeer:
+    def add(self, index: int, own: Callable[[], LocalLoad], told: Callable[[PeerLoads], None]) -> VirtualPeer:
         """A process of this relay starts now; one that was there must have ended."""
         self.incarnations += 1
         peer = VirtualPeer(self, index, self.incarnations, own, told)
--- a/yarrowspindle/lab/model/planted.py
+++ b/yarrowspindle/lab/model/planted.py
@@ -8,41 +8,57 @@
 from typing import Any
 
 from yarrowspindle.consensus import register
-from yarrowspindle.consensus.register import Accept, Accepted, Kept, Prepare, Promise, Proposer, Refused, Round, Voter
+from yarrowspindle.consensus.register import (
+    Accept,
+    Accepted,
+    Acceptor,
+    AcceptorState,
+    Prepare,
+    Promise,
+    Proposer,
+    Rejected,
+    Round,
+)
 from yarrowspindle.lab.model.turning import Parts
-from yarrowspindle.maintenance.coordinator import Took, Turns
-from yarrowspindle.maintenance.state import EMPTYING, Out, Seen, TurnState
+from yarrowspindle.maintenance.coordinator import MaintenanceCoordinator, StateCommitted
+from yarrowspindle.maintenance.state import EMPTYING, BackendObservation, Evacuation, MaintenanceState
 
 # --- the voter ----------------------------------------------------------------------------------
 
 
-class BreaksPromises(Voter[TurnState]):
+class BreaksPromises(Acceptor[MaintenanceState]):
     """Accepts what is below its promise."""
 
-    def told(self, message: Prepare | Accept[TurnState]) -> Promise[TurnState] | Accepted | Refused[TurnState]:
+    def told(
+        self, message: Prepare | Accept[MaintenanceState]
+    ) -> Promise[MaintenanceState] | Accepted | Rejected[MaintenanceState]:
         if isinstance(message, Accept) and message.identity == self.kept.identity:
             self._keep(replace(self.kept, accepted=message.ballot, state=message.state))
             return Accepted(message.ballot, self.kept.identity)
         return super().told(message)
 
 
-class PromisesNothing(Voter[TurnState]):
+class PromisesNothing(Acceptor[MaintenanceState]):
     """Promises, and does not keep in mind what."""
 
-    def told(self, message: Prepare | Accept[TurnState]) -> Promise[TurnState] | Accepted | Refused[TurnState]:
+    def told(
+        self, message: Prepare | Accept[MaintenanceState]
+    ) -> Promise[MaintenanceState] | Accepted | Rejected[MaintenanceState]:
         if isinstance(message, Prepare) and message.identity == self.kept.identity:
             return Promise(message.ballot, self.kept.identity, self.kept.accepted, self.kept.state)
         return super().told(message)
 
 
-class HidesWhatItAccepted(Voter[TurnState]):
+class HidesWhatItAccepted(Acceptor[MaintenanceState]):
     """Promises with the state that it started from."""
 
-    def __init__(self, kept: Kept[TurnState], store: Any, now: Any) -> None:
+    def __init__(self, kept: AcceptorState[MaintenanceState], store: Any, now: Any) -> None:
         super().__init__(kept, store, now)
         self.start = kept.state
 
-    def told(self, message: Prepare | Accept[TurnState]) -> Promise[TurnState] | Accepted | Refused[TurnState]:
+    def told(
+        self, message: Prepare | Accept[MaintenanceState]
+    ) -> Promise[MaintenanceState] | Accepted | Rejected[MaintenanceState]:
         answer = super().told(message)
         return replace(answer, accepted=register.NONE, state=self.start) if isinstance(answer, Promise) else answer
 
@@ -50,46 +66,46 @@
 # --- the proposer -------------------------------------------------------------------------------
 
 
-class CountsTwice(Proposer[TurnState]):
+class CountsTwice(Proposer[MaintenanceState]):
     """A promise or an acceptance that comes twice counts twice."""
 
-    def _promised(self, now: Round[TurnState], source: str, promise: Promise[TurnState]) -> Any:
+    def _promised(self, now: Round[MaintenanceState], source: str, promise: Promise[MaintenanceState]) -> Any:
         known = source in now.promises
         effects = super()._promised(now, source, promise)
         if known and now.proposed is None and self.round is now:
             effects = super()._promised(now, f"{source} again", promise)
         return effects
 
-    def _accepted(self, now: Round[TurnState], source: str) -> Any:
+    def _accepted(self, now: Round[MaintenanceState], source: str) -> Any:
         if source in now.accepted:
             now.accepted |= set(list(now.base.voters)[:2])
         return super()._accepted(now, source)
 
 
-class LessThanHalf(Proposer[TurnState]):
+class LessThanHalf(Proposer[MaintenanceState]):
     """A majority is one too few: half of an odd number, rounded down."""
 
-    def _promised(self, now: Round[TurnState], source: str, promise: Promise[TurnState]) -> Any:
+    def _promised(self, now: Round[MaintenanceState], source: str, promise: Promise[MaintenanceState]) -> Any:
         if not now.promises and len(now.base.voters) > 1:
             now.promises["nobody"] = replace(promise, accepted=register.NONE, state=self.known)
         return super()._promised(now, source, promise)
 
-    def _accepted(self, now: Round[TurnState], source: str) -> Any:
+    def _accepted(self, now: Round[MaintenanceState], source: str) -> Any:
         now.accepted.add(next(name for name in now.base.voters if name != source))
         return super()._accepted(now, source)
 
 
-class TrustsItself(Proposer[TurnState]):
+class TrustsItself(Proposer[MaintenanceState]):
     """Changes the state that it knows, not the one that the voters tell."""
 
-    def _promised(self, now: Round[TurnState], source: str, promise: Promise[TurnState]) -> Any:
+    def _promised(self, now: Round[MaintenanceState], source: str, promise: Promise[MaintenanceState]) -> Any:
         return super()._promised(now, source, replace(promise, state=self.known))
 
 
-class TakesTheOldest(Proposer[TurnState]):
+class TakesTheOldest(Proposer[MaintenanceState]):
     """Of the promises it goes by the lowest ballot."""
 
-    def _promised(self, now: Round[TurnState], source: str, promise: Promise[TurnState]) -> Any:
+    def _promised(self, now: Round[MaintenanceState], source: str, promise: Promise[MaintenanceState]) -> Any:
         if now.promises:
             oldest = min([*now.promises.values(), promise], key=lambda p: p.accepted)
             now.promises = {name: replace(p, state=oldest.state) for name, p in now.promises.items()}
@@ -97,19 +113,19 @@
         return super()._promised(now, source, promise)
 
 
-class AnyBallot(Proposer[TurnState]):
+class AnyBallot(Proposer[MaintenanceState]):
     """An answer to an earlier round counts for this one."""
 
     def told(self, source: str, message: Any) -> Any:
-        if self.round is not None and not isinstance(message, Refused):
+        if self.round is not None and not isinstance(message, Rejected):
             message = replace(message, ballot=self.round.ballot)
         return super().told(source, message)
 
 
-class BelievesTooEarly(Proposer[TurnState]):
+class BelievesTooEarly(Proposer[MaintenanceState]):
     """Takes a state for committed as soon as it is proposed."""
 
-    def _promised(self, now: Round[TurnState], source: str, promise: Promise[TurnState]) -> Any:
+    def _promised(self, now: Round[MaintenanceState], source: str, promise: Promise[MaintenanceState]) -> Any:
         effects = super()._promised(now, source, promise)
         if now.proposed is not None and self.round is now:
             effects = [*effects, register.Committed(now.proposed, True)]
@@ -117,27 +133,27 @@
         return effects
 
 
-class SkipsTheFence(Proposer[TurnState]):
+class SkipsTheFence(Proposer[MaintenanceState]):
     """Takes up whatever state comes last."""
 
-    def learned(self, state: TurnState) -> None:
+    def learned(self, state: MaintenanceState) -> None:
         self.known = self.guide = state
 
 
 # --- the state ----------------------------------------------------------------------------------
 
 
-class OneTooFew(TurnState):
+class OneTooFew(MaintenanceState):
     """Free though one confirmation is missing."""
 
     def waits_for(self, machine: str) -> list[str]:
         return super().waits_for(machine)[1:]
 
 
-class SameNumber(TurnState):
+class SameNumber(MaintenanceState):
     """Turns are not numbered anew, and any number confirms."""
 
-    def _granted(self, seen: Mapping[str, Seen]) -> TurnState | None:
+    def _granted(self, seen: Mapping[str, BackendObservation]) -> MaintenanceState | None:
         granted = super()._granted(seen)
         if granted is None:
             return None
@@ -145,10 +161,10 @@
         return replace(granted, turn=1, out=out)
 
 
-class OneTooMany(TurnState):
+class OneTooMany(MaintenanceState):
     """One more out than allowed."""
 
-    def _granted(self, seen: Mapping[str, Seen]) -> TurnState | None:
+    def _granted(self, seen: Mapping[str, BackendObservation]) -> MaintenanceState | None:
         requests = {
             i: replace(r, wish=replace(r.wish, most=r.wish.most + 1, most_zone=r.wish.most_zone + 1, floor=0.0))
             for i, r in self.requests.items()
@@ -159,40 +175,40 @@
         kept = {i: replace(r, wish=self.requests[i].wish) for i, r in granted.requests.items()}
         return replace(granted, requests=kept)
 
-    def _plain(self, seen: Mapping[str, Seen]) -> TurnState | None:
-        return TurnState._granted(self, seen)
+    def _plain(self, seen: Mapping[str, BackendObservation]) -> MaintenanceState | None:
+        return MaintenanceState._granted(self, seen)
 
 
-class NoZones(TurnState):
+class NoZones(MaintenanceState):
     """The bound of each zone is forgotten."""
 
-    def _granted(self, seen: Mapping[str, Seen]) -> TurnState | None:
+    def _granted(self, seen: Mapping[str, BackendObservation]) -> MaintenanceState | None:
         return super()._granted({m: replace(s, zone=1000 + n) for n, (m, s) in enumerate(seen.items())})
 
 
-class FreeAtOnce(TurnState):
+class FreeAtOnce(MaintenanceState):
     """A cancelled or later turn inherits the confirmations of the one before."""
 
-    def _granted(self, seen: Mapping[str, Seen]) -> TurnState | None:
+    def _granted(self, seen: Mapping[str, BackendObservation]) -> MaintenanceState | None:
         granted = super()._granted(seen)
         if granted is None:
             return None
         before = frozenset(c for o in self.out.values() for c in o.confirmed)
-        out: dict[str, Out] = {m: replace(o, confirmed=o.confirmed | before) for m, o in granted.out.items()}
+        out: dict[str, Evacuation] = {m: replace(o, confirmed=o.confirmed | before) for m, o in granted.out.items()}
         return replace(granted, out=out)
 
 
 # --- the relay ----------------------------------------------------------------------------------
 
 
-class ConfirmsTooEarly(Turns):
+class ConfirmsTooEarly(MaintenanceCoordinator):
     """Confirms while it still holds something there."""
 
     def _mine(self) -> dict[str, int]:
         return {m: out.turn for m, out in self.taken.out.items() if out.stage == EMPTYING} if self.registered else {}
 
 
-class ConfirmsByAnOldLook(Turns):
+class ConfirmsByAnOldLook(MaintenanceCoordinator):
     """Confirms by what it held before it took up the turn."""
 
     def _take(self) -> None:
@@ -201,24 +217,24 @@
         self.looked = looked
 
 
-class ConfirmsUnseen(Turns):
+class ConfirmsUnseen(MaintenanceCoordinator):
     """Confirms a turn that it reads of, before it has taken it up."""
 
-    def _confirms(self, state: TurnState) -> TurnState | None:
+    def _confirms(self, state: MaintenanceState) -> MaintenanceState | None:
         mine = {m: out.turn for m, out in state.out.items() if out.stage == EMPTYING and m not in self.fleet.holds}
         return state.confirmed(self.name, self.incarnation, mine) if mine else None
 
 
-class TakesUpWhatComes(Turns):
+class TakesUpWhatComes(MaintenanceCoordinator):
     """Takes up whatever state it hears of last, older ones too."""
 
     def _take(self) -> None:
         if self.state.version != self.taken.version:
             self.taken, self.looked = self.state, False
-            self.effects.append(Took(self.state))
+            self.effects.append(StateCommitted(self.state))
 
 
-class PlacesUnregistered(Turns):
+class PlacesUnregistered(MaintenanceCoordinator):
     """Places before it has read what is out."""
 
     def may_place(self, machine: str) -> bool:
--- a/yarrowspindle/lab/model/planted_control.py
+++ b/yarrowspindle/lab/model/planted_control.py
@@ -7,8 +7,8 @@
 
 from yarrowspindle.configuration.agent import Agent
 from yarrowspindle.configuration.controller import Controller
-from yarrowspindle.configuration.messages import Difference, Newest, Whole
-from yarrowspindle.configuration.state import Check, ControlState, Entries, Order, stepped
+from yarrowspindle.configuration.messages import Delta, LatestVersion, Snapshot
+from yarrowspindle.configuration.state import ChangeOrder, Check, ControlState, Entries, stepped
 from yarrowspindle.consensus.register import Proposer
 from yarrowspindle.lab.model import planted
 from yarrowspindle.lab.model.controlling import ControlParts
@@ -19,7 +19,7 @@
 class TakesOlder(Agent):
     """Goes by what its controller has, also where that is older."""
 
-    def _newest(self, message: Newest) -> None:
+    def _newest(self, message: LatestVersion) -> None:
         if message.version < self.known:
             self.known, self.whole = 0, True
 
@@ -27,7 +27,7 @@
 class OverAGap(Agent):
     """Applies the steps that it got, whatever lies before them."""
 
-    def _difference(self, message: Difference) -> None:
+    def _difference(self, message: Delta) -> None:
         if message.version > self.known:
             entries: Entries = self.entries
             for step in message.steps[max(0, self.known - message.base) :]:
@@ -72,7 +72,7 @@
             found = found.settled(order, self.check) or self._again(found, order) or found
         return found if found.version > state.version else None
 
-    def _again(self, state: ControlState, order: Order) -> ControlState | None:
+    def _again(self, state: ControlState, order: ChangeOrder) -> ControlState | None:
         if not state.is_settled(order):
             return None
         before = (order.incarnation, order.number - 1)
@@ -107,9 +107,9 @@
 
     def _steps(self, base: int) -> object:
         found = super()._steps(base)
-        if isinstance(found, Whole) and base >= 0:
+        if isinstance(found, Snapshot) and base >= 0:
             steps = [self.log[n] for n in range(base + 1, self.taken.version + 1) if n in self.log]
-            found = Difference(base, self.taken.version, self.digest, [dict(step) for step in steps][-64:])
+            found = Delta(base, self.taken.version, self.digest, [dict(step) for step in steps][-64:])
         return found
 
 
--- a/yarrowspindle/lab/model/turning.py
+++ b/yarrowspindle/lab/model/turning.py
@@ -12,15 +12,25 @@
 from random import Random
 from typing import Any
 
-from yarrowspindle.consensus.register import NONE, Accept, Accepted, Kept, Prepare, Promise, Proposer, Voter
+from yarrowspindle.consensus.register import NONE, Accept, Accepted, Acceptor, AcceptorState, Prepare, Promise, Proposer
 from yarrowspindle.decisions.events import EndpointState
 from yarrowspindle.lab.faults import Fault, Ways, relay_names, schedule
 from yarrowspindle.lab.model.clock import VirtualClock
 from yarrowspindle.maintenance.codec import decode, encode
-from yarrowspindle.maintenance.coordinator import Came, Fleet, Order, Send, Took, Turns, Vote, Wake, Woke
-from yarrowspindle.maintenance.fleet_health import TROUBLE_MS, FleetWatch, Look
-from yarrowspindle.maintenance.state import EMPTYING, FREE, QUEUED, TurnState, Wish
-from yarrowspindle.protocol.fragments import Parcels
+from yarrowspindle.maintenance.coordinator import (
+    AskAcceptor,
+    FleetObserved,
+    MaintenanceCoordinator,
+    MessageReceived,
+    OperatorCommand,
+    SendMessage,
+    SetTimer,
+    StateCommitted,
+    TimerFired,
+)
+from yarrowspindle.maintenance.fleet_health import TROUBLE_MS, BackendSample, FleetHealth
+from yarrowspindle.maintenance.state import EMPTYING, FREE, QUEUED, MaintenanceRequest, MaintenanceState
+from yarrowspindle.protocol.fragments import Fragmenter
 
 LIFE_MS, MOVED_MS = 3000.0, 400.0  # of a connection, and of one that is asked to move
 STEP_MS = 100.0
@@ -45,20 +55,20 @@
 class Checker:
     """Rules on what relays took up, held and placed."""
 
-    def __init__(self, wish: Wish, zones: dict[str, int], ready_of_late: Callable[[], set[str]]) -> None:
+    def __init__(self, wish: MaintenanceRequest, zones: dict[str, int], ready_of_late: Callable[[], set[str]]) -> None:
         self.wish, self.zones, self.ready_of_late = wish, zones, ready_of_late
         self.rolled_back = 0
         self.violations: list[str] = []
-        self.versions: dict[int, TurnState] = {}
+        self.versions: dict[int, MaintenanceState] = {}
         self.turns: dict[int, str] = {}
-        self.newest = TurnState()
+        self.newest = MaintenanceState()
         self.most_out = 0
 
     def broken(self, text: str) -> None:
         if len(self.violations) < 20:
             self.violations.append(text)
 
-    def took(self, relay: str, state: TurnState) -> None:
+    def took(self, relay: str, state: MaintenanceState) -> None:
         known = self.versions.setdefault(state.version, state)
         if known != state:
             self.broken(f"two states of version {state.version}: {relay} took another")
@@ -92,10 +102,10 @@
     """Of which a relay is made; tests plant defects by others. forgets: files are not written; lies: a lost file is
     made anew under the identity of the one before."""
 
-    state: type[TurnState] = TurnState
-    voter: type[Voter[TurnState]] = Voter
-    proposer: type[Proposer[TurnState]] = Proposer
-    turns: type[Turns] = Turns
+    state: type[MaintenanceState] = MaintenanceState
+    voter: type[Acceptor[MaintenanceState]] = Acceptor
+    proposer: type[Proposer[MaintenanceState]] = Proposer
+    turns: type[MaintenanceCoordinator] = MaintenanceCoordinator
     forgets: bool = False
     lies: bool = False
 
@@ -129,7 +139,7 @@
         )
 
 
-STEPS = {"prepare": Prepare, "promise": Promise, "accept": Accept, "accepted": Accepted, "committed": Took}
+STEPS = {"prepare": Prepare, "promise": Promise, "accept": Accept, "accepted": Accepted, "committed": StateCommitted}
 
 
 class TurnRelay:
@@ -140,8 +150,8 @@
         self.alive, self.stalled_until = True, 0.0
         self.ahead_ms = world.random.uniform(0.0, 600_000.0)  # of its clock
         self.held: dict[str, int] = {}
-        self.watch = FleetWatch(COLD_MS, 1.0)
-        self.parcels = Parcels(world.random.getrandbits(40))
+        self.watch = FleetHealth(COLD_MS, 1.0)
+        self.parcels = Fragmenter(world.random.getrandbits(40))
         kept = world.files.get(name)
         self.voter = world.parts.voter(kept, world.storing(name), self.now) if kept is not None else None
         identity, guide = (kept.identity, kept.state) if kept is not None else ("", world.first)
@@ -175,14 +185,14 @@
         for effect in effects:
             if not self.alive:
                 return
-            if isinstance(effect, Send):
+            if isinstance(effect, SendMessage):
                 self.send(effect.to, effect.message)
-            elif isinstance(effect, Wake):
-                self.world.clock.after(effect.delay_ms, self.post, Woke(effect.what))
-            elif isinstance(effect, Vote):
+            elif isinstance(effect, SetTimer):
+                self.world.clock.after(effect.delay_ms, self.post, TimerFired(effect.what))
+            elif isinstance(effect, AskAcceptor):
                 if self.voter is not None:
                     self.send(effect.source, self.voter.told(effect.message))
-            elif isinstance(effect, Took):
+            elif isinstance(effect, StateCommitted):
                 self.world.checker.took(self.name, effect.state)
                 self.world.step(self, effect)
             else:
@@ -198,13 +208,13 @@
 
     def came(self, source: str, message: Any) -> None:
         if not self.world.plan.wired:
-            self.post(Came(source, message))
+            self.post(MessageReceived(source, message))
         elif self.alive:
             whole, back = self.parcels.came(self.now(), source, message)
             for part in back:
                 self.world.send(self.name, source, part)
             if whole is not None:
-                self.post(Came(source, decode(whole)))
+                self.post(MessageReceived(source, decode(whole)))
 
     def place(self) -> None:
         """A connection comes, at any moment between two events."""
@@ -232,11 +242,11 @@
         for to, part_ in self.parcels.due(self.now()):
             world.send(self.name, to, part_)
         looks = [
-            Look(m, n % 2, 1.0, EndpointState.READY if world.is_up(m) else EndpointState.GONE, world.starts[m])
+            BackendSample(m, n % 2, 1.0, EndpointState.READY if world.is_up(m) else EndpointState.GONE, world.starts[m])
             for n, m in enumerate(world.machines)
         ]
         seen, trouble = self.watch.look(self.now(), looks, self.core.taken)
-        self.post(Fleet(frozenset(self.held), seen, world.there(), trouble))
+        self.post(FleetObserved(frozenset(self.held), seen, world.there(), trouble))
 
 
 class TurnWorld:
@@ -250,13 +260,17 @@
         self.zones = {machine: n % 2 for n, machine in enumerate(self.machines)}
         self.starts = dict.fromkeys(self.machines, 0.0)
         self.downs: dict[str, float] = {}  # machine -> since when it is dead
-        self.wish = Wish(tuple(sorted(self.machines, key=lambda m: (self.zones[m], m))), 2, 1, machines - 2.0)
+        self.wish = MaintenanceRequest(
+            tuple(sorted(self.machines, key=lambda m: (self.zones[m], m))), 2, 1, machines - 2.0
+        )
         self.wishes = [self.wish]
         if self.plan.clash:
             self.wishes.append(replace(self.wish, machines=self.wish.machines[::2], order="fewest"))
         self.names = relay_names(relays)
         self.first = self.parts.state({name: FIRST for name in self.names})
-        self.files: dict[str, Kept[TurnState]] = {name: Kept(FIRST, NONE, NONE, self.first) for name in self.names}
+        self.files: dict[str, AcceptorState[MaintenanceState]] = {
+            name: AcceptorState(FIRST, NONE, NONE, self.first) for name in self.names
+        }
         self.checker = Checker(self.wish, self.zones, self.ready_of_late)
         self.relays: dict[str, TurnRelay] = {}
         self.steps = 0
@@ -292,8 +306,8 @@
 
     # --- relays ---------------------------------------------------------------------------------
 
-    def storing(self, name: str) -> Callable[[Kept[TurnState]], None]:
-        def store(kept: Kept[TurnState]) -> None:
+    def storing(self, name: str) -> Callable[[AcceptorState[MaintenanceState]], None]:
+        def store(kept: AcceptorState[MaintenanceState]) -> None:
             if not self.parts.forgets:
                 self.files[name] = kept
 
@@ -313,7 +327,7 @@
         relay.held.clear()
         if lose:
             identity = FIRST if self.parts.lies else f"file {self.random.getrandbits(40):x}"
-            self.files[name] = Kept(identity, NONE, NONE, self.first)
+            self.files[name] = AcceptorState(identity, NONE, NONE, self.first)
 
     def step(self, relay: TurnRelay, what: Any) -> None:
         """The relay that comes to a step first, the n-th time, dies at it, and starts again after a second."""
@@ -343,26 +357,26 @@
         def ends() -> None:
             self.kill("s0")
             self.clock.after(2000.0, self._ended, "s0")
-            self.files["s1"] = Kept(f"file {self.random.getrandbits(40):x}", NONE, NONE, self.first)
+            self.files["s1"] = AcceptorState(f"file {self.random.getrandbits(40):x}", NONE, NONE, self.first)
             if self.relays["s1"].alive:
                 self.kill("s1")
                 self.start("s1")
-                self.relays["s1"].post(Order("voter", "s1", self.files["s1"].identity))
+                self.relays["s1"].post(OperatorCommand("voter", "s1", self.files["s1"].identity))
 
         self.clock.after(4000.0, ends)
-        self.clock.after(12_000.0, lambda: self.order(Order("no voter", self.names[-1])))
+        self.clock.after(12_000.0, lambda: self.order(OperatorCommand("no voter", self.names[-1])))
 
     def _ended(self, name: str) -> None:
         """Until it stands in the state: an operator looks."""
         incarnation = self.checker.newest.relays.get(name)
         if incarnation is not None:
-            self.order(Order("ended", name, incarnation))
+            self.order(OperatorCommand("ended", name, incarnation))
         self.clock.after(2000.0, self._ended, name)  # its word may have been on the way when it ended
 
     def _cancel(self) -> None:
         for number, request in self.checker.newest.requests.items():
             if request.state == QUEUED:
-                self.order(Order("cancel", number, request.at))
+                self.order(OperatorCommand("cancel", number, request.at))
 
     def _step(self) -> None:
         self.clock.after(STEP_MS, self._step)
@@ -374,9 +388,9 @@
             if out.stage == FREE and self.random.random() < 0.1:
                 if self.is_up(machine) and self.random.random() < 0.3:  # a new kernel
                     self.starts[machine] = self.clock.now()
-                self.order(Order("done", machine, out.turn))
+                self.order(OperatorCommand("done", machine, out.turn))
 
-    def order(self, order: Order) -> None:
+    def order(self, order: OperatorCommand) -> None:
         alive = [relay for relay in self.relays.values() if relay.alive]
         if alive:
             alive[self.random.randrange(len(alive))].post(order)
@@ -437,11 +451,11 @@
     world.run(0.5)
     # Two operators at two relays: the same wish is one, and of two that clash one is refused.
     for wish in (*world.wishes, replace(world.wish)):
-        world.order(Order("ask", wish, 0))
+        world.order(OperatorCommand("ask", wish, 0))
     while world.clock.seconds < faults_s + within_s and not world.over() and not world.checker.violations:
         world.run(0.5)
         if world.clock.seconds > 2.0 and not world.asked():
-            world.order(Order("ask", world.wish, 0))  # whoever had it died with it
+            world.order(OperatorCommand("ask", world.wish, 0))  # whoever had it died with it
     checker = world.checker
     day.violations, day.most_out, day.rolled_back = checker.violations, checker.most_out, checker.rolled_back
     day.turns, day.took_s = checker.newest.turn, world.clock.seconds
--- a/yarrowspindle/lab/processes/turning.py
+++ b/yarrowspindle/lab/processes/turning.py
@@ -20,7 +20,7 @@
 from yarrowspindle.lab.processes.proxy import Pipe
 from yarrowspindle.lab.processes.world import Relay, Report, Run, World, finish, opened
 from yarrowspindle.maintenance.state import QUEUED
-from yarrowspindle.storage.durable_file import NoFile
+from yarrowspindle.storage.durable_file import FileUnavailableError
 
 POLL_S = 0.25
 LAG_S = 0.3  # of this process, which carries all wires: what was sent before counts for so long after
@@ -293,7 +293,7 @@
                 continue
             try:
                 kept = relay.file.load()
-            except NoFile as why:
+            except FileUnavailableError as why:
                 self.world.checker.note("files", f"{relay.name}: {why}")
                 continue
             known = self.states.get(kept.state.version)
--- a/yarrowspindle/lab/processes/world.py
+++ b/yarrowspindle/lab/processes/world.py
@@ -18,7 +18,7 @@
 from random import Random
 from typing import Any
 
-from yarrowspindle.daemon.voter_file import TurnFile
+from yarrowspindle.daemon.voter_file import MaintenanceVoterFile
 from yarrowspindle.lab.faults import Fault, Ways, relay_names, schedule
 from yarrowspindle.lab.processes.checker import Checker, Terms
 from yarrowspindle.lab.processes.parties import LINE_S, Backend, Clients, MachineList
@@ -183,8 +183,8 @@
         return f"lab-{self.world.run.seed}"
 
     @property
-    def file(self) -> TurnFile:
-        return TurnFile(str(self.world.folder / f"{self.name}-turns"), self.name, self.cluster)
+    def file(self) -> MaintenanceVoterFile:
+        return MaintenanceVoterFile(str(self.world.folder / f"{self.name}-turns"), self.name, self.cluster)
 
     def turns(self) -> str:
         """The operator's section; the first file is made where it votes, as `turns init` does it."""
--- a/yarrowspindle/maintenance/codec.py
+++ b/yarrowspindle/maintenance/codec.py
@@ -11,9 +11,15 @@
 
 import msgspec
 
-from yarrowspindle.consensus.register import Accept, Accepted, Kept, Prepare, Promise, Refused
-from yarrowspindle.maintenance.coordinator import Behind, Enter, Learn, Newest, Says
-from yarrowspindle.maintenance.state import MAX_MACHINES, MAX_NAME, MAX_RELAYS, MAX_REQUESTS, TurnState
+from yarrowspindle.consensus.register import Accept, Accepted, AcceptorState, Prepare, Promise, Rejected
+from yarrowspindle.maintenance.coordinator import (
+    CatchUpRequest,
+    LatestVersion,
+    RegisterRelay,
+    ReleaseConfirmation,
+    StateUpdate,
+)
+from yarrowspindle.maintenance.state import MAX_MACHINES, MAX_NAME, MAX_RELAYS, MAX_REQUESTS, MaintenanceState
 
 VERSION = 1
 MOST = 1 << 20  # bytes of a message once it is unpressed
@@ -22,11 +28,11 @@
 K = TypeVar("K")
 
 
-class BadMessage(Exception):
+class InvalidMessageError(Exception):
     """What came makes no sense; the text says why, in a few words."""
 
 
-class Kinds:
+class MessageCodec:
     """Messages of some types as bytes: a version, the kind, the pressed body. kinds: numbered from 1 in their order.
     within: raises BadMessage for a state that is out of bounds."""
 
@@ -41,18 +47,18 @@
     def decode(self, data: bytes) -> Any:
         """Raises BadMessage."""
         if len(data) < 3 or data[0] != self.version:
-            raise BadMessage("another version")
+            raise InvalidMessageError("another version")
         decoder = self.decoders.get(data[1])
         if decoder is None:
-            raise BadMessage("an unknown kind")
+            raise InvalidMessageError("an unknown kind")
         try:
             unpress = zlib.decompressobj()
             plain = unpress.decompress(data[2:], MOST)
             if not unpress.eof:
-                raise BadMessage("too long")
+                raise InvalidMessageError("too long")
             message = decoder.decode(plain)
         except TROUBLES:
-            raise BadMessage("nonsense") from None
+            raise InvalidMessageError("nonsense") from None
         self.within(getattr(message, "state", None) or getattr(message, "newer", None))
         return message
 
@@ -75,23 +81,23 @@
         try:
             version, check, whose, where, raw = self.head.decode(data)
         except TROUBLES:
-            raise BadMessage("it is cut off, or no such file") from None
+            raise InvalidMessageError("it is cut off, or no such file") from None
         body = bytes(raw)
         if version != self.version:
-            raise BadMessage(f"its version is {version}, not {self.version}")
+            raise InvalidMessageError(f"its version is {version}, not {self.version}")
         if zlib.crc32(body) != check:
-            raise BadMessage("its sum is wrong")
+            raise InvalidMessageError("its sum is wrong")
         if (whose, where) != (owner, cluster):
-            raise BadMessage(f"it is {whose}'s of cluster {where}")
+            raise InvalidMessageError(f"it is {whose}'s of cluster {where}")
         try:
             kept = self.kept.decode(body)
         except TROUBLES:
-            raise BadMessage("nonsense") from None
+            raise InvalidMessageError("nonsense") from None
         self.within(kept)
         return kept
 
 
-def _within(state: TurnState | None) -> None:
+def _within(state: MaintenanceState | None) -> None:
     """A state that no relay could have made is not taken up, whoever sent it."""
     if state is None:
         return
@@ -105,14 +111,27 @@
         or any(len(name) > MAX_NAME for name in names)
         or min(state.version, state.epoch, state.turn) < 0
     ):
-        raise BadMessage("a state out of bounds")
+        raise InvalidMessageError("a state out of bounds")
 
 
-MESSAGES = Kinds(
+MESSAGES = MessageCodec(
     VERSION,
-    (Prepare, Promise[TurnState], Accept[TurnState], Accepted, Refused[TurnState], Learn, Behind, Says, Enter, Newest),
+    (
+        Prepare,
+        Promise[MaintenanceState],
+        Accept[MaintenanceState],
+        Accepted,
+        Rejected[MaintenanceState],
+        StateUpdate,
+        CatchUpRequest,
+        ReleaseConfirmation,
+        RegisterRelay,
+        LatestVersion,
+    ),
     _within,
 )
-FILE: FileCodec[Kept[TurnState]] = FileCodec(VERSION, Kept[TurnState], lambda kept: _within(kept.state))
+FILE: FileCodec[AcceptorState[MaintenanceState]] = FileCodec(
+    VERSION, AcceptorState[MaintenanceState], lambda kept: _within(kept.state)
+)
 encode, decode = MESSAGES.encode, MESSAGES.decode
 encode_file, decode_file = FILE.encode, FILE.decode
--- a/yarrowspindle/maintenance/coordinator.py
+++ b/yarrowspindle/maintenance/coordinator.py
@@ -14,8 +14,8 @@
 from msgspec import Struct
 
 from yarrowspindle.consensus import register
-from yarrowspindle.consensus.register import Accept, Accepted, Committed, Failed, Prepare, Promise, Proposer, Refused
-from yarrowspindle.maintenance.state import EMPTYING, Seen, TurnState, Wish
+from yarrowspindle.consensus.register import Accept, Accepted, Committed, Failed, Prepare, Promise, Proposer, Rejected
+from yarrowspindle.maintenance.state import EMPTYING, BackendObservation, MaintenanceRequest, MaintenanceState
 
 BEAT_MS, ROUND_MS = 150.0, 400.0
 READ_MS, READ_IDLE_MS = 1500.0, 10_000.0  # without word for so long the state is read: while something is out, and else
@@ -35,30 +35,30 @@
 
 
 @dataclass(slots=True)
-class Came:
+class MessageReceived:
     source: str
     message: Any  # of the register, or `Learn`
 
 
 @dataclass(slots=True)
-class Woke:
+class TimerFired:
     what: object
 
 
 @dataclass(slots=True)
-class Fleet:
+class FleetObserved:
     """What this relay knows of itself and the list. holds: machines where it has connections or an attempt is out.
     seen: the machine list. there: members that are there, this one included, by name. trouble: why no machine should
     leave now, as this relay sees it."""
 
     holds: frozenset[str]
-    seen: Mapping[str, Seen]
+    seen: Mapping[str, BackendObservation]
     there: tuple[str, ...]
     trouble: str = ""
 
 
 @dataclass(slots=True)
-class Order:
+class OperatorCommand:
     """An operator's word; done once it stands in a committed state, or speaks of something that is over.
 
     kind, what, more: "ask", a wish, the version known then; "done" and "give up", a machine, its turn; "cancel", a
@@ -70,57 +70,57 @@
     more: Any = None
 
 
-Event = Came | Woke | Fleet | Order
+Event = MessageReceived | TimerFired | FleetObserved | OperatorCommand
 
 
 # --- effects ------------------------------------------------------------------------------------
 
 
 @dataclass(slots=True)
-class Send:
+class SendMessage:
     to: str
     message: Any
 
 
 @dataclass(slots=True)
-class Wake:
+class SetTimer:
     delay_ms: float
     what: object
 
 
 @dataclass(slots=True)
-class Took:
+class StateCommitted:
     """A committed state was taken up: from here on these machines are kept off, and those emptying are to be
     emptied."""
 
-    state: TurnState
+    state: MaintenanceState
 
 
 @dataclass(slots=True)
-class Note:
+class LogMessage:
     text: str
 
 
 @dataclass(slots=True)
-class Vote:
+class AskAcceptor:
     """For this relay's voter; its answer goes back to the source once the file is written, and nothing does where that
     fails."""
 
     source: str
-    message: Prepare | Accept[TurnState]
+    message: Prepare | Accept[MaintenanceState]
 
 
-Effect = Send | Wake | Took | Vote | Note
+Effect = SendMessage | SetTimer | StateCommitted | AskAcceptor | LogMessage
 
 
 @dataclass(slots=True, frozen=True)
-class Learn:
+class StateUpdate:
     """A committed state, told to all."""
 
-    state: TurnState
+    state: MaintenanceState
 
 
-class Says(Struct, frozen=True, rename={"incarnation": "life"}):
+class ReleaseConfirmation(Struct, frozen=True, rename={"incarnation": "life"}):
     """The sender holds nothing at these machines, by their turns, and knows of the turns. That stays true for as long
     as they last, so it may come late or twice; who brings things on writes it down for many at once."""
 
@@ -129,7 +129,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Enter:
+class RegisterRelay:
     """The sender is a process that is not registered; who brings things on writes it down. key: its own, which no
     process of its name had before (128 bits of the system's chance)."""
 
@@ -137,20 +137,20 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Newest:
+class LatestVersion:
     """A majority was heard a moment ago, and this is the newest version."""
 
     version: int
 
 
 @dataclass(slots=True, frozen=True)
-class Behind:
+class CatchUpRequest:
     """The sender knows of no later state than this version: who knows more tells it."""
 
     version: int
 
 
-class Turns:
+class MaintenanceCoordinator:
     """first: the state that all start from. identity: of this relay's file; empty where it has none. guide: a state by
     whose voters to go, from that file. key: of this process, which none before it had."""
 
@@ -158,12 +158,12 @@
         self,
         name: str,
         key: str,
-        first: TurnState,
+        first: MaintenanceState,
         identity: str,
-        guide: TurnState,
+        guide: MaintenanceState,
         seed: int,
         now: float,
-        proposer: type[Proposer[TurnState]] = Proposer,
+        proposer: type[Proposer[MaintenanceState]] = Proposer,
     ) -> None:
         self.name, self.key, self.identity, self.now = name, key, identity, now
         self.started = now
@@ -172,9 +172,9 @@
         self.proposer = proposer(f"{name} {key}", first, self.random)
         # Its voters may be those to ask; it may not be committed, so nothing more is believed of it.
         self.proposer.guide = max(first, guide, key=lambda s: s.epoch)
-        self.fleet = Fleet(frozenset(), {}, (name,))
-        self.orders: list[Order] = []
-        self.said: dict[str, Says] = {}  # what the others say, newest of each
+        self.fleet = FleetObserved(frozenset(), {}, (name,))
+        self.orders: list[OperatorCommand] = []
+        self.said: dict[str, ReleaseConfirmation] = {}  # what the others say, newest of each
         self.entering: dict[str, tuple[str, float]] = {}  # who is to be registered: its key, and when it said so
         self.told_at = 0.0  # when a relay said that it had heard a majority, and that nothing is newer
         self.say_since = 0.0  # since when there is something to confirm; 0: there is nothing
@@ -185,19 +185,19 @@
         self.taken = first
         self.looked = False  # what this relay holds was told after it took up the newest state
         self.why = ""  # the last round came to nothing
-        self.effects: list[Effect] = [Wake(BEAT_MS * self.random.random(), BEAT)]
+        self.effects: list[Effect] = [SetTimer(BEAT_MS * self.random.random(), BEAT)]
 
     def step(self, now: float, event: Event) -> list[Effect]:
         self.now = max(self.now, now)
-        if isinstance(event, Came):
+        if isinstance(event, MessageReceived):
             self._came(event)
-        elif isinstance(event, Fleet):
+        elif isinstance(event, FleetObserved):
             if self.now > self.fleet_at + FRESH_MS:
                 self.steady_from = self.now + FRESH_MS  # after a stall the list's newest word may still wait to be read
             self.fleet, self.fleet_at, self.looked = event, self.now, True
             if event.trouble:
                 self.calm_since = self.now
-        elif isinstance(event, Order):
+        elif isinstance(event, OperatorCommand):
             if len(self.orders) < MAX_WANTS and event not in self.orders:
                 self.orders.append(event)
         else:
@@ -209,7 +209,7 @@
         return effects
 
     @property
-    def state(self) -> TurnState:
+    def state(self) -> MaintenanceState:
         """The newest committed state that is known."""
         return self.proposer.known
 
@@ -232,41 +232,41 @@
 
     # --- messages -------------------------------------------------------------------------------
 
-    def _came(self, event: Came) -> None:
+    def _came(self, event: MessageReceived) -> None:
         message = event.message
         if isinstance(message, Prepare | Accept):
             if not self.identity:
-                self.effects.append(Send(event.source, Refused(message.ballot, register.NONE, not_voter=True)))
+                self.effects.append(SendMessage(event.source, Rejected(message.ballot, register.NONE, not_voter=True)))
             else:
-                self.effects.append(Vote(event.source, message))
-        elif isinstance(message, Promise | Accepted | Refused):
+                self.effects.append(AskAcceptor(event.source, message))
+        elif isinstance(message, Promise | Accepted | Rejected):
             self._carry_out(self.proposer.told(event.source, message))
-        elif isinstance(message, Learn):
+        elif isinstance(message, StateUpdate):
             self.proposer.learned(message.state)
             self._take()
-        elif isinstance(message, Says):
+        elif isinstance(message, ReleaseConfirmation):
             if event.source in self.taken.relays:
                 self.said[event.source] = message
-        elif isinstance(message, Enter):
+        elif isinstance(message, RegisterRelay):
             if event.source in self.entering or len(self.entering) < MAX_ENTERING:
                 self.entering[event.source] = (message.key, self.now)
-        elif isinstance(message, Newest):
+        elif isinstance(message, LatestVersion):
             if message.version <= self.state.version:
                 self.told_at = self.now
             else:
-                self.effects.append(Send(event.source, Behind(self.state.version)))
-        elif isinstance(message, Behind) and self.state.version > message.version:
-            self.effects.append(Send(event.source, Learn(self.state)))
+                self.effects.append(SendMessage(event.source, CatchUpRequest(self.state.version)))
+        elif isinstance(message, CatchUpRequest) and self.state.version > message.version:
+            self.effects.append(SendMessage(event.source, StateUpdate(self.state)))
 
-    def _carry_out(self, effects: list[register.Effect[TurnState]]) -> None:
+    def _carry_out(self, effects: list[register.Effect[MaintenanceState]]) -> None:
         for effect in effects:
             if isinstance(effect, register.Send):
-                self.effects.append(Send(effect.to, effect.message))
+                self.effects.append(SendMessage(effect.to, effect.message))
             elif isinstance(effect, Committed):
                 self.failures, self.read_at, self.why = 0, self.now, ""
                 if effect.changed:
                     for name in sorted({*effect.state.relays, *effect.state.voters, *self.fleet.there} - {self.name}):
-                        self.effects.append(Send(name, Learn(effect.state)))
+                        self.effects.append(SendMessage(name, StateUpdate(effect.state)))
                 self._take()
             elif isinstance(effect, Failed):
                 self.why = effect.why
@@ -274,7 +274,7 @@
                 if not self.registered:
                     others = [name for name in self.fleet.there if name != self.name]
                     for name in self.random.sample(others, min(MAX_ASKED, len(others))):
-                        self.effects.append(Send(name, Behind(self.state.version)))
+                        self.effects.append(SendMessage(name, CatchUpRequest(self.state.version)))
 
     def _wait(self) -> None:
         """So that two proposers do not keep one another from their majority."""
@@ -286,36 +286,36 @@
             self._say(self.taken, self.state)
             was = self.incarnation
             self.taken, self.looked = self.state, False
-            self.effects.append(Took(self.state))
+            self.effects.append(StateCommitted(self.state))
             if self.incarnation != was:
                 took = (self.now - self.started) / 1000.0
                 self.effects.append(
-                    Note(
+                    LogMessage(
                         f"registered as life {self.incarnation}, {took:.1f} s after the start"
                         if self.incarnation
                         else "somebody said that this relay has ended: nothing is placed until it is registered anew"
                     )
                 )
 
-    def _say(self, old: TurnState, new: TurnState) -> None:
+    def _say(self, old: MaintenanceState, new: MaintenanceState) -> None:
         for machine, out in old.out.items():
             now = new.out.get(machine)
             if now is None or now.turn != out.turn:
                 why = f": {new.paused or 'cancelled'}" if out.stage == EMPTYING else ""
                 back = "is back" if out.stage != EMPTYING else "was given back unemptied"
-                self.effects.append(Note(f"turn {out.turn}: {machine} {back}{why}"))
+                self.effects.append(LogMessage(f"turn {out.turn}: {machine} {back}{why}"))
         for machine, out in new.out.items():
             was = old.out.get(machine)
             if was is None or was.turn != out.turn or was.stage != out.stage:
-                self.effects.append(Note(f"turn {out.turn}: {machine} is {out.stage}, by request {out.request}"))
+                self.effects.append(LogMessage(f"turn {out.turn}: {machine} is {out.stage}, by request {out.request}"))
         if new.paused != old.paused:
-            self.effects.append(Note(f"turns are paused: {new.paused}" if new.paused else "turns go on"))
+            self.effects.append(LogMessage(f"turns are paused: {new.paused}" if new.paused else "turns go on"))
         for number, request in new.requests.items():
             known = old.requests.get(number)
             if known is None or known.state != request.state:
                 why = f": {request.why}" if request.why else ""
                 self.effects.append(
-                    Note(f"request {number} for {len(request.wish.machines)} machines is {request.state}{why}")
+                    LogMessage(f"request {number} for {len(request.wish.machines)} machines is {request.state}{why}")
                 )
 
     # --- what is wanted -------------------------------------------------------------------------
@@ -327,9 +327,9 @@
         else:
             self.say_since = self.say_since or self.now
             if not self._duty():
-                self.effects.append(Send(min(self.fleet.there), Says(self.incarnation, mine)))
+                self.effects.append(SendMessage(min(self.fleet.there), ReleaseConfirmation(self.incarnation, mine)))
         if not self.registered and not self._duty():
-            self.effects.append(Send(min(self.fleet.there), Enter(self.key)))
+            self.effects.append(SendMessage(min(self.fleet.there), RegisterRelay(self.key)))
         if self.proposer.round is not None and self.now >= self.began + ROUND_MS:
             self._carry_out(self.proposer.give_up("no majority in time"))
         if self.proposer.round is None and self.now >= self.wait_until:
@@ -341,7 +341,7 @@
                 self._carry_out(self.proposer.start(self._change))
         if self._duty() and self.now >= self.tell_at + (TELL_MS if self.state.out else NEWEST_MS):
             self._remind()
-        self.effects.append(Wake(BEAT_MS * self.random.uniform(0.8, 1.2), BEAT))
+        self.effects.append(SetTimer(BEAT_MS * self.random.uniform(0.8, 1.2), BEAT))
 
     def _remind(self) -> None:
         """Who has not confirmed may not have heard. The others are told what is newest, so that they need not read:
@@ -351,10 +351,10 @@
         if self.now <= self.read_at + 3.0 * NEWEST_MS:
             for name in self.fleet.there:
                 if name != self.name:
-                    self.effects.append(Send(name, Newest(state.version)))
+                    self.effects.append(SendMessage(name, LatestVersion(state.version)))
         missing = {n for m, o in state.out.items() if o.stage == EMPTYING for n in state.waits_for(m)} - {self.name}
         for name in sorted(missing.intersection(self.fleet.there)):
-            self.effects.append(Send(name, Learn(state)))
+            self.effects.append(SendMessage(name, StateUpdate(state)))
 
     def _drop_done(self) -> None:
         """Words and orders that a committed state has, or can no longer take."""
@@ -366,9 +366,9 @@
                 del self.entering[name]
         self.orders = [order for order in self.orders if self._ordered(self.state, order) is not None]
 
-    def _change(self, state: TurnState) -> TurnState | None:
+    def _change(self, state: MaintenanceState) -> MaintenanceState | None:
         """All that this relay wants changed, in one go."""
-        steps: list[Callable[[TurnState], TurnState | None]] = []
+        steps: list[Callable[[MaintenanceState], MaintenanceState | None]] = []
         if not self.registered and (self._duty() or self.now >= self.started + ENTER_MS):
             steps.append(lambda s: s.registered(self.name, self.key))
         steps.append(self._revises)
@@ -384,7 +384,7 @@
                 for name, word in self.said.items()
             ]
             steps += [self._troubled, self._advances]
-        found: TurnState = state
+        found: MaintenanceState = state
         for step in steps:
             found = step(found) or found
         return found if found.version > state.version else None
@@ -393,10 +393,10 @@
     def _fresh(self) -> bool:
         return self.now <= self.fleet_at + FRESH_MS and self.now >= self.steady_from
 
-    def _advances(self, state: TurnState) -> TurnState | None:
+    def _advances(self, state: MaintenanceState) -> MaintenanceState | None:
         return state.advanced(self.fleet.seen) if self._fresh else None
 
-    def _revises(self, state: TurnState) -> TurnState | None:
+    def _revises(self, state: MaintenanceState) -> MaintenanceState | None:
         """Turns that a minority holds since a proposer failed, who knows how long ago: they become agreed on by this
         round, so they must fit what is there now."""
         doubtful = [m for m, out in state.out.items() if out.stage == EMPTYING and out.turn > self.state.turn]
@@ -404,7 +404,7 @@
             return None
         return state.returned(doubtful)
 
-    def _troubled(self, state: TurnState) -> TurnState | None:
+    def _troubled(self, state: MaintenanceState) -> MaintenanceState | None:
         if self.fleet.trouble:
             return state.rolled_back(self.fleet.trouble)
         return state.resumed() if self.now >= self.calm_since + CALM_MS else None
@@ -426,22 +426,22 @@
             and (self.name, self.incarnation) not in out.confirmed
         }
 
-    def _confirms(self, state: TurnState) -> TurnState | None:
+    def _confirms(self, state: MaintenanceState) -> MaintenanceState | None:
         mine = self._mine()
         itself = self._duty() or self.now >= self.say_since + SAY_MS
         return state.confirmed(self.name, self.incarnation, mine) if mine and itself else None
 
-    def _votes_again(self, state: TurnState) -> TurnState | None:
+    def _votes_again(self, state: MaintenanceState) -> MaintenanceState | None:
         """With another file than the voters know of: the one before was lost, and what it promised with it. The
         others take the new one in, all of them, before it counts."""
         if not self.identity or self.name not in state.voters:
             return None
         return state.with_voter(self.name, self.identity)
 
-    def _ordered(self, state: TurnState, order: Order) -> TurnState | None:
+    def _ordered(self, state: MaintenanceState, order: OperatorCommand) -> MaintenanceState | None:
         what, more = order.what, order.more
-        found: TurnState | None = None
-        if order.kind == "ask" and isinstance(what, Wish):
+        found: MaintenanceState | None = None
+        if order.kind == "ask" and isinstance(what, MaintenanceRequest):
             found = state.asked(what, more)
         elif order.kind == "done":
             found = state.done(what, more)
--- a/yarrowspindle/maintenance/evacuation.py
+++ b/yarrowspindle/maintenance/evacuation.py
@@ -14,7 +14,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Task:
+class MaintenancePlan:
     """What the agreement wants of this relay. off: machines where nothing is placed; None: all of them, since this
     process has not read the agreement yet. empty: those to be emptied, with the time for it in seconds (0: at once).
     back: those that are placed on again, cold. relays: how many share the rate; rate: moves a second of all."""
@@ -26,18 +26,18 @@
     rate: float = 20.0
 
 
-class Emptying:
+class BackendEvacuator:
     def __init__(self, now: float) -> None:
         self.bucket = Bucket(0.0, 1.0, now)
         self.until: dict[str, float] = {}  # by when each is empty, counted from when this relay was told
         self.part = 1.0  # of the rate; halves while jobs are refused
         self.refused = False
 
-    def told(self, now: float, task: Task) -> None:
+    def told(self, now: float, task: MaintenancePlan) -> None:
         wanted = task.empty or {}
         self.until = {m: self.until.get(m, now + 1000.0 * s) if s else now for m, s in wanted.items()}
 
-    def beat(self, now: float, task: Task, requests: Mapping[str, Iterable[int]]) -> list[int]:
+    def beat(self, now: float, task: MaintenancePlan, requests: Mapping[str, Iterable[int]]) -> list[int]:
         """Jobs to be moved now: machines by deadline, jobs as they are given."""
         self.part = max(SLOWEST, self.part / 2.0) if self.refused else min(1.0, self.part + 0.05)
         self.refused = False
--- a/yarrowspindle/maintenance/fleet_health.py
+++ b/yarrowspindle/maintenance/fleet_health.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 
 from yarrowspindle.decisions.events import EndpointState
-from yarrowspindle.maintenance.state import EMPTYING, WARMING, Seen, TurnState
+from yarrowspindle.maintenance.state import EMPTYING, WARMING, BackendObservation, MaintenanceState
 
 TROUBLE_MS = 10_000.0  # a machine that died is trouble for so long, then it is how things are
 WINDOW_MS, MIN_ASKED = 5000.0, 20
@@ -14,7 +14,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Look:
+class BackendSample:
     """A machine as the list has it now. failing: this relay passes it over. held: connections that it knows of."""
 
     name: str
@@ -33,7 +33,7 @@
     warm_at: float
 
 
-class FleetWatch:
+class FleetHealth:
     """cold_ms: how long a machine is cold. pressure: the share of refused jobs from which on none should leave.
 
     What was there at the first look is taken for warm: whoever starts cannot know better, and the floor counts it."""
@@ -46,10 +46,10 @@
         self.looked = False
 
     def look(
-        self, now: float, machines: Iterable[Look], state: TurnState, asked: int = 0, refused: int = 0
-    ) -> tuple[Mapping[str, Seen], str]:
+        self, now: float, machines: Iterable[BackendSample], state: MaintenanceState, asked: int = 0, refused: int = 0
+    ) -> tuple[Mapping[str, BackendObservation], str]:
         """The machines for the agreement, and the trouble; empty where there is none."""
-        seen: dict[str, Seen] = {}
+        seen: dict[str, BackendObservation] = {}
         failing = []
         for at in machines:
             known = self.machines.get(at.name)
@@ -68,7 +68,7 @@
             known.state = at.state
             ready = at.state is EndpointState.READY and now >= known.warm_at and not at.failing
             if at.state is not EndpointState.GONE:
-                seen[at.name] = Seen(at.zone, at.capacity, ready, at.held)
+                seen[at.name] = BackendObservation(at.zone, at.capacity, ready, at.held)
         for name in self.machines.keys() - seen.keys():
             known = self.machines[name]
             if known.state is EndpointState.READY and (name not in state.out or state.out[name].stage == EMPTYING):
--- a/yarrowspindle/maintenance/settings.py
+++ b/yarrowspindle/maintenance/settings.py
@@ -8,7 +8,7 @@
 from ipaddress import IPv4Address
 from typing import Any
 
-from yarrowspindle.maintenance.state import FEWEST, GIVEN, MAX_NAME, MAX_REQUESTS, TurnError, Wish
+from yarrowspindle.maintenance.state import FEWEST, GIVEN, MAX_NAME, MAX_REQUESTS, MaintenanceError, MaintenanceRequest
 from yarrowspindle.membership.settings import PeerError, read_address
 from yarrowspindle.routing.address import Address
 
@@ -38,19 +38,21 @@
 
     def __post_init__(self) -> None:
         if sum(map(bool, (self.machines, self.zone, self.kind))) != 1:
-            raise TurnError("a request names machines, or a zone, or a kind")
+            raise MaintenanceError("a request names machines, or a zone, or a kind")
         if self.order not in ORDERS:
-            raise TurnError(f"order is {self.order!r}: one of {', '.join(ORDERS)} is wanted")
+            raise MaintenanceError(f"order is {self.order!r}: one of {', '.join(ORDERS)} is wanted")
         if len(self.name) > MAX_NAME:
-            raise TurnError(f"a name has at most {MAX_NAME} characters")
+            raise MaintenanceError(f"a name has at most {MAX_NAME} characters")
         self.wish(self.machines or ("any",), {})  # the figures
 
-    def wish(self, machines: tuple[str, ...], zones: Mapping[str, int]) -> Wish:
+    def wish(self, machines: tuple[str, ...], zones: Mapping[str, int]) -> MaintenanceRequest:
         """machines: those of the zone or kind, where it names one. zones: of each machine."""
         if self.order == ZONES:
             machines = tuple(sorted(machines, key=lambda m: zones.get(m, 0)))
         order = FEWEST if self.order == FEWEST else GIVEN
-        return Wish(machines, self.most, self.most_zone, float(self.floor), float(self.deadline_s), order, self.name)
+        return MaintenanceRequest(
+            machines, self.most, self.most_zone, float(self.floor), float(self.deadline_s), order, self.name
+        )
 
 
 def read_asking(section: Mapping[str, Any]) -> Asking:
@@ -69,10 +71,10 @@
     }
     for key, kind in kinds.items():
         if key in values and (isinstance(values[key], bool) or not isinstance(values[key], kind)):
-            raise TurnError(f"turns.request.{key} is {values[key]!r}, of another kind than is wanted")
+            raise MaintenanceError(f"turns.request.{key} is {values[key]!r}, of another kind than is wanted")
     machines = values.get("machines", [])
     if not isinstance(machines, list | tuple) or not all(isinstance(m, str) for m in machines):
-        raise TurnError(f"turns.request.machines is {machines!r}: a list of names is wanted")
+        raise MaintenanceError(f"turns.request.machines is {machines!r}: a list of names is wanted")
     values["machines"] = tuple(machines)
     return Asking(**values)
 
@@ -97,20 +99,20 @@
         for key, least, most in (("moves_per_s", 0.1, 100_000.0), ("pressure", 0.0, 1.0)):
             value = getattr(self, key)
             if isinstance(value, bool) or not isinstance(value, int | float) or not least <= value <= most:
-                raise TurnError(f"turns.{key} is {value!r}: a number from {least:g} to {most:g} is wanted")
+                raise MaintenanceError(f"turns.{key} is {value!r}: a number from {least:g} to {most:g} is wanted")
         if not isinstance(self.directory, str) or not self.directory:
-            raise TurnError("turns.directory is missing: a folder of this relay's own")
+            raise MaintenanceError("turns.directory is missing: a folder of this relay's own")
         if not 1 <= len(self.voters) <= MAX_VOTERS or len(set(self.voters)) != len(self.voters):
-            raise TurnError(f"turns.voters names 1 to {MAX_VOTERS} relays, each once")
+            raise MaintenanceError(f"turns.voters names 1 to {MAX_VOTERS} relays, each once")
         if len(self.requests) > MAX_REQUESTS:
-            raise TurnError(f"turns.request: {MAX_REQUESTS} at most")
+            raise MaintenanceError(f"turns.request: {MAX_REQUESTS} at most")
 
 
 def _known(values: Iterable[str], of: type, where: str) -> None:
     known = [f.name for f in fields(of)]
     for key in set(values) - set(known):
         near = get_close_matches(key, known, 1)
-        raise TurnError(f"{where}.{key} is not known" + (f"; {near[0]} is" if near else ""))
+        raise MaintenanceError(f"{where}.{key} is not known" + (f"; {near[0]} is" if near else ""))
 
 
 def read_turns(section: Mapping[str, Any]) -> TurnSettings:
@@ -119,17 +121,17 @@
     requests = values.pop("request", [])
     _known(values, TurnSettings, "turns")
     if not isinstance(requests, list) or not all(isinstance(r, dict) for r in requests):
-        raise TurnError("[[turns.request]] is a list of tables")
+        raise MaintenanceError("[[turns.request]] is a list of tables")
     voters = values.get("voters", [])
     if not isinstance(voters, list) or not all(isinstance(v, str) and 0 < len(v) <= MAX_NAME for v in voters):
-        raise TurnError(f"turns.voters is {voters!r}: a list of relays' names is wanted")
+        raise MaintenanceError(f"turns.voters is {voters!r}: a list of relays' names is wanted")
     values["voters"], values["requests"] = tuple(voters), tuple(read_asking(r) for r in requests)
     if "command" in values:
         try:
             values["command"] = read_address("command", values["command"])
         except PeerError as error:
-            raise TurnError(f"turns.{str(error).removeprefix('peers.')}") from None
+            raise MaintenanceError(f"turns.{str(error).removeprefix('peers.')}") from None
         if not IPv4Address(values["command"][0]).is_loopback:
-            raise TurnError(f"turns.command is {section['command']!r}: a loopback address is wanted")
+            raise MaintenanceError(f"turns.command is {section['command']!r}: a loopback address is wanted")
     values.setdefault("directory", "")
     return TurnSettings(**values)
--- a/yarrowspindle/maintenance/state.py
+++ b/yarrowspindle/maintenance/state.py
@@ -19,12 +19,12 @@
 MAX_REQUESTS, MAX_MACHINES, MAX_ENDED, MAX_NAME, MAX_RELAYS = 16, 512, 16, 64, 1024
 
 
-class TurnError(ValueError):
+class MaintenanceError(ValueError):
     """A request or a word that makes no sense; the text says why."""
 
 
 @dataclass(slots=True, frozen=True)
-class Seen:
+class BackendObservation:
     """A machine as the proposer's list has it. ready: takes connections, and is warm. held: connections there, as far
     as the proposer knows."""
 
@@ -35,7 +35,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Wish:
+class MaintenanceRequest:
     """What operators ask for. most, most_zone: out at once; floor: ready capacity that must stay, in units of the
     list; deadline_s: connections that have not moved by then are moved at once; order: GIVEN, or FEWEST connections
     first (zone by zone is an order that is given: the one who asks sorts). name: tells apart requests that are alike
@@ -51,13 +51,15 @@
 
     def __post_init__(self) -> None:
         if not self.machines or len(set(self.machines)) != len(self.machines) or len(self.machines) > MAX_MACHINES:
-            raise TurnError(f"a request names 1 to {MAX_MACHINES} machines, each once")
+            raise MaintenanceError(f"a request names 1 to {MAX_MACHINES} machines, each once")
         if any(not 0 < len(name) <= MAX_NAME for name in self.machines):
-            raise TurnError(f"a machine's name has 1 to {MAX_NAME} characters")
+            raise MaintenanceError(f"a machine's name has 1 to {MAX_NAME} characters")
         if min(self.most, self.most_zone) < 1 or not 0.0 <= self.floor < inf or not 0.0 < self.deadline_s <= 86_400.0:
-            raise TurnError("most and most_zone are at least 1, floor is not below 0, deadline_s is 86,400 at most")
+            raise MaintenanceError(
+                "most and most_zone are at least 1, floor is not below 0, deadline_s is 86,400 at most"
+            )
         if self.order not in (GIVEN, FEWEST):
-            raise TurnError(f"order is {GIVEN!r} or {FEWEST!r}")
+            raise MaintenanceError(f"order is {GIVEN!r} or {FEWEST!r}")
 
     @property
     def id(self) -> str:
@@ -75,10 +77,10 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Request:
+class RequestStatus:
     """at: the version with which it was asked, refused, cancelled or done."""
 
-    wish: Wish
+    wish: MaintenanceRequest
     waiting: tuple[str, ...]
     state: str = QUEUED
     why: str = ""
@@ -86,7 +88,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Out:
+class Evacuation:
     """A machine that is out, by its turn. confirmed: lives of relays that hold nothing there and know of the turn."""
 
     turn: int
@@ -97,22 +99,22 @@
 
 
 @dataclass(slots=True, frozen=True)
-class TurnState:
+class MaintenanceState:
     voters: Mapping[str, str] = field(default_factory=dict)
     version: int = 0
     epoch: int = 0
     turn: int = 0
-    requests: Mapping[str, Request] = field(default_factory=dict)  # in the order in which they were settled
-    out: Mapping[str, Out] = field(default_factory=dict)
+    requests: Mapping[str, RequestStatus] = field(default_factory=dict)  # in the order in which they were settled
+    out: Mapping[str, Evacuation] = field(default_factory=dict)
     relays: Mapping[str, int] = field(default_factory=dict)  # registered: name -> life
     keys: Mapping[str, str] = field(default_factory=dict)  # and the key of the process
     paused: str = ""  # why no turn is granted; empty: they are
     by_hand: bool = False  # an operator paused them, and an operator lets them go on
 
-    def changed(self, **changes: object) -> TurnState:
+    def changed(self, **changes: object) -> MaintenanceState:
         return replace(self, version=self.version + 1, **changes)  # type: ignore[arg-type]
 
-    def at_epoch(self, epoch: int) -> TurnState:
+    def at_epoch(self, epoch: int) -> MaintenanceState:
         return self.changed(epoch=epoch)
 
     # --- reading --------------------------------------------------------------------------------
@@ -129,14 +131,14 @@
 
     # --- relays ---------------------------------------------------------------------------------
 
-    def registered(self, name: str, key: str) -> TurnState | None:
+    def registered(self, name: str, key: str) -> MaintenanceState | None:
         """A process is there, and reads this state once it sees itself in it. An earlier life of its name has ended.
         Its life is the version that it is registered with, so that no two lives are the same."""
         if self.keys.get(name) == key or (len(self.relays) >= MAX_RELAYS and name not in self.relays):
             return None
         return self.changed(relays={**self.relays, name: self.version + 1}, keys={**self.keys, name: key})._freed()
 
-    def left(self, name: str, incarnation: int) -> TurnState | None:
+    def left(self, name: str, incarnation: int) -> MaintenanceState | None:
         """It ended in good order, or an operator says that it has ended."""
         if self.relays.get(name) != incarnation:
             return None
@@ -145,7 +147,7 @@
             keys={n: key for n, key in self.keys.items() if n != name},
         )._freed()
 
-    def confirmed(self, name: str, incarnation: int, turns: Mapping[str, int]) -> TurnState | None:
+    def confirmed(self, name: str, incarnation: int, turns: Mapping[str, int]) -> MaintenanceState | None:
         """This relay holds nothing at these machines, whose turns have these numbers."""
         if self.relays.get(name) != incarnation:
             return None  # it must register first: it may not know what has happened since
@@ -156,7 +158,7 @@
                 out[machine] = replace(one, confirmed=one.confirmed | {(name, incarnation)})
         return None if out == dict(self.out) else self.changed(out=out)._freed()
 
-    def _freed(self) -> TurnState:
+    def _freed(self) -> MaintenanceState:
         out = {
             m: replace(o, stage=FREE) if o.stage == EMPTYING and not self.waits_for(m) else o
             for m, o in self.out.items()
@@ -165,7 +167,7 @@
 
     # --- operators ------------------------------------------------------------------------------
 
-    def asked(self, wish: Wish, since: float = 0) -> TurnState | None:
+    def asked(self, wish: MaintenanceRequest, since: float = 0) -> MaintenanceState | None:
         """The same wish twice is one; one that names a machine that another wish has not given back is refused. since:
         the version that was known when it was asked for: a word that comes late must not ask again what has ended
         meanwhile."""
@@ -178,17 +180,17 @@
         clash = next((m for m in wish.machines if m in taken), None)
         requests = {i: r for i, r in self.requests.items() if i != wish.id}
         if clash is not None:
-            requests[wish.id] = Request(wish, (), REFUSED, f"{clash} is in request {taken[clash]} already", at)
+            requests[wish.id] = RequestStatus(wish, (), REFUSED, f"{clash} is in request {taken[clash]} already", at)
         elif sum(r.state == QUEUED for r in requests.values()) >= MAX_REQUESTS:
-            requests[wish.id] = Request(wish, (), REFUSED, f"{MAX_REQUESTS} requests are open already", at)
+            requests[wish.id] = RequestStatus(wish, (), REFUSED, f"{MAX_REQUESTS} requests are open already", at)
         else:
-            requests[wish.id] = Request(wish, wish.machines, at=at)
+            requests[wish.id] = RequestStatus(wish, wish.machines, at=at)
         ended = [i for i, r in requests.items() if r.state != QUEUED]
         for old in ended[: max(0, len(ended) - MAX_ENDED)]:
             del requests[old]
         return self.changed(requests=requests)
 
-    def cancelled(self, request: str, at: int) -> TurnState | None:
+    def cancelled(self, request: str, at: int) -> MaintenanceState | None:
         """Nothing more of it starts; what has not emptied yet goes back, what is free stays until it is done. at: when
         it was asked for: one that was asked anew since is another."""
         known = self.requests.get(request)
@@ -198,14 +200,14 @@
         ended = replace(known, waiting=(), state=CANCELLED, at=self.version + 1)
         return self.changed(requests={**self.requests, request: ended}, out=out)
 
-    def done(self, machine: str, turn: int) -> TurnState | None:
+    def done(self, machine: str, turn: int) -> MaintenanceState | None:
         """The work of this turn is over: placed on again, cold. A word on an earlier turn moves nothing."""
         out = self.out.get(machine)
         if out is None or out.stage != FREE or out.turn != turn:
             return None
         return self.changed(out={**self.out, machine: replace(out, stage=WARMING)})
 
-    def given_up(self, machine: str, turn: int) -> TurnState | None:
+    def given_up(self, machine: str, turn: int) -> MaintenanceState | None:
         """It does not come back, or is not to be waited for: its turn is over."""
         out = self.out.get(machine)
         if out is None or out.stage == EMPTYING or out.turn != turn:
@@ -214,7 +216,7 @@
 
     # --- the course of things -------------------------------------------------------------------
 
-    def advanced(self, seen: Mapping[str, Seen]) -> TurnState | None:
+    def advanced(self, seen: Mapping[str, BackendObservation]) -> MaintenanceState | None:
         """Who is warm again is back; the next turn is granted where the rules allow it."""
         back = [m for m, o in self.out.items() if o.stage == WARMING and m in seen and seen[m].ready]
         out = {m: o for m, o in self.out.items() if m not in back}
@@ -225,7 +227,7 @@
         state = granted if granted is not None else state
         return state.changed()._settled()
 
-    def _settled(self) -> TurnState:
+    def _settled(self) -> MaintenanceState:
         """Requests of which nothing waits and nothing is out are done."""
         requests = {
             i: replace(r, state=DONE, at=self.version)
@@ -235,11 +237,13 @@
         }
         return replace(self, requests=requests)
 
-    def capacity(self, seen: Mapping[str, Seen]) -> float:
+    def capacity(self, seen: Mapping[str, BackendObservation]) -> float:
         """What is ready, without machines that are out."""
         return sum(s.capacity for m, s in seen.items() if s.ready and m not in self.out)
 
-    def holds_up(self, request: Request, machine: str, seen: Mapping[str, Seen], capacity: float) -> str:
+    def holds_up(
+        self, request: RequestStatus, machine: str, seen: Mapping[str, BackendObservation], capacity: float
+    ) -> str:
         """Why this machine's turn is not granted now; empty where it may be. capacity: see `capacity`."""
         wish, at = request.wish, seen.get(machine)
         if self.paused:
@@ -253,7 +257,7 @@
         left = capacity - (at.capacity if at.ready else 0.0)
         return f"ready capacity would be {left:g}, the floor is {wish.floor:g}" if left < wish.floor else ""
 
-    def _granted(self, seen: Mapping[str, Seen]) -> TurnState | None:
+    def _granted(self, seen: Mapping[str, BackendObservation]) -> MaintenanceState | None:
         capacity = self.capacity(seen)
         for number, request in self.requests.items():
             wish = request.wish
@@ -264,14 +268,14 @@
                 waiting = tuple(sorted(waiting, key=lambda m: seen[m].held if m in seen else 0))
             machine = next((m for m in waiting if not self.holds_up(request, m, seen, capacity)), None)
             if machine is not None:
-                out = Out(self.turn + 1, number, seen[machine].zone)
+                out = Evacuation(self.turn + 1, number, seen[machine].zone)
                 left = replace(request, waiting=tuple(m for m in request.waiting if m != machine))
                 return replace(
                     self, turn=self.turn + 1, out={**self.out, machine: out}, requests={**self.requests, number: left}
                 )
         return None
 
-    def rolled_back(self, why: str, by_hand: bool = False) -> TurnState | None:
+    def rolled_back(self, why: str, by_hand: bool = False) -> MaintenanceState | None:
         """Something died, or the fleet is under pressure: the queue stops, and who has not emptied yet is given
         back."""
         back = [m for m, o in self.out.items() if o.stage == EMPTYING]
@@ -280,7 +284,7 @@
         paused = self.paused if self.by_hand else why
         return replace(self.returned(back), by_hand=self.by_hand or by_hand, paused=paused)
 
-    def returned(self, machines: Collection[str]) -> TurnState:
+    def returned(self, machines: Collection[str]) -> MaintenanceState:
         """They go back unemptied, to the head of the queue; another turn will have another number."""
         requests = dict(self.requests)
         for machine in machines:
@@ -288,25 +292,25 @@
             requests[self.out[machine].request] = replace(request, waiting=(machine, *request.waiting))
         return self.changed(out={m: o for m, o in self.out.items() if m not in machines}, requests=requests)
 
-    def keeps_floors(self, seen: Mapping[str, Seen]) -> bool:
+    def keeps_floors(self, seen: Mapping[str, BackendObservation]) -> bool:
         """Each machine that empties leaves what its request wants to stay."""
         floors = [self.requests[o.request].wish.floor for o in self.out.values() if o.stage == EMPTYING]
         return self.capacity(seen) >= max(floors, default=0.0)
 
-    def resumed(self, why: str = "") -> TurnState | None:
+    def resumed(self, why: str = "") -> MaintenanceState | None:
         """why: the pause that an operator ends; else only one that is not by hand ends."""
         over = self.paused and (self.paused == why if why else not self.by_hand)
         return self.changed(paused="", by_hand=False) if over else None
 
     # --- voters ---------------------------------------------------------------------------------
 
-    def with_voter(self, name: str, identity: str) -> TurnState | None:
+    def with_voter(self, name: str, identity: str) -> MaintenanceState | None:
         """One more, or another file of one that is."""
         if self.voters.get(name) == identity:
             return None
         return self.changed(voters={**self.voters, name: identity}, epoch=self.epoch + 1)
 
-    def without_voter(self, name: str) -> TurnState | None:
+    def without_voter(self, name: str) -> MaintenanceState | None:
         if name not in self.voters or len(self.voters) == 1:
             return None
         return self.changed(voters={n: i for n, i in self.voters.items() if n != name}, epoch=self.epoch + 1)
--- a/yarrowspindle/maintenance/status_report.py
+++ b/yarrowspindle/maintenance/status_report.py
@@ -5,13 +5,13 @@
 from collections.abc import Collection, Mapping
 from typing import Any
 
-from yarrowspindle.maintenance.coordinator import Turns
+from yarrowspindle.maintenance.coordinator import MaintenanceCoordinator
 from yarrowspindle.maintenance.state import EMPTYING, FREE, QUEUED, WARMING
 
 MAJORITY_MS = 25_000.0  # a majority that was not heard for so long is said to be missing
 
 
-def waits_for(core: Turns, machine: str, there: Collection[str]) -> list[str]:
+def waits_for(core: MaintenanceCoordinator, machine: str, there: Collection[str]) -> list[str]:
     """What a machine that is out waits for, one text for each cause."""
     out, seen = core.taken.out[machine], core.fleet.seen.get(machine)
     if out.stage == FREE:
@@ -30,7 +30,9 @@
     return found
 
 
-def show(core: Turns, now: float, since: Mapping[int, float], there: Collection[str]) -> dict[str, Any]:
+def show(
+    core: MaintenanceCoordinator, now: float, since: Mapping[int, float], there: Collection[str]
+) -> dict[str, Any]:
     """since: when this relay took up each turn, by number, in the same milliseconds."""
     state = core.taken
     silent = now - core.heard_at
@@ -83,7 +85,7 @@
     }
 
 
-def gauges(core: Turns, now: float) -> dict[str, float]:
+def gauges(core: MaintenanceCoordinator, now: float) -> dict[str, float]:
     stages = [out.stage for out in core.taken.out.values()]
     queued = [r for r in core.taken.requests.values() if r.state == QUEUED]
     return {
--- a/yarrowspindle/membership/__init__.py
+++ b/yarrowspindle/membership/__init__.py
@@ -3,7 +3,7 @@
 Needs the extra `peers` (msgspec); the platform does without it.
 """
 
-from yarrowspindle.membership.core import Peers
+from yarrowspindle.membership.core import Membership
 from yarrowspindle.membership.settings import PeerError, PeerSettings, read_peers
 
-__all__ = ["PeerError", "PeerSettings", "Peers", "read_peers"]
+__all__ = ["PeerError", "PeerSettings", "Membership", "read_peers"]
--- a/yarrowspindle/membership/codec.py
+++ b/yarrowspindle/membership/codec.py
@@ -27,11 +27,11 @@
 STATES = ("alive", "suspect", "dead", "left")
 
 
-class Dropped(Exception):
+class DroppedDatagramError(Exception):
     """A datagram that is not taken; the text is its cause, one of few."""
 
 
-class Rumour(Struct, array_like=True, frozen=True):
+class MembershipUpdate(Struct, array_like=True, frozen=True):
     """What somebody says of a member. life: of the process; turn: within its life, raised by itself alone."""
 
     name: Name
@@ -59,7 +59,7 @@
     of: Name  # who is there: the sender, or who was asked for another
 
 
-class PingFor(Struct, array_like=True, tag=3, frozen=True):
+class PingRequest(Struct, array_like=True, tag=3, frozen=True):
     """Ask that member for me; answered by its `Ack` or by a `Nack`."""
 
     number: Number
@@ -74,13 +74,13 @@
     number: Number
 
 
-class Tell(Struct, array_like=True, tag=5, frozen=True):
+class SyncRequest(Struct, array_like=True, tag=5, frozen=True):
     """Rumours only. whole: the sender's table is in here and in the others like it, and it wants ours in return."""
 
     whole: bool = False
 
 
-class Signal(Struct, array_like=True, tag=6, frozen=True):
+class LoadSignal(Struct, array_like=True, tag=6, frozen=True):
     """What the sender holds. All figures are absolute.
 
     base, version: what changed after `base` up to `version` is in `changed`, whole.
@@ -100,7 +100,7 @@
     reports: Flat = []
 
 
-class Wanted(Struct, array_like=True, tag=7, frozen=True):
+class FullLoadRequest(Struct, array_like=True, tag=7, frozen=True):
     """Some of what you told was lost: tell me the whole."""
 
 
@@ -110,7 +110,7 @@
     data: bytes
 
 
-Body = Ping | Ack | PingFor | Nack | Tell | Signal | Wanted | Carried
+Body = Ping | Ack | PingRequest | Nack | SyncRequest | LoadSignal | FullLoadRequest | Carried
 
 
 class Datagram(Struct, array_like=True, frozen=True):
@@ -123,7 +123,7 @@
     turn: Number
     at: Number  # the sender's own monotonic milliseconds
     body: Body
-    rumours: Annotated[list[Rumour], Meta(max_length=64)] = []
+    rumours: Annotated[list[MembershipUpdate], Meta(max_length=64)] = []
 
     @property
     def address(self) -> Address:
@@ -159,24 +159,24 @@
 
     def decode(self, data: bytes) -> Datagram:
         if len(data) > MOST:
-            raise Dropped("too long")
+            raise DroppedDatagramError("too long")
         try:
             sealed = self._unseal(data)
         except (msgspec.DecodeError, msgspec.ValidationError, ValueError):
-            raise Dropped("nonsense") from None
+            raise DroppedDatagramError("nonsense") from None
         inner = bytes(sealed.datagram)
         if crc32(inner) != sealed.check:
-            raise Dropped("corrupt")
+            raise DroppedDatagramError("corrupt")
         try:
             datagram = self._decode(inner)
         except (msgspec.DecodeError, msgspec.ValidationError, ValueError):
-            raise Dropped(self._why(inner)) from None
+            raise DroppedDatagramError(self._why(inner)) from None
         if datagram.version != VERSION:
-            raise Dropped("another version")
+            raise DroppedDatagramError("another version")
         if datagram.cluster != self.cluster:
-            raise Dropped("another cluster")
+            raise DroppedDatagramError("another cluster")
         body = datagram.body
-        if isinstance(body, Signal) and (
+        if isinstance(body, LoadSignal) and (
             len(body.changed) % 3
             or len(body.part) % 3
             or len(body.passed) % 2
@@ -184,7 +184,7 @@
             or body.base > body.version
             or body.first > body.last
         ):
-            raise Dropped("nonsense")
+            raise DroppedDatagramError("nonsense")
         return datagram
 
     def _why(self, data: bytes) -> str:
--- a/yarrowspindle/membership/core.py
+++ b/yarrowspindle/membership/core.py
@@ -25,32 +25,32 @@
     Carried,
     Codec,
     Datagram,
-    Dropped,
+    DroppedDatagramError,
+    FullLoadRequest,
+    LoadSignal,
+    MembershipUpdate,
     Nack,
     Ping,
-    PingFor,
-    Rumour,
-    Signal,
-    Tell,
-    Wanted,
+    PingRequest,
+    SyncRequest,
 )
 from yarrowspindle.membership.failure_detector import HELPERS, NACK_FRACTION, Detector, Probe
-from yarrowspindle.membership.load_signals import TOLD_TIMES, Signals
+from yarrowspindle.membership.load_signals import TOLD_TIMES, LoadSignals
 from yarrowspindle.membership.members import Change, Member, Members, rumour_bytes
 from yarrowspindle.membership.messages import (
-    Brought,
-    Came,
-    Carry,
+    DatagramReceived,
     Effect,
     Event,
-    Leave,
-    Look,
-    Note,
-    Own,
-    Send,
-    Told,
-    Wake,
-    Woke,
+    LeaveCluster,
+    LocalLoad,
+    LogMessage,
+    PayloadReceived,
+    PeerLoadsUpdated,
+    SampleLocalLoad,
+    SendDatagram,
+    SendPayload,
+    SetTimer,
+    TimerFired,
 )
 from yarrowspindle.membership.settings import PeerSettings
 from yarrowspindle.routing.address import Address
@@ -69,7 +69,7 @@
 TRIES_WHILE_STOPPING = 3
 
 
-class Peers:
+class Membership:
     """life: a number that grows from one process of a name to the next; the start in Unix milliseconds will do, and
     where that clock went back the others' word corrects it."""
 
@@ -79,7 +79,7 @@
         self.codec = Codec(settings.cluster)
         self.members = Members(name, settings.reached_at, incarnation, now)
         self.detector = Detector(1000.0 * settings.probe_s, 1000.0 * settings.suspicion_s, self.random.shuffle)
-        self.signals = Signals()
+        self.signals = LoadSignals()
         self.counts: Counter[str] = Counter()
         self.numbers = 0
         self.pings: dict[int, tuple[str, float]] = {}  # number -> who was asked, when
@@ -94,20 +94,20 @@
         self.left = False
         self.effects: list[Effect] = []
         self.handlers: dict[type, Callable[[Any], None]] = {
-            Came: self._came,
-            Woke: self._woke,
-            Own: self._own,
-            Leave: self._leave,
-            Carry: self._carry,
+            DatagramReceived: self._came,
+            TimerFired: self._woke,
+            LocalLoad: self._own,
+            LeaveCluster: self._leave,
+            SendPayload: self._carry,
         }
         self.bodies: dict[type, Callable[[Member, Datagram, Any], None]] = {
             Ping: self._ping,
             Ack: self._ack,
-            PingFor: self._ping_for,
+            PingRequest: self._ping_for,
             Nack: self._nack,
-            Tell: self._tell,
-            Signal: self._signal,
-            Wanted: self._wanted,
+            SyncRequest: self._tell,
+            LoadSignal: self._signal,
+            FullLoadRequest: self._wanted,
             Carried: self._carried,
         }
         self.wakes: dict[str, Callable[[], None]] = {
@@ -123,7 +123,7 @@
 
     def step(self, now: float, event: Event) -> list[Effect]:
         self.now = max(self.now, now)
-        if not self.left or isinstance(event, Came):
+        if not self.left or isinstance(event, DatagramReceived):
             self.handlers[type(event)](event)
         return self.take_effects()
 
@@ -132,11 +132,11 @@
         return effects
 
     def _wake(self, delay_ms: float, what: object) -> None:
-        self.effects.append(Wake(delay_ms, what))
+        self.effects.append(SetTimer(delay_ms, what))
 
     # --- sending --------------------------------------------------------------------------------
 
-    def _encode(self, body: Body, rumours: list[Rumour] | None = None, first: str = "") -> bytes:
+    def _encode(self, body: Body, rumours: list[MembershipUpdate] | None = None, first: str = "") -> bytes:
         """With as many rumours as there is room for, or with these."""
         me = self.members.me
         self.at = max(int(self.now - self.started), self.at + 1)
@@ -162,13 +162,13 @@
                 data = self.codec.encode(datagram)
         return data
 
-    def _send(self, to: Address, body: Body, rumours: list[Rumour] | None = None, first: str = "") -> None:
+    def _send(self, to: Address, body: Body, rumours: list[MembershipUpdate] | None = None, first: str = "") -> None:
         self._put(to, self._encode(body, rumours, first))
 
     def _put(self, to: Address, data: bytes) -> None:
         self.counts["sent"] += 1
         self.counts["sent_bytes"] += len(data)
-        self.effects.append(Send(to, data))
+        self.effects.append(SendDatagram(to, data))
 
     def _number(self) -> int:
         self.numbers += 1
@@ -188,7 +188,7 @@
 
     # --- what comes in --------------------------------------------------------------------------
 
-    def _came(self, event: Came) -> None:
+    def _came(self, event: DatagramReceived) -> None:
         self.counts["came"] += 1
         self.counts["came_bytes"] += len(event.data)
         if self.now >= self.sources_at + 1000.0:
@@ -199,7 +199,7 @@
         self.sources[event.source] += 1
         try:
             datagram = self.codec.decode(event.data)
-        except Dropped as why:
+        except DroppedDatagramError as why:
             return self._drop(str(why), event)
         if datagram.name == self.members.me.name:
             self._namesake(datagram)
@@ -208,7 +208,9 @@
         if known is not None and datagram.incarnation < known.incarnation:
             self._behind(known, datagram)
             return self._drop("earlier life", event)
-        self._rumour(Rumour(datagram.name, datagram.host, datagram.port, datagram.incarnation, datagram.turn, ALIVE))
+        self._rumour(
+            MembershipUpdate(datagram.name, datagram.host, datagram.port, datagram.incarnation, datagram.turn, ALIVE)
+        )
         for rumour in datagram.rumours:
             self._rumour(rumour)
         member = self.members.table.get(datagram.name)
@@ -221,25 +223,29 @@
         member.heard = self.now
         self.bodies[type(datagram.body)](member, datagram, datagram.body)
 
-    def _drop(self, why: str, event: Came) -> None:
+    def _drop(self, why: str, event: DatagramReceived) -> None:
         self.counts[f"dropped_{why.replace(' ', '_')}"] += 1
         if why not in ("earlier life", "has left"):
-            self.effects.append(Note(f"a datagram from {event.source[0]}:{event.source[1]} is dropped: {why}", True))
+            self.effects.append(
+                LogMessage(f"a datagram from {event.source[0]}:{event.source[1]} is dropped: {why}", True)
+            )
 
     def _namesake(self, datagram: Datagram) -> None:
         """Somebody else says that it has our name: the later life has it, and the other is told so."""
         me = self.members.me
         if datagram.address == me.address and datagram.incarnation == me.incarnation:
             return  # our own word, sent back to us
-        self._rumour(Rumour(datagram.name, datagram.host, datagram.port, datagram.incarnation, datagram.turn, ALIVE))
+        self._rumour(
+            MembershipUpdate(datagram.name, datagram.host, datagram.port, datagram.incarnation, datagram.turn, ALIVE)
+        )
         if not self.members.displaced:
-            self._send(datagram.address, Tell(), [me.rumour()])
+            self._send(datagram.address, SyncRequest(), [me.rumour()])
 
     def _behind(self, member: Member, datagram: Datagram) -> None:
         """The sender does not know what is said of it: it must, to object."""
-        self._send(datagram.address, Tell(), [member.rumour()])
+        self._send(datagram.address, SyncRequest(), [member.rumour()])
 
-    def _rumour(self, word: Rumour) -> None:
+    def _rumour(self, word: MembershipUpdate) -> None:
         was_displaced = self.members.displaced
         change = self.members.told(word, self.now)
         if word.state == SUSPECT:
@@ -257,7 +263,7 @@
             self._changed(change)
         elif self.members.displaced and not was_displaced:
             self.effects.append(
-                Note(
+                LogMessage(
                     f"another relay at {word.host}:{word.port} has the name {word.name} and started "
                     "later: this one is silent towards the others until that one has ended"
                 )
@@ -277,10 +283,12 @@
         if not member.here or change.new_incarnation:
             self.signals.gone(member.name)
         if change.new_incarnation and here:
-            self.effects.append(Note(f"relay {member.name} has started anew"))
+            self.effects.append(LogMessage(f"relay {member.name} has started anew"))
         elif member.here != here:
             how = {ALIVE: "is there", SUSPECT: "is there", DEAD: "does not answer any more", LEFT: "has left"}
-            self.effects.append(Note(f"relay {member.name} {how[member.state]}; members: {self.members.describe()}"))
+            self.effects.append(
+                LogMessage(f"relay {member.name} {how[member.state]}; members: {self.members.describe()}")
+            )
 
     # --- probes ---------------------------------------------------------------------------------
 
@@ -307,7 +315,7 @@
             if asker is not None:
                 self._send(asker.address, Ack(wanted[1], ack.view, ack.of))
 
-    def _ping_for(self, member: Member, datagram: Datagram, event: PingFor) -> None:
+    def _ping_for(self, member: Member, datagram: Datagram, event: PingRequest) -> None:
         if event.to == self.members.me.name or len(self.asked_for) >= MAX_PINGS:
             return
         number = self._number()
@@ -358,7 +366,7 @@
             return
         for helper in self.random.sample(helpers, min(HELPERS, len(helpers))):
             probe.helpers += 1
-            self._send(helper.address, PingFor(number, target.name, *target.address))
+            self._send(helper.address, PingRequest(number, target.name, *target.address))
 
     def _suspect(self, name: str) -> None:
         member = self.members.table.get(name)
@@ -368,7 +376,7 @@
         change = self.members.judge(name, SUSPECT, self.now)
         if self.detector.suspect(name, member.incarnation, member.turn, me, self.now):
             self.counts["suspicions"] += 1
-            self.effects.append(Note(f"relay {name} does not answer a probe, nor {HELPERS} others for us"))
+            self.effects.append(LogMessage(f"relay {name} does not answer a probe, nor {HELPERS} others for us"))
             if change is None:  # somebody else had it first
                 self.members.spread(member.rumour(me))
         if change is not None:
@@ -383,7 +391,7 @@
             return
         for seed in self.settings.seeds:
             if seed != self.members.me.address:
-                self._send(seed, Tell(True), [self.members.me.rumour()])
+                self._send(seed, SyncRequest(True), [self.members.me.rumour()])
         self._wake(self.join_ms * self.random.uniform(0.75, 1.25), JOIN)
         self.join_ms = min(2.0 * self.join_ms, MAX_JOIN_MS)
 
@@ -398,7 +406,7 @@
         if self.members.displaced:  # who knows what became of the process that took our name?
             lost = [member.address for member in self._there()]
         if lost:
-            self._send(self.random.choice(lost), Tell(), [self.members.me.rumour()])
+            self._send(self.random.choice(lost), SyncRequest(), [self.members.me.rumour()])
 
     def _compare(self, member: Member, view: int) -> None:
         if view != self.members.view:
@@ -420,40 +428,40 @@
         if not self._may_send_whole("table", member.name):
             return
         self.counts["tables_sent"] += 1
-        room, some, first = MOST - 260, list[Rumour](), True
+        room, some, first = MOST - 260, list[MembershipUpdate](), True
         for known in self.members:
             rumour = known.rumour()
             if room < rumour_bytes(rumour) or len(some) == 64:
-                self._send(member.address, Tell(first and not answer), some)
+                self._send(member.address, SyncRequest(first and not answer), some)
                 room, some, first = MOST - 260, [], False
             some.append(rumour)
             room -= rumour_bytes(rumour)
-        self._send(member.address, Tell(first and not answer), some)
+        self._send(member.address, SyncRequest(first and not answer), some)
 
-    def _tell(self, member: Member, datagram: Datagram, tell: Tell) -> None:
+    def _tell(self, member: Member, datagram: Datagram, tell: SyncRequest) -> None:
         if tell.whole:
             self._whole_table(member, True)
 
     # --- what others have carried -----------------------------------------------------------------
 
-    def _carry(self, event: Carry) -> None:
+    def _carry(self, event: SendPayload) -> None:
         """Also to one that is held dead: it may hear us."""
         member = self.members.table.get(event.to)
         if member is not None and not self.members.displaced:
             self._send(member.address, Carried(event.data))
 
     def _carried(self, member: Member, datagram: Datagram, carried: Carried) -> None:
-        self.effects.append(Brought(member.name, carried.data))
+        self.effects.append(PayloadReceived(member.name, carried.data))
 
     # --- signals --------------------------------------------------------------------------------
 
     def _look(self) -> None:
         if self.members.size > 1 and not self.members.displaced:
-            self.effects.append(Look())
+            self.effects.append(SampleLocalLoad())
         else:
             self._wake(1000.0 * self.settings.signal_s, SIGNAL)
 
-    def _own(self, event: Own) -> None:
+    def _own(self, event: LocalLoad) -> None:
         """Tells all others at once, as often as the bytes allow."""
         there = self._there()
         count = max(len(there), 1)
@@ -466,11 +474,11 @@
         self.counts["signal_bytes"] += sent
         self._wake(1000.0 * max(least, sent / self.settings.bytes_per_s), SIGNAL)
 
-    def _signal(self, member: Member, datagram: Datagram, signal: Signal) -> None:
+    def _signal(self, member: Member, datagram: Datagram, signal: LoadSignal) -> None:
         if member.here and self.signals.told(member.name, member.incarnation, datagram.at, signal, self.now):
-            self._send(member.address, Wanted())
+            self._send(member.address, FullLoadRequest())
 
-    def _wanted(self, member: Member, datagram: Datagram, wanted: Wanted) -> None:
+    def _wanted(self, member: Member, datagram: Datagram, wanted: FullLoadRequest) -> None:
         if self._may_send_whole("signals", member.name):
             self.counts["wholes_sent"] += 1
             for word in self.signals.own.whole():
@@ -482,16 +490,16 @@
         now = (others.reporting_relays, others.relays)
         if now != self.last or others.reporting_relays or others.loads:
             self.last = now
-            self.effects.append(Told(others))
+            self.effects.append(PeerLoadsUpdated(others))
         self._wake(max(1000.0 * self.settings.signal_s, min(MAX_TELL_MS, TELL_EACH_MS * self.members.size)), TELL)
 
     # --- time, the end ----------------------------------------------------------------------------
 
-    def _woke(self, event: Woke) -> None:
+    def _woke(self, event: TimerFired) -> None:
         if event.what == BEAT and self.detector.stood(self.now - event.due, self.now):
             self.counts["stood"] += 1
             late = self.now - event.due
-            self.effects.append(Note(f"this relay stood still for {late:.0f} ms: it accuses nobody for now"))
+            self.effects.append(LogMessage(f"this relay stood still for {late:.0f} ms: it accuses nobody for now"))
         if isinstance(event.what, tuple):
             kind, number = event.what
             if kind == DIRECT:
@@ -503,12 +511,12 @@
         elif isinstance(event.what, str):
             self.wakes[event.what]()
 
-    def _leave(self, event: Leave) -> None:
+    def _leave(self, event: LeaveCluster) -> None:
         self.members.leave(self.now)
         self.left = True
         for member in self._there():
             for _ in range(TRIES_WHILE_STOPPING):
-                self._send(member.address, Tell(), [self.members.me.rumour()])
+                self._send(member.address, SyncRequest(), [self.members.me.rumour()])
 
     # --- figures --------------------------------------------------------------------------------
 
--- a/yarrowspindle/membership/load_signals.py
+++ b/yarrowspindle/membership/load_signals.py
@@ -14,8 +14,8 @@
 from math import inf
 
 from yarrowspindle.decisions.events import PeerLoads
-from yarrowspindle.membership.codec import Signal
-from yarrowspindle.membership.messages import Own
+from yarrowspindle.membership.codec import LoadSignal
+from yarrowspindle.membership.messages import LocalLoad
 
 MAX_FIGURE = (1 << 32) - 1
 ENTRIES = 50  # of three figures in a datagram, the whole of it at most 1,200 bytes with the heads and rumours
@@ -41,7 +41,7 @@
     times: int = 0
 
 
-class OwnWord:
+class LocalLoadLog:
     """What this relay holds, and the words in which it is told."""
 
     def __init__(self) -> None:
@@ -51,7 +51,7 @@
         self.beat = self.cursor = 0
         self.reports_told: dict[int, float] = {}  # node -> when the report was made that was last told
 
-    def signal(self, own: Own, now: float, times: int = TOLD_TIMES) -> Signal:
+    def signal(self, own: LocalLoad, now: float, times: int = TOLD_TIMES) -> LoadSignal:
         """The word of one beat: one datagram, so that none overtakes another. What does not fit goes with the next one.
         Each change is told so many times, as long as the newer ones leave room."""
         self.beat += 1
@@ -81,19 +81,19 @@
         first, end, part = 0, 0, list[int]()
         if self.beat % PART_EVERY == 0:
             first, end, part = self._part(max(room - len(keys), 8))
-        return Signal(base, last, self._entries(keys), first, end, part, passed, reports)
+        return LoadSignal(base, last, self._entries(keys), first, end, part, passed, reports)
 
-    def whole(self) -> list[Signal]:
+    def whole(self) -> list[LoadSignal]:
         """All of it, in parts."""
-        keys, words, first = sorted(self.holds), list[Signal](), 0
+        keys, words, first = sorted(self.holds), list[LoadSignal](), 0
         for start in range(0, max(len(keys), 1), ENTRIES):
             some = keys[start : start + ENTRIES]
             last = some[-1] if start + ENTRIES < len(keys) else MAX_FIGURE
-            words.append(Signal(0, self.version, [], first, last, self._entries(some)))
+            words.append(LoadSignal(0, self.version, [], first, last, self._entries(some)))
             first = last + 1
         return words
 
-    def _changed(self, own: Own) -> list[int]:
+    def _changed(self, own: LocalLoad) -> list[int]:
         before, changed = self.holds, []
         for key, (count, load) in islice(own.holds.items(), MAX_KEYS):
             now = (figure(count), figure(load))
@@ -106,7 +106,7 @@
             changed.append(key)
         return changed
 
-    def _reports(self, own: Own, now: float) -> list[int]:
+    def _reports(self, own: LocalLoad, now: float) -> list[int]:
         told = list[int]()
         for key, (used, holds, age) in own.reports.items():
             if age < REPORT_AGE_MS and now - age > self.reports_told.get(key, -inf) + 1.0 and len(told) < 4 * REPORTS:
@@ -134,7 +134,7 @@
         return [f for key in keys for f in (key, *self.holds.get(key, (0, 0)))]
 
 
-class Heard:
+class PeerView:
     """What one other relay said."""
 
     __slots__ = ("incarnation", "at", "version", "holds", "passed", "bounds", "counted", "wanted_at", "lost", "least")
@@ -162,10 +162,10 @@
         return max(0.0, now - self.at + self.least) if self.at >= 0 else inf
 
 
-class Signals:
+class LoadSignals:
     def __init__(self) -> None:
-        self.own = OwnWord()
-        self.heard: dict[str, Heard] = {}
+        self.own = LocalLoadLog()
+        self.heard: dict[str, PeerView] = {}
         self.sums: dict[int, list[int]] = {}  # node -> connections, load of all that are counted
         self.changed: set[int] = set()
         self.came: dict[int, int] = {}
@@ -175,11 +175,11 @@
 
     # --- what comes in --------------------------------------------------------------------------
 
-    def of(self, name: str, incarnation: int) -> Heard:
+    def of(self, name: str, incarnation: int) -> PeerView:
         heard = self.heard.get(name)
         if heard is None or heard.incarnation != incarnation:
             self.gone(name)
-            heard = self.heard[name] = Heard(incarnation)
+            heard = self.heard[name] = PeerView(incarnation)
         return heard
 
     def gone(self, name: str) -> None:
@@ -188,7 +188,7 @@
         if heard is not None:
             self._count(heard, False)
 
-    def told(self, name: str, incarnation: int, at: int, word: Signal, now: float) -> bool:
+    def told(self, name: str, incarnation: int, at: int, word: LoadSignal, now: float) -> bool:
         """A word came; whether the whole should be asked for."""
         heard = self.of(name, incarnation)
         if at <= heard.at:
@@ -217,7 +217,7 @@
             return True
         return False
 
-    def _take(self, heard: Heard, figures: list[int]) -> None:
+    def _take(self, heard: PeerView, figures: list[int]) -> None:
         """In one loop: with 200 relays some thousand figures come in a second, and each change comes three times."""
         holds, counted, sums, came = heard.holds, heard.counted, self.sums, self.came
         for key, count, load in zip(figures[::3], figures[1::3], figures[2::3], strict=True):
@@ -253,7 +253,7 @@
                 del self.sums[key]
         self.changed.add(key)
 
-    def _count(self, heard: Heard, counted: bool) -> None:
+    def _count(self, heard: PeerView, counted: bool) -> None:
         if heard.counted != counted:
             heard.counted = counted
             by = 1 if counted else -1
--- a/yarrowspindle/membership/members.py
+++ b/yarrowspindle/membership/members.py
@@ -14,7 +14,7 @@
 from hashlib import blake2b
 from math import ceil, log2
 
-from yarrowspindle.membership.codec import ALIVE, DEAD, LEFT, STATES, SUSPECT, Rumour
+from yarrowspindle.membership.codec import ALIVE, DEAD, LEFT, STATES, SUSPECT, MembershipUpdate
 from yarrowspindle.routing.address import Address
 
 MAX_MEMBERS = 4096  # names remembered, those of the dead included
@@ -35,8 +35,8 @@
     def here(self) -> bool:
         return self.state <= SUSPECT
 
-    def rumour(self, by: str = "") -> Rumour:
-        return Rumour(self.name, *self.address, self.incarnation, self.turn, self.state, by)
+    def rumour(self, by: str = "") -> MembershipUpdate:
+        return MembershipUpdate(self.name, *self.address, self.incarnation, self.turn, self.state, by)
 
 
 @dataclass(slots=True, frozen=True)
@@ -52,7 +52,7 @@
     def __init__(self, name: str, address: Address, incarnation: int, now: float) -> None:
         self.me = Member(name, address, incarnation, 0, ALIVE, now, now)
         self.table: dict[str, Member] = {name: self.me}
-        self.rumours: dict[str, tuple[Rumour, int]] = {}  # newest last; how often each was told
+        self.rumours: dict[str, tuple[MembershipUpdate, int]] = {}  # newest last; how often each was told
         self.displaced = False  # another process took this name
         self._view: int | None = None
         self._size = 1
@@ -87,7 +87,7 @@
 
     # --- words ----------------------------------------------------------------------------------
 
-    def told(self, word: Rumour, now: float) -> Change | None:
+    def told(self, word: MembershipUpdate, now: float) -> Change | None:
         """A word on a member, from whomever; the change that it made, if any. What changed is told on."""
         if word.name == self.me.name:
             return self._told_of_me(word, now)
@@ -107,7 +107,7 @@
         known.incarnation, known.turn, known.state, known.since = word.incarnation, word.turn, word.state, now
         return self._changed(known, was, word, new_incarnation)
 
-    def _told_of_me(self, word: Rumour, now: float) -> Change | None:
+    def _told_of_me(self, word: MembershipUpdate, now: float) -> Change | None:
         me = self.me
         if (
             word.incarnation < me.incarnation
@@ -144,7 +144,9 @@
         member = self.table.get(name)
         if member is None or member is self.me:
             return None
-        return self.told(Rumour(name, *member.address, member.incarnation, member.turn, state, self.me.name), now)
+        return self.told(
+            MembershipUpdate(name, *member.address, member.incarnation, member.turn, state, self.me.name), now
+        )
 
     def _room(self) -> bool:
         if len(self.table) < MAX_MEMBERS:
@@ -161,7 +163,9 @@
             del self.table[name]
             self.rumours.pop(name, None)
 
-    def _changed(self, member: Member, was: int | None, word: Rumour, new_incarnation: bool = False) -> Change:
+    def _changed(
+        self, member: Member, was: int | None, word: MembershipUpdate, new_incarnation: bool = False
+    ) -> Change:
         here = was is not None and was <= SUSPECT
         if here != member.here or new_incarnation:
             self._size += member.here - here
@@ -171,18 +175,18 @@
 
     # --- rumours --------------------------------------------------------------------------------
 
-    def spread(self, word: Rumour) -> None:
+    def spread(self, word: MembershipUpdate) -> None:
         self.rumours.pop(word.name, None)
         self.rumours[word.name] = (word, 0)
 
-    def take_rumours(self, room: int, first: str = "") -> list[Rumour]:
+    def take_rumours(self, room: int, first: str = "") -> list[MembershipUpdate]:
         """Those told least, newest first, that fit into so many bytes; `first`: what is said of this member goes
         before."""
         if not self.rumours:
             return []
         most = ceil(RETOLD * log2(self.size + 2))
         order = sorted(reversed(self.rumours.items()), key=lambda item: (item[0] != first, item[1][1]))
-        taken = list[Rumour]()
+        taken = list[MembershipUpdate]()
         for name, (word, times) in order:
             room -= rumour_bytes(word)
             if room < 0 or len(taken) == 64:
@@ -201,6 +205,6 @@
         return ", ".join(f"{count} {state}" for count, state in zip(states, STATES, strict=True) if count)
 
 
-def rumour_bytes(word: Rumour) -> int:
+def rumour_bytes(word: MembershipUpdate) -> int:
     """At the most, in MessagePack."""
     return 36 + len(word.name.encode()) + len(word.host) + len(word.by.encode())
--- a/yarrowspindle/membership/messages.py
+++ b/yarrowspindle/membership/messages.py
@@ -11,7 +11,7 @@
 
 
 @dataclass(slots=True)
-class Came:
+class DatagramReceived:
     """A datagram; `source`: where it seems to come from, used for nothing but a bound on floods."""
 
     data: bytes
@@ -19,7 +19,7 @@
 
 
 @dataclass(slots=True)
-class Woke:
+class TimerFired:
     """due: when it should have been; a relay that stood still finds out by it."""
 
     what: object
@@ -27,7 +27,7 @@
 
 
 @dataclass(slots=True)
-class Own:
+class LocalLoad:
     """What this relay holds now: node key -> connections, load. Nodes with nothing are left out.
 
     passed: node key -> milliseconds for which it is still passed over as failing.
@@ -39,50 +39,50 @@
 
 
 @dataclass(slots=True)
-class Leave:
+class LeaveCluster:
     """This relay ends in good order."""
 
 
 @dataclass(slots=True)
-class Carry:
+class SendPayload:
     """To be sent to the relay of this name, if its address is known, in a datagram of its own."""
 
     to: str
     data: bytes
 
 
-Event = Came | Woke | Own | Leave | Carry
+Event = DatagramReceived | TimerFired | LocalLoad | LeaveCluster | SendPayload
 
 
 # --- effects ------------------------------------------------------------------------------------
 
 
 @dataclass(slots=True)
-class Send:
+class SendDatagram:
     to: Address
     data: bytes
 
 
 @dataclass(slots=True)
-class Wake:
+class SetTimer:
     delay_ms: float
     what: object
 
 
 @dataclass(slots=True)
-class Look:
+class SampleLocalLoad:
     """Say what this relay holds now: an `Own` is wanted at once."""
 
 
 @dataclass(slots=True)
-class Told:
+class PeerLoadsUpdated:
     """What the others hold, as far as it changed since the last time: for the module, as it is."""
 
     others: PeerLoads
 
 
 @dataclass(slots=True)
-class Brought:
+class PayloadReceived:
     """What another relay had carried to us."""
 
     name: str
@@ -90,11 +90,11 @@
 
 
 @dataclass(slots=True)
-class Note:
+class LogMessage:
     """For the log; `bounded`: strangers can cause it."""
 
     text: str
     bounded: bool = False
 
 
-Effect = Send | Wake | Look | Told | Brought | Note
+Effect = SendDatagram | SetTimer | SampleLocalLoad | PeerLoadsUpdated | PayloadReceived | LogMessage
--- a/yarrowspindle/protocol/fragments.py
+++ b/yarrowspindle/protocol/fragments.py
@@ -17,14 +17,14 @@
 AGAIN_MS, GIVE_UP_MS = 60.0, 1500.0
 
 
-class Part(Struct, array_like=True, tag=1, frozen=True):
+class Fragment(Struct, array_like=True, tag=1, frozen=True):
     number: int
     index: int
     count: int
     data: bytes
 
 
-class More(Struct, array_like=True, tag=2, frozen=True):
+class MissingFragments(Struct, array_like=True, tag=2, frozen=True):
     """These parts of your message have not come."""
 
     number: int
@@ -32,29 +32,29 @@
 
 
 @dataclass(slots=True)
-class Half:
+class PartialMessage:
     count: int
     parts: dict[int, bytes] = field(default_factory=dict)
     asked: float = 0.0
     since: float = 0.0
 
 
-class Parcels:
+class Fragmenter:
     """first: a number that an earlier process of this relay has not used of late; any will do. sent_most: messages
     that are kept to send parts again."""
 
     def __init__(self, first: int, sent_most: int = MAX_SENT) -> None:
         self.number, self.sent_most = first, sent_most
         self.sent: OrderedDict[tuple[str, int], list[bytes]] = OrderedDict()
-        self.half: OrderedDict[tuple[str, int], Half] = OrderedDict()
+        self.half: OrderedDict[tuple[str, int], PartialMessage] = OrderedDict()
         self.whole: OrderedDict[tuple[str, int], None] = OrderedDict()
-        self._encode, self._decode = Encoder().encode, Decoder(Part | More).decode
+        self._encode, self._decode = Encoder().encode, Decoder(Fragment | MissingFragments).decode
 
     def cut(self, to: str, data: bytes) -> list[bytes]:
         """The datagrams that carry it."""
         self.number = (self.number + 1) & (1 << 48) - 1
         pieces = [data[at : at + PART] for at in range(0, len(data), PART)] or [b""]
-        parts = [self._encode(Part(self.number, i, len(pieces), piece)) for i, piece in enumerate(pieces)]
+        parts = [self._encode(Fragment(self.number, i, len(pieces), piece)) for i, piece in enumerate(pieces)]
         if len(parts) > 1:
             self.sent[to, self.number] = parts
             while len(self.sent) > self.sent_most:
@@ -67,7 +67,7 @@
             part = self._decode(data)
         except (DecodeError, ValidationError):
             return None, []
-        if isinstance(part, More):
+        if isinstance(part, MissingFragments):
             parts = self.sent.get((source, part.number), [])
             return None, [parts[i] for i in part.missing[:MAX_PARTS] if 0 <= i < len(parts)]
         if not 0 <= part.index < part.count <= MAX_PARTS:
@@ -77,7 +77,7 @@
         key = (source, part.number)
         if key in self.whole:
             return None, []
-        half = self.half.setdefault(key, Half(part.count, asked=now, since=now))
+        half = self.half.setdefault(key, PartialMessage(part.count, asked=now, since=now))
         if half.count != part.count:
             return None, []
         half.parts[part.index] = part.data
@@ -100,5 +100,5 @@
             elif now >= half.asked + AGAIN_MS:
                 half.asked = now
                 missing = [i for i in range(half.count) if i not in half.parts]
-                asked.append((source, self._encode(More(number, missing[:200]))))
+                asked.append((source, self._encode(MissingFragments(number, missing[:200]))))
         return asked
--- a/yarrowspindle/rebalancing/effect_monitor.py
+++ b/yarrowspindle/rebalancing/effect_monitor.py
@@ -44,7 +44,7 @@
         return sum(n for at, n in self.slots if now - self.span - lag_ms <= at <= now - lag_ms)
 
 
-class Watch:
+class EffectMonitor:
     def __init__(self) -> None:
         self.moved, self.back = Window(WINDOW_MS), Window(WINDOW_MS + LAG_MS)
         self.broken, self.refused, self.arrived = Window(STORM_MS), Window(STORM_MS), Window(STORM_MS)
--- a/yarrowspindle/rebalancing/fleet_view.py
+++ b/yarrowspindle/rebalancing/fleet_view.py
@@ -23,19 +23,19 @@
     state: EndpointState
 
 
-class Held:
+class EstablishedConnection:
     """One standing job."""
 
     __slots__ = ("request", "backend", "load", "key", "group", "since", "returned")
 
     def __init__(
-        self, request: int, backend: Book, load: float, key: int, group: int, since: float, returned: bool
+        self, request: int, backend: BackendRecord, load: float, key: int, group: int, since: float, returned: bool
     ) -> None:
         self.request, self.backend, self.load, self.key, self.group = request, backend, load, key, group
         self.since, self.returned = since, returned
 
 
-class Book:
+class BackendRecord:
     """One execute node."""
 
     __slots__ = (
@@ -63,7 +63,7 @@
         self.came_at = -1.0  # when it came as a newcomer; below 0: it did not
         self.flaps, self.flapped_at = 0, 0.0
         self.load = 0.0
-        self.requests: dict[int, Held] = {}  # oldest first
+        self.requests: dict[int, EstablishedConnection] = {}  # oldest first
         self.groups: dict[int, set[int]] = {}
         self.hot_since = -1.0
         self.spoilt_until = -1.0  # it turned submitters away: no target for a while
@@ -73,12 +73,12 @@
         return self.load / self.capacity
 
 
-class View:
+class FleetView:
     def __init__(self, cold_ms: float, cold_share: float) -> None:
         self.cold_ms, self.cold_share = cold_ms, cold_share
-        self.books: dict[str, Book] = {}
-        self.numbers: dict[int, Book] = {}
-        self.requests: dict[int, Held] = {}
+        self.books: dict[str, BackendRecord] = {}
+        self.numbers: dict[int, BackendRecord] = {}
+        self.requests: dict[int, EstablishedConnection] = {}
         self.mean_load = 0.0
         self.listed = False  # a list has come: who is new in a later one is a newcomer
 
@@ -90,7 +90,7 @@
         book = self.books.get(name)
         new = book is None
         if book is None:
-            book = self.books[name] = self.numbers[number] = Book(name, number)
+            book = self.books[name] = self.numbers[number] = BackendRecord(name, number)
         if state is EndpointState.READY and (book.state is not EndpointState.READY or started != book.started):
             book.ready_at, book.hot_since, book.spoilt_until = now, -1.0, -1.0
             if self.listed:
@@ -115,13 +115,13 @@
             if not book.requests and (not book.flaps or len(self.books) > MAX_BOOKS):
                 del self.books[book.name], self.numbers[book.number]
 
-    def ramp(self, now: float, book: Book) -> float:
+    def ramp(self, now: float, book: BackendRecord) -> float:
         """The share of its capacity that a node has at the least by now."""
         if book.started <= 0.0 or now >= book.started + self.cold_ms:
             return 1.0
         return self.cold_share + (1.0 - self.cold_share) * max(now - book.started, 0.0) / self.cold_ms
 
-    def settled(self, now: float, book: Book, settle_ms: float) -> bool:
+    def settled(self, now: float, book: BackendRecord, settle_ms: float) -> bool:
         """Ready, warm, and steady for long enough to be counted on; each flap doubles how long that is."""
         wait = settle_ms * 2.0 ** max(0, book.flaps - 1)
         return book.state is EndpointState.READY and self.ramp(now, book) >= 1.0 and now >= book.ready_at + wait
@@ -134,7 +134,7 @@
             return
         if load > 0.0:
             self.mean_load += (load - self.mean_load) * (0.05 if self.mean_load else 1.0)
-        held = Held(request, book, load or self.mean_load or 1.0, key, group, now, returned)
+        held = EstablishedConnection(request, book, load or self.mean_load or 1.0, key, group, now, returned)
         self.requests[request] = book.requests[request] = held
         book.load += held.load
         if group:
@@ -147,7 +147,7 @@
             held.backend.load += load - held.load
             held.load = load
 
-    def over(self, request: int) -> Held | None:
+    def over(self, request: int) -> EstablishedConnection | None:
         held = self.requests.pop(request, None)
         if held is None:
             return None
--- a/yarrowspindle/rebalancing/migration_rate.py
+++ b/yarrowspindle/rebalancing/migration_rate.py
@@ -26,7 +26,7 @@
         return True
 
 
-class Pace:
+class MigrationRate:
     """The buckets of one relay. `factor` slows all of them down; it halves on trouble and comes back by and by."""
 
     def __init__(self, now: float) -> None:
--- a/yarrowspindle/rebalancing/plan.py
+++ b/yarrowspindle/rebalancing/plan.py
@@ -14,8 +14,8 @@
 from itertools import chain, islice
 from math import sqrt
 
-from yarrowspindle.rebalancing.fleet_view import Book, Held, View
-from yarrowspindle.rebalancing.migration_rate import Pace
+from yarrowspindle.rebalancing.fleet_view import BackendRecord, EstablishedConnection, FleetView
+from yarrowspindle.rebalancing.migration_rate import MigrationRate
 from yarrowspindle.rebalancing.settings import Order, RebalanceSettings
 
 MAX_SCAN = 64
@@ -25,22 +25,22 @@
 
 
 @dataclass(slots=True)
-class Findings:
+class Assessment:
     """What a look at the view shows. Loads as in the view; `level` and `imbalance` are loads over capacity."""
 
-    taking_part: list[Book] = field(default_factory=list)
+    taking_part: list[BackendRecord] = field(default_factory=list)
     level: float = 0.0
     imbalance: float = 0.0  # the greatest above the level
     excess: float = 0.0  # load above the level at the sources
     room: float = 0.0  # load below the level at the targets
-    sources: list[Book] = field(default_factory=list)
-    targets: list[Book] = field(default_factory=list)
+    sources: list[BackendRecord] = field(default_factory=list)
+    targets: list[BackendRecord] = field(default_factory=list)
     cause: str = ""  # "joined", "hot" or nothing
 
 
-def look(now: float, view: View, settings: RebalanceSettings, drawn: Sequence[int]) -> Findings:
+def assess(now: float, view: FleetView, settings: RebalanceSettings, drawn: Sequence[int]) -> Assessment:
     """`drawn`: numbers of the nodes that the module's ordinary draw may take; own loads compare among these only."""
-    found = Findings()
+    found = Assessment()
     settle = settings.settle_s * 1000.0
     books = (view.numbers.get(number) for number in drawn)
     found.taking_part = part = [b for b in books if b is not None and view.settled(now, b, settle)]
@@ -86,14 +86,14 @@
     def draw_up(
         self,
         now: float,
-        view: View,
+        view: FleetView,
         settings: RebalanceSettings,
-        found: Findings,
-        pace: Pace,
-        allowed: Callable[[Held], str],
+        found: Assessment,
+        pace: MigrationRate,
+        allowed: Callable[[EstablishedConnection], str],
         held_back: Counter[str],
         sharers: float,
-    ) -> list[Held]:
+    ) -> list[EstablishedConnection]:
         if not found.cause or not found.sources or not found.targets:
             self.waiting.clear()
             return []
@@ -104,10 +104,10 @@
         room = [(-(found.level - b.filled) * b.capacity, b.name) for b in found.targets]
         heapq.heapify(room)
         excess = {b.name: (b.filled - found.level) * b.capacity for b in found.sources}
-        moves: list[Held] = []
+        moves: list[EstablishedConnection] = []
         taken: set[int] = set()
 
-        def go(held: Held) -> bool:
+        def go(held: EstablishedConnection) -> bool:
             """One move, if all three buckets have a token; room is booked at the emptiest target that has one."""
             name = held.backend.name
             source = pace.backend(now, "source", name, settings.source_moves_per_s, settings.beat_s)
@@ -165,15 +165,15 @@
 
     def _unit(
         self,
-        book: Book,
-        view: View,
+        book: BackendRecord,
+        view: FleetView,
         settings: RebalanceSettings,
         gap: float,
         mean: float,
         taken: set[int],
-        allowed: Callable[[Held], str],
+        allowed: Callable[[EstablishedConnection], str],
         held_back: Counter[str],
-    ) -> list[Held]:
+    ) -> list[EstablishedConnection]:
         """What goes next off this node: one job, or a whole group where groups are kept together."""
         self.turn += 1
         count = len(book.requests)
@@ -184,7 +184,7 @@
             requests = list(
                 islice(chain(islice(book.requests.values(), first, None), book.requests.values()), MAX_SCAN)
             )
-        best: list[Held] = []
+        best: list[EstablishedConnection] = []
         best_load = 0.0
         seen: set[int] = set()
         together = settings.order is Order.GROUP
--- a/yarrowspindle/rebalancing/rebalancer.py
+++ b/yarrowspindle/rebalancing/rebalancer.py
@@ -7,10 +7,10 @@
 from random import Random
 
 from yarrowspindle.decisions.events import EndpointState
-from yarrowspindle.rebalancing.effect_monitor import IN_VAIN, SPOILT_MS, Watch
-from yarrowspindle.rebalancing.fleet_view import Held, View
-from yarrowspindle.rebalancing.migration_rate import Moved, Pace
-from yarrowspindle.rebalancing.plan import Findings, Planner, look
+from yarrowspindle.rebalancing.effect_monitor import IN_VAIN, SPOILT_MS, EffectMonitor
+from yarrowspindle.rebalancing.fleet_view import EstablishedConnection, FleetView
+from yarrowspindle.rebalancing.migration_rate import MigrationRate, Moved
+from yarrowspindle.rebalancing.plan import Assessment, Planner, assess
 from yarrowspindle.rebalancing.settings import RebalanceSettings
 
 
@@ -25,9 +25,9 @@
     ) -> None:
         self.settings, self.relays = settings, max(relays, 1)
         self.random = Random(seed ^ 0x5EED).random
-        self.view = View(cold_ms, cold_share)
-        self.pace, self.planner, self.watch, self.moved = Pace(now), Planner(), Watch(), Moved()
-        self.found = Findings()
+        self.view = FleetView(cold_ms, cold_share)
+        self.pace, self.planner, self.watch, self.moved = MigrationRate(now), Planner(), EffectMonitor(), Moved()
+        self.found = Assessment()
         self.counts: Counter[str] = Counter()
         self.notes: list[str] = []
         self.stopped = False
@@ -86,7 +86,7 @@
         """drawn: numbers of the nodes that the module's ordinary draw may take. sharers: how many relays draw from each
         of them; all where it is left out."""
         settings, watch = self.settings, self.watch
-        self.found = look(now, self.view, settings, drawn)
+        self.found = assess(now, self.view, settings, drawn)
         self.moved.forget(now, settings.submitter_window_s * 1000.0)
         self.idle = (
             "stopping" if self.stopped else "quiet" if settings.is_quiet(now) else "" if self.found.cause else "even"
@@ -140,7 +140,7 @@
         rest = self.settings.pause_s * 2.0 ** (self.watch.in_vain - 1)
         return f"goes on after {rest:g} s, at {self.pace.factor:.2g} of the pace until moved submitters come back"
 
-    def _holds(self, now: float, held: Held) -> str:
+    def _holds(self, now: float, held: EstablishedConnection) -> str:
         """What keeps this job from being moved; nothing where it may go."""
         settings = self.settings
         window = settings.submitter_window_s * 1000.0
--- a/yarrowspindle/routing/events.py
+++ b/yarrowspindle/routing/events.py
@@ -11,7 +11,7 @@
 from yarrowspindle.routing.termination import TerminationReason
 
 if TYPE_CHECKING:  # the platform does without these packages
-    from yarrowspindle.maintenance.evacuation import Task
+    from yarrowspindle.maintenance.evacuation import MaintenancePlan
     from yarrowspindle.rebalancing import RebalanceSettings
 
 
@@ -204,7 +204,7 @@
 class MaintenanceUpdated:
     """What relays have agreed on of machines out for work."""
 
-    plan: Task
+    plan: MaintenancePlan
 
 
 Event = (
--- a/yarrowspindle/routing/reducer.py
+++ b/yarrowspindle/routing/reducer.py
@@ -70,7 +70,7 @@
 from yarrowspindle.routing.termination import OUTCOMES, TerminationReason
 
 if TYPE_CHECKING:
-    from yarrowspindle.maintenance.evacuation import Emptying, Task
+    from yarrowspindle.maintenance.evacuation import BackendEvacuator, MaintenancePlan
     from yarrowspindle.rebalancing import Rebalancer
 
 PULSE, STOPPING, PLAN, LIST, EMPTY = "pulse", "stopping", "plan", "list", "empty"  # the reducer's own beats
@@ -112,8 +112,8 @@
         self.exits = True  # whether the process ends after the stop, or outlives it (a drain)
         self.rebalance: Rebalancer | None = None
         self.level = 0.0  # as the module was told
-        self.task: Task | None = None  # what the relays agreed on; None: they agree on nothing
-        self.emptying: Emptying | None = None
+        self.task: MaintenancePlan | None = None  # what the relays agreed on; None: they agree on nothing
+        self.emptying: BackendEvacuator | None = None
         self.effects: list[Effect] = [SetTimer(PULSE_MS, PULSE)]
         self.handlers: dict[type, Callable[[Any], None]] = {
             RequestReceived: self._arrived,
@@ -558,7 +558,7 @@
 
     def _turns_told(self, event: MaintenanceUpdated) -> None:
         """For the module a machine that is kept off is draining, and one that came back is cold."""
-        from yarrowspindle.maintenance.evacuation import BEAT_MS, Emptying  # the platform does without it
+        from yarrowspindle.maintenance.evacuation import BEAT_MS, BackendEvacuator  # the platform does without it
 
         before = {name for name in self.backends if self._kept_off(name)}
         had, self.task = self.task, event.plan
@@ -573,7 +573,7 @@
         if turned:
             self._list(EndpointsUpdated(ListKind.DELTA, turned, self.version), False)
         if self.emptying is None:
-            self.emptying = Emptying(self.now)
+            self.emptying = BackendEvacuator(self.now)
             self.effects.append(SetTimer(BEAT_MS, EMPTY))
         self.emptying.told(self.now, event.plan)
 
--- a/yarrowspindle/runtime/membership_driver.py
+++ b/yarrowspindle/runtime/membership_driver.py
@@ -9,8 +9,18 @@
 
 from yarrowspindle.decisions.backends import Backend
 from yarrowspindle.decisions.events import BACKEND_KEY_MASK, PeerLoads, group_key
-from yarrowspindle.membership.core import SIGNAL, Peers
-from yarrowspindle.membership.messages import Brought, Effect, Event, Look, Own, Send, Told, Wake, Woke
+from yarrowspindle.membership.core import SIGNAL, Membership
+from yarrowspindle.membership.messages import (
+    Effect,
+    Event,
+    LocalLoad,
+    PayloadReceived,
+    PeerLoadsUpdated,
+    SampleLocalLoad,
+    SendDatagram,
+    SetTimer,
+    TimerFired,
+)
 from yarrowspindle.routing.address import Address
 
 AGAIN_MS = 1000.0  # a beat that failed is tried again
@@ -25,11 +35,11 @@
 
     def __init__(
         self,
-        core: Peers,
+        core: Membership,
         now: Callable[[], float],
         after: Callable[[float, Callable[[], None]], object],
         send: Callable[[Address, bytes], None],
-        own: Callable[[], Own],
+        own: Callable[[], LocalLoad],
         told: Callable[[PeerLoads], None],
         note: Callable[[str, bool], None],
         failed: Callable[[Event], None] | None = None,
@@ -78,35 +88,35 @@
     def _go_on(self, event: Event) -> None:
         """After a failure: a beat sets its next one as the last thing that it does, so this one had not."""
         self._carry_out(self.core.take_effects())
-        what = SIGNAL if isinstance(event, Own) else event.what if isinstance(event, Woke) else None
+        what = SIGNAL if isinstance(event, LocalLoad) else event.what if isinstance(event, TimerFired) else None
         if isinstance(what, str):
-            self._wake(Wake(AGAIN_MS, what))
+            self._wake(SetTimer(AGAIN_MS, what))
 
     def _carry_out(self, effects: list[Effect]) -> None:
         for effect in effects:
-            if isinstance(effect, Send):
+            if isinstance(effect, SendDatagram):
                 self.send(effect.to, effect.data)
-            elif isinstance(effect, Wake):
+            elif isinstance(effect, SetTimer):
                 self._wake(effect)
-            elif isinstance(effect, Look):
+            elif isinstance(effect, SampleLocalLoad):
                 self.queue.append(self.own())
                 if not self.busy:
                     self.post(self.queue.pop())
-            elif isinstance(effect, Told):
+            elif isinstance(effect, PeerLoadsUpdated):
                 self.told(effect.others)
-            elif isinstance(effect, Brought):
+            elif isinstance(effect, PayloadReceived):
                 self.brought(effect.name, effect.data)
             else:
                 self.note(effect.text, effect.bounded)
 
-    def _wake(self, effect: Wake) -> None:
+    def _wake(self, effect: SetTimer) -> None:
         due = self.now() + effect.delay_ms
-        self.after(effect.delay_ms, lambda: self.post(Woke(effect.what, due)))
+        self.after(effect.delay_ms, lambda: self.post(TimerFired(effect.what, due)))
 
 
-def local_load(backends: Iterable[Backend], now: float) -> Own:
+def local_load(backends: Iterable[Backend], now: float) -> LocalLoad:
     """What this balancer holds, passes over and was told by probes, for the others."""
-    own = Own({})
+    own = LocalLoad({})
     for backend in backends:
         key = backend.id & BACKEND_KEY_MASK
         if backend.open:
--- a/yarrowspindle/storage/durable_file.py
+++ b/yarrowspindle/storage/durable_file.py
@@ -11,17 +11,17 @@
 from pathlib import Path
 from typing import Generic, TypeVar
 
-from yarrowspindle.consensus.register import NONE, Held, Kept
-from yarrowspindle.maintenance.codec import BadMessage, FileCodec
+from yarrowspindle.consensus.register import NONE, AcceptorState, ReplicatedState
+from yarrowspindle.maintenance.codec import FileCodec, InvalidMessageError
 
 VOTER, LOCK = "voter", "lock"
 FIRST = "the first file"
 MAX_FILE = 4 << 20
 K = TypeVar("K")
-S = TypeVar("S", bound=Held)
+S = TypeVar("S", bound=ReplicatedState)
 
 
-class NoFile(Exception):
+class FileUnavailableError(Exception):
     """There is none that can be used; the text says why."""
 
 
@@ -30,7 +30,7 @@
     return os.urandom(16).hex()
 
 
-class KeptFile(Generic[K]):
+class DurableFile(Generic[K]):
     def __init__(self, directory: str, owner: str, cluster: str, name: str, codec: FileCodec[K]) -> None:
         self.folder, self.owner, self.cluster, self.codec = Path(directory), owner, cluster, codec
         self.path = self.folder / name
@@ -65,13 +65,13 @@
             with self.path.open("rb") as file:
                 data = file.read(MAX_FILE + 1)
         except FileNotFoundError:
-            raise NoFile("there is none") from None
+            raise FileUnavailableError("there is none") from None
         try:
             if len(data) > MAX_FILE:
-                raise BadMessage("it is too long")
+                raise InvalidMessageError("it is too long")
             return self.codec.decode(data, self.owner, self.cluster)
-        except BadMessage as why:
-            raise NoFile(str(why)) from None
+        except InvalidMessageError as why:
+            raise FileUnavailableError(str(why)) from None
 
     def store(self, kept: K) -> None:
         """Raises OSError where any step fails. Then what was there before stands or, where only the folder's sync
@@ -95,25 +95,25 @@
             os.close(folder)
 
 
-class VoterFile(KeptFile[Kept[S]]):
+class VoterFile(DurableFile[AcceptorState[S]]):
     """Where it cannot be used this voter has no voice until the others took it in anew."""
 
-    def __init__(self, directory: str, owner: str, cluster: str, codec: FileCodec[Kept[S]]) -> None:
+    def __init__(self, directory: str, owner: str, cluster: str, codec: FileCodec[AcceptorState[S]]) -> None:
         super().__init__(directory, owner, cluster, VOTER, codec)
 
     def make_first(self, first: S) -> None:
         """By the operator, once in this voter's life. Never after one was lost: a voter that forgot what it promised
         would lie. Raises NoFile where that cannot be."""
         if self.owner not in first.voters:
-            raise NoFile(f"{self.owner} is none of the voters {', '.join(first.voters)}")
+            raise FileUnavailableError(f"{self.owner} is none of the voters {', '.join(first.voters)}")
         self.folder.mkdir(parents=True, exist_ok=True)
         if self.path.exists():
-            raise NoFile(f"{self.path} is there already")
-        self.store(Kept(FIRST, NONE, NONE, first))
+            raise FileUnavailableError(f"{self.path} is there already")
+        self.store(AcceptorState(FIRST, NONE, NONE, first))
 
-    def make_anew(self, first: S) -> Kept[S]:
+    def make_anew(self, first: S) -> AcceptorState[S]:
         """Under an identity that nobody knows yet; what was there before is kept aside. Raises OSError."""
-        kept = Kept(new_identity(), NONE, NONE, first)
+        kept = AcceptorState(new_identity(), NONE, NONE, first)
         if self.path.exists():
             os.replace(self.path, self.path.with_suffix(".bad"))
         self.store(kept)
--- a/yarrowspindle/subsets/__init__.py
+++ b/yarrowspindle/subsets/__init__.py
@@ -3,6 +3,6 @@
 Not wired into the daemon yet; `docs/design/subsets.md` says what stands.
 """
 
-from yarrowspindle.subsets.subset_ring import Arcs, Subset
+from yarrowspindle.subsets.subset_ring import Subset, SubsetRing
 
-__all__ = ["Arcs", "Subset"]
+__all__ = ["SubsetRing", "Subset"]
--- a/yarrowspindle/subsets/leases.py
+++ b/yarrowspindle/subsets/leases.py
@@ -23,7 +23,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Ask:
+class LeaseRequest:
     """number: grows with each; holding: the newest loan that the sender has; need: as much as it could spend."""
 
     incarnation: int
@@ -33,7 +33,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Lend:
+class LeaseGrant:
     incarnation: int
     number: int
     amount: float
@@ -64,7 +64,7 @@
     return found
 
 
-class Bank:
+class QuotaPool:
     """part: of the pool, what this bank lends; term_ms: of a loan."""
 
     def __init__(self, part: float, term_ms: float, now: float) -> None:
@@ -76,7 +76,7 @@
     def keeps_ms(self) -> float:
         return self.term_ms * (1.0 + MARGIN)
 
-    def asked(self, now: float, name: str, ask: Ask) -> Lend | None:
+    def asked(self, now: float, name: str, ask: LeaseRequest) -> LeaseGrant | None:
         who = (name, ask.incarnation)
         account = self.accounts.get(who)
         if account is None:
@@ -94,7 +94,7 @@
             return None
         amount = min(self._share(now, who), self._free(now, who))
         account.loans[ask.number] = (amount, now + self.keeps_ms)
-        return Lend(ask.incarnation, ask.number, amount)
+        return LeaseGrant(ask.incarnation, ask.number, amount)
 
     def _share(self, now: float, who: Borrower_) -> float:
         living = {w: a.need for w, a in self.accounts.items() if now < a.heard + self.keeps_ms}
@@ -121,7 +121,7 @@
     until: float = 0.0
 
 
-class Borrower:
+class QuotaHolder:
     """One relay's side of one budget. solo: its reserved part, which it may always spend."""
 
     def __init__(self, incarnation: int, solo: float, term_ms: float, banks: tuple[str, ...]) -> None:
@@ -130,7 +130,7 @@
         self.asked: dict[int, tuple[str, float]] = {}  # number -> bank, and when it was asked
         self.held = {bank: Held() for bank in banks}
 
-    def ask(self, now: float, need: float) -> list[tuple[str, Ask]]:
+    def ask(self, now: float, need: float) -> list[tuple[str, LeaseRequest]]:
         """To be called some times a term. need: as much as this relay could spend now, in all."""
         self.asked = {n: (bank, at) for n, (bank, at) in self.asked.items() if now < at + self.term_ms}
         wanted = max(need - self.solo, 0.0) / max(len(self.banks), 1)
@@ -138,10 +138,10 @@
         for bank in self.banks:
             self.numbers += 1
             self.asked[self.numbers] = (bank, now)
-            found.append((bank, Ask(self.incarnation, self.numbers, self.held[bank].number, wanted)))
+            found.append((bank, LeaseRequest(self.incarnation, self.numbers, self.held[bank].number, wanted)))
         return found
 
-    def lent(self, now: float, bank: str, lend: Lend) -> None:
+    def lent(self, now: float, bank: str, lend: LeaseGrant) -> None:
         whom, at = self.asked.pop(lend.number, ("", 0.0))
         if lend.incarnation != self.incarnation or whom != bank or lend.number <= self.held[bank].number:
             return
--- a/yarrowspindle/subsets/subset_ring.py
+++ b/yarrowspindle/subsets/subset_ring.py
@@ -38,7 +38,7 @@
     return max(POINTS // 4, min(POINTS * MAX_POINTS, round(4.0 * share) * POINTS // 4))
 
 
-class Arcs:
+class SubsetRing:
     """The circle as one relay sees it. Relays and nodes are told one by one; a subset is worked out when asked for.
 
     part: of all nodes that a relay with the mean traffic is to have."""
