--- a/tests/daemon/test_cached_settings.py
+++ b/tests/daemon/test_cached_settings.py
@@ -13,8 +13,8 @@
 from yarrowspindle.configuration.messages import MessageReceived, Snapshot
 from yarrowspindle.configuration.state import digest
 from yarrowspindle.daemon import configuration_endpoint as control
-from yarrowspindle.daemon.config import read_operator
 from yarrowspindle.daemon.configuration_endpoint import RelayEndpoint
+from yarrowspindle.daemon.operator_config import read_operator
 
 
 @pytest.mark.parametrize("well_again", (True, False))
--- a/tests/daemon/test_configuration_daemon.py
+++ b/tests/daemon/test_configuration_daemon.py
@@ -37,8 +37,9 @@
 )
 from yarrowspindle.configuration.settings import ControllerAddress
 from yarrowspindle.configuration.state import ChangeOrder, ControlState, digest
-from yarrowspindle.daemon.config import ConfigError, Operator, load_operator, read_config, read_operator
+from yarrowspindle.daemon.config import ConfigError, read_config
 from yarrowspindle.daemon.configuration_endpoint import RelayEndpoint
+from yarrowspindle.daemon.operator_config import Operator, load_operator, read_operator
 from yarrowspindle.daemon.relay_service import RelayService
 from yarrowspindle.daemon.shared_settings import check, shared_of, text_of
 from yarrowspindle.lab.faults import Fault, Ways
@@ -275,7 +276,7 @@
 
             # The rest of the file is read again, its settings are not.
             found[3].reload(settings=SETTINGS | {"categories": [CHAT | {"deadline_ms": 1950.0}]})
-            await found[3].logged("the settings stay those that control told")
+            await found[3].logged("the settings stay those of the controllers")
             assert not await believes(found[3], LONG_MS)
 
             # Without any controller a relay that starts again serves by what it took last.
@@ -500,7 +501,7 @@
             name = ("chat", "chat", "video")[n % 3]
             changed = [CHAT | {"name": name, "deadline_ms": 3000.0 + n}, CHAT | {"name": "call"}]
             hub.take(ENTRIES | {"categories": text_of(changed)})
-            classes, current = hub.config.settings.classes, hub.config.current
+            classes, current = hub.config.settings.classes, hub.config.current_classes
             assert len(classes) <= 6 and hub.reducer.balancer.settings.classes == classes
             assert len(set(current.values())) == 2 and classes[current[name]].deadline_ms == 3000.0 + n
             assert standing.came.cls == 0 and classes[0] == old and hub.class_name(0) == "chat"
@@ -521,7 +522,7 @@
         for name in ("b", "c", "d", "chat"):  # one entry under other names: only the name tells them apart
             hub.take(ENTRIES | {"categories": text_of([CHAT | {"name": name}]), "stats": text_of(probed["stats"])})
             assert len(estimates.loads) == len(estimates.counts) == len(hub.config.classes) <= 2
-            assert estimates.loads[hub.config.current[name]] == 1.0
+            assert estimates.loads[hub.config.current_classes[name]] == 1.0
         hub.runtime.close()
 
     asyncio.run(body())
@@ -544,18 +545,18 @@
         ({"zone": "1"}, "zone is each relay's own"),
         ({"realms": "[]"}, "realms is each relay's own"),
         ({"limit": "{}"}, "; limits is"),
-        ({"limits": "{"}, "make no sense"),
+        ({"limits": "{"}, "are invalid"),
         ({"limits": "NaN"}, "NaN is no number"),
         ({"step_ms": "Infinity"}, "Infinity is no number"),
         ({"step_ms": "0"}, "tick_ms must be above 0"),
         ({"categories": "{}"}, "categories.count is missing"),
-        ({"categories": "[]"}, "make no sense"),
+        ({"categories": "[]"}, "are invalid"),
         ({"categories": '{"count": 1, "0": {"slo_ms": 1, "deadline_ms": 1}}'}, "categories is a list of objects"),
         ({"categories": text_of([CHAT | {"name": ""}])}, "a name of its own"),
         ({"categories": text_of([CHAT | {"name": "a\nb"}])}, "a name of its own"),
         ({"balancers": "0"}, "balancers must be at least 1"),
-        ({"obligations": "[" * 5000}, "make no sense"),
-        ({"obligations": "9" * 5000}, "make no sense"),
+        ({"obligations": "[" * 5000}, "are invalid"),
+        ({"obligations": "9" * 5000}, "are invalid"),
     ],
 )
 def test_the_check_names_what_no_relay_could_serve_by(change: dict[str, str], says: str) -> None:
--- a/tests/daemon/test_crossings.py
+++ b/tests/daemon/test_crossings.py
@@ -76,7 +76,7 @@
 async def stopping(w: World) -> None:
     """Asked to stop, and about it: the line is logged a little before."""
     w.stop()
-    await w.logged("asked to stop")
+    await w.logged("shutting down")
     assert await (await w.client("PING")).hear() == "NO"
 
 
@@ -121,7 +121,7 @@
 def test_a_request_that_comes_on_a_resting_connection_after_the_end_is_not_sent_on(tmp_path: Path) -> None:
     async def body(w: World) -> None:
         w.stop()
-        await w.logged("asked to stop")
+        await w.logged("shutting down")
         resting = [await w.client("PING") for _ in range(3)]
         assert [await peer.hear() for peer in resting] == ["NO"] * 3
         while True:
--- a/tests/daemon/test_daemon.py
+++ b/tests/daemon/test_daemon.py
@@ -208,7 +208,7 @@
         for text in ("{", "[]", '{"name": "n0"}'):  # a file that makes no sense changes nothing
             whole = w.file.read_text()
             w.reload(text)
-            assert "ERROR" in await w.logged("the old one stays whole")
+            assert "ERROR" in await w.logged("the old one stays in force")
             w.file.write_text(whole)
         for _ in range(3):
             w.reload(discovery=f"127.0.0.1:{w.list.port}", seed="1")
--- a/tests/daemon/test_operations.py
+++ b/tests/daemon/test_operations.py
@@ -13,7 +13,8 @@
 
 from tests.ports import free_port
 from tests.stand_ins import SETTINGS, WAIT_S, World, relay
-from yarrowspindle.daemon.config import read_config, retune
+from yarrowspindle.daemon.config import read_config
+from yarrowspindle.daemon.settings_update import merge_settings
 from yarrowspindle.decisions.settings import RequestClass, Settings
 from yarrowspindle.routing.events import ClientDisconnected, RequestReceived
 from yarrowspindle.routing.reducer import Reducer
@@ -147,10 +148,12 @@
     old = read_config(data)
     raw = raw | {"azs": ["b", "a", "c"], "zone": 0, "realms": realms[::-1]}
     raw["family_info"] = raw["family_info"] | {"message_aim_ms": [90.0]}
-    new = retune(old, read_config(data | {"settings": raw}))
+    new = merge_settings(old, read_config(data | {"settings": raw}))
     assert new.tenants == ["acme", "b"] and [t.share for t in new.settings.tenants] == [0.7, 0.3]
     assert (new.names, new.settings.zone, new.settings.zones) == (old.names, 1, 2)
-    assert new.classes == ["chat", "chat"] and new.current == {"chat": 1} and new.settings.slow_message_ms == 30.0
+    assert (
+        new.classes == ["chat", "chat"] and new.current_classes == {"chat": 1} and new.settings.slow_message_ms == 30.0
+    )
 
 
 def test_settings_at_sighup_are_taken_whole_or_not_at_all(tmp_path: Path, port: int) -> None:
@@ -167,10 +170,10 @@
         for text in broken:
             w.file.write_text(text)  # as it is, also empty
             w.process.send_signal(signal.SIGHUP)
-            await w.logged("turned down")
+            await w.logged("is rejected")
         news = SETTINGS | {"categories": [chat | {"name": "video", "deadline_ms": 900.0}]}
         w.reload(json.dumps(config | {"settings": news}))
-        await w.logged("new settings are taken")
+        await w.logged("new settings are in force")
         figures = figures_of((await call(port, http_request("GET", "/api/telemetry")))[1])
         assert figures["reconfig_failed"] == len(broken) and figures["reconfig_ok"] == 1
         refused = await w.request()  # chat has vanished: no new connection of it is taken
--- a/tests/daemon/test_rebalancing_daemon.py
+++ b/tests/daemon/test_rebalancing_daemon.py
@@ -86,7 +86,7 @@
         await w.logged("sprad is not known; spread is")
         (tmp_path / "operator.toml").write_text("")
         w.reload()
-        await w.logged("[rebalance] was read again: off")
+        await w.logged("[rebalance] was reloaded: off")
         for task in tasks:
             failed = task.done() and task.exception()
             assert not failed, failed
--- a/tests/daemon/test_reload_failures.py
+++ b/tests/daemon/test_reload_failures.py
@@ -28,11 +28,11 @@
         await w.standing()
         (tmp_path / "operator.toml").write_bytes(NO_SENSE[what])
         w.reload()
-        await asyncio.wait_for(w.logged("turned down"), WAIT_S)
+        await asyncio.wait_for(w.logged("is rejected"), WAIT_S)
         await w.standing()
         (tmp_path / "operator.toml").write_bytes(b"")
         w.reload()
-        await asyncio.wait_for(w.logged("was read again"), WAIT_S)
+        await asyncio.wait_for(w.logged("was reloaded"), WAIT_S)
         await w.standing()
 
     run(tmp_path, body)
@@ -43,7 +43,7 @@
     async def body(w: World) -> None:
         await w.standing()
         w.reload(text)
-        await asyncio.wait_for(w.logged("turned down"), WAIT_S)
+        await asyncio.wait_for(w.logged("is rejected"), WAIT_S)
         await w.standing()
 
     run(tmp_path, body)
--- a/tests/daemon/test_starts_and_ends.py
+++ b/tests/daemon/test_starts_and_ends.py
@@ -19,7 +19,8 @@
 from tests.stand_ins import ROOT
 from tests.transport.test_connecting import Backend, config
 from yarrowspindle.daemon import metrics
-from yarrowspindle.daemon.config import MetricsConfig, read_config
+from yarrowspindle.daemon.config import read_config
+from yarrowspindle.daemon.operator_config import MetricsConfig
 from yarrowspindle.daemon.relay_service import RelayService
 from yarrowspindle.fronts.line_front import LineFront
 from yarrowspindle.routing.effects import MigrateConnection
--- a/tests/fronts/test_quic_front.py
+++ b/tests/fronts/test_quic_front.py
@@ -12,7 +12,8 @@
 from tests.ports import free_port
 from tests.quic_stand_ins import ID_KEY, IDS, RESET_KEY, QuicBackend, QuicClient
 from tests.stand_ins import relay
-from yarrowspindle.daemon.config import Config, QuicConfig
+from yarrowspindle.daemon.config import Config
+from yarrowspindle.daemon.operator_config import QuicConfig
 from yarrowspindle.daemon.relay_service import RelayService
 from yarrowspindle.decisions.events import EndpointState, ListKind
 from yarrowspindle.decisions.settings import RequestClass, Settings
--- a/tests/lab/test_processes.py
+++ b/tests/lab/test_processes.py
@@ -12,7 +12,8 @@
 
 from tests.ports import free_port
 from tests.stand_ins import ROOT, relay
-from yarrowspindle.daemon.config import ConfigError, read_operator
+from yarrowspindle.daemon.config import ConfigError
+from yarrowspindle.daemon.operator_config import read_operator
 from yarrowspindle.lab.processes import Run, play
 from yarrowspindle.lab.processes.__main__ import main
 from yarrowspindle.lab.processes.checker import Checker, Terms
--- a/tests/maintenance/test_maintenance_parts.py
+++ b/tests/maintenance/test_maintenance_parts.py
@@ -12,7 +12,8 @@
 
 from yarrowspindle.consensus.register import NONE, Accept, Acceptor, AcceptorState, Prepare, Promise, Rejected
 from yarrowspindle.consensus.register import Send as RegisterSend
-from yarrowspindle.daemon.config import ConfigError, read_operator
+from yarrowspindle.daemon.config import ConfigError
+from yarrowspindle.daemon.operator_config import read_operator
 from yarrowspindle.daemon.voter_file import MaintenanceVoterFile, first_state
 from yarrowspindle.decisions.events import EndpointState
 from yarrowspindle.maintenance import codec
--- a/tests/protocol/test_protocol.py
+++ b/tests/protocol/test_protocol.py
@@ -9,7 +9,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from yarrowspindle.daemon.config import ConfigError, QuicConfig, flatten, read_operator
+from yarrowspindle.daemon.config import ConfigError, flatten
+from yarrowspindle.daemon.operator_config import QuicConfig, read_operator
 from yarrowspindle.decisions.events import EndpointState, ListKind
 from yarrowspindle.protocol import collectd, graphite, lines
 from yarrowspindle.protocol.endpoint_list import ListError, Names, WatchAnswer
--- a/yarrowspindle/commands/configuration.py
+++ b/yarrowspindle/commands/configuration.py
@@ -11,8 +11,8 @@
 
 from yarrowspindle.commands.api_client import address, call, run
 from yarrowspindle.configuration.settings import CONTROLLER, ControlSettings
-from yarrowspindle.daemon.config import load_operator
 from yarrowspindle.daemon.controller import file_of, first_state
+from yarrowspindle.daemon.operator_config import load_operator
 from yarrowspindle.daemon.shared_settings import shared_of, text_of
 from yarrowspindle.storage.durable_file import FileUnavailableError
 
--- a/yarrowspindle/commands/maintenance.py
+++ b/yarrowspindle/commands/maintenance.py
@@ -8,7 +8,8 @@
 import click
 
 from yarrowspindle.commands import api_client as calls
-from yarrowspindle.daemon.config import load_config, load_operator
+from yarrowspindle.daemon.config import load_config
+from yarrowspindle.daemon.operator_config import load_operator
 from yarrowspindle.daemon.voter_file import MaintenanceVoterFile
 from yarrowspindle.maintenance.settings import ORDERS
 from yarrowspindle.maintenance.status_report import table
--- a/yarrowspindle/daemon/controller.py
+++ b/yarrowspindle/daemon/controller.py
@@ -27,9 +27,10 @@
 from yarrowspindle.configuration.settings import ControlSettings
 from yarrowspindle.configuration.state import ControlError, ControlState
 from yarrowspindle.consensus.register import Acceptor, AcceptorState
-from yarrowspindle.daemon.config import ConfigError, Operator
+from yarrowspindle.daemon.config import ConfigError
 from yarrowspindle.daemon.configuration_endpoint import Endpoint, some_number
 from yarrowspindle.daemon.metrics import report
+from yarrowspindle.daemon.operator_config import Operator
 from yarrowspindle.daemon.shared_settings import check
 from yarrowspindle.operator_api import OperatorApi
 from yarrowspindle.operator_api.http import Answer as HttpAnswer
--- a/yarrowspindle/daemon/main.py
+++ b/yarrowspindle/daemon/main.py
@@ -1,4 +1,4 @@
-"""Start, serve, stop."""
+"""The process of a relay, or of a controller: start, serve, shut down."""
 
 from __future__ import annotations
 
@@ -9,123 +9,190 @@
 import time
 from collections.abc import Awaitable, Callable
 from functools import partial
-from typing import TypeVar
+from typing import TYPE_CHECKING, TypeVar
 
 import uvloop
 from loguru import logger
 
-from yarrowspindle.daemon.config import Config, ConfigError, Operator, load_config, load_operator
+from yarrowspindle.daemon.config import Config, ConfigError, load_config
 from yarrowspindle.daemon.connection_limiter import descriptors_left
 from yarrowspindle.daemon.log import log_to
 from yarrowspindle.daemon.metrics import report
+from yarrowspindle.daemon.operator_config import Operator, load_operator
 from yarrowspindle.daemon.relay_service import RelayService
 from yarrowspindle.fronts.line_front import LineFront
 from yarrowspindle.runtime import SystemClock
 
+if TYPE_CHECKING:  # the platform does without these packages
+    from yarrowspindle.daemon.configuration_endpoint import RelayEndpoint
+    from yarrowspindle.daemon.maintenance_endpoint import MaintenanceEndpoint
+    from yarrowspindle.daemon.membership_endpoint import MembershipEndpoint
+    from yarrowspindle.operator_api import OperatorApi
+
 T = TypeVar("T")
-MAX_START_S, START_AGAIN_S = 9.0, 0.05  # a relay is to be ready within 10 s
-FOR_A_MOMENT = frozenset(
+
+EXIT_CONFIG_ERROR = 2
+MAX_START_S = 9.0  # a relay has to be ready within 10 s of its start
+START_RETRY_S = 0.05
+# Errors of the system that may pass: an address that the process before still holds, or a shortage.
+TRANSIENT_ERRORS = frozenset(
     (errno.EADDRINUSE, errno.EADDRNOTAVAIL, errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EINTR)
 )
-END_S = 0.25  # for the ends of connections, once all was moved or answered
+CLOSE_S = 0.25  # for the ends of connections, once all were migrated or answered
+# Garbage collection would only make requests late: what stands at the start is frozen, the rest is collected seldom.
+GC_THRESHOLDS = (20_000, 50, 100)
+
 
+async def start_with_retries(resource: str, start: Callable[[], Awaitable[T]]) -> T:
+    """Starts what needs a socket, and tries again while the system is short of one.
 
-async def once_free(what: str, start: Callable[[], Awaitable[T]]) -> T:
-    """Starts what needs a socket, again and again while the system has none to give: an address that the process
-    before still holds, descriptors or memory that are short just now. Raises OSError after START_MOST_S."""
-    until, said = time.monotonic() + MAX_START_S, ""
+    Args:
+        resource: what is started, for the log.
+        start: starts it.
+
+    Raises:
+        OSError: of another kind than `TRANSIENT_ERRORS`, or still raised after MAX_START_S.
+    """
+    until = time.monotonic() + MAX_START_S
+    logged = ""
     while True:
         try:
             return await start()
         except OSError as error:
-            if error.errno not in FOR_A_MOMENT or time.monotonic() >= until:
+            if error.errno not in TRANSIENT_ERRORS or time.monotonic() >= until:
                 raise
-            if (why := str(error)) != said:
-                logger.warning("{} cannot be had yet: {}", what, why)
-            said = why
-        await asyncio.sleep(START_AGAIN_S)
-
-
-async def serve(config: Config, operator: Operator) -> None:
-    hub = RelayService(config, SystemClock(), operator)
-    loop = asyncio.get_running_loop()
-    loop.add_signal_handler(signal.SIGHUP, hub.reload)
-    stopping = asyncio.Event()
-    for number in (signal.SIGTERM, signal.SIGINT):  # from before the first connection is taken in
-        loop.add_signal_handler(number, stopping.set)
-    hub.start()
-    control = None
-    if operator.control is not None:
-        from yarrowspindle.daemon.configuration_endpoint import (
-            RelayEndpoint,  # needs a package that the platform does without
-        )
-
-        control = RelayEndpoint(hub, operator.control)
-        control.start()
-    descriptors = descriptors_left(config.sockets) - (operator.quic.max_connections if operator.quic else 0)
-    if config.settings.may_probe and config.settings.load_report_fields:
-        descriptors -= hub.prober.most
-    if config.operator is not None:
-        from yarrowspindle.operator_api import MOST, OperatorApi
-
-        descriptors -= MOST + 2  # one more while the oldest is ended, and its socket
-
-    async def listen() -> LineFront:
-        return LineFront(hub, descriptors).start()
-
-    server = await once_free("the clients' address", listen)
-    api = None
-    if config.operator is not None:
+            if str(error) != logged:
+                logged = str(error)
+                logger.warning("{} cannot be had yet: {}", resource, logged)
+        await asyncio.sleep(START_RETRY_S)
+
+
+class RelayProcess:
+    """The parts of a running relay, started and closed in their order."""
+
+    def __init__(self, config: Config, operator: Operator) -> None:
+        self.config = config
+        self.operator = operator
+        self.service = RelayService(config, SystemClock(), operator)
+        self.shutdown_requested = asyncio.Event()
+        self.front: LineFront | None = None
+        self.api: OperatorApi | None = None
+        self.configuration: RelayEndpoint | None = None
+        self.membership: MembershipEndpoint | None = None
+        self.maintenance: MaintenanceEndpoint | None = None
+        self.reports: list[asyncio.Task[None]] = []
+
+    async def run(self) -> None:
+        """Serves until SIGTERM or SIGINT, then shuts down."""
+        self._handle_signals()
+        self.service.start()
+        self._start_configuration()
+        await self._start_fronts()
+        await self._start_membership()
+        self._start_reports()
+        self.service.serving = True
+        gc.collect()
+        gc.freeze()
+        gc.set_threshold(*GC_THRESHOLDS)
+        await self.shutdown_requested.wait()
+        await self._shut_down()
+
+    def _handle_signals(self) -> None:
+        """Before the first connection is accepted, so that none is lost to a signal."""
+        loop = asyncio.get_running_loop()
+        loop.add_signal_handler(signal.SIGHUP, self.service.reload)
+        for number in (signal.SIGTERM, signal.SIGINT):
+            loop.add_signal_handler(number, self.shutdown_requested.set)
+
+    def _start_configuration(self) -> None:
+        if self.operator.control is None:
+            return
+        from yarrowspindle.daemon.configuration_endpoint import RelayEndpoint
+
+        self.configuration = RelayEndpoint(self.service, self.operator.control)
+        self.configuration.start()
+
+    async def _start_fronts(self) -> None:
+        descriptors = self._front_descriptors()
+
+        async def listen() -> LineFront:
+            return LineFront(self.service, descriptors).start()
+
+        self.front = await start_with_retries("the clients' address", listen)
+        if self.config.operator is not None:
+            await self._start_operator_api(*self.config.operator)
+        if self.operator.quic is not None:
+            from yarrowspindle.fronts.quic_front import QuicFront
+
+            await QuicFront(self.service, self.operator.quic).start()
+
+    def _front_descriptors(self) -> int:
+        """Returns how many descriptors the line front may use: what the other parts do not need."""
+        descriptors = descriptors_left(self.config.max_descriptors)
+        if self.operator.quic is not None:
+            descriptors -= self.operator.quic.max_connections
+        if self.config.settings.may_probe and self.config.settings.load_report_fields:
+            descriptors -= self.service.prober.most
+        if self.config.operator is not None:
+            from yarrowspindle.operator_api import MOST
+
+            descriptors -= MOST + 2  # one more while the oldest is closed, and the listening socket
+        return descriptors
+
+    async def _start_operator_api(self, host: str, port: int) -> None:
         from yarrowspindle.daemon.operator_routes import routes
-
-        api = OperatorApi(routes(hub), lambda text: logger.error("an operator's call failed: {}", text))
-        await once_free("the operators' address", partial(api.start, *config.operator))
-        logger.info("the operators' API is at {}:{}", *config.operator)
-    if operator.quic is not None:
-        from yarrowspindle.fronts.quic_front import QuicFront  # needs packages that the platform does without
-
-        await QuicFront(hub, operator.quic).start()
-    peering = None
-    if operator.peers is not None:
-        from yarrowspindle.daemon.membership_endpoint import (
-            MembershipEndpoint,  # needs a package that the platform does without
-        )
-
-        peering = MembershipEndpoint(hub, operator.peers)
-        peering.start()
-    turning = None
-    if operator.turns is not None and peering is not None:
+        from yarrowspindle.operator_api import OperatorApi
+
+        api = OperatorApi(routes(self.service), lambda text: logger.error("an operator's call failed: {}", text))
+        await start_with_retries("the operators' address", partial(api.start, host, port))
+        self.api = api
+        logger.info("the operators' API is at {}:{}", host, port)
+
+    async def _start_membership(self) -> None:
+        if self.operator.peers is None:
+            return
+        from yarrowspindle.daemon.membership_endpoint import MembershipEndpoint
+
+        self.membership = MembershipEndpoint(self.service, self.operator.peers)
+        self.membership.start()
+        if self.operator.turns is None:
+            return
         from yarrowspindle.daemon.maintenance_endpoint import MaintenanceEndpoint
 
-        turning = MaintenanceEndpoint(hub, peering, operator.turns)
-        await turning.start()
-    reports = []
-    if operator.metrics is not None:
-        reports.append(loop.create_task(report(hub.metrics, operator.metrics, config.name)))
-    hub.serving = True
-    gc.collect()
-    gc.freeze()  # what is here now stays; collecting it again would only make jobs late
-    gc.set_threshold(20_000, 50, 100)
-    await stopping.wait()
-    logger.info("asked to stop: {} jobs are here", len(hub.reducer.requests))
-    await asyncio.sleep(hub.stop() / 1000.0)
-    await server.end(END_S)
-    for task in reports:
-        task.cancel()
-    if control is not None:
-        await control.close()
-    if turning is not None:
-        await turning.close()
-    if peering is not None:
-        await peering.close()
-    hub.prober.close()
-    if api is not None:
-        api.close()
-    logger.info("stopped: {} jobs are left", len(hub.reducer.requests))
+        self.maintenance = MaintenanceEndpoint(self.service, self.membership, self.operator.turns)
+        await self.maintenance.start()
+
+    def _start_reports(self) -> None:
+        if self.operator.metrics is not None:
+            reporting = report(self.service.metrics, self.operator.metrics, self.config.name)
+            self.reports.append(asyncio.get_running_loop().create_task(reporting))
+
+    async def _shut_down(self) -> None:
+        """Migrates or answers everybody, then closes the parts, those that others rest on last."""
+        service = self.service
+        logger.info("shutting down: {} requests and connections are open", len(service.reducer.requests))
+        await asyncio.sleep(service.stop() / 1000.0)
+        if self.front is not None:
+            await self.front.end(CLOSE_S)
+        for task in self.reports:
+            task.cancel()
+        for endpoint in (self.configuration, self.maintenance, self.membership):
+            if endpoint is not None:
+                await endpoint.close()
+        service.prober.close()
+        if self.api is not None:
+            self.api.close()
+        logger.info("stopped: {} requests and connections are left", len(service.reducer.requests))
+
+
+async def serve(config: Config, operator: Operator) -> None:
+    """Runs one relay until it has shut down."""
+    await RelayProcess(config, operator).run()
 
 
 def main() -> int:
-    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # until it can be followed; the file is about to be read anyway
+    """Runs a relay, or the controller that the operator's file names. Returns the process's exit status."""
+    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # until it can be handled; the file is about to be read anyway
     log_to("INFO")
     try:
         operator = load_operator()
@@ -139,6 +206,6 @@
         config = load_config()
     except (ConfigError, ValueError) as error:
         logger.error("{}", error)
-        return 2
+        return EXIT_CONFIG_ERROR
     uvloop.run(serve(config, operator))
     return 0
--- a/yarrowspindle/daemon/maintenance_endpoint.py
+++ b/yarrowspindle/daemon/maintenance_endpoint.py
@@ -15,9 +15,9 @@
 from loguru import logger
 
 from yarrowspindle.consensus.register import Acceptor, AcceptorState
-from yarrowspindle.daemon.config import Operator
 from yarrowspindle.daemon.log import Bounded
 from yarrowspindle.daemon.membership_endpoint import MembershipEndpoint
+from yarrowspindle.daemon.operator_config import Operator
 from yarrowspindle.daemon.relay_service import RelayService
 from yarrowspindle.daemon.voter_file import MaintenanceVoterFile, first_state
 from yarrowspindle.decisions.events import BACKEND_KEY_MASK, EndpointState
--- a/yarrowspindle/daemon/metrics.py
+++ b/yarrowspindle/daemon/metrics.py
@@ -10,7 +10,7 @@
 
 from loguru import logger
 
-from yarrowspindle.daemon.config import MetricsConfig
+from yarrowspindle.daemon.operator_config import MetricsConfig
 from yarrowspindle.protocol import collectd, graphite
 from yarrowspindle.routing.address import Address
 from yarrowspindle.routing.effects import AbortAttempt, Effect, FailRequest, MigrateConnection, RejectRequest
--- /dev/null
+++ b/yarrowspindle/daemon/operator_config.py
@@ -0,0 +1,171 @@
+"""The operator's TOML file, named by `YARROWSPINDLE_OPERATOR`: all that is off without it."""
+
+from __future__ import annotations
+
+import os
+import tomllib
+from collections.abc import Mapping
+from dataclasses import dataclass
+from pathlib import Path
+from typing import TYPE_CHECKING, Any
+
+from yarrowspindle.daemon.config import ConfigError
+from yarrowspindle.protocol.endpoint_list import ListError, parse_address
+from yarrowspindle.routing.address import Address
+
+if TYPE_CHECKING:  # the platform does without these packages
+    from yarrowspindle.configuration.settings import ControlSettings
+    from yarrowspindle.maintenance.settings import TurnSettings
+    from yarrowspindle.membership import PeerSettings
+    from yarrowspindle.rebalancing import RebalanceSettings
+
+FILE_VARIABLE = "YARROWSPINDLE_OPERATOR"
+LOG_LEVELS = ("TRACE", "DEBUG", "INFO", "SUCCESS", "WARNING", "ERROR", "CRITICAL")
+SECTIONS = frozenset(("log", "quic", "metrics", "rebalance", "peers", "turns", "control"))
+ID_KEY_BYTES = 16
+MIN_RESET_KEY_BYTES = 16
+
+
+@dataclass(slots=True, frozen=True)
+class QuicConfig:
+    """The section [quic]. Field names are the keys of the file.
+
+    Attributes:
+        listen: the UDP address of the front.
+        id_key: the key of the connection ids that backends issue, 16 bytes.
+        reset_key: the key of the Stateless Reset tokens, at least 16 bytes.
+        node_port: the port of the backends; 0: the one that the endpoint list gives.
+        deadline_ms: how long a client waits for its backend; 0: the deadline of the first request class.
+        answer_ms: an attempt at a backend that has not answered by then is aborted.
+        idle_s: a connection without packets for so long has ended.
+        max_connections: connections at once, each with a socket of its own.
+    """
+
+    listen: Address
+    id_key: bytes
+    reset_key: bytes
+    node_port: int = 0
+    deadline_ms: float = 0.0
+    answer_ms: float = 1000.0
+    idle_s: float = 30.0
+    max_connections: int = 400
+
+
+@dataclass(slots=True, frozen=True)
+class MetricsConfig:
+    """The section [metrics]: where reports go, under which prefix, and how many seconds apart."""
+
+    graphite: Address | None = None
+    collectd: Address | None = None
+    prefix: str = "yarrowspindle"
+    interval_s: float = 10.0
+
+
+@dataclass(slots=True, frozen=True)
+class Operator:
+    """What the operator's file switches on. Field names are those of its sections, but for the log's level."""
+
+    log_level: str = "INFO"
+    quic: QuicConfig | None = None
+    metrics: MetricsConfig | None = None
+    rebalance: RebalanceSettings | None = None
+    peers: PeerSettings | None = None
+    turns: TurnSettings | None = None
+    control: ControlSettings | None = None
+
+
+def read_operator(text: str) -> Operator:
+    """Reads the text of the file. Raises ConfigError that names the section or key that is invalid."""
+    try:
+        data = tomllib.loads(text)
+        _check_sections(data)
+        return Operator(
+            _log_level(data.get("log", {})),
+            _read_quic(dict(data["quic"])) if "quic" in data else None,
+            _read_metrics(dict(data["metrics"])) if "metrics" in data else None,
+            _read_rebalance(data["rebalance"]) if "rebalance" in data else None,
+            _read_peers(data["peers"]) if "peers" in data else None,
+            _read_turns(data["turns"]) if "turns" in data else None,
+            _read_control(data["control"]) if "control" in data else None,
+        )
+    except (KeyError, TypeError, ValueError, AttributeError, ListError) as error:
+        reason = str(error) if isinstance(error, ValueError) else repr(error)  # a KeyError's text is only the key
+        raise ConfigError(f"the operator's file is invalid: {reason}") from error
+
+
+def load_operator(environ: Mapping[str, str] = os.environ) -> Operator:
+    """Reads the file that the environment names; without one all is off. Raises ConfigError."""
+    path = environ.get(FILE_VARIABLE)
+    if not path:
+        return Operator()
+    try:
+        return read_operator(Path(path).read_text(encoding="utf-8"))
+    except (OSError, UnicodeDecodeError) as error:
+        raise ConfigError(f"{path} cannot be read: {error}") from error
+
+
+def _check_sections(data: Mapping[str, Any]) -> None:
+    unknown = data.keys() - SECTIONS
+    if unknown:
+        raise ValueError(f"unknown sections: {sorted(unknown)}")
+    for name, section in data.items():
+        if not isinstance(section, dict):
+            raise ValueError(f"{name} is a section")
+    if "turns" in data and "peers" not in data:
+        raise ValueError("[turns] needs [peers]: without membership relays cannot reach a quorum")
+
+
+def _log_level(section: Mapping[str, Any]) -> str:
+    level = str(section.get("level", "INFO"))
+    if level not in LOG_LEVELS:
+        raise ValueError(f"log.level is one of {', '.join(LOG_LEVELS)}")
+    return level
+
+
+def _read_quic(section: dict[str, Any]) -> QuicConfig:
+    listen = parse_address(section.pop("listen"))
+    id_key = bytes.fromhex(section.pop("id_key"))
+    reset_key = bytes.fromhex(section.pop("reset_key"))
+    quic = QuicConfig(listen, id_key, reset_key, **section)
+    keys_fit = len(id_key) == ID_KEY_BYTES and len(reset_key) >= MIN_RESET_KEY_BYTES
+    if not keys_fit or quic.max_connections < 1 or quic.idle_s <= 0.0:
+        raise ValueError("id_key has 16 bytes, reset_key at least 16; max_connections and idle_s are positive")
+    return quic
+
+
+def _read_metrics(section: dict[str, Any]) -> MetricsConfig:
+    for name in ("graphite", "collectd"):
+        if name in section:
+            section[name] = parse_address(section[name])
+    metrics = MetricsConfig(**section)
+    if metrics.interval_s <= 0.0:
+        raise ValueError("interval_s is positive")
+    return metrics
+
+
+def _read_rebalance(section: Mapping[str, Any]) -> RebalanceSettings:
+    from yarrowspindle.rebalancing.settings import read_rebalance
+
+    return read_rebalance(section)
+
+
+def _read_peers(section: Mapping[str, Any]) -> PeerSettings:
+    try:
+        from yarrowspindle.membership.settings import read_peers
+    except ImportError as error:
+        raise ValueError(f"[peers] needs requirements-peers.txt: {error}") from error
+    return read_peers(section)
+
+
+def _read_turns(section: Mapping[str, Any]) -> TurnSettings:
+    from yarrowspindle.maintenance.settings import read_turns
+
+    return read_turns(section)
+
+
+def _read_control(section: Mapping[str, Any]) -> ControlSettings:
+    try:
+        from yarrowspindle.configuration.settings import read_control
+    except ImportError as error:
+        raise ValueError(f"[control] needs requirements-turns.txt: {error}") from error
+    return read_control(section)
--- a/yarrowspindle/daemon/relay_service.py
+++ b/yarrowspindle/daemon/relay_service.py
@@ -1,4 +1,7 @@
-"""The daemon's wiring: the runtime round the reducer, the machine list, the configuration, metrics, and the fronts."""
+"""The relay as one service: the runtime round the reducer, the endpoint watch, health checks, telemetry, the fronts.
+
+It owns the configuration that is in force, and takes up a new one from the file or from the controllers.
+"""
 
 from __future__ import annotations
 
@@ -8,10 +11,12 @@
 
 from loguru import logger
 
-from yarrowspindle.daemon.config import Config, ConfigError, Operator, load_operator, reload_config, retune, share
+from yarrowspindle.daemon.config import Config, ConfigError
 from yarrowspindle.daemon.log import Bounded
 from yarrowspindle.daemon.metrics import Metrics
-from yarrowspindle.routing.effects import Effect, WatchEndpoints
+from yarrowspindle.daemon.operator_config import Operator, load_operator
+from yarrowspindle.daemon.settings_update import apply_shared_settings, merge_settings, reload_config
+from yarrowspindle.routing.effects import CancelHealthCheck, Effect, WatchEndpoints
 from yarrowspindle.routing.events import (
     DiscoveryAddressChanged,
     DrainCancelled,
@@ -28,162 +33,208 @@
 from yarrowspindle.telemetry.guard import Guard
 from yarrowspindle.telemetry.trace import Trace
 
-TRACED = ("TRACE", "DEBUG")  # log levels at which each step of each request is logged
-IDLE_FRACTION = 0.8  # of the time after which nodes close idle connections: the relay closes them first
-# SIGKILL comes no sooner after SIGTERM than the longest deadline (counted as 3 s where it is longer) and 0.7 s more.
-LONGEST_MS, KILL_AFTER_MS = 3000.0, 700.0
-ENDING_MS = 400.0  # of that for the ends of connections and of the process
-EVACUATE_MS = 2500.0  # all standing connections are moved within this time after an evacuation
+TRACE_LEVELS = ("TRACE", "DEBUG")  # log levels at which each step of each request is logged
+# The relay closes idle connections before the backends do, so that no request crosses their close.
+IDLE_TIMEOUT_FRACTION = 0.8
+# SIGKILL comes no sooner after SIGTERM than the longest deadline, counted as MAX_DEADLINE_MS where it is longer, and
+# KILL_GRACE_MS more.
+MAX_DEADLINE_MS = 3000.0
+KILL_GRACE_MS = 700.0
+CLOSE_RESERVE_MS = 400.0  # of that, kept for closing connections and ending the process
+DRAIN_MS = 2500.0  # all established connections are migrated within this time after an operator's drain
 
 
 def log(level: str, text: str) -> None:
+    """Logs a text of the runtime; an error with the exception that is being handled."""
     logger.opt(exception=level == "error").log(level.upper(), "{}", text)
 
 
 class RelayService:
+    """One relay, without the sockets of its fronts.
+
+    Args:
+        config: the platform's configuration.
+        clock: the source of time for the reducer.
+        operator: what the operator's file switches on.
+        timers: timers that are driven by hand; None: the event loop's.
+    """
+
     def __init__(
         self, config: Config, clock: Clock, operator: Operator | None = None, timers: Timers | None = None
     ) -> None:
-        self.config, self.operator = config, operator or Operator()
-        reducer = Reducer(config.settings, config.seed, clock.now(), config.discovery)
-        self.runtime = Runtime(reducer, clock, log, timers)
-        self.reducer, self.fronts = reducer, self.runtime.fronts
+        self.config = config
+        self.operator = operator or Operator()
+        self.reducer = Reducer(config.settings, config.seed, clock.now(), config.discovery)
+        self.runtime = Runtime(self.reducer, clock, log, timers)
         if isinstance(clock, SystemClock):
             self.runtime.wall_step_ms = clock.wall_step_ms
-        self.connected: list[Callable[[], set[str]]] = []  # execute nodes to which each front has connections
-        self.shared: Mapping[str, str] = {}  # settings that control told, in place of the file's
-        self.reloaded: list[Callable[[Operator], None]] = []  # who else takes up the operator's file
-        self.post, self.forget, self.new_request = self.runtime.post, self.runtime.forget, self.runtime.new_request
+        self.fronts = self.runtime.fronts
+        self.post = self.runtime.post
+        self.forget = self.runtime.forget
+        self.new_request = self.runtime.new_request
+        self.connected: list[Callable[[], set[str]]] = []  # the backends that each front has connections to
+        self.shared: Mapping[str, str] = {}  # settings from the controllers, in place of the file's
+        self.reloaded: list[Callable[[Operator], None]] = []  # called with the operator's file after SIGHUP
+        self.serving = False  # whether the fronts accept connections
+        self._observe()
+        self._watch_discovery()
+        self._check_health()
+
+    def _observe(self) -> None:
+        """Attaches all that counts or logs what the reducer receives and asks for."""
         self.metrics = Metrics(self.reducer)
+        self.telemetry = Telemetry(self.reducer, self.class_name)
+        self.guard = Guard(lambda: self.config.settings, logger.error)
         self.metrics.sources["runtime"] = self.runtime.counts
+        self.metrics.sources["invariant_violations_total"] = self.guard.counts
         self.runtime.seen.append(lambda now, event: self.metrics.event(event))
-        self.telemetry = Telemetry(reducer, self.class_name)
         self.runtime.seen.append(lambda now, event: self.telemetry.event(event))
-        self.guard = Guard(lambda: self.config.settings, logger.error)
-        self.metrics.sources["invariant_violations_total"] = self.guard.counts
         self.runtime.seen.append(self.guard.event)
         self.trace: Trace | None = None
-        if self.operator.log_level in TRACED:
+        if self.operator.log_level in TRACE_LEVELS:
             self.trace = trace = Trace(logger.debug)
             self.runtime.seen.append(lambda now, event: trace.event(event))
-        self.runtime.effect = self._effect
-        self.serving = False  # set once the fronts take connections, and unset when they no longer do
+        self.runtime.effect = self._observe_effect
+
+    def _watch_discovery(self) -> None:
         self.watch = ListWatch(
-            config.names, self.post, lambda why: logger.warning("the watch on the machine list is over: {}", why)
+            self.config.names,
+            self.post,
+            lambda reason: logger.warning("the watch on the endpoint list ended: {}", reason),
         )
         self.runtime.watch = self._watch
+
+    def _check_health(self) -> None:
+        settings = self.config.settings
         self.bad_probes = Bounded(time.monotonic)
-        self.prober = Prober(
-            config.settings.load_report_fields,
-            IDLE_FRACTION * config.settings.conn_idle_ms / 1000.0,
-            self.post,
-            self.bad_probes.warn,
-        )
+        idle_timeout_s = IDLE_TIMEOUT_FRACTION * settings.conn_idle_ms / 1000.0
+        self.prober = Prober(settings.load_report_fields, idle_timeout_s, self.post, self.bad_probes.warn)
         self.metrics.sources["probes"] = self.prober.counts
         self.runtime.probe = self.prober.probe
-        self.runtime.unprobe = lambda effect: self.prober.leave({effect.backend})
+        self.runtime.unprobe = self._cancel_health_check
+
+    def _cancel_health_check(self, effect: CancelHealthCheck) -> None:
+        self.prober.leave({effect.backend})
 
     def start(self) -> None:
+        """Starts the runtime with the endpoint list that the configuration has."""
         self.runtime.start()
         if self.operator.turns is not None:
             from yarrowspindle.maintenance.evacuation import MaintenancePlan  # the platform does without it
 
-            self.post(MaintenanceUpdated(MaintenancePlan()))  # nothing is placed before this process knows what is out
+            # Nothing is placed before this process knows which backends are out for maintenance.
+            self.post(MaintenanceUpdated(MaintenancePlan()))
         self.post(self.config.known)
-        self._rebalance()
+        self._configure_rebalancing()
 
-    def _effect(self, effect: Effect) -> None:
+    def _observe_effect(self, effect: Effect) -> None:
         self.guard.effect(effect)
         self.metrics.effect(effect)
         self.telemetry.effect(effect)
         if self.trace is not None:
             self.trace.effect(effect)
 
-    def class_name(self, cls: int) -> str:
+    def class_name(self, number: int) -> str:
+        """Returns the name of a request class; its number where it has none."""
         classes = self.config.classes
-        return classes[cls] if 0 <= cls < len(classes) else str(cls)
+        return classes[number] if 0 <= number < len(classes) else str(number)
 
-    # --- what operators ask and tell --------------------------------------------------------------
+    # --- the operators' API -----------------------------------------------------------------------
 
     def ready(self) -> bool:
-        """Whether this process takes new connections: it serves, and neither drains nor stops."""
+        """Returns whether this process accepts new connections: it serves, and neither drains nor shuts down."""
         return self.serving and not self.reducer.draining
 
     def evacuate(self) -> None:
-        """Empties the relay by the same way as SIGTERM, and outlives it; once is enough."""
+        """Drains the relay as SIGTERM does, but the process goes on; a second call changes nothing."""
         if not self.reducer.draining:
-            logger.info("evacuating: {} jobs are here; standing connections are moved", len(self.reducer.requests))
-            self.post(ShutdownRequested(EVACUATE_MS, process_exits=False))
+            logger.info("draining: {} requests and connections are migrated", len(self.reducer.requests))
+            self.post(ShutdownRequested(DRAIN_MS, process_exits=False))
 
     def rejoin(self) -> None:
-        """Back to work after an evacuation; harmless without one, and no help after SIGTERM."""
+        """Ends a drain of the operators; without one, or after SIGTERM, it changes nothing."""
         if self.reducer.draining and not self.reducer.exits:
-            logger.info("rejoining: new connections are taken again")
+            logger.info("the drain is cancelled: new connections are accepted")
             self.post(DrainCancelled())
 
-    def _rebalance(self) -> None:
-        if self.operator.rebalance is not None or self.reducer.rebalance is not None:
-            self.post(RebalancingConfigured(self.operator.rebalance, self.config.seed))
-            self.metrics.rebalance(self.reducer.rebalance)
-
     def stop(self) -> float:
-        """Everybody is to be moved or answered within the time that is given back, in milliseconds."""
-        config = self.config
-        longest = max(config.settings.classes[number].deadline_ms for number in config.current.values())
-        within_ms = min(longest, LONGEST_MS) + KILL_AFTER_MS - ENDING_MS
-        self.post(ShutdownRequested(within_ms))  # also after an evacuation: this one ends with the process
+        """Begins the shutdown, also during a drain. Returns the milliseconds by which everybody has an answer or was
+        migrated."""
+        classes = self.config.settings.classes
+        longest_ms = max(classes[number].deadline_ms for number in self.config.current_classes.values())
+        within_ms = min(longest_ms, MAX_DEADLINE_MS) + KILL_GRACE_MS - CLOSE_RESERVE_MS
+        self.post(ShutdownRequested(within_ms))
         return within_ms
 
+    # --- new configurations -----------------------------------------------------------------------
+
     def reload(self) -> None:
-        """Reads the configuration's file again. One that makes no sense changes nothing."""
+        """Reads both configuration files again (SIGHUP). Where either is invalid nothing changes."""
         try:
             operator = load_operator()
-            config, waiting = reload_config(self.config, used=self.reducer.classes, shared=self.shared)
+            reloaded = reload_config(self.config, used=self.reducer.classes, shared=self.shared)
         except (ConfigError, ValueError) as error:
             self.telemetry.reloaded(False)
-            logger.error("the configuration was turned down, the old one stays whole: {}", error)
+            logger.error("the configuration is rejected, the old one stays in force: {}", error)
             return
-        self._settle(config)
+        self._replace_config(reloaded.config)
         if self.shared:
-            logger.info("the settings stay those that control told; the file's are served by once it tells none")
-        if waiting:
-            logger.warning("changes of {} need a restart", ", ".join(waiting))
-        logger.info("the configuration was read again; the machine list is at {}:{}", *self.config.discovery)
+            logger.info("the settings stay those of the controllers; the file's apply once the controllers have none")
+        if reloaded.needs_restart:
+            logger.warning("changes of {} need a restart", ", ".join(reloaded.needs_restart))
+        logger.info("the configuration was reloaded; discovery is at {}:{}", *self.config.discovery)
         self.post(DiscoveryAddressChanged(self.config.discovery))
+        self._reload_operator(operator)
+
+    def _reload_operator(self, operator: Operator) -> None:
+        """Takes up what may change without a restart: [rebalance] and the maintenance requests."""
         if operator.rebalance != self.operator.rebalance:
-            logger.info("[rebalance] was read again: {}", operator.rebalance or "off")
+            logger.info("[rebalance] was reloaded: {}", operator.rebalance or "off")
             self.operator = replace(self.operator, rebalance=operator.rebalance)
-            self._rebalance()
+            self._configure_rebalancing()
         if self.operator.turns is not None and operator.turns is not None:
-            self.operator = replace(self.operator, turns=replace(self.operator.turns, requests=operator.turns.requests))
-        for take in self.reloaded:
-            take(operator)
+            turns = replace(self.operator.turns, requests=operator.turns.requests)
+            self.operator = replace(self.operator, turns=turns)
+        for listener in self.reloaded:
+            listener(operator)
         if operator != self.operator:
             logger.warning("changes of the operator's file outside [rebalance] and [[turns.request]] need a restart")
 
     def take(self, shared: Mapping[str, str]) -> None:
-        """Serves by these settings in place of the file's; none: by the file's. Raises ConfigError, and then nothing
-        has changed."""
+        """Applies the controllers' settings in place of the file's; an empty mapping: the file's.
+
+        Raises:
+            ConfigError: a member is invalid; nothing has changed.
+        """
         try:
-            config = retune(self.config, share(self.config, shared), self.reducer.classes)
+            config = merge_settings(self.config, apply_shared_settings(self.config, shared), self.reducer.classes)
         except ConfigError:
             self.telemetry.reloaded(False)
             raise
         self.shared = shared
-        self._settle(config)
+        self._replace_config(config)
 
-    def _settle(self, config: Config) -> None:
+    def _replace_config(self, config: Config) -> None:
         old, self.config = self.config, config
         self.telemetry.reloaded(True)
-        anew = frozenset(
-            n
-            for n, (was, now) in enumerate(zip(old.classes, config.classes, strict=False))
-            if (was, old.settings.classes[n]) != (now, config.settings.classes[n])
-        )
-        if anew or config.settings != old.settings:
-            logger.info("new settings are taken: classes {}", ", ".join(sorted(config.current)))
+        reassigned = _reassigned_classes(old, config)
+        if reassigned or config.settings != old.settings:
+            logger.info("new settings are in force: classes {}", ", ".join(sorted(config.current_classes)))
             self.prober.fields = config.settings.load_report_fields
-            self.post(SettingsChanged(config.settings, anew))
+            self.post(SettingsChanged(config.settings, reassigned))
+
+    def _configure_rebalancing(self) -> None:
+        if self.operator.rebalance is not None or self.reducer.rebalance is not None:
+            self.post(RebalancingConfigured(self.operator.rebalance, self.config.seed))
+            self.metrics.rebalance(self.reducer.rebalance)
 
     def _watch(self, effect: WatchEndpoints) -> None:
         self.watch.ask(effect.version, effect.address or self.config.discovery, effect.renew)
+
+
+def _reassigned_classes(old: Config, new: Config) -> frozenset[int]:
+    """Returns the class numbers that stand for another class, or for other limits, than before."""
+    before = zip(old.classes, old.settings.classes, strict=False)
+    after = zip(new.classes, new.settings.classes, strict=False)
+    pairs = enumerate(zip(before, after, strict=False))
+    return frozenset(number for number, (was, now) in pairs if was != now)
--- a/yarrowspindle/daemon/shared_settings.py
+++ b/yarrowspindle/daemon/shared_settings.py
@@ -11,7 +11,8 @@
 from difflib import get_close_matches
 from typing import Any
 
-from yarrowspindle.daemon.config import OWN, ConfigError, shared_settings
+from yarrowspindle.daemon.config import RELAY_OWN_MEMBERS, ConfigError
+from yarrowspindle.daemon.settings_update import build_shared_settings
 
 SHARED = (
     "balancers",
@@ -33,7 +34,7 @@
 def unknown(keys: Iterable[str]) -> str:
     """Why a key cannot be shared; empty: all can."""
     for key in sorted(keys):
-        if key in OWN:
+        if key in RELAY_OWN_MEMBERS:
             return f"{key} is each relay's own: it stays in the relays' files"
         if key not in SHARED:
             near = get_close_matches(key, SHARED, 1)
@@ -48,7 +49,7 @@
     why = unknown(entries)
     if not why:
         try:
-            shared_settings(STAND_IN, entries)
+            build_shared_settings(STAND_IN, entries)
         except ConfigError as error:
             why = str(error)
     return why[:MAX_WHY]
@@ -62,4 +63,8 @@
 def shared_of(settings: Mapping[str, Any]) -> tuple[dict[str, str], list[str], list[str]]:
     """Of a platform's settings: the entries; members that are each relay's own; such as the program does not read."""
     entries = {key: text_of(value) for key, value in settings.items() if key in SHARED}
-    return entries, sorted(settings.keys() & OWN), sorted(settings.keys() - OWN - set(SHARED))
+    return (
+        entries,
+        sorted(settings.keys() & RELAY_OWN_MEMBERS),
+        sorted(settings.keys() - RELAY_OWN_MEMBERS - set(SHARED)),
+    )
--- a/yarrowspindle/fronts/line_front.py
+++ b/yarrowspindle/fronts/line_front.py
@@ -109,7 +109,7 @@
     def request_came(self, side: ClientConnection, opened: Open) -> None:
         config = self.config
         try:
-            cls = self.hub.config.current[opened.get("c")]
+            cls = self.hub.config.current_classes[opened.get("c")]
             tenant = config.tenants.index(opened.get("t")) if config.tenants else 0
         except (KeyError, ValueError):
             raise LineError("a class or tenant that the settings do not name") from None
--- a/yarrowspindle/fronts/quic_front.py
+++ b/yarrowspindle/fronts/quic_front.py
@@ -15,7 +15,7 @@
 from aioquic.quic.packet import QuicPacketType
 from loguru import logger
 
-from yarrowspindle.daemon.config import QuicConfig
+from yarrowspindle.daemon.operator_config import QuicConfig
 from yarrowspindle.daemon.relay_service import RelayService
 from yarrowspindle.decisions.events import EndpointState
 from yarrowspindle.protocol import quic
@@ -159,7 +159,7 @@
     def _first_class(self) -> tuple[int, float]:
         """Of the settings as they are now: its number, and its deadline."""
         config = self.hub.config
-        number = next(iter(config.current.values()), 0)
+        number = next(iter(config.current_classes.values()), 0)
         return number, config.settings.classes[number].deadline_ms
 
     def _new_flow(self, header: Header, data: bytes, client: Address) -> Flow:
