--- a/tests/daemon/test_connection_limiter.py
+++ b/tests/daemon/test_connection_limiter.py
@@ -1,4 +1,4 @@
-"""Who is let in while descriptors are short, against random steps; and the bound on the log."""
+"""Who is let in while descriptors are short, against random steps."""
 
 from __future__ import annotations
 
@@ -8,7 +8,6 @@
 from hypothesis import strategies as st
 
 from yarrowspindle.daemon.connection_limiter import SPARE, YOUNG_S, Door
-from yarrowspindle.daemon.log import AT_ONCE, Bounded
 
 STEPS = ["come"] * 5 + ["known"] * 2 + ["answer", "lose", "wait"]
 
@@ -54,17 +53,6 @@
         assert all(now[0] >= born[side] + YOUNG_S for side in born if side.aborted)
 
 
-def test_warnings_that_strangers_cause_are_bounded() -> None:
-    now = [0.0]
-    log = Bounded(lambda: now[0])
-    for _ in range(10 * AT_ONCE):
-        log.warn("a bad line")
-    assert (log.said, log.unsaid) == (AT_ONCE, 9 * AT_ONCE)
-    now[0] = 1.0
-    log.warn("a bad line")
-    assert (log.said, log.unsaid) == (1, 0)
-
-
 def test_strangers_that_all_become_requests_find_a_descriptor_for_their_backends_too() -> None:
     """Strangers counted once, and a crowd that opened its jobs together took what is kept for the watch."""
     door = Door(40 + SPARE, lambda: 0.0)
--- a/tests/daemon/test_starts_and_ends.py
+++ b/tests/daemon/test_starts_and_ends.py
@@ -18,7 +18,7 @@
 from tests.ports import free_port
 from tests.stand_ins import ROOT
 from tests.transport.test_connecting import Backend, config
-from yarrowspindle.daemon import metrics
+from yarrowspindle.daemon import metrics_reporter
 from yarrowspindle.daemon.config import read_config
 from yarrowspindle.daemon.operator_config import MetricsConfig
 from yarrowspindle.daemon.relay_service import RelayService
@@ -104,9 +104,9 @@
                 raise OSError(errno.ENFILE, "Too many open files in system")
             return Way()
 
-        monkeypatch.setattr(metrics, "open_datagrams", open_datagrams)
+        monkeypatch.setattr(metrics_reporter, "open_datagrams", open_datagrams)
         told = MetricsConfig(collectd=("127.0.0.1", free_port()), interval_s=0.02)
-        reporting = asyncio.ensure_future(metrics.report(figures, told, "n0"))
+        reporting = asyncio.ensure_future(metrics_reporter.report(figures, told, "n0"))
         await asyncio.sleep(0.3)
         assert not reporting.done() and figures.asked >= 4 and len(opened) == 2 and len(sent) >= 2
         reporting.cancel()
--- a/yarrowspindle/daemon/configuration_endpoint.py
+++ b/yarrowspindle/daemon/configuration_endpoint.py
@@ -32,7 +32,7 @@
 from yarrowspindle.configuration.settings import ControlSettings, preferred
 from yarrowspindle.configuration.state import ControlState
 from yarrowspindle.daemon.config import ConfigError
-from yarrowspindle.daemon.log import Bounded
+from yarrowspindle.daemon.log import RateLimitedLog
 from yarrowspindle.daemon.relay_service import RelayService
 from yarrowspindle.daemon.shared_settings import MAX_WHY, check
 from yarrowspindle.membership.codec import DroppedDatagramError
@@ -66,7 +66,7 @@
         self.incarnation = int(time.time() * 1000.0)
         self.link = Link(name, settings.reached_at, settings.cluster, self.incarnation, some_number(), self._now())
         self.counts: Counter[str] = Counter()
-        self.bounded = Bounded(time.monotonic)
+        self.bounded = RateLimitedLog(time.monotonic)
         self.said: set[str] = set()
         self.said_at = 0.0
         self.tasks: list[asyncio.Task[None]] = []
--- a/yarrowspindle/daemon/controller.py
+++ b/yarrowspindle/daemon/controller.py
@@ -29,7 +29,7 @@
 from yarrowspindle.consensus.register import Acceptor, AcceptorState
 from yarrowspindle.daemon.config import ConfigError
 from yarrowspindle.daemon.configuration_endpoint import Endpoint, some_number
-from yarrowspindle.daemon.metrics import report
+from yarrowspindle.daemon.metrics_reporter import report
 from yarrowspindle.daemon.operator_config import Operator
 from yarrowspindle.daemon.shared_settings import check
 from yarrowspindle.operator_api import OperatorApi
--- a/yarrowspindle/daemon/log.py
+++ b/yarrowspindle/daemon/log.py
@@ -1,4 +1,4 @@
-"""The log, and a bound on how fast others can make it grow."""
+"""The process's log on standard error, and a limit on warnings that clients can cause."""
 
 from __future__ import annotations
 
@@ -7,29 +7,42 @@
 
 from loguru import logger
 
-AT_ONCE, EACH_S = 20, 1.0
+LOG_FORMAT = "{time:HH:mm:ss.SSS} {level} {message}"
+MAX_WARNINGS = 20  # in each period
+PERIOD_S = 1.0
 
 
 def log_to(level: str) -> None:
+    """Logs from this level on, in place of what was set before."""
     logger.remove()
-    # diagnose: annotated tracebacks show the values of variables, clients' keys among them.
-    logger.add(sys.stderr, format="{time:HH:mm:ss.SSS} {level} {message}", level=level, backtrace=False, diagnose=False)
+    # Without `diagnose`: annotated tracebacks show the values of variables, clients' keys among them.
+    logger.add(sys.stderr, format=LOG_FORMAT, level=level, backtrace=False, diagnose=False)
 
 
-class Bounded:
-    """Warnings that strangers can cause: so many in a second, then a count of the others."""
+class RateLimitedLog:
+    """Warnings that clients can cause: MAX_WARNINGS in a period, then a count of the others.
+
+    Args:
+        clock: seconds of a clock that never goes back.
+    """
 
     def __init__(self, clock: Callable[[], float]) -> None:
-        self.clock, self.since, self.said, self.unsaid = clock, clock(), 0, 0
+        self.clock = clock
+        self.period_start = clock()
+        self.logged = 0
+        self.suppressed = 0
 
     def warn(self, text: str) -> None:
+        """Logs the warning, or counts it where too many were logged in this period."""
         now = self.clock()
-        if now >= self.since + EACH_S:
-            if self.unsaid:
-                logger.warning("and {} more warnings like these", self.unsaid)
-            self.since, self.said, self.unsaid = now, 0, 0
-        if self.said < AT_ONCE:
-            self.said += 1
+        if now >= self.period_start + PERIOD_S:
+            if self.suppressed:
+                logger.warning("and {} more warnings like these", self.suppressed)
+            self.period_start = now
+            self.logged = 0
+            self.suppressed = 0
+        if self.logged < MAX_WARNINGS:
+            self.logged += 1
             logger.warning("{}", text)
         else:
-            self.unsaid += 1
+            self.suppressed += 1
--- a/yarrowspindle/daemon/main.py
+++ b/yarrowspindle/daemon/main.py
@@ -17,7 +17,7 @@
 from yarrowspindle.daemon.config import Config, ConfigError, load_config
 from yarrowspindle.daemon.connection_limiter import descriptors_left
 from yarrowspindle.daemon.log import log_to
-from yarrowspindle.daemon.metrics import report
+from yarrowspindle.daemon.metrics_reporter import report
 from yarrowspindle.daemon.operator_config import Operator, load_operator
 from yarrowspindle.daemon.relay_service import RelayService
 from yarrowspindle.fronts.line_front import LineFront
@@ -134,9 +134,9 @@
         if self.config.settings.may_probe and self.config.settings.load_report_fields:
             descriptors -= self.service.prober.most
         if self.config.operator is not None:
-            from yarrowspindle.operator_api import MOST
+            from yarrowspindle.operator_api import MAX_CALLS
 
-            descriptors -= MOST + 2  # one more while the oldest is closed, and the listening socket
+            descriptors -= MAX_CALLS + 2  # one more while the oldest is closed, and the listening socket
         return descriptors
 
     async def _start_operator_api(self, host: str, port: int) -> None:
--- a/yarrowspindle/daemon/maintenance_endpoint.py
+++ b/yarrowspindle/daemon/maintenance_endpoint.py
@@ -15,7 +15,7 @@
 from loguru import logger
 
 from yarrowspindle.consensus.register import Acceptor, AcceptorState
-from yarrowspindle.daemon.log import Bounded
+from yarrowspindle.daemon.log import RateLimitedLog
 from yarrowspindle.daemon.membership_endpoint import MembershipEndpoint
 from yarrowspindle.daemon.operator_config import Operator
 from yarrowspindle.daemon.relay_service import RelayService
@@ -79,7 +79,7 @@
         self.task = MaintenancePlan(rate=settings.moves_per_s)
         self.requests = settings.requests
         self.counts: Counter[str] = Counter()
-        self.bounded = Bounded(time.monotonic)
+        self.bounded = RateLimitedLog(time.monotonic)
         self.tasks: list[asyncio.Task[None]] = []
         self.api: OperatorApi | None = None
         self.closed = False
--- a/yarrowspindle/daemon/membership_endpoint.py
+++ b/yarrowspindle/daemon/membership_endpoint.py
@@ -12,7 +12,7 @@
 
 from loguru import logger
 
-from yarrowspindle.daemon.log import Bounded
+from yarrowspindle.daemon.log import RateLimitedLog
 from yarrowspindle.daemon.relay_service import RelayService
 from yarrowspindle.decisions.events import PeerLoads
 from yarrowspindle.membership import Membership, PeerSettings
@@ -41,7 +41,7 @@
         self.pump = PeerPump(
             self.core, self._now, self._after, self._send, self._own, self._told, self._note, self._failed
         )
-        self.bounded = Bounded(time.monotonic)
+        self.bounded = RateLimitedLog(time.monotonic)
         self.handles: set[asyncio.TimerHandle] = set()
         hub.metrics.sources["peers"] = self.counts
         hub.metrics.more_gauges.append(self.gauges)
--- a/yarrowspindle/daemon/operator_routes.py
+++ b/yarrowspindle/daemon/operator_routes.py
@@ -1,26 +1,35 @@
-"""What each call of the operators' API does to the relay: the routes that `operator/` serves."""
+"""The routes of the operators' API: what each call does to the relay. Paths and texts are the operators'."""
 
 from __future__ import annotations
 
+from http import HTTPStatus
+
 from yarrowspindle.daemon.relay_service import RelayService
 from yarrowspindle.operator_api import Routes
 
 
-def routes(hub: RelayService) -> Routes:
+def routes(service: RelayService) -> Routes:
+    """Returns path -> method -> call."""
+
     def ready() -> tuple[int, str]:
-        return (200, "ready\n") if hub.ready() else (503, "not ready\n")
+        if service.ready():
+            return HTTPStatus.OK, "ready\n"
+        return HTTPStatus.SERVICE_UNAVAILABLE, "not ready\n"
+
+    def telemetry() -> tuple[int, str]:
+        return HTTPStatus.OK, service.telemetry.text()
 
     def evacuate() -> tuple[int, str]:
-        hub.evacuate()
-        return 200, "evacuating\n"
+        service.evacuate()
+        return HTTPStatus.OK, "evacuating\n"
 
     def rejoin() -> tuple[int, str]:
-        hub.rejoin()
-        return 200, "serving\n" if hub.ready() else "stopping\n"
+        service.rejoin()
+        return HTTPStatus.OK, "serving\n" if service.ready() else "stopping\n"
 
     return {
         "/api/ready": {"GET": ready},
-        "/api/telemetry": {"GET": lambda: (200, hub.telemetry.text())},
+        "/api/telemetry": {"GET": telemetry},
         "/api/evacuate": {"PUT": evacuate},
         "/api/rejoin": {"PUT": rejoin},
     }
--- a/yarrowspindle/daemon/relay_service.py
+++ b/yarrowspindle/daemon/relay_service.py
@@ -12,7 +12,7 @@
 from loguru import logger
 
 from yarrowspindle.daemon.config import Config, ConfigError
-from yarrowspindle.daemon.log import Bounded
+from yarrowspindle.daemon.log import RateLimitedLog
 from yarrowspindle.daemon.metrics import Metrics
 from yarrowspindle.daemon.operator_config import Operator, load_operator
 from yarrowspindle.daemon.settings_update import apply_shared_settings, merge_settings, reload_config
@@ -106,7 +106,7 @@
 
     def _check_health(self) -> None:
         settings = self.config.settings
-        self.bad_probes = Bounded(time.monotonic)
+        self.bad_probes = RateLimitedLog(time.monotonic)
         idle_timeout_s = IDLE_TIMEOUT_FRACTION * settings.conn_idle_ms / 1000.0
         self.prober = Prober(settings.load_report_fields, idle_timeout_s, self.post, self.bad_probes.warn)
         self.metrics.sources["probes"] = self.prober.counts
--- a/yarrowspindle/fronts/line_front.py
+++ b/yarrowspindle/fronts/line_front.py
@@ -9,7 +9,7 @@
 from loguru import logger
 
 from yarrowspindle.daemon.connection_limiter import Door
-from yarrowspindle.daemon.log import Bounded
+from yarrowspindle.daemon.log import RateLimitedLog
 from yarrowspindle.daemon.relay_service import RelayService
 from yarrowspindle.protocol import lines
 from yarrowspindle.protocol.lines import LineError, Open
@@ -51,7 +51,7 @@
         self.hub, self.config = hub, hub.config
         self.loop = asyncio.get_running_loop()
         self.door = Door(descriptors, self.loop.time)
-        self.log = Bounded(self.loop.time)
+        self.log = RateLimitedLog(self.loop.time)
         self.network = OwnNetwork()
         self.clients: dict[int, ClientConnection] = {}
         self.opened: dict[int, Open] = {}  # lines of jobs that may still be sent on
--- a/yarrowspindle/operator_api/__init__.py
+++ b/yarrowspindle/operator_api/__init__.py
@@ -1,5 +1,5 @@
-"""The operators' API: where operators ask and tell the relay; it decides nothing."""
+"""The operators' API over HTTP: it passes calls on and decides nothing."""
 
-from yarrowspindle.operator_api.http import MOST, OperatorApi, Routes
+from yarrowspindle.operator_api.http import MAX_CALLS, OperatorApi, Routes
 
-__all__ = ["MOST", "OperatorApi", "Routes"]
+__all__ = ["MAX_CALLS", "OperatorApi", "Routes"]
--- a/yarrowspindle/operator_api/http.py
+++ b/yarrowspindle/operator_api/http.py
@@ -1,8 +1,8 @@
 """The operators' API: HTTP/1.1 on httptools, one call per connection, bounded in number, bytes and time.
 
-It decides nothing: each call is handed to the function that the program gave for its path and method, and what that
-returns is written back. Whoever is slow, malformed or too large is answered with a plain 4xx, or ended, and can never
-hold more than one of `MOST` places for longer than `DEADLINE_S`.
+It decides nothing: each call goes to the function that stands for its path and method, and its answer is written back.
+A caller that is slow, malformed or too large gets a plain 4xx or is closed, and never holds one of the MAX_CALLS places
+for longer than CALL_TIMEOUT_S.
 """
 
 from __future__ import annotations
@@ -10,16 +10,22 @@
 import asyncio
 from collections.abc import Callable, Mapping
 from functools import partial
+from http import HTTPStatus
 from typing import cast
 
 import httptools
 
-MOST = 32  # connections at once; the oldest is ended for a new one
-DEADLINE_S = 2.0  # for a whole call; answers are due within 1 s, callers that dawdle hold their place no longer
-MAX_HEAD = 8192  # bytes of the request line and headers
-MAX_URL = 1024
-MAX_BODY = 4096  # a PUT may carry a small body, which is not read
-REASONS = {
+MAX_CALLS = 32  # connections at once; the oldest is closed for a new one
+CALL_TIMEOUT_S = 2.0  # for a whole call
+LINGER_S = CALL_TIMEOUT_S / 4.0  # a caller that does not close after its answer is closed then
+MAX_HEADER_BYTES = 8192  # the request line and the headers
+MAX_URL_BYTES = 1024
+MAX_BODY_BYTES = 4096
+HEADER_SEPARATOR_BYTES = 4  # the colon, the space and the line's end
+LISTEN_BACKLOG = 64
+
+# RFC 9110, section 15. Stated here, since the phrases of `http.HTTPStatus` differ from one Python to the next.
+REASON_PHRASES = {
     200: "OK",
     204: "No Content",
     400: "Bad Request",
@@ -32,127 +38,153 @@
     503: "Service Unavailable",
 }
 
-Answer = tuple[int, str]  # status and a text body
+Answer = tuple[int, str]  # the status and a text body
 Routes = Mapping[str, Mapping[str, Callable[[], Answer]]]  # path -> method -> call
 BodyRoutes = Mapping[str, Mapping[str, Callable[[bytes], Answer]]]  # the same for calls whose body is read
 
 
 def response(status: int, text: str = "") -> bytes:
+    """Returns the bytes of an answer after which the connection is closed."""
     body = text.encode()
     head = (
-        f"HTTP/1.1 {status} {REASONS.get(status, 'Unknown')}\r\ncontent-type: text/plain; charset=utf-8\r\n"
+        f"HTTP/1.1 {status:d} {REASON_PHRASES.get(status, 'Unknown')}\r\ncontent-type: text/plain; charset=utf-8\r\n"
         f"content-length: {len(body)}\r\nconnection: close\r\n\r\n"
     )
     return head.encode() + body
 
 
-class Refused(Exception):
-    """The call is answered with this status, without being carried out."""
+class CallRejectedError(Exception):
+    """The call gets this status and is not carried out."""
 
-    def __init__(self, status: int) -> None:
+    def __init__(self, status: HTTPStatus) -> None:
         super().__init__(status)
         self.status = status
 
 
 class Call(asyncio.Protocol):
-    """One connection, one call. Its body is kept only for routes that read it."""
+    """One connection with one call. Its body is kept only where a route reads it."""
 
     def __init__(self, api: OperatorApi) -> None:
         self.api = api
         self.transport: asyncio.Transport | None = None
         self.parser = httptools.HttpRequestParser(self)
         self.url = b""
-        self.head = self.body = self.fields = 0
-        self.kept = b""
-        self.headed = self.done = False
-        self.late: asyncio.TimerHandle | None = None
+        self.body = b""
+        self.bytes_before_body = 0  # as received, whatever the parser has made of it
+        self.header_bytes = 0  # as parsed
+        self.body_bytes = 0
+        self.headers_complete = False
+        self.done = False
+        self.timeout: asyncio.TimerHandle | None = None
 
-    # --- the transport's side -------------------------------------------------------------------
+    # --- callbacks of the transport ---------------------------------------------------------------
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Begins the time in which the whole call has to come."""
         self.transport = cast(asyncio.Transport, transport)
-        self.late = asyncio.get_running_loop().call_later(DEADLINE_S, self.end)
-        self.api.came(self)
+        self.timeout = asyncio.get_running_loop().call_later(CALL_TIMEOUT_S, self.abort)
+        self.api.add(self)
 
     def data_received(self, data: bytes) -> None:
+        """Parses what came, and rejects a call that is malformed or too large."""
         if self.done:
             return
         try:
-            if not self.headed:
-                self.head += len(data)
+            if not self.headers_complete:
+                self.bytes_before_body += len(data)
             self.parser.feed_data(data)
-            if not self.headed and self.head > MAX_HEAD:
-                raise Refused(431)
-        except Refused as refused:
-            self.answer(refused.status)
+            if not self.headers_complete and self.bytes_before_body > MAX_HEADER_BYTES:
+                raise CallRejectedError(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE)
+        except CallRejectedError as rejected:
+            self.answer(rejected.status)
         except httptools.HttpParserUpgrade:
-            self.answer(400)
-        except httptools.HttpParserError as error:  # what a callback raised comes wrapped
-            cause = error.__context__
-            self.answer(cause.status if isinstance(cause, Refused) else 400)
+            self.answer(HTTPStatus.BAD_REQUEST)
+        except httptools.HttpParserError as error:
+            cause = error.__context__  # what a callback of the parser raised comes wrapped
+            self.answer(cause.status if isinstance(cause, CallRejectedError) else HTTPStatus.BAD_REQUEST)
 
     def eof_received(self) -> bool:
+        """Rejects half a call."""
         if not self.done:
-            self.answer(400)  # half a call
+            self.answer(HTTPStatus.BAD_REQUEST)
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """Frees the place that the call held."""
         self.done = True
-        if self.late is not None:
-            self.late.cancel()
+        if self.timeout is not None:
+            self.timeout.cancel()
         self.transport = None
-        self.api.left(self)
+        self.api.remove(self)
 
-    # --- the parser's side ----------------------------------------------------------------------
+    # --- callbacks of the parser ------------------------------------------------------------------
 
     def on_url(self, url: bytes) -> None:
+        """Collects the target, which may come in pieces."""
         self.url += url
-        if len(self.url) > MAX_URL:
-            raise Refused(414)
+        if len(self.url) > MAX_URL_BYTES:
+            raise CallRejectedError(HTTPStatus.REQUEST_URI_TOO_LONG)
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        self.fields += len(name) + len(value) + 4
-        if self.fields > MAX_HEAD:
-            raise Refused(431)
-        if name.lower() == b"content-length" and value.strip().isdigit() and int(value) > self.api.body_most:
-            raise Refused(413)
+        """Rejects headers that are too large, and a body that is announced as such."""
+        self.header_bytes += len(name) + len(value) + HEADER_SEPARATOR_BYTES
+        if self.header_bytes > MAX_HEADER_BYTES:
+            raise CallRejectedError(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE)
+        if name.lower() == b"content-length" and value.strip().isdigit() and int(value) > self.api.max_body_bytes:
+            raise CallRejectedError(HTTPStatus.REQUEST_ENTITY_TOO_LARGE)
 
     def on_headers_complete(self) -> None:
-        self.headed = True
+        """Notes that what follows is the body."""
+        self.headers_complete = True
 
     def on_body(self, body: bytes) -> None:
-        self.body += len(body)
-        if self.body > self.api.body_most:
-            raise Refused(413)
-        if self.api.reading:
-            self.kept += body
+        """Counts the body, and keeps it where some route reads it."""
+        self.body_bytes += len(body)
+        if self.body_bytes > self.api.max_body_bytes:
+            raise CallRejectedError(HTTPStatus.REQUEST_ENTITY_TOO_LARGE)
+        if self.api.body_routes:
+            self.body += body
 
     def on_message_complete(self) -> None:
+        """Carries the call out and answers it."""
         method = self.parser.get_method().decode("ascii", "replace")
         try:
             path = httptools.parse_url(self.url).path.decode("ascii")
         except (httptools.HttpParserInvalidURLError, UnicodeDecodeError):
-            return self.answer(400)
-        calls, reading = self.api.routes.get(path), self.api.reading.get(path)
-        if calls is None and reading is None:
-            return self.answer(404)
-        call = (calls or {}).get(method)
-        if call is None and reading is not None and method in reading:
-            call = partial(reading[method], self.kept)
+            self.answer(HTTPStatus.BAD_REQUEST)
+            return
+        call = self._route(method, path)
         if call is None:
-            return self.answer(405, "allowed: " + ", ".join(sorted({*(calls or {}), *(reading or {})})))
-        if self.body and method in ("GET", "HEAD"):
-            return self.answer(400, "a body where none is meant")
+            return
+        if self.body_bytes and method in ("GET", "HEAD"):
+            self.answer(HTTPStatus.BAD_REQUEST, "a body where none is meant")
+            return
         try:
             status, text = call()
         except Exception as error:  # the API must not end the relay, whatever a call does
-            self.api.failed(f"{method} {path}: {error!r}")
-            status, text = 503, "the call failed"
-        return self.answer(status, text)
-
-    # --- answers --------------------------------------------------------------------------------
+            self.api.log_failure(f"{method} {path}: {error!r}")
+            status, text = HTTPStatus.SERVICE_UNAVAILABLE, "the call failed"
+        self.answer(status, text)
+
+    def _route(self, method: str, path: str) -> Callable[[], Answer] | None:
+        """Returns the function for this call; None where there is none and the call was answered."""
+        calls = self.api.routes.get(path, {})
+        body_calls = self.api.body_routes.get(path, {})
+        if not calls and not body_calls:
+            self.answer(HTTPStatus.NOT_FOUND)
+            return None
+        if method in calls:
+            return calls[method]
+        if method in body_calls:
+            return partial(body_calls[method], self.body)
+        allowed = ", ".join(sorted({*calls, *body_calls}))
+        self.answer(HTTPStatus.METHOD_NOT_ALLOWED, f"allowed: {allowed}")
+        return None
+
+    # --- answers ----------------------------------------------------------------------------------
 
     def answer(self, status: int, text: str = "") -> None:
+        """Writes the answer, once, and gives the caller LINGER_S to close."""
         if self.done:
             return
         self.done = True
@@ -160,50 +192,67 @@
             self.transport.write(response(status, text))
             if self.transport.can_write_eof():
                 self.transport.write_eof()
-        if self.late is not None:
-            self.late.cancel()
-        # Whoever does not close after the answer is ended soon after.
-        self.late = asyncio.get_running_loop().call_later(DEADLINE_S / 4.0, self.end)
+        if self.timeout is not None:
+            self.timeout.cancel()
+        self.timeout = asyncio.get_running_loop().call_later(LINGER_S, self.abort)
 
-    def end(self) -> None:
+    def abort(self) -> None:
+        """Closes the connection without an answer."""
         self.done = True
         if self.transport is not None:
             self.transport.abort()
 
 
 class OperatorApi:
+    """The listening side.
+
+    Args:
+        routes: calls without a body.
+        log_failure: is given a text on each call that raised.
+        body_routes: calls whose body is read.
+        max_body_bytes: of a call; a longer one is rejected.
+    """
+
     def __init__(
         self,
         routes: Routes,
-        failed: Callable[[str], None],
-        reading: BodyRoutes | None = None,
-        body_most: int = MAX_BODY,
+        log_failure: Callable[[str], None],
+        body_routes: BodyRoutes | None = None,
+        max_body_bytes: int = MAX_BODY_BYTES,
     ) -> None:
-        self.routes, self.failed, self.reading, self.body_most = routes, failed, reading or {}, body_most
+        self.routes = routes
+        self.log_failure = log_failure
+        self.body_routes = body_routes or {}
+        self.max_body_bytes = max_body_bytes
         self.calls: dict[Call, None] = {}  # oldest first
         self.server: asyncio.Server | None = None
 
     async def start(self, host: str, port: int) -> None:
+        """Listens. Raises OSError where the address cannot be had."""
         loop = asyncio.get_running_loop()
-        self.server = await loop.create_server(lambda: Call(self), host, port, backlog=64)
+        self.server = await loop.create_server(lambda: Call(self), host, port, backlog=LISTEN_BACKLOG)
 
     @property
     def port(self) -> int:
+        """The port that is listened on; the API has been started."""
         assert self.server is not None
         return int(self.server.sockets[0].getsockname()[1])
 
-    def came(self, call: Call) -> None:
+    def add(self, call: Call) -> None:
+        """Takes a new connection in, and closes the oldest ones for it where there are too many."""
         self.calls[call] = None
-        while len(self.calls) > MOST:
+        while len(self.calls) > MAX_CALLS:
             oldest = next(iter(self.calls))
             del self.calls[oldest]
-            oldest.end()
+            oldest.abort()
 
-    def left(self, call: Call) -> None:
+    def remove(self, call: Call) -> None:
+        """Forgets a connection that was closed."""
         self.calls.pop(call, None)
 
     def close(self) -> None:
+        """Stops listening and closes all connections."""
         if self.server is not None:
             self.server.close()
         for call in list(self.calls):
-            call.end()
+            call.abort()
