--- a/benchmarks/rebalance.py
+++ b/benchmarks/rebalance.py
@@ -84,7 +84,7 @@
         run.plan_s += took
         run.plans += 1
         if run.cost is not None and len(run.cost) < 100_000:
-            run.cost.append((len(rebalancer.view.books), len(moves), took * 1e6))
+            run.cost.append((len(rebalancer.view.by_name), len(moves), took * 1e6))
         return moves
 
     rebalancer.beat = measured  # type: ignore[method-assign]
--- a/tests/rebalancing/test_rebalancing.py
+++ b/tests/rebalancing/test_rebalancing.py
@@ -47,7 +47,7 @@
     ) -> None:
         self.rebalancer.view.backend(self.now, f"n{number}", number, state, 1.0, started)
         if told:
-            self.rebalancer.view.list_over((self.rebalancer.view.books[f"n{number}"],))
+            self.rebalancer.view.list_over((self.rebalancer.view.by_name[f"n{number}"],))
 
     def hold(self, number: int, *loads: float, group: int = 0, returned: bool = False) -> list[int]:
         requests = [next(self.requests) for _ in loads]
@@ -64,7 +64,7 @@
         return moves
 
     def load(self, number: int) -> float:
-        return self.rebalancer.view.books[f"n{number}"].load
+        return self.rebalancer.view.by_name[f"n{number}"].load
 
 
 def newcomer(**changes: Any) -> Bench:
@@ -106,9 +106,9 @@
     bench = newcomer()
     bench.backend(4, started=bench.now)
     bench.beat()
-    assert [b.number for b in bench.rebalancer.found.taking_part] == [1, 2, 3]
+    assert [b.number for b in bench.rebalancer.assessment.participants] == [1, 2, 3]
     bench.beat(9.0)
-    assert [b.number for b in bench.rebalancer.found.taking_part] == [1, 2, 3, 4]
+    assert [b.number for b in bench.rebalancer.assessment.participants] == [1, 2, 3, 4]
 
 
 def test_a_flapping_backend_has_to_stay_ready_for_longer_each_time() -> None:
@@ -126,7 +126,7 @@
 def test_a_source_that_drains_or_dies_in_mid_plan_is_left_alone_at_once(state: EndpointState) -> None:
     bench = newcomer(moves_per_s=1.0, order=Order.GROUP)
     held = bench.hold(1, 0.5, 0.5, 0.5, group=9)
-    assert len(bench.beat()) == 1 and bench.rebalancer.planner.waiting  # the rest of the group is to follow
+    assert len(bench.beat()) == 1 and bench.rebalancer.planner.pending  # the rest of the group is to follow
     bench.backend(1, state)
     rest = {request for _ in range(10) for request in bench.beat()}
     assert not rest & set(held) and all(request > 10 for request in rest), "nothing leaves the first node any more"
@@ -142,12 +142,12 @@
         moved.append(len(bench.beat()))
     notes = [n for n in bench.rebalancer.take_notes() if "pauses: lost" in n]
     assert "goes on after 30 s" in notes[0] and "goes on after 60 s" in notes[1] and len(notes) < 8
-    assert sum(moved) < 0.6 * 400 and bench.rebalancer.pace.factor < 0.3
+    assert sum(moved) < 0.6 * 400 and bench.rebalancer.rate.factor < 0.3
     # It goes on, and comes back to its full pace, once those who are moved come again.
     for _ in range(500):
         for _ in bench.beat():
             bench.hold(3, 1.0, returned=True)
-    assert bench.rebalancer.pace.factor > 0.5 and bench.load(3) > 150.0
+    assert bench.rebalancer.rate.factor > 0.5 and bench.load(3) > 150.0
 
 
 def test_a_giant_heavier_than_the_gap_stays_and_is_not_played_to_and_fro() -> None:
@@ -211,7 +211,7 @@
     for _ in range(100):
         for _ in bench.beat():  # whoever is moved is back where it was
             bench.hold(1 if bench.load(1) < bench.load(2) else 2, 1.0, returned=False)
-            bench.rebalancer.watch.came_back(bench.now, "n1")
+            bench.rebalancer.monitor.on_return(bench.now, "n1")
     assert bench.rebalancer.counts["paused.no-effect"] >= 1
 
 
@@ -295,10 +295,10 @@
     @rule(seconds=st.sampled_from((0.2, 1.0, 10.0)))
     def beat(self, seconds: float) -> None:
         view = self.bench.rebalancer.view
-        loads = {request: held.load for request, held in view.requests.items()}
-        before = {b.number: b.load for b in view.books.values()}
+        loads = {request: held.load for request, held in view.connections.items()}
+        before = {b.number: b.load for b in view.by_name.values()}
         moves = self.bench.beat(seconds)
-        level, now = self.bench.rebalancer.found.level, self.bench.now
+        level, now = self.bench.rebalancer.assessment.level, self.bench.now
         assert len(moves) == len(set(moves))
         for request in moves:
             number, _ = self.at.pop(request)
@@ -313,8 +313,8 @@
                 stamps.popleft()
             assert len(stamps) <= rate + max(1.0, rate), "no more in a second than the rate and the burst"
         assert max(self.times.values(), default=0) <= 1
-        books = view.books.values()
-        assert all(abs(b.load - sum(h.load for h in b.requests.values())) < 1e-6 for b in books)
+        books = view.by_name.values()
+        assert all(abs(b.load - sum(h.load for h in b.connections.values())) < 1e-6 for b in books)
 
 
 Balanced.TestCase.settings = settings(
@@ -378,7 +378,7 @@
     fleet.configure(RebalanceSettings())  # and put in again: the standing jobs are all known
     relay = fleet.relays[0]
     rebalance = relay.reducer.rebalance
-    assert rebalance is not None and len(rebalance.view.requests) == sum(
+    assert rebalance is not None and len(rebalance.view.connections) == sum(
         j.phase.name == "ESTABLISHED" for j in relay.reducer.requests.values()
     )
     fleet.run(15.0)
--- a/yarrowspindle/maintenance/evacuation.py
+++ b/yarrowspindle/maintenance/evacuation.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from math import ceil
 
-from yarrowspindle.rebalancing.migration_rate import Bucket
+from yarrowspindle.rebalancing.token_bucket import TokenBucket
 
 BEAT_MS = 100.0
 SLOWEST = 1.0 / 16.0
@@ -28,7 +28,7 @@
 
 class BackendEvacuator:
     def __init__(self, now: float) -> None:
-        self.bucket = Bucket(0.0, 1.0, now)
+        self.bucket = TokenBucket(0.0, 1.0, now)
         self.until: dict[str, float] = {}  # by when each is empty, counted from when this relay was told
         self.part = 1.0  # of the rate; halves while jobs are refused
         self.refused = False
--- a/yarrowspindle/rebalancing/__init__.py
+++ b/yarrowspindle/rebalancing/__init__.py
@@ -1,7 +1,7 @@
-"""Standing connections moved slowly towards balance: view, plan, pace, and a watch on the results.
+"""Migrates established connections slowly towards balance: view, assessment, plan, rate, and a monitor of the effect.
 
 Pure: no wire, no clock and no event loop; the time comes with each call, in milliseconds. The reducer feeds the
-`Rebalancer` and carries out the moves that it names; where a moved submitter goes stays the module's decision.
+`Rebalancer` and carries out the migrations that it names; where a migrated client goes is the balancer's decision.
 """
 
 from yarrowspindle.rebalancing.rebalancer import Rebalancer
--- a/yarrowspindle/rebalancing/effect_monitor.py
+++ b/yarrowspindle/rebalancing/effect_monitor.py
@@ -1,129 +1,177 @@
-"""The watch on results: did moved submitters come back, did the imbalance fall, did the targets hold up?
+"""Whether migrations help: do the clients come back, does the imbalance fall, do the targets accept them?
 
-Relays share nothing, and a moved submitter usually comes back to another relay. What a relay can see is how many
-come back to it (`again=1`) while it moves its own away. Where all relays rebalance alike the two are equal in the
-mean; a relay alone sees its share of the front. So this is only ever a reason to slow down or to stop for a while.
+Relays share nothing, and a migrated client usually comes back to another relay. What a relay can see is how many come
+back to it (`again=1`) while it migrates its own away. Where all relays rebalance alike the two are equal in the mean; a
+relay alone sees its share of them. So this is only ever a reason to slow down or to pause.
 """
 
 from __future__ import annotations
 
-from collections import deque
+from enum import StrEnum, unique
 
 from yarrowspindle.rebalancing.settings import RebalanceSettings
+from yarrowspindle.rebalancing.sliding_window import MAX_LAG_MS, SlidingWindow
+
+RETURN_WINDOW_MS = 15_000.0
+RETURN_LAG_MS = MAX_LAG_MS  # a client may take half of it to connect again, and its set-up some more
+MIN_MIGRATIONS = 12  # fewer prove nothing
+EFFECT_PERIOD_MS = 60_000.0
+MIN_EFFECT_FRACTION = 0.1  # of the migrated load, by which the excess has to fall in that period
+STORM_WINDOW_MS = 5000.0
+STORM_FRACTION = 0.1  # of the established connections, reset within that window
+MIN_STORM = 10
+REJECTED_FRACTION = 0.1  # of the requests received, rejected within that window
+MIN_REJECTED = 5
+RECOVERY_MARGIN = 1.5  # times the least share of returns: as many clients come back as usual
+MAX_BACKENDS_WITH_FAILURES = 4096
+MAX_TARGET_FAILURES = 3  # of returning clients, until a target is excluded
+TARGET_EXCLUSION_MS = 30_000.0
+MAX_PAUSE_DOUBLINGS = 5
+
+
+@unique
+class PauseCause(StrEnum):
+    """Why no plan is made; the values are published in logs and metrics."""
+
+    RESET_STORM = "storm"
+    REJECTIONS = "refusals"
+    STILL_PAUSED = "pausing"
+    CLIENTS_LOST = "lost"
+    NO_EFFECT = "no-effect"
+
+    @property
+    def is_futile(self) -> bool:
+        """Whether it means that migrations did no good: then the rate falls as well, and pauses grow."""
+        return self in (PauseCause.CLIENTS_LOST, PauseCause.NO_EFFECT)
 
-WINDOW_MS = 15_000.0
-LAG_MS = 3000.0  # a moved submitter may take 1.4 s, and its new set-up some more
-LEAST_MOVES = 12  # fewer tell nothing
-EFFECT_MS = 60_000.0
-STORM_MS = 5000.0
-STORM_FRACTION, MIN_STORM = 0.1, 10  # of the standing ones broken off within that time
-REFUSED_FRACTION, MIN_REFUSED = 0.1, 5  # of the arrivals turned away within that time
-MAX_FAILURES = 4096  # nodes with failures that are kept count of
-IN_VAIN, MAX_IN_VAIN = ("lost", "no-effect"), 5  # causes that slow the pace down until there is proof; doublings
-SPOILT, SPOILT_MS = 3, 30_000.0  # failures of returning submitters at one node, and how long it is left alone then
 
+class EffectMonitor:
+    """Counts what migrations lead to, and pauses them.
 
-class Window:
-    """Counts of late, in slots of a second: bounded, whatever comes."""
-
-    __slots__ = ("slots", "span")
-
-    def __init__(self, span_ms: float) -> None:
-        self.slots: deque[list[float]] = deque()
-        self.span = span_ms
-
-    def add(self, now: float, count: float = 1.0) -> None:
-        if self.slots and now < self.slots[-1][0] + 1000.0:
-            self.slots[-1][1] += count
-        else:
-            self.slots.append([now, count])
-        while self.slots[0][0] < now - self.span - LAG_MS - 2000.0:
-            self.slots.popleft()
-
-    def sum(self, now: float, lag_ms: float = 0.0) -> float:
-        return sum(n for at, n in self.slots if now - self.span - lag_ms <= at <= now - lag_ms)
-
+    Attributes:
+        pause_cause: why migrations are paused; None: they are not.
+        futile_pauses: pauses in a row for a futile cause; each lasts twice as long as the one before.
+    """
 
-class EffectMonitor:
     def __init__(self) -> None:
-        self.moved, self.back = Window(WINDOW_MS), Window(WINDOW_MS + LAG_MS)
-        self.broken, self.refused, self.arrived = Window(STORM_MS), Window(STORM_MS), Window(STORM_MS)
+        self.migrated = SlidingWindow(RETURN_WINDOW_MS)
+        self.returned = SlidingWindow(RETURN_WINDOW_MS + RETURN_LAG_MS)
+        self.resets = SlidingWindow(STORM_WINDOW_MS)
+        self.rejections = SlidingWindow(STORM_WINDOW_MS)
+        self.requests = SlidingWindow(STORM_WINDOW_MS)
         self.failures: dict[str, int] = {}
-        self.paused, self.until = "", -1.0
-        self.in_vain = 0  # pauses on end for want of results; each is twice as long as the one before
-        self.effect_at, self.effect_from, self.effect_moves, self.effect_backends = -1.0, 0.0, 0.0, 0
-
-    def came_back(self, now: float, backend: str) -> None:
-        """A returning submitter is up at this node, which makes up for failures there."""
-        self.back.add(now)
+        self.pause_cause: PauseCause | None = None
+        self.paused_until = -1.0
+        self.futile_pauses = 0
+        self._effect_since = -1.0
+        self._effect_excess = 0.0
+        self._effect_backends = 0
+        self.effect_migrations = 0.0
+
+    def on_migration(self, now: float) -> None:
+        """A client of this relay was told to connect again."""
+        self.migrated.add(now)
+        self.effect_migrations += 1.0
+
+    def on_return(self, now: float, backend: str) -> None:
+        """A returning client is established at this backend, which makes up for failures there."""
+        self.returned.add(now)
         self.failures.pop(backend, None)
 
-    def failed(self, backend: str) -> bool:
-        """A returning submitter was turned away there; true where the node is to be left alone for a while."""
-        if len(self.failures) >= MAX_FAILURES:  # nodes that came and went: their failures say nothing any more
+    def on_target_failure(self, backend: str) -> bool:
+        """A returning client failed there. Returns whether the backend is to be excluded as a target for a while."""
+        if len(self.failures) >= MAX_BACKENDS_WITH_FAILURES:  # most of them are long gone
             self.failures.clear()
         self.failures[backend] = self.failures.get(backend, 0) + 1
-        if self.failures[backend] < SPOILT:
+        if self.failures[backend] < MAX_TARGET_FAILURES:
             return False
         del self.failures[backend]
         return True
 
-    def judge(
-        self, now: float, standing: int, backends: int, excess: float, mean: float, settings: RebalanceSettings
-    ) -> str:
-        """Why the plan must pause from now on; empty where it may go on.
-
-        Leaves a pause only when its time is over and, for a storm or refusals, when they have ended as well.
+    def check(
+        self,
+        now: float,
+        established: int,
+        backends: int,
+        excess: float,
+        mean_load: float,
+        settings: RebalanceSettings,
+    ) -> PauseCause | None:
+        """Returns why the plan must pause from now on; None where it may go on.
+
+        A pause ends only when its time is over and, for a storm or rejections, when these have ended as well.
+
+        Args:
+            now: milliseconds.
+            established: connections of this relay.
+            backends: how many take part.
+            excess: load above the level at the sources.
+            mean_load: of a connection.
+            settings: the least share of returns.
         """
-        arrived, refused = self.arrived.sum(now), self.refused.sum(now)
-        if self.broken.sum(now) >= max(MIN_STORM, STORM_FRACTION * standing):
-            return "storm"
-        if refused >= max(MIN_REFUSED, REFUSED_FRACTION * arrived):
-            return "refusals"
-        if now < self.until:
-            return "pausing"
-        moved, back = self.moved.sum(now, LAG_MS), self.back.sum(now)
-        if moved >= LEAST_MOVES and back < settings.return_least * moved:
-            return "lost"
-        return self._no_effect(now, backends, excess, mean)
-
-    def proof(self, now: float, settings: RebalanceSettings) -> bool | None:
-        """Whether as many come back as is usual; None while too few were moved to tell."""
-        moved, back = self.moved.sum(now, LAG_MS), self.back.sum(now)
-        return None if moved < LEAST_MOVES / 2 else back >= 1.5 * settings.return_least * moved
+        if self.resets.sum(now) >= max(MIN_STORM, STORM_FRACTION * established):
+            return PauseCause.RESET_STORM
+        if self.rejections.sum(now) >= max(MIN_REJECTED, REJECTED_FRACTION * self.requests.sum(now)):
+            return PauseCause.REJECTIONS
+        if now < self.paused_until:
+            return PauseCause.STILL_PAUSED
+        migrated = self.migrated.sum(now, RETURN_LAG_MS)
+        if migrated >= MIN_MIGRATIONS and self.returned.sum(now) < settings.return_least * migrated:
+            return PauseCause.CLIENTS_LOST
+        return self._check_effect(now, backends, excess, mean_load)
+
+    def clients_return(self, now: float, settings: RebalanceSettings) -> bool | None:
+        """Returns whether as many clients come back as usual; None while too few were migrated to tell."""
+        migrated = self.migrated.sum(now, RETURN_LAG_MS)
+        if migrated < MIN_MIGRATIONS / 2:
+            return None
+        return self.returned.sum(now) >= RECOVERY_MARGIN * settings.return_least * migrated
 
     def missing(self, now: float) -> float:
-        """Moved of late, less those that came back here: about nothing where all relays rebalance alike."""
-        return max(0.0, self.moved.sum(now, LAG_MS) - self.back.sum(now))
-
-    def _no_effect(self, now: float, backends: int, excess: float, mean: float) -> str:
-        """A minute of moves must have taken a tenth of their load off the excess, or they are of no use.
-
-        Counted from the first move on, and anew whenever other nodes take part."""
-        if not self.effect_moves or backends != self.effect_backends:
-            self.effect_at, self.effect_from, self.effect_moves, self.effect_backends = now, excess, 0.0, backends
-        elif now >= self.effect_at + EFFECT_MS:
-            idle = self.effect_moves >= LEAST_MOVES and self.effect_from - excess < 0.1 * self.effect_moves * mean
-            self.effect_moves = 0.0
-            if idle:
-                return "no-effect"
-        return ""
-
-    def pause(self, now: float, why: str, settings: RebalanceSettings) -> bool:
-        """Begins a pause, lengthens it, or lets it go on ("pausing"); true where its cause is a new one."""
-        if why == "pausing":
+        """Returns how many more were migrated than came back; about 0 where all relays rebalance alike."""
+        return max(0.0, self.migrated.sum(now, RETURN_LAG_MS) - self.returned.sum(now))
+
+    def _check_effect(self, now: float, backends: int, excess: float, mean_load: float) -> PauseCause | None:
+        """In each period the excess must fall by a part of the load that was migrated.
+
+        A period begins with the first migration, and anew whenever other backends take part.
+        """
+        if not self.effect_migrations or backends != self._effect_backends:
+            self._effect_since = now
+            self._effect_excess = excess
+            self._effect_backends = backends
+            self.effect_migrations = 0.0
+            return None
+        if now < self._effect_since + EFFECT_PERIOD_MS:
+            return None
+        migrations = self.effect_migrations
+        self.effect_migrations = 0.0
+        wanted_fall = MIN_EFFECT_FRACTION * migrations * mean_load
+        if migrations >= MIN_MIGRATIONS and self._effect_excess - excess < wanted_fall:
+            return PauseCause.NO_EFFECT
+        return None
+
+    def pause(self, now: float, cause: PauseCause, settings: RebalanceSettings) -> bool:
+        """Begins a pause, lengthens it, or leaves it as it is. Returns whether its cause is a new one."""
+        if cause is PauseCause.STILL_PAUSED:
             return False
-        new = why != self.paused
-        if new and why in IN_VAIN:
-            self.in_vain = min(self.in_vain + 1, MAX_IN_VAIN)
-        longer = 2.0 ** (self.in_vain - 1) if why in IN_VAIN else 1.0
-        self.until = max(self.until, now + settings.pause_s * longer * 1000.0)
-        if new:
-            self.moved.slots.clear()
-            self.effect_moves = 0.0
-        self.paused = why
-        return new
-
-    def resume(self) -> str:
-        was, self.paused = self.paused, ""
-        return was
+        is_new = cause is not self.pause_cause
+        if is_new and cause.is_futile:
+            self.futile_pauses = min(self.futile_pauses + 1, MAX_PAUSE_DOUBLINGS)
+        self.paused_until = max(self.paused_until, now + 1000.0 * self.pause_length_s(cause, settings))
+        if is_new:
+            self.migrated.clear()
+            self.effect_migrations = 0.0
+        self.pause_cause = cause
+        return is_new
+
+    def pause_length_s(self, cause: PauseCause, settings: RebalanceSettings) -> float:
+        """Returns how long a pause for this cause lasts, in seconds."""
+        if not cause.is_futile:
+            return settings.pause_s
+        return settings.pause_s * 2.0 ** (self.futile_pauses - 1)
+
+    def resume(self) -> PauseCause | None:
+        """Ends the pause. Returns its cause."""
+        cause, self.pause_cause = self.pause_cause, None
+        return cause
--- a/yarrowspindle/rebalancing/fleet_view.py
+++ b/yarrowspindle/rebalancing/fleet_view.py
@@ -1,7 +1,7 @@
-"""What this relay knows: own loads and counts by node, the load of each job, and how warm each node is by now.
+"""What this relay knows of the fleet: own loads and connections by backend, and how warm each backend is by now.
 
-Kept up with each event, so that a plan reads sums and never walks over all jobs. What the others hold is not known
-and not needed: see `docs/design/rebalance.md`.
+Kept up to date with each event, so that a plan reads sums and never walks over all connections. What other relays hold
+is neither known nor needed: see `docs/design/rebalance.md`.
 """
 
 from __future__ import annotations
@@ -12,31 +12,58 @@
 from yarrowspindle.decisions.events import EndpointState
 
 MAX_FLAPS = 6  # times that the settling time doubles
-FLAPS_FORGOTTEN_MS = 600_000.0
-MAX_BOOKS = 20_000  # above it, nodes that flapped are forgotten as well
+FLAP_MEMORY_MS = 600_000.0
+MAX_RECORDS = 20_000  # above it, backends that flapped are forgotten as well
+MEAN_LOAD_WEIGHT = 0.05  # of a new load in the running mean
+MIN_CAPACITY = 1e-6
 
 
-class Listed(Protocol):
-    """What a list says of a node."""
+class ListedBackend(Protocol):
+    """What an endpoint list says of a backend."""
 
     name: str
     state: EndpointState
 
 
 class EstablishedConnection:
-    """One standing job."""
+    """One established connection of this relay.
+
+    Attributes:
+        request: its id.
+        backend: where it stands.
+        load: as last reported, or the mean.
+        key: of its client; 0: not given.
+        group: of its client; 0: none.
+        since: when it was established, in milliseconds.
+        returned: whether its client had been migrated or cut off before.
+    """
 
     __slots__ = ("request", "backend", "load", "key", "group", "since", "returned")
 
     def __init__(
         self, request: int, backend: BackendRecord, load: float, key: int, group: int, since: float, returned: bool
     ) -> None:
-        self.request, self.backend, self.load, self.key, self.group = request, backend, load, key, group
-        self.since, self.returned = since, returned
+        self.request = request
+        self.backend = backend
+        self.load = load
+        self.key = key
+        self.group = group
+        self.since = since
+        self.returned = returned
 
 
 class BackendRecord:
-    """One execute node."""
+    """One backend, with the connections of this relay.
+
+    Attributes:
+        ready_since: since when it has been ready without a break, in milliseconds.
+        joined_at: when it joined a fleet that was known by then; below 0: it did not.
+        flaps: how often it became ready again within FLAP_MEMORY_MS of the time before.
+        connections: by request id, oldest first.
+        groups: group -> the request ids of its connections.
+        hot_since: since when it has been far above the level; below 0: it is not.
+        excluded_until: it rejected returning clients, and is no target until then.
+    """
 
     __slots__ = (
         "name",
@@ -44,119 +71,164 @@
         "capacity",
         "started",
         "state",
-        "ready_at",
-        "came_at",
+        "ready_since",
+        "joined_at",
         "flaps",
         "flapped_at",
         "load",
-        "requests",
+        "connections",
         "groups",
         "hot_since",
-        "spoilt_until",
+        "excluded_until",
     )
 
     def __init__(self, name: str, number: int) -> None:
-        self.name, self.number = name, number
-        self.capacity, self.started = 1.0, 0.0
+        self.name = name
+        self.number = number
+        self.capacity = 1.0
+        self.started = 0.0
         self.state = EndpointState.GONE
-        self.ready_at = 0.0  # since when it has been ready without a break
-        self.came_at = -1.0  # when it came as a newcomer; below 0: it did not
-        self.flaps, self.flapped_at = 0, 0.0
+        self.ready_since = 0.0
+        self.joined_at = -1.0
+        self.flaps = 0
+        self.flapped_at = 0.0
         self.load = 0.0
-        self.requests: dict[int, EstablishedConnection] = {}  # oldest first
+        self.connections: dict[int, EstablishedConnection] = {}
         self.groups: dict[int, set[int]] = {}
         self.hot_since = -1.0
-        self.spoilt_until = -1.0  # it turned submitters away: no target for a while
+        self.excluded_until = -1.0
 
     @property
-    def filled(self) -> float:
+    def utilization(self) -> float:
+        """Own load over capacity."""
         return self.load / self.capacity
 
 
 class FleetView:
-    def __init__(self, cold_ms: float, cold_share: float) -> None:
-        self.cold_ms, self.cold_share = cold_ms, cold_share
-        self.books: dict[str, BackendRecord] = {}
-        self.numbers: dict[int, BackendRecord] = {}
-        self.requests: dict[int, EstablishedConnection] = {}
+    """All backends and established connections.
+
+    Args:
+        warmup_ms: how long a started backend warms up.
+        initial_capacity_fraction: of its capacity, at its start.
+    """
+
+    def __init__(self, warmup_ms: float, initial_capacity_fraction: float) -> None:
+        self.warmup_ms = warmup_ms
+        self.initial_capacity_fraction = initial_capacity_fraction
+        self.by_name: dict[str, BackendRecord] = {}
+        self.by_id: dict[int, BackendRecord] = {}
+        self.connections: dict[int, EstablishedConnection] = {}
         self.mean_load = 0.0
-        self.listed = False  # a list has come: who is new in a later one is a newcomer
+        self._has_list = False  # a list has come: a backend that is new in a later one has joined
 
-    # --- nodes ----------------------------------------------------------------------------------
+    # --- backends ---------------------------------------------------------------------------------
 
     def backend(
         self, now: float, name: str, number: int, state: EndpointState, capacity: float, started: float
     ) -> None:
-        book = self.books.get(name)
-        new = book is None
-        if book is None:
-            book = self.books[name] = self.numbers[number] = BackendRecord(name, number)
-        if state is EndpointState.READY and (book.state is not EndpointState.READY or started != book.started):
-            book.ready_at, book.hot_since, book.spoilt_until = now, -1.0, -1.0
-            if self.listed:
-                book.came_at = now
-            if not new:
-                if now > book.flapped_at + FLAPS_FORGOTTEN_MS:
-                    book.flaps = 0
-                book.flaps = min(book.flaps + 1, MAX_FLAPS)
-                book.flapped_at = now
-        book.state, book.capacity, book.started = state, max(capacity, 1e-6), started
-
-    def list_over(self, touched: Iterable[Listed]) -> None:
-        """After each list, with the nodes that it spoke of or left out; what is gone and holds nothing is forgotten.
-
-        A node that flapped is remembered for longer than its absence, within bounds."""
-        self.listed = True
+        """Takes in what an endpoint list says of one backend.
+
+        Args:
+            now: milliseconds.
+            name: of the backend.
+            number: its id.
+            state: of its endpoint.
+            capacity: as listed.
+            started: the last start of its process in milliseconds; 0: long ago.
+        """
+        record = self.by_name.get(name)
+        is_known = record is not None
+        if record is None:
+            record = self.by_name[name] = self.by_id[number] = BackendRecord(name, number)
+        becomes_ready = record.state is not EndpointState.READY or started != record.started
+        if state is EndpointState.READY and becomes_ready:
+            self._on_ready(now, record, is_known)
+        record.state = state
+        record.capacity = max(capacity, MIN_CAPACITY)
+        record.started = started
+
+    def _on_ready(self, now: float, record: BackendRecord, is_known: bool) -> None:
+        record.ready_since = now
+        record.hot_since = -1.0
+        record.excluded_until = -1.0
+        if self._has_list:
+            record.joined_at = now
+        if is_known:
+            if now > record.flapped_at + FLAP_MEMORY_MS:
+                record.flaps = 0
+            record.flaps = min(record.flaps + 1, MAX_FLAPS)
+            record.flapped_at = now
+
+    def list_over(self, touched: Iterable[ListedBackend]) -> None:
+        """Ends an endpoint list. A backend that is gone and holds nothing is forgotten.
+
+        One that flapped is remembered for longer than its absence, within MAX_RECORDS.
+
+        Args:
+            touched: the backends that the list named or left out.
+        """
+        self._has_list = True
         for backend in touched:
-            book = self.books.get(backend.name)
-            if book is None or backend.state is not EndpointState.GONE:
+            record = self.by_name.get(backend.name)
+            if record is None or backend.state is not EndpointState.GONE:
                 continue
-            book.state = EndpointState.GONE
-            if not book.requests and (not book.flaps or len(self.books) > MAX_BOOKS):
-                del self.books[book.name], self.numbers[book.number]
-
-    def ramp(self, now: float, book: BackendRecord) -> float:
-        """The share of its capacity that a node has at the least by now."""
-        if book.started <= 0.0 or now >= book.started + self.cold_ms:
+            record.state = EndpointState.GONE
+            if not record.connections and (not record.flaps or len(self.by_name) > MAX_RECORDS):
+                del self.by_name[record.name]
+                del self.by_id[record.number]
+
+    def capacity_fraction(self, now: float, record: BackendRecord) -> float:
+        """Returns the fraction of its capacity that a backend has at the least by now."""
+        if record.started <= 0.0 or now >= record.started + self.warmup_ms:
             return 1.0
-        return self.cold_share + (1.0 - self.cold_share) * max(now - book.started, 0.0) / self.cold_ms
+        warmed = max(now - record.started, 0.0)
+        return self.initial_capacity_fraction + (1.0 - self.initial_capacity_fraction) * warmed / self.warmup_ms
 
-    def settled(self, now: float, book: BackendRecord, settle_ms: float) -> bool:
-        """Ready, warm, and steady for long enough to be counted on; each flap doubles how long that is."""
-        wait = settle_ms * 2.0 ** max(0, book.flaps - 1)
-        return book.state is EndpointState.READY and self.ramp(now, book) >= 1.0 and now >= book.ready_at + wait
+    def is_settled(self, now: float, record: BackendRecord, settle_ms: float) -> bool:
+        """Returns whether it is ready, warm, and has been so for long enough; each flap doubles how long that is."""
+        if record.state is not EndpointState.READY or self.capacity_fraction(now, record) < 1.0:
+            return False
+        wait_ms = settle_ms * 2.0 ** max(0, record.flaps - 1)
+        return now >= record.ready_since + wait_ms
 
-    # --- jobs -----------------------------------------------------------------------------------
+    # --- connections ------------------------------------------------------------------------------
 
     def opened(self, now: float, request: int, name: str, load: float, key: int, group: int, returned: bool) -> None:
-        book = self.books.get(name)
-        if book is None:  # adopted from a list that no longer names it
+        """Adds an established connection. One at a backend that the list no longer names is left out."""
+        record = self.by_name.get(name)
+        if record is None:
             return
-        if load > 0.0:
-            self.mean_load += (load - self.mean_load) * (0.05 if self.mean_load else 1.0)
-        held = EstablishedConnection(request, book, load or self.mean_load or 1.0, key, group, now, returned)
-        self.requests[request] = book.requests[request] = held
-        book.load += held.load
+        self._learn_load(load)
+        load = load or self.mean_load or 1.0
+        connection = EstablishedConnection(request, record, load, key, group, now, returned)
+        self.connections[request] = record.connections[request] = connection
+        record.load += connection.load
         if group:
-            book.groups.setdefault(group, set()).add(request)
+            record.groups.setdefault(group, set()).add(request)
 
     def load(self, request: int, load: float) -> None:
-        held = self.requests.get(request)
-        if held is not None and load > 0.0:
-            self.mean_load += (load - self.mean_load) * (0.05 if self.mean_load else 1.0)
-            held.backend.load += load - held.load
-            held.load = load
+        """Takes in a new load of a connection; 0 says nothing."""
+        connection = self.connections.get(request)
+        if connection is not None and load > 0.0:
+            self._learn_load(load)
+            connection.backend.load += load - connection.load
+            connection.load = load
+
+    def _learn_load(self, load: float) -> None:
+        if load > 0.0:
+            self.mean_load += (load - self.mean_load) * (MEAN_LOAD_WEIGHT if self.mean_load else 1.0)
 
     def over(self, request: int) -> EstablishedConnection | None:
-        held = self.requests.pop(request, None)
-        if held is None:
+        """Removes a connection that has ended. Returns it, or None where it was not known."""
+        connection = self.connections.pop(request, None)
+        if connection is None:
             return None
-        book = held.backend
-        del book.requests[request]
-        book.load = book.load - held.load if book.requests else 0.0
-        if held.group:
-            members = book.groups[held.group]
+        record = connection.backend
+        del record.connections[request]
+        record.load = record.load - connection.load if record.connections else 0.0
+        if connection.group:
+            members = record.groups[connection.group]
             members.discard(request)
             if not members:
-                del book.groups[held.group]
-        return held
+                del record.groups[connection.group]
+        return connection
--- a/yarrowspindle/rebalancing/migration_rate.py
+++ b/yarrowspindle/rebalancing/migration_rate.py
@@ -1,89 +1,61 @@
-"""How fast: token buckets for the relay, for each source and for each target, and a factor that falls on trouble."""
+"""How fast connections are migrated: token buckets for the relay, each source and each target, and a common factor."""
 
 from __future__ import annotations
 
-MIN_FACTOR = 1.0 / 16.0
+from enum import Enum, unique
 
+from yarrowspindle.rebalancing.token_bucket import TokenBucket
 
-class Bucket:
-    """At most `burst` at once and `rate` a second: over any time t at most rate * t + burst."""
+MIN_FACTOR = 1.0 / 16.0
+RECOVERY_S = 16.0  # from no rate at all back to the full one, without a setback
 
-    __slots__ = ("rate", "burst", "tokens", "at")
 
-    def __init__(self, rate: float, burst: float, now: float) -> None:
-        self.rate, self.burst, self.tokens, self.at = rate, burst, burst, now
+@unique
+class Role(Enum):
+    """What a backend is to a migration."""
 
-    def fill(self, now: float, rate: float, burst: float) -> float:
-        self.rate, self.burst = rate, burst
-        self.tokens = min(burst, self.tokens + rate * max(now - self.at, 0.0) / 1000.0)
-        self.at = now
-        return self.tokens
+    SOURCE = "source"
+    TARGET = "target"
 
-    def take(self) -> bool:
-        if self.tokens < 1.0 - 1e-9:
-            return False
-        self.tokens -= 1.0
-        return True
+    __hash__ = object.__hash__
 
 
 class MigrationRate:
-    """The buckets of one relay. `factor` slows all of them down; it halves on trouble and comes back by and by."""
+    """The buckets of one relay.
+
+    Attributes:
+        relay: the bucket of all migrations.
+        by_backend: the buckets of backends that were used of late.
+        factor: multiplies all rates; halved on a setback, and recovering by and by.
+    """
 
     def __init__(self, now: float) -> None:
-        self.all = Bucket(0.0, 1.0, now)
-        self.by_backend: dict[tuple[str, str], Bucket] = {}  # ("source" or "target", node)
+        self.relay = TokenBucket(0.0, 1.0, now)
+        self.by_backend: dict[tuple[Role, str], TokenBucket] = {}
         self.factor = 1.0
 
-    def begin(self, now: float, rate: float, beat_s: float) -> None:
-        """At each beat: what the relay may move now. Buckets of nodes that are full again are forgotten."""
+    def begin(self, now: float, rate: float, interval_s: float) -> None:
+        """Fills the relay's bucket at the begin of a round, and forgets the buckets of backends that are full again."""
         rate *= self.factor
-        self.all.fill(now, rate, max(1.0, rate * beat_s))
-        for key in [k for k, b in self.by_backend.items() if b.tokens + b.rate * (now - b.at) / 1000.0 >= b.burst]:
+        self.relay.fill(now, rate, max(1.0, rate * interval_s))
+        full = [key for key, bucket in self.by_backend.items() if bucket.is_full(now)]
+        for key in full:
             del self.by_backend[key]
 
-    def backend(self, now: float, role: str, name: str, rate: float, beat_s: float) -> Bucket:
+    def backend(self, now: float, role: Role, name: str, rate: float, interval_s: float) -> TokenBucket:
+        """Returns the bucket of a backend in this role, filled up to now."""
         rate *= self.factor
-        burst = max(1.0, rate * beat_s)
+        burst = max(1.0, rate * interval_s)
         bucket = self.by_backend.get((role, name))
         if bucket is None:
-            bucket = self.by_backend[role, name] = Bucket(rate, burst, now)
+            bucket = self.by_backend[role, name] = TokenBucket(rate, burst, now)
         bucket.fill(now, rate, burst)
         return bucket
 
-    def slower(self) -> None:
+    def slow_down(self) -> None:
+        """Halves all rates, down to MIN_FACTOR."""
         self.factor = max(MIN_FACTOR, self.factor / 2.0)
 
-    def faster(self, beat_s: float) -> None:
-        """Back to the full pace within about 16 s of beats without trouble."""
-        self.factor = min(1.0, self.factor + beat_s / 16.0)
-
-
-class Moved:
-    """How often each submitter key was moved by this relay of late; bounded, the oldest are forgotten first.
-
-    A forgotten key errs to the safe side nowhere else: a submitter that comes back says so (`again=1`), and one that
-    did and is not in here is taken to have been moved as often as is allowed.
-    """
-
-    MOST = 65_536
-
-    def __init__(self) -> None:
-        self.times: dict[int, list[float]] = {}
-
-    def count(self, now: float, key: int, window_ms: float) -> int:
-        times = self.times.get(key)
-        return sum(1 for at in times if at > now - window_ms) if times else 0
-
-    def add(self, now: float, key: int, window_ms: float) -> None:
-        kept = [at for at in self.times.pop(key, ()) if at > now - window_ms]
-        self.times[key] = [*kept, now]
-        while len(self.times) > self.MOST:
-            del self.times[next(iter(self.times))]
-
-    def forget(self, now: float, window_ms: float) -> None:
-        """The oldest that are out of the window; keys stand in the order of their last moves."""
-        while self.times:
-            key = next(iter(self.times))
-            if self.times[key][-1] > now - window_ms:
-                return
-            del self.times[key]
+    def speed_up(self, interval_s: float) -> None:
+        """Recovers by one round without a setback."""
+        self.factor = min(1.0, self.factor + interval_s / RECOVERY_S)
--- a/yarrowspindle/rebalancing/settings.py
+++ b/yarrowspindle/rebalancing/settings.py
@@ -1,4 +1,4 @@
-"""What operators may set of rebalancing, with checks that name the wrong key."""
+"""The operator's settings of rebalancing, with checks that name the wrong key."""
 
 from __future__ import annotations
 
@@ -8,13 +8,16 @@
 from enum import Enum
 from typing import Any
 
+MINUTE_MS = 60_000.0
+MINUTES_PER_DAY = 1440
+
 
 class RebalanceError(ValueError):
-    """A key is unknown, or its value makes no sense; the text names the key and what is allowed."""
+    """A key is unknown, or its value is invalid; the text names the key and what is allowed."""
 
 
 class Order(Enum):
-    """Which jobs of a node that holds too much go first."""
+    """Which connections of a backend that holds too much go first."""
 
     LIGHTEST = "lightest-first"
     HEAVIEST = "heaviest-first"
@@ -23,22 +26,28 @@
 
 @dataclass(slots=True, frozen=True)
 class RebalanceSettings:
-    """Rates are for this relay alone, except `target_moves_per_s`, which is for all relays together.
-
-    spread: how far own load over capacity may lie above the level, as a share of it (0.1: a tenth).
-    moves_per_s, share_per_s: moves a second, and as a share of own standing connections; the lower holds.
-    source_moves_per_s: moves a second off one node.
-    target_moves_per_s: moves a second that one node is given by all relays together.
-    dwell_s: a job stands at least this long before it may be moved.
-    moves_per_submitter, submitter_window_s: one submitter key is moved at most so often within this time.
-    least_gain: a job lighter than this many mean loads is not worth its reconnect.
-    settle_s: a node must have been ready and warm for this long; doubled for each time it flapped.
-    newcomer_s: how long a node that came counts as the cause of an imbalance.
-    hot_s: without a newcomer, an imbalance must have stood for this long, beyond what chance explains.
-    quiet: hours in UTC in which nothing is moved, as ("22:00-06:00", ...).
-    beat_s: a plan is drawn up this often.
-    return_least: while fewer than this share of the moved come back, the pace drops and the plan pauses.
-    pause_s: how long a pause lasts at the least.
+    """The operator's [rebalance]; field names are the keys of the file.
+
+    Rates are for this relay alone, except `target_moves_per_s`, which is for all relays together.
+
+    Attributes:
+        spread: how far own load over capacity may lie above the level, as a fraction of it.
+        moves_per_s: migrations a second.
+        share_per_s: migrations a second, as a fraction of the established connections; the lower of both holds.
+        source_moves_per_s: migrations a second off one backend.
+        target_moves_per_s: migrations a second to one backend, by all relays together.
+        dwell_s: a connection stands at least this long before it may be migrated.
+        moves_per_submitter: how often one client key is migrated at most within the window.
+        submitter_window_s: that window.
+        least_gain: a connection lighter than this many mean loads is not worth its reconnect.
+        order: which connections go first.
+        settle_s: a backend must have been ready and warm for this long; doubled for each time it flapped.
+        newcomer_s: how long a backend that joined counts as the cause of an imbalance.
+        hot_s: how long an imbalance beyond what chance explains must have lasted, where no backend has joined.
+        quiet: hours in UTC in which nothing is migrated, as ("22:00-06:00", ...).
+        beat_s: the interval of the rounds.
+        return_least: while fewer than this fraction of the migrated come back, the rate falls and the plan pauses.
+        pause_s: how long a pause lasts at the least.
     """
 
     spread: float = 0.1
@@ -68,9 +77,16 @@
             raise RebalanceError(f"rebalance.moves_per_submitter is {self.moves_per_submitter!r}: a whole number")
 
     def is_quiet(self, now_ms: float) -> bool:
-        """Whether this moment (Unix milliseconds) lies in one of the quiet hours."""
-        minute = int(now_ms / 60_000.0) % 1440
-        return any(a <= minute < b if a <= b else minute >= a or minute < b for a, b in self.quiet)
+        """Returns whether this moment (Unix milliseconds) lies in one of the quiet hours."""
+        minute = int(now_ms / MINUTE_MS) % MINUTES_PER_DAY
+        return any(_is_within(minute, first, last) for first, last in self.quiet)
+
+
+def _is_within(minute: int, first: int, last: int) -> bool:
+    """Whether a minute of the day lies in a span, which may go past midnight."""
+    if first <= last:
+        return first <= minute < last
+    return minute >= first or minute < last
 
 
 RANGES: dict[str, tuple[float, float]] = {
@@ -93,23 +109,25 @@
 
 
 def read_hours(value: object) -> tuple[tuple[int, int], ...]:
-    """`["22:00-06:00"]` as minutes of the day."""
-    spans = []
-    for text in value if isinstance(value, list) else [value]:
-        try:
-            ends = [tuple(map(int, end.split(":"))) for end in str(text).split("-")]
-            (h0, m0), (h1, m1) = ends
-        except ValueError:
-            raise RebalanceError(f'rebalance.quiet holds {text!r}: hours like "22:00-06:00" are wanted') from None
-        if not (0 <= h0 < 24 and 0 <= h1 <= 24 and 0 <= m0 < 60 and 0 <= m1 < 60):
-            raise RebalanceError(f"rebalance.quiet holds {text!r}: no such hours")
-        spans.append((h0 * 60 + m0, h1 * 60 + m1))
-    return tuple(spans)
+    """Returns `["22:00-06:00"]` as minutes of the day. Raises RebalanceError."""
+    return tuple(_read_span(text) for text in (value if isinstance(value, list) else [value]))
+
+
+def _read_span(text: object) -> tuple[int, int]:
+    try:
+        first, last = (tuple(map(int, end.split(":"))) for end in str(text).split("-"))
+        (first_hour, first_minute), (last_hour, last_minute) = first, last
+    except ValueError:
+        raise RebalanceError(f'rebalance.quiet holds {text!r}: hours like "22:00-06:00" are wanted') from None
+    hours_fit = 0 <= first_hour < 24 and 0 <= last_hour <= 24
+    if not hours_fit or not (0 <= first_minute < 60 and 0 <= last_minute < 60):
+        raise RebalanceError(f"rebalance.quiet holds {text!r}: no such hours")
+    return first_hour * 60 + first_minute, last_hour * 60 + last_minute
 
 
 def read_rebalance(section: Mapping[str, Any]) -> RebalanceSettings:
-    """The settings from the operator's `[rebalance]`; raises RebalanceError."""
-    known = [f.name for f in fields(RebalanceSettings)]
+    """Reads the operator's `[rebalance]`. Raises RebalanceError that names the wrong key."""
+    known = [field.name for field in fields(RebalanceSettings)]
     values = dict(section)
     for name in values.keys() - set(known):
         near = get_close_matches(name, known, 1)
