--- a/benchmarks/subsets.py
+++ b/benchmarks/subsets.py
@@ -74,8 +74,8 @@
 
 def arcs(relays: list[str], backends: list[str]) -> dict[str, dict[str, int]]:
     view = SubsetRing(PART)
-    view.told(dict.fromkeys(relays, 1.0), backends)
-    return {relay: dict(view.subset(relay).times) for relay in relays}
+    view.set_view(dict.fromkeys(relays, 1.0), backends)
+    return {relay: dict(view.subset(relay).weights) for relay in relays}
 
 
 WAYS: dict[str, Way] = {"rendezvous": rendezvous, "rounds": rounds, "ranks": ranks, "arcs": arcs}
@@ -122,9 +122,9 @@
     least_backend = sum(f"{seed}-node" in part for part in listed.values()) or 1
     if way == "arcs":
         view = SubsetRing(PART)
-        view.told(dict.fromkeys(names, 1.0), machines)
+        view.set_view(dict.fromkeys(names, 1.0), machines)
         began = time.perf_counter()
-        view.relay(f"{seed}-new")
+        view.set_relay(f"{seed}-new")
         view.subset(names[0])
     else:
         began = time.perf_counter()
--- a/tests/subsets/test_subset_ring.py
+++ b/tests/subsets/test_subset_ring.py
@@ -7,12 +7,12 @@
 import pytest
 
 from benchmarks.subsets import measured
-from yarrowspindle.subsets.subset_ring import LEAST, POINTS, SubsetRing, points_of
+from yarrowspindle.subsets.subset_ring import MIN_BACKENDS, POINTS, SubsetRing, points_of
 
 
 def seen(relays: dict[str, float], backends: list[str]) -> SubsetRing:
     view = SubsetRing()
-    view.told(relays, backends)
+    view.set_view(relays, backends)
     return view
 
 
@@ -27,8 +27,8 @@
     view = seen({f"r{n}": 1.0 for n in range(60)}, [f"s{n}" for n in range(300)])
     parts = {name: view.subset(name) for name in view.relays}
     for backend in view.backends:
-        assert sum(part.times.get(backend, 0) for part in parts.values()) == view.cover
-    assert min(len(part) for part in parts.values()) >= LEAST
+        assert sum(part.weights.get(backend, 0) for part in parts.values()) == view.cover
+    assert min(len(part) for part in parts.values()) >= MIN_BACKENDS
 
 
 def test_the_same_view_gives_the_same_subsets_whatever_the_way_to_it() -> None:
@@ -37,22 +37,22 @@
     for _ in range(300):  # anything at all before
         kind, number = drawn.randrange(4), drawn.randrange(40)
         if kind == 0:
-            view.relay(f"r{number}", drawn.choice((0.3, 1.0, 9.0, 100.0)))
+            view.set_relay(f"r{number}", drawn.choice((0.3, 1.0, 9.0, 100.0)))
         elif kind == 1 and f"r{number}" in view.relays:
-            view.left(f"r{number}")
+            view.remove_relay(f"r{number}")
         elif kind == 2:
-            view.backend(f"s{number}")
+            view.add_backend(f"s{number}")
         else:
-            view.gone(f"s{number}")
-    view.told(relays, drawn.sample(backends, len(backends)))
+            view.remove_backend(f"s{number}")
+    view.set_view(relays, drawn.sample(backends, len(backends)))
     fresh = seen(relays, backends)
     assert (view.points, view.places) == (fresh.points, fresh.places)
     assert all(view.subset(name) == fresh.subset(name) for name in relays)
 
 
 def test_edges_no_backend_one_backend_a_stranger_and_ten_times_the_traffic() -> None:
-    assert not seen({"r0": 1.0}, []).subset("r0").times and seen({"r0": 1.0}, ["s"]).subset("r0").times == {"s": 1}
+    assert not seen({"r0": 1.0}, []).subset("r0").weights and seen({"r0": 1.0}, ["s"]).subset("r0").weights == {"s": 1}
     view = seen({f"r{n}": 10.0 if n == 0 else 1.0 for n in range(100)}, [f"s{n}" for n in range(400)])
-    assert set(view.subset("nobody").times) == set(view.backends), "who is not a member yet draws from all"
+    assert set(view.subset("nobody").weights) == set(view.backends), "who is not a member yet draws from all"
     assert len(view.subset("r0")) > 3 * len(view.subset("r1"))
     assert points_of(0.0) == POINTS // 4 and points_of(1.0) == POINTS and points_of(1e9) == 8 * POINTS
--- a/yarrowspindle/lab/model/lending.py
+++ b/yarrowspindle/lab/model/lending.py
@@ -10,7 +10,7 @@
 
 from yarrowspindle.lab.faults import Fault, Ways, relay_names, schedule
 from yarrowspindle.lab.model.clock import VirtualClock
-from yarrowspindle.subsets.leases import NEED_FRACTION, Held, LeaseGrant, LeaseRequest, QuotaHolder, QuotaPool
+from yarrowspindle.subsets.leases import MIN_NEED_FRACTION, HeldLease, LeaseGrant, LeaseRequest, QuotaHolder, QuotaPool
 
 TERM_MS, STEP_MS = 2000.0, 50.0
 TOTAL, RESERVE, BANKS = 1000.0, 0.2, 5
@@ -57,7 +57,7 @@
             return
         self.world.clock.after(TERM_MS / 4.0 * self.world.random.uniform(0.8, 1.2), self.beat)
         if self.awake:
-            for bank, ask in self.borrower.ask(self.now(), self.world.needs[self.name]):
+            for bank, ask in self.borrower.requests(self.now(), self.world.needs[self.name]):
                 self.world.send(self.name, bank, ask)
 
     def came(self, source: str, message: Any) -> None:
@@ -66,11 +66,11 @@
         if not self.awake:  # it waits in the socket
             self.world.clock.after(self.stalled_until - self.world.clock.now() + 1.0, self.came, source, message)
         elif isinstance(message, LeaseRequest):
-            answer = self.bank.asked(self.now(), source, message) if self.bank is not None else None
+            answer = self.bank.on_request(self.now(), source, message) if self.bank is not None else None
             if answer is not None:
                 self.world.send(self.name, source, answer)
         else:
-            self.borrower.lent(self.now(), source, message)
+            self.borrower.on_grant(self.now(), source, message)
 
     def budget(self) -> float:
         """What it may spend; also a stopped one, which could go on at this instant."""
@@ -117,7 +117,7 @@
         banks = sum(relay.alive and relay.bank is not None for relay in self.relays.values())
         solo, part = RESERVE * TOTAL / len(self.names), (1.0 - RESERVE) * TOTAL / min(BANKS, len(self.names))
         living = [relay for relay in self.relays.values() if relay.alive]
-        least = NEED_FRACTION * part * banks / len(living)  # who needs nothing has that for a first need
+        least = MIN_NEED_FRACTION * part * banks / len(living)  # who needs nothing has that for a first need
         wanted = {relay.name: max(self.needs[relay.name] - solo, least) for relay in living}
         left, waiting = part * banks, len(living)
         for name, need in sorted(wanted.items(), key=lambda item: item[1]):
@@ -138,7 +138,7 @@
     """Counts a loan as over as soon as its term is, by a clock that may run faster than the borrower's."""
 
     @property
-    def keeps_ms(self) -> float:
+    def retention_ms(self) -> float:
         return 0.98 * self.term_ms
 
 
@@ -147,17 +147,17 @@
 
     def __init__(self, part: float, term_ms: float, now: float) -> None:
         super().__init__(part, term_ms, now)
-        self.opens_at = now
+        self.grants_from = now
 
 
 class ForgetsWhatItLent(QuotaPool):
     """Takes the newest loan for the only one."""
 
-    def asked(self, now: float, name: str, ask: LeaseRequest) -> LeaseGrant | None:
-        answer = super().asked(now, name, ask)
+    def on_request(self, now: float, name: str, ask: LeaseRequest) -> LeaseGrant | None:
+        answer = super().on_request(now, name, ask)
         account = self.accounts.get((name, ask.incarnation))
         if answer is not None and account is not None:
-            account.loans = {ask.number: account.loans[ask.number]}
+            account.leases = {ask.number: account.leases[ask.number]}
         return answer
 
 
@@ -165,41 +165,41 @@
     """Lends what is due to each, whatever others still have."""
 
     def _free(self, now: float, who: tuple[str, int]) -> float:
-        return self.part
+        return self.quota
 
 
 class CountsFromTheAnswer(QuotaHolder):
     """Counts its term from when the answer came."""
 
-    def lent(self, now: float, bank: str, lend: LeaseGrant) -> None:
-        before = self.held[bank].number
-        super().lent(now, bank, lend)
-        if self.held[bank].number != before:
-            self.held[bank].until = now + self.term_ms
+    def on_grant(self, now: float, bank: str, lend: LeaseGrant) -> None:
+        before = self.leases[bank].number
+        super().on_grant(now, bank, lend)
+        if self.leases[bank].number != before:
+            self.leases[bank].until = now + self.term_ms
 
 
 class NeverEnds(QuotaHolder):
     """Spends its last loan until it hears of another."""
 
     def budget(self, now: float) -> float:
-        return self.solo + sum(held.amount for held in self.held.values())
+        return self.reserve + sum(held.amount for held in self.leases.values())
 
 
 class TakesAnyAnswer(QuotaHolder):
     """Takes doubled and old answers, each as if it came in time."""
 
-    def lent(self, now: float, bank: str, lend: LeaseGrant) -> None:
-        self.held[bank] = Held(max(lend.number, self.held[bank].number), lend.amount, now + self.term_ms)
+    def on_grant(self, now: float, bank: str, lend: LeaseGrant) -> None:
+        self.leases[bank] = HeldLease(max(lend.number, self.leases[bank].number), lend.amount, now + self.term_ms)
 
 
 class KeepsTheLarger(QuotaHolder):
     """Gives nothing back before its end."""
 
-    def lent(self, now: float, bank: str, lend: LeaseGrant) -> None:
-        had = self.held[bank]
-        super().lent(now, bank, lend)
-        if now < had.until and had.amount > self.held[bank].amount:
-            self.held[bank].amount = had.amount
+    def on_grant(self, now: float, bank: str, lend: LeaseGrant) -> None:
+        had = self.leases[bank]
+        super().on_grant(now, bank, lend)
+        if now < had.until and had.amount > self.leases[bank].amount:
+            self.leases[bank].amount = had.amount
 
 
 DEFECTS = {
--- a/yarrowspindle/subsets/leases.py
+++ b/yarrowspindle/subsets/leases.py
@@ -1,14 +1,14 @@
-"""Budgets that relays spend together, as leases. Pure: banks that lend, borrowers that spend.
+"""Budgets that relays share by leases. Pure: pools that grant, holders that spend.
 
-A total (a rate of cold feed, of tries again, of probes, of moves, of a tenant's share) is cut into a reserve, of which
-each relay has its solo part for good, and a pool. The pool is cut among a few banks, relays that the operator names;
-each bank alone lends its part, so nothing has to be agreed on, and what is lent is never more than there is:
+A total (of slow-start admissions, retries, health checks, migrations or a tenant's quota) is cut into a reserve, of
+which each relay has its part for good, and the rest. The rest is cut among a few pools, at relays that the operator
+names; each pool alone grants its part, so nothing has to be agreed on, and what is leased is never more than there is:
 
-1. A bank lends no more than its part, less all that it lent and that may still be in use.
-2. A loan runs at the borrower for a term from when it *asked*, at the bank for a term and a margin from when it
-   *answered*; both by their own clocks that only go on, and run apart by less than the margin.
-3. A borrower uses its newest loan of each bank only; a doubled or late answer has an older number.
-4. A bank that starts lends nothing for a term and the margin: loans of the process before it may be in use.
+1. A pool grants no more than its quota, less all that it granted and that may still be in use.
+2. A lease runs at the holder for a term from when it *requested* it, at the pool for a term and a margin from when it
+   *granted* it; both by their own monotonic clocks, which run apart by less than the margin.
+3. A holder uses its newest lease of each pool only; a duplicate or late grant has an older number.
+4. A pool that starts grants nothing for a term and the margin: leases of the process before it may be in use.
 """
 
 from __future__ import annotations
@@ -16,15 +16,23 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-MARGIN = 0.05  # of a term: clocks do not run apart by more
-MAX_BORROWERS = 1024
-NEED_FRACTION = 0.1  # of an equal part, lent also to who needs nothing, so that a first need is met at once
-Borrower_ = tuple[str, int]  # a relay's name and life
+CLOCK_MARGIN = 0.05  # of a term: clocks do not run apart by more
+MAX_HOLDERS = 1024
+MIN_NEED_FRACTION = 0.1  # of an equal part, granted also to a holder without need, so that a first need is met at once
+
+HolderId = tuple[str, int]  # a relay's name and incarnation
 
 
 @dataclass(slots=True, frozen=True)
 class LeaseRequest:
-    """number: grows with each; holding: the newest loan that the sender has; need: as much as it could spend."""
+    """What a holder sends to a pool.
+
+    Attributes:
+        incarnation: of the holder's process.
+        number: grows with each request.
+        holding: the number of the newest lease that the holder has of this pool; 0: none.
+        need: as much as it could spend.
+    """
 
     incarnation: int
     number: int
@@ -34,119 +42,193 @@
 
 @dataclass(slots=True, frozen=True)
 class LeaseGrant:
+    """What a pool answers: an amount under the number of the request."""
+
     incarnation: int
     number: int
     amount: float
 
 
+@dataclass(slots=True, frozen=True)
+class GrantedLease:
+    """A lease as its pool sees it. `until`: when it is certainly no longer in use."""
+
+    amount: float
+    until: float
+
+
 @dataclass(slots=True)
 class Account:
-    """What one borrower may have in use, by number of its ask, with the time at which each ends; and what it needs."""
+    """What one holder may have in use.
+
+    Attributes:
+        leases: by the number of their requests.
+        need: as last requested.
+        requested_at: when the holder last requested a lease.
+        newest: the highest number of its requests.
+    """
 
-    loans: dict[int, tuple[float, float]] = field(default_factory=dict)
+    leases: dict[int, GrantedLease] = field(default_factory=dict)
     need: float = 0.0
-    heard: float = 0.0
+    requested_at: float = 0.0
     newest: int = 0
 
     def outstanding(self, now: float) -> float:
-        """It uses one of its loans, nobody knows which."""
-        return max((amount for amount, until in self.loans.values() if now < until), default=0.0)
-
-
-def divided(total: float, needs: Mapping[Borrower_, float]) -> dict[Borrower_, float]:
-    """No more than is needed to each, the same to all who need more; what is over is left."""
-    found: dict[Borrower_, float] = {}
-    left, waiting = total, len(needs)
-    for who, need in sorted(needs.items(), key=lambda item: (item[1], item[0])):
-        found[who] = min(need, left / waiting)
-        left -= found[who]
+        """Returns the most that may be in use: the holder uses one of its leases, the pool cannot know which."""
+        return max((lease.amount for lease in self.leases.values() if now < lease.until), default=0.0)
+
+
+def divide(total: float, needs: Mapping[HolderId, float]) -> dict[HolderId, float]:
+    """Divides a total by need: to nobody more than needed, the same to all that need more. What is over is left."""
+    found: dict[HolderId, float] = {}
+    left = total
+    waiting = len(needs)
+    for holder, need in sorted(needs.items(), key=lambda item: (item[1], item[0])):
+        found[holder] = min(need, left / waiting)
+        left -= found[holder]
         waiting -= 1
     return found
 
 
 class QuotaPool:
-    """part: of the pool, what this bank lends; term_ms: of a loan."""
+    """The granting side of one part of a budget.
+
+    Args:
+        quota: what this pool may grant in all.
+        term_ms: of a lease, at its holder.
+        now: milliseconds of this process's monotonic clock.
+    """
 
-    def __init__(self, part: float, term_ms: float, now: float) -> None:
-        self.part, self.term_ms = part, term_ms
-        self.opens_at = now + self.keeps_ms
-        self.accounts: dict[Borrower_, Account] = {}
+    def __init__(self, quota: float, term_ms: float, now: float) -> None:
+        self.quota = quota
+        self.term_ms = term_ms
+        self.grants_from = now + self.retention_ms
+        self.accounts: dict[HolderId, Account] = {}
 
     @property
-    def keeps_ms(self) -> float:
-        return self.term_ms * (1.0 + MARGIN)
-
-    def asked(self, now: float, name: str, ask: LeaseRequest) -> LeaseGrant | None:
-        who = (name, ask.incarnation)
-        account = self.accounts.get(who)
-        if account is None:
-            if len(self.accounts) >= MAX_BORROWERS:
-                self._forget(now)
-            if len(self.accounts) >= MAX_BORROWERS:
-                return None
-            account = self.accounts[who] = Account()
-        if ask.number <= account.newest:
-            return None  # doubled, or overtaken by a later one
-        account.newest, account.need, account.heard = ask.number, max(ask.need, 0.0), now
-        # What is older than the loan that it holds is no longer used.
-        account.loans = {n: loan for n, loan in account.loans.items() if n >= ask.holding and now < loan[1]}
-        if now < self.opens_at:
+    def retention_ms(self) -> float:
+        """How long a granted lease may be in use, by this process's clock."""
+        return self.term_ms * (1.0 + CLOCK_MARGIN)
+
+    def on_request(self, now: float, name: str, request: LeaseRequest) -> LeaseGrant | None:
+        """Grants a lease to the relay of this name; None: the request is a duplicate, too early, or one too many."""
+        holder = (name, request.incarnation)
+        account = self._account(now, holder)
+        if account is None or request.number <= account.newest:
             return None
-        amount = min(self._share(now, who), self._free(now, who))
-        account.loans[ask.number] = (amount, now + self.keeps_ms)
-        return LeaseGrant(ask.incarnation, ask.number, amount)
-
-    def _share(self, now: float, who: Borrower_) -> float:
-        living = {w: a.need for w, a in self.accounts.items() if now < a.heard + self.keeps_ms}
-        least = NEED_FRACTION * self.part / len(living)
-        return divided(self.part, {w: max(need, least) for w, need in living.items()})[who]
-
-    def _free(self, now: float, who: Borrower_) -> float:
-        others = sum(account.outstanding(now) for w, account in self.accounts.items() if w != who)
-        return max(0.0, self.part - others)
-
-    def _forget(self, now: float) -> None:
-        for who, account in list(self.accounts.items()):
-            if now >= account.heard + self.keeps_ms and not account.outstanding(now):
-                del self.accounts[who]
+        account.newest = request.number
+        account.need = max(request.need, 0.0)
+        account.requested_at = now
+        # Leases older than the one that it holds are no longer used.
+        account.leases = {
+            number: lease for number, lease in account.leases.items() if number >= request.holding and now < lease.until
+        }
+        if now < self.grants_from:
+            return None
+        amount = min(self._share(now, holder), self._free(now, holder))
+        account.leases[request.number] = GrantedLease(amount, now + self.retention_ms)
+        return LeaseGrant(request.incarnation, request.number, amount)
+
+    def _account(self, now: float, holder: HolderId) -> Account | None:
+        """Returns the holder's account, a new one where there is room."""
+        account = self.accounts.get(holder)
+        if account is not None:
+            return account
+        if len(self.accounts) >= MAX_HOLDERS:
+            self._forget_idle(now)
+        if len(self.accounts) >= MAX_HOLDERS:
+            return None
+        account = self.accounts[holder] = Account()
+        return account
+
+    def _share(self, now: float, holder: HolderId) -> float:
+        """Returns the holder's part of the quota by need."""
+        active = {
+            other: account.need
+            for other, account in self.accounts.items()
+            if now < account.requested_at + self.retention_ms
+        }
+        least = MIN_NEED_FRACTION * self.quota / len(active)
+        return divide(self.quota, {other: max(need, least) for other, need in active.items()})[holder]
+
+    def _free(self, now: float, holder: HolderId) -> float:
+        """Returns what the other holders certainly do not use."""
+        used = sum(account.outstanding(now) for other, account in self.accounts.items() if other != holder)
+        return max(0.0, self.quota - used)
+
+    def _forget_idle(self, now: float) -> None:
+        for holder, account in list(self.accounts.items()):
+            if now >= account.requested_at + self.retention_ms and not account.outstanding(now):
+                del self.accounts[holder]
 
-    def lent(self, now: float) -> float:
+    def outstanding(self, now: float) -> float:
+        """Returns the most that may be in use of this pool's quota."""
         return sum(account.outstanding(now) for account in self.accounts.values())
 
 
 @dataclass(slots=True)
-class Held:
+class HeldLease:
+    """A lease as its holder sees it: spent until `until`, milliseconds of its own clock."""
+
     number: int = 0
     amount: float = 0.0
     until: float = 0.0
 
 
+@dataclass(slots=True, frozen=True)
+class PendingRequest:
+    """A request without its answer."""
+
+    pool: str
+    sent_at: float
+
+
 class QuotaHolder:
-    """One relay's side of one budget. solo: its reserved part, which it may always spend."""
-
-    def __init__(self, incarnation: int, solo: float, term_ms: float, banks: tuple[str, ...]) -> None:
-        self.incarnation, self.solo, self.term_ms, self.banks = incarnation, solo, term_ms, banks
-        self.numbers = 0
-        self.asked: dict[int, tuple[str, float]] = {}  # number -> bank, and when it was asked
-        self.held = {bank: Held() for bank in banks}
-
-    def ask(self, now: float, need: float) -> list[tuple[str, LeaseRequest]]:
-        """To be called some times a term. need: as much as this relay could spend now, in all."""
-        self.asked = {n: (bank, at) for n, (bank, at) in self.asked.items() if now < at + self.term_ms}
-        wanted = max(need - self.solo, 0.0) / max(len(self.banks), 1)
+    """One relay's side of one budget.
+
+    Args:
+        incarnation: of this process.
+        reserve: what this relay may always spend.
+        term_ms: of a lease.
+        pools: the names of the relays that grant.
+    """
+
+    def __init__(self, incarnation: int, reserve: float, term_ms: float, pools: tuple[str, ...]) -> None:
+        self.incarnation = incarnation
+        self.reserve = reserve
+        self.term_ms = term_ms
+        self.pools = pools
+        self.last_number = 0
+        self.pending: dict[int, PendingRequest] = {}
+        self.leases = {pool: HeldLease() for pool in pools}
+
+    def requests(self, now: float, need: float) -> list[tuple[str, LeaseRequest]]:
+        """Returns a request for each pool; to be called a few times in a term.
+
+        Args:
+            now: milliseconds of this process's monotonic clock.
+            need: as much as this relay could spend now, in all.
+        """
+        self.pending = {
+            number: request for number, request in self.pending.items() if now < request.sent_at + self.term_ms
+        }
+        wanted = max(need - self.reserve, 0.0) / max(len(self.pools), 1)
         found = []
-        for bank in self.banks:
-            self.numbers += 1
-            self.asked[self.numbers] = (bank, now)
-            found.append((bank, LeaseRequest(self.incarnation, self.numbers, self.held[bank].number, wanted)))
+        for pool in self.pools:
+            self.last_number += 1
+            self.pending[self.last_number] = PendingRequest(pool, now)
+            request = LeaseRequest(self.incarnation, self.last_number, self.leases[pool].number, wanted)
+            found.append((pool, request))
         return found
 
-    def lent(self, now: float, bank: str, lend: LeaseGrant) -> None:
-        whom, at = self.asked.pop(lend.number, ("", 0.0))
-        if lend.incarnation != self.incarnation or whom != bank or lend.number <= self.held[bank].number:
+    def on_grant(self, now: float, pool: str, grant: LeaseGrant) -> None:
+        """Takes a lease, unless it is another process's, a duplicate, or older than the one that is held."""
+        request = self.pending.pop(grant.number, None)
+        if request is None or request.pool != pool or grant.incarnation != self.incarnation:
             return
-        self.held[bank] = Held(lend.number, lend.amount, at + self.term_ms)
+        if grant.number > self.leases[pool].number:
+            self.leases[pool] = HeldLease(grant.number, grant.amount, request.sent_at + self.term_ms)
 
     def budget(self, now: float) -> float:
-        """What this relay may spend now."""
-        return self.solo + sum(held.amount for held in self.held.values() if now < held.until)
+        """Returns what this relay may spend now."""
+        return self.reserve + sum(lease.amount for lease in self.leases.values() if now < lease.until)
