--- a/tests/library/test_library.py
+++ b/tests/library/test_library.py
@@ -30,6 +30,7 @@
     WatchedList,
     WrongContext,
 )
+from yarrowspindle.library.placer import PlacerState
 from yarrowspindle.replay import Recorder, SequenceError, play_library, read_sequence
 from yarrowspindle.routing.events import EndpointsUpdated, Event, EventLoopStalled
 from yarrowspindle.routing.termination import TerminationReason
@@ -249,13 +250,13 @@
         assert "closing" in await place()
 
     asyncio.run(body())
-    placer.state = "open"
+    placer.state = PlacerState.OPEN
     assert "another event loop" in asyncio.run(place())
 
 
 def test_ten_thousand_at_once_and_one_more() -> None:
     async def body(placer: Placer) -> None:
-        placer.requests_most = 10_000
+        placer.max_requests = 10_000
         go = asyncio.Event()
 
         async def request() -> None:
@@ -310,8 +311,8 @@
         def ask(self, version: int) -> None:
             nonlocal asked
             asked += 1
-            assert self.told is not None
-            self.told(EndpointsUpdated(ListKind.FAILED))
+            assert self.on_update is not None
+            self.on_update(EndpointsUpdated(ListKind.FAILED))
 
     async def body() -> None:
         async with Placer(SETTINGS, Down(MACHINES), seed=3, clock=clock) as placer:
@@ -352,8 +353,8 @@
 @pytest.mark.parametrize(
     "make, name",
     [
-        (lambda: ConnectionClass("c", aim_s=0.0), "JobClass.aim_s"),
-        (lambda: ConnectionClass("c", deadline_s=0.1), "JobClass.deadline_s"),
+        (lambda: ConnectionClass("c", aim_s=0.0), "ConnectionClass.aim_s"),
+        (lambda: ConnectionClass("c", deadline_s=0.1), "ConnectionClass.deadline_s"),
         (lambda: LibrarySettings(relays=2, number=2), "number"),
         (lambda: LibrarySettings(zone="a"), "zone"),
         (lambda: LibrarySettings(classes=()), "classes"),
--- a/tests/test_deprecated_names.py
+++ b/tests/test_deprecated_names.py
@@ -14,7 +14,15 @@
 @pytest.mark.parametrize("name", LIBRARY)
 def test_an_old_name_of_the_library_is_importable_with_a_warning(name: str) -> None:
     with pytest.warns(DeprecationWarning, match=f"library.{name} is now called"):
-        assert getattr(library, name).__name__ in library.__all__
+        found = getattr(library, name)
+    assert found is library._DEPRECATED[name][0] and library._DEPRECATED[name][1] in library.__all__
+
+
+def test_the_old_members_of_ending_are_the_reasons_of_today() -> None:
+    with pytest.warns(DeprecationWarning):
+        ending = library.Ending
+    names = [name for name in vars(ending) if name.isupper()]
+    assert {getattr(ending, name) for name in names} == set(library.TerminationReason)
 
 
 @pytest.mark.parametrize("name", interface._CURRENT)
--- a/yarrowspindle/library/__init__.py
+++ b/yarrowspindle/library/__init__.py
@@ -3,7 +3,8 @@
 import warnings
 
 from yarrowspindle.library.errors import BackendDropped, Failed, PlacementError, PlacerClosed, Rejected, WrongContext
-from yarrowspindle.library.placer import Placement, Placer
+from yarrowspindle.library.placement import Placement
+from yarrowspindle.library.placer import Placer
 from yarrowspindle.library.settings import ConnectionClass, LibrarySettings, SettingError
 from yarrowspindle.library.sources import CallbackList, Source, StaticList, WatchedList
 from yarrowspindle.routing.events import Endpoint
@@ -29,14 +30,35 @@
     "WrongContext",
 ]
 
-# Names of version 0.1.0, which the next version no longer has.
-_DEPRECATED: dict[str, type] = {
-    "Closing": PlacerClosed,
-    "Ending": TerminationReason,
-    "JobClass": ConnectionClass,
-    "Machine": Endpoint,
-    "NodeDropped": BackendDropped,
-    "Refused": Rejected,
+
+class _Ending:
+    """The members of `Ending` in version 0.1.0."""
+
+    SERVED = TerminationReason.COMPLETED
+    SENT_AWAY = TerminationReason.BACKEND_DRAINING
+    TURNED_AWAY = TerminationReason.REJECTED
+    ERRED = TerminationReason.BACKEND_ERROR
+    NOT_UNDERSTOOD = TerminationReason.PROTOCOL_ERROR
+    UNREACHED = TerminationReason.CONNECT_FAILED
+    BROKEN = TerminationReason.CONNECTION_RESET
+    SILENT = TerminationReason.UNRESPONSIVE
+    NODE_GONE = TerminationReason.BACKEND_REMOVED
+    EXPIRED = TerminationReason.IDLE_EXPIRED
+    OVERDUE = TerminationReason.DEADLINE_EXCEEDED
+    STALLED = TerminationReason.EVENT_LOOP_STALLED
+    SUBMITTER_LEFT = TerminationReason.CLIENT_DISCONNECTED
+    MOVED = TerminationReason.MIGRATED
+    NEVER_SENT = TerminationReason.NOT_SENT
+
+
+# Names of version 0.1.0, which the next version no longer has: old name -> what it stands for, and its current name.
+_DEPRECATED: dict[str, tuple[type, str]] = {
+    "Closing": (PlacerClosed, "PlacerClosed"),
+    "Ending": (_Ending, "TerminationReason"),
+    "JobClass": (ConnectionClass, "ConnectionClass"),
+    "Machine": (Endpoint, "Endpoint"),
+    "NodeDropped": (BackendDropped, "BackendDropped"),
+    "Refused": (Rejected, "Rejected"),
 }
 
 
@@ -44,6 +66,6 @@
     """Gives what a deprecated name stands for, with a `DeprecationWarning`."""
     if name not in _DEPRECATED:
         raise AttributeError(f"module {__name__!r} has no attribute {name!r}")
-    current = _DEPRECATED[name]
-    warnings.warn(f"{__name__}.{name} is now called {current.__name__}", DeprecationWarning, stacklevel=2)
-    return current
+    found, current = _DEPRECATED[name]
+    warnings.warn(f"{__name__}.{name} is now called {current}", DeprecationWarning, stacklevel=2)
+    return found
--- a/yarrowspindle/library/errors.py
+++ b/yarrowspindle/library/errors.py
@@ -1,29 +1,33 @@
-"""What a host application may have to catch."""
+"""The errors that a host application may have to handle."""
 
 from __future__ import annotations
 
 
 class PlacementError(Exception):
-    """The base of all that `Placer` raises on its own account."""
+    """The base of all that a `Placer` raises."""
 
 
 class Rejected(PlacementError):
-    """No execute node has room; trying again is harmless. `retry_after`: seconds, 0 where no advice is given."""
+    """No backend has capacity; trying again is harmless.
+
+    Attributes:
+        retry_after: seconds to wait before; 0: no advice.
+    """
 
     def __init__(self, retry_after: float = 0.0) -> None:
-        super().__init__(f"no execute node has room; come again after {retry_after:.1f} s")
+        super().__init__(f"no backend has capacity; try again after {retry_after:.1f} s")
         self.retry_after = retry_after
 
 
 class Failed(PlacementError):
-    """The job has failed; nothing is promised on whether it ran."""
+    """The request has failed; nothing is promised on whether it ran."""
 
     def __init__(self) -> None:
-        super().__init__("the job could not be placed")
+        super().__init__("the request could not be placed")
 
 
 class BackendDropped(PlacementError):
-    """The node drains or is gone, or the attempt's time is up: `await placement.failed()` for another."""
+    """The backend drains or is gone, or the attempt's time is up: `await placement.failed()` for another."""
 
 
 class PlacerClosed(PlacementError):
@@ -35,5 +39,7 @@
 
 
 class BackendUnreachable(Exception):
-    """Raised by an application before its response starts: the middleware tries another node. Frameworks may make an
-    error page of it, which is held back."""
+    """Raised by an application before its response starts: the middleware tries another backend.
+
+    A framework may make an error page of it, which the middleware does not pass on.
+    """
--- a/yarrowspindle/library/settings.py
+++ b/yarrowspindle/library/settings.py
@@ -1,6 +1,6 @@
 """The library's settings: dataclasses with checks that name the wrong field.
 
-LibrarySettings(classes=(JobClass("chat", deadline_s=4.8),), tenants=("acme",), relays=2, number=0)
+LibrarySettings(classes=(ConnectionClass("chat", deadline_s=4.8),), tenants=("acme",), relays=2, number=0)
 """
 
 from __future__ import annotations
@@ -10,20 +10,31 @@
 
 from yarrowspindle.decisions.settings import RequestClass, Settings, Tenant
 
+MAX_S = 3600.0  # of any time that is set
+MAX_CONNECT_S = 60.0
+MAX_ATTEMPTS = 100
+
 
 class SettingError(ValueError):
-    """A field makes no sense; the text begins with its name."""
+    """The value of a field is invalid; the text begins with its name."""
 
 
 def need(ok: bool, name: str, wanted: str, value: object) -> None:
+    """Raises SettingError for this field unless `ok`. `wanted`: what is allowed, in words."""
     if not ok:
         raise SettingError(f"{name} is {value!r}: {wanted}")
 
 
 @dataclass(slots=True, frozen=True)
 class ConnectionClass:
-    """One class of jobs. Times in seconds: set up within `aim_s`, given up after `deadline_s`; messages wanted within
-    `message_aim_s` (0: no aim)."""
+    """One class of connections.
+
+    Attributes:
+        name: of the class.
+        aim_s: the set-up latency objective, in seconds.
+        deadline_s: a request that is not established by then has failed.
+        message_aim_s: the latency objective of messages, in seconds; 0: none.
+    """
 
     name: str
     aim_s: float = 0.8
@@ -31,21 +42,42 @@
     message_aim_s: float = 0.15
 
     def __post_init__(self) -> None:
-        need(bool(self.name), "JobClass.name", "a name is wanted", self.name)
-        need(0.0 < self.aim_s <= 3600.0, "JobClass.aim_s", "seconds above 0, 3600 at most", self.aim_s)
-        need(self.aim_s <= self.deadline_s <= 3600.0, "JobClass.deadline_s", "seconds, aim_s at least", self.deadline_s)
-        need(0.0 <= self.message_aim_s <= 3600.0, "JobClass.message_aim_s", "seconds, 0 for none", self.message_aim_s)
+        need(bool(self.name), "ConnectionClass.name", "a name is wanted", self.name)
+        need(0.0 < self.aim_s <= MAX_S, "ConnectionClass.aim_s", "seconds above 0, 3600 at most", self.aim_s)
+        need(
+            self.aim_s <= self.deadline_s <= MAX_S,
+            "ConnectionClass.deadline_s",
+            "seconds, aim_s at least",
+            self.deadline_s,
+        )
+        need(
+            0.0 <= self.message_aim_s <= MAX_S,
+            "ConnectionClass.message_aim_s",
+            "seconds, 0 for none",
+            self.message_aim_s,
+        )
 
 
 @dataclass(slots=True, frozen=True)
 class LibrarySettings:
-    """What a placer is told at its start.
-
-    relays, number: how many placers and daemons place on the same nodes, and which of them this one is, from 0. Each
-    worker process is a relay of its own.
-    attempts: nodes that are tried for one job. retry_after_s: the longest wait that refused clients are told; 0: none.
-    cold_s, cold_share, fall_multiple, fall_s: how a started node warms up, and what makes it fall over.
-    zone, zones: the zone that this placer is in, and the names of all.
+    """What a placer is configured with.
+
+    Attributes:
+        classes: of connections; the first one is the default.
+        tenants: their names.
+        relays: how many placers and daemons place on the same backends. Each worker process is a relay of its own.
+        number: which of them this one is, from 0.
+        zone: the zone that this placer is in.
+        zones: the names of all zones.
+        kinds: the names of machine kinds.
+        attempts: for one request.
+        retry_after_s: the longest Retry-After of rejected clients, in seconds; 0: none is given.
+        connect_s: for a connection to a backend, in seconds.
+        cold_s: how long a started backend warms up, in seconds.
+        cold_share: the fraction of its capacity that it has at its start.
+        fall_multiple: a backend that gets so many times its present capacity is overloaded ...
+        fall_s: ... after so many seconds.
+        jobs_most: requests and connections at once.
     """
 
     classes: tuple[ConnectionClass, ...] = (ConnectionClass("default"),)
@@ -71,18 +103,18 @@
         need(self.relays >= 1, "relays", "1 at least", self.relays)
         need(0 <= self.number < self.relays, "number", f"from 0 to relays - 1 = {self.relays - 1}", self.number)
         need(not self.zone or self.zone in self.zones, "zone", f"one of zones {self.zones}", self.zone)
-        need(1 <= self.attempts <= 100, "attempts", "from 1 to 100", self.attempts)
-        need(0.0 <= self.retry_after_s <= 3600.0, "retry_after_s", "seconds from 0 to 3600", self.retry_after_s)
-        need(0.0 < self.connect_s <= 60.0, "connect_s", "seconds above 0, 60 at most", self.connect_s)
-        need(0.0 <= self.cold_s <= 3600.0, "cold_s", "seconds from 0 to 3600", self.cold_s)
+        need(1 <= self.attempts <= MAX_ATTEMPTS, "attempts", "from 1 to 100", self.attempts)
+        need(0.0 <= self.retry_after_s <= MAX_S, "retry_after_s", "seconds from 0 to 3600", self.retry_after_s)
+        need(0.0 < self.connect_s <= MAX_CONNECT_S, "connect_s", "seconds above 0, 60 at most", self.connect_s)
+        need(0.0 <= self.cold_s <= MAX_S, "cold_s", "seconds from 0 to 3600", self.cold_s)
         need(0.0 < self.cold_share <= 1.0, "cold_share", "above 0, 1 at most", self.cold_share)
         need(self.fall_multiple > 0.0, "fall_multiple", "above 0", self.fall_multiple)
-        need(0.0 < self.fall_s <= 3600.0, "fall_s", "seconds above 0, 3600 at most", self.fall_s)
+        need(0.0 < self.fall_s <= MAX_S, "fall_s", "seconds above 0, 3600 at most", self.fall_s)
         need(self.jobs_most >= 1, "jobs_most", "1 at least", self.jobs_most)
         self.names.update({c.name: i for i, c in enumerate(self.classes)})
 
     def core(self) -> Settings:
-        """The same for the decision module."""
+        """Returns the balancer's settings."""
         return Settings(
             classes=tuple(
                 RequestClass(
@@ -109,7 +141,7 @@
 
 
 def index_of(names: Sequence[str], value: int | str, what: str) -> int:
-    """The number of a class or tenant that is given by name or number; raises SettingError."""
+    """Returns the number of a class or tenant that is given by name or number. Raises SettingError."""
     if isinstance(value, str):
         if value not in names:
             raise SettingError(f"{what} is {value!r}: one of {', '.join(names) or 'none'} is known")
--- a/yarrowspindle/library/sources.py
+++ b/yarrowspindle/library/sources.py
@@ -1,9 +1,10 @@
-"""Where a placer has its machine list from. A source is asked by the module, and tells when it has something."""
+"""Where a placer has its endpoint list from. A source is asked for it by the balancer, and reports what it has."""
 
 from __future__ import annotations
 
 import asyncio
 from collections.abc import Awaitable, Callable, Iterable
+from contextlib import suppress
 from typing import Protocol
 
 from yarrowspindle.decisions.events import ListKind
@@ -11,84 +12,107 @@
 from yarrowspindle.routing.address import Address
 from yarrowspindle.routing.events import Endpoint, EndpointsUpdated
 
-ANSWER_S = 5.0  # a callback that has not answered by then has failed
+FETCH_TIMEOUT_S = 5.0  # a callback that has not answered by then has failed
+
+OnUpdate = Callable[[EndpointsUpdated], None]
+OnFailure = Callable[[str], None]
 
 
 class Source(Protocol):
-    def open(self, told: Callable[[EndpointsUpdated], None], failed: Callable[[str], None]) -> None:
-        """Called once, inside the loop. `told` takes each list, also `ListTold(FAILED)`; `failed` a reason to log."""
+    """Reports the endpoint list to one placer."""
+
+    def open(self, told: OnUpdate, failed: OnFailure) -> None:
+        """Starts it; called once, inside the event loop.
+
+        Args:
+            told: takes each list, and an update of the kind FAILED where none could be had.
+            failed: takes a reason for the log.
+        """
 
     def ask(self, version: int) -> None:
-        """The module wants the list, or to be told of changes after this version."""
+        """Asks for the list, or for the changes after this version."""
 
-    def close(self) -> None: ...
+    def close(self) -> None:
+        """Reports nothing more."""
+        ...
 
 
 class StaticList:
-    """A fixed list; `change` replaces it (a node that is left out counts as gone)."""
+    """A fixed list; `change` replaces it, and an endpoint that is left out counts as gone."""
 
-    def __init__(self, machines: Iterable[Endpoint]) -> None:
-        self.machines = list(machines)
+    def __init__(self, endpoints: Iterable[Endpoint]) -> None:
+        self.endpoints = list(endpoints)
         self.version = 1
-        self.told: Callable[[EndpointsUpdated], None] | None = None
+        self.on_update: OnUpdate | None = None
 
-    def open(self, told: Callable[[EndpointsUpdated], None], failed: Callable[[str], None]) -> None:
-        self.told = told
-        self._tell()
+    def open(self, told: OnUpdate, failed: OnFailure) -> None:
+        """Reports the list at once."""
+        self.on_update = told
+        self._report()
 
-    def change(self, machines: Iterable[Endpoint]) -> None:
-        self.machines = list(machines)
+    def change(self, endpoints: Iterable[Endpoint]) -> None:
+        """Replaces the list."""
+        self.endpoints = list(endpoints)
         self.version += 1
-        self._tell()
+        self._report()
 
-    def _tell(self) -> None:
-        if self.told is not None:
-            self.told(EndpointsUpdated(ListKind.FULL, list(self.machines), self.version))
+    def _report(self) -> None:
+        if self.on_update is not None:
+            self.on_update(EndpointsUpdated(ListKind.FULL, list(self.endpoints), self.version))
 
     def ask(self, version: int) -> None:
-        """There is nothing to ask: what there is was told."""
+        """Does nothing: the list was reported when it changed."""
 
     def close(self) -> None:
-        self.told = None
+        """Reports nothing more."""
+        self.on_update = None
 
 
 class WatchedList:
-    """The machine list service that the daemon watches: `WatchedList("10.2.0.1:8500", zones=[...], kinds=[...])`."""
+    """The discovery service that the daemon watches: `WatchedList("10.2.0.1:8500", zones=[...], kinds=[...])`."""
 
     def __init__(self, address: str, zones: Iterable[str] = (), kinds: Iterable[str] = ()) -> None:
         self.address: Address = parse_address(address)
         self.names = Names(list(zones), list(kinds))
 
-    def open(self, told: Callable[[EndpointsUpdated], None], failed: Callable[[str], None]) -> None:
+    def open(self, told: OnUpdate, failed: OnFailure) -> None:
+        """Opens the watch."""
         from yarrowspindle.runtime.endpoint_watch import ListWatch  # needs httptools
 
         self.watch = ListWatch(self.names, told, failed)
         self.watch.ask(0, self.address)
 
     def ask(self, version: int) -> None:
+        """Opens a watch from this version on, where none is open."""
         self.watch.ask(version, self.address)
 
     def close(self) -> None:
+        """Closes the watch."""
         self.watch.close()
 
 
 class CallbackList:
-    """Calls `fetch` for the whole list when the module asks and every `every_s` seconds; one call at a time."""
+    """Calls `fetch` for the whole list when the balancer asks and every `every_s` seconds; one call at a time."""
 
     def __init__(self, fetch: Callable[[], Awaitable[Iterable[Endpoint]]], every_s: float = 2.0) -> None:
-        self.fetch, self.every_s = fetch, every_s
+        self.fetch = fetch
+        self.every_s = every_s
         self.version = 0
         self.task: asyncio.Task[None] | None = None
         self.asked = asyncio.Event()
 
-    def open(self, told: Callable[[EndpointsUpdated], None], failed: Callable[[str], None]) -> None:
-        self.told, self.failed = told, failed
+    def open(self, told: OnUpdate, failed: OnFailure) -> None:
+        """Fetches the list from now on."""
+        self.on_update = told
+        self.on_failure = failed
         self.task = asyncio.get_running_loop().create_task(self._run())
 
     def ask(self, version: int) -> None:
+        """Fetches the list next, without waiting for the interval."""
         self.asked.set()
 
     def close(self) -> None:
+        """Fetches nothing more."""
         if self.task is not None:
             self.task.cancel()
 
@@ -96,15 +120,13 @@
         while True:
             self.asked.clear()
             try:
-                machines = list(await asyncio.wait_for(self.fetch(), ANSWER_S))
-            except Exception as error:  # whatever the host's function raises: the old list stands
-                self.failed(f"the machine list could not be fetched: {error!r}")
-                self.told(EndpointsUpdated(ListKind.FAILED))
-                await self.asked.wait()  # the module asks again, later each time
+                endpoints = list(await asyncio.wait_for(self.fetch(), FETCH_TIMEOUT_S))
+            except Exception as error:  # whatever the host's function raises: the old list stays in force
+                self.on_failure(f"the endpoint list could not be fetched: {error!r}")
+                self.on_update(EndpointsUpdated(ListKind.FAILED))
+                await self.asked.wait()  # the balancer asks again, with a backoff
                 continue
             self.version += 1
-            self.told(EndpointsUpdated(ListKind.FULL, machines, self.version))
-            try:
+            self.on_update(EndpointsUpdated(ListKind.FULL, endpoints, self.version))
+            with suppress(TimeoutError):
                 await asyncio.wait_for(self.asked.wait(), self.every_s)
-            except TimeoutError:
-                pass
--- a/yarrowspindle/middleware/__init__.py
+++ b/yarrowspindle/middleware/__init__.py
@@ -1,4 +1,4 @@
-"""Pure ASGI middleware on the library: for applications that pass long-lived connections on to execute nodes."""
+"""ASGI middleware on the library, for applications that pass long-lived connections on to backends."""
 
 from yarrowspindle.middleware.asgi import PlacementMiddleware
 from yarrowspindle.middleware.streams import LineLink, Link, open_line_link, reach, relay_events, relay_websocket
--- a/yarrowspindle/middleware/asgi.py
+++ b/yarrowspindle/middleware/asgi.py
@@ -1,6 +1,6 @@
-"""Places each long-lived scope of an ASGI application (Starlette, FastAPI, any other) on an execute node.
+"""Places each long-lived scope of an ASGI application (Starlette, FastAPI, any other) on a backend.
 
-The application finds its Placement in `scope["yarrowspindle"]` and connects to the node itself. A scope that is not
+The application finds its Placement in `scope["yarrowspindle"]` and connects to the backend itself. A scope that is not
 placed is answered with 503 and Retry-After; a websocket that is not placed is closed with 1013 before it is accepted.
 """
 
@@ -20,7 +20,8 @@
     PlacerClosed,
     Rejected,
 )
-from yarrowspindle.library.placer import Placement, Placer
+from yarrowspindle.library.placement import Placement
+from yarrowspindle.library.placer import Placer
 from yarrowspindle.library.settings import SettingError
 from yarrowspindle.routing.termination import TerminationReason
 
@@ -32,16 +33,27 @@
 
 log = logging.getLogger("yarrowspindle")
 SCOPE_KEY = "yarrowspindle"
-TRY_AGAIN_LATER, COME_AGAIN = 1013, 1012  # a websocket's close codes: refused, and moved
-NOT_PLACED = b"no execute node has room\n"
+# Close codes of websockets, as IANA registers them.
+WS_POLICY_VIOLATION = 1008
+WS_SERVICE_RESTART = 1012
+WS_TRY_AGAIN_LATER = 1013
+MAX_WS_REASON = 100  # characters of a close reason
+FIRST_ERROR_STATUS = 400
+DEFAULT_RETRY_AFTER_S = 1.0
+NOT_PLACED = b"no execute node has room\n"  # a published text
+PLACE_ARGUMENTS = frozenset(("key", "group", "load", "deadline", "cls", "tenant", "returned"))
 
 
 class PlacementMiddleware:
-    """long_lived(scope): which scopes are placed; by default all websockets and event streams.
+    """Wraps an application.
 
-    key, group, load, deadline, cls, tenant, returned: functions of the scope for what `Placer.place` takes under the
-    same names; a ValueError of theirs (an unknown class, say) is answered with 400, or 1008.
-    lifespan: the placer is started and closed with the application's lifespan.
+    Args:
+        app: the application.
+        placer: places its scopes.
+        long_lived: which scopes are placed; by default all websockets and event streams.
+        lifespan: whether the placer is started and closed with the application's lifespan.
+        taken: functions of the scope for what `Placer.place` takes under the same names (key, group, load, deadline,
+            cls, tenant, returned); a ValueError of theirs (an unknown class, say) is answered with 400, or 1008.
     """
 
     def __init__(
@@ -53,11 +65,14 @@
         lifespan: bool = True,
         **taken: Callable[[Scope], Any],
     ) -> None:
-        unknown = taken.keys() - {"key", "group", "load", "deadline", "cls", "tenant", "returned"}
+        unknown = taken.keys() - PLACE_ARGUMENTS
         if unknown:
             raise TypeError(f"not known: {', '.join(sorted(unknown))}")
-        self.app, self.placer, self.taken = app, placer, taken
-        self.long_lived, self.lifespan = long_lived or wants_stream, lifespan
+        self.app = app
+        self.placer = placer
+        self.taken = taken
+        self.long_lived = long_lived or wants_stream
+        self.lifespan = lifespan
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
         if scope["type"] == "lifespan" and self.lifespan:
@@ -68,16 +83,15 @@
             await self.app(scope, receive, send)
 
     async def _place(self, scope: Scope, receive: Receive, send: Send) -> None:
-        taken = self.taken
         try:
-            event = self.placer.arrival(**{name: take(scope) for name, take in taken.items()} if taken else {})
+            event = self.placer.arrival(**{name: take(scope) for name, take in self.taken.items()})
         except (SettingError, ValueError) as error:
-            await answer(scope, send, 400, 1008, f"{error}\n".encode(), [])
+            await answer(scope, send, 400, WS_POLICY_VIOLATION, f"{error}\n".encode(), [])
             return
         try:
             placement = await self.placer.begin(event)
         except PlacementError as error:
-            await refuse(scope, send, error)
+            await reject(scope, send, error)
             return
         answers = Answers(scope, send, placement)
         clean = False
@@ -88,12 +102,12 @@
             task = asyncio.current_task()
             if not placement.cut or task is None or task.uncancel() > 0:
                 raise
-            await answers.end_politely()  # it ignored `moved` until the placer's close was over
+            await answers.close()  # it ignored `moved` until the placer's close was over
         finally:
             placement.finish(clean)
 
     async def _run(self, scope: Scope, receive: Receive, answers: Answers) -> None:
-        """The application, at one node after the other until one is reached or none is left."""
+        """Runs the application at one backend after the other until one is reached or none is left."""
         placement = answers.placement
         while True:
             placement.ending = None
@@ -123,26 +137,30 @@
                     continue
                 except PlacementError as error:
                     answers.error = error
-            await refuse(scope, answers.outer, answers.error)
+            await reject(scope, answers.outer, answers.error)
             return
 
 
 class Answers:
-    """What the application sends, on its way out: the start of a response is the job's final answer."""
+    """What the application sends, on its way out: the start of a response is the request's final answer."""
 
     def __init__(self, scope: Scope, outer: Send, placement: Placement) -> None:
-        self.scope, self.outer, self.placement = scope, outer, placement
-        self.started = self.ended = False
+        self.scope = scope
+        self.outer = outer
+        self.placement = placement
+        self.started = False
+        self.ended = False
         self.error: Exception | None = None  # why this attempt's response is held back
 
     async def send(self, message: Message) -> None:
+        """Passes a message on, or holds it back where another backend is tried."""
         kind = message["type"]
         if not self.started:
             if self.error is None and self.placement.ending is TerminationReason.CONNECT_FAILED:
                 self.error = BackendUnreachable(self.placement.backend)
             if self.error is not None:
                 return  # an error page of the framework, for an attempt that has another after it
-            if kind == "websocket.accept" or kind == "http.response.start" and message["status"] < 400:
+            if kind == "websocket.accept" or kind == "http.response.start" and message["status"] < FIRST_ERROR_STATUS:
                 try:
                     self.placement.up()
                 except PlacementError as error:
@@ -150,34 +168,40 @@
                     raise
                 self.started = True
             elif kind in ("http.response.start", "websocket.close", "websocket.http.response.start"):
-                self.placement.leave()  # the application turns its client away itself
+                self.placement.leave()  # the application rejects its client itself
                 self.started = True
         if kind == "websocket.close" or kind == "http.response.body" and not message.get("more_body", False):
             self.ended = True
         await self.outer(message)
 
-    async def end_politely(self) -> None:
+    async def close(self) -> None:
+        """Ends the response in the way that tells the client to connect again."""
         if self.ended:
             return
         self.ended = True
         if not self.started:
-            await refuse(self.scope, self.outer, PlacerClosed("the placer is closing"))
+            await reject(self.scope, self.outer, PlacerClosed("the placer is closing"))
         elif self.scope["type"] == "websocket":
-            await self.outer({"type": "websocket.close", "code": COME_AGAIN, "reason": "come again"})
+            await self.outer({"type": "websocket.close", "code": WS_SERVICE_RESTART, "reason": "come again"})
         else:
             await self.outer({"type": "http.response.body", "body": b"", "more_body": False})
 
 
 class Lifespan:
-    """Starts the placer before the application's own start and closes it before the application's own end; does
-    both by itself where the application knows no lifespan."""
+    """Starts the placer before the application's own start, and closes it before the application's own end.
+
+    Does both by itself where the application knows no lifespan.
+    """
 
     def __init__(self, placer: Placer, receive: Receive, send: Send) -> None:
-        self.placer, self.outer_receive, self.outer_send = placer, receive, send
-        self.seen = ""  # the last message that came from the server
-        self.answered = ""
+        self.placer = placer
+        self.outer_receive = receive
+        self.outer_send = send
+        self.seen = ""  # the type of the last message from the server
+        self.answered = ""  # and of the last one to it
 
     async def run(self, app: App, scope: Scope) -> None:
+        """Runs the application's lifespan."""
         try:
             await app(scope, self.receive, self.send)
         except Exception:
@@ -193,6 +217,7 @@
             await self.send({"type": "lifespan.shutdown.complete"})
 
     async def receive(self) -> Message:
+        """Starts or closes the placer before the application hears of it."""
         message = await self.outer_receive()
         self.seen = message["type"]
         if self.seen == "lifespan.startup":
@@ -202,6 +227,7 @@
         return message
 
     async def send(self, message: Message) -> None:
+        """Passes a message on; closes the placer where the application's start has failed."""
         self.answered = message["type"]
         if self.answered == "lifespan.startup.failed":
             await self.placer.close(0.0)
@@ -209,27 +235,36 @@
 
 
 def wants_stream(scope: Scope) -> bool:
+    """Returns whether the scope is a websocket, or its client accepts an event stream."""
     if scope["type"] == "websocket":
         return True
-    for name, value in scope["headers"]:
-        if name == b"accept" and b"text/event-stream" in value:
-            return True
-    return False
+    return any(name == b"accept" and b"text/event-stream" in value for name, value in scope["headers"])
 
 
-async def refuse(scope: Scope, send: Send, error: Exception | None) -> None:
-    after = error.retry_after if isinstance(error, Rejected) else 1.0
-    headers = [(b"retry-after", b"%d" % max(1, ceil(after)))]
-    await answer(scope, send, 503, TRY_AGAIN_LATER, NOT_PLACED, headers)
+async def reject(scope: Scope, send: Send, error: Exception | None) -> None:
+    """Answers a scope that is not placed, with the error's Retry-After where it has one."""
+    retry_after_s = error.retry_after if isinstance(error, Rejected) else DEFAULT_RETRY_AFTER_S
+    headers = [(b"retry-after", b"%d" % max(1, ceil(retry_after_s)))]
+    await answer(scope, send, 503, WS_TRY_AGAIN_LATER, NOT_PLACED, headers)
 
 
 async def answer(
     scope: Scope, send: Send, status: int, code: int, body: bytes, headers: list[tuple[bytes, bytes]]
 ) -> None:
+    """Answers a scope in place of the application.
+
+    Args:
+        scope: of the client.
+        send: to the server.
+        status: of the HTTP response; also for a websocket, where the server can send one.
+        code: with which a websocket is closed where it cannot.
+        body: a text.
+        headers: besides the content type.
+    """
     kind = "http.response"
     if scope["type"] == "websocket":
         if "websocket.http.response" not in (scope.get("extensions") or {}):  # the server can only close it
-            reason = body.decode(errors="replace").strip()[:100]
+            reason = body.decode(errors="replace").strip()[:MAX_WS_REASON]
             await send({"type": "websocket.close", "code": code, "reason": reason})
             return
         kind = "websocket.http.response"
--- a/yarrowspindle/middleware/fastapi.py
+++ b/yarrowspindle/middleware/fastapi.py
@@ -11,12 +11,12 @@
 from fastapi import Depends
 from starlette.requests import HTTPConnection
 
-from yarrowspindle.library.placer import Placement
+from yarrowspindle.library.placement import Placement
 from yarrowspindle.middleware.asgi import SCOPE_KEY
 
 
 def placement_of(connection: HTTPConnection) -> Placement:
-    """Raises LookupError where the scope was not placed: `long_lived` says which are."""
+    """Returns the placement of a scope. Raises LookupError where it was not placed: `long_lived` says which are."""
     placement = connection.scope.get(SCOPE_KEY)
     if not isinstance(placement, Placement):
         raise LookupError("this scope was not placed: add PlacementMiddleware, and see its long_lived")
--- a/yarrowspindle/middleware/streams.py
+++ b/yarrowspindle/middleware/streams.py
@@ -1,6 +1,6 @@
-"""Passes messages between a client (websocket or server-sent events) and its node, and keeps the message times.
+"""Passes messages between a client (websocket or server-sent events) and its backend, and reports message times.
 
-A node link speaks lines here; another protocol brings an `open_link` of its own that returns the same two calls.
+A link to a backend speaks lines here; another protocol brings an `open_link` of its own that returns a `Link`.
 """
 
 from __future__ import annotations
@@ -9,42 +9,54 @@
 from collections.abc import AsyncIterator, Awaitable, Callable
 from typing import Any, Protocol
 
-from yarrowspindle.library.placer import Placement
-from yarrowspindle.middleware.asgi import COME_AGAIN
+from yarrowspindle.library.placement import Placement
+from yarrowspindle.middleware.asgi import WS_SERVICE_RESTART
 from yarrowspindle.routing.address import Address
 from yarrowspindle.routing.termination import TerminationReason
 
-CONNECT_S = 0.25
-MAX_LINE = 65_536
-AGAIN_MS = 400  # what an event stream tells its client to wait before it comes again after a move
+CONNECT_TIMEOUT_S = 0.25
+MAX_LINE_BYTES = 65_536
+RECONNECT_MS = 400  # what an event stream tells its client to wait before it connects again
+WS_NORMAL_CLOSURE = 1000
+WS_INTERNAL_ERROR = 1011
+NO_CLOSE = 0  # the client has closed the websocket itself
 
 
 class Link(Protocol):
+    """A connection to a backend that carries messages."""
+
     async def read(self) -> str | None:
-        """The next message; None where the node has ended the connection. OSError where it broke."""
+        """Returns the next message; None where the backend has closed the connection. Raises OSError on a reset."""
 
-    async def write(self, message: str) -> None: ...
-    async def close(self) -> None: ...
+    async def write(self, message: str) -> None:
+        """Sends a message. Raises OSError on a reset."""
+
+    async def close(self) -> None:
+        """Closes the connection."""
 
 
 class LineLink:
-    """A message is a line of UTF-8, 64 KiB at most."""
+    """A link on which a message is a line of UTF-8, MAX_LINE_BYTES at most."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self.reader, self.writer = reader, writer
+        self.reader = reader
+        self.writer = writer
 
     async def read(self) -> str | None:
+        """Returns the next line without its end; see `Link.read`."""
         try:
             line = await self.reader.readline()
         except ValueError as error:
-            raise ConnectionError("the node sent a line without end") from error
+            raise ConnectionError("the backend sent a line without end") from error
         return line.decode("utf-8", "replace").rstrip("\r\n") if line else None
 
     async def write(self, message: str) -> None:
+        """Sends a message as one line; line ends within it become spaces."""
         self.writer.write(message.replace("\r", " ").replace("\n", " ").encode() + b"\r\n")
         await self.writer.drain()
 
     async def close(self) -> None:
+        """Closes the connection."""
         self.writer.close()
 
 
@@ -52,18 +64,22 @@
 
 
 async def open_line_link(address: Address) -> Link:
-    return LineLink(*await asyncio.wait_for(asyncio.open_connection(*address, limit=MAX_LINE), CONNECT_S))
+    """Connects to a backend that speaks lines. Raises OSError, TimeoutError among it."""
+    return LineLink(*await asyncio.wait_for(asyncio.open_connection(*address, limit=MAX_LINE_BYTES), CONNECT_TIMEOUT_S))
 
 
 async def reach(placement: Placement, open_link: OpenLink = open_line_link) -> Link:
-    """A link to the placement's node, or to the next one that can be reached; raises Refused, Failed or Closing."""
+    """Returns a link to the placement's backend, or to the next one that can be reached.
+
+    Raises Rejected, Failed or PlacerClosed where none is left.
+    """
     while True:
         try:
             link = await open_link(placement.address)
-        except OSError:  # a time-out among them
+        except OSError:  # TimeoutError among it
             await placement.failed(TerminationReason.CONNECT_FAILED)
             continue
-        if placement.moved.is_set():  # the node drained, or the time was up, while the connection came up
+        if placement.moved.is_set():  # the backend drained, or the deadline passed, while the connection came up
             await link.close()
             await placement.failed(TerminationReason.NOT_SENT)
             continue
@@ -72,9 +88,14 @@
 
 
 async def relay_websocket(websocket: Any, placement: Placement, open_link: OpenLink = open_line_link) -> None:
-    """Both ways until one side ends or the placement is moved. `websocket`: Starlette's, not accepted yet.
+    """Passes messages both ways until one side closes or the connection is migrated.
+
+    A migration closes the websocket with 1012, the backend's close with 1000, a reset of the backend with 1011.
 
-    A move closes it with 1012, the node's end with 1000, a broken node with 1011.
+    Args:
+        websocket: Starlette's, not accepted yet.
+        placement: of its scope.
+        open_link: connects to a backend.
     """
     link = await reach(placement, open_link)
     try:
@@ -84,7 +105,7 @@
             while True:
                 message = await websocket.receive()
                 if message["type"] == "websocket.disconnect":
-                    return 0, TerminationReason.CLIENT_DISCONNECTED
+                    return NO_CLOSE, TerminationReason.CLIENT_DISCONNECTED
                 placement.asked()
                 await link.write(message.get("text") or (message.get("bytes") or b"").decode("utf-8", "replace"))
 
@@ -93,28 +114,30 @@
                 try:
                     message = await link.read()
                 except OSError:
-                    return 1011, TerminationReason.CONNECTION_RESET
+                    return WS_INTERNAL_ERROR, TerminationReason.CONNECTION_RESET
                 if message is None:
-                    return 1000, TerminationReason.COMPLETED
+                    return WS_NORMAL_CLOSURE, TerminationReason.COMPLETED
                 placement.answered()
                 await websocket.send_text(message)
 
         async def moved() -> tuple[int, TerminationReason]:
             await placement.moved.wait()
-            return COME_AGAIN, TerminationReason.MIGRATED
+            return WS_SERVICE_RESTART, TerminationReason.MIGRATED
 
         code, ending = await first_of(from_client(), from_backend(), moved())
         if not placement.over:
             placement.ending = ending
-        if code:
+        if code != NO_CLOSE:
             await websocket.close(code)
     finally:
         await link.close()
 
 
 async def relay_events(placement: Placement, link: Link) -> AsyncIterator[bytes]:
-    """Server-sent events from a link that `reach` has opened; a move ends them with `retry:`, so that the client
-    comes again by itself."""
+    """Yields server-sent events from a link that `reach` has opened.
+
+    A migration ends them with `retry:`, so that the client connects again by itself.
+    """
     moved = asyncio.ensure_future(placement.moved.wait())
     reading: asyncio.Future[str | None] | None = None
     try:
@@ -122,7 +145,7 @@
             reading = asyncio.ensure_future(link.read())
             await asyncio.wait((moved, reading), return_when=asyncio.FIRST_COMPLETED)
             if not reading.done():
-                yield b"retry: %d\nevent: moved\ndata:\n\n" % AGAIN_MS
+                yield b"retry: %d\nevent: moved\ndata:\n\n" % RECONNECT_MS
                 return
             try:
                 message = reading.result()
@@ -139,13 +162,12 @@
         await link.close()
 
 
-async def first_of(*works: Any) -> tuple[int, TerminationReason]:
-    """The first that ends decides; the others are cancelled, and what they raise meanwhile is passed over."""
-    tasks = [asyncio.ensure_future(work) for work in works]
+async def first_of(*awaitables: Awaitable[tuple[int, TerminationReason]]) -> tuple[int, TerminationReason]:
+    """Returns what the first one returns; the others are cancelled, and what they raise meanwhile is ignored."""
+    tasks = [asyncio.ensure_future(awaitable) for awaitable in awaitables]
     try:
         done, _ = await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
-        found: tuple[int, TerminationReason] = next(t for t in tasks if t in done).result()
-        return found
+        return next(task for task in tasks if task in done).result()
     finally:
         for task in tasks:
             task.cancel()
--- a/yarrowspindle/replay/player.py
+++ b/yarrowspindle/replay/player.py
@@ -8,7 +8,8 @@
 from dataclasses import dataclass, field
 from math import inf
 
-from yarrowspindle.library.placer import Placement, Placer
+from yarrowspindle.library.placement import Placement
+from yarrowspindle.library.placer import Placer
 from yarrowspindle.replay.sequence import Header
 from yarrowspindle.routing.effects import (
     AbortAttempt,
@@ -115,7 +116,7 @@
     """The library's Placer, with its clock and timers taken from the sequence."""
     played, clock = Played(), RecordedClock(header.started)
     placer = Placer(header.settings, seed=header.seed, clock=clock, timers=NoTimers(clock))
-    placer.requests_most = 1 << 62
+    placer.max_requests = 1 << 62
     asyncio.run(_open(placer))
     placer.runtime.late_at = inf  # stalls stand in the sequence
     placer.runtime.effect = played.effect
