--- a/tests/fronts/test_quic_front.py
+++ b/tests/fronts/test_quic_front.py
@@ -119,7 +119,7 @@
         assert home not in [w.backend_of(await c.ask(b"c")) for c in others]
         w.list(home, EndpointState.GONE)
         await asyncio.wait_for(first.reset, 5.0)
-        assert len(w.front.flows) == 5
+        assert len(w.front.table.flows) == 5
 
     run(body, {}, {})
 
@@ -142,7 +142,7 @@
         start = time.monotonic()
         event = await asyncio.wait_for((await w.client()).ended, 5.0)
         assert event.error_code == quic.REFUSED and 0.2 < time.monotonic() - start < 0.4
-        assert not w.front.flows and not w.hub.reducer.requests
+        assert not w.front.table.flows and not w.hub.reducer.requests
 
     run(body, {"answers": False}, class_ms=250.0)
 
@@ -173,7 +173,7 @@
         client.connection.send_stream_data(0, b"y")
         client.flush(client.connection)
         await asyncio.wait_for(client.reset, 5.0)
-        assert not w.front.flows
+        assert not w.front.table.flows
 
     run(body, {}, {})
 
@@ -182,8 +182,8 @@
     async def body(w: World) -> None:
         client = await w.up()
         home = w.backend_of(await client.ask(b"x"))
-        for flow in list(w.front.flows.values()):  # as after a restart: the table is empty
-            w.front._forget(flow, answered=False)
+        for flow in list(w.front.table.flows.values()):  # as after a restart: the table is empty
+            w.front._forget(flow, remember=False)
         w.hub.reducer.requests.clear()
         assert await client.ask(b"y") == f"{home}:y".encode()
         assert w.front.counts["taken_over"] == 1
@@ -212,11 +212,11 @@
         client = await w.client()
         while not w.front.counts["no_room"]:
             await asyncio.sleep(0)
-        assert not client.up.done() and len(w.front.flows) == 1
-        (flow,) = w.front.flows.values()
-        flow.heard -= w.front.config.idle_s
+        assert not client.up.done() and len(w.front.table.flows) == 1
+        (flow,) = w.front.table.flows.values()
+        flow.last_received_at -= w.front.config.idle_s
         w.front._sweep()
-        assert not w.front.flows and not w.front.by_id and not w.front.by_link
+        assert not w.front.table.flows and not w.front.table.by_id and not w.front.table.by_link
         assert [s.open for s in w.hub.reducer.balancer.backends.values()] == [0]
 
     run(body, {}, max_connections=1)
@@ -233,7 +233,7 @@
         assert await client.ask(b"x")
         other = b"\xc0\x0a\x0a\x0a\x0a\x08abcdefgh\x08abcdefgh" + bytes(1200)
         client.raw(other)
-        assert w.front.ids.decode(b"\x10" + bytes(16)) is not None and len(w.front.flows) == 1
+        assert w.front.ids.decode(b"\x10" + bytes(16)) is not None and len(w.front.table.flows) == 1
 
     run(body, {})
 
--- a/yarrowspindle/fronts/quic_front.py
+++ b/yarrowspindle/fronts/quic_front.py
@@ -1,15 +1,14 @@
-"""The QUIC front: connections by their ids, passed through to the nodes, on the same reducer as all others.
+"""The QUIC front: connections by their ids, passed through to the backends, on the same reducer as all others.
 
-The first Initial with an unknown destination connection id is a job. What follows goes by its id to the node
-that holds the connection, whatever address it comes from.
+The first Initial with an unknown destination connection id is a request. What follows goes by its id to the backend
+that holds the connection, whatever address it comes from (RFC 9000, sections 5.1 and 9).
 """
 
 from __future__ import annotations
 
 import asyncio
-from collections import Counter, OrderedDict
+from collections import Counter
 from collections.abc import Callable
-from dataclasses import dataclass, field
 from typing import Any
 
 from aioquic.quic.packet import QuicPacketType
@@ -18,6 +17,7 @@
 from yarrowspindle.daemon.operator_config import QuicConfig
 from yarrowspindle.daemon.relay_service import RelayService
 from yarrowspindle.decisions.events import EndpointState
+from yarrowspindle.fronts.quic_flow import NO_ATTEMPT, Flow, FlowTable
 from yarrowspindle.protocol import quic
 from yarrowspindle.protocol.quic import Header, Link, PacketError
 from yarrowspindle.routing.address import Address
@@ -38,76 +38,60 @@
 from yarrowspindle.routing.termination import TerminationReason
 from yarrowspindle.transport.datagrams import Front, Path
 
-FIRST_FLIGHT = 8  # client datagrams kept until the connection stands, for another node if the first fails
-HELD_BACK = 16  # node datagrams kept until its handshake has answered
-SILENT_S, SILENT_PACKETS = 5.0, 4  # a client that asks this long and often with no packet back has lost its node
-PATH_IDLE_S = 10.0  # an address that a client has left
+MAX_FIRST_FLIGHT = 8  # datagrams of the client kept until the connection is established
+MAX_PENDING = 16  # datagrams of the backend kept until its handshake has answered
+MIN_ID_BYTES = 8  # of a client's first destination connection id (RFC 9000, section 7.2)
+# A client that sends for this long and this often without any answer has lost its backend.
+UNRESPONSIVE_S = 5.0
+UNRESPONSIVE_DATAGRAMS = 4
+PATH_IDLE_S = 10.0  # of an address that a client has left
 SWEEP_S = 0.5
 
 
-@dataclass(slots=True)
-class Flow:
-    """One connection."""
-
-    request: int
-    original: bytes  # the first destination connection id
-    client_id: bytes
-    version: int
-    client: Address
-    heard: float
-    first: list[bytes] = field(default_factory=list)
-    held: list[tuple[Path, bytes]] = field(default_factory=list)
-    attempt: int = -1
-    backend: str = ""
-    address: Address | None = None
-    asked: bool = False
-    up: bool = False
-    ids: set[bytes] = field(default_factory=set)
-    link: Link | None = None
-    paths: dict[Address, Path] = field(default_factory=dict)
-    last_id: bytes = b""  # the node's id that the client used last, and the size of that datagram
-    last_size: int = 0
-    silent_since: float = 0.0
-    silent_packets: int = 0
-    answer: asyncio.TimerHandle | None = None
+class QuicFront:
+    """One UDP address of clients.
 
+    Args:
+        service: the relay.
+        config: the operator's [quic].
+    """
 
-class QuicFront:
-    def __init__(self, hub: RelayService, config: QuicConfig) -> None:
-        self.hub, self.config = hub, config
+    def __init__(self, service: RelayService, config: QuicConfig) -> None:
+        self.service = service
+        self.config = config
         self.ids = quic.BackendIds(config.id_key)
         self.front = Front(self.from_client)
-        self.flows: dict[int, Flow] = {}
-        self.by_id: dict[bytes, Flow] = {}
-        self.by_link: dict[Link, Flow] = {}
-        self.over: OrderedDict[bytes | Link, float] = OrderedDict()  # answered or ended here, until then
+        self.table = FlowTable(config.max_connections, config.idle_s)
         self.counts: Counter[str] = Counter()
         self.loop = asyncio.get_running_loop()
         self.effects: dict[type, Callable[[Any], None]] = {
-            OpenBackendConnection: self._reach,
-            ForwardRequest: self._ask,
-            AbortAttempt: self._drop,
-            StartRelaying: self._join,
-            RejectRequest: self._requeue,
-            FailRequest: self._deny,
-            MigrateConnection: self._move,
-            CloseClientConnection: self._close,
-            BackendRemoved: self._backend_gone,
+            OpenBackendConnection: self._open_backend_connection,
+            ForwardRequest: self._forward_request,
+            AbortAttempt: self._abort_attempt,
+            StartRelaying: self._start_relaying,
+            RejectRequest: self._reject_request,
+            FailRequest: self._fail_request,
+            MigrateConnection: self._migrate_connection,
+            CloseClientConnection: self._close_client_connection,
+            BackendRemoved: self._backend_removed,
         }
 
     async def start(self) -> None:
+        """Listens. Raises OSError where the address cannot be had."""
         await self.loop.create_datagram_endpoint(lambda: self.front, local_addr=self.config.listen)
-        self.hub.fronts.append(self)
-        self.hub.metrics.sources["quic"] = self.counts
+        self.service.fronts.append(self)
+        self.service.metrics.sources["quic"] = self.counts
         self.loop.call_later(SWEEP_S, self._sweep)
         logger.info("QUIC is served at {}:{}", *self.config.listen)
 
     def carry_out(self, effect: Effect) -> None:
+        """Carries out an effect on a request of this front, or the removal of a backend."""
         self.effects[type(effect)](effect)
 
-    # --- from clients ---------------------------------------------------------------------------
+    # --- datagrams of clients ---------------------------------------------------------------------
 
     def from_client(self, data: bytes, client: Address) -> None:
+        """Passes a datagram on by its connection id, or begins a request for it."""
         self.counts["datagrams"] += 1
         try:
             header = quic.parse_header(data)
@@ -115,107 +99,111 @@
             self.counts["malformed"] += 1
             return
         if header.kind is None:
-            if len(data) >= quic.SMALLEST_INITIAL:
-                self.front.send(quic.version_negotiation(header), client)
-            self.counts["other_version"] += 1
+            self._negotiate_version(header, data, client)
             return
         flow, link = self._find(header)
         if flow is not None:
-            self._pass_on(flow, header, data, client)
+            self._forward(flow, header, data, client)
         elif link is not None:
-            self._known_id(link, header, data, client)
+            self._on_issued_id(link, header, data, client)
         elif header.kind is QuicPacketType.INITIAL:
-            self._first(header, data, client)
+            self._on_first_initial(header, data, client)
         else:
             self.counts["unknown_id"] += 1
 
+    def _negotiate_version(self, header: Header, data: bytes, client: Address) -> None:
+        if len(data) >= quic.SMALLEST_INITIAL:
+            self.front.send(quic.version_negotiation(header), client)
+        self.counts["other_version"] += 1
+
     def _find(self, header: Header) -> tuple[Flow | None, Link | None]:
-        flow = self.by_id.get(header.destination)
+        """Returns the connection of this id, and the link that the id names where a backend has issued it."""
+        table = self.table
+        flow = table.by_id.get(header.destination)
         if flow is not None:
             return flow, None
         link = self.ids.decode(header.destination)
-        if link is not None and (link in self.over or link in self.by_link or self._backend_of(link)):
-            return self.by_link.get(link), link
+        if link is not None and (link in table.ended or link in table.by_link or self._names_backend(link)):
+            return table.by_link.get(link), link
         return None, None
 
-    def _backend_of(self, link: Link) -> str:
-        backend = self.hub.reducer.numbers.get(link[0])
-        return backend.name if backend is not None else ""
+    def _names_backend(self, link: Link) -> bool:
+        return link[0] in self.service.reducer.numbers
 
-    def _first(self, header: Header, data: bytes, client: Address) -> None:
-        """An Initial that nobody knows: a job, unless it was answered already or there is no room."""
-        if len(data) < quic.SMALLEST_INITIAL or len(header.destination) < 8:
+    def _on_first_initial(self, header: Header, data: bytes, client: Address) -> None:
+        """An Initial with an unknown id: a request, unless it was answered already or there is no capacity."""
+        if len(data) < quic.SMALLEST_INITIAL or len(header.destination) < MIN_ID_BYTES:
             self.counts["malformed"] += 1
-        elif header.destination in self.over:
+        elif header.destination in self.table.ended:
             self.counts["answered_before"] += 1  # a client that has not seen its answer yet: never a second one
-        elif len(self.flows) >= self.config.max_connections:
+        elif self.table.is_full:
             self.counts["no_room"] += 1
         else:
             flow = self._new_flow(header, data, client)
-            key = int.from_bytes(header.destination[:8], "big")
+            key = int.from_bytes(header.destination[:MIN_ID_BYTES], "big")
             cls, deadline_ms = self._first_class()
-            self.hub.post(RequestReceived(flow.request, self.config.deadline_ms or deadline_ms, cls, key=key))
+            self.service.post(RequestReceived(flow.request, self.config.deadline_ms or deadline_ms, cls, key=key))
 
     def _first_class(self) -> tuple[int, float]:
-        """Of the settings as they are now: its number, and its deadline."""
-        config = self.hub.config
+        """Returns the number of the first request class of the settings as they are now, and its deadline."""
+        config = self.service.config
         number = next(iter(config.current_classes.values()), 0)
         return number, config.settings.classes[number].deadline_ms
 
     def _new_flow(self, header: Header, data: bytes, client: Address) -> Flow:
-        flow = Flow(
-            self.hub.new_request(self),
-            header.destination,
-            header.source,
-            header.version,
-            client,
-            self.loop.time(),
-            [data],
-        )
-        self.flows[flow.request] = flow
-        self._name(flow, header.destination)
+        request = self.service.new_request(self)
+        now = self.loop.time()
+        flow = Flow(request, header.destination, header.source, header.version, client, now, [data])
+        self.table.add(flow)
         return flow
 
-    def _known_id(self, link: Link, header: Header, data: bytes, client: Address) -> None:
-        """An id that names its node, of a connection that this relay does not know: it came from another relay,
-        or this one has started anew. It goes on at its node, draining or not, until the node is gone."""
-        backend = self.hub.reducer.numbers.get(link[0])
-        if link in self.over or backend is None or backend.state is EndpointState.GONE:
+    def _on_issued_id(self, link: Link, header: Header, data: bytes, client: Address) -> None:
+        """An id that names its backend, of a connection that this relay does not know.
+
+        It came from another relay, or this one has started anew. It goes on at its backend, draining or not, until the
+        backend is gone.
+        """
+        backend = self.service.reducer.numbers.get(link[0])
+        if link in self.table.ended or backend is None or backend.state is EndpointState.GONE:
             self._reset(header.destination, len(data), client)
-        elif len(self.flows) >= self.config.max_connections:
+        elif self.table.is_full:
             self.counts["no_room"] += 1
         elif header.short:
             flow = self._new_flow(header, data, client)
-            flow.link, flow.last_id, flow.last_size = link, header.destination, len(data)
-            self.by_link[link] = flow
+            flow.last_id = header.destination
+            flow.last_size = len(data)
+            self.table.set_link(flow, link)
             self.counts["taken_over"] += 1
             cls, deadline_ms = self._first_class()
-            self.hub.post(RequestReceived(flow.request, deadline_ms, cls, at=backend.name))
+            self.service.post(RequestReceived(flow.request, deadline_ms, cls, at=backend.name))
         else:
             self.counts["unknown_id"] += 1
 
-    def _pass_on(self, flow: Flow, header: Header, data: bytes, client: Address) -> None:
+    def _forward(self, flow: Flow, header: Header, data: bytes, client: Address) -> None:
+        """Passes a datagram on to the connection's backend."""
         now = self.loop.time()
-        flow.heard, flow.client = now, client
-        if header.destination != flow.original or flow.link is not None and header.short:
-            flow.last_id, flow.last_size = header.destination, len(data)
-        if not flow.silent_packets:
-            flow.silent_since = now
-        flow.silent_packets += 1
-        if not flow.up and len(flow.first) < FIRST_FLIGHT and data not in flow.first:
-            flow.first.append(data)
-        if flow.asked:
+        flow.last_received_at = now
+        flow.client = client
+        if header.destination != flow.original_id or flow.link is not None and header.short:
+            flow.last_id = header.destination
+            flow.last_size = len(data)
+        if not flow.unanswered:
+            flow.unanswered_since = now
+        flow.unanswered += 1
+        if not flow.established and len(flow.first_flight) < MAX_FIRST_FLIGHT and data not in flow.first_flight:
+            flow.first_flight.append(data)
+        if flow.forwarding:
             self._path(flow, client).send(data)
 
-    # --- from nodes -----------------------------------------------------------------------------
+    # --- datagrams of backends --------------------------------------------------------------------
 
     def _from_backend(self, flow: Flow, attempt: int, path: Path, data: bytes) -> None:
-        if flow.attempt != attempt or self.flows.get(flow.request) is not flow:
+        if flow.attempt != attempt or not self.table.holds(flow):
             return
         path.used = self.loop.time()
-        flow.silent_packets = 0
-        if flow.up:
-            flow.heard = path.used
+        flow.unanswered = 0
+        if flow.established:
+            flow.last_received_at = path.used
             self.front.send(data, path.client)
             return
         try:
@@ -223,182 +211,166 @@
         except PacketError:
             self.counts["malformed_from_node"] += 1
             return
-        kinds = {h.kind for h in headers}
+        self._on_handshake(flow, attempt, path, data, headers)
+
+    def _on_handshake(self, flow: Flow, attempt: int, path: Path, data: bytes, headers: list[Header]) -> None:
+        """A datagram before the connection is established: a retry, a refusal, or a part of the handshake."""
+        kinds = {header.kind for header in headers}
         if kinds <= {QuicPacketType.RETRY, QuicPacketType.VERSION_NEGOTIATION}:
-            if QuicPacketType.RETRY in kinds:  # the client starts again, at this node, with the id it is given
-                flow.first.clear()
-                self._name(flow, headers[0].source)
+            if QuicPacketType.RETRY in kinds:  # the client starts again, at this backend, with the id it is given
+                flow.first_flight.clear()
+                self.table.add_id(flow, headers[0].source)
             self.front.send(data, path.client)
             return
         if kinds == {QuicPacketType.INITIAL}:
-            code = quic.close_code(data, headers[0], flow.original)
-            if code is not None:  # not passed on: another node may still take the job
-                ending = TerminationReason.REJECTED if code == quic.REFUSED else TerminationReason.BACKEND_ERROR
-                self.hub.post(AttemptEnded(flow.request, attempt, ending))
+            code = quic.close_code(data, headers[0], flow.original_id)
+            if code is not None:  # not passed on: another backend may still accept the request
+                refused = code == quic.REFUSED
+                reason = TerminationReason.REJECTED if refused else TerminationReason.BACKEND_ERROR
+                self.service.post(AttemptEnded(flow.request, attempt, reason))
                 return
-        if len(flow.held) < HELD_BACK:
-            flow.held.append((path, data))
+        if len(flow.pending) < MAX_PENDING:
+            flow.pending.append((path, data))
         if kinds & {QuicPacketType.HANDSHAKE, QuicPacketType.ONE_RTT}:
-            self._learn(flow, headers)
-            self.hub.post(BackendAccepted(flow.request, attempt))
+            self._learn_id(flow, headers)
+            self.service.post(BackendAccepted(flow.request, attempt))
 
-    def _learn(self, flow: Flow, headers: list[Header]) -> None:
-        """The id that the node chose, by which the client will send from now on."""
-        source = next((h.source for h in headers if not h.short and h.source), b"")
+    def _learn_id(self, flow: Flow, headers: list[Header]) -> None:
+        """Notes the id that the backend chose, by which the client will send from now on."""
+        source = next((header.source for header in headers if not header.short and header.source), b"")
         link = self.ids.decode(source)
         if link is not None and link[0] == backend_id(flow.backend):
-            flow.link = link
-            self.by_link[link] = flow
+            self.table.set_link(flow, link)
         elif source:
-            self._name(flow, source)
+            self.table.add_id(flow, source)
 
-    def _refused(self, flow: Flow, attempt: int, path: Path) -> None:
-        """The node's port is closed. Another address of the client may only have lost its own path."""
-        if flow.attempt == attempt and self.flows.get(flow.request) is flow:
-            ending = TerminationReason.CONNECTION_RESET if flow.up else TerminationReason.CONNECT_FAILED
-            self.hub.post(AttemptEnded(flow.request, attempt, ending))
+    def _on_port_closed(self, flow: Flow, attempt: int) -> None:
+        """Ends the attempt: the backend's port is closed."""
+        if flow.attempt == attempt and self.table.holds(flow):
+            reset, unreachable = TerminationReason.CONNECTION_RESET, TerminationReason.CONNECT_FAILED
+            self.service.post(AttemptEnded(flow.request, attempt, reset if flow.established else unreachable))
 
-    # --- effects --------------------------------------------------------------------------------
+    # --- effects ----------------------------------------------------------------------------------
 
-    def _reach(self, effect: OpenBackendConnection) -> None:
-        flow = self.flows[effect.request]
-        self._leave_backend(flow)  # an attempt that the node ended leaves its path behind, which leads to that node
-        flow.attempt, flow.backend = effect.attempt, effect.backend
+    def _open_backend_connection(self, effect: OpenBackendConnection) -> None:
+        flow = self.table.flows[effect.request]
+        flow.leave_backend()  # an attempt that the backend ended leaves its path behind, which leads to that backend
+        flow.attempt = effect.attempt
+        flow.backend = effect.backend
         flow.address = (effect.address[0], self.config.node_port or effect.address[1])
-        self.hub.post(BackendConnected(flow.request, flow.attempt))
+        self.service.post(BackendConnected(flow.request, flow.attempt))
 
-    def _ask(self, effect: ForwardRequest) -> None:
-        flow = self.flows[effect.request]
-        flow.asked = True
-        for data in flow.first:
+    def _forward_request(self, effect: ForwardRequest) -> None:
+        flow = self.table.flows[effect.request]
+        flow.forwarding = True
+        for data in flow.first_flight:
             self._path(flow, flow.client).send(data)
-        wait = min(self.config.answer_ms, effect.left_ms) / 1000.0
-        flow.answer = self.loop.call_later(wait, self._unanswered, flow, flow.attempt)
+        timeout_s = min(self.config.answer_ms, effect.left_ms) / 1000.0
+        flow.timeout = self.loop.call_later(timeout_s, self._on_timeout, flow, flow.attempt)
 
-    def _unanswered(self, flow: Flow, attempt: int) -> None:
-        self.hub.post(AttemptEnded(flow.request, attempt, TerminationReason.DEADLINE_EXCEEDED))
+    def _on_timeout(self, flow: Flow, attempt: int) -> None:
+        self.service.post(AttemptEnded(flow.request, attempt, TerminationReason.DEADLINE_EXCEEDED))
 
     def _path(self, flow: Flow, client: Address) -> Path:
+        """Returns the socket towards the backend for this address of the client, a new one where there is none."""
         path = flow.paths.get(client)
         if path is None or path.closed:
             attempt = flow.attempt
             path = flow.paths[client] = Path(
-                lambda p, data: self._from_backend(flow, attempt, p, data),
-                lambda p: self._refused(flow, attempt, p),
+                lambda path, data: self._from_backend(flow, attempt, path, data),
+                lambda path: self._on_port_closed(flow, attempt),
                 client,
             )
-            self.loop.create_task(self._open(path, flow, attempt))
+            self.loop.create_task(self._open_path(path, flow, attempt))
         path.used = self.loop.time()
         return path
 
-    async def _open(self, path: Path, flow: Flow, attempt: int) -> None:
+    async def _open_path(self, path: Path, flow: Flow, attempt: int) -> None:
         try:
             await self.loop.create_datagram_endpoint(lambda: path, remote_addr=flow.address)
-        except Exception as error:  # a senseless address too ends the attempt now, not at its time
+        except Exception as error:  # an invalid address too ends the attempt now, not at its deadline
             logger.warning("no path to {}: {!r}", flow.backend, error)
-            self._refused(flow, attempt, path)
+            self._on_port_closed(flow, attempt)
 
-    def _drop(self, effect: AbortAttempt) -> None:
-        flow = self.flows.get(effect.request)
+    def _abort_attempt(self, effect: AbortAttempt) -> None:
+        flow = self.table.flows.get(effect.request)
         if flow is not None:
-            self._leave_backend(flow)
-
-    def _leave_backend(self, flow: Flow) -> None:
-        flow.asked = False
-        flow.held.clear()
-        if flow.answer is not None:
-            flow.answer.cancel()
-            flow.answer = None
-        for path in flow.paths.values():
-            path.close()
-        flow.paths.clear()
-
-    def _join(self, effect: StartRelaying) -> None:
-        flow = self.flows[effect.request]
-        flow.up = True
-        flow.first.clear()
-        if flow.answer is not None:
-            flow.answer.cancel()
-            flow.answer = None
-        held, flow.held = flow.held, []
-        for path, data in held:
+            flow.leave_backend()
+
+    def _start_relaying(self, effect: StartRelaying) -> None:
+        flow = self.table.flows[effect.request]
+        flow.established = True
+        flow.first_flight.clear()
+        flow.cancel_timeout()
+        pending, flow.pending = flow.pending, []
+        for path, data in pending:
             self.front.send(data, path.client)
 
+    def _reject_request(self, effect: RejectRequest) -> None:
+        advice = f"retry after {round(effect.retry_after_ms)} ms" if effect.retry_after_ms else "retry later"
+        self._refuse(effect.request, advice)
+
+    def _fail_request(self, effect: FailRequest) -> None:
+        self._refuse(effect.request, "not served")
+
     def _refuse(self, request: int, reason: str) -> None:
-        flow = self.flows[request]
-        if flow.link is not None:  # it stood before this relay knew it
+        """Closes a connection that is not established."""
+        flow = self.table.flows[request]
+        if flow.link is not None:  # it was established before this relay knew it
             self._reset(flow.last_id, flow.last_size, flow.client)
         else:
-            close = quic.initial_close(flow.version, flow.original, flow.client_id, quic.REFUSED, reason)
+            close = quic.initial_close(flow.version, flow.original_id, flow.client_id, quic.REFUSED, reason)
             self.front.send(close, flow.client)
         self._forget(flow)
 
-    def _requeue(self, effect: RejectRequest) -> None:
-        self._refuse(
-            effect.request, f"retry after {round(effect.retry_after_ms)} ms" if effect.retry_after_ms else "retry later"
-        )
-
-    def _deny(self, effect: FailRequest) -> None:
-        self._refuse(effect.request, "not served")
-
-    def _move(self, effect: MigrateConnection) -> None:
-        self._end(self.flows[effect.request])
+    def _migrate_connection(self, effect: MigrateConnection) -> None:
+        self._end(self.table.flows[effect.request])
 
-    def _close(self, effect: CloseClientConnection) -> None:
-        flow = self.flows[effect.request]
+    def _close_client_connection(self, effect: CloseClientConnection) -> None:
+        flow = self.table.flows[effect.request]
         if effect.reason is TerminationReason.IDLE_EXPIRED:
-            self._forget(flow, answered=False)
+            self._forget(flow, remember=False)
         else:
             self._end(flow)
 
-    def _backend_gone(self, effect: BackendRemoved) -> None:
-        for flow in [f for f in self.flows.values() if f.backend == effect.backend and f.attempt >= 0]:
-            self.hub.post(AttemptEnded(flow.request, flow.attempt, TerminationReason.BACKEND_REMOVED))
+    def _backend_removed(self, effect: BackendRemoved) -> None:
+        flows = self.table.flows.values()
+        for flow in [flow for flow in flows if flow.backend == effect.backend and flow.attempt > NO_ATTEMPT]:
+            self.service.post(AttemptEnded(flow.request, flow.attempt, TerminationReason.BACKEND_REMOVED))
 
     def _end(self, flow: Flow) -> None:
         if flow.last_id:
             self._reset(flow.last_id, flow.last_size, flow.client)
         self._forget(flow)
 
-    def _reset(self, cid: bytes, size: int, client: Address) -> None:
-        packet = quic.stateless_reset(quic.reset_token(self.config.reset_key, cid), size)
+    def _reset(self, connection_id: bytes, size: int, client: Address) -> None:
+        """Sends a Stateless Reset for a datagram of this size (RFC 9000, section 10.3)."""
+        packet = quic.stateless_reset(quic.reset_token(self.config.reset_key, connection_id), size)
         if packet is not None:
             self.counts["resets"] += 1
             self.front.send(packet, client)
 
-    def _forget(self, flow: Flow, answered: bool = True) -> None:
-        self._leave_backend(flow)
-        self.hub.forget(flow.request)
-        self.flows.pop(flow.request, None)
-        keys: list[bytes | Link] = [*flow.ids]
-        for cid in flow.ids:
-            self.by_id.pop(cid, None)
-        if flow.link is not None:
-            self.by_link.pop(flow.link, None)
-            keys.append(flow.link)
-        if answered:
-            for key in keys:
-                self.over[key] = self.loop.time() + self.config.idle_s
-            while len(self.over) > 4 * self.config.max_connections:
-                self.over.popitem(last=False)
-
-    # --- books ----------------------------------------------------------------------------------
-
-    def _name(self, flow: Flow, cid: bytes) -> None:
-        flow.ids.add(cid)
-        self.by_id[cid] = flow
+    def _forget(self, flow: Flow, remember: bool = True) -> None:
+        flow.leave_backend()
+        self.service.forget(flow.request)
+        self.table.remove(flow, self.loop.time(), remember)
+
+    # --- time -------------------------------------------------------------------------------------
 
     def _sweep(self) -> None:
+        """Ends connections that are idle or whose backend is silent, and closes paths that are not used any more."""
         self.loop.call_later(SWEEP_S, self._sweep)
         now = self.loop.time()
-        while self.over and next(iter(self.over.values())) <= now:
-            self.over.popitem(last=False)
-        for flow in list(self.flows.values()):
-            if flow.up and now >= flow.heard + self.config.idle_s:
-                self.hub.post(AttemptEnded(flow.request, flow.attempt, TerminationReason.IDLE_EXPIRED))
-            elif flow.up and flow.silent_packets >= SILENT_PACKETS and now >= flow.silent_since + SILENT_S:
-                self.hub.post(AttemptEnded(flow.request, flow.attempt, TerminationReason.UNRESPONSIVE))
-            for client, path in list(flow.paths.items()):
-                if client != flow.client and now >= path.used + PATH_IDLE_S:
-                    path.close()
-                    del flow.paths[client]
+        self.table.expire(now)
+        for flow in list(self.table.flows.values()):
+            if flow.established:
+                self._check_silence(flow, now)
+            flow.close_idle_paths(now - PATH_IDLE_S)
+
+    def _check_silence(self, flow: Flow, now: float) -> None:
+        is_idle = now >= flow.last_received_at + self.config.idle_s
+        is_unanswered = flow.unanswered >= UNRESPONSIVE_DATAGRAMS and now >= flow.unanswered_since + UNRESPONSIVE_S
+        if is_idle:
+            self.service.post(AttemptEnded(flow.request, flow.attempt, TerminationReason.IDLE_EXPIRED))
+        elif is_unanswered:
+            self.service.post(AttemptEnded(flow.request, flow.attempt, TerminationReason.UNRESPONSIVE))
