--- a/yarrowspindle/replay/__init__.py
+++ b/yarrowspindle/replay/__init__.py
@@ -1,4 +1,4 @@
-"""A recorded sequence of all that a reducer was told, and its choices when it is told the same again."""
+"""Recorded sequences of the events of a reducer, and its choices when the same events are played again."""
 
 from yarrowspindle.replay.player import Played, play_daemon, play_library
 from yarrowspindle.replay.sequence import Header, Recorder, SequenceError, read_sequence
--- a/yarrowspindle/replay/__main__.py
+++ b/yarrowspindle/replay/__main__.py
@@ -1,6 +1,7 @@
 """`python -m yarrowspindle.replay FILE [--by daemon|library] [--choices]`: prints the choices, then a summary.
 
-Exit status 0 where each job had at most one final answer, 1 where one had two, 2 where the file cannot be read.
+The exit status is 0 where each request had at most one final answer, 1 where one had two, 2 where the file cannot be
+read.
 """
 
 from __future__ import annotations
@@ -9,6 +10,7 @@
 import hashlib
 import sys
 import time
+from pathlib import Path
 
 import msgspec
 
@@ -17,6 +19,7 @@
 
 
 def main() -> int:
+    """Plays the sequence and prints what was chosen. Returns the exit status."""
     parser = argparse.ArgumentParser(prog="python -m yarrowspindle.replay", description="Play a recorded sequence.")
     parser.add_argument("file")
     parser.add_argument("--by", choices=("daemon", "library"), default="daemon")
@@ -24,7 +27,7 @@
     chosen = parser.parse_args()
     started = time.perf_counter()
     try:
-        with open(chosen.file, "rb") as source:
+        with Path(chosen.file).open("rb") as source:
             header, events = read_sequence(source)
             played = (play_daemon if chosen.by == "daemon" else play_library)(header, events)
     except (OSError, SequenceError) as error:
--- a/yarrowspindle/replay/player.py
+++ b/yarrowspindle/replay/player.py
@@ -1,4 +1,4 @@
-"""Feeds a recorded sequence to the daemon's wiring or to the library, and notes their choices and answers."""
+"""Plays a recorded sequence to the daemon's wiring or to the library, and records their choices and answers."""
 
 from __future__ import annotations
 
@@ -8,6 +8,7 @@
 from dataclasses import dataclass, field
 from math import inf
 
+from yarrowspindle.decisions.events import ListKind
 from yarrowspindle.library.placement import Placement
 from yarrowspindle.library.placer import Placer
 from yarrowspindle.replay.sequence import Header
@@ -27,25 +28,30 @@
 
 Choice = tuple[object, ...]
 
+NOWHERE = ("127.0.0.1", 1)
+UNLIMITED = 1 << 62
+
 
 class RecordedClock:
-    """The time that the sequence says it is."""
+    """The time of the event that is being played, in milliseconds."""
 
     def __init__(self, started: float) -> None:
         self.at = started
 
     def now(self) -> float:
+        """Returns the recorded time."""
         return self.at
 
 
 @dataclass(slots=True)
 class Played:
-    """Choices in their order; for each job its final answers (up, refused, failed, left)."""
+    """Choices in their order; for each request its final answers (up, refused, failed, left)."""
 
     choices: list[Choice] = field(default_factory=list)
     answers: dict[int, list[str]] = field(default_factory=dict)
 
     def effect(self, effect: Effect) -> None:
+        """Records what the core asked for."""
         choice = choice_of(effect)
         if choice is not None:
             self.choices.append(choice)
@@ -53,12 +59,14 @@
             self.answers[effect.request].append(ANSWERS[type(effect)])
 
     def event(self, event: Event) -> None:
+        """Records a new request, and a client that left."""
         if isinstance(event, RequestReceived):
             self.answers[event.request] = []
         elif isinstance(event, ClientDisconnected) and self.answers.get(event.request) == []:
             self.answers[event.request].append("left")
 
     def counts(self) -> dict[str, int]:
+        """Returns how often each answer was given, and how many requests had a second one or none."""
         found: Counter[str] = Counter(a for answers in self.answers.values() for a in answers)
         found["second"] = sum(1 for answers in self.answers.values() if len(answers) > 1)
         found["none"] = sum(1 for answers in self.answers.values() if not answers)
@@ -69,7 +77,7 @@
 
 
 def choice_of(effect: Effect) -> Choice | None:
-    """What the core chose, without what only concerns timers, the list or the log."""
+    """Returns what the core chose; None for effects that concern timers, the endpoint list or the log."""
     if isinstance(effect, OpenBackendConnection):
         return ("reach", effect.request, effect.attempt, effect.backend, effect.within_ms)
     if isinstance(effect, RejectRequest):
@@ -84,55 +92,62 @@
 
 
 def play_daemon(header: Header, events: Iterable[tuple[float, Event]]) -> Played:
-    """The daemon's own wiring (`program/hub.py`), with its clock and timers taken from the sequence."""
+    """Plays to the daemon's wiring, with clock and timers taken from the sequence. Raises ValueError on odd ids."""
     from yarrowspindle.daemon.config import Config
     from yarrowspindle.daemon.relay_service import RelayService
 
-    played, clock = Played(), RecordedClock(header.started)
-    nowhere = ("127.0.0.1", 1)
-    known = EndpointsUpdated(kind=0)  # type: ignore[arg-type]  # not posted: the sequence has the lists
-    hub = RelayService(
-        Config("replay", nowhere, nowhere, header.seed, header.settings, known), clock, timers=NoTimers(clock)
-    )
-    hub.runtime.watch = lambda effect: None
+    played = Played()
+    clock = RecordedClock(header.started)
+    known = EndpointsUpdated(ListKind.DELTA)  # not posted: the sequence has the lists
+    config = Config("replay", NOWHERE, NOWHERE, header.seed, header.settings, known)
+    service = RelayService(config, clock, timers=NoTimers(clock))
+    service.runtime.watch = lambda effect: None
+    front = _RecordingFront(played)
+
+    def post(event: Event) -> None:
+        if isinstance(event, RequestReceived):
+            _check_id(event.request, service.new_request(front))
+        service.post(event)
 
-    class Front:
-        def carry_out(self, effect: Effect) -> None:
-            played.effect(effect)
+    return _feed(played, clock, events, post)
 
-    front = Front()
 
-    def tell(event: Event) -> None:
-        if isinstance(event, RequestReceived):
-            number = hub.new_request(front)
-            if number != event.request:
-                raise ValueError(f"job {event.request} is out of order: {number} would be next")
-        hub.post(event)
+class _RecordingFront:
+    """Records the effects on requests in place of carrying them out."""
 
-    return _feed(played, clock, events, tell)
+    def __init__(self, played: Played) -> None:
+        self.played = played
+
+    def carry_out(self, effect: Effect) -> None:
+        self.played.effect(effect)
 
 
 def play_library(header: Header, events: Iterable[tuple[float, Event]]) -> Played:
-    """The library's Placer, with its clock and timers taken from the sequence."""
-    played, clock = Played(), RecordedClock(header.started)
+    """Plays to the library's Placer, with clock and timers taken from the sequence. Raises ValueError on odd ids."""
+    played = Played()
+    clock = RecordedClock(header.started)
     placer = Placer(header.settings, seed=header.seed, clock=clock, timers=NoTimers(clock))
-    placer.max_requests = 1 << 62
+    placer.max_requests = UNLIMITED
     asyncio.run(_open(placer))
-    placer.runtime.late_at = inf  # stalls stand in the sequence
+    placer.runtime.late_at = inf  # the sequence has the stalls
     placer.runtime.effect = played.effect
 
-    def tell(event: Event) -> None:
+    def post(event: Event) -> None:
         if isinstance(event, RequestReceived):
-            wanted = event.request
+            recorded = event.request
             placer.arrive(Placement(placer), event)
-            if event.request != wanted:
-                raise ValueError(f"job {wanted} is out of order: {event.request} would be next")
+            _check_id(recorded, event.request)
         elif isinstance(event, ClientDisconnected) and event.request in placer.placements:
             placer.placements[event.request].leave()
         else:
             placer.post(event)
 
-    return _feed(played, clock, events, tell)
+    return _feed(played, clock, events, post)
+
+
+def _check_id(recorded: int, given: int) -> None:
+    if given != recorded:
+        raise ValueError(f"request {recorded} is out of order: {given} would be next")
 
 
 async def _open(placer: Placer) -> None:
@@ -140,10 +155,10 @@
 
 
 def _feed(
-    played: Played, clock: RecordedClock, events: Iterable[tuple[float, Event]], tell: Callable[[Event], None]
+    played: Played, clock: RecordedClock, events: Iterable[tuple[float, Event]], post: Callable[[Event], None]
 ) -> Played:
     for now, event in events:
         clock.at = max(clock.at, now)
         played.event(event)
-        tell(event)
+        post(event)
     return played
--- a/yarrowspindle/simulator/adapter.py
+++ b/yarrowspindle/simulator/adapter.py
@@ -1,4 +1,4 @@
-"""Adapter between the simulator's wire and many isolated balancers. Frames and names only; no decisions."""
+"""The simulator's wire on one side, many isolated balancers on the other: frames and names only, no decisions."""
 
 from __future__ import annotations
 
@@ -54,10 +54,23 @@
     306: Outcome.CANCELLED,
     307: Outcome.NOT_SENT,
 }
-HINT, REPEATED, MID_FLOW, RETURNED = 1, 2, 8, 16
+# Bits of a request's flags.
+HINT = 1
+REPEATED = 2
+MID_FLOW = 8
+RETURNED = 16
+
+# What a signal tells.
+SIGNAL_LOAD = 1
+SIGNAL_SLOW_MESSAGE = 2
+MICROSECONDS_PER_MS = 1000.0
+
+EXIT_WIRE_ERROR = 2
+NO_INSTANCE = -1
 
 
 def encode(action: Action) -> bytes:
+    """Returns an action as a record of the wire."""
     if isinstance(action, StartAttempt):
         return wire.ROUTE.pack(wire.ROUTE_CODE, 16, action.request, action.backend, action.timeout_ms)
     if isinstance(action, SetTimer):
@@ -80,6 +93,7 @@
 
 
 def lookup(table: Mapping[int, T], code: int, what: str) -> T:
+    """Returns what a code stands for. Raises WireError that names `what` for an unknown one."""
     try:
         return table[code]
     except KeyError:
@@ -87,6 +101,7 @@
 
 
 def read_members(body: bytes, at: int, end: int) -> Event:
+    """Reads an endpoint list."""
     how, version, count = wire.fields(wire.MEMBERS_HEAD, body, at, end)
     at += wire.MEMBERS_HEAD.size
     if at + count * wire.ENTRY.size > end:
@@ -101,6 +116,7 @@
 
 
 def read_demand(body: bytes, at: int, end: int) -> Event:
+    """Reads a new request."""
     request, cls, tenant, key, left, hint, group, bits = wire.fields(wire.DEMAND_BODY, body, at, end)
     return RequestReceived(
         request,
@@ -117,30 +133,36 @@
 
 
 def read_adopted(body: bytes, at: int, end: int) -> Event:
+    """Reads a connection that was open at the start."""
     request, hint, _, key, backend, group, tenant, bits, cls = wire.fields(wire.ADOPTED_BODY, body, at, end)
     return ExistingConnection(request, backend, cls, tenant, key, hint if bits & HINT else 0.0, group)
 
 
 def read_started(body: bytes, at: int, end: int) -> Event:
+    """Reads that an attempt is established."""
     request, attempt, latency, backend = wire.fields(wire.STARTED_BODY, body, at, end)
     return ConnectionEstablished(request, attempt, backend, latency)
 
 
 def read_done(body: bytes, at: int, end: int) -> Event:
+    """Reads how an attempt ended."""
     request, attempt, backend, finished, code, latency, n = wire.fields(wire.DONE_BODY, body, at, end)
-    wire.report(body, at + wire.DONE_BODY.size, end, n)  # not asked for; a cut one is an error all the same
+    wire.report(body, at + wire.DONE_BODY.size, end, n)  # not used; one that is cut off is an error all the same
     return AttemptEnded(request, attempt, backend, lookup(OUTCOMES, code, "outcome"), bool(finished), latency)
 
 
 def read_gone(body: bytes, at: int, end: int) -> Event:
+    """Reads that a client has left."""
     return ClientDisconnected(wire.fields(wire.U32, body, at, end)[0])
 
 
 def read_wakeup(body: bytes, at: int, end: int) -> Event:
+    """Reads that a timer has fired."""
     return TimerFired(wire.fields(wire.U32, body, at, end)[0])
 
 
 def read_health(body: bytes, at: int, end: int) -> Event:
+    """Reads the result of a health check."""
     backend, code, latency, n = wire.fields(wire.HEALTH_BODY, body, at, end)
     return HealthCheckCompleted(
         backend, lookup(OUTCOMES, code, "outcome"), latency, wire.report(body, at + wire.HEALTH_BODY.size, end, n)
@@ -148,6 +170,7 @@
 
 
 def read_message(body: bytes, at: int, end: int) -> Event:
+    """Reads a message of another balancer."""
     sender, n = wire.fields(wire.MESSAGE_HEAD, body, at, end)
     at += wire.MESSAGE_HEAD.size
     if at + n > end:
@@ -156,10 +179,11 @@
 
 
 def read_signal(body: bytes, at: int, end: int) -> Event | None:
+    """Reads a load or a slow message; None for a signal of another sort."""
     request, backend, sort, amount, _ = wire.fields(wire.SIGNAL_BODY, body, at, end)
-    if sort == 1:
-        return LoadChanged(request, backend, amount / 1000.0)  # always told in microseconds a second
-    return SlowMessageObserved(request, backend, amount) if sort == 2 else None
+    if sort == SIGNAL_LOAD:
+        return LoadChanged(request, backend, amount / MICROSECONDS_PER_MS)  # comes in microseconds a second
+    return SlowMessageObserved(request, backend, amount) if sort == SIGNAL_SLOW_MESSAGE else None
 
 
 READERS: dict[int, Callable[[bytes, int, int], Event | None]] = {
@@ -176,51 +200,66 @@
 }
 
 
-class Link:
-    """All instances of one process; each has a balancer of its own and nothing in common."""
+class Instances:
+    """All instances of one process; each has a balancer of its own, and they share nothing.
+
+    Attributes:
+        balancers: by the instance's number.
+        current: the instance whose events are being handled.
+    """
 
     def __init__(self) -> None:
         self.balancers: dict[int, Balancer] = {}
-        self.who = 0  # the instance whose events are being handled
+        self.current = 0
 
-    def batch(self, now: float, body: bytes, count: int) -> list[bytes]:
+    def handle_frame(self, now: float, body: bytes, count: int) -> list[bytes]:
+        """Handles the records of a frame. Returns the records of the reply.
+
+        Raises WireError or SettingsError on records that do not follow the wire, and what a balancer raises.
+        """
         out: list[bytes] = []
-        who, spoken = -1, -1
+        instance = NO_INSTANCE
+        answered = NO_INSTANCE  # the instance whose actions were written last
         balancer: Balancer | None = None
-        self.who = 0
+        self.current = 0
         for code, at, end in wire.records(body, count):
             if code == wire.INSTANCE:
-                who = wire.fields(wire.U32, body, at, end)[0]
-                self.who = who
-                balancer = self.balancers.get(who)
+                instance = wire.fields(wire.U32, body, at, end)[0]
+                self.current = instance
+                balancer = self.balancers.get(instance)
                 continue
             reader = READERS.get(code)
             if reader is None:
                 if code == wire.CREATE:
-                    seed, pairs = wire.settings_pairs(body, at, end)
-                    try:
-                        settings = read_settings(pairs)
-                    except ValueError as error:
-                        raise SettingsError(str(error)) from error
-                    balancer = self.balancers[who] = Balancer(settings, seed, now)
+                    balancer = self._create(now, instance, body, at, end)
                 elif code == wire.KILL:
-                    self.balancers.pop(who, None)
+                    self.balancers.pop(instance, None)
                     balancer = None
-                continue  # any other record is new to us; its length lets us pass it over
+                continue  # any other record is of a newer wire and is skipped by its length
             if balancer is None:
-                raise wire.WireError(f"event {code} for instance {who}, which has not been created")
+                raise wire.WireError(f"event {code} for instance {instance}, which has not been created")
             event = reader(body, at, end)
             actions = balancer.handle(now, event) if event is not None else ()
             if actions:
-                if spoken != who:
-                    out.append(wire.SPEAKING.pack(wire.SPEAKING_CODE, 4, who))
-                    spoken = who
+                if answered != instance:
+                    out.append(wire.SPEAKING.pack(wire.SPEAKING_CODE, 4, instance))
+                    answered = instance
                 out.extend(map(encode, actions))
         return out
 
+    def _create(self, now: float, instance: int, body: bytes, at: int, end: int) -> Balancer:
+        create = wire.read_create(body, at, end)
+        try:
+            settings = read_settings(create.settings)
+        except ValueError as error:
+            raise SettingsError(str(error)) from error
+        balancer = self.balancers[instance] = Balancer(settings, create.seed, now)
+        return balancer
+
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    link = Link()
+    """Answers frames until the source ends. Raises WireError or SettingsError on a frame that cannot be answered."""
+    instances = Instances()
     while head := source.read(wire.HEAD.size):
         if len(head) < wire.HEAD.size:
             raise wire.WireError("a frame's header is cut off")
@@ -229,24 +268,25 @@
         if len(body) < size:
             raise wire.WireError("a frame is cut off")
         try:
-            parts = link.batch(now, body, count)
+            parts = instances.handle_frame(now, body, count)
         except (wire.WireError, SettingsError):
             raise
-        except Exception as error:  # the module has failed: say so on the wire, as WIRE wants it
+        except Exception as error:  # a balancer has failed, which the wire has a record for
             text = f"{type(error).__name__}: {error}"
-            speaking = wire.SPEAKING.pack(wire.SPEAKING_CODE, 4, link.who)
+            speaking = wire.SPEAKING.pack(wire.SPEAKING_CODE, 4, instances.current)
             parts = [speaking, wire.text_action(wire.BAIL_OUT_CODE, text)]
         sink.write(wire.reply(number, parts))
         sink.flush()
 
 
 def main() -> int:
+    """Serves standard input and output. Returns the process's exit status."""
     gc.freeze()
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except (wire.WireError, SettingsError) as error:
         print(f"adapter: {error}", file=sys.stderr)
-        return 2
+        return EXIT_WIRE_ERROR
     return 0
 
 
--- a/yarrowspindle/simulator/wire.py
+++ b/yarrowspindle/simulator/wire.py
@@ -1,9 +1,10 @@
-"""Codec of the simulator's wire: frames and records to plain values and back. Decides nothing."""
+"""The simulator's wire: frames and records to plain values and back. Names and codes are those of its page."""
 
 from __future__ import annotations
 
 import struct
 from collections.abc import Iterator
+from dataclasses import dataclass
 from typing import Any
 
 HEAD = struct.Struct("<IIId")
@@ -41,18 +42,32 @@
 JOURNAL_LINE_CODE, GIVE_UP_CODE, LISTEN_CODE, SPEAKING_CODE, RELOCATE_CODE = 1080, 1090, 1100, 1120, 1130
 
 
+MAX_TEXT_BYTES = 1000
+MAX_QUOTED = 60  # characters of a wrong line in an error's text
+FLOAT_BYTES = 4
+
+
 class WireError(Exception):
-    """What came in does not follow the wire."""
+    """A frame or record does not follow the wire."""
+
+
+@dataclass(slots=True, frozen=True)
+class Create:
+    """What creates an instance: the seed of its random source, and its settings as path=value pairs."""
+
+    seed: int
+    settings: dict[str, str]
 
 
 def records(body: bytes, count: int) -> Iterator[tuple[int, int, int]]:
-    """The records of a frame as (code, start of the fields, end of the fields)."""
-    at, size = 0, len(body)
+    """Yields the records of a frame as (code, start of the fields, end of the fields). Raises WireError."""
+    at = 0
+    size = len(body)
     for _ in range(count):
-        if at + 6 > size:
+        if at + RECORD.size > size:
             raise WireError("a record's head is cut off")
         code, length = RECORD.unpack_from(body, at)
-        at += 6
+        at += RECORD.size
         if at + length > size:
             raise WireError(f"record {code} is longer than its frame")
         yield code, at, at + length
@@ -62,21 +77,21 @@
 
 
 def fields(layout: struct.Struct, body: bytes, at: int, end: int) -> tuple[Any, ...]:
-    """A record's fixed fields; fields that follow them are passed over."""
+    """Returns a record's fixed fields; fields that follow them are ignored. Raises WireError."""
     if at + layout.size > end:
         raise WireError("a record is too short for its fields")
     return layout.unpack_from(body, at)
 
 
 def report(body: bytes, at: int, end: int, n: int) -> tuple[float, ...]:
-    """The n values of a load report."""
-    if at + 4 * n > end:
+    """Returns the n values of a load report. Raises WireError."""
+    if at + FLOAT_BYTES * n > end:
         raise WireError("a load report is cut off")
     return struct.unpack_from(f"<{n}f", body, at)
 
 
-def settings_pairs(body: bytes, at: int, end: int) -> tuple[int, dict[str, str]]:
-    """Seed and settings of a Create."""
+def read_create(body: bytes, at: int, end: int) -> Create:
+    """Reads what creates an instance. Raises WireError."""
     seed, size = fields(U64_U32, body, at, end)
     at += U64_U32.size
     if at + size > end:
@@ -90,16 +105,18 @@
         if line.strip():
             path, equals, value = line.partition("=")
             if not equals:
-                raise WireError(f"a line of the settings has no '=': {line[:60]!r}")
+                raise WireError(f"a line of the settings has no '=': {line[:MAX_QUOTED]!r}")
             pairs[path.strip()] = value.strip()
-    return seed, pairs
+    return Create(seed, pairs)
 
 
 def text_action(code: int, text: str) -> bytes:
-    raw = text.encode("utf-8")[:1000]
+    """Returns a record with a text, cut to MAX_TEXT_BYTES."""
+    raw = text.encode("utf-8")[:MAX_TEXT_BYTES]
     return TEXT.pack(code, 2 + len(raw), len(raw)) + raw
 
 
 def reply(number: int, parts: list[bytes]) -> bytes:
+    """Returns the frame that answers the frame of this number."""
     body = b"".join(parts)
     return REPLY_HEAD.pack(number, len(body), len(parts)) + body
