--- a/tests/configuration/test_configuration.py
+++ b/tests/configuration/test_configuration.py
@@ -57,8 +57,8 @@
 from yarrowspindle.lab.model.controlling import check
 from yarrowspindle.lab.model.controlling_days import KINDS, play_control, seeds
 from yarrowspindle.lab.model.planted_control import DEFECTS
-from yarrowspindle.maintenance.codec import InvalidMessageError
 from yarrowspindle.membership.codec import DroppedDatagramError
+from yarrowspindle.protocol.message_codec import InvalidMessageError
 
 MACHINES = tuple(ControllerAddress(f"c{n:02d}", (f"10.0.0.{n + 1}", 7950), voter=n == 0) for n in range(3))
 FIRST = ControlState({"c00": "file"})
--- a/tests/maintenance/test_maintenance_parts.py
+++ b/tests/maintenance/test_maintenance_parts.py
@@ -28,6 +28,7 @@
 from yarrowspindle.maintenance.settings import Asking, read_asking
 from yarrowspindle.maintenance.state import BackendObservation, MaintenanceError, MaintenanceRequest, MaintenanceState
 from yarrowspindle.protocol.fragments import AGAIN_MS, GIVE_UP_MS, PART, Fragmenter
+from yarrowspindle.protocol.message_codec import InvalidMessageError
 from yarrowspindle.storage.durable_file import FIRST, FileUnavailableError
 
 VOTERS = ("r0", "r1", "r2")
@@ -62,10 +63,10 @@
     whole = codec.encode(StateUpdate(a_state()))
     bomb = bytes((codec.VERSION, 6)) + zlib.compress(b"\0" * (8 << 20))
     for bad in (b"", whole[:-4], rb"\9" + whole[1:], whole[:1] + b"\x63" + whole[2:], whole[:2] + b"junk", bomb):
-        with pytest.raises(codec.InvalidMessageError):
+        with pytest.raises(InvalidMessageError):
             codec.decode(bad)
     far = MaintenanceState(dict.fromkeys([f"r{n}" for n in range(65)], FIRST))
-    with pytest.raises(codec.InvalidMessageError, match="out of bounds"):
+    with pytest.raises(InvalidMessageError, match="out of bounds"):
         codec.decode(codec.encode(StateUpdate(far)))
 
 
--- a/yarrowspindle/configuration/codec.py
+++ b/yarrowspindle/configuration/codec.py
@@ -16,7 +16,8 @@
 )
 from yarrowspindle.configuration.state import MAX_DONE, MAX_NAME, ChangeOrder, ControlState, bounds
 from yarrowspindle.consensus.register import Accept, Accepted, AcceptorState, Prepare, Promise, Rejected
-from yarrowspindle.maintenance.codec import FileCodec, InvalidMessageError, MessageCodec
+from yarrowspindle.protocol.message_codec import InvalidMessageError, MessageCodec
+from yarrowspindle.storage.file_codec import FileCodec
 
 VERSION = 1
 MAX_VOTERS, MAX_TAKERS = 64, 64
--- a/yarrowspindle/configuration/link.py
+++ b/yarrowspindle/configuration/link.py
@@ -10,9 +10,9 @@
 
 from yarrowspindle.configuration import codec
 from yarrowspindle.configuration.messages import NewerIncarnation, Sender
-from yarrowspindle.maintenance.codec import InvalidMessageError
 from yarrowspindle.membership.codec import VERSION, Carried, Codec, Datagram, DroppedDatagramError
 from yarrowspindle.protocol.fragments import Fragmenter
+from yarrowspindle.protocol.message_codec import InvalidMessageError
 from yarrowspindle.routing.address import Address
 
 MAX_INCARNATIONS = 4096  # addresses whose newest life is remembered
--- a/yarrowspindle/daemon/maintenance_endpoint.py
+++ b/yarrowspindle/daemon/maintenance_endpoint.py
@@ -44,6 +44,7 @@
 from yarrowspindle.operator_api import OperatorApi
 from yarrowspindle.operator_api.http import Answer, BodyRoutes
 from yarrowspindle.protocol.fragments import Fragmenter
+from yarrowspindle.protocol.message_codec import InvalidMessageError
 from yarrowspindle.routing.events import MaintenanceUpdated
 from yarrowspindle.storage.durable_file import FileUnavailableError
 
@@ -226,7 +227,7 @@
             return
         try:
             message = codec.decode(whole)
-        except codec.InvalidMessageError as why:
+        except InvalidMessageError as why:
             self.counts["dropped"] += 1
             self.bounded.warn(f"turns: a message of {source} is dropped: {why}")
             return
--- a/yarrowspindle/storage/durable_file.py
+++ b/yarrowspindle/storage/durable_file.py
@@ -12,7 +12,8 @@
 from typing import Generic, TypeVar
 
 from yarrowspindle.consensus.register import NONE, AcceptorState, ReplicatedState
-from yarrowspindle.maintenance.codec import FileCodec, InvalidMessageError
+from yarrowspindle.protocol.message_codec import InvalidMessageError
+from yarrowspindle.storage.file_codec import FileCodec
 
 VOTER, LOCK = "voter", "lock"
 FIRST = "the first file"
--- /dev/null
+++ b/yarrowspindle/storage/file_codec.py
@@ -0,0 +1,56 @@
+"""Bytes of a durable file: a header with version, checksum, owner and cluster, then the stored value."""
+
+from __future__ import annotations
+
+import zlib
+from collections.abc import Callable
+from typing import Any, Generic, TypeVar
+
+import msgspec
+
+from yarrowspindle.protocol.message_codec import DECODE_ERRORS, InvalidMessageError
+
+StoredValue = TypeVar("StoredValue")
+
+_encode = msgspec.msgpack.Encoder().encode
+
+
+class FileCodec(Generic[StoredValue]):
+    """Encodes and decodes the values of one type that a process stores in a file.
+
+    `check_bounds` raises InvalidMessageError for a decoded value that is out of bounds.
+    """
+
+    def __init__(self, version: int, value_type: Any, check_bounds: Callable[[StoredValue], None]) -> None:
+        self.version = version
+        self.check_bounds = check_bounds
+        self.value_decoder: msgspec.msgpack.Decoder[StoredValue] = msgspec.msgpack.Decoder(value_type)
+        self.file_decoder = msgspec.msgpack.Decoder(tuple[int, int, str, str, msgspec.Raw])
+
+    def encode(self, value: StoredValue, owner: str, cluster: str) -> bytes:
+        """Return the bytes of the file of this owner in this cluster."""
+        body = _encode(value)
+        return _encode((self.version, zlib.crc32(body), owner, cluster, msgspec.Raw(body)))
+
+    def decode(self, data: bytes, owner: str, cluster: str) -> StoredValue:
+        """Return the stored value.
+
+        Raises InvalidMessageError where the file is cut off, corrupt, or of another owner or cluster.
+        """
+        try:
+            version, checksum, found_owner, found_cluster, raw = self.file_decoder.decode(data)
+        except DECODE_ERRORS:
+            raise InvalidMessageError("it is cut off, or no such file") from None
+        body = bytes(raw)
+        if version != self.version:
+            raise InvalidMessageError(f"its version is {version}, not {self.version}")
+        if zlib.crc32(body) != checksum:
+            raise InvalidMessageError("its sum is wrong")
+        if (found_owner, found_cluster) != (owner, cluster):
+            raise InvalidMessageError(f"it is {found_owner}'s of cluster {found_cluster}")
+        try:
+            value = self.value_decoder.decode(body)
+        except DECODE_ERRORS:
+            raise InvalidMessageError("nonsense") from None
+        self.check_bounds(value)
+        return value
