--- a/benchmarks/capacity/slopes.py
+++ b/benchmarks/capacity/slopes.py
@@ -29,7 +29,8 @@
 from yarrowspindle.decisions.events import group_key
 from yarrowspindle.maintenance.codec import encode, encode_file
 from yarrowspindle.maintenance.coordinator import StateUpdate
-from yarrowspindle.maintenance.state import MAX_RELAYS, BackendObservation, MaintenanceRequest, MaintenanceState
+from yarrowspindle.maintenance.requests import MaintenanceRequest
+from yarrowspindle.maintenance.state import MAX_RELAYS, BackendObservation, MaintenanceState
 from yarrowspindle.membership.load_signals import MAX_KEYS, LoadSignals, LocalLoadLog
 from yarrowspindle.membership.messages import LocalLoad
 from yarrowspindle.protocol.fragments import FRAGMENT_BYTES
@@ -269,14 +270,14 @@
             random = Random(relays)
             state = MaintenanceState(voters={f"relay-{n:04}": f"{random.getrandbits(128):032x}" for n in range(5)})
             for n in range(relays):
-                state = state.registered(f"relay-{n:04}", f"{random.getrandbits(128):032x}") or state
+                state = state.with_relay(f"relay-{n:04}", f"{random.getrandbits(128):032x}") or state
             if machines:
-                state = state.asked(MaintenanceRequest(names, machines, machines)) or state
+                state = state.with_request(MaintenanceRequest(names, machines, machines)) or state
                 for _ in names:
                     state = state.advanced({name: BackendObservation(0, 1.0, True) for name in names}) or state
-                turns = {name: out.turn for name, out in state.out.items()}
+                turns = {name: out.number for name, out in state.evacuations.items()}
                 for relay, life in list(state.relays.items())[:-1]:
-                    state = state.confirmed(relay, life, turns) or state
+                    state = state.with_confirmations(relay, life, turns) or state
             found["message"].append(len(encode(StateUpdate(state))))
             kept = AcceptorState("v" * 32, (1, "relay-0000"), (1, "relay-0000"), state)
             found["file"].append(len(encode_file(kept, "r", "c")))
--- a/tests/forms/samples.py
+++ b/tests/forms/samples.py
@@ -14,15 +14,8 @@
 from yarrowspindle.decisions.settings import DeduplicationScope, Idempotency, RequestClass, Settings, Tenant
 from yarrowspindle.maintenance import codec as turns_codec
 from yarrowspindle.maintenance import coordinator as turns
-from yarrowspindle.maintenance.state import (
-    FEWEST,
-    REFUSED,
-    WARMING,
-    Evacuation,
-    MaintenanceRequest,
-    MaintenanceState,
-    RequestStatus,
-)
+from yarrowspindle.maintenance.requests import ORDER_FEWEST, REFUSED, MaintenanceRequest, RequestStatus
+from yarrowspindle.maintenance.state import WARMING, Evacuation, MaintenanceState
 from yarrowspindle.membership import codec as peers
 from yarrowspindle.protocol.fragments import Fragmenter
 from yarrowspindle.rebalancing import RebalanceSettings
@@ -32,24 +25,24 @@
 
 OWNER, CLUSTER = "n3", "lisboa"
 
-WISH = MaintenanceRequest(("s-1", "s-2"), 2, 1, 3.5, 90.0, FEWEST, "kernel")
+WISH = MaintenanceRequest(("s-1", "s-2"), 2, 1, 3.5, 90.0, ORDER_FEWEST, "kernel")
 TURN_STATE = MaintenanceState(
     voters={"n1": "aa", "n2": "bb", "n3": "cc"},
     version=41,
     epoch=2,
-    turn=7,
+    last_evacuation_number=7,
     requests={
         WISH.id: RequestStatus(WISH, ("s-2",)),
         "0badc0ffee00": RequestStatus(MaintenanceRequest(("s-9",)), (), REFUSED, "s-9 is in another request", 12),
     },
-    out={
+    evacuations={
         "s-1": Evacuation(6, WISH.id, 1, WARMING, frozenset({("n1", 3)})),
-        "s-3": Evacuation(7, WISH.id, 0, confirmed=frozenset({("n2", 4)})),
+        "s-3": Evacuation(7, WISH.id, 0, confirmed_by=frozenset({("n2", 4)})),
     },
     relays={"n1": 3, "n2": 4},
-    keys={"n1": "k1", "n2": "k2"},
-    paused="a relay is down",
-    by_hand=True,
+    process_keys={"n1": "k1", "n2": "k2"},
+    pause_reason="a relay is down",
+    paused_by_operator=True,
 )
 STEP = {"step_ms": "2", "limits": None}
 CONTROL_STATE = ControlState(
--- a/tests/maintenance/sample_state.py
+++ b/tests/maintenance/sample_state.py
@@ -3,16 +3,17 @@
 from __future__ import annotations
 
 from yarrowspindle.daemon.voter_file import initial_state
-from yarrowspindle.maintenance.state import BackendObservation, MaintenanceRequest, MaintenanceState
+from yarrowspindle.maintenance.requests import MaintenanceRequest
+from yarrowspindle.maintenance.state import BackendObservation, MaintenanceState
 
 VOTERS = ("r0", "r1", "r2")
 
 
 def a_state(machines: int = 40) -> MaintenanceState:
     names = tuple(f"machine-{n}" for n in range(machines))
-    state = initial_state(VOTERS).registered("r0", "x")
+    state = initial_state(VOTERS).with_relay("r0", "x")
     assert state is not None
-    state = state.asked(MaintenanceRequest(names, 3, 3))
+    state = state.with_request(MaintenanceRequest(names, 3, 3))
     assert state is not None
     granted = state.advanced({name: BackendObservation(0, 1.0, True) for name in names})
     assert granted is not None
--- a/tests/maintenance/test_fleet_health.py
+++ b/tests/maintenance/test_fleet_health.py
@@ -6,7 +6,8 @@
 
 from yarrowspindle.decisions.events import EndpointState
 from yarrowspindle.maintenance.fleet_health import TROUBLE_MS, BackendSample, FleetHealth
-from yarrowspindle.maintenance.state import BackendObservation, MaintenanceRequest, MaintenanceState
+from yarrowspindle.maintenance.requests import MaintenanceRequest
+from yarrowspindle.maintenance.state import BackendObservation, MaintenanceState
 from yarrowspindle.storage.voter_file import INITIAL_IDENTITY
 
 
@@ -35,17 +36,17 @@
 
 
 def test_a_machine_that_is_out_may_go_and_comes_back_cold() -> None:
-    granted = MaintenanceState({"r0": INITIAL_IDENTITY}).asked(MaintenanceRequest(("m1",)))
+    granted = MaintenanceState({"r0": INITIAL_IDENTITY}).with_request(MaintenanceRequest(("m1",)))
     assert granted is not None
     granted = granted.advanced({"m1": BackendObservation(0, 1.0, True)})
     assert granted is not None
-    free = granted._freed()
+    free = granted._with_released_backends()
     watch = FleetHealth(3000.0, 0.1)
     watch.look(0.0, looks(), granted)
     assert watch.look(500.0, looks()[::2], granted)[1] == "m1 died", "it has not emptied yet"
     watch = FleetHealth(3000.0, 0.1)
     watch.look(0.0, looks(), free)
     assert not watch.look(500.0, looks()[::2], free)[1], "somebody works on it"
-    done = free.done("m1", 1)
+    done = free.with_work_completed("m1", 1)
     assert done is not None
     assert not watch.look(1000.0, looks(), done)[0]["m1"].ready and watch.look(4000.0, looks(), done)[0]["m1"].ready
--- a/tests/maintenance/test_settings.py
+++ b/tests/maintenance/test_settings.py
@@ -7,8 +7,8 @@
 import pytest
 
 from yarrowspindle.daemon.config import ConfigError, read_operator
+from yarrowspindle.maintenance.requests import MaintenanceError
 from yarrowspindle.maintenance.settings import Asking, read_asking
-from yarrowspindle.maintenance.state import MaintenanceError
 
 PEERS = '[peers]\nlisten = "127.0.0.1:7946"\n'
 
@@ -43,7 +43,7 @@
 
 def test_zone_by_zone_sorts_and_wrong_figures_are_refused() -> None:
     wish = Asking(("b1", "a1", "b2", "a2"), order="zones").wish(("b1", "a1", "b2", "a2"), {"b1": 1, "b2": 1})
-    assert wish.machines == ("a1", "a2", "b1", "b2")
+    assert wish.backends == ("a1", "a2", "b1", "b2")
     for wrong in (
         {"machines": ["a"], "most": 0},
         {"machines": "a"},
--- a/yarrowspindle/daemon/maintenance_endpoint.py
+++ b/yarrowspindle/daemon/maintenance_endpoint.py
@@ -38,8 +38,9 @@
 )
 from yarrowspindle.maintenance.evacuation import MaintenancePlan
 from yarrowspindle.maintenance.fleet_health import BackendSample, FleetHealth
+from yarrowspindle.maintenance.requests import QUEUED, MaintenanceError
 from yarrowspindle.maintenance.settings import Asking, TurnSettings, read_asking
-from yarrowspindle.maintenance.state import EMPTYING, FREE, QUEUED, WARMING, MaintenanceError, MaintenanceState
+from yarrowspindle.maintenance.state import EMPTYING, FREE, WARMING, MaintenanceState
 from yarrowspindle.membership.messages import SendPayload
 from yarrowspindle.operator_api import OperatorApi
 from yarrowspindle.operator_api.http import Answer, BodyRoutes
@@ -145,7 +146,7 @@
         self._carry_out(self.core.take_effects())
         while True:
             self._look()
-            emptying = any(out.stage == EMPTYING for out in self.core.taken.out.values())
+            emptying = any(out.stage == EMPTYING for out in self.core.taken.evacuations.values())
             await asyncio.sleep(HOLDS_S if emptying else LOOK_S)
 
     async def _loaded(self) -> AcceptorState[MaintenanceState]:
@@ -262,19 +263,19 @@
 
     def _took(self, state: MaintenanceState) -> None:
         now = self._now()
-        self.since = {o.turn: self.since.get(o.turn, now) for o in state.out.values()}
+        self.since = {o.number: self.since.get(o.number, now) for o in state.evacuations.values()}
         if not self.core.identity and self.name in state.voters and state.version > 0:
             self._made_anew()
-        off = frozenset(m for m, o in state.out.items() if o.stage != WARMING)
+        off = frozenset(m for m, o in state.evacuations.items() if o.stage != WARMING)
         empty = {
-            m: self._deadline_s(state, o.request) if o.stage == EMPTYING else 0.0
-            for m, o in state.out.items()
+            m: self._deadline_s(state, o.request_id) if o.stage == EMPTYING else 0.0
+            for m, o in state.evacuations.items()
             if o.stage != WARMING
         }
         self.task = MaintenancePlan(
             off if self.core.registered else None,
             empty,
-            frozenset(m for m, o in state.out.items() if o.stage == WARMING),
+            frozenset(m for m, o in state.evacuations.items() if o.stage == WARMING),
             max(len(state.relays), 1),
             self.settings.moves_per_s,
         )
@@ -284,7 +285,7 @@
     @staticmethod
     def _deadline_s(state: MaintenanceState, request: str) -> float:
         known = state.requests.get(request)
-        return known.wish.deadline_s if known is not None else DEADLINE_S
+        return known.request.deadline_s if known is not None else DEADLINE_S
 
     # --- what this relay sees -------------------------------------------------------------------
 
@@ -314,9 +315,11 @@
                 self.watch.counts.clear()
             self.seen = self.watch.look(now, looks, self.core.taken, asked, refused)
         holds: set[str] = set()
-        if self.core.taken.out:
+        if self.core.taken.evacuations:
             holds = {
-                name for name in self.core.taken.out if (n := reducer.backends.get(name)) is not None and n.requests
+                name
+                for name in self.core.taken.evacuations
+                if (n := reducer.backends.get(name)) is not None and n.requests
             }
             for connected in self.hub.connected:  # also such as are only being closed
                 holds |= connected()
@@ -401,23 +404,25 @@
 
     def _about(self, told: dict[str, Any], kind: str, stages: tuple[str, ...]) -> object:
         machine = self._text(told, "machine")
-        out = self.core.state.out.get(machine)
+        out = self.core.state.evacuations.get(machine)
         if out is None:
             raise MaintenanceError(f"{machine} is not out")
-        if out.turn != told.get("turn", out.turn):
-            raise MaintenanceError(f"{machine} is out by turn {out.turn}, not {told['turn']}")
+        if out.number != told.get("turn", out.number):
+            raise MaintenanceError(f"{machine} is out by turn {out.number}, not {told['turn']}")
         if out.stage not in stages:
-            waits = report.waits_for(self.core, machine, self._there()) if machine in self.core.taken.out else []
+            waits = (
+                report.waits_for(self.core, machine, self._there()) if machine in self.core.taken.evacuations else []
+            )
             raise MaintenanceError(f"{machine} is {out.stage}: it waits for {'; '.join(waits)}")
-        self._post(OperatorCommand(kind, machine, out.turn))
-        return out.turn
+        self._post(OperatorCommand(kind, machine, out.number))
+        return out.number
 
     def _cancel(self, told: dict[str, Any]) -> object:
         wanted = self._text(told, "request")
-        found = [i for i, r in self.core.state.requests.items() if wanted in (i, r.wish.name) and r.state == QUEUED]
+        found = [i for i, r in self.core.state.requests.items() if wanted in (i, r.request.name) and r.state == QUEUED]
         if len(found) != 1:
             raise MaintenanceError(f"{len(found) or 'no'} open requests are called {wanted}")
-        self._post(OperatorCommand("cancel", found[0], self.core.state.requests[found[0]].at))
+        self._post(OperatorCommand("cancel", found[0], self.core.state.requests[found[0]].changed_at_version))
         return found[0]
 
     def _ended(self, told: dict[str, Any]) -> object:
@@ -438,10 +443,10 @@
         return why
 
     def _resume(self, told: dict[str, Any]) -> object:
-        if not self.core.state.paused:
+        if not self.core.state.pause_reason:
             raise MaintenanceError("turns are not paused")
-        self._post(OperatorCommand("resume", self.core.state.paused))
-        return self.core.state.paused
+        self._post(OperatorCommand("resume", self.core.state.pause_reason))
+        return self.core.state.pause_reason
 
     def _want_vote(self, told: dict[str, Any]) -> object:
         """This relay is to be a voter."""
--- a/yarrowspindle/lab/model/exhaustive.py
+++ b/yarrowspindle/lab/model/exhaustive.py
@@ -34,7 +34,8 @@
     StateCommitted,
     TimerFired,
 )
-from yarrowspindle.maintenance.state import FREE, BackendObservation, MaintenanceRequest, MaintenanceState
+from yarrowspindle.maintenance.requests import MaintenanceRequest
+from yarrowspindle.maintenance.state import FREE, BackendObservation, MaintenanceState
 
 NAMES, MACHINES = ("r0", "r1", "r2"), ("m0", "m1")
 SEEN = {machine: BackendObservation(0, 1.0, True) for machine in MACHINES}
@@ -148,7 +149,7 @@
         newest=newest,
         path=path,
     )
-    for machine, out in newest.out.items():
+    for machine, out in newest.evacuations.items():
         for number, relay in enumerate(relays):
             if out.stage == FREE and machine in relay.holds:
                 raise Broken(f"{NAMES[number]} holds at {machine}, which is free: {' '.join(path)}")
@@ -198,14 +199,14 @@
         core: MaintenanceCoordinator = pickle.loads(one.core)[0]
         yield step(state, index, f"{name}!beat", beat)
         for machine in MACHINES:
-            if machine in one.holds and core.taken.keeps_off(machine):
+            if machine in one.holds and core.taken.excludes(machine):
                 yield step(state, index, f"{name}-{machine}", partial(leave, machine))
             elif state.places and machine not in one.holds and core.may_place(machine):
                 yield replace(step(state, index, f"{name}+{machine}", partial(place, machine)), places=0)
         if not core.looked:
             yield step(state, index, f"{name}!look", look)
-        for machine, out in core.taken.out.items():
-            order = OperatorCommand("done", machine, out.turn)
+        for machine, out in core.taken.evacuations.items():
+            order = OperatorCommand("done", machine, out.number)
             if out.stage == FREE and order not in core.orders:
                 yield step(state, index, f"{name}!done {machine}", partial(ordered, order))
         if state.crashes:
@@ -250,7 +251,7 @@
         for index in gone * 2:
             state = settle(settle(state, index, look), index, beat)
     if todo >= 3:
-        turn = state.newest.out[MACHINES[0]].turn
+        turn = state.newest.evacuations[MACHINES[0]].number
         state = settle(settle(state, 0, partial(ordered, OperatorCommand("done", MACHINES[0], turn))), 0, beat)
     return replace(state, path=())
 
--- a/yarrowspindle/lab/model/planted.py
+++ b/yarrowspindle/lab/model/planted.py
@@ -7,11 +7,14 @@
 from dataclasses import replace
 from typing import Any
 
+from msgspec import structs
+
 from yarrowspindle.consensus.acceptor import Acceptor, AcceptorState
 from yarrowspindle.consensus.messages import NO_BALLOT, Accept, Accepted, Prepare, Promise, Rejected
 from yarrowspindle.consensus.proposer import Committed, ProposalRound, Proposer
 from yarrowspindle.lab.model.turning import Parts
 from yarrowspindle.maintenance.coordinator import MaintenanceCoordinator, StateCommitted
+from yarrowspindle.maintenance.requests import MaintenanceRequest
 from yarrowspindle.maintenance.state import EMPTYING, BackendObservation, Evacuation, MaintenanceState
 
 # --- the voter ----------------------------------------------------------------------------------
@@ -134,59 +137,67 @@
 # --- the state ----------------------------------------------------------------------------------
 
 
-class OneTooFew(MaintenanceState):
+class OneTooFew(MaintenanceState, frozen=True):
     """Free though one confirmation is missing."""
 
-    def waits_for(self, machine: str) -> list[str]:
-        return super().waits_for(machine)[1:]
+    def unconfirmed_relays(self, machine: str) -> list[str]:
+        return super().unconfirmed_relays(machine)[1:]
 
 
-class SameNumber(MaintenanceState):
+class SameNumber(MaintenanceState, frozen=True):
     """Turns are not numbered anew, and any number confirms."""
 
-    def _granted(self, seen: Mapping[str, BackendObservation]) -> MaintenanceState | None:
-        granted = super()._granted(seen)
+    def _with_next_evacuation(self, seen: Mapping[str, BackendObservation]) -> MaintenanceState | None:
+        granted = super()._with_next_evacuation(seen)
         if granted is None:
             return None
-        out = {m: replace(o, turn=1) for m, o in granted.out.items()}
-        return replace(granted, turn=1, out=out)
+        out = {m: structs.replace(o, number=1) for m, o in granted.evacuations.items()}
+        return structs.replace(granted, last_evacuation_number=1, evacuations=out)
+
+
+def _one_more(request: MaintenanceRequest) -> MaintenanceRequest:
+    return structs.replace(
+        request,
+        max_unavailable=request.max_unavailable + 1,
+        max_unavailable_per_zone=request.max_unavailable_per_zone + 1,
+        min_ready_capacity=0.0,
+    )
 
 
-class OneTooMany(MaintenanceState):
+class OneTooMany(MaintenanceState, frozen=True):
     """One more out than allowed."""
 
-    def _granted(self, seen: Mapping[str, BackendObservation]) -> MaintenanceState | None:
-        requests = {
-            i: replace(r, wish=replace(r.wish, most=r.wish.most + 1, most_zone=r.wish.most_zone + 1, floor=0.0))
-            for i, r in self.requests.items()
-        }
-        granted = replace(self, requests=requests)._plain(seen)
+    def _with_next_evacuation(self, seen: Mapping[str, BackendObservation]) -> MaintenanceState | None:
+        requests = {i: structs.replace(r, request=_one_more(r.request)) for i, r in self.requests.items()}
+        granted = structs.replace(self, requests=requests)._plain(seen)
         if granted is None:
             return None
-        kept = {i: replace(r, wish=self.requests[i].wish) for i, r in granted.requests.items()}
-        return replace(granted, requests=kept)
+        kept = {i: structs.replace(r, request=self.requests[i].request) for i, r in granted.requests.items()}
+        return structs.replace(granted, requests=kept)
 
     def _plain(self, seen: Mapping[str, BackendObservation]) -> MaintenanceState | None:
-        return MaintenanceState._granted(self, seen)
+        return MaintenanceState._with_next_evacuation(self, seen)
 
 
-class NoZones(MaintenanceState):
+class NoZones(MaintenanceState, frozen=True):
     """The bound of each zone is forgotten."""
 
-    def _granted(self, seen: Mapping[str, BackendObservation]) -> MaintenanceState | None:
-        return super()._granted({m: replace(s, zone=1000 + n) for n, (m, s) in enumerate(seen.items())})
+    def _with_next_evacuation(self, seen: Mapping[str, BackendObservation]) -> MaintenanceState | None:
+        return super()._with_next_evacuation({m: replace(s, zone=1000 + n) for n, (m, s) in enumerate(seen.items())})
 
 
-class FreeAtOnce(MaintenanceState):
+class FreeAtOnce(MaintenanceState, frozen=True):
     """A cancelled or later turn inherits the confirmations of the one before."""
 
-    def _granted(self, seen: Mapping[str, BackendObservation]) -> MaintenanceState | None:
-        granted = super()._granted(seen)
+    def _with_next_evacuation(self, seen: Mapping[str, BackendObservation]) -> MaintenanceState | None:
+        granted = super()._with_next_evacuation(seen)
         if granted is None:
             return None
-        before = frozenset(c for o in self.out.values() for c in o.confirmed)
-        out: dict[str, Evacuation] = {m: replace(o, confirmed=o.confirmed | before) for m, o in granted.out.items()}
-        return replace(granted, out=out)
+        before = frozenset(c for o in self.evacuations.values() for c in o.confirmed_by)
+        out: dict[str, Evacuation] = {
+            m: structs.replace(o, confirmed_by=o.confirmed_by | before) for m, o in granted.evacuations.items()
+        }
+        return structs.replace(granted, evacuations=out)
 
 
 # --- the relay ----------------------------------------------------------------------------------
@@ -196,7 +207,11 @@
     """Confirms while it still holds something there."""
 
     def _mine(self) -> dict[str, int]:
-        return {m: out.turn for m, out in self.taken.out.items() if out.stage == EMPTYING} if self.registered else {}
+        return (
+            {m: out.number for m, out in self.taken.evacuations.items() if out.stage == EMPTYING}
+            if self.registered
+            else {}
+        )
 
 
 class ConfirmsByAnOldLook(MaintenanceCoordinator):
@@ -212,8 +227,10 @@
     """Confirms a turn that it reads of, before it has taken it up."""
 
     def _confirms(self, state: MaintenanceState) -> MaintenanceState | None:
-        mine = {m: out.turn for m, out in state.out.items() if out.stage == EMPTYING and m not in self.fleet.holds}
-        return state.confirmed(self.name, self.incarnation, mine) if mine else None
+        mine = {
+            m: out.number for m, out in state.evacuations.items() if out.stage == EMPTYING and m not in self.fleet.holds
+        }
+        return state.with_confirmations(self.name, self.incarnation, mine) if mine else None
 
 
 class TakesUpWhatComes(MaintenanceCoordinator):
@@ -229,7 +246,7 @@
     """Places before it has read what is out."""
 
     def may_place(self, machine: str) -> bool:
-        return not self.state.keeps_off(machine)
+        return not self.state.excludes(machine)
 
 
 DEFECTS: dict[str, Parts] = {
--- a/yarrowspindle/lab/model/turning.py
+++ b/yarrowspindle/lab/model/turning.py
@@ -12,6 +12,8 @@
 from random import Random
 from typing import Any
 
+from msgspec import structs
+
 from yarrowspindle.consensus.acceptor import Acceptor, AcceptorState
 from yarrowspindle.consensus.messages import NO_BALLOT, Accept, Accepted, Prepare, Promise
 from yarrowspindle.consensus.proposer import Proposer
@@ -31,7 +33,8 @@
     TimerFired,
 )
 from yarrowspindle.maintenance.fleet_health import TROUBLE_MS, BackendSample, FleetHealth
-from yarrowspindle.maintenance.state import EMPTYING, FREE, QUEUED, MaintenanceRequest, MaintenanceState
+from yarrowspindle.maintenance.requests import QUEUED, MaintenanceRequest
+from yarrowspindle.maintenance.state import EMPTYING, FREE, MaintenanceState
 from yarrowspindle.protocol.fragments import Fragmenter
 
 LIFE_MS, MOVED_MS = 3000.0, 400.0  # of a connection, and of one that is asked to move
@@ -74,29 +77,37 @@
         known = self.versions.setdefault(state.version, state)
         if known != state:
             self.broken(f"two states of version {state.version}: {relay} took another")
-        for machine, out in state.out.items():
-            if self.turns.setdefault(out.turn, machine) != machine:
-                self.broken(f"turn {out.turn} is {machine}'s and {self.turns[out.turn]}'s")
+        for machine, out in state.evacuations.items():
+            if self.turns.setdefault(out.number, machine) != machine:
+                self.broken(f"turn {out.number} is {machine}'s and {self.turns[out.number]}'s")
         if state.version > self.newest.version:
-            if state.turn < self.newest.turn:
-                self.broken(f"turn numbers went back from {self.newest.turn} to {state.turn}")
-            if state.turn > self.newest.turn:
+            if state.last_evacuation_number < self.newest.last_evacuation_number:
+                self.broken(
+                    f"turn numbers went back from {self.newest.last_evacuation_number} to {state.last_evacuation_number}"
+                )
+            if state.last_evacuation_number > self.newest.last_evacuation_number:
                 # Who died a moment ago is not the turn's doing.
-                left = len(self.ready_of_late() - set(state.out))
-                if left < self.wish.floor:
-                    self.broken(f"turn {state.turn} leaves {left} ready, the floor is {self.wish.floor:g}")
-            self.rolled_back += sum(o.stage == EMPTYING and m not in state.out for m, o in self.newest.out.items())
+                left = len(self.ready_of_late() - set(state.evacuations))
+                if left < self.wish.min_ready_capacity:
+                    self.broken(
+                        f"turn {state.last_evacuation_number} leaves {left} ready, the floor is {self.wish.min_ready_capacity:g}"
+                    )
+            self.rolled_back += sum(
+                o.stage == EMPTYING and m not in state.evacuations for m, o in self.newest.evacuations.items()
+            )
             self.newest = state
-        self.most_out = max(self.most_out, len(state.out))
-        zones = [self.zones[machine] for machine in state.out]
-        if len(zones) > self.wish.most or any(zones.count(zone) > self.wish.most_zone for zone in zones):
+        self.most_out = max(self.most_out, len(state.evacuations))
+        zones = [self.zones[machine] for machine in state.evacuations]
+        if len(zones) > self.wish.max_unavailable or any(
+            zones.count(zone) > self.wish.max_unavailable_per_zone for zone in zones
+        ):
             self.broken(f"{len(zones)} out at once, in zones {sorted(zones)}")
 
     def uses(self, relay: str, machine: str, how: str) -> None:
         """A relay places or holds a connection there now."""
-        out = self.newest.out.get(machine)
+        out = self.newest.evacuations.get(machine)
         if out is not None and out.stage == FREE:
-            self.broken(f"{relay} {how} at {machine}, which is free by turn {out.turn}")
+            self.broken(f"{relay} {how} at {machine}, which is free by turn {out.number}")
 
 
 @dataclass(slots=True, frozen=True)
@@ -231,7 +242,7 @@
             return
         random, world = self.world.random, self.world
         for machine in list(self.held):
-            emptying = self.core.taken.keeps_off(machine)
+            emptying = self.core.taken.excludes(machine)
             part = 1.0 if not world.is_up(machine) else STEP_MS / (MOVED_MS if emptying else LIFE_MS)
             self.held[machine] -= sum(random.random() < part for _ in range(self.held[machine]))
             if not self.held[machine]:
@@ -267,7 +278,7 @@
         )
         self.wishes = [self.wish]
         if self.plan.clash:
-            self.wishes.append(replace(self.wish, machines=self.wish.machines[::2], order="fewest"))
+            self.wishes.append(structs.replace(self.wish, backends=self.wish.backends[::2], order="fewest"))
         self.names = relay_names(relays)
         self.first = self.parts.state({name: FIRST for name in self.names})
         self.files: dict[str, AcceptorState[MaintenanceState]] = {
@@ -378,7 +389,7 @@
     def _cancel(self) -> None:
         for number, request in self.checker.newest.requests.items():
             if request.state == QUEUED:
-                self.order(OperatorCommand("cancel", number, request.at))
+                self.order(OperatorCommand("cancel", number, request.changed_at_version))
 
     def _step(self) -> None:
         self.clock.after(STEP_MS, self._step)
@@ -386,11 +397,11 @@
             relay.live()
         # The operator's hand: a machine that is free is worked on for a moment, and given back.
         newest = self.checker.newest
-        for machine, out in newest.out.items():
+        for machine, out in newest.evacuations.items():
             if out.stage == FREE and self.random.random() < 0.1:
                 if self.is_up(machine) and self.random.random() < 0.3:  # a new kernel
                     self.starts[machine] = self.clock.now()
-                self.order(OperatorCommand("done", machine, out.turn))
+                self.order(OperatorCommand("done", machine, out.number))
 
     def order(self, order: OperatorCommand) -> None:
         alive = [relay for relay in self.relays.values() if relay.alive]
@@ -425,7 +436,7 @@
     def over(self) -> bool:
         """Every wanted machine has been out and is back, or somebody cancelled that."""
         state = self.checker.newest
-        return self.asked() and all(r.state != QUEUED for r in state.requests.values()) and not state.out
+        return self.asked() and all(r.state != QUEUED for r in state.requests.values()) and not state.evacuations
 
 
 def play_turns(
@@ -452,7 +463,7 @@
     world.apply(day.faults, lose)
     world.run(0.5)
     # Two operators at two relays: the same wish is one, and of two that clash one is refused.
-    for wish in (*world.wishes, replace(world.wish)):
+    for wish in (*world.wishes, structs.replace(world.wish)):
         world.order(OperatorCommand("ask", wish, 0))
     while world.clock.seconds < faults_s + within_s and not world.over() and not world.checker.violations:
         world.run(0.5)
@@ -460,11 +471,11 @@
             world.order(OperatorCommand("ask", world.wish, 0))  # whoever had it died with it
     checker = world.checker
     day.violations, day.most_out, day.rolled_back = checker.violations, checker.most_out, checker.rolled_back
-    day.turns, day.took_s = checker.newest.turn, world.clock.seconds
+    day.turns, day.took_s = checker.newest.last_evacuation_number, world.clock.seconds
     if not world.over() and not day.violations:
         state = checker.newest
         day.stuck.append(
-            f"out {state.out}, waits for { {m: state.waits_for(m) for m in state.out} }, paused "
-            f"{state.paused!r}, {[(r.state, r.waiting) for r in state.requests.values()]}"
+            f"out {state.evacuations}, waits for { {m: state.unconfirmed_relays(m) for m in state.evacuations} }, paused "
+            f"{state.pause_reason!r}, {[(r.state, r.waiting) for r in state.requests.values()]}"
         )
     return day
--- a/yarrowspindle/lab/processes/turning.py
+++ b/yarrowspindle/lab/processes/turning.py
@@ -19,7 +19,7 @@
 from yarrowspindle.lab.faults import Fault, relay_names, schedule
 from yarrowspindle.lab.processes.proxy import Pipe
 from yarrowspindle.lab.processes.world import Relay, Report, Run, World, finish, opened
-from yarrowspindle.maintenance.state import QUEUED
+from yarrowspindle.maintenance.requests import QUEUED
 from yarrowspindle.storage.durable_file import FileUnavailableError
 
 POLL_S = 0.25
@@ -297,7 +297,7 @@
                 self.world.checker.note("files", f"{relay.name}: {why}")
                 continue
             known = self.states.get(kept.state.version)
-            out = {m: (o.turn, o.stage) for m, o in kept.state.out.items()}
+            out = {m: (o.number, o.stage) for m, o in kept.state.evacuations.items()}
             if known is not None and known != out:
                 self.world.checker.note("files", f"{relay.name} has {out} for {kept.state.version}, not {known}")
 
--- a/yarrowspindle/maintenance/codec.py
+++ b/yarrowspindle/maintenance/codec.py
@@ -14,7 +14,8 @@
     ReleaseConfirmation,
     StateUpdate,
 )
-from yarrowspindle.maintenance.state import MAX_MACHINES, MAX_NAME, MAX_RELAYS, MAX_REQUESTS, MaintenanceState
+from yarrowspindle.maintenance.requests import MAX_BACKENDS, MAX_NAME_LENGTH
+from yarrowspindle.maintenance.state import MAX_RELAYS, MAX_REQUESTS, MaintenanceState
 from yarrowspindle.protocol.message_codec import InvalidMessageError, MessageCodec
 from yarrowspindle.storage.file_codec import FileCodec
 
@@ -26,15 +27,15 @@
     """Raises InvalidMessageError for a state that no relay could have made."""
     if state is None:
         return
-    names = [*state.voters, *state.relays, *state.out]
+    names = [*state.voters, *state.relays, *state.evacuations]
     if (
         len(state.requests) > 2 * MAX_REQUESTS + 1
-        or len(state.out) > MAX_REQUESTS * MAX_MACHINES
+        or len(state.evacuations) > MAX_REQUESTS * MAX_BACKENDS
         or len(state.relays) > MAX_RELAYS
         or len(state.voters) > MAX_VOTERS_DECODED
         or not state.voters
-        or any(len(name) > MAX_NAME for name in names)
-        or min(state.version, state.epoch, state.turn) < 0
+        or any(len(name) > MAX_NAME_LENGTH for name in names)
+        or min(state.version, state.epoch, state.last_evacuation_number) < 0
     ):
         raise InvalidMessageError("a state out of bounds")
 
--- a/yarrowspindle/maintenance/coordinator.py
+++ b/yarrowspindle/maintenance/coordinator.py
@@ -16,7 +16,8 @@
 from yarrowspindle.consensus.messages import NO_BALLOT, Accept, Accepted, Prepare, Promise, Rejected
 from yarrowspindle.consensus.proposer import Committed, Proposer, RoundFailed, SendToAcceptor
 from yarrowspindle.consensus.proposer import Effect as ProposerEffect
-from yarrowspindle.maintenance.state import EMPTYING, BackendObservation, MaintenanceRequest, MaintenanceState
+from yarrowspindle.maintenance.requests import MaintenanceRequest
+from yarrowspindle.maintenance.state import EMPTYING, BackendObservation, MaintenanceState
 
 BEAT_MS, ROUND_MS = 150.0, 400.0
 READ_MS, READ_IDLE_MS = 1500.0, 10_000.0  # without word for so long the state is read: while something is out, and else
@@ -221,7 +222,7 @@
     @property
     def incarnation(self) -> int:
         """As it is registered; 0: it is not."""
-        return self.taken.relays.get(self.name, 0) if self.taken.keys.get(self.name) == self.key else 0
+        return self.taken.relays.get(self.name, 0) if self.taken.process_keys.get(self.name) == self.key else 0
 
     @property
     def heard_at(self) -> float:
@@ -229,7 +230,7 @@
         return max(self.read_at, self.told_at)
 
     def may_place(self, machine: str) -> bool:
-        return self.registered and not self.taken.keeps_off(machine)
+        return self.registered and not self.taken.excludes(machine)
 
     # --- messages -------------------------------------------------------------------------------
 
@@ -299,24 +300,28 @@
                 )
 
     def _say(self, old: MaintenanceState, new: MaintenanceState) -> None:
-        for machine, out in old.out.items():
-            now = new.out.get(machine)
-            if now is None or now.turn != out.turn:
-                why = f": {new.paused or 'cancelled'}" if out.stage == EMPTYING else ""
+        for machine, out in old.evacuations.items():
+            now = new.evacuations.get(machine)
+            if now is None or now.number != out.number:
+                why = f": {new.pause_reason or 'cancelled'}" if out.stage == EMPTYING else ""
                 back = "is back" if out.stage != EMPTYING else "was given back unemptied"
-                self.effects.append(LogMessage(f"turn {out.turn}: {machine} {back}{why}"))
-        for machine, out in new.out.items():
-            was = old.out.get(machine)
-            if was is None or was.turn != out.turn or was.stage != out.stage:
-                self.effects.append(LogMessage(f"turn {out.turn}: {machine} is {out.stage}, by request {out.request}"))
-        if new.paused != old.paused:
-            self.effects.append(LogMessage(f"turns are paused: {new.paused}" if new.paused else "turns go on"))
+                self.effects.append(LogMessage(f"turn {out.number}: {machine} {back}{why}"))
+        for machine, out in new.evacuations.items():
+            was = old.evacuations.get(machine)
+            if was is None or was.number != out.number or was.stage != out.stage:
+                self.effects.append(
+                    LogMessage(f"turn {out.number}: {machine} is {out.stage}, by request {out.request_id}")
+                )
+        if new.pause_reason != old.pause_reason:
+            self.effects.append(
+                LogMessage(f"turns are paused: {new.pause_reason}" if new.pause_reason else "turns go on")
+            )
         for number, request in new.requests.items():
             known = old.requests.get(number)
             if known is None or known.state != request.state:
-                why = f": {request.why}" if request.why else ""
+                why = f": {request.reason}" if request.reason else ""
                 self.effects.append(
-                    LogMessage(f"request {number} for {len(request.wish.machines)} machines is {request.state}{why}")
+                    LogMessage(f"request {number} for {len(request.request.backends)} machines is {request.state}{why}")
                 )
 
     # --- what is wanted -------------------------------------------------------------------------
@@ -335,12 +340,12 @@
             self._carry_out(self.proposer.give_up("no majority in time"))
         if self.proposer.round is None and self.now >= self.wait_until:
             self._drop_done()
-            busy = bool(not self.registered or self.state.out or self.orders)
+            busy = bool(not self.registered or self.state.evacuations or self.orders)
             again = READ_MS if busy else NEWEST_MS if self._duty() else READ_IDLE_MS
             if self.now >= self.heard_at + again * (1.0 + self.random.random()) or self._change(self.state) is not None:
                 self.began = self.now
                 self._carry_out(self.proposer.start(self._change))
-        if self._duty() and self.now >= self.tell_at + (TELL_MS if self.state.out else NEWEST_MS):
+        if self._duty() and self.now >= self.tell_at + (TELL_MS if self.state.evacuations else NEWEST_MS):
             self._remind()
         self.effects.append(SetTimer(BEAT_MS * self.random.uniform(0.8, 1.2), BEAT))
 
@@ -353,7 +358,9 @@
             for name in self.fleet.there:
                 if name != self.name:
                     self.effects.append(SendMessage(name, LatestVersion(state.version)))
-        missing = {n for m, o in state.out.items() if o.stage == EMPTYING for n in state.waits_for(m)} - {self.name}
+        missing = {
+            n for m, o in state.evacuations.items() if o.stage == EMPTYING for n in state.unconfirmed_relays(m)
+        } - {self.name}
         for name in sorted(missing.intersection(self.fleet.there)):
             self.effects.append(SendMessage(name, StateUpdate(state)))
 
@@ -363,7 +370,7 @@
             del self.said[name]
         for name, (key, at) in list(self.entering.items()):
             # Who still waits says so again; a word that lies about may be of a process that has ended.
-            if self.state.keys.get(name) == key or self.now > at + ENTER_MS:
+            if self.state.process_keys.get(name) == key or self.now > at + ENTER_MS:
                 del self.entering[name]
         self.orders = [order for order in self.orders if self._ordered(self.state, order) is not None]
 
@@ -371,17 +378,17 @@
         """All that this relay wants changed, in one go."""
         steps: list[Callable[[MaintenanceState], MaintenanceState | None]] = []
         if not self.registered and (self._duty() or self.now >= self.started + ENTER_MS):
-            steps.append(lambda s: s.registered(self.name, self.key))
+            steps.append(lambda s: s.with_relay(self.name, self.key))
         steps.append(self._revises)
         steps += [lambda s, order=order: self._ordered(s, order) for order in self.orders]  # type: ignore[misc]
         steps += [self._confirms, self._votes_again]
         if self._duty():
             steps += [
-                lambda s, n=name, k=key: s.registered(n, k)  # type: ignore[misc]
+                lambda s, n=name, k=key: s.with_relay(n, k)  # type: ignore[misc]
                 for name, (key, _) in self.entering.items()
             ]
             steps += [
-                lambda s, n=name, w=word: s.confirmed(n, w.incarnation, w.turns)  # type: ignore[misc]
+                lambda s, n=name, w=word: s.with_confirmations(n, w.incarnation, w.turns)  # type: ignore[misc]
                 for name, word in self.said.items()
             ]
             steps += [self._troubled, self._advances]
@@ -400,15 +407,19 @@
     def _revises(self, state: MaintenanceState) -> MaintenanceState | None:
         """Turns that a minority holds since a proposer failed, who knows how long ago: they become agreed on by this
         round, so they must fit what is there now."""
-        doubtful = [m for m, out in state.out.items() if out.stage == EMPTYING and out.turn > self.state.turn]
-        if not doubtful or (self._fresh and state.keeps_floors(self.fleet.seen)):
+        doubtful = [
+            m
+            for m, out in state.evacuations.items()
+            if out.stage == EMPTYING and out.number > self.state.last_evacuation_number
+        ]
+        if not doubtful or (self._fresh and state.meets_capacity_floors(self.fleet.seen)):
             return None
-        return state.returned(doubtful)
+        return state.with_evacuations_reverted(doubtful)
 
     def _troubled(self, state: MaintenanceState) -> MaintenanceState | None:
         if self.fleet.trouble:
-            return state.rolled_back(self.fleet.trouble)
-        return state.resumed() if self.now >= self.calm_since + CALM_MS else None
+            return state.with_pause(self.fleet.trouble)
+        return state.without_pause() if self.now >= self.calm_since + CALM_MS else None
 
     def _duty(self) -> bool:
         """The first of the members by name brings things on; who it is need not be agreed on."""
@@ -420,17 +431,17 @@
         if not self.registered or not self.looked:
             return {}
         return {
-            m: out.turn
-            for m, out in self.taken.out.items()
+            m: out.number
+            for m, out in self.taken.evacuations.items()
             if out.stage == EMPTYING
             and m not in self.fleet.holds
-            and (self.name, self.incarnation) not in out.confirmed
+            and (self.name, self.incarnation) not in out.confirmed_by
         }
 
     def _confirms(self, state: MaintenanceState) -> MaintenanceState | None:
         mine = self._mine()
         itself = self._duty() or self.now >= self.say_since + SAY_MS
-        return state.confirmed(self.name, self.incarnation, mine) if mine and itself else None
+        return state.with_confirmations(self.name, self.incarnation, mine) if mine and itself else None
 
     def _votes_again(self, state: MaintenanceState) -> MaintenanceState | None:
         """With another file than the voters know of: the one before was lost, and what it promised with it. The
@@ -443,19 +454,19 @@
         what, more = order.what, order.more
         found: MaintenanceState | None = None
         if order.kind == "ask" and isinstance(what, MaintenanceRequest):
-            found = state.asked(what, more)
+            found = state.with_request(what, more)
         elif order.kind == "done":
-            found = state.done(what, more)
+            found = state.with_work_completed(what, more)
         elif order.kind == "give up":
-            found = state.given_up(what, more)
+            found = state.with_backend_abandoned(what, more)
         elif order.kind == "cancel":
-            found = state.cancelled(what, more)
+            found = state.with_request_cancelled(what, more)
         elif order.kind == "ended":
-            found = state.left(what, more)
+            found = state.without_relay(what, more)
         elif order.kind == "pause":
-            found = state.rolled_back(what, True)
+            found = state.with_pause(what, True)
         elif order.kind == "resume":
-            found = state.resumed(what)
+            found = state.without_pause(what)
         elif order.kind == "voter":
             found = state.with_voter(what, more)
         elif order.kind == "no voter":
--- a/yarrowspindle/maintenance/fleet_health.py
+++ b/yarrowspindle/maintenance/fleet_health.py
@@ -56,7 +56,7 @@
             if known is None or known.started != at.started or known.state is EndpointState.GONE:
                 warm_at = now + self.cold_ms if self.looked and at.state is EndpointState.READY else now
                 self.machines[at.name] = known = Known(at.state, at.started, warm_at)
-            out = state.out.get(at.name)
+            out = state.evacuations.get(at.name)
             if out is not None and out.stage != WARMING:
                 known.warm_at = now + self.cold_ms  # whatever the list says: it comes back cold
                 if out.stage == EMPTYING and known.state is EndpointState.READY and at.state is EndpointState.GONE:
@@ -71,7 +71,9 @@
                 seen[at.name] = BackendObservation(at.zone, at.capacity, ready, at.held)
         for name in self.machines.keys() - seen.keys():
             known = self.machines[name]
-            if known.state is EndpointState.READY and (name not in state.out or state.out[name].stage == EMPTYING):
+            if known.state is EndpointState.READY and (
+                name not in state.evacuations or state.evacuations[name].stage == EMPTYING
+            ):
                 self.died[name] = now
             known.state = EndpointState.GONE
         self.looked = bool(self.machines)
--- a/yarrowspindle/maintenance/settings.py
+++ b/yarrowspindle/maintenance/settings.py
@@ -8,12 +8,19 @@
 from ipaddress import IPv4Address
 from typing import Any
 
-from yarrowspindle.maintenance.state import FEWEST, GIVEN, MAX_NAME, MAX_REQUESTS, MaintenanceError, MaintenanceRequest
+from yarrowspindle.maintenance.requests import (
+    MAX_NAME_LENGTH,
+    ORDER_FEWEST,
+    ORDER_GIVEN,
+    MaintenanceError,
+    MaintenanceRequest,
+)
+from yarrowspindle.maintenance.state import MAX_REQUESTS
 from yarrowspindle.membership.settings import PeerError, read_address
 from yarrowspindle.routing.address import Address
 
 ZONES = "zones"
-ORDERS = (GIVEN, FEWEST, ZONES)
+ORDERS = (ORDER_GIVEN, ORDER_FEWEST, ZONES)
 MAX_VOTERS = 15
 
 
@@ -33,7 +40,7 @@
     most_zone: int = 1
     floor: float = 0.0
     deadline_s: float = 120.0
-    order: str = GIVEN
+    order: str = ORDER_GIVEN
     name: str = ""
 
     def __post_init__(self) -> None:
@@ -41,15 +48,15 @@
             raise MaintenanceError("a request names machines, or a zone, or a kind")
         if self.order not in ORDERS:
             raise MaintenanceError(f"order is {self.order!r}: one of {', '.join(ORDERS)} is wanted")
-        if len(self.name) > MAX_NAME:
-            raise MaintenanceError(f"a name has at most {MAX_NAME} characters")
+        if len(self.name) > MAX_NAME_LENGTH:
+            raise MaintenanceError(f"a name has at most {MAX_NAME_LENGTH} characters")
         self.wish(self.machines or ("any",), {})  # the figures
 
     def wish(self, machines: tuple[str, ...], zones: Mapping[str, int]) -> MaintenanceRequest:
         """machines: those of the zone or kind, where it names one. zones: of each machine."""
         if self.order == ZONES:
             machines = tuple(sorted(machines, key=lambda m: zones.get(m, 0)))
-        order = FEWEST if self.order == FEWEST else GIVEN
+        order = ORDER_FEWEST if self.order == ORDER_FEWEST else ORDER_GIVEN
         return MaintenanceRequest(
             machines, self.most, self.most_zone, float(self.floor), float(self.deadline_s), order, self.name
         )
@@ -123,7 +130,7 @@
     if not isinstance(requests, list) or not all(isinstance(r, dict) for r in requests):
         raise MaintenanceError("[[turns.request]] is a list of tables")
     voters = values.get("voters", [])
-    if not isinstance(voters, list) or not all(isinstance(v, str) and 0 < len(v) <= MAX_NAME for v in voters):
+    if not isinstance(voters, list) or not all(isinstance(v, str) and 0 < len(v) <= MAX_NAME_LENGTH for v in voters):
         raise MaintenanceError(f"turns.voters is {voters!r}: a list of relays' names is wanted")
     values["voters"], values["requests"] = tuple(voters), tuple(read_asking(r) for r in requests)
     if "command" in values:
--- a/yarrowspindle/maintenance/state.py
+++ b/yarrowspindle/maintenance/state.py
@@ -1,316 +1,361 @@
-"""What the relays agree on: requests, the order, who is out, who confirmed. Each change is a pure function of the
-state.
+"""The state on which the relays agree: requests, backends out of service, and which relays have released them.
 
-Rules: never more out at once than a request allows (in all, and in each zone), never less ready capacity than its
-floor by a turn's doing; a machine is free only when every registered relay confirmed this turn's number or is known
-to have ended; turn numbers grow by one and are used once.
+Each change is a pure function of the state. The invariants: never more backends out at once than a request allows, in
+all and in each zone; no evacuation takes the ready capacity below the minimum of its request; a backend is free only
+when each registered relay has confirmed this evacuation's number, or is known to have ended; the numbers increase by
+one and are used once.
 """
 
 from __future__ import annotations
 
 from collections.abc import Collection, Mapping
-from dataclasses import dataclass, field, replace
-from hashlib import blake2b
-from math import inf
+from dataclasses import dataclass
 
-EMPTYING, FREE, WARMING = "emptying", "free", "warming"
-QUEUED, REFUSED, DONE, CANCELLED = "queued", "refused", "done", "cancelled"
-GIVEN, FEWEST = "given", "fewest"
-MAX_REQUESTS, MAX_MACHINES, MAX_ENDED, MAX_NAME, MAX_RELAYS = 16, 512, 16, 64, 1024
+from msgspec import Struct, field
+from msgspec.structs import replace
 
+from yarrowspindle.maintenance.requests import (
+    CANCELLED,
+    DONE,
+    ORDER_FEWEST,
+    QUEUED,
+    REFUSED,
+    MaintenanceRequest,
+    RequestStatus,
+)
 
-class MaintenanceError(ValueError):
-    """A request or a word that makes no sense; the text says why."""
+EMPTYING, FREE, WARMING = "emptying", "free", "warming"  # stages of an evacuation; stored and shown
+
+MAX_REQUESTS = 16  # queued at once
+MAX_ENDED_REQUESTS = 16  # that are still shown
+MAX_RELAYS = 1024
 
 
 @dataclass(slots=True, frozen=True)
 class BackendObservation:
-    """A machine as the proposer's list has it. ready: takes connections, and is warm. held: connections there, as far
-    as the proposer knows."""
+    """A backend as the proposer sees it. ready: takes connections and is warmed up. capacity: in the units of the
+    endpoint list. connections: as far as the proposer knows."""
 
     zone: int
     capacity: float
     ready: bool
-    held: int = 0
-
-
-@dataclass(slots=True, frozen=True)
-class MaintenanceRequest:
-    """What operators ask for. most, most_zone: out at once; floor: ready capacity that must stay, in units of the
-    list; deadline_s: connections that have not moved by then are moved at once; order: GIVEN, or FEWEST connections
-    first (zone by zone is an order that is given: the one who asks sorts). name: tells apart requests that are alike
-    otherwise."""
-
-    machines: tuple[str, ...]
-    most: int = 1
-    most_zone: int = 1
-    floor: float = 0.0
-    deadline_s: float = 120.0
-    order: str = GIVEN
-    name: str = ""
-
-    def __post_init__(self) -> None:
-        if not self.machines or len(set(self.machines)) != len(self.machines) or len(self.machines) > MAX_MACHINES:
-            raise MaintenanceError(f"a request names 1 to {MAX_MACHINES} machines, each once")
-        if any(not 0 < len(name) <= MAX_NAME for name in self.machines):
-            raise MaintenanceError(f"a machine's name has 1 to {MAX_NAME} characters")
-        if min(self.most, self.most_zone) < 1 or not 0.0 <= self.floor < inf or not 0.0 < self.deadline_s <= 86_400.0:
-            raise MaintenanceError(
-                "most and most_zone are at least 1, floor is not below 0, deadline_s is 86,400 at most"
-            )
-        if self.order not in (GIVEN, FEWEST):
-            raise MaintenanceError(f"order is {GIVEN!r} or {FEWEST!r}")
-
-    @property
-    def id(self) -> str:
-        """The same for the same wish, wherever it was asked."""
-        told = (
-            self.machines,
-            self.most,
-            self.most_zone,
-            float(self.floor),
-            float(self.deadline_s),
-            self.order,
-            self.name,
-        )
-        return blake2b(repr(told).encode(), digest_size=6).hexdigest()
+    connections: int = 0
 
 
-@dataclass(slots=True, frozen=True)
-class RequestStatus:
-    """at: the version with which it was asked, refused, cancelled or done."""
-
-    wish: MaintenanceRequest
-    waiting: tuple[str, ...]
-    state: str = QUEUED
-    why: str = ""
-    at: int = 0
+class Evacuation(Struct, frozen=True, rename={"number": "turn", "request_id": "request", "confirmed_by": "confirmed"}):
+    """A backend that is out of service.
 
+    confirmed_by: relays, by name and incarnation, that know of the evacuation and have no connections there.
+    """
 
-@dataclass(slots=True, frozen=True)
-class Evacuation:
-    """A machine that is out, by its turn. confirmed: lives of relays that hold nothing there and know of the turn."""
-
-    turn: int
-    request: str
+    number: int
+    request_id: str
     zone: int
     stage: str = EMPTYING
-    confirmed: frozenset[tuple[str, int]] = frozenset()
-
+    confirmed_by: frozenset[tuple[str, int]] = frozenset()
+
+
+class MaintenanceState(
+    Struct,
+    frozen=True,
+    rename={
+        "last_evacuation_number": "turn",
+        "evacuations": "out",
+        "process_keys": "keys",
+        "pause_reason": "paused",
+        "paused_by_operator": "by_hand",
+    },
+):
+    """The replicated state of maintenance. Stored under the field names of its first version.
+
+    voters: identity of each voter's file, by name. requests: by id, in the order in which they were decided.
+    evacuations: by backend. relays: incarnation of each registered relay, by name; process_keys: the key of its
+    process. pause_reason: why no evacuation starts; empty while they do. paused_by_operator: only an operator may end
+    the pause.
+
+    The methods named `with_...` and `without_...` return the changed state, or None where nothing changes.
+    """
 
-@dataclass(slots=True, frozen=True)
-class MaintenanceState:
     voters: Mapping[str, str] = field(default_factory=dict)
     version: int = 0
     epoch: int = 0
-    turn: int = 0
-    requests: Mapping[str, RequestStatus] = field(default_factory=dict)  # in the order in which they were settled
-    out: Mapping[str, Evacuation] = field(default_factory=dict)
-    relays: Mapping[str, int] = field(default_factory=dict)  # registered: name -> life
-    keys: Mapping[str, str] = field(default_factory=dict)  # and the key of the process
-    paused: str = ""  # why no turn is granted; empty: they are
-    by_hand: bool = False  # an operator paused them, and an operator lets them go on
-
-    def changed(self, **changes: object) -> MaintenanceState:
-        return replace(self, version=self.version + 1, **changes)  # type: ignore[arg-type]
+    last_evacuation_number: int = 0
+    requests: Mapping[str, RequestStatus] = field(default_factory=dict)
+    evacuations: Mapping[str, Evacuation] = field(default_factory=dict)
+    relays: Mapping[str, int] = field(default_factory=dict)
+    process_keys: Mapping[str, str] = field(default_factory=dict)
+    pause_reason: str = ""
+    paused_by_operator: bool = False
+
+    def successor(self, **changes: object) -> MaintenanceState:
+        """Return the next version of the state with these fields changed."""
+        return replace(self, version=self.version + 1, **changes)
 
     def at_epoch(self, epoch: int) -> MaintenanceState:
-        return self.changed(epoch=epoch)
+        """Return the next version of the state with another epoch of its voter set."""
+        return self.successor(epoch=epoch)
 
-    # --- reading --------------------------------------------------------------------------------
+    # Queries
 
-    def keeps_off(self, machine: str) -> bool:
-        """Nothing is placed there."""
-        out = self.out.get(machine)
-        return out is not None and out.stage != WARMING
+    def excludes(self, backend: str) -> bool:
+        """Whether no connection may be placed on the backend."""
+        evacuation = self.evacuations.get(backend)
+        return evacuation is not None and evacuation.stage != WARMING
 
-    def waits_for(self, machine: str) -> list[str]:
-        """Relays whose word is missing for this machine to be free."""
-        out = self.out[machine]
-        return sorted(name for name, incarnation in self.relays.items() if (name, incarnation) not in out.confirmed)
+    def unconfirmed_relays(self, backend: str) -> list[str]:
+        """Return the relays that have to confirm before the backend is free."""
+        confirmed_by = self.evacuations[backend].confirmed_by
+        return sorted(name for name, incarnation in self.relays.items() if (name, incarnation) not in confirmed_by)
 
-    # --- relays ---------------------------------------------------------------------------------
+    def ready_capacity(self, backends: Mapping[str, BackendObservation]) -> float:
+        """Return the capacity of the ready backends that are in service."""
+        return sum(
+            backend.capacity for name, backend in backends.items() if backend.ready and name not in self.evacuations
+        )
 
-    def registered(self, name: str, key: str) -> MaintenanceState | None:
-        """A process is there, and reads this state once it sees itself in it. An earlier life of its name has ended.
-        Its life is the version that it is registered with, so that no two lives are the same."""
-        if self.keys.get(name) == key or (len(self.relays) >= MAX_RELAYS and name not in self.relays):
+    def meets_capacity_floors(self, backends: Mapping[str, BackendObservation]) -> bool:
+        """Whether the ready capacity meets the minimum of each request with an emptying backend."""
+        floors = [
+            self.requests[evacuation.request_id].request.min_ready_capacity
+            for evacuation in self.evacuations.values()
+            if evacuation.stage == EMPTYING
+        ]
+        return self.ready_capacity(backends) >= max(floors, default=0.0)
+
+    def blocking_reason(
+        self,
+        status: RequestStatus,
+        backend: str,
+        backends: Mapping[str, BackendObservation],
+        ready_capacity: float,
+    ) -> str:
+        """Return why the backend's evacuation may not start now, or an empty string where it may.
+
+        `ready_capacity` is the value of the method of this name for the same backends.
+        """
+        request = status.request
+        observed = backends.get(backend)
+        if self.pause_reason:
+            return f"paused: {self.pause_reason}"
+        if len(self.evacuations) >= request.max_unavailable:
+            return f"{len(self.evacuations)} out, at most {request.max_unavailable} at once"
+        if observed is None:
+            return "not in the machine list"
+        out_of_zone = sum(evacuation.zone == observed.zone for evacuation in self.evacuations.values())
+        if out_of_zone >= request.max_unavailable_per_zone:
+            return f"at most {request.max_unavailable_per_zone} out of its zone at once"
+        remaining = ready_capacity - (observed.capacity if observed.ready else 0.0)
+        if remaining < request.min_ready_capacity:
+            return f"ready capacity would be {remaining:g}, the floor is {request.min_ready_capacity:g}"
+        return ""
+
+    # Relays
+
+    def with_relay(self, name: str, key: str) -> MaintenanceState | None:
+        """Register a process, which ends any earlier incarnation of its name.
+
+        Its incarnation is the version that it is registered with, so that no two are equal.
+        """
+        full = len(self.relays) >= MAX_RELAYS and name not in self.relays
+        if full or self.process_keys.get(name) == key:
             return None
-        return self.changed(relays={**self.relays, name: self.version + 1}, keys={**self.keys, name: key})._freed()
+        return self.successor(
+            relays={**self.relays, name: self.version + 1},
+            process_keys={**self.process_keys, name: key},
+        )._with_released_backends()
 
-    def left(self, name: str, incarnation: int) -> MaintenanceState | None:
-        """It ended in good order, or an operator says that it has ended."""
+    def without_relay(self, name: str, incarnation: int) -> MaintenanceState | None:
+        """Remove a relay that has shut down, or that an operator declares ended."""
         if self.relays.get(name) != incarnation:
             return None
-        return self.changed(
-            relays={n: at for n, at in self.relays.items() if n != name},
-            keys={n: key for n, key in self.keys.items() if n != name},
-        )._freed()
+        return self.successor(
+            relays={other: number for other, number in self.relays.items() if other != name},
+            process_keys={other: key for other, key in self.process_keys.items() if other != name},
+        )._with_released_backends()
 
-    def confirmed(self, name: str, incarnation: int, turns: Mapping[str, int]) -> MaintenanceState | None:
-        """This relay holds nothing at these machines, whose turns have these numbers."""
+    def with_confirmations(self, name: str, incarnation: int, numbers: Mapping[str, int]) -> MaintenanceState | None:
+        """Record that a relay has no connections on these backends. `numbers`: of the evacuations, by backend."""
         if self.relays.get(name) != incarnation:
-            return None  # it must register first: it may not know what has happened since
-        out = dict(self.out)
-        for machine, turn in turns.items():
-            one = out.get(machine)
-            if one is not None and one.turn == turn and one.stage == EMPTYING:
-                out[machine] = replace(one, confirmed=one.confirmed | {(name, incarnation)})
-        return None if out == dict(self.out) else self.changed(out=out)._freed()
-
-    def _freed(self) -> MaintenanceState:
-        out = {
-            m: replace(o, stage=FREE) if o.stage == EMPTYING and not self.waits_for(m) else o
-            for m, o in self.out.items()
-        }
-        return replace(self, out=out)
-
-    # --- operators ------------------------------------------------------------------------------
-
-    def asked(self, wish: MaintenanceRequest, since: float = 0) -> MaintenanceState | None:
-        """The same wish twice is one; one that names a machine that another wish has not given back is refused. since:
-        the version that was known when it was asked for: a word that comes late must not ask again what has ended
-        meanwhile."""
-        known = self.requests.get(wish.id)
-        if known is not None and (known.state == QUEUED or known.at > since):
+            return None  # it has to register first: it may not know what has changed since
+        evacuations = dict(self.evacuations)
+        for backend, number in numbers.items():
+            evacuation = evacuations.get(backend)
+            if evacuation is not None and evacuation.number == number and evacuation.stage == EMPTYING:
+                confirmed_by = evacuation.confirmed_by | {(name, incarnation)}
+                evacuations[backend] = replace(evacuation, confirmed_by=confirmed_by)
+        if evacuations == dict(self.evacuations):
             return None
-        at = self.version + 1
-        taken = {m: i for i, r in self.requests.items() if r.state == QUEUED for m in r.wish.machines}
-        taken |= {m: o.request for m, o in self.out.items()}
-        clash = next((m for m in wish.machines if m in taken), None)
-        requests = {i: r for i, r in self.requests.items() if i != wish.id}
-        if clash is not None:
-            requests[wish.id] = RequestStatus(wish, (), REFUSED, f"{clash} is in request {taken[clash]} already", at)
-        elif sum(r.state == QUEUED for r in requests.values()) >= MAX_REQUESTS:
-            requests[wish.id] = RequestStatus(wish, (), REFUSED, f"{MAX_REQUESTS} requests are open already", at)
-        else:
-            requests[wish.id] = RequestStatus(wish, wish.machines, at=at)
-        ended = [i for i, r in requests.items() if r.state != QUEUED]
-        for old in ended[: max(0, len(ended) - MAX_ENDED)]:
-            del requests[old]
-        return self.changed(requests=requests)
-
-    def cancelled(self, request: str, at: int) -> MaintenanceState | None:
-        """Nothing more of it starts; what has not emptied yet goes back, what is free stays until it is done. at: when
-        it was asked for: one that was asked anew since is another."""
-        known = self.requests.get(request)
-        if known is None or known.state != QUEUED or known.at != at:
+        return self.successor(evacuations=evacuations)._with_released_backends()
+
+    def _with_released_backends(self) -> MaintenanceState:
+        evacuations = {}
+        for backend, evacuation in self.evacuations.items():
+            released = evacuation.stage == EMPTYING and not self.unconfirmed_relays(backend)
+            evacuations[backend] = replace(evacuation, stage=FREE) if released else evacuation
+        return replace(self, evacuations=evacuations)
+
+    # Operators
+
+    def with_request(self, request: MaintenanceRequest, known_version: float = 0) -> MaintenanceState | None:
+        """Queue a request, or record it as refused where it conflicts with another one.
+
+        An equal request that is queued stays as it is. `known_version` is the version that was known when the request
+        was made: a delayed command must not repeat a request that has ended since.
+        """
+        request_id = request.id
+        existing = self.requests.get(request_id)
+        if existing is not None and (existing.state == QUEUED or existing.changed_at_version > known_version):
             return None
-        out = {m: o for m, o in self.out.items() if o.request != request or o.stage != EMPTYING}
-        ended = replace(known, waiting=(), state=CANCELLED, at=self.version + 1)
-        return self.changed(requests={**self.requests, request: ended}, out=out)
-
-    def done(self, machine: str, turn: int) -> MaintenanceState | None:
-        """The work of this turn is over: placed on again, cold. A word on an earlier turn moves nothing."""
-        out = self.out.get(machine)
-        if out is None or out.stage != FREE or out.turn != turn:
+        requests = {number: status for number, status in self.requests.items() if number != request_id}
+        version = self.version + 1
+        refusal = self._refusal(request, requests)
+        if refusal:
+            requests[request_id] = RequestStatus(request, (), REFUSED, refusal, version)
+        else:
+            requests[request_id] = RequestStatus(request, request.backends, changed_at_version=version)
+        ended = [number for number, status in requests.items() if status.state != QUEUED]
+        for number in ended[: max(0, len(ended) - MAX_ENDED_REQUESTS)]:
+            del requests[number]
+        return self.successor(requests=requests)
+
+    def _refusal(self, request: MaintenanceRequest, others: Mapping[str, RequestStatus]) -> str:
+        """Return why the request is refused beside the others; empty where it is not."""
+        owners: dict[str, str] = {}
+        for number, status in self.requests.items():
+            if status.state == QUEUED:
+                owners |= dict.fromkeys(status.request.backends, number)
+        owners |= {backend: evacuation.request_id for backend, evacuation in self.evacuations.items()}
+        for backend in request.backends:
+            if backend in owners:
+                return f"{backend} is in request {owners[backend]} already"
+        if sum(status.state == QUEUED for status in others.values()) >= MAX_REQUESTS:
+            return f"{MAX_REQUESTS} requests are open already"
+        return ""
+
+    def with_request_cancelled(self, request_id: str, queued_at_version: int) -> MaintenanceState | None:
+        """Cancel a queued request. Emptying backends return to service, free ones stay out until their work is done.
+
+        `queued_at_version` tells it from an equal request that was queued later.
+        """
+        status = self.requests.get(request_id)
+        if status is None or status.state != QUEUED or status.changed_at_version != queued_at_version:
             return None
-        return self.changed(out={**self.out, machine: replace(out, stage=WARMING)})
+        evacuations = {
+            backend: evacuation
+            for backend, evacuation in self.evacuations.items()
+            if evacuation.request_id != request_id or evacuation.stage != EMPTYING
+        }
+        cancelled = replace(status, waiting=(), state=CANCELLED, changed_at_version=self.version + 1)
+        return self.successor(requests={**self.requests, request_id: cancelled}, evacuations=evacuations)
 
-    def given_up(self, machine: str, turn: int) -> MaintenanceState | None:
-        """It does not come back, or is not to be waited for: its turn is over."""
-        out = self.out.get(machine)
-        if out is None or out.stage == EMPTYING or out.turn != turn:
+    def with_work_completed(self, backend: str, number: int) -> MaintenanceState | None:
+        """Return a free backend to service, to warm up. A command for an earlier evacuation has no effect."""
+        evacuation = self.evacuations.get(backend)
+        if evacuation is None or evacuation.stage != FREE or evacuation.number != number:
             return None
-        return self.changed(out={m: o for m, o in self.out.items() if m != machine})._settled()
-
-    # --- the course of things -------------------------------------------------------------------
+        return self.successor(evacuations={**self.evacuations, backend: replace(evacuation, stage=WARMING)})
 
-    def advanced(self, seen: Mapping[str, BackendObservation]) -> MaintenanceState | None:
-        """Who is warm again is back; the next turn is granted where the rules allow it."""
-        back = [m for m, o in self.out.items() if o.stage == WARMING and m in seen and seen[m].ready]
-        out = {m: o for m, o in self.out.items() if m not in back}
-        state = replace(self, out=out)
-        granted = None if self.paused else state._granted(seen)
-        if granted is None and not back:
+    def with_backend_abandoned(self, backend: str, number: int) -> MaintenanceState | None:
+        """End the evacuation of a free or warming backend that does not return, or is not waited for."""
+        evacuation = self.evacuations.get(backend)
+        if evacuation is None or evacuation.stage == EMPTYING or evacuation.number != number:
             return None
-        state = granted if granted is not None else state
-        return state.changed()._settled()
-
-    def _settled(self) -> MaintenanceState:
-        """Requests of which nothing waits and nothing is out are done."""
-        requests = {
-            i: replace(r, state=DONE, at=self.version)
-            if r.state == QUEUED and not r.waiting and all(o.request != i for o in self.out.values())
-            else r
-            for i, r in self.requests.items()
-        }
-        return replace(self, requests=requests)
+        evacuations = {other: value for other, value in self.evacuations.items() if other != backend}
+        return self.successor(evacuations=evacuations)._with_completed_requests()
+
+    def with_pause(self, reason: str, by_operator: bool = False) -> MaintenanceState | None:
+        """Start no evacuations, and revert those in progress: after a fault, under pressure, or for an operator."""
+        emptying = [backend for backend, evacuation in self.evacuations.items() if evacuation.stage == EMPTYING]
+        already_paused = self.paused_by_operator or (self.pause_reason and not by_operator)
+        if not emptying and already_paused:
+            return None
+        return replace(
+            self.with_evacuations_reverted(emptying),
+            paused_by_operator=self.paused_by_operator or by_operator,
+            pause_reason=self.pause_reason if self.paused_by_operator else reason,
+        )
 
-    def capacity(self, seen: Mapping[str, BackendObservation]) -> float:
-        """What is ready, without machines that are out."""
-        return sum(s.capacity for m, s in seen.items() if s.ready and m not in self.out)
+    def without_pause(self, reason: str = "") -> MaintenanceState | None:
+        """End a pause. `reason` is that of the pause which an operator ends; without it, one by an operator stays."""
+        if not self.pause_reason:
+            return None
+        ends = self.pause_reason == reason if reason else not self.paused_by_operator
+        return self.successor(pause_reason="", paused_by_operator=False) if ends else None
+
+    # Progress
+
+    def advanced(self, backends: Mapping[str, BackendObservation]) -> MaintenanceState | None:
+        """End the evacuations of backends that are warmed up, and start the next evacuation that the limits allow."""
+        warmed_up = [
+            name
+            for name, evacuation in self.evacuations.items()
+            if evacuation.stage == WARMING and name in backends and backends[name].ready
+        ]
+        remaining = {name: value for name, value in self.evacuations.items() if name not in warmed_up}
+        state = replace(self, evacuations=remaining)
+        started = None if self.pause_reason else state._with_next_evacuation(backends)
+        if started is None and not warmed_up:
+            return None
+        return (started or state).successor()._with_completed_requests()
 
-    def holds_up(
-        self, request: RequestStatus, machine: str, seen: Mapping[str, BackendObservation], capacity: float
-    ) -> str:
-        """Why this machine's turn is not granted now; empty where it may be. capacity: see `capacity`."""
-        wish, at = request.wish, seen.get(machine)
-        if self.paused:
-            return f"paused: {self.paused}"
-        if len(self.out) >= wish.most:
-            return f"{len(self.out)} out, at most {wish.most} at once"
-        if at is None:
-            return "not in the machine list"
-        if sum(o.zone == at.zone for o in self.out.values()) >= wish.most_zone:
-            return f"at most {wish.most_zone} out of its zone at once"
-        left = capacity - (at.capacity if at.ready else 0.0)
-        return f"ready capacity would be {left:g}, the floor is {wish.floor:g}" if left < wish.floor else ""
-
-    def _granted(self, seen: Mapping[str, BackendObservation]) -> MaintenanceState | None:
-        capacity = self.capacity(seen)
-        for number, request in self.requests.items():
-            wish = request.wish
-            if request.state != QUEUED or len(self.out) >= wish.most:
+    def _with_next_evacuation(self, backends: Mapping[str, BackendObservation]) -> MaintenanceState | None:
+        ready_capacity = self.ready_capacity(backends)
+        for request_id, status in self.requests.items():
+            if status.state != QUEUED or len(self.evacuations) >= status.request.max_unavailable:
                 continue
-            waiting = request.waiting
-            if wish.order == FEWEST:
-                waiting = tuple(sorted(waiting, key=lambda m: seen[m].held if m in seen else 0))
-            machine = next((m for m in waiting if not self.holds_up(request, m, seen, capacity)), None)
-            if machine is not None:
-                out = Evacuation(self.turn + 1, number, seen[machine].zone)
-                left = replace(request, waiting=tuple(m for m in request.waiting if m != machine))
-                return replace(
-                    self, turn=self.turn + 1, out={**self.out, machine: out}, requests={**self.requests, number: left}
-                )
+            for backend in _in_order(status, backends):
+                if not self.blocking_reason(status, backend, backends, ready_capacity):
+                    return self._with_evacuation(request_id, backend, backends[backend].zone)
         return None
 
-    def rolled_back(self, why: str, by_hand: bool = False) -> MaintenanceState | None:
-        """Something died, or the fleet is under pressure: the queue stops, and who has not emptied yet is given
-        back."""
-        back = [m for m, o in self.out.items() if o.stage == EMPTYING]
-        if not back and (self.by_hand or (self.paused and not by_hand)):
-            return None
-        paused = self.paused if self.by_hand else why
-        return replace(self.returned(back), by_hand=self.by_hand or by_hand, paused=paused)
-
-    def returned(self, machines: Collection[str]) -> MaintenanceState:
-        """They go back unemptied, to the head of the queue; another turn will have another number."""
-        requests = dict(self.requests)
-        for machine in machines:
-            request = requests[self.out[machine].request]
-            requests[self.out[machine].request] = replace(request, waiting=(machine, *request.waiting))
-        return self.changed(out={m: o for m, o in self.out.items() if m not in machines}, requests=requests)
+    def _with_evacuation(self, request_id: str, backend: str, zone: int) -> MaintenanceState:
+        status = self.requests[request_id]
+        waiting = tuple(name for name in status.waiting if name != backend)
+        number = self.last_evacuation_number + 1
+        return replace(
+            self,
+            last_evacuation_number=number,
+            evacuations={**self.evacuations, backend: Evacuation(number, request_id, zone)},
+            requests={**self.requests, request_id: replace(status, waiting=waiting)},
+        )
 
-    def keeps_floors(self, seen: Mapping[str, BackendObservation]) -> bool:
-        """Each machine that empties leaves what its request wants to stay."""
-        floors = [self.requests[o.request].wish.floor for o in self.out.values() if o.stage == EMPTYING]
-        return self.capacity(seen) >= max(floors, default=0.0)
+    def _with_completed_requests(self) -> MaintenanceState:
+        """Mark the requests as done that have no backend waiting or out."""
+        evacuated = {evacuation.request_id for evacuation in self.evacuations.values()}
+        requests = {}
+        for request_id, status in self.requests.items():
+            completed = status.state == QUEUED and not status.waiting and request_id not in evacuated
+            requests[request_id] = replace(status, state=DONE, changed_at_version=self.version) if completed else status
+        return replace(self, requests=requests)
 
-    def resumed(self, why: str = "") -> MaintenanceState | None:
-        """why: the pause that an operator ends; else only one that is not by hand ends."""
-        over = self.paused and (self.paused == why if why else not self.by_hand)
-        return self.changed(paused="", by_hand=False) if over else None
+    def with_evacuations_reverted(self, backends: Collection[str]) -> MaintenanceState:
+        """Return the backends to service and to the head of the queue; their next evacuations get new numbers."""
+        requests = dict(self.requests)
+        for backend in backends:
+            request_id = self.evacuations[backend].request_id
+            status = requests[request_id]
+            requests[request_id] = replace(status, waiting=(backend, *status.waiting))
+        evacuations = {name: value for name, value in self.evacuations.items() if name not in backends}
+        return self.successor(evacuations=evacuations, requests=requests)
 
-    # --- voters ---------------------------------------------------------------------------------
+    # Voters
 
     def with_voter(self, name: str, identity: str) -> MaintenanceState | None:
-        """One more, or another file of one that is."""
+        """Add a voter, or replace the file of one."""
         if self.voters.get(name) == identity:
             return None
-        return self.changed(voters={**self.voters, name: identity}, epoch=self.epoch + 1)
+        return self.successor(voters={**self.voters, name: identity}, epoch=self.epoch + 1)
 
     def without_voter(self, name: str) -> MaintenanceState | None:
+        """Remove a voter, unless it is the last one."""
         if name not in self.voters or len(self.voters) == 1:
             return None
-        return self.changed(voters={n: i for n, i in self.voters.items() if n != name}, epoch=self.epoch + 1)
+        voters = {other: identity for other, identity in self.voters.items() if other != name}
+        return self.successor(voters=voters, epoch=self.epoch + 1)
+
+
+def _in_order(status: RequestStatus, backends: Mapping[str, BackendObservation]) -> tuple[str, ...]:
+    """Return the waiting backends in the order that the request wants."""
+    if status.request.order != ORDER_FEWEST:
+        return status.waiting
+    return tuple(sorted(status.waiting, key=lambda name: backends[name].connections if name in backends else 0))
--- a/yarrowspindle/maintenance/status_report.py
+++ b/yarrowspindle/maintenance/status_report.py
@@ -6,21 +6,22 @@
 from typing import Any
 
 from yarrowspindle.maintenance.coordinator import MaintenanceCoordinator
-from yarrowspindle.maintenance.state import EMPTYING, FREE, QUEUED, WARMING
+from yarrowspindle.maintenance.requests import QUEUED
+from yarrowspindle.maintenance.state import EMPTYING, FREE, WARMING
 
 MAJORITY_MS = 25_000.0  # a majority that was not heard for so long is said to be missing
 
 
 def waits_for(core: MaintenanceCoordinator, machine: str, there: Collection[str]) -> list[str]:
     """What a machine that is out waits for, one text for each cause."""
-    out, seen = core.taken.out[machine], core.fleet.seen.get(machine)
+    out, seen = core.taken.evacuations[machine], core.fleet.seen.get(machine)
     if out.stage == FREE:
         return ["the operator's done"]
     if out.stage == WARMING:
         cause = "to be in the machine list" if seen is None else "to be ready and warm" if not seen.ready else ""
         return [cause or "the next beat"]
     found = []
-    for name in core.taken.waits_for(machine):
+    for name in core.taken.unconfirmed_relays(machine):
         if name == core.name:
             found.append(f"{name}: holds connections there" if machine in core.fleet.holds else f"{name}: next beat")
         elif name in there:
@@ -37,18 +38,18 @@
     state = core.taken
     silent = now - core.heard_at
     heard = core.heard_at > 0.0 and silent < MAJORITY_MS
-    capacity = state.capacity(core.fleet.seen)
+    capacity = state.ready_capacity(core.fleet.seen)
     queue = []
     for number, request in state.requests.items():
         entry: dict[str, Any] = {
             "request": number,
-            "name": request.wish.name,
+            "name": request.request.name,
             "state": request.state,
-            "why": request.why,
-            "machines": list(request.wish.machines),
+            "why": request.reason,
+            "machines": list(request.request.backends),
         }
         if request.state == QUEUED:
-            whys = {m: state.holds_up(request, m, core.fleet.seen, capacity) for m in request.waiting}
+            whys = {m: state.blocking_reason(request, m, core.fleet.seen, capacity) for m in request.waiting}
             entry["waiting"] = [{"machine": m, "why": why or "its turn"} for m, why in whys.items()]
         queue.append(entry)
     missing = sorted(name for name in state.relays if name not in there)
@@ -58,9 +59,9 @@
         "life": core.incarnation,
         "version": state.version,
         "epoch": state.epoch,
-        "turn": state.turn,
-        "paused": state.paused,
-        "by_hand": state.by_hand,
+        "turn": state.last_evacuation_number,
+        "paused": state.pause_reason,
+        "by_hand": state.paused_by_operator,
         "majority": heard,
         "heard_s": round(silent / 1000.0, 1) if core.heard_at else None,
         "why": core.why,
@@ -72,30 +73,30 @@
         "out": [
             {
                 "machine": m,
-                "turn": o.turn,
-                "request": o.request,
+                "turn": o.number,
+                "request": o.request_id,
                 "stage": o.stage,
-                "since_s": round((now - since.get(o.turn, now)) / 1000.0, 1),
-                "confirmed": sorted(name for name, _ in o.confirmed),
+                "since_s": round((now - since.get(o.number, now)) / 1000.0, 1),
+                "confirmed": sorted(name for name, _ in o.confirmed_by),
                 "waits_for": waits_for(core, m, there),
             }
-            for m, o in state.out.items()
+            for m, o in state.evacuations.items()
         ],
         "requests": queue,
     }
 
 
 def gauges(core: MaintenanceCoordinator, now: float) -> dict[str, float]:
-    stages = [out.stage for out in core.taken.out.values()]
+    stages = [out.stage for out in core.taken.evacuations.values()]
     queued = [r for r in core.taken.requests.values() if r.state == QUEUED]
     return {
         "emptying": float(stages.count(EMPTYING)),
         "free": float(stages.count(FREE)),
         "warming": float(stages.count(WARMING)),
         "waiting": float(sum(len(r.waiting) for r in queued)),
-        "turn": float(core.taken.turn),
+        "turn": float(core.taken.last_evacuation_number),
         "registered": float(core.registered),
-        "paused": float(bool(core.taken.paused)),
+        "paused": float(bool(core.taken.pause_reason)),
         "majority_ms": now - core.heard_at if core.heard_at else -1.0,
     }
 
