--- a/benchmarks/capacity/slopes.py
+++ b/benchmarks/capacity/slopes.py
@@ -28,7 +28,7 @@
 from yarrowspindle.consensus.acceptor import AcceptorState
 from yarrowspindle.decisions.events import group_key
 from yarrowspindle.maintenance.codec import encode, encode_file
-from yarrowspindle.maintenance.coordinator import StateUpdate
+from yarrowspindle.maintenance.messages import StateUpdate
 from yarrowspindle.maintenance.requests import MaintenanceRequest
 from yarrowspindle.maintenance.state import MAX_RELAYS, BackendObservation, MaintenanceState
 from yarrowspindle.membership.load_signals import MAX_KEYS, LoadSignals, LocalLoadLog
--- a/tests/consensus/test_proposer.py
+++ b/tests/consensus/test_proposer.py
@@ -6,9 +6,7 @@
 from yarrowspindle.consensus.messages import NO_BALLOT, Prepare, Promise
 from yarrowspindle.consensus.proposer import SendToAcceptor
 from yarrowspindle.daemon.voter_file import initial_state
-from yarrowspindle.maintenance.coordinator import (
-    MaintenanceCoordinator,
-)
+from yarrowspindle.maintenance.coordinator import MaintenanceCoordinator
 from yarrowspindle.storage.voter_file import INITIAL_IDENTITY
 
 VOTERS = ("r0", "r1", "r2")
--- a/tests/forms/published.py
+++ b/tests/forms/published.py
@@ -15,8 +15,9 @@
 from yarrowspindle.configuration.settings import ControllerAddress
 from yarrowspindle.daemon.metrics import Metrics
 from yarrowspindle.decisions.rejection import RejectionReason
-from yarrowspindle.maintenance import status_report as report
-from yarrowspindle.maintenance.coordinator import FleetObserved, MaintenanceCoordinator
+from yarrowspindle.maintenance import status_report
+from yarrowspindle.maintenance.coordinator import MaintenanceCoordinator
+from yarrowspindle.maintenance.events import FleetObserved
 from yarrowspindle.maintenance.state import BackendObservation
 from yarrowspindle.routing import effects
 from yarrowspindle.routing.reducer import Reducer
@@ -107,7 +108,7 @@
         "s-3": BackendObservation(0, 1.0, False),
     }
     core.step(1.0, FleetObserved(frozenset({"s-3"}), fleet, ("n1", "n2")))
-    return {"shown": report.show(core, 50.0, {7: 10.0}, {"n1"}), "gauges": report.gauges(core, 50.0)}
+    return {"shown": status_report.report(core, 50.0, {7: 10.0}, {"n1"}), "gauges": status_report.gauges(core, 50.0)}
 
 
 def shown_control() -> dict[str, Any]:
--- a/tests/forms/samples.py
+++ b/tests/forms/samples.py
@@ -13,7 +13,7 @@
 from yarrowspindle.decisions.events import EndpointState, ListKind, PeerLoads
 from yarrowspindle.decisions.settings import DeduplicationScope, Idempotency, RequestClass, Settings, Tenant
 from yarrowspindle.maintenance import codec as turns_codec
-from yarrowspindle.maintenance import coordinator as turns
+from yarrowspindle.maintenance import messages as turns
 from yarrowspindle.maintenance.requests import ORDER_FEWEST, REFUSED, MaintenanceRequest, RequestStatus
 from yarrowspindle.maintenance.state import WARMING, Evacuation, MaintenanceState
 from yarrowspindle.membership import codec as peers
--- a/tests/maintenance/test_codec.py
+++ b/tests/maintenance/test_codec.py
@@ -9,18 +9,13 @@
 from tests.maintenance.sample_state import a_state
 from yarrowspindle.consensus.messages import Accept, Prepare, Rejected
 from yarrowspindle.maintenance import codec
-from yarrowspindle.maintenance.coordinator import (
-    LatestVersion,
-    RegisterRelay,
-    ReleaseConfirmation,
-    StateUpdate,
-)
+from yarrowspindle.maintenance.messages import LatestVersion, RegisterRelay, ReleaseConfirmation, StateUpdate
 from yarrowspindle.maintenance.state import MaintenanceState
 from yarrowspindle.protocol.message_codec import InvalidMessageError
 from yarrowspindle.storage.voter_file import INITIAL_IDENTITY
 
 
-def test_messages_come_back_as_they_were_and_nonsense_does_not() -> None:
+def test_messages_are_decoded_unchanged_and_invalid_bytes_are_rejected() -> None:
     for message in (
         StateUpdate(a_state()),
         Prepare((3, "r1"), 2, "x"),
@@ -32,11 +27,18 @@
         Rejected((1, "a"), (2, "b"), not_voter=True),
     ):
         assert codec.decode(codec.encode(message)) == message
-    whole = codec.encode(StateUpdate(a_state()))
+    encoded = codec.encode(StateUpdate(a_state()))
     bomb = bytes((codec.VERSION, 6)) + zlib.compress(b"\0" * (8 << 20))
-    for bad in (b"", whole[:-4], rb"\9" + whole[1:], whole[:1] + b"\x63" + whole[2:], whole[:2] + b"junk", bomb):
+    for invalid in (
+        b"",
+        encoded[:-4],
+        rb"\9" + encoded[1:],
+        encoded[:1] + b"\x63" + encoded[2:],
+        encoded[:2] + b"junk",
+        bomb,
+    ):
         with pytest.raises(InvalidMessageError):
-            codec.decode(bad)
-    far = MaintenanceState(dict.fromkeys([f"r{n}" for n in range(65)], INITIAL_IDENTITY))
+            codec.decode(invalid)
+    too_many_voters = MaintenanceState(dict.fromkeys([f"r{n}" for n in range(65)], INITIAL_IDENTITY))
     with pytest.raises(InvalidMessageError, match="out of bounds"):
-        codec.decode(codec.encode(StateUpdate(far)))
+        codec.decode(codec.encode(StateUpdate(too_many_voters)))
--- a/tests/maintenance/test_settings.py
+++ b/tests/maintenance/test_settings.py
@@ -8,7 +8,7 @@
 
 from yarrowspindle.daemon.config import ConfigError, read_operator
 from yarrowspindle.maintenance.requests import MaintenanceError
-from yarrowspindle.maintenance.settings import Asking, read_asking
+from yarrowspindle.maintenance.settings import RequestSettings, read_request_settings
 
 PEERS = '[peers]\nlisten = "127.0.0.1:7946"\n'
 
@@ -17,7 +17,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "says"),
+    ("text", "reason"),
     [
         ('[turns]\ndirectory = "x"\nvoters = ["r0"]\n', "needs \\[peers\\]"),
         (PEERS + '[turns]\nvoters = ["r0"]\n', "turns.directory is missing"),
@@ -31,8 +31,8 @@
         (TURNS + '[[turns.request]]\nzone = "a"\norder = "any"\n', "order is 'any'"),
     ],
 )
-def test_a_wrong_key_is_named(text: str, says: str) -> None:
-    with pytest.raises(ConfigError, match=says):
+def test_an_error_names_the_wrong_key(text: str, reason: str) -> None:
+    with pytest.raises(ConfigError, match=reason):
         read_operator(text)
 
 
@@ -41,10 +41,12 @@
     assert turns is not None and turns.voters == ("n0", "n1", "n2")
 
 
-def test_zone_by_zone_sorts_and_wrong_figures_are_refused() -> None:
-    wish = Asking(("b1", "a1", "b2", "a2"), order="zones").wish(("b1", "a1", "b2", "a2"), {"b1": 1, "b2": 1})
+def test_zone_by_zone_sorts_and_invalid_values_are_rejected() -> None:
+    wish = RequestSettings(("b1", "a1", "b2", "a2"), order="zones").request(
+        ("b1", "a1", "b2", "a2"), {"b1": 1, "b2": 1}
+    )
     assert wish.backends == ("a1", "a2", "b1", "b2")
-    for wrong in (
+    for invalid in (
         {"machines": ["a"], "most": 0},
         {"machines": "a"},
         {"machines": ["a"], "floor": float("nan")},
@@ -52,4 +54,4 @@
         {"machines": ["a"], "deadline_s": True},
     ):
         with pytest.raises(MaintenanceError):
-            read_asking(wrong)
+            read_request_settings(invalid)
--- a/yarrowspindle/commands/maintenance.py
+++ b/yarrowspindle/commands/maintenance.py
@@ -11,7 +11,7 @@
 from yarrowspindle.daemon.config import load_config, load_operator
 from yarrowspindle.daemon.voter_file import MaintenanceVoterFile
 from yarrowspindle.maintenance.settings import ORDERS
-from yarrowspindle.maintenance.status_report import table
+from yarrowspindle.maintenance.status_report import format_table
 from yarrowspindle.storage.durable_file import FileUnavailableError
 
 
@@ -53,7 +53,7 @@
 @click.pass_context
 def show_(context: click.Context, as_json: bool) -> None:
     found = call(context.obj, "GET", "/turns")
-    click.echo(json.dumps(found) if as_json else table(found))
+    click.echo(json.dumps(found) if as_json else format_table(found))
 
 
 def about(name: str, what: str, text: str) -> None:
--- a/yarrowspindle/daemon/config.py
+++ b/yarrowspindle/daemon/config.py
@@ -19,7 +19,7 @@
 
 if TYPE_CHECKING:  # the platform does without these packages
     from yarrowspindle.configuration.settings import ControlSettings
-    from yarrowspindle.maintenance.settings import TurnSettings
+    from yarrowspindle.maintenance.settings import MaintenanceSettings
     from yarrowspindle.membership import PeerSettings
     from yarrowspindle.rebalancing import RebalanceSettings
 
@@ -135,7 +135,7 @@
     metrics: MetricsConfig | None = None
     rebalance: RebalanceSettings | None = None
     peers: PeerSettings | None = None
-    turns: TurnSettings | None = None
+    turns: MaintenanceSettings | None = None
     control: ControlSettings | None = None
 
 
@@ -190,8 +190,8 @@
     return read(section)
 
 
-def read_turns(section: Mapping[str, Any]) -> TurnSettings:
-    from yarrowspindle.maintenance.settings import read_turns as read
+def read_turns(section: Mapping[str, Any]) -> MaintenanceSettings:
+    from yarrowspindle.maintenance.settings import read_maintenance_settings as read
 
     return read(section)
 
--- a/yarrowspindle/daemon/maintenance_endpoint.py
+++ b/yarrowspindle/daemon/maintenance_endpoint.py
@@ -1,5 +1,7 @@
-"""Turns on real sockets and files: the core on the event loop, its voter on a thread of its own, its word to the
-reducer, the operators' calls, figures and log. Off without `[turns]`."""
+"""Maintenance on real sockets and files: carries out the coordinator's effects and reports what the relay observes.
+
+The acceptor runs on a thread of its own, since it waits for the disk. Off without `[turns]` in the operator's file.
+"""
 
 from __future__ import annotations
 
@@ -7,112 +9,123 @@
 import os
 import time
 from collections import Counter
-from collections.abc import Callable, Sequence
-from concurrent.futures import ThreadPoolExecutor
+from collections.abc import Mapping, Sequence
+from concurrent.futures import Future, ThreadPoolExecutor
 from typing import Any
 
-import msgspec
 from loguru import logger
 
 from yarrowspindle.consensus.acceptor import Acceptor, AcceptorState
+from yarrowspindle.consensus.messages import ResponseMessage
 from yarrowspindle.daemon.config import Operator
 from yarrowspindle.daemon.log import Bounded
+from yarrowspindle.daemon.maintenance_commands import NEVER_QUEUED, MaintenanceCommands, json_body
 from yarrowspindle.daemon.membership_endpoint import MembershipEndpoint
 from yarrowspindle.daemon.relay_service import RelayService
 from yarrowspindle.daemon.voter_file import MaintenanceVoterFile, initial_state
-from yarrowspindle.decisions.events import BACKEND_KEY_MASK, EndpointState
-from yarrowspindle.maintenance import codec
-from yarrowspindle.maintenance import status_report as report
-from yarrowspindle.maintenance.coordinator import (
+from yarrowspindle.decisions.events import BACKEND_KEY_MASK
+from yarrowspindle.maintenance import codec, status_report
+from yarrowspindle.maintenance.commands import RemoveRelay
+from yarrowspindle.maintenance.coordinator import MaintenanceCoordinator
+from yarrowspindle.maintenance.evacuation import MaintenancePlan
+from yarrowspindle.maintenance.events import (
     AskAcceptor,
     Effect,
     Event,
     FleetObserved,
-    MaintenanceCoordinator,
     MessageReceived,
-    OperatorCommand,
     SendMessage,
     SetTimer,
     StateCommitted,
     TimerFired,
 )
-from yarrowspindle.maintenance.evacuation import MaintenancePlan
-from yarrowspindle.maintenance.fleet_health import BackendSample, FleetHealth
-from yarrowspindle.maintenance.requests import QUEUED, MaintenanceError
-from yarrowspindle.maintenance.settings import Asking, TurnSettings, read_asking
-from yarrowspindle.maintenance.state import EMPTYING, FREE, WARMING, MaintenanceState
+from yarrowspindle.maintenance.fleet_health import BackendSample, FleetAssessment, FleetHealth
+from yarrowspindle.maintenance.requests import MaintenanceError
+from yarrowspindle.maintenance.settings import MaintenanceSettings
+from yarrowspindle.maintenance.state import EMPTYING, WARMING, MaintenanceState
 from yarrowspindle.membership.messages import SendPayload
 from yarrowspindle.operator_api import OperatorApi
-from yarrowspindle.operator_api.http import Answer, BodyRoutes
 from yarrowspindle.protocol.fragments import Fragmenter
 from yarrowspindle.protocol.message_codec import InvalidMessageError
 from yarrowspindle.routing.events import MaintenanceUpdated
 from yarrowspindle.storage.durable_file import FileUnavailableError
 
-LOCK_S = 0.2
-LOOK_S, HOLDS_S, PARCELS_S = 0.5, 0.15, 0.05
-LEAVE_S = 0.6
-MAX_VOTES = 256  # that wait for the disk; more are lost, as any message may be
-MAX_BODY = 64 * 1024
-DEADLINE_S = 120.0  # of a machine whose request is no longer known
+FILE_RETRY_S = 0.2  # of the lock, and of a file that cannot be read
+OBSERVATION_INTERVAL_S = 0.5
+OBSERVATION_INTERVAL_EMPTYING_S = 0.15  # while some backend is emptying
+FRAGMENT_INTERVAL_S = 0.05
+SHUTDOWN_TIMEOUT_S = 0.6  # for the removal of this relay from the state
+SHUTDOWN_POLL_S = 0.02
+FAILED_TIMER_RETRY_MS = 1000.0
+DEFAULT_DEADLINE_S = 120.0  # of a backend whose request is no longer known
+MAX_PENDING_VOTES = 256  # that wait for the disk; more are lost, as any message may be
+MAX_BODY_BYTES = 64 * 1024
 
 
 class MaintenanceEndpoint:
-    """Nothing here is waited for by jobs, but that a process which has not registered places none."""
+    """Runs this relay's coordinator. Requests never wait for it, but none is placed before the relay is registered."""
 
-    def __init__(self, hub: RelayService, peering: MembershipEndpoint, settings: TurnSettings) -> None:
-        self.hub, self.peering, self.settings = hub, peering, settings
+    def __init__(self, service: RelayService, membership: MembershipEndpoint, settings: MaintenanceSettings) -> None:
+        self.service = service
+        self.membership = membership
+        self.settings = settings
         self.loop = asyncio.get_running_loop()
-        self.name = peering.core.members.me.name
-        self.file = MaintenanceVoterFile(settings.directory, self.name, peering.settings.cluster)
-        self.first = initial_state(settings.voters)
-        self.voter: Acceptor[MaintenanceState] | None = None
+        self.name = membership.core.members.me.name
+        self.file = MaintenanceVoterFile(settings.directory, self.name, membership.settings.cluster)
+        self.initial = initial_state(settings.voters)
+        self.acceptor: Acceptor[MaintenanceState] | None = None
         seed = int.from_bytes(os.urandom(8), "big")
-        self.core = MaintenanceCoordinator(
-            self.name, os.urandom(16).hex(), self.first, "", self.first, seed, self._now()
-        )
+        key = os.urandom(16).hex()
+        self.core = MaintenanceCoordinator(self.name, key, self.initial, "", self.initial, seed, self._now())
+        self.commands = MaintenanceCommands(service, self.core, self._post, self._members, self._recreate_voter_file)
         self.disk = ThreadPoolExecutor(1, "voter")
-        self.votes = 0
-        self.parcels = Fragmenter(int.from_bytes(os.urandom(6), "big"))
-        self.watch = FleetHealth(hub.config.settings.warmup_ms, settings.pressure)
-        self.seen: tuple[Any, str] = ({}, "")
-        self.looked = 0.0
-        self.since: dict[int, float] = {}
-        self.task = MaintenancePlan(rate=settings.moves_per_s)
+        self.pending_votes = 0
+        self.fragmenter = Fragmenter(int.from_bytes(os.urandom(6), "big"))
+        self.health = FleetHealth(service.config.settings.warmup_ms, settings.pressure)
+        self.assessment = FleetAssessment({}, "")
+        self.assessed_at = 0.0
+        self.adopted_at: dict[int, float] = {}  # when each evacuation was adopted, by number
+        self.plan = MaintenancePlan(rate=settings.moves_per_s)
         self.requests = settings.requests
         self.counts: Counter[str] = Counter()
-        self.bounded = Bounded(time.monotonic)
+        self.bounded_log = Bounded(time.monotonic)
         self.tasks: list[asyncio.Task[None]] = []
         self.api: OperatorApi | None = None
         self.closed = False
-        hub.metrics.sources["turns"] = self.counts
-        hub.metrics.more_gauges.append(self._gauges)
-        hub.reloaded.append(self._reloaded)
-        peering.pump.brought = self._brought
+        service.metrics.sources["turns"] = self.counts
+        service.metrics.more_gauges.append(self._gauges)
+        service.reloaded.append(self._on_reloaded)
+        membership.pump.brought = self._on_datagram
 
     async def start(self) -> None:
-        self.tasks = [self.loop.create_task(self._begin()), self.loop.create_task(self._parcels())]
-        if self.settings.command is not None:
-            self.api = OperatorApi(
-                {"/turns": {"GET": lambda: (200, self._json(self.shown()))}},
-                lambda text: logger.error("turns: a call failed: {}", text),
-                self._routes(),
-                MAX_BODY,
-            )
-            try:
-                await self.api.start(*self.settings.command)
-                logger.info("turns: commands are taken at {}:{}", *self.settings.command)
-            except OSError as error:
-                logger.error("turns: no commands can be taken at {}:{}: {}", *self.settings.command, error)
+        """Start the coordinator and, where it is configured, the operators' API."""
+        self.tasks = [self.loop.create_task(self._run()), self.loop.create_task(self._request_fragments())]
+        address = self.settings.command
+        if address is None:
+            return
+        self.api = OperatorApi(
+            {"/turns": {"GET": lambda: (200, json_body(self.status()))}},
+            lambda text: logger.error("turns: a call failed: {}", text),
+            self.commands.routes(),
+            MAX_BODY_BYTES,
+        )
+        try:
+            await self.api.start(*address)
+            logger.info("turns: commands are taken at {}:{}", *address)
+        except OSError as error:
+            logger.error("turns: no commands can be taken at {}:{}: {}", *address, error)
 
     async def close(self) -> None:
-        """Leaves in good order where nothing is held any more; else the next process of this name, or an operator,
-        says that this one has ended."""
-        if self.core.registered and not any(connected() for connected in self.hub.connected):
-            self._post(OperatorCommand("ended", self.name, self.core.incarnation))
-            until = self.loop.time() + LEAVE_S
-            while self.core.taken.relays.get(self.name) == self.core.incarnation and self.loop.time() < until:
-                await asyncio.sleep(0.02)
+        """Stop. A relay without connections removes itself from the state first.
+
+        One that still has some stays registered, until the next process of its name or an operator declares it ended.
+        """
+        has_connections = any(connected() for connected in self.service.connected)
+        if self.core.registered and not has_connections:
+            self._post(RemoveRelay(self.name, self.core.incarnation))
+            give_up_at = self.loop.time() + SHUTDOWN_TIMEOUT_S
+            while self._is_in_state() and self.loop.time() < give_up_at:
+                await asyncio.sleep(SHUTDOWN_POLL_S)
         self.closed = True
         for task in self.tasks:
             task.cancel()
@@ -120,356 +133,267 @@
             self.api.close()
         self.disk.shutdown(cancel_futures=True)
 
-    # --- the start ------------------------------------------------------------------------------
+    def _is_in_state(self) -> bool:
+        return self.core.adopted.relays.get(self.name) == self.core.incarnation
+
+    # Start and voter file
 
-    async def _begin(self) -> None:
-        """The lock first: until the process before this one has ended, this one places nothing."""
-        said = ""
-        while why := self.file.lock_failure():
-            if why != said:
-                logger.warning("turns: {}: nothing is placed", why)
-            said = why
-            await asyncio.sleep(LOCK_S)
+    async def _run(self) -> None:
+        await self._wait_for_lock()
+        await self._start_voting()
+        self._carry_out(self.core.take_effects())
+        while True:
+            self._observe()
+            emptying = any(evacuation.stage == EMPTYING for evacuation in self.core.adopted.evacuations.values())
+            await asyncio.sleep(OBSERVATION_INTERVAL_EMPTYING_S if emptying else OBSERVATION_INTERVAL_S)
+
+    async def _wait_for_lock(self) -> None:
+        """Wait until the former process of this relay has ended: nothing is placed before that."""
+        logged = ""
+        while reason := self.file.lock_failure():
+            if reason != logged:
+                logger.warning("turns: {}: nothing is placed", reason)
+            logged = reason
+            await asyncio.sleep(FILE_RETRY_S)
+
+    async def _start_voting(self) -> None:
         try:
-            self._vote_with(await self._loaded())
-            self.core.proposer.membership_hint = max(
-                self.first, self.voter.stored.state if self.voter else self.first, key=lambda state: state.epoch
-            )
-        except FileUnavailableError as why:
+            stored = await self._load_voter_file()
+        except FileUnavailableError as error:
             if self.name in self.settings.voters:
                 logger.warning(
                     "turns: no voter's file in {}: {}; this relay has no voice until the others have taken "
                     "it in (`turns init` makes the first files of all, and is never used after a loss)",
                     self.settings.directory,
-                    why,
+                    error,
                 )
-        self._carry_out(self.core.take_effects())
-        while True:
-            self._look()
-            emptying = any(out.stage == EMPTYING for out in self.core.taken.evacuations.values())
-            await asyncio.sleep(HOLDS_S if emptying else LOOK_S)
+            return
+        self._vote_with(stored)
+        self.core.proposer.membership_hint = max(self.initial, stored.state, key=lambda state: state.epoch)
 
-    async def _loaded(self) -> AcceptorState[MaintenanceState]:
-        """Raises NoFile. A disk that cannot be read just now is waited for: what stands there is still owed."""
-        said = ""
+    async def _load_voter_file(self) -> AcceptorState[MaintenanceState]:
+        """Return the content of the file, and retry while it cannot be read. Raises FileUnavailableError."""
+        logged = ""
         while True:
             try:
                 return self.file.load()
             except OSError as error:
-                if (why := str(error)) != said:
-                    logger.warning("turns: the voter's file cannot be read just now: {}: nothing is placed", why)
-                said = why
-            await asyncio.sleep(LOCK_S)
-
-    def _vote_with(self, kept: AcceptorState[MaintenanceState]) -> None:
-        self.voter = Acceptor(kept, self.file.store, self._now)
-        self.core.identity = kept.identity
+                reason = str(error)
+                if reason != logged:
+                    logger.warning("turns: the voter's file cannot be read just now: {}: nothing is placed", reason)
+                logged = reason
+            await asyncio.sleep(FILE_RETRY_S)
+
+    def _vote_with(self, stored: AcceptorState[MaintenanceState]) -> None:
+        self.acceptor = Acceptor(stored, self.file.store, self._now)
+        self.core.identity = stored.identity
+        promised_number, _ = stored.promised
         logger.info(
             "turns: {} has its voter's file, promised {}, accepted state {}",
             self.name,
-            kept.promised[0],
-            kept.state.version,
+            promised_number,
+            stored.state.version,
         )
 
-    def _made_anew(self) -> str:
-        """The new file's identity; empty where it cannot be made."""
+    def _recreate_voter_file(self) -> str:
+        """Return the identity of a new file, or an empty string where it cannot be written."""
         try:
-            kept = self.file.recreate(self.first)
+            stored = self.file.recreate(self.initial)
         except OSError as error:
-            self.bounded.warn(f"turns: no file can be made in {self.settings.directory}: {error}")
+            self.bounded_log.warn(f"turns: no file can be made in {self.settings.directory}: {error}")
             return ""
-        self._vote_with(kept)
-        return kept.identity
+        self._vote_with(stored)
+        return stored.identity
 
-    # --- the core's sides -----------------------------------------------------------------------
+    # Events and effects
 
     def _now(self) -> float:
         return self.loop.time() * 1000.0
 
+    def _members(self) -> list[str]:
+        return self.membership.core.members.names
+
     def _post(self, event: Event) -> None:
         if self.closed:
             return
         try:
             effects = self.core.step(self._now(), event)
-        except Exception:  # jobs are served on; what this relay agreed to stands
+        except Exception:  # requests are still served, and the adopted state stays in force
             self.counts["failures"] += 1
             logger.exception("turns: the core failed at {}", type(event).__name__)
             effects = self.core.take_effects()
             if isinstance(event, TimerFired):
-                effects.append(SetTimer(1000.0, event.what))
+                effects.append(SetTimer(FAILED_TIMER_RETRY_MS, event.timer))
         self._carry_out(effects)
 
     def _carry_out(self, effects: Sequence[Effect]) -> None:
         for effect in effects:
             if isinstance(effect, SendMessage):
-                self._send(effect.to, effect.message)
+                self._send(effect.destination, effect.message)
             elif isinstance(effect, SetTimer):
-                self.loop.call_later(effect.delay_ms / 1000.0, self._post, TimerFired(effect.what))
+                self.loop.call_later(effect.delay_ms / 1000.0, self._post, TimerFired(effect.timer))
             elif isinstance(effect, AskAcceptor):
-                self._vote(effect)
+                self._ask_acceptor(effect)
             elif isinstance(effect, StateCommitted):
-                self._took(effect.state)
+                self._on_committed(effect.state)
             else:
                 logger.info("turns: {}", effect.text)
 
-    def _send(self, to: str, message: Any) -> None:
+    def _send(self, destination: str, message: Any) -> None:
         self.counts["sent"] += 1
-        if to == self.name:
-            self.loop.call_soon(self._post, MessageReceived(to, message))
+        if destination == self.name:
+            self.loop.call_soon(self._post, MessageReceived(destination, message))
             return
-        for part in self.parcels.split(to, codec.encode(message)):
-            self.peering.pump.post(SendPayload(to, part))
-
-    def _brought(self, source: str, data: bytes) -> None:
-        whole, back = self.parcels.on_datagram(self._now(), source, data)
-        for part in back:
-            self.peering.pump.post(SendPayload(source, part))
-        if whole is None:
+        for fragment in self.fragmenter.split(destination, codec.encode(message)):
+            self.membership.pump.post(SendPayload(destination, fragment))
+
+    def _on_datagram(self, source: str, data: bytes) -> None:
+        complete, replies = self.fragmenter.on_datagram(self._now(), source, data)
+        for reply in replies:
+            self.membership.pump.post(SendPayload(source, reply))
+        if complete is None:
             return
         try:
-            message = codec.decode(whole)
-        except InvalidMessageError as why:
+            message = codec.decode(complete)
+        except InvalidMessageError as error:
             self.counts["dropped"] += 1
-            self.bounded.warn(f"turns: a message of {source} is dropped: {why}")
+            self.bounded_log.warn(f"turns: a message of {source} is dropped: {error}")
             return
         self._post(MessageReceived(source, message))
 
-    async def _parcels(self) -> None:
+    async def _request_fragments(self) -> None:
         while True:
-            await asyncio.sleep(PARCELS_S)
-            for source, data in self.parcels.requests_due(self._now()):
-                self.peering.pump.post(SendPayload(source, data))
-
-    def _vote(self, vote: AskAcceptor) -> None:
-        """On a thread: the disk must not make jobs late. One at a time, in their order."""
-        voter = self.voter
-        if voter is None or self.votes >= MAX_VOTES:
+            await asyncio.sleep(FRAGMENT_INTERVAL_S)
+            for source, data in self.fragmenter.requests_due(self._now()):
+                self.membership.pump.post(SendPayload(source, data))
+
+    def _ask_acceptor(self, effect: AskAcceptor) -> None:
+        """Run the acceptor on its thread, so that the disk does not delay requests; one message at a time, in order."""
+        acceptor = self.acceptor
+        if acceptor is None or self.pending_votes >= MAX_PENDING_VOTES:
             return
-        self.votes += 1
-        self.disk.submit(voter.on_message, vote.message).add_done_callback(
-            lambda done: self.loop.call_soon_threadsafe(self._voted, vote.source, done)
-        )
+        self.pending_votes += 1
+        answer = self.disk.submit(acceptor.on_message, effect.message)
+        answer.add_done_callback(lambda done: self.loop.call_soon_threadsafe(self._on_answer, effect.source, done))
 
-    def _voted(self, source: str, done: Any) -> None:
-        self.votes -= 1
-        if done.cancelled() or self.closed:
+    def _on_answer(self, source: str, answer: Future[ResponseMessage[MaintenanceState]]) -> None:
+        self.pending_votes -= 1
+        if answer.cancelled() or self.closed:
             return
-        error = done.exception()
+        error = answer.exception()
         if error is None:
-            self._send(source, done.result())
+            self._send(source, answer.result())
             return
         self.counts["unwritten"] += 1
-        self.bounded.warn(f"turns: the voter's file cannot be written, so nothing is voted: {error}")
+        self.bounded_log.warn(f"turns: the voter's file cannot be written, so nothing is voted: {error}")
 
-    def _took(self, state: MaintenanceState) -> None:
+    def _on_committed(self, state: MaintenanceState) -> None:
         now = self._now()
-        self.since = {o.number: self.since.get(o.number, now) for o in state.evacuations.values()}
-        if not self.core.identity and self.name in state.voters and state.version > 0:
-            self._made_anew()
-        off = frozenset(m for m, o in state.evacuations.items() if o.stage != WARMING)
-        empty = {
-            m: self._deadline_s(state, o.request_id) if o.stage == EMPTYING else 0.0
-            for m, o in state.evacuations.items()
-            if o.stage != WARMING
+        self.adopted_at = {
+            evacuation.number: self.adopted_at.get(evacuation.number, now) for evacuation in state.evacuations.values()
         }
-        self.task = MaintenancePlan(
-            off if self.core.registered else None,
-            empty,
-            frozenset(m for m, o in state.evacuations.items() if o.stage == WARMING),
-            max(len(state.relays), 1),
-            self.settings.moves_per_s,
+        if not self.core.identity and self.name in state.voters and state.version > 0:
+            self._recreate_voter_file()
+        self.plan = self._plan(state)
+        self.service.post(MaintenanceUpdated(self.plan))
+        self.service.prober.leave(frozenset(self.plan.deadlines_s or ()))
+
+    def _plan(self, state: MaintenanceState) -> MaintenancePlan:
+        deadlines_s: dict[str, float] = {}
+        warming: set[str] = set()
+        for backend, evacuation in state.evacuations.items():
+            if evacuation.stage == WARMING:
+                warming.add(backend)
+            elif evacuation.stage == EMPTYING:
+                deadlines_s[backend] = self._deadline_s(state, evacuation.request_id)
+            else:
+                deadlines_s[backend] = 0.0
+        return MaintenancePlan(
+            excluded=frozenset(deadlines_s) if self.core.registered else None,
+            deadlines_s=deadlines_s,
+            warming=frozenset(warming),
+            relays=max(len(state.relays), 1),
+            rate=self.settings.moves_per_s,
         )
-        self.hub.post(MaintenanceUpdated(self.task))
-        self.hub.prober.leave(off)
 
     @staticmethod
-    def _deadline_s(state: MaintenanceState, request: str) -> float:
-        known = state.requests.get(request)
-        return known.request.deadline_s if known is not None else DEADLINE_S
-
-    # --- what this relay sees -------------------------------------------------------------------
-
-    def _look(self) -> None:
-        reducer, now = self.hub.reducer, self._now()
-        if now >= self.looked + 1000.0 * LOOK_S:
-            self.looked = now
-            avoided, others = reducer.balancer.avoided(reducer.now), reducer.balancer.others.holds
-            # By what the list says; what the relays agreed on is laid over it elsewhere.
-            looks = [
+    def _deadline_s(state: MaintenanceState, request_id: str) -> float:
+        status = state.requests.get(request_id)
+        return status.request.deadline_s if status is not None else DEFAULT_DEADLINE_S
+
+    # Observations
+
+    def _observe(self) -> None:
+        now = self._now()
+        if now >= self.assessed_at + 1000.0 * OBSERVATION_INTERVAL_S:
+            self.assessed_at = now
+            self._assess(now)
+        used = frozenset(self._used_backends()) if self.core.adopted.evacuations else frozenset()
+        self._post(FleetObserved(used, self.assessment.backends, tuple(self._members()), self.assessment.fault))
+
+    def _assess(self, now: float) -> None:
+        counts = self.service.telemetry.counts
+        received = _sum_with_prefix(counts, ("taken.",))
+        rejected = _sum_with_prefix(counts, ("busy.", "failure."))
+        if not self.core.registered:
+            # Requests that are rejected since nothing is placed yet do not show pressure.
+            self.health.counts.clear()
+        self.assessment = self.health.assess(now, self._samples(), self.core.adopted, received, rejected)
+
+    def _samples(self) -> list[BackendSample]:
+        """Return the backends by the endpoint list alone, without regard to the agreed state."""
+        reducer = self.service.reducer
+        ejected = reducer.balancer.avoided(reducer.now)
+        peer_connections = reducer.balancer.others.holds
+        samples = []
+        for name, backend in reducer.backends.items():
+            endpoint = backend.listed
+            if endpoint is None:
+                continue
+            of_peers, _ = peer_connections.get(backend.number & BACKEND_KEY_MASK, (0, 0.0))
+            samples.append(
                 BackendSample(
                     name,
-                    m.zone,
-                    m.capacity,
-                    m.state,
-                    m.started_ms,
-                    backend.number in avoided,
-                    len(backend.requests) + others.get(backend.number & BACKEND_KEY_MASK, (0, 0.0))[0],
+                    endpoint.zone,
+                    endpoint.capacity,
+                    endpoint.state,
+                    endpoint.started_ms,
+                    failing=backend.number in ejected,
+                    connections=len(backend.requests) + of_peers,
                 )
-                for name, backend in reducer.backends.items()
-                if (m := backend.listed) is not None
-            ]
-            counts = self.hub.telemetry.counts
-            asked = sum(n for name, n in counts.items() if name.startswith("taken."))
-            refused = sum(n for name, n in counts.items() if name.startswith(("busy.", "failure.")))
-            if not self.core.registered:  # jobs that were refused since nothing is placed yet are no pressure
-                self.watch.counts.clear()
-            self.seen = self.watch.look(now, looks, self.core.taken, asked, refused)
-        holds: set[str] = set()
-        if self.core.taken.evacuations:
-            holds = {
-                name
-                for name in self.core.taken.evacuations
-                if (n := reducer.backends.get(name)) is not None and n.requests
-            }
-            for connected in self.hub.connected:  # also such as are only being closed
-                holds |= connected()
-        self._post(FleetObserved(frozenset(holds), self.seen[0], tuple(self._there()), self.seen[1]))
-
-    def _there(self) -> list[str]:
-        return self.peering.core.members.names
-
-    # --- operators ------------------------------------------------------------------------------
-
-    def shown(self) -> dict[str, Any]:
-        return report.show(self.core, self._now(), self.since, set(self._there()))
+            )
+        return samples
 
-    def _gauges(self) -> dict[str, float]:
-        return {f"turns.{name}": value for name, value in report.gauges(self.core, self._now()).items()}
+    def _used_backends(self) -> set[str]:
+        backends = self.service.reducer.backends
+        used = {name for name in self.core.adopted.evacuations if name in backends and backends[name].requests}
+        for connected in self.service.connected:  # these include connections that are being closed
+            used |= connected()
+        return used
 
-    @staticmethod
-    def _json(what: object) -> str:
-        return msgspec.json.encode(what).decode() + "\n"
+    # Operators
+
+    def status(self) -> dict[str, Any]:
+        """Return what operators are shown, as a JSON object."""
+        return status_report.report(self.core, self._now(), self.adopted_at, set(self._members()))
 
-    def _reloaded(self, operator: Operator) -> None:
-        """Requests that were not in the file before are asked for, each name once."""
+    def _gauges(self) -> dict[str, float]:
+        return {f"turns.{name}": value for name, value in status_report.gauges(self.core, self._now()).items()}
+
+    def _on_reloaded(self, operator: Operator) -> None:
+        """Queue the requests that are new in the operator's file, each name once."""
         if operator.turns is None:
             return
-        before, self.requests = self.requests, operator.turns.requests
-        for asking in self.requests:
-            if asking not in before:
-                try:
-                    wanted = self._ask(asking, -1)
-                    logger.info("turns: request {} is asked for by the operator's file", wanted)
-                except MaintenanceError as error:
-                    logger.error("turns: a request of the operator's file cannot be asked for: {}", error)
-
-    def _ask(self, asking: Asking, since: float) -> str:
-        """since below 0: only if it was never asked for."""
-        names, backends = self.hub.config.names, self.hub.reducer.backends
-        listed = {
-            name: backend.listed
-            for name, backend in backends.items()
-            if backend.listed is not None and backend.listed.state is not EndpointState.GONE
-        }
-        machines = asking.machines
-        if asking.zone or asking.kind:
-            known, what = (names.zones, asking.zone) if asking.zone else (names.kinds, asking.kind)
-            if what not in known:
-                raise MaintenanceError(f"{what!r} is none of {', '.join(known)}")
-            number = known.index(what)
-            machines = tuple(
-                sorted(name for name, m in listed.items() if (m.zone if asking.zone else m.kind) == number)
-            )
-            if not machines:
-                raise MaintenanceError(f"no machine of {what!r} is in the machine list")
-        elif unknown := [m for m in machines if m not in listed]:
-            raise MaintenanceError(f"not in the machine list: {', '.join(unknown[:8])}")
-        wish = asking.wish(machines, {name: m.zone for name, m in listed.items()})
-        self._post(OperatorCommand("ask", wish, since))
-        return wish.id
-
-    def _routes(self) -> BodyRoutes:
-        def call(act: Callable[[dict[str, Any]], object]) -> Callable[[bytes], Answer]:
-            def answer(body: bytes) -> Answer:
-                try:
-                    told = msgspec.json.decode(body or b"{}", type=dict[str, Any])
-                    return 200, self._json({"done": act(told), "registered": self.core.registered})
-                except (MaintenanceError, msgspec.DecodeError, msgspec.ValidationError) as error:
-                    return 409, self._json({"error": str(error)})
-
-            return answer
-
-        acts: dict[str, Callable[[dict[str, Any]], object]] = {
-            "ask": lambda told: self._ask(read_asking(told), self.core.state.version),
-            "done": lambda told: self._about(told, "done", (FREE,)),
-            "give-up": lambda told: self._about(told, "give up", (FREE, WARMING)),
-            "cancel": self._cancel,
-            "ended": self._ended,
-            "pause": self._pause,
-            "resume": self._resume,
-            "vote": self._want_vote,
-            "unvote": self._unvote,
-        }
-        return {f"/turns/{name}": {"PUT": call(act)} for name, act in acts.items()}
-
-    def _about(self, told: dict[str, Any], kind: str, stages: tuple[str, ...]) -> object:
-        machine = self._text(told, "machine")
-        out = self.core.state.evacuations.get(machine)
-        if out is None:
-            raise MaintenanceError(f"{machine} is not out")
-        if out.number != told.get("turn", out.number):
-            raise MaintenanceError(f"{machine} is out by turn {out.number}, not {told['turn']}")
-        if out.stage not in stages:
-            waits = (
-                report.waits_for(self.core, machine, self._there()) if machine in self.core.taken.evacuations else []
-            )
-            raise MaintenanceError(f"{machine} is {out.stage}: it waits for {'; '.join(waits)}")
-        self._post(OperatorCommand(kind, machine, out.number))
-        return out.number
-
-    def _cancel(self, told: dict[str, Any]) -> object:
-        wanted = self._text(told, "request")
-        found = [i for i, r in self.core.state.requests.items() if wanted in (i, r.request.name) and r.state == QUEUED]
-        if len(found) != 1:
-            raise MaintenanceError(f"{len(found) or 'no'} open requests are called {wanted}")
-        self._post(OperatorCommand("cancel", found[0], self.core.state.requests[found[0]].changed_at_version))
-        return found[0]
-
-    def _ended(self, told: dict[str, Any]) -> object:
-        name = self._text(told, "relay")
-        incarnation = self.core.state.relays.get(name)
-        if incarnation is None:
-            raise MaintenanceError(
-                f"{name} is not registered; registered are {', '.join(sorted(self.core.state.relays))}"
-            )
-        if name in self._there() and not told.get("force"):
-            raise MaintenanceError(f"{name} is there and answers; one that has ended is wanted")
-        self._post(OperatorCommand("ended", name, incarnation))
-        return incarnation
-
-    def _pause(self, told: dict[str, Any]) -> object:
-        why = str(told.get("why") or "an operator paused them")[:200]
-        self._post(OperatorCommand("pause", why))
-        return why
-
-    def _resume(self, told: dict[str, Any]) -> object:
-        if not self.core.state.pause_reason:
-            raise MaintenanceError("turns are not paused")
-        self._post(OperatorCommand("resume", self.core.state.pause_reason))
-        return self.core.state.pause_reason
-
-    def _want_vote(self, told: dict[str, Any]) -> object:
-        """This relay is to be a voter."""
-        if self.core.state.version == 0:
-            raise MaintenanceError("this relay has not heard from the voters yet")
-        if self.name in self.core.state.voters:
-            raise MaintenanceError(f"{self.name} is a voter already")
-        identity = self.core.identity or self._made_anew()
-        if not identity:
-            raise MaintenanceError("its file cannot be made; the log says why")
-        self._post(OperatorCommand("voter", self.name, identity))
-        return self.name
-
-    def _unvote(self, told: dict[str, Any]) -> object:
-        name, voters = self._text(told, "relay"), self.core.state.voters
-        if name not in voters or len(voters) == 1:
-            raise MaintenanceError(f"{name} is not one of several voters: {', '.join(sorted(voters))}")
-        self._post(OperatorCommand("no voter", name))
-        return name
+        former, self.requests = self.requests, operator.turns.requests
+        for request in self.requests:
+            if request in former:
+                continue
+            try:
+                request_id = self.commands.queue_request(request, NEVER_QUEUED)
+                logger.info("turns: request {} is asked for by the operator's file", request_id)
+            except MaintenanceError as error:
+                logger.error("turns: a request of the operator's file cannot be asked for: {}", error)
 
-    @staticmethod
-    def _text(told: dict[str, Any], key: str) -> str:
-        value = told.get(key)
-        if not isinstance(value, str) or not value:
-            raise MaintenanceError(f"{key} is missing")
-        return value
+
+def _sum_with_prefix(counts: Mapping[str, int], prefixes: tuple[str, ...]) -> int:
+    return sum(count for name, count in counts.items() if name.startswith(prefixes))
--- a/yarrowspindle/lab/model/exhaustive.py
+++ b/yarrowspindle/lab/model/exhaustive.py
@@ -23,13 +23,12 @@
 from yarrowspindle.consensus.messages import NO_BALLOT
 from yarrowspindle.lab.model.turning import FIRST, Parts
 from yarrowspindle.maintenance.codec import decode, encode
-from yarrowspindle.maintenance.coordinator import (
-    BEAT,
+from yarrowspindle.maintenance.commands import CompleteWork, OperatorCommand, QueueRequest
+from yarrowspindle.maintenance.coordinator import TICK, MaintenanceCoordinator
+from yarrowspindle.maintenance.events import (
     AskAcceptor,
     FleetObserved,
-    MaintenanceCoordinator,
     MessageReceived,
-    OperatorCommand,
     SendMessage,
     StateCommitted,
     TimerFired,
@@ -107,10 +106,11 @@
 def packed(loaded: Loaded, holds: frozenset[str]) -> One:
     """Times are folded away, so that states which differ by them alone are one."""
     core = loaded[0]
-    core.now = core.began = core.read_at = core.tell_at = core.wait_until = core.say_since = 0.0
-    core.told_at = core.started = 0.0
-    core.calm_since = core.fleet_at = core.steady_from = 0.0
-    core.failures, core.why = 0, ""
+    core.now = core.round_started_at = core.majority_heard_at = core.reminded_at = 0.0
+    core.retry_at = core.confirmable_since = 0.0
+    core.version_confirmed_at = core.started_at = 0.0
+    core.last_fault_at = core.observed_at = core.observations_valid_from = 0.0
+    core.failed_rounds, core.failure_reason = 0, ""
     return One(pickle.dumps(loaded), holds)
 
 
@@ -119,7 +119,7 @@
     one, name = state.relays[index], NAMES[index]
     loaded: Loaded = pickle.loads(one.core)
     core, voter = loaded
-    core.now, core.fleet_at, core.steady_from = FAR_MS, FAR_MS, 0.0
+    core.now, core.observed_at, core.observations_valid_from = FAR_MS, FAR_MS, 0.0
     holds = set(one.holds)
     messages = [m for number, m in enumerate(state.messages) if number != without]
     committed, newest = dict(state.committed), state.newest
@@ -129,10 +129,10 @@
         effect = effects.popleft()
         if isinstance(effect, AskAcceptor):
             effect = SendMessage(effect.source, voter.on_message(effect.message))
-        if isinstance(effect, SendMessage) and effect.to == name:
+        if isinstance(effect, SendMessage) and effect.destination == name:
             effects.extend(core.step(FAR_MS, MessageReceived(name, effect.message)))
         elif isinstance(effect, SendMessage):
-            messages.append((name, effect.to, encode(effect.message)))
+            messages.append((name, effect.destination, encode(effect.message)))
         elif isinstance(effect, StateCommitted):
             digest = blake2b(_key(effect.state), digest_size=8).digest()
             if committed.setdefault(effect.state.version, digest) != digest:
@@ -162,7 +162,7 @@
 
 def beat(loaded: Loaded, holds: set[str]) -> list[Any]:
     core = loaded[0]
-    return core.step(FAR_MS, TimerFired(BEAT))
+    return core.step(FAR_MS, TimerFired(TICK))
 
 
 def came(source: str, data: bytes, loaded: Loaded, holds: set[str]) -> list[Any]:
@@ -199,15 +199,15 @@
         core: MaintenanceCoordinator = pickle.loads(one.core)[0]
         yield step(state, index, f"{name}!beat", beat)
         for machine in MACHINES:
-            if machine in one.holds and core.taken.excludes(machine):
+            if machine in one.holds and core.adopted.excludes(machine):
                 yield step(state, index, f"{name}-{machine}", partial(leave, machine))
             elif state.places and machine not in one.holds and core.may_place(machine):
                 yield replace(step(state, index, f"{name}+{machine}", partial(place, machine)), places=0)
-        if not core.looked:
+        if not core.observed_since_adoption:
             yield step(state, index, f"{name}!look", look)
-        for machine, out in core.taken.evacuations.items():
-            order = OperatorCommand("done", machine, out.number)
-            if out.stage == FREE and order not in core.orders:
+        for machine, out in core.adopted.evacuations.items():
+            order = CompleteWork(machine, out.number)
+            if out.stage == FREE and order not in core.commands:
                 yield step(state, index, f"{name}!done {machine}", partial(ordered, order))
         if state.crashes:
             voter: Acceptor[MaintenanceState] = pickle.loads(one.core)[1]
@@ -242,7 +242,7 @@
         state = settle(state, index, beat)
     for index in range(3):
         state = settle(state, index, place_first)
-    state = settle(settle(state, 0, partial(ordered, OperatorCommand("ask", MaintenanceRequest(MACHINES), 0))), 0, beat)
+    state = settle(settle(state, 0, partial(ordered, QueueRequest(MaintenanceRequest(MACHINES), 0))), 0, beat)
     todo = STAGES.index(stage)
     if todo >= 1:
         gone = (1, 2, 0)[: 3 if todo >= 2 else 2]
@@ -252,7 +252,7 @@
             state = settle(settle(state, index, look), index, beat)
     if todo >= 3:
         turn = state.newest.evacuations[MACHINES[0]].number
-        state = settle(settle(state, 0, partial(ordered, OperatorCommand("done", MACHINES[0], turn))), 0, beat)
+        state = settle(settle(state, 0, partial(ordered, CompleteWork(MACHINES[0], turn))), 0, beat)
     return replace(state, path=())
 
 
--- a/yarrowspindle/lab/model/planted.py
+++ b/yarrowspindle/lab/model/planted.py
@@ -13,7 +13,8 @@
 from yarrowspindle.consensus.messages import NO_BALLOT, Accept, Accepted, Prepare, Promise, Rejected
 from yarrowspindle.consensus.proposer import Committed, ProposalRound, Proposer
 from yarrowspindle.lab.model.turning import Parts
-from yarrowspindle.maintenance.coordinator import MaintenanceCoordinator, StateCommitted
+from yarrowspindle.maintenance.coordinator import MaintenanceCoordinator
+from yarrowspindle.maintenance.events import StateCommitted
 from yarrowspindle.maintenance.requests import MaintenanceRequest
 from yarrowspindle.maintenance.state import EMPTYING, BackendObservation, Evacuation, MaintenanceState
 
@@ -206,9 +207,9 @@
 class ConfirmsTooEarly(MaintenanceCoordinator):
     """Confirms while it still holds something there."""
 
-    def _mine(self) -> dict[str, int]:
+    def _releases(self) -> dict[str, int]:
         return (
-            {m: out.number for m, out in self.taken.evacuations.items() if out.stage == EMPTYING}
+            {m: out.number for m, out in self.adopted.evacuations.items() if out.stage == EMPTYING}
             if self.registered
             else {}
         )
@@ -217,18 +218,20 @@
 class ConfirmsByAnOldLook(MaintenanceCoordinator):
     """Confirms by what it held before it took up the turn."""
 
-    def _take(self) -> None:
-        looked = self.looked
-        super()._take()
-        self.looked = looked
+    def _adopt(self) -> None:
+        looked = self.observed_since_adoption
+        super()._adopt()
+        self.observed_since_adoption = looked
 
 
 class ConfirmsUnseen(MaintenanceCoordinator):
     """Confirms a turn that it reads of, before it has taken it up."""
 
-    def _confirms(self, state: MaintenanceState) -> MaintenanceState | None:
+    def _confirm_own_releases(self, state: MaintenanceState) -> MaintenanceState | None:
         mine = {
-            m: out.number for m, out in state.evacuations.items() if out.stage == EMPTYING and m not in self.fleet.holds
+            m: out.number
+            for m, out in state.evacuations.items()
+            if out.stage == EMPTYING and m not in self.fleet.used_backends
         }
         return state.with_confirmations(self.name, self.incarnation, mine) if mine else None
 
@@ -236,9 +239,9 @@
 class TakesUpWhatComes(MaintenanceCoordinator):
     """Takes up whatever state it hears of last, older ones too."""
 
-    def _take(self) -> None:
-        if self.state.version != self.taken.version:
-            self.taken, self.looked = self.state, False
+    def _adopt(self) -> None:
+        if self.state.version != self.adopted.version:
+            self.adopted, self.observed_since_adoption = self.state, False
             self.effects.append(StateCommitted(self.state))
 
 
--- a/yarrowspindle/lab/model/turning.py
+++ b/yarrowspindle/lab/model/turning.py
@@ -21,18 +21,26 @@
 from yarrowspindle.lab.faults import Fault, Ways, relay_names, schedule
 from yarrowspindle.lab.model.clock import VirtualClock
 from yarrowspindle.maintenance.codec import decode, encode
-from yarrowspindle.maintenance.coordinator import (
+from yarrowspindle.maintenance.commands import (
+    AddVoter,
+    CancelRequest,
+    CompleteWork,
+    OperatorCommand,
+    QueueRequest,
+    RemoveRelay,
+    RemoveVoter,
+)
+from yarrowspindle.maintenance.coordinator import MaintenanceCoordinator
+from yarrowspindle.maintenance.events import (
     AskAcceptor,
     FleetObserved,
-    MaintenanceCoordinator,
     MessageReceived,
-    OperatorCommand,
     SendMessage,
     SetTimer,
     StateCommitted,
     TimerFired,
 )
-from yarrowspindle.maintenance.fleet_health import TROUBLE_MS, BackendSample, FleetHealth
+from yarrowspindle.maintenance.fleet_health import FAULT_PERIOD_MS, BackendSample, FleetHealth
 from yarrowspindle.maintenance.requests import QUEUED, MaintenanceRequest
 from yarrowspindle.maintenance.state import EMPTYING, FREE, MaintenanceState
 from yarrowspindle.protocol.fragments import Fragmenter
@@ -81,17 +89,14 @@
             if self.turns.setdefault(out.number, machine) != machine:
                 self.broken(f"turn {out.number} is {machine}'s and {self.turns[out.number]}'s")
         if state.version > self.newest.version:
-            if state.last_evacuation_number < self.newest.last_evacuation_number:
-                self.broken(
-                    f"turn numbers went back from {self.newest.last_evacuation_number} to {state.last_evacuation_number}"
-                )
-            if state.last_evacuation_number > self.newest.last_evacuation_number:
+            number, former = state.last_evacuation_number, self.newest.last_evacuation_number
+            if number < former:
+                self.broken(f"turn numbers went back from {former} to {number}")
+            if number > former:
                 # Who died a moment ago is not the turn's doing.
                 left = len(self.ready_of_late() - set(state.evacuations))
                 if left < self.wish.min_ready_capacity:
-                    self.broken(
-                        f"turn {state.last_evacuation_number} leaves {left} ready, the floor is {self.wish.min_ready_capacity:g}"
-                    )
+                    self.broken(f"turn {number} leaves {left} ready, the floor is {self.wish.min_ready_capacity:g}")
             self.rolled_back += sum(
                 o.stage == EMPTYING and m not in state.evacuations for m, o in self.newest.evacuations.items()
             )
@@ -199,9 +204,9 @@
             if not self.alive:
                 return
             if isinstance(effect, SendMessage):
-                self.send(effect.to, effect.message)
+                self.send(effect.destination, effect.message)
             elif isinstance(effect, SetTimer):
-                self.world.clock.after(effect.delay_ms, self.post, TimerFired(effect.what))
+                self.world.clock.after(effect.delay_ms, self.post, TimerFired(effect.timer))
             elif isinstance(effect, AskAcceptor):
                 if self.voter is not None:
                     self.send(effect.source, self.voter.on_message(effect.message))
@@ -242,7 +247,7 @@
             return
         random, world = self.world.random, self.world
         for machine in list(self.held):
-            emptying = self.core.taken.excludes(machine)
+            emptying = self.core.adopted.excludes(machine)
             part = 1.0 if not world.is_up(machine) else STEP_MS / (MOVED_MS if emptying else LIFE_MS)
             self.held[machine] -= sum(random.random() < part for _ in range(self.held[machine]))
             if not self.held[machine]:
@@ -258,8 +263,8 @@
             BackendSample(m, n % 2, 1.0, EndpointState.READY if world.is_up(m) else EndpointState.GONE, world.starts[m])
             for n, m in enumerate(world.machines)
         ]
-        seen, trouble = self.watch.look(self.now(), looks, self.core.taken)
-        self.post(FleetObserved(frozenset(self.held), seen, world.there(), trouble))
+        found = self.watch.assess(self.now(), looks, self.core.adopted)
+        self.post(FleetObserved(frozenset(self.held), found.backends, world.there(), found.fault))
 
 
 class TurnWorld:
@@ -308,7 +313,7 @@
         """Those that were up some time ago: a turn that was agreed on before a machine died may be heard of after it,
         where its proposer died too, and is taken back then."""
         now = self.clock.seconds
-        return {m for m in self.machines if m not in self.downs or self.downs[m] > now - TROUBLE_MS / 1000.0}
+        return {m for m in self.machines if m not in self.downs or self.downs[m] > now - FAULT_PERIOD_MS / 1000.0}
 
     def end(self, machine: str) -> None:
         self.downs[machine] = self.clock.seconds
@@ -374,22 +379,22 @@
             if self.relays["s1"].alive:
                 self.kill("s1")
                 self.start("s1")
-                self.relays["s1"].post(OperatorCommand("voter", "s1", self.files["s1"].identity))
+                self.relays["s1"].post(AddVoter("s1", self.files["s1"].identity))
 
         self.clock.after(4000.0, ends)
-        self.clock.after(12_000.0, lambda: self.order(OperatorCommand("no voter", self.names[-1])))
+        self.clock.after(12_000.0, lambda: self.order(RemoveVoter(self.names[-1])))
 
     def _ended(self, name: str) -> None:
         """Until it stands in the state: an operator looks."""
         incarnation = self.checker.newest.relays.get(name)
         if incarnation is not None:
-            self.order(OperatorCommand("ended", name, incarnation))
+            self.order(RemoveRelay(name, incarnation))
         self.clock.after(2000.0, self._ended, name)  # its word may have been on the way when it ended
 
     def _cancel(self) -> None:
         for number, request in self.checker.newest.requests.items():
             if request.state == QUEUED:
-                self.order(OperatorCommand("cancel", number, request.changed_at_version))
+                self.order(CancelRequest(number, request.changed_at_version))
 
     def _step(self) -> None:
         self.clock.after(STEP_MS, self._step)
@@ -401,7 +406,7 @@
             if out.stage == FREE and self.random.random() < 0.1:
                 if self.is_up(machine) and self.random.random() < 0.3:  # a new kernel
                     self.starts[machine] = self.clock.now()
-                self.order(OperatorCommand("done", machine, out.number))
+                self.order(CompleteWork(machine, out.number))
 
     def order(self, order: OperatorCommand) -> None:
         alive = [relay for relay in self.relays.values() if relay.alive]
@@ -464,18 +469,19 @@
     world.run(0.5)
     # Two operators at two relays: the same wish is one, and of two that clash one is refused.
     for wish in (*world.wishes, structs.replace(world.wish)):
-        world.order(OperatorCommand("ask", wish, 0))
+        world.order(QueueRequest(wish, 0))
     while world.clock.seconds < faults_s + within_s and not world.over() and not world.checker.violations:
         world.run(0.5)
         if world.clock.seconds > 2.0 and not world.asked():
-            world.order(OperatorCommand("ask", world.wish, 0))  # whoever had it died with it
+            world.order(QueueRequest(world.wish, 0))  # whoever had it died with it
     checker = world.checker
     day.violations, day.most_out, day.rolled_back = checker.violations, checker.most_out, checker.rolled_back
     day.turns, day.took_s = checker.newest.last_evacuation_number, world.clock.seconds
     if not world.over() and not day.violations:
         state = checker.newest
+        unconfirmed = {m: state.unconfirmed_relays(m) for m in state.evacuations}
         day.stuck.append(
-            f"out {state.evacuations}, waits for { {m: state.unconfirmed_relays(m) for m in state.evacuations} }, paused "
+            f"out {state.evacuations}, waits for {unconfirmed}, paused "
             f"{state.pause_reason!r}, {[(r.state, r.waiting) for r in state.requests.values()]}"
         )
     return day
--- /dev/null
+++ b/yarrowspindle/maintenance/change_log.py
@@ -0,0 +1,57 @@
+"""Lines for the log that describe the difference between two states."""
+
+from __future__ import annotations
+
+from yarrowspindle.maintenance.state import EMPTYING, MaintenanceState
+
+
+def describe_changes(old: MaintenanceState, new: MaintenanceState) -> list[str]:
+    """Return a line for each evacuation, pause and request that differs."""
+    return [
+        *_ended_evacuations(old, new),
+        *_evacuation_stages(old, new),
+        *_pause(old, new),
+        *_request_states(old, new),
+    ]
+
+
+def _ended_evacuations(old: MaintenanceState, new: MaintenanceState) -> list[str]:
+    lines = []
+    for backend, evacuation in old.evacuations.items():
+        current = new.evacuations.get(backend)
+        if current is not None and current.number == evacuation.number:
+            continue
+        if evacuation.stage == EMPTYING:
+            outcome = f"was given back unemptied: {new.pause_reason or 'cancelled'}"
+        else:
+            outcome = "is back"
+        lines.append(f"turn {evacuation.number}: {backend} {outcome}")
+    return lines
+
+
+def _evacuation_stages(old: MaintenanceState, new: MaintenanceState) -> list[str]:
+    lines = []
+    for backend, evacuation in new.evacuations.items():
+        former = old.evacuations.get(backend)
+        if former is None or former.number != evacuation.number or former.stage != evacuation.stage:
+            lines.append(
+                f"turn {evacuation.number}: {backend} is {evacuation.stage}, by request {evacuation.request_id}"
+            )
+    return lines
+
+
+def _pause(old: MaintenanceState, new: MaintenanceState) -> list[str]:
+    if new.pause_reason == old.pause_reason:
+        return []
+    return [f"turns are paused: {new.pause_reason}" if new.pause_reason else "turns go on"]
+
+
+def _request_states(old: MaintenanceState, new: MaintenanceState) -> list[str]:
+    lines = []
+    for request_id, status in new.requests.items():
+        former = old.requests.get(request_id)
+        if former is not None and former.state == status.state:
+            continue
+        reason = f": {status.reason}" if status.reason else ""
+        lines.append(f"request {request_id} for {len(status.request.backends)} machines is {status.state}{reason}")
+    return lines
--- a/yarrowspindle/maintenance/codec.py
+++ b/yarrowspindle/maintenance/codec.py
@@ -7,7 +7,7 @@
 
 from yarrowspindle.consensus.acceptor import AcceptorState
 from yarrowspindle.consensus.messages import Accept, Accepted, Prepare, Promise, Rejected
-from yarrowspindle.maintenance.coordinator import (
+from yarrowspindle.maintenance.messages import (
     CatchUpRequest,
     LatestVersion,
     RegisterRelay,
--- a/yarrowspindle/maintenance/coordinator.py
+++ b/yarrowspindle/maintenance/coordinator.py
@@ -1,212 +1,123 @@
-"""One relay's part in turns: `(state, event) -> effects`. It votes where it has a file, proposes what it wants
-changed, and says which machines are kept off and which are to be emptied.
+"""One relay's part in maintenance: it proposes changes of the replicated state, and adopts those committed.
 
-Driven alike by the virtual clock of `lab/model/turning.py` and by the daemon (`program/turning.py`).
+Pure: `step` takes an event and returns effects. The daemon and the model of `lab/model/turning.py` carry them out. The
+leader is the first member by name. Relays need not agree on it: it only spares them proposing the same change at once.
 """
 
 from __future__ import annotations
 
-from collections.abc import Callable, Mapping
-from dataclasses import dataclass
+from collections.abc import Callable
+from functools import partial
 from random import Random
-from typing import Any
-
-from msgspec import Struct
 
 from yarrowspindle.consensus.messages import NO_BALLOT, Accept, Accepted, Prepare, Promise, Rejected
 from yarrowspindle.consensus.proposer import Committed, Proposer, RoundFailed, SendToAcceptor
 from yarrowspindle.consensus.proposer import Effect as ProposerEffect
-from yarrowspindle.maintenance.requests import MaintenanceRequest
-from yarrowspindle.maintenance.state import EMPTYING, BackendObservation, MaintenanceState
-
-BEAT_MS, ROUND_MS = 150.0, 400.0
-READ_MS, READ_IDLE_MS = 1500.0, 10_000.0  # without word for so long the state is read: while something is out, and else
-SAY_MS = 600.0  # what was said and is not written after so long is written by the relay itself
-ENTER_MS = 1500.0  # the same for a process that is to be registered
-NEWEST_MS = 2000.0  # the others are told what is newest this often; twice a second while something is out
-MAX_ASKED = 3  # relays that are asked at once by one that cannot find the voters
-TELL_MS = 500.0  # who has not confirmed is told the state again this often
-MAX_BACK_MS = 1200.0
-FRESH_MS = 1000.0  # nothing is granted by a look at the machines that is older
-CALM_MS = 10_000.0  # without trouble, until turns are granted again
-BEAT = "beat"
-MAX_WANTS, MAX_ENTERING = 64, 1024
-
-
-# --- events -------------------------------------------------------------------------------------
-
-
-@dataclass(slots=True)
-class MessageReceived:
-    source: str
-    message: Any  # of the register, or `Learn`
-
-
-@dataclass(slots=True)
-class TimerFired:
-    what: object
-
-
-@dataclass(slots=True)
-class FleetObserved:
-    """What this relay knows of itself and the list. holds: machines where it has connections or an attempt is out.
-    seen: the machine list. there: members that are there, this one included, by name. trouble: why no machine should
-    leave now, as this relay sees it."""
-
-    holds: frozenset[str]
-    seen: Mapping[str, BackendObservation]
-    there: tuple[str, ...]
-    trouble: str = ""
-
-
-@dataclass(slots=True)
-class OperatorCommand:
-    """An operator's word; done once it stands in a committed state, or speaks of something that is over.
-
-    kind, what, more: "ask", a wish, the version known then; "done" and "give up", a machine, its turn; "cancel", a
-    request, when it was asked; "ended", a relay, its life; "pause", why; "resume", the pause; "voter", a name, its
-    file's identity; "no voter", a name."""
-
-    kind: str
-    what: Any
-    more: Any = None
-
-
-Event = MessageReceived | TimerFired | FleetObserved | OperatorCommand
-
-
-# --- effects ------------------------------------------------------------------------------------
-
-
-@dataclass(slots=True)
-class SendMessage:
-    to: str
-    message: Any
-
-
-@dataclass(slots=True)
-class SetTimer:
-    delay_ms: float
-    what: object
-
-
-@dataclass(slots=True)
-class StateCommitted:
-    """A committed state was taken up: from here on these machines are kept off, and those emptying are to be
-    emptied."""
-
-    state: MaintenanceState
-
-
-@dataclass(slots=True)
-class LogMessage:
-    text: str
-
-
-@dataclass(slots=True)
-class AskAcceptor:
-    """For this relay's voter; its answer goes back to the source once the file is written, and nothing does where that
-    fails."""
-
-    source: str
-    message: Prepare | Accept[MaintenanceState]
-
-
-Effect = SendMessage | SetTimer | StateCommitted | AskAcceptor | LogMessage
-
-
-@dataclass(slots=True, frozen=True)
-class StateUpdate:
-    """A committed state, told to all."""
-
-    state: MaintenanceState
-
-
-class ReleaseConfirmation(Struct, frozen=True, rename={"incarnation": "life"}):
-    """The sender holds nothing at these machines, by their turns, and knows of the turns. That stays true for as long
-    as they last, so it may come late or twice; who brings things on writes it down for many at once."""
-
-    incarnation: int
-    turns: Mapping[str, int]
-
-
-@dataclass(slots=True, frozen=True)
-class RegisterRelay:
-    """The sender is a process that is not registered; who brings things on writes it down. key: its own, which no
-    process of its name had before (128 bits of the system's chance)."""
-
-    key: str
-
-
-@dataclass(slots=True, frozen=True)
-class LatestVersion:
-    """A majority was heard a moment ago, and this is the newest version."""
-
-    version: int
-
-
-@dataclass(slots=True, frozen=True)
-class CatchUpRequest:
-    """The sender knows of no later state than this version: who knows more tells it."""
-
-    version: int
+from yarrowspindle.maintenance.change_log import describe_changes
+from yarrowspindle.maintenance.commands import OperatorCommand
+from yarrowspindle.maintenance.events import (
+    AskAcceptor,
+    Effect,
+    Event,
+    FleetObserved,
+    LogMessage,
+    MessageReceived,
+    SendMessage,
+    SetTimer,
+    StateCommitted,
+)
+from yarrowspindle.maintenance.messages import (
+    CatchUpRequest,
+    LatestVersion,
+    RegisterRelay,
+    ReleaseConfirmation,
+    StateUpdate,
+)
+from yarrowspindle.maintenance.state import EMPTYING, MaintenanceState
+
+TICK = "tick"  # the one timer
+TICK_MS = 150.0
+ROUND_TIMEOUT_MS = 400.0
+MAX_RETRY_DELAY_MS = 1200.0
+MAX_COUNTED_FAILURES = 6  # of rounds; the delay of a retry doubles with each
+READ_INTERVAL_BUSY_MS = 1500.0  # while something is out; the state is read where no majority was heard for so long
+READ_INTERVAL_IDLE_MS = 10_000.0
+LATEST_VERSION_INTERVAL_MS = 2000.0
+REMINDER_INTERVAL_MS = 500.0  # of relays that have not confirmed
+OWN_CONFIRMATION_DELAY_MS = 600.0  # a relay writes its confirmation itself if the leader has not by then
+OWN_REGISTRATION_DELAY_MS = 1500.0
+MAX_OBSERVATION_AGE_MS = 1000.0  # no evacuation starts by an older one
+STABLE_PERIOD_MS = 10_000.0  # without a fault, before evacuations start again
+MAX_CATCH_UP_RELAYS = 3  # asked at once by a relay that cannot reach the voters
+MAX_COMMANDS = 64
+MAX_REGISTERING = 1024
+
+StateChange = Callable[[MaintenanceState], MaintenanceState | None]
 
 
 class MaintenanceCoordinator:
-    """first: the state that all start from. identity: of this relay's file; empty where it has none. guide: a state by
-    whose voters to go, from that file. key: of this process, which none before it had."""
+    """Coordinates maintenance with the other relays.
+
+    `initial` is the state that all relays start from. `identity` is that of this relay's voter file, empty without
+    one, and `membership_hint` the state in it. `key` is random, and unique to this process. Times are in milliseconds.
+    """
 
     def __init__(
         self,
         name: str,
         key: str,
-        first: MaintenanceState,
+        initial: MaintenanceState,
         identity: str,
-        guide: MaintenanceState,
+        membership_hint: MaintenanceState,
         seed: int,
         now: float,
         proposer: type[Proposer[MaintenanceState]] = Proposer,
     ) -> None:
-        self.name, self.key, self.identity, self.now = name, key, identity, now
-        self.started = now
+        self.name = name
+        self.key = key
+        self.identity = identity
+        self.now = now
+        self.started_at = now
         self.random = Random(seed)
-        # No two processes propose under one ballot: what was sent to an earlier one may still come.
-        self.proposer = proposer(f"{name} {key}", first, self.random)
-        # Its voters may be those to ask; it may not be committed, so nothing more is believed of it.
-        self.proposer.membership_hint = max(first, guide, key=lambda s: s.epoch)
+        # No two processes share a ballot: answers to an earlier process of this name may still arrive.
+        self.proposer = proposer(f"{name} {key}", initial, self.random)
+        # The hint may not be committed, so only its voters are used.
+        self.proposer.membership_hint = max(initial, membership_hint, key=lambda state: state.epoch)
         self.fleet = FleetObserved(frozenset(), {}, (name,))
-        self.orders: list[OperatorCommand] = []
-        self.said: dict[str, ReleaseConfirmation] = {}  # what the others say, newest of each
-        self.entering: dict[str, tuple[str, float]] = {}  # who is to be registered: its key, and when it said so
-        self.told_at = 0.0  # when a relay said that it had heard a majority, and that nothing is newer
-        self.say_since = 0.0  # since when there is something to confirm; 0: there is nothing
-        self.began = self.read_at = self.tell_at = 0.0
-        self.calm_since = now
-        self.wait_until, self.failures = now, 0
-        self.fleet_at, self.steady_from = -FRESH_MS, now
-        self.taken = first
-        self.looked = False  # what this relay holds was told after it took up the newest state
-        self.why = ""  # the last round came to nothing
-        self.effects: list[Effect] = [SetTimer(BEAT_MS * self.random.random(), BEAT)]
+        self.commands: list[OperatorCommand] = []
+        self.confirmations: dict[str, ReleaseConfirmation] = {}  # the latest of each relay
+        self.registering: dict[str, tuple[str, float]] = {}  # key and time of request of relays to be registered
+        self.majority_heard_at = 0.0  # by this relay; 0: never
+        self.version_confirmed_at = 0.0  # by a relay that heard a majority; 0: never
+        self.confirmable_since = 0.0  # 0: there is nothing to confirm
+        self.round_started_at = 0.0
+        self.reminded_at = 0.0
+        self.last_fault_at = now
+        self.retry_at = now
+        self.failed_rounds = 0
+        self.failure_reason = ""  # of the last round
+        self.observed_at = -MAX_OBSERVATION_AGE_MS
+        self.observations_valid_from = now
+        self.adopted = initial
+        self.observed_since_adoption = False
+        self.effects: list[Effect] = [SetTimer(TICK_MS * self.random.random(), TICK)]
 
     def step(self, now: float, event: Event) -> list[Effect]:
+        """Handle an event and return the effects."""
         self.now = max(self.now, now)
         if isinstance(event, MessageReceived):
-            self._came(event)
+            self._on_message(event)
         elif isinstance(event, FleetObserved):
-            if self.now > self.fleet_at + FRESH_MS:
-                self.steady_from = self.now + FRESH_MS  # after a stall the list's newest word may still wait to be read
-            self.fleet, self.fleet_at, self.looked = event, self.now, True
-            if event.trouble:
-                self.calm_since = self.now
+            self._on_fleet_observed(event)
         elif isinstance(event, OperatorCommand):
-            if len(self.orders) < MAX_WANTS and event not in self.orders:
-                self.orders.append(event)
+            if len(self.commands) < MAX_COMMANDS and event not in self.commands:
+                self.commands.append(event)
         else:
-            self._beat()
+            self._on_tick()
         return self.take_effects()
 
     def take_effects(self) -> list[Effect]:
+        """Return the effects that are pending."""
         effects, self.effects = self.effects, []
         return effects
 
@@ -217,258 +128,276 @@
 
     @property
     def registered(self) -> bool:
+        """Whether the adopted state contains this process."""
         return self.incarnation > 0
 
     @property
     def incarnation(self) -> int:
-        """As it is registered; 0: it is not."""
-        return self.taken.relays.get(self.name, 0) if self.taken.process_keys.get(self.name) == self.key else 0
+        """The incarnation that this process is registered as; 0 where it is not registered."""
+        own_key = self.adopted.process_keys.get(self.name)
+        return self.adopted.relays.get(self.name, 0) if own_key == self.key else 0
 
     @property
-    def heard_at(self) -> float:
-        """When a majority of the voters was last heard, by this relay or one that said so; 0: never."""
-        return max(self.read_at, self.told_at)
+    def majority_known_at(self) -> float:
+        """When a majority of the voters was last heard, by this relay or one that reported it; 0 if never."""
+        return max(self.majority_heard_at, self.version_confirmed_at)
 
-    def may_place(self, machine: str) -> bool:
-        return self.registered and not self.taken.excludes(machine)
+    def may_place(self, backend: str) -> bool:
+        """Whether this relay may place connections on the backend."""
+        return self.registered and not self.adopted.excludes(backend)
 
-    # --- messages -------------------------------------------------------------------------------
+    @property
+    def _leads(self) -> bool:
+        return self.name == self._leader
 
-    def _came(self, event: MessageReceived) -> None:
-        message = event.message
+    @property
+    def _leader(self) -> str:
+        return min(self.fleet.members, default=self.name)
+
+    def _send(self, destination: str, message: object) -> None:
+        self.effects.append(SendMessage(destination, message))
+
+    def _log(self, text: str) -> None:
+        self.effects.append(LogMessage(text))
+
+    # Events
+
+    def _on_fleet_observed(self, event: FleetObserved) -> None:
+        if self.now > self.observed_at + MAX_OBSERVATION_AGE_MS:
+            # After a stall, updates of the endpoint list may still wait to be read.
+            self.observations_valid_from = self.now + MAX_OBSERVATION_AGE_MS
+        self.fleet = event
+        self.observed_at = self.now
+        self.observed_since_adoption = True
+        if event.fault:
+            self.last_fault_at = self.now
+
+    def _on_message(self, event: MessageReceived) -> None:
+        source, message = event.source, event.message
         if isinstance(message, Prepare | Accept):
-            if not self.identity:
-                self.effects.append(SendMessage(event.source, Rejected(message.ballot, NO_BALLOT, not_voter=True)))
+            if self.identity:
+                self.effects.append(AskAcceptor(source, message))
             else:
-                self.effects.append(AskAcceptor(event.source, message))
+                self._send(source, Rejected(message.ballot, NO_BALLOT, not_voter=True))
         elif isinstance(message, Promise | Accepted | Rejected):
-            self._carry_out(self.proposer.on_message(event.source, message))
+            self._carry_out(self.proposer.on_message(source, message))
         elif isinstance(message, StateUpdate):
             self.proposer.on_committed(message.state)
-            self._take()
+            self._adopt()
         elif isinstance(message, ReleaseConfirmation):
-            if event.source in self.taken.relays:
-                self.said[event.source] = message
+            if source in self.adopted.relays:
+                self.confirmations[source] = message
         elif isinstance(message, RegisterRelay):
-            if event.source in self.entering or len(self.entering) < MAX_ENTERING:
-                self.entering[event.source] = (message.key, self.now)
+            if source in self.registering or len(self.registering) < MAX_REGISTERING:
+                self.registering[source] = (message.key, self.now)
         elif isinstance(message, LatestVersion):
-            if message.version <= self.state.version:
-                self.told_at = self.now
-            else:
-                self.effects.append(SendMessage(event.source, CatchUpRequest(self.state.version)))
+            self._on_latest_version(source, message.version)
         elif isinstance(message, CatchUpRequest) and self.state.version > message.version:
-            self.effects.append(SendMessage(event.source, StateUpdate(self.state)))
+            self._send(source, StateUpdate(self.state))
+
+    def _on_latest_version(self, source: str, version: int) -> None:
+        if version <= self.state.version:
+            self.version_confirmed_at = self.now
+        else:
+            self._send(source, CatchUpRequest(self.state.version))
 
     def _carry_out(self, effects: list[ProposerEffect[MaintenanceState]]) -> None:
         for effect in effects:
             if isinstance(effect, SendToAcceptor):
-                self.effects.append(SendMessage(effect.acceptor, effect.message))
+                self._send(effect.acceptor, effect.message)
             elif isinstance(effect, Committed):
-                self.failures, self.read_at, self.why = 0, self.now, ""
-                if effect.changed:
-                    for name in sorted({*effect.state.relays, *effect.state.voters, *self.fleet.there} - {self.name}):
-                        self.effects.append(SendMessage(name, StateUpdate(effect.state)))
-                self._take()
+                self._on_committed(effect)
             elif isinstance(effect, RoundFailed):
-                self.why = effect.reason
-                self._wait()
-                if not self.registered:
-                    others = [name for name in self.fleet.there if name != self.name]
-                    for name in self.random.sample(others, min(MAX_ASKED, len(others))):
-                        self.effects.append(SendMessage(name, CatchUpRequest(self.state.version)))
-
-    def _wait(self) -> None:
-        """So that two proposers do not keep one another from their majority."""
-        self.failures = min(self.failures + 1, 6)
-        self.wait_until = self.now + self.random.uniform(0.0, min(MAX_BACK_MS, BEAT_MS * 2.0**self.failures))
-
-    def _take(self) -> None:
-        if self.state.version > self.taken.version:
-            self._say(self.taken, self.state)
-            was = self.incarnation
-            self.taken, self.looked = self.state, False
-            self.effects.append(StateCommitted(self.state))
-            if self.incarnation != was:
-                took = (self.now - self.started) / 1000.0
-                self.effects.append(
-                    LogMessage(
-                        f"registered as life {self.incarnation}, {took:.1f} s after the start"
-                        if self.incarnation
-                        else "somebody said that this relay has ended: nothing is placed until it is registered anew"
-                    )
-                )
-
-    def _say(self, old: MaintenanceState, new: MaintenanceState) -> None:
-        for machine, out in old.evacuations.items():
-            now = new.evacuations.get(machine)
-            if now is None or now.number != out.number:
-                why = f": {new.pause_reason or 'cancelled'}" if out.stage == EMPTYING else ""
-                back = "is back" if out.stage != EMPTYING else "was given back unemptied"
-                self.effects.append(LogMessage(f"turn {out.number}: {machine} {back}{why}"))
-        for machine, out in new.evacuations.items():
-            was = old.evacuations.get(machine)
-            if was is None or was.number != out.number or was.stage != out.stage:
-                self.effects.append(
-                    LogMessage(f"turn {out.number}: {machine} is {out.stage}, by request {out.request_id}")
-                )
-        if new.pause_reason != old.pause_reason:
-            self.effects.append(
-                LogMessage(f"turns are paused: {new.pause_reason}" if new.pause_reason else "turns go on")
-            )
-        for number, request in new.requests.items():
-            known = old.requests.get(number)
-            if known is None or known.state != request.state:
-                why = f": {request.reason}" if request.reason else ""
-                self.effects.append(
-                    LogMessage(f"request {number} for {len(request.request.backends)} machines is {request.state}{why}")
-                )
-
-    # --- what is wanted -------------------------------------------------------------------------
-
-    def _beat(self) -> None:
-        mine = self._mine()
-        if not mine:
-            self.say_since = 0.0
+                self._on_round_failed(effect.reason)
+
+    def _on_committed(self, effect: Committed[MaintenanceState]) -> None:
+        self.failed_rounds = 0
+        self.failure_reason = ""
+        self.majority_heard_at = self.now
+        if effect.changed:
+            state = effect.state
+            recipients = {*state.relays, *state.voters, *self.fleet.members} - {self.name}
+            for name in sorted(recipients):
+                self._send(name, StateUpdate(state))
+        self._adopt()
+
+    def _on_round_failed(self, reason: str) -> None:
+        self.failure_reason = reason
+        # A random delay, so that two proposers do not keep each other from a majority.
+        self.failed_rounds = min(self.failed_rounds + 1, MAX_COUNTED_FAILURES)
+        max_delay_ms = min(MAX_RETRY_DELAY_MS, TICK_MS * 2.0**self.failed_rounds)
+        self.retry_at = self.now + self.random.uniform(0.0, max_delay_ms)
+        if not self.registered:
+            peers = [name for name in self.fleet.members if name != self.name]
+            for name in self.random.sample(peers, min(MAX_CATCH_UP_RELAYS, len(peers))):
+                self._send(name, CatchUpRequest(self.state.version))
+
+    def _adopt(self) -> None:
+        if self.state.version <= self.adopted.version:
+            return
+        for line in describe_changes(self.adopted, self.state):
+            self._log(line)
+        former_incarnation = self.incarnation
+        self.adopted = self.state
+        self.observed_since_adoption = False
+        self.effects.append(StateCommitted(self.state))
+        if self.incarnation != former_incarnation:
+            self._log_registration()
+
+    def _log_registration(self) -> None:
+        if self.registered:
+            elapsed_s = (self.now - self.started_at) / 1000.0
+            self._log(f"registered as incarnation {self.incarnation}, {elapsed_s:.1f} s after the start")
         else:
-            self.say_since = self.say_since or self.now
-            if not self._duty():
-                self.effects.append(SendMessage(min(self.fleet.there), ReleaseConfirmation(self.incarnation, mine)))
-        if not self.registered and not self._duty():
-            self.effects.append(SendMessage(min(self.fleet.there), RegisterRelay(self.key)))
-        if self.proposer.round is not None and self.now >= self.began + ROUND_MS:
+            self._log("this relay was declared ended: nothing is placed until it is registered again")
+
+    # Periodic work
+
+    def _on_tick(self) -> None:
+        self._send_requests_to_leader()
+        if self.proposer.round is not None and self.now >= self.round_started_at + ROUND_TIMEOUT_MS:
             self._carry_out(self.proposer.give_up("no majority in time"))
-        if self.proposer.round is None and self.now >= self.wait_until:
-            self._drop_done()
-            busy = bool(not self.registered or self.state.evacuations or self.orders)
-            again = READ_MS if busy else NEWEST_MS if self._duty() else READ_IDLE_MS
-            if self.now >= self.heard_at + again * (1.0 + self.random.random()) or self._change(self.state) is not None:
-                self.began = self.now
-                self._carry_out(self.proposer.start(self._change))
-        if self._duty() and self.now >= self.tell_at + (TELL_MS if self.state.evacuations else NEWEST_MS):
-            self._remind()
-        self.effects.append(SetTimer(BEAT_MS * self.random.uniform(0.8, 1.2), BEAT))
-
-    def _remind(self) -> None:
-        """Who has not confirmed may not have heard. The others are told what is newest, so that they need not read:
-        each read stands in the way of changes."""
-        self.tell_at = self.now
+        if self.proposer.round is None and self.now >= self.retry_at:
+            self._start_round_if_due()
+        reminder_interval_ms = REMINDER_INTERVAL_MS if self.state.evacuations else LATEST_VERSION_INTERVAL_MS
+        if self._leads and self.now >= self.reminded_at + reminder_interval_ms:
+            self._send_reminders()
+        self.effects.append(SetTimer(TICK_MS * self.random.uniform(0.8, 1.2), TICK))
+
+    def _send_requests_to_leader(self) -> None:
+        releases = self._releases()
+        if not releases:
+            self.confirmable_since = 0.0
+        else:
+            self.confirmable_since = self.confirmable_since or self.now
+            if not self._leads:
+                self._send(self._leader, ReleaseConfirmation(self.incarnation, releases))
+        if not self.registered and not self._leads:
+            self._send(self._leader, RegisterRelay(self.key))
+
+    def _start_round_if_due(self) -> None:
+        self._drop_completed()
+        jitter = 1.0 + self.random.random()
+        read_due = self.now >= self.majority_known_at + self._read_interval_ms() * jitter
+        if read_due or self._proposed_change(self.state) is not None:
+            self.round_started_at = self.now
+            self._carry_out(self.proposer.start(self._proposed_change))
+
+    def _read_interval_ms(self) -> float:
+        if not self.registered or self.state.evacuations or self.commands:
+            return READ_INTERVAL_BUSY_MS
+        return LATEST_VERSION_INTERVAL_MS if self._leads else READ_INTERVAL_IDLE_MS
+
+    def _send_reminders(self) -> None:
+        """Tell the members the latest version, so that they need not read, and unconfirmed relays the state."""
+        self.reminded_at = self.now
         state = self.state
-        if self.now <= self.read_at + 3.0 * NEWEST_MS:
-            for name in self.fleet.there:
+        if self.now <= self.majority_heard_at + 3.0 * LATEST_VERSION_INTERVAL_MS:
+            for name in self.fleet.members:
                 if name != self.name:
-                    self.effects.append(SendMessage(name, LatestVersion(state.version)))
-        missing = {
-            n for m, o in state.evacuations.items() if o.stage == EMPTYING for n in state.unconfirmed_relays(m)
-        } - {self.name}
-        for name in sorted(missing.intersection(self.fleet.there)):
-            self.effects.append(SendMessage(name, StateUpdate(state)))
-
-    def _drop_done(self) -> None:
-        """Words and orders that a committed state has, or can no longer take."""
-        for name in [name for name in self.said if name not in self.state.relays]:
-            del self.said[name]
-        for name, (key, at) in list(self.entering.items()):
-            # Who still waits says so again; a word that lies about may be of a process that has ended.
-            if self.state.process_keys.get(name) == key or self.now > at + ENTER_MS:
-                del self.entering[name]
-        self.orders = [order for order in self.orders if self._ordered(self.state, order) is not None]
-
-    def _change(self, state: MaintenanceState) -> MaintenanceState | None:
-        """All that this relay wants changed, in one go."""
-        steps: list[Callable[[MaintenanceState], MaintenanceState | None]] = []
-        if not self.registered and (self._duty() or self.now >= self.started + ENTER_MS):
-            steps.append(lambda s: s.with_relay(self.name, self.key))
-        steps.append(self._revises)
-        steps += [lambda s, order=order: self._ordered(s, order) for order in self.orders]  # type: ignore[misc]
-        steps += [self._confirms, self._votes_again]
-        if self._duty():
-            steps += [
-                lambda s, n=name, k=key: s.with_relay(n, k)  # type: ignore[misc]
-                for name, (key, _) in self.entering.items()
-            ]
-            steps += [
-                lambda s, n=name, w=word: s.with_confirmations(n, w.incarnation, w.turns)  # type: ignore[misc]
-                for name, word in self.said.items()
-            ]
-            steps += [self._troubled, self._advances]
-        found: MaintenanceState = state
-        for step in steps:
-            found = step(found) or found
-        return found if found.version > state.version else None
+                    self._send(name, LatestVersion(state.version))
+        unconfirmed: set[str] = set()
+        for backend, evacuation in state.evacuations.items():
+            if evacuation.stage == EMPTYING:
+                unconfirmed.update(state.unconfirmed_relays(backend))
+        for name in sorted((unconfirmed - {self.name}).intersection(self.fleet.members)):
+            self._send(name, StateUpdate(state))
+
+    def _drop_completed(self) -> None:
+        """Forget confirmations, registrations and commands that the committed state contains or cannot accept."""
+        for name in [name for name in self.confirmations if name not in self.state.relays]:
+            del self.confirmations[name]
+        for name, (key, requested_at) in list(self.registering.items()):
+            # A process that still waits repeats its request; an old one may be of a process that has ended.
+            expired = self.now > requested_at + OWN_REGISTRATION_DELAY_MS
+            if expired or self.state.process_keys.get(name) == key:
+                del self.registering[name]
+        self.commands = [command for command in self.commands if command.apply(self.state) is not None]
+
+    # Proposed changes
+
+    def _proposed_change(self, state: MaintenanceState) -> MaintenanceState | None:
+        """Apply all changes that this relay proposes. Return None where they leave the state as it is."""
+        changed = state
+        for change in self._proposed_changes():
+            changed = change(changed) or changed
+        return changed if changed.version > state.version else None
+
+    def _proposed_changes(self) -> list[StateChange]:
+        changes: list[StateChange] = []
+        if not self.registered and (self._leads or self.now >= self.started_at + OWN_REGISTRATION_DELAY_MS):
+            changes.append(partial(_register, self.name, self.key))
+        changes.append(self._revert_outdated_evacuations)
+        changes += [command.apply for command in self.commands]
+        changes += [self._confirm_own_releases, self._replace_own_voter_file]
+        if self._leads:
+            changes += [partial(_register, name, key) for name, (key, _) in self.registering.items()]
+            changes += [partial(_confirm, name, message) for name, message in self.confirmations.items()]
+            changes += [self._pause_or_resume, self._advance]
+        return changes
 
     @property
-    def _fresh(self) -> bool:
-        return self.now <= self.fleet_at + FRESH_MS and self.now >= self.steady_from
-
-    def _advances(self, state: MaintenanceState) -> MaintenanceState | None:
-        return state.advanced(self.fleet.seen) if self._fresh else None
-
-    def _revises(self, state: MaintenanceState) -> MaintenanceState | None:
-        """Turns that a minority holds since a proposer failed, who knows how long ago: they become agreed on by this
-        round, so they must fit what is there now."""
-        doubtful = [
-            m
-            for m, out in state.evacuations.items()
-            if out.stage == EMPTYING and out.number > self.state.last_evacuation_number
+    def _observation_valid(self) -> bool:
+        recent = self.now <= self.observed_at + MAX_OBSERVATION_AGE_MS
+        return recent and self.now >= self.observations_valid_from
+
+    def _advance(self, state: MaintenanceState) -> MaintenanceState | None:
+        return state.advanced(self.fleet.backends) if self._observation_valid else None
+
+    def _revert_outdated_evacuations(self, state: MaintenanceState) -> MaintenanceState | None:
+        """Revert evacuations that a failed proposer left with a minority, unless the capacity limits still hold.
+
+        This round would commit them, at an unknown time after they were proposed.
+        """
+        uncommitted = [
+            backend
+            for backend, evacuation in state.evacuations.items()
+            if evacuation.stage == EMPTYING and evacuation.number > self.state.last_evacuation_number
         ]
-        if not doubtful or (self._fresh and state.meets_capacity_floors(self.fleet.seen)):
+        if not uncommitted or (self._observation_valid and state.meets_capacity_floors(self.fleet.backends)):
             return None
-        return state.with_evacuations_reverted(doubtful)
+        return state.with_evacuations_reverted(uncommitted)
 
-    def _troubled(self, state: MaintenanceState) -> MaintenanceState | None:
-        if self.fleet.trouble:
-            return state.with_pause(self.fleet.trouble)
-        return state.without_pause() if self.now >= self.calm_since + CALM_MS else None
+    def _pause_or_resume(self, state: MaintenanceState) -> MaintenanceState | None:
+        if self.fleet.fault:
+            return state.with_pause(self.fleet.fault)
+        return state.without_pause() if self.now >= self.last_fault_at + STABLE_PERIOD_MS else None
 
-    def _duty(self) -> bool:
-        """The first of the members by name brings things on; who it is need not be agreed on."""
-        return self.name == min(self.fleet.there, default=self.name)
+    def _releases(self) -> dict[str, int]:
+        """Return the evacuations that this relay can confirm, by backend.
 
-    def _mine(self) -> dict[str, int]:
-        """What this relay can confirm: only turns that it has taken up, since it places nothing there since then, and
-        only by a look after that: a connection may have come between the last look and the turn."""
-        if not self.registered or not self.looked:
+        Only adopted ones, since it places nothing there from then on, and only by an observation after the adoption:
+        a connection may have been placed between an earlier observation and the adoption.
+        """
+        if not self.registered or not self.observed_since_adoption:
             return {}
+        own = (self.name, self.incarnation)
         return {
-            m: out.number
-            for m, out in self.taken.evacuations.items()
-            if out.stage == EMPTYING
-            and m not in self.fleet.holds
-            and (self.name, self.incarnation) not in out.confirmed_by
+            backend: evacuation.number
+            for backend, evacuation in self.adopted.evacuations.items()
+            if evacuation.stage == EMPTYING
+            and backend not in self.fleet.used_backends
+            and own not in evacuation.confirmed_by
         }
 
-    def _confirms(self, state: MaintenanceState) -> MaintenanceState | None:
-        mine = self._mine()
-        itself = self._duty() or self.now >= self.say_since + SAY_MS
-        return state.with_confirmations(self.name, self.incarnation, mine) if mine and itself else None
+    def _confirm_own_releases(self, state: MaintenanceState) -> MaintenanceState | None:
+        releases = self._releases()
+        due = self._leads or self.now >= self.confirmable_since + OWN_CONFIRMATION_DELAY_MS
+        return state.with_confirmations(self.name, self.incarnation, releases) if releases and due else None
 
-    def _votes_again(self, state: MaintenanceState) -> MaintenanceState | None:
-        """With another file than the voters know of: the one before was lost, and what it promised with it. The
-        others take the new one in, all of them, before it counts."""
+    def _replace_own_voter_file(self, state: MaintenanceState) -> MaintenanceState | None:
+        """Propose this relay's new file, where its former one was lost with the promises in it.
+
+        It counts once all voters of the new set have accepted it.
+        """
         if not self.identity or self.name not in state.voters:
             return None
         return state.with_voter(self.name, self.identity)
 
-    def _ordered(self, state: MaintenanceState, order: OperatorCommand) -> MaintenanceState | None:
-        what, more = order.what, order.more
-        found: MaintenanceState | None = None
-        if order.kind == "ask" and isinstance(what, MaintenanceRequest):
-            found = state.with_request(what, more)
-        elif order.kind == "done":
-            found = state.with_work_completed(what, more)
-        elif order.kind == "give up":
-            found = state.with_backend_abandoned(what, more)
-        elif order.kind == "cancel":
-            found = state.with_request_cancelled(what, more)
-        elif order.kind == "ended":
-            found = state.without_relay(what, more)
-        elif order.kind == "pause":
-            found = state.with_pause(what, True)
-        elif order.kind == "resume":
-            found = state.without_pause(what)
-        elif order.kind == "voter":
-            found = state.with_voter(what, more)
-        elif order.kind == "no voter":
-            found = state.without_voter(what)
-        return found
+
+def _register(name: str, key: str, state: MaintenanceState) -> MaintenanceState | None:
+    return state.with_relay(name, key)
+
+
+def _confirm(name: str, message: ReleaseConfirmation, state: MaintenanceState) -> MaintenanceState | None:
+    return state.with_confirmations(name, message.incarnation, message.numbers)
--- a/yarrowspindle/maintenance/fleet_health.py
+++ b/yarrowspindle/maintenance/fleet_health.py
@@ -1,4 +1,4 @@
-"""What one relay sees of the machines: which are warm, and why none should leave just now. Pure."""
+"""What one relay observes of the backends: which are warmed up, and which faults there are. Pure."""
 
 from __future__ import annotations
 
@@ -8,14 +8,19 @@
 from yarrowspindle.decisions.events import EndpointState
 from yarrowspindle.maintenance.state import EMPTYING, WARMING, BackendObservation, MaintenanceState
 
-TROUBLE_MS = 10_000.0  # a machine that died is trouble for so long, then it is how things are
-WINDOW_MS, MIN_ASKED = 5000.0, 20
-MAX_NAMED = 3
+FAULT_PERIOD_MS = 10_000.0  # for which the death of a backend counts as a fault
+REJECTION_WINDOW_MS = 5000.0
+MIN_REQUESTS = 20  # in the window, for a share of rejected ones to count
+MAX_NAMED_BACKENDS = 3  # in a fault's text
 
 
 @dataclass(slots=True, frozen=True)
 class BackendSample:
-    """A machine as the list has it now. failing: this relay passes it over. held: connections that it knows of."""
+    """A backend as the endpoint list has it now.
+
+    started: when its process started, as the list has it. failing: this relay does not place there, because attempts
+    failed. connections: as far as this relay knows.
+    """
 
     name: str
     zone: int
@@ -23,80 +28,133 @@
     state: EndpointState
     started: float
     failing: bool = False
-    held: int = 0
+    connections: int = 0
+
+
+@dataclass(slots=True, frozen=True)
+class FleetAssessment:
+    """The backends for the replicated state, and why none should leave now; an empty fault where nothing is wrong."""
+
+    backends: Mapping[str, BackendObservation]
+    fault: str
 
 
 @dataclass(slots=True)
-class Known:
+class KnownBackend:
+    """A backend as it was last seen. warm_at: when it has warmed up, in milliseconds."""
+
     state: EndpointState
     started: float
     warm_at: float
 
 
+@dataclass(slots=True, frozen=True)
+class RequestCounts:
+    """How many requests were received and rejected since the start, at a time in milliseconds."""
+
+    at: float
+    received: int
+    rejected: int
+
+
 class FleetHealth:
-    """cold_ms: how long a machine is cold. pressure: the share of refused jobs from which on none should leave.
-
-    What was there at the first look is taken for warm: whoever starts cannot know better, and the floor counts it."""
-
-    def __init__(self, cold_ms: float, pressure: float) -> None:
-        self.cold_ms, self.pressure = cold_ms, pressure
-        self.machines: dict[str, Known] = {}
-        self.died: dict[str, float] = {}
-        self.counts: list[tuple[float, int, int]] = []  # when, jobs asked and refused since the start
-        self.looked = False
-
-    def look(
-        self, now: float, machines: Iterable[BackendSample], state: MaintenanceState, asked: int = 0, refused: int = 0
-    ) -> tuple[Mapping[str, BackendObservation], str]:
-        """The machines for the agreement, and the trouble; empty where there is none."""
-        seen: dict[str, BackendObservation] = {}
-        failing = []
-        for at in machines:
-            known = self.machines.get(at.name)
-            if known is None or known.started != at.started or known.state is EndpointState.GONE:
-                warm_at = now + self.cold_ms if self.looked and at.state is EndpointState.READY else now
-                self.machines[at.name] = known = Known(at.state, at.started, warm_at)
-            out = state.evacuations.get(at.name)
-            if out is not None and out.stage != WARMING:
-                known.warm_at = now + self.cold_ms  # whatever the list says: it comes back cold
-                if out.stage == EMPTYING and known.state is EndpointState.READY and at.state is EndpointState.GONE:
-                    self.died[at.name] = now
-            elif known.state is EndpointState.READY and at.state is EndpointState.GONE:
-                self.died[at.name] = now
-            elif at.failing and at.state is EndpointState.READY and out is None:
-                failing.append(at.name)
-            known.state = at.state
-            ready = at.state is EndpointState.READY and now >= known.warm_at and not at.failing
-            if at.state is not EndpointState.GONE:
-                seen[at.name] = BackendObservation(at.zone, at.capacity, ready, at.held)
-        for name in self.machines.keys() - seen.keys():
-            known = self.machines[name]
-            if known.state is EndpointState.READY and (
-                name not in state.evacuations or state.evacuations[name].stage == EMPTYING
-            ):
-                self.died[name] = now
+    """Assesses the fleet. `warmup_ms` is how long a backend warms up, `max_rejected_fraction` the pressure allowed.
+
+    Backends of the first assessment count as warmed up: a relay that starts cannot know better, and the capacity floor
+    of maintenance counts them.
+    """
+
+    def __init__(self, warmup_ms: float, max_rejected_fraction: float) -> None:
+        self.warmup_ms = warmup_ms
+        self.max_rejected_fraction = max_rejected_fraction
+        self.backends: dict[str, KnownBackend] = {}
+        self.died_at: dict[str, float] = {}
+        self.counts: list[RequestCounts] = []  # of the window
+        self.assessed = False
+
+    def assess(
+        self,
+        now: float,
+        samples: Iterable[BackendSample],
+        state: MaintenanceState,
+        received: int = 0,
+        rejected: int = 0,
+    ) -> FleetAssessment:
+        """Return the observations and the fault at a time in milliseconds; counts of requests are since the start."""
+        observations: dict[str, BackendObservation] = {}
+        failing: list[str] = []
+        for sample in samples:
+            known = self._known(now, sample)
+            self._update(now, known, sample, state)
+            available = sample.state is EndpointState.READY
+            if sample.failing and available and sample.name not in state.evacuations:
+                failing.append(sample.name)
+            if sample.state is not EndpointState.GONE:
+                ready = available and now >= known.warm_at and not sample.failing
+                observations[sample.name] = BackendObservation(sample.zone, sample.capacity, ready, sample.connections)
+        self._update_unlisted(now, observations.keys(), state)
+        self.assessed = bool(self.backends)
+        self._forget_old_deaths(now)
+        pressure = self._pressure(now, received, rejected)
+        return FleetAssessment(observations, self._fault(failing, pressure))
+
+    def _known(self, now: float, sample: BackendSample) -> KnownBackend:
+        """Return the record of the backend, a new one where its process is new."""
+        known = self.backends.get(sample.name)
+        if known is None or known.started != sample.started or known.state is EndpointState.GONE:
+            warms_up = self.assessed and sample.state is EndpointState.READY
+            known = KnownBackend(sample.state, sample.started, now + self.warmup_ms if warms_up else now)
+            self.backends[sample.name] = known
+        return known
+
+    def _update(self, now: float, known: KnownBackend, sample: BackendSample, state: MaintenanceState) -> None:
+        evacuation = state.evacuations.get(sample.name)
+        out = evacuation is not None and evacuation.stage != WARMING
+        if out:
+            known.warm_at = now + self.warmup_ms  # it warms up when it returns, whatever the list has
+        in_use = not out or (evacuation is not None and evacuation.stage == EMPTYING)
+        if in_use and known.state is EndpointState.READY and sample.state is EndpointState.GONE:
+            self.died_at[sample.name] = now
+        known.state = sample.state
+
+    def _update_unlisted(self, now: float, listed: Collection[str], state: MaintenanceState) -> None:
+        for name in self.backends.keys() - set(listed):
+            known = self.backends[name]
+            evacuation = state.evacuations.get(name)
+            in_use = evacuation is None or evacuation.stage == EMPTYING
+            if in_use and known.state is EndpointState.READY:
+                self.died_at[name] = now
             known.state = EndpointState.GONE
-        self.looked = bool(self.machines)
-        return seen, self._trouble(now, failing, asked, refused)
-
-    def _trouble(self, now: float, failing: Collection[str], asked: int, refused: int) -> str:
-        for name in [n for n, at in self.died.items() if now >= at + TROUBLE_MS]:
-            del self.died[name]
-            if self.machines[name].state is EndpointState.GONE:
-                del self.machines[name]
-        self.counts.append((now, asked, refused))
-        while self.counts[0][0] < now - WINDOW_MS:
+
+    def _forget_old_deaths(self, now: float) -> None:
+        expired = [name for name, died_at in self.died_at.items() if now >= died_at + FAULT_PERIOD_MS]
+        for name in expired:
+            del self.died_at[name]
+            if self.backends[name].state is EndpointState.GONE:
+                del self.backends[name]
+
+    def _pressure(self, now: float, received: int, rejected: int) -> str:
+        """Return the text of a fault where too many of the window's requests were rejected, else an empty string."""
+        self.counts.append(RequestCounts(now, received, rejected))
+        while self.counts[0].at < now - REJECTION_WINDOW_MS:
             self.counts.pop(0)
-        came, turned = asked - self.counts[0][1], refused - self.counts[0][2]
-        if self.died:
-            return f"{named(self.died)} died"
+        first = self.counts[0]
+        recent = received - first.received
+        recently_rejected = rejected - first.rejected
+        if recent < MIN_REQUESTS or recently_rejected <= self.max_rejected_fraction * recent:
+            return ""
+        return f"the fleet is under pressure: {recently_rejected / recent:.0%} of the jobs were refused"
+
+    def _fault(self, failing: Collection[str], pressure: str) -> str:
+        if self.died_at:
+            return f"{_list_names(self.died_at)} died"
         if failing:
-            return f"{named(failing)} {'fails' if len(failing) == 1 else 'fail'}"
-        if came >= MIN_ASKED and turned > self.pressure * came:
-            return f"the fleet is under pressure: {turned / came:.0%} of the jobs were refused"
-        return ""
+            return f"{_list_names(failing)} {'fails' if len(failing) == 1 else 'fail'}"
+        return pressure
 
 
-def named(names: Collection[str]) -> str:
-    some = ", ".join(sorted(names)[:MAX_NAMED])
-    return f"{some} and {len(names) - MAX_NAMED} more" if len(names) > MAX_NAMED else some
+def _list_names(names: Collection[str]) -> str:
+    listed = ", ".join(sorted(names)[:MAX_NAMED_BACKENDS])
+    if len(names) > MAX_NAMED_BACKENDS:
+        return f"{listed} and {len(names) - MAX_NAMED_BACKENDS} more"
+    return listed
--- a/yarrowspindle/maintenance/settings.py
+++ b/yarrowspindle/maintenance/settings.py
@@ -1,4 +1,4 @@
-"""What operators may set of turns, with checks that name the wrong key."""
+"""The settings of maintenance in the operator's file, with checks that name the wrong key."""
 
 from __future__ import annotations
 
@@ -19,18 +19,32 @@
 from yarrowspindle.membership.settings import PeerError, read_address
 from yarrowspindle.routing.address import Address
 
-ZONES = "zones"
-ORDERS = (ORDER_GIVEN, ORDER_FEWEST, ZONES)
+ORDER_ZONES = "zones"
+ORDERS = (ORDER_GIVEN, ORDER_FEWEST, ORDER_ZONES)
 MAX_VOTERS = 15
+REQUEST_VALUE_TYPES: dict[str, type | tuple[type, ...]] = {
+    "zone": str,
+    "kind": str,
+    "order": str,
+    "name": str,
+    "most": int,
+    "most_zone": int,
+    "floor": (int, float),
+    "deadline_s": (int, float),
+}
+NUMBER_RANGES = {"moves_per_s": (0.1, 100_000.0), "pressure": (0.0, 1.0)}  # of keys of [turns]
 
 
 @dataclass(slots=True, frozen=True)
-class Asking:
-    """A request as operators write it: machines by name, or all of a zone or kind.
+class RequestSettings:
+    """A request as operators write it. The field names are keys of the file and of the operators' API.
 
-    most, most_zone: out at once, in all and of one zone. floor: ready capacity that must stay, in units of the list.
-    deadline_s: a machine that has not emptied by then loses what is left at once. order: "given", "fewest" connections
-    first, or "zones", zone by zone. name: the operator's file asks for each name once.
+    machines: backends by name; or `zone` or `kind`: all of one. most, most_zone: backends out at once, in all and of
+    one zone. floor: ready capacity that must remain, in the units of the endpoint list. deadline_s: connections that
+    remain on a backend after so many seconds are migrated at once. order: "given", "fewest" connections first, or
+    "zones", zone by zone. name: the operator's file queues a request of each name once.
+
+    Raises MaintenanceError where a value is invalid.
     """
 
     machines: tuple[str, ...] = ()
@@ -50,49 +64,50 @@
             raise MaintenanceError(f"order is {self.order!r}: one of {', '.join(ORDERS)} is wanted")
         if len(self.name) > MAX_NAME_LENGTH:
             raise MaintenanceError(f"a name has at most {MAX_NAME_LENGTH} characters")
-        self.wish(self.machines or ("any",), {})  # the figures
+        self.request(self.machines or ("any",), {})  # checks the limits
+
+    def request(self, backends: tuple[str, ...], zones: Mapping[str, int]) -> MaintenanceRequest:
+        """Return the request for these backends. `zones` is the number of each backend's zone.
 
-    def wish(self, machines: tuple[str, ...], zones: Mapping[str, int]) -> MaintenanceRequest:
-        """machines: those of the zone or kind, where it names one. zones: of each machine."""
-        if self.order == ZONES:
-            machines = tuple(sorted(machines, key=lambda m: zones.get(m, 0)))
-        order = ORDER_FEWEST if self.order == ORDER_FEWEST else ORDER_GIVEN
+        Zone by zone is an order that is given: the backends are sorted here, once.
+        """
+        if self.order == ORDER_ZONES:
+            backends = tuple(sorted(backends, key=lambda backend: zones.get(backend, 0)))
         return MaintenanceRequest(
-            machines, self.most, self.most_zone, float(self.floor), float(self.deadline_s), order, self.name
+            backends,
+            self.most,
+            self.most_zone,
+            float(self.floor),
+            float(self.deadline_s),
+            ORDER_FEWEST if self.order == ORDER_FEWEST else ORDER_GIVEN,
+            self.name,
         )
 
 
-def read_asking(section: Mapping[str, Any]) -> Asking:
-    """Raises TurnError, with the key."""
+def read_request_settings(section: Mapping[str, Any]) -> RequestSettings:
+    """Return the settings of a request. Raises MaintenanceError, which names the wrong key."""
     values = dict(section)
-    _known(values, Asking, "turns.request")
-    kinds: dict[str, type | tuple[type, ...]] = {
-        "zone": str,
-        "kind": str,
-        "order": str,
-        "name": str,
-        "most": int,
-        "most_zone": int,
-        "floor": (int, float),
-        "deadline_s": (int, float),
-    }
-    for key, kind in kinds.items():
-        if key in values and (isinstance(values[key], bool) or not isinstance(values[key], kind)):
+    _reject_unknown_keys(values, RequestSettings, "turns.request")
+    for key, expected in REQUEST_VALUE_TYPES.items():
+        if key in values and (isinstance(values[key], bool) or not isinstance(values[key], expected)):
             raise MaintenanceError(f"turns.request.{key} is {values[key]!r}, of another kind than is wanted")
     machines = values.get("machines", [])
-    if not isinstance(machines, list | tuple) or not all(isinstance(m, str) for m in machines):
+    if not isinstance(machines, list | tuple) or not all(isinstance(name, str) for name in machines):
         raise MaintenanceError(f"turns.request.machines is {machines!r}: a list of names is wanted")
     values["machines"] = tuple(machines)
-    return Asking(**values)
+    return RequestSettings(**values)
 
 
 @dataclass(slots=True, frozen=True)
-class TurnSettings:
-    """directory: this relay's own, for its lock and, where it votes, for its file.
-    voters: names of the relays that vote, the same at all relays; read once, at the first start of all.
-    command: where `python -m yarrowspindle turns` calls, on loopback; nowhere where it is left out.
-    moves_per_s: connections moved off machines that empty, by all relays together.
-    pressure: the share of jobs refused from which on no machine is taken out.
+class MaintenanceSettings:
+    """The section `[turns]` of the operator's file; the field names are its keys.
+
+    directory: this relay's own, for its lock and, if it votes, its file. voters: names of the relays that vote, the
+    same at all relays; read once, at the first start of all. command: loopback address of the operators' calls; None
+    for no calls. moves_per_s: connections migrated off emptying backends, by all relays together. pressure: the share
+    of rejected requests above which no backend leaves. requests: to be queued when the file is read again.
+
+    Raises MaintenanceError, which names the wrong key.
     """
 
     directory: str
@@ -100,13 +115,13 @@
     command: Address | None = None
     moves_per_s: float = 20.0
     pressure: float = 0.05
-    requests: tuple[Asking, ...] = ()
+    requests: tuple[RequestSettings, ...] = ()
 
     def __post_init__(self) -> None:
-        for key, least, most in (("moves_per_s", 0.1, 100_000.0), ("pressure", 0.0, 1.0)):
+        for key, (low, high) in NUMBER_RANGES.items():
             value = getattr(self, key)
-            if isinstance(value, bool) or not isinstance(value, int | float) or not least <= value <= most:
-                raise MaintenanceError(f"turns.{key} is {value!r}: a number from {least:g} to {most:g} is wanted")
+            if isinstance(value, bool) or not isinstance(value, int | float) or not low <= value <= high:
+                raise MaintenanceError(f"turns.{key} is {value!r}: a number from {low:g} to {high:g} is wanted")
         if not isinstance(self.directory, str) or not self.directory:
             raise MaintenanceError("turns.directory is missing: a folder of this relay's own")
         if not 1 <= len(self.voters) <= MAX_VOTERS or len(set(self.voters)) != len(self.voters):
@@ -115,30 +130,40 @@
             raise MaintenanceError(f"turns.request: {MAX_REQUESTS} at most")
 
 
-def _known(values: Iterable[str], of: type, where: str) -> None:
-    known = [f.name for f in fields(of)]
-    for key in set(values) - set(known):
-        near = get_close_matches(key, known, 1)
-        raise MaintenanceError(f"{where}.{key} is not known" + (f"; {near[0]} is" if near else ""))
-
-
-def read_turns(section: Mapping[str, Any]) -> TurnSettings:
-    """The settings from the operator's `[turns]`; raises TurnError."""
+def read_maintenance_settings(section: Mapping[str, Any]) -> MaintenanceSettings:
+    """Return the settings of the section `[turns]`. Raises MaintenanceError, which names the wrong key."""
     values = dict(section)
     requests = values.pop("request", [])
-    _known(values, TurnSettings, "turns")
-    if not isinstance(requests, list) or not all(isinstance(r, dict) for r in requests):
+    _reject_unknown_keys(values, MaintenanceSettings, "turns")
+    if not isinstance(requests, list) or not all(isinstance(request, dict) for request in requests):
         raise MaintenanceError("[[turns.request]] is a list of tables")
     voters = values.get("voters", [])
-    if not isinstance(voters, list) or not all(isinstance(v, str) and 0 < len(v) <= MAX_NAME_LENGTH for v in voters):
+    if not isinstance(voters, list) or not all(_is_name(voter) for voter in voters):
         raise MaintenanceError(f"turns.voters is {voters!r}: a list of relays' names is wanted")
-    values["voters"], values["requests"] = tuple(voters), tuple(read_asking(r) for r in requests)
+    values["voters"] = tuple(voters)
+    values["requests"] = tuple(read_request_settings(request) for request in requests)
     if "command" in values:
-        try:
-            values["command"] = read_address("command", values["command"])
-        except PeerError as error:
-            raise MaintenanceError(f"turns.{str(error).removeprefix('peers.')}") from None
-        if not IPv4Address(values["command"][0]).is_loopback:
-            raise MaintenanceError(f"turns.command is {section['command']!r}: a loopback address is wanted")
+        values["command"] = _read_loopback_address(values["command"])
     values.setdefault("directory", "")
-    return TurnSettings(**values)
+    return MaintenanceSettings(**values)
+
+
+def _is_name(value: object) -> bool:
+    return isinstance(value, str) and 0 < len(value) <= MAX_NAME_LENGTH
+
+
+def _read_loopback_address(value: Any) -> Address:
+    try:
+        address = read_address("command", value)
+    except PeerError as error:
+        raise MaintenanceError(f"turns.{str(error).removeprefix('peers.')}") from None
+    if not IPv4Address(address[0]).is_loopback:
+        raise MaintenanceError(f"turns.command is {value!r}: a loopback address is wanted")
+    return address
+
+
+def _reject_unknown_keys(keys: Iterable[str], settings: type, section: str) -> None:
+    known = [field.name for field in fields(settings)]
+    for key in set(keys) - set(known):
+        similar = get_close_matches(key, known, 1)
+        raise MaintenanceError(f"{section}.{key} is not known" + (f"; {similar[0]} is" if similar else ""))
--- a/yarrowspindle/maintenance/status_report.py
+++ b/yarrowspindle/maintenance/status_report.py
@@ -1,4 +1,7 @@
-"""What operators are shown of turns: the queue, who is out, what each waits for. Pure; it decides nothing."""
+"""What operators are shown of maintenance: requests, backends out of service, and what each waits for.
+
+Pure, and it decides nothing. JSON keys and texts are published.
+"""
 
 from __future__ import annotations
 
@@ -6,125 +9,166 @@
 from typing import Any
 
 from yarrowspindle.maintenance.coordinator import MaintenanceCoordinator
-from yarrowspindle.maintenance.requests import QUEUED
+from yarrowspindle.maintenance.requests import QUEUED, RequestStatus
 from yarrowspindle.maintenance.state import EMPTYING, FREE, WARMING
 
-MAJORITY_MS = 25_000.0  # a majority that was not heard for so long is said to be missing
+MAJORITY_TIMEOUT_MS = 25_000.0  # after which a majority that was not heard is shown as missing
 
 
-def waits_for(core: MaintenanceCoordinator, machine: str, there: Collection[str]) -> list[str]:
-    """What a machine that is out waits for, one text for each cause."""
-    out, seen = core.taken.evacuations[machine], core.fleet.seen.get(machine)
-    if out.stage == FREE:
+def waiting_reasons(coordinator: MaintenanceCoordinator, backend: str, members: Collection[str]) -> list[str]:
+    """Return what a backend that is out of service waits for, one text for each cause."""
+    stage = coordinator.adopted.evacuations[backend].stage
+    if stage == FREE:
         return ["the operator's done"]
-    if out.stage == WARMING:
-        cause = "to be in the machine list" if seen is None else "to be ready and warm" if not seen.ready else ""
-        return [cause or "the next beat"]
-    found = []
-    for name in core.taken.unconfirmed_relays(machine):
-        if name == core.name:
-            found.append(f"{name}: holds connections there" if machine in core.fleet.holds else f"{name}: next beat")
-        elif name in there:
-            found.append(f"{name}: has not confirmed yet")
-        else:
-            found.append(f"{name}: cannot be reached; if it has ended for good, say: turns ended {name}")
-    return found
-
-
-def show(
-    core: MaintenanceCoordinator, now: float, since: Mapping[int, float], there: Collection[str]
+    if stage == WARMING:
+        return [_warming_reason(coordinator, backend)]
+    return [
+        _unconfirmed_reason(coordinator, name, backend, members)
+        for name in coordinator.adopted.unconfirmed_relays(backend)
+    ]
+
+
+def _warming_reason(coordinator: MaintenanceCoordinator, backend: str) -> str:
+    observed = coordinator.fleet.backends.get(backend)
+    if observed is None:
+        return "to be in the machine list"
+    return "the next beat" if observed.ready else "to be ready and warm"
+
+
+def _unconfirmed_reason(coordinator: MaintenanceCoordinator, relay: str, backend: str, members: Collection[str]) -> str:
+    if relay == coordinator.name:
+        used = backend in coordinator.fleet.used_backends
+        return f"{relay}: holds connections there" if used else f"{relay}: next beat"
+    if relay in members:
+        return f"{relay}: has not confirmed yet"
+    return f"{relay}: cannot be reached; if it has ended for good, say: turns ended {relay}"
+
+
+def report(
+    coordinator: MaintenanceCoordinator, now: float, adopted_at: Mapping[int, float], members: Collection[str]
 ) -> dict[str, Any]:
-    """since: when this relay took up each turn, by number, in the same milliseconds."""
-    state = core.taken
-    silent = now - core.heard_at
-    heard = core.heard_at > 0.0 and silent < MAJORITY_MS
-    capacity = state.ready_capacity(core.fleet.seen)
-    queue = []
-    for number, request in state.requests.items():
-        entry: dict[str, Any] = {
-            "request": number,
-            "name": request.request.name,
-            "state": request.state,
-            "why": request.reason,
-            "machines": list(request.request.backends),
-        }
-        if request.state == QUEUED:
-            whys = {m: state.blocking_reason(request, m, core.fleet.seen, capacity) for m in request.waiting}
-            entry["waiting"] = [{"machine": m, "why": why or "its turn"} for m, why in whys.items()]
-        queue.append(entry)
-    missing = sorted(name for name in state.relays if name not in there)
+    """Return the status as a JSON object.
+
+    `adopted_at` is when this relay adopted each evacuation, by number. Times are in milliseconds.
+    """
+    state = coordinator.adopted
+    silent_ms = now - coordinator.majority_known_at
+    heard = coordinator.majority_known_at > 0.0
     return {
-        "relay": core.name,
-        "registered": core.registered,
-        "life": core.incarnation,
+        "relay": coordinator.name,
+        "registered": coordinator.registered,
+        "life": coordinator.incarnation,
         "version": state.version,
         "epoch": state.epoch,
         "turn": state.last_evacuation_number,
         "paused": state.pause_reason,
         "by_hand": state.paused_by_operator,
-        "majority": heard,
-        "heard_s": round(silent / 1000.0, 1) if core.heard_at else None,
-        "why": core.why,
+        "majority": heard and silent_ms < MAJORITY_TIMEOUT_MS,
+        "heard_s": round(silent_ms / 1000.0, 1) if heard else None,
+        "why": coordinator.failure_reason,
         "voters": sorted(state.voters),
-        "votes": core.identity != "" and state.voters.get(core.name) == core.identity,
+        "votes": coordinator.identity != "" and state.voters.get(coordinator.name) == coordinator.identity,
         "relays": sorted(state.relays),
-        "unreached": missing,
-        "orders": [f"{order.kind} {getattr(order.what, 'id', order.what)}" for order in core.orders],
-        "out": [
-            {
-                "machine": m,
-                "turn": o.number,
-                "request": o.request_id,
-                "stage": o.stage,
-                "since_s": round((now - since.get(o.number, now)) / 1000.0, 1),
-                "confirmed": sorted(name for name, _ in o.confirmed_by),
-                "waits_for": waits_for(core, m, there),
-            }
-            for m, o in state.evacuations.items()
-        ],
-        "requests": queue,
+        "unreached": sorted(name for name in state.relays if name not in members),
+        "orders": [command.label for command in coordinator.commands],
+        "out": [_evacuation_entry(coordinator, backend, now, adopted_at, members) for backend in state.evacuations],
+        "requests": _request_entries(coordinator),
+    }
+
+
+def _evacuation_entry(
+    coordinator: MaintenanceCoordinator,
+    backend: str,
+    now: float,
+    adopted_at: Mapping[int, float],
+    members: Collection[str],
+) -> dict[str, Any]:
+    evacuation = coordinator.adopted.evacuations[backend]
+    return {
+        "machine": backend,
+        "turn": evacuation.number,
+        "request": evacuation.request_id,
+        "stage": evacuation.stage,
+        "since_s": round((now - adopted_at.get(evacuation.number, now)) / 1000.0, 1),
+        "confirmed": sorted(name for name, _ in evacuation.confirmed_by),
+        "waits_for": waiting_reasons(coordinator, backend, members),
     }
 
 
-def gauges(core: MaintenanceCoordinator, now: float) -> dict[str, float]:
-    stages = [out.stage for out in core.taken.evacuations.values()]
-    queued = [r for r in core.taken.requests.values() if r.state == QUEUED]
+def _request_entries(coordinator: MaintenanceCoordinator) -> list[dict[str, Any]]:
+    entries = []
+    for request_id, status in coordinator.adopted.requests.items():
+        entry: dict[str, Any] = {
+            "request": request_id,
+            "name": status.request.name,
+            "state": status.state,
+            "why": status.reason,
+            "machines": list(status.request.backends),
+        }
+        if status.state == QUEUED:
+            entry["waiting"] = _waiting_entries(coordinator, status)
+        entries.append(entry)
+    return entries
+
+
+def _waiting_entries(coordinator: MaintenanceCoordinator, status: RequestStatus) -> list[dict[str, str]]:
+    state = coordinator.adopted
+    backends = coordinator.fleet.backends
+    ready_capacity = state.ready_capacity(backends)
+    return [
+        {
+            "machine": backend,
+            "why": state.blocking_reason(status, backend, backends, ready_capacity) or "its turn",
+        }
+        for backend in status.waiting
+    ]
+
+
+def gauges(coordinator: MaintenanceCoordinator, now: float) -> dict[str, float]:
+    """Return the gauges for the metrics by published name; `now` is in milliseconds."""
+    state = coordinator.adopted
+    stages = [evacuation.stage for evacuation in state.evacuations.values()]
+    waiting = sum(len(status.waiting) for status in state.requests.values() if status.state == QUEUED)
+    heard_at = coordinator.majority_known_at
     return {
         "emptying": float(stages.count(EMPTYING)),
         "free": float(stages.count(FREE)),
         "warming": float(stages.count(WARMING)),
-        "waiting": float(sum(len(r.waiting) for r in queued)),
-        "turn": float(core.taken.last_evacuation_number),
-        "registered": float(core.registered),
-        "paused": float(bool(core.taken.pause_reason)),
-        "majority_ms": now - core.heard_at if core.heard_at else -1.0,
+        "waiting": float(waiting),
+        "turn": float(state.last_evacuation_number),
+        "registered": float(coordinator.registered),
+        "paused": float(bool(state.pause_reason)),
+        "majority_ms": now - heard_at if heard_at else -1.0,
     }
 
 
-def table(shown: Mapping[str, Any]) -> str:
-    """The same for people."""
-    head = f"relay {shown['relay']}, state {shown['version']}, last turn {shown['turn']}"
-    if not shown["registered"]:
-        head += "; NOT REGISTERED: nothing is placed here"
-    lines = [head]
-    if not shown["majority"]:
-        why = shown["why"] or "starting"
-        lines.append(f"NO MAJORITY of {', '.join(shown['voters'])} heard: nothing new starts ({why})")
-    if shown["paused"]:
-        lines.append(f"PAUSED{' by hand' if shown['by_hand'] else ''}: {shown['paused']}")
-    if shown["unreached"]:
-        lines.append(f"not reached: {', '.join(shown['unreached'])}")
-    lines.append("")
-    lines.append(f"{'machine':20} {'turn':>5} {'stage':9} {'since':>8}  waits for")
-    for out in shown["out"]:
+def format_table(status: Mapping[str, Any]) -> str:
+    """Return the object of `report` as text for a terminal."""
+    lines = [*_heading(status), "", f"{'machine':20} {'turn':>5} {'stage':9} {'since':>8}  waits for"]
+    for entry in status["out"]:
         lines.append(
-            f"{out['machine']:20} {out['turn']:>5} {out['stage']:9} {out['since_s']:>6.1f} s  "
-            f"{'; '.join(out['waits_for'])}"
+            f"{entry['machine']:20} {entry['turn']:>5} {entry['stage']:9} {entry['since_s']:>6.1f} s  "
+            f"{'; '.join(entry['waits_for'])}"
         )
-    if not shown["out"]:
+    if not status["out"]:
         lines.append("(nothing is out)")
-    for request in shown["requests"]:
-        why = f": {request['why']}" if request["why"] else ""
-        lines += ["", f"request {request['request']} {request['name']} is {request['state']}{why}"]
+    for request in status["requests"]:
+        reason = f": {request['why']}" if request["why"] else ""
+        lines += ["", f"request {request['request']} {request['name']} is {request['state']}{reason}"]
         lines += [f"  {entry['machine']:18} {entry['why']}" for entry in request.get("waiting", ())]
     return "\n".join(lines)
+
+
+def _heading(status: Mapping[str, Any]) -> list[str]:
+    first = f"relay {status['relay']}, state {status['version']}, last turn {status['turn']}"
+    if not status["registered"]:
+        first += "; NOT REGISTERED: nothing is placed here"
+    lines = [first]
+    if not status["majority"]:
+        reason = status["why"] or "starting"
+        lines.append(f"NO MAJORITY of {', '.join(status['voters'])} heard: nothing new starts ({reason})")
+    if status["paused"]:
+        lines.append(f"PAUSED{' by hand' if status['by_hand'] else ''}: {status['paused']}")
+    if status["unreached"]:
+        lines.append(f"not reached: {', '.join(status['unreached'])}")
+    return lines
--- a/yarrowspindle/routing/reducer.py
+++ b/yarrowspindle/routing/reducer.py
@@ -221,7 +221,7 @@
             if self.rebalance is not None and isinstance(answer, RejectRequest):
                 self.rebalance.refused(self.now)
             if self.emptying is not None:
-                self.emptying.refused = True
+                self.emptying.requests_rejected = True
 
     def _finish(self, request: Request) -> None:
         self._leave_backend(request)
@@ -502,7 +502,7 @@
                     self.settings.slow_message_ms if self.settings.backend_reports_latency else 0.0,
                 )
                 self.numbers[backend.number] = backend
-                if self.task is not None and m.name in self.task.back:
+                if self.task is not None and m.name in self.task.warming:
                     backend.cold_from = self.now
             backend = self.backends[m.name]
             touched.setdefault(m.name, backend.state)
@@ -554,15 +554,16 @@
 
     def _kept_off(self, name: str) -> bool:
         """Nothing is placed there: it is out for work, or this process does not know yet what is."""
-        return self.task is not None and (self.task.off is None or name in self.task.off)
+        return self.task is not None and (self.task.excluded is None or name in self.task.excluded)
 
     def _turns_told(self, event: MaintenanceUpdated) -> None:
         """For the module a machine that is kept off is draining, and one that came back is cold."""
-        from yarrowspindle.maintenance.evacuation import BEAT_MS, BackendEvacuator  # the platform does without it
+        from yarrowspindle.maintenance.evacuation import TICK_MS as EVACUATION_TICK_MS  # the platform does without it
+        from yarrowspindle.maintenance.evacuation import BackendEvacuator
 
         before = {name for name in self.backends if self._kept_off(name)}
         had, self.task = self.task, event.plan
-        for name in event.plan.back - (had.back if had is not None else frozenset()):
+        for name in event.plan.warming - (had.warming if had is not None else frozenset()):
             if name in self.backends:
                 self.backends[name].cold_from = self.now
         turned = [
@@ -574,21 +575,21 @@
             self._list(EndpointsUpdated(ListKind.DELTA, turned, self.version), False)
         if self.emptying is None:
             self.emptying = BackendEvacuator(self.now)
-            self.effects.append(SetTimer(BEAT_MS, EMPTY))
-        self.emptying.told(self.now, event.plan)
+            self.effects.append(SetTimer(EVACUATION_TICK_MS, EMPTY))
+        self.emptying.set_plan(self.now, event.plan)
 
     def _empty(self) -> None:
-        from yarrowspindle.maintenance.evacuation import BEAT_MS
+        from yarrowspindle.maintenance.evacuation import TICK_MS as EVACUATION_TICK_MS
 
-        self.effects.append(SetTimer(BEAT_MS, EMPTY))
+        self.effects.append(SetTimer(EVACUATION_TICK_MS, EMPTY))
         if self.emptying is None or self.task is None:
             return
         standing = {
             name: [n for n in sorted(backend.requests) if self.requests[n].phase is Phase.ESTABLISHED]
-            for name in self.emptying.until
+            for name in self.emptying.deadlines
             if (backend := self.backends.get(name)) is not None
         }
-        for number in self.emptying.beat(self.now, self.task, standing):
+        for number in self.emptying.next_migrations(self.now, self.task, standing):
             self._move(self.requests.get(number))
 
     def _watch_pushed(self, renew: bool) -> None:
