--- a/yarrowspindle/commands/maintenance.py
+++ b/yarrowspindle/commands/maintenance.py
@@ -12,7 +12,7 @@
 from yarrowspindle.daemon.operator_config import load_operator
 from yarrowspindle.daemon.voter_file import MaintenanceVoterFile
 from yarrowspindle.maintenance.settings import ORDERS
-from yarrowspindle.maintenance.status_report import table
+from yarrowspindle.maintenance.status_report import format_table
 from yarrowspindle.storage.durable_file import FileUnavailableError
 
 
@@ -54,7 +54,7 @@
 @click.pass_context
 def show_(context: click.Context, as_json: bool) -> None:
     found = call(context.obj, "GET", "/turns")
-    click.echo(json.dumps(found) if as_json else table(found))
+    click.echo(json.dumps(found) if as_json else format_table(found))
 
 
 def about(name: str, what: str, text: str) -> None:
@@ -118,7 +118,7 @@
         raise click.ClickException("the operator's file has no [turns]")
     file = MaintenanceVoterFile(operator.turns.directory, operator.peers.name or config.name, operator.peers.cluster)
     try:
-        file.begin(operator.turns.voters)
+        file.initialize(operator.turns.voters)
     except (FileUnavailableError, OSError) as error:
         raise click.ClickException(str(error)) from error
     click.echo(f"{file.path} is made for {file.owner}")
--- a/yarrowspindle/daemon/operator_config.py
+++ b/yarrowspindle/daemon/operator_config.py
@@ -15,7 +15,7 @@
 
 if TYPE_CHECKING:  # the platform does without these packages
     from yarrowspindle.configuration.settings import ControlSettings
-    from yarrowspindle.maintenance.settings import TurnSettings
+    from yarrowspindle.maintenance.settings import MaintenanceSettings
     from yarrowspindle.membership import PeerSettings
     from yarrowspindle.rebalancing import RebalanceSettings
 
@@ -70,7 +70,7 @@
     metrics: MetricsConfig | None = None
     rebalance: RebalanceSettings | None = None
     peers: PeerSettings | None = None
-    turns: TurnSettings | None = None
+    turns: MaintenanceSettings | None = None
     control: ControlSettings | None = None
 
 
@@ -157,10 +157,10 @@
     return read_peers(section)
 
 
-def _read_turns(section: Mapping[str, Any]) -> TurnSettings:
-    from yarrowspindle.maintenance.settings import read_turns
+def _read_turns(section: Mapping[str, Any]) -> MaintenanceSettings:
+    from yarrowspindle.maintenance.settings import read_maintenance_settings
 
-    return read_turns(section)
+    return read_maintenance_settings(section)
 
 
 def _read_control(section: Mapping[str, Any]) -> ControlSettings:
--- a/yarrowspindle/lab/model/exhaustive.py
+++ b/yarrowspindle/lab/model/exhaustive.py
@@ -19,21 +19,22 @@
 
 import msgspec
 
-from yarrowspindle.consensus.register import NONE, Acceptor, AcceptorState
+from yarrowspindle.consensus.acceptor import Acceptor, AcceptorState
+from yarrowspindle.consensus.messages import NO_BALLOT
 from yarrowspindle.lab.model.turning import FIRST, Parts
 from yarrowspindle.maintenance.codec import decode, encode
-from yarrowspindle.maintenance.coordinator import (
-    BEAT,
+from yarrowspindle.maintenance.commands import CompleteWork, OperatorCommand, QueueRequest
+from yarrowspindle.maintenance.coordinator import TICK, MaintenanceCoordinator
+from yarrowspindle.maintenance.events import (
     AskAcceptor,
     FleetObserved,
-    MaintenanceCoordinator,
     MessageReceived,
-    OperatorCommand,
     SendMessage,
     StateCommitted,
     TimerFired,
 )
-from yarrowspindle.maintenance.state import FREE, BackendObservation, MaintenanceRequest, MaintenanceState
+from yarrowspindle.maintenance.requests import MaintenanceRequest
+from yarrowspindle.maintenance.state import FREE, BackendObservation, MaintenanceState
 
 NAMES, MACHINES = ("r0", "r1", "r2"), ("m0", "m1")
 SEEN = {machine: BackendObservation(0, 1.0, True) for machine in MACHINES}
@@ -105,10 +106,11 @@
 def packed(loaded: Loaded, holds: frozenset[str]) -> One:
     """Times are folded away, so that states which differ by them alone are one."""
     core = loaded[0]
-    core.now = core.began = core.read_at = core.tell_at = core.wait_until = core.say_since = 0.0
-    core.told_at = core.started = 0.0
-    core.calm_since = core.fleet_at = core.steady_from = 0.0
-    core.failures, core.why = 0, ""
+    core.now = core.round_started_at = core.majority_heard_at = core.reminded_at = 0.0
+    core.retry_at = core.confirmable_since = 0.0
+    core.version_confirmed_at = core.started_at = 0.0
+    core.last_fault_at = core.observed_at = core.observations_valid_from = 0.0
+    core.failed_rounds, core.failure_reason = 0, ""
     return One(pickle.dumps(loaded), holds)
 
 
@@ -117,7 +119,7 @@
     one, name = state.relays[index], NAMES[index]
     loaded: Loaded = pickle.loads(one.core)
     core, voter = loaded
-    core.now, core.fleet_at, core.steady_from = FAR_MS, FAR_MS, 0.0
+    core.now, core.observed_at, core.observations_valid_from = FAR_MS, FAR_MS, 0.0
     holds = set(one.holds)
     messages = [m for number, m in enumerate(state.messages) if number != without]
     committed, newest = dict(state.committed), state.newest
@@ -126,11 +128,11 @@
     while effects:
         effect = effects.popleft()
         if isinstance(effect, AskAcceptor):
-            effect = SendMessage(effect.source, voter.told(effect.message))
-        if isinstance(effect, SendMessage) and effect.to == name:
+            effect = SendMessage(effect.source, voter.on_message(effect.message))
+        if isinstance(effect, SendMessage) and effect.destination == name:
             effects.extend(core.step(FAR_MS, MessageReceived(name, effect.message)))
         elif isinstance(effect, SendMessage):
-            messages.append((name, effect.to, encode(effect.message)))
+            messages.append((name, effect.destination, encode(effect.message)))
         elif isinstance(effect, StateCommitted):
             digest = blake2b(_key(effect.state), digest_size=8).digest()
             if committed.setdefault(effect.state.version, digest) != digest:
@@ -147,7 +149,7 @@
         newest=newest,
         path=path,
     )
-    for machine, out in newest.out.items():
+    for machine, out in newest.evacuations.items():
         for number, relay in enumerate(relays):
             if out.stage == FREE and machine in relay.holds:
                 raise Broken(f"{NAMES[number]} holds at {machine}, which is free: {' '.join(path)}")
@@ -160,7 +162,7 @@
 
 def beat(loaded: Loaded, holds: set[str]) -> list[Any]:
     core = loaded[0]
-    return core.step(FAR_MS, TimerFired(BEAT))
+    return core.step(FAR_MS, TimerFired(TICK))
 
 
 def came(source: str, data: bytes, loaded: Loaded, holds: set[str]) -> list[Any]:
@@ -197,20 +199,20 @@
         core: MaintenanceCoordinator = pickle.loads(one.core)[0]
         yield step(state, index, f"{name}!beat", beat)
         for machine in MACHINES:
-            if machine in one.holds and core.taken.keeps_off(machine):
+            if machine in one.holds and core.adopted.excludes(machine):
                 yield step(state, index, f"{name}-{machine}", partial(leave, machine))
             elif state.places and machine not in one.holds and core.may_place(machine):
                 yield replace(step(state, index, f"{name}+{machine}", partial(place, machine)), places=0)
-        if not core.looked:
+        if not core.observed_since_adoption:
             yield step(state, index, f"{name}!look", look)
-        for machine, out in core.taken.out.items():
-            order = OperatorCommand("done", machine, out.turn)
-            if out.stage == FREE and order not in core.orders:
+        for machine, out in core.adopted.evacuations.items():
+            order = CompleteWork(machine, out.number)
+            if out.stage == FREE and order not in core.commands:
                 yield step(state, index, f"{name}!done {machine}", partial(ordered, order))
         if state.crashes:
             voter: Acceptor[MaintenanceState] = pickle.loads(one.core)[1]
             first = parts.state({n: FIRST for n in NAMES})
-            kept = AcceptorState(FIRST, NONE, NONE, first) if voter.store is _forget else voter.kept
+            kept = AcceptorState(FIRST, NO_BALLOT, NO_BALLOT, first) if voter.store is _forget else voter.stored
             again = packed(made(parts, name, kept, "second"), frozenset())
             relays = tuple(again if n == index else r for n, r in enumerate(state.relays))
             yield replace(state, relays=relays, crashes=0, path=(*state.path, f"{name}!crash"))
@@ -224,7 +226,9 @@
     holds a connection at the first, whose turn all have taken up; last: but for one relay all have confirmed; free: all
     have; back: the work is done, and the second machine's turn is granted."""
     first = parts.state({n: FIRST for n in NAMES})
-    relays = tuple(packed(made(parts, name, AcceptorState(FIRST, NONE, NONE, first)), frozenset()) for name in NAMES)
+    relays = tuple(
+        packed(made(parts, name, AcceptorState(FIRST, NO_BALLOT, NO_BALLOT, first)), frozenset()) for name in NAMES
+    )
     state = State(relays, (), (), first)
 
     def settle(state: State, index: int, act: Callable[[Loaded, set[str]], list[Any]]) -> State:
@@ -238,7 +242,7 @@
         state = settle(state, index, beat)
     for index in range(3):
         state = settle(state, index, place_first)
-    state = settle(settle(state, 0, partial(ordered, OperatorCommand("ask", MaintenanceRequest(MACHINES), 0))), 0, beat)
+    state = settle(settle(state, 0, partial(ordered, QueueRequest(MaintenanceRequest(MACHINES), 0))), 0, beat)
     todo = STAGES.index(stage)
     if todo >= 1:
         gone = (1, 2, 0)[: 3 if todo >= 2 else 2]
@@ -247,8 +251,8 @@
         for index in gone * 2:
             state = settle(settle(state, index, look), index, beat)
     if todo >= 3:
-        turn = state.newest.out[MACHINES[0]].turn
-        state = settle(settle(state, 0, partial(ordered, OperatorCommand("done", MACHINES[0], turn))), 0, beat)
+        turn = state.newest.evacuations[MACHINES[0]].number
+        state = settle(settle(state, 0, partial(ordered, CompleteWork(MACHINES[0], turn))), 0, beat)
     return replace(state, path=())
 
 
--- a/yarrowspindle/lab/model/planted.py
+++ b/yarrowspindle/lab/model/planted.py
@@ -7,20 +7,15 @@
 from dataclasses import replace
 from typing import Any
 
-from yarrowspindle.consensus import register
-from yarrowspindle.consensus.register import (
-    Accept,
-    Accepted,
-    Acceptor,
-    AcceptorState,
-    Prepare,
-    Promise,
-    Proposer,
-    Rejected,
-    Round,
-)
+from msgspec import structs
+
+from yarrowspindle.consensus.acceptor import Acceptor, AcceptorState
+from yarrowspindle.consensus.messages import NO_BALLOT, Accept, Accepted, Prepare, Promise, Rejected
+from yarrowspindle.consensus.proposer import Committed, ProposalRound, Proposer
 from yarrowspindle.lab.model.turning import Parts
-from yarrowspindle.maintenance.coordinator import MaintenanceCoordinator, StateCommitted
+from yarrowspindle.maintenance.coordinator import MaintenanceCoordinator
+from yarrowspindle.maintenance.events import StateCommitted
+from yarrowspindle.maintenance.requests import MaintenanceRequest
 from yarrowspindle.maintenance.state import EMPTYING, BackendObservation, Evacuation, MaintenanceState
 
 # --- the voter ----------------------------------------------------------------------------------
@@ -29,24 +24,24 @@
 class BreaksPromises(Acceptor[MaintenanceState]):
     """Accepts what is below its promise."""
 
-    def told(
+    def on_message(
         self, message: Prepare | Accept[MaintenanceState]
     ) -> Promise[MaintenanceState] | Accepted | Rejected[MaintenanceState]:
-        if isinstance(message, Accept) and message.identity == self.kept.identity:
-            self._keep(replace(self.kept, accepted=message.ballot, state=message.state))
-            return Accepted(message.ballot, self.kept.identity)
-        return super().told(message)
+        if isinstance(message, Accept) and message.identity == self.stored.identity:
+            self._store(replace(self.stored, accepted=message.ballot, state=message.state))
+            return Accepted(message.ballot, self.stored.identity)
+        return super().on_message(message)
 
 
 class PromisesNothing(Acceptor[MaintenanceState]):
     """Promises, and does not keep in mind what."""
 
-    def told(
+    def on_message(
         self, message: Prepare | Accept[MaintenanceState]
     ) -> Promise[MaintenanceState] | Accepted | Rejected[MaintenanceState]:
-        if isinstance(message, Prepare) and message.identity == self.kept.identity:
-            return Promise(message.ballot, self.kept.identity, self.kept.accepted, self.kept.state)
-        return super().told(message)
+        if isinstance(message, Prepare) and message.identity == self.stored.identity:
+            return Promise(message.ballot, self.stored.identity, self.stored.accepted, self.stored.state)
+        return super().on_message(message)
 
 
 class HidesWhatItAccepted(Acceptor[MaintenanceState]):
@@ -56,11 +51,11 @@
         super().__init__(kept, store, now)
         self.start = kept.state
 
-    def told(
+    def on_message(
         self, message: Prepare | Accept[MaintenanceState]
     ) -> Promise[MaintenanceState] | Accepted | Rejected[MaintenanceState]:
-        answer = super().told(message)
-        return replace(answer, accepted=register.NONE, state=self.start) if isinstance(answer, Promise) else answer
+        answer = super().on_message(message)
+        return replace(answer, accepted=NO_BALLOT, state=self.start) if isinstance(answer, Promise) else answer
 
 
 # --- the proposer -------------------------------------------------------------------------------
@@ -69,133 +64,141 @@
 class CountsTwice(Proposer[MaintenanceState]):
     """A promise or an acceptance that comes twice counts twice."""
 
-    def _promised(self, now: Round[MaintenanceState], source: str, promise: Promise[MaintenanceState]) -> Any:
+    def _on_promise(self, now: ProposalRound[MaintenanceState], source: str, promise: Promise[MaintenanceState]) -> Any:
         known = source in now.promises
-        effects = super()._promised(now, source, promise)
+        effects = super()._on_promise(now, source, promise)
         if known and now.proposed is None and self.round is now:
-            effects = super()._promised(now, f"{source} again", promise)
+            effects = super()._on_promise(now, f"{source} again", promise)
         return effects
 
-    def _accepted(self, now: Round[MaintenanceState], source: str) -> Any:
-        if source in now.accepted:
-            now.accepted |= set(list(now.base.voters)[:2])
-        return super()._accepted(now, source)
+    def _on_accepted(self, now: ProposalRound[MaintenanceState], source: str) -> Any:
+        if source in now.accepted_by:
+            now.accepted_by |= set(list(now.base.voters)[:2])
+        return super()._on_accepted(now, source)
 
 
 class LessThanHalf(Proposer[MaintenanceState]):
     """A majority is one too few: half of an odd number, rounded down."""
 
-    def _promised(self, now: Round[MaintenanceState], source: str, promise: Promise[MaintenanceState]) -> Any:
+    def _on_promise(self, now: ProposalRound[MaintenanceState], source: str, promise: Promise[MaintenanceState]) -> Any:
         if not now.promises and len(now.base.voters) > 1:
-            now.promises["nobody"] = replace(promise, accepted=register.NONE, state=self.known)
-        return super()._promised(now, source, promise)
+            now.promises["nobody"] = replace(promise, accepted=NO_BALLOT, state=self.newest_committed)
+        return super()._on_promise(now, source, promise)
 
-    def _accepted(self, now: Round[MaintenanceState], source: str) -> Any:
-        now.accepted.add(next(name for name in now.base.voters if name != source))
-        return super()._accepted(now, source)
+    def _on_accepted(self, now: ProposalRound[MaintenanceState], source: str) -> Any:
+        now.accepted_by.add(next(name for name in now.base.voters if name != source))
+        return super()._on_accepted(now, source)
 
 
 class TrustsItself(Proposer[MaintenanceState]):
     """Changes the state that it knows, not the one that the voters tell."""
 
-    def _promised(self, now: Round[MaintenanceState], source: str, promise: Promise[MaintenanceState]) -> Any:
-        return super()._promised(now, source, replace(promise, state=self.known))
+    def _on_promise(self, now: ProposalRound[MaintenanceState], source: str, promise: Promise[MaintenanceState]) -> Any:
+        return super()._on_promise(now, source, replace(promise, state=self.newest_committed))
 
 
 class TakesTheOldest(Proposer[MaintenanceState]):
     """Of the promises it goes by the lowest ballot."""
 
-    def _promised(self, now: Round[MaintenanceState], source: str, promise: Promise[MaintenanceState]) -> Any:
+    def _on_promise(self, now: ProposalRound[MaintenanceState], source: str, promise: Promise[MaintenanceState]) -> Any:
         if now.promises:
             oldest = min([*now.promises.values(), promise], key=lambda p: p.accepted)
             now.promises = {name: replace(p, state=oldest.state) for name, p in now.promises.items()}
             promise = replace(promise, state=oldest.state)
-        return super()._promised(now, source, promise)
+        return super()._on_promise(now, source, promise)
 
 
 class AnyBallot(Proposer[MaintenanceState]):
     """An answer to an earlier round counts for this one."""
 
-    def told(self, source: str, message: Any) -> Any:
+    def on_message(self, source: str, message: Any) -> Any:
         if self.round is not None and not isinstance(message, Rejected):
             message = replace(message, ballot=self.round.ballot)
-        return super().told(source, message)
+        return super().on_message(source, message)
 
 
 class BelievesTooEarly(Proposer[MaintenanceState]):
     """Takes a state for committed as soon as it is proposed."""
 
-    def _promised(self, now: Round[MaintenanceState], source: str, promise: Promise[MaintenanceState]) -> Any:
-        effects = super()._promised(now, source, promise)
+    def _on_promise(self, now: ProposalRound[MaintenanceState], source: str, promise: Promise[MaintenanceState]) -> Any:
+        effects = super()._on_promise(now, source, promise)
         if now.proposed is not None and self.round is now:
-            effects = [*effects, register.Committed(now.proposed, True)]
-            self.learned(now.proposed)
+            effects = [*effects, Committed(now.proposed, True)]
+            self.on_committed(now.proposed)
         return effects
 
 
 class SkipsTheFence(Proposer[MaintenanceState]):
     """Takes up whatever state comes last."""
 
-    def learned(self, state: MaintenanceState) -> None:
-        self.known = self.guide = state
+    def on_committed(self, state: MaintenanceState) -> None:
+        self.newest_committed = self.membership_hint = state
 
 
 # --- the state ----------------------------------------------------------------------------------
 
 
-class OneTooFew(MaintenanceState):
+class OneTooFew(MaintenanceState, frozen=True):
     """Free though one confirmation is missing."""
 
-    def waits_for(self, machine: str) -> list[str]:
-        return super().waits_for(machine)[1:]
+    def unconfirmed_relays(self, machine: str) -> list[str]:
+        return super().unconfirmed_relays(machine)[1:]
 
 
-class SameNumber(MaintenanceState):
+class SameNumber(MaintenanceState, frozen=True):
     """Turns are not numbered anew, and any number confirms."""
 
-    def _granted(self, seen: Mapping[str, BackendObservation]) -> MaintenanceState | None:
-        granted = super()._granted(seen)
+    def _with_next_evacuation(self, seen: Mapping[str, BackendObservation]) -> MaintenanceState | None:
+        granted = super()._with_next_evacuation(seen)
         if granted is None:
             return None
-        out = {m: replace(o, turn=1) for m, o in granted.out.items()}
-        return replace(granted, turn=1, out=out)
+        out = {m: structs.replace(o, number=1) for m, o in granted.evacuations.items()}
+        return structs.replace(granted, last_evacuation_number=1, evacuations=out)
+
+
+def _one_more(request: MaintenanceRequest) -> MaintenanceRequest:
+    return structs.replace(
+        request,
+        max_unavailable=request.max_unavailable + 1,
+        max_unavailable_per_zone=request.max_unavailable_per_zone + 1,
+        min_ready_capacity=0.0,
+    )
 
 
-class OneTooMany(MaintenanceState):
+class OneTooMany(MaintenanceState, frozen=True):
     """One more out than allowed."""
 
-    def _granted(self, seen: Mapping[str, BackendObservation]) -> MaintenanceState | None:
-        requests = {
-            i: replace(r, wish=replace(r.wish, most=r.wish.most + 1, most_zone=r.wish.most_zone + 1, floor=0.0))
-            for i, r in self.requests.items()
-        }
-        granted = replace(self, requests=requests)._plain(seen)
+    def _with_next_evacuation(self, seen: Mapping[str, BackendObservation]) -> MaintenanceState | None:
+        requests = {i: structs.replace(r, request=_one_more(r.request)) for i, r in self.requests.items()}
+        granted = structs.replace(self, requests=requests)._plain(seen)
         if granted is None:
             return None
-        kept = {i: replace(r, wish=self.requests[i].wish) for i, r in granted.requests.items()}
-        return replace(granted, requests=kept)
+        kept = {i: structs.replace(r, request=self.requests[i].request) for i, r in granted.requests.items()}
+        return structs.replace(granted, requests=kept)
 
     def _plain(self, seen: Mapping[str, BackendObservation]) -> MaintenanceState | None:
-        return MaintenanceState._granted(self, seen)
+        return MaintenanceState._with_next_evacuation(self, seen)
 
 
-class NoZones(MaintenanceState):
+class NoZones(MaintenanceState, frozen=True):
     """The bound of each zone is forgotten."""
 
-    def _granted(self, seen: Mapping[str, BackendObservation]) -> MaintenanceState | None:
-        return super()._granted({m: replace(s, zone=1000 + n) for n, (m, s) in enumerate(seen.items())})
+    def _with_next_evacuation(self, seen: Mapping[str, BackendObservation]) -> MaintenanceState | None:
+        return super()._with_next_evacuation({m: replace(s, zone=1000 + n) for n, (m, s) in enumerate(seen.items())})
 
 
-class FreeAtOnce(MaintenanceState):
+class FreeAtOnce(MaintenanceState, frozen=True):
     """A cancelled or later turn inherits the confirmations of the one before."""
 
-    def _granted(self, seen: Mapping[str, BackendObservation]) -> MaintenanceState | None:
-        granted = super()._granted(seen)
+    def _with_next_evacuation(self, seen: Mapping[str, BackendObservation]) -> MaintenanceState | None:
+        granted = super()._with_next_evacuation(seen)
         if granted is None:
             return None
-        before = frozenset(c for o in self.out.values() for c in o.confirmed)
-        out: dict[str, Evacuation] = {m: replace(o, confirmed=o.confirmed | before) for m, o in granted.out.items()}
-        return replace(granted, out=out)
+        before = frozenset(c for o in self.evacuations.values() for c in o.confirmed_by)
+        out: dict[str, Evacuation] = {
+            m: structs.replace(o, confirmed_by=o.confirmed_by | before) for m, o in granted.evacuations.items()
+        }
+        return structs.replace(granted, evacuations=out)
 
 
 # --- the relay ----------------------------------------------------------------------------------
@@ -204,33 +207,41 @@
 class ConfirmsTooEarly(MaintenanceCoordinator):
     """Confirms while it still holds something there."""
 
-    def _mine(self) -> dict[str, int]:
-        return {m: out.turn for m, out in self.taken.out.items() if out.stage == EMPTYING} if self.registered else {}
+    def _releases(self) -> dict[str, int]:
+        return (
+            {m: out.number for m, out in self.adopted.evacuations.items() if out.stage == EMPTYING}
+            if self.registered
+            else {}
+        )
 
 
 class ConfirmsByAnOldLook(MaintenanceCoordinator):
     """Confirms by what it held before it took up the turn."""
 
-    def _take(self) -> None:
-        looked = self.looked
-        super()._take()
-        self.looked = looked
+    def _adopt(self) -> None:
+        looked = self.observed_since_adoption
+        super()._adopt()
+        self.observed_since_adoption = looked
 
 
 class ConfirmsUnseen(MaintenanceCoordinator):
     """Confirms a turn that it reads of, before it has taken it up."""
 
-    def _confirms(self, state: MaintenanceState) -> MaintenanceState | None:
-        mine = {m: out.turn for m, out in state.out.items() if out.stage == EMPTYING and m not in self.fleet.holds}
-        return state.confirmed(self.name, self.incarnation, mine) if mine else None
+    def _confirm_own_releases(self, state: MaintenanceState) -> MaintenanceState | None:
+        mine = {
+            m: out.number
+            for m, out in state.evacuations.items()
+            if out.stage == EMPTYING and m not in self.fleet.used_backends
+        }
+        return state.with_confirmations(self.name, self.incarnation, mine) if mine else None
 
 
 class TakesUpWhatComes(MaintenanceCoordinator):
     """Takes up whatever state it hears of last, older ones too."""
 
-    def _take(self) -> None:
-        if self.state.version != self.taken.version:
-            self.taken, self.looked = self.state, False
+    def _adopt(self) -> None:
+        if self.state.version != self.adopted.version:
+            self.adopted, self.observed_since_adoption = self.state, False
             self.effects.append(StateCommitted(self.state))
 
 
@@ -238,7 +249,7 @@
     """Places before it has read what is out."""
 
     def may_place(self, machine: str) -> bool:
-        return not self.state.keeps_off(machine)
+        return not self.state.excludes(machine)
 
 
 DEFECTS: dict[str, Parts] = {
--- a/yarrowspindle/lab/model/turning.py
+++ b/yarrowspindle/lab/model/turning.py
@@ -12,24 +12,37 @@
 from random import Random
 from typing import Any
 
-from yarrowspindle.consensus.register import NONE, Accept, Accepted, Acceptor, AcceptorState, Prepare, Promise, Proposer
+from msgspec import structs
+
+from yarrowspindle.consensus.acceptor import Acceptor, AcceptorState
+from yarrowspindle.consensus.messages import NO_BALLOT, Accept, Accepted, Prepare, Promise
+from yarrowspindle.consensus.proposer import Proposer
 from yarrowspindle.decisions.events import EndpointState
 from yarrowspindle.lab.faults import Fault, Ways, relay_names, schedule
 from yarrowspindle.lab.model.clock import VirtualClock
 from yarrowspindle.maintenance.codec import decode, encode
-from yarrowspindle.maintenance.coordinator import (
+from yarrowspindle.maintenance.commands import (
+    AddVoter,
+    CancelRequest,
+    CompleteWork,
+    OperatorCommand,
+    QueueRequest,
+    RemoveRelay,
+    RemoveVoter,
+)
+from yarrowspindle.maintenance.coordinator import MaintenanceCoordinator
+from yarrowspindle.maintenance.events import (
     AskAcceptor,
     FleetObserved,
-    MaintenanceCoordinator,
     MessageReceived,
-    OperatorCommand,
     SendMessage,
     SetTimer,
     StateCommitted,
     TimerFired,
 )
-from yarrowspindle.maintenance.fleet_health import TROUBLE_MS, BackendSample, FleetHealth
-from yarrowspindle.maintenance.state import EMPTYING, FREE, QUEUED, MaintenanceRequest, MaintenanceState
+from yarrowspindle.maintenance.fleet_health import FAULT_PERIOD_MS, BackendSample, FleetHealth
+from yarrowspindle.maintenance.requests import QUEUED, MaintenanceRequest
+from yarrowspindle.maintenance.state import EMPTYING, FREE, MaintenanceState
 from yarrowspindle.protocol.fragments import Fragmenter
 
 LIFE_MS, MOVED_MS = 3000.0, 400.0  # of a connection, and of one that is asked to move
@@ -72,29 +85,34 @@
         known = self.versions.setdefault(state.version, state)
         if known != state:
             self.broken(f"two states of version {state.version}: {relay} took another")
-        for machine, out in state.out.items():
-            if self.turns.setdefault(out.turn, machine) != machine:
-                self.broken(f"turn {out.turn} is {machine}'s and {self.turns[out.turn]}'s")
+        for machine, out in state.evacuations.items():
+            if self.turns.setdefault(out.number, machine) != machine:
+                self.broken(f"turn {out.number} is {machine}'s and {self.turns[out.number]}'s")
         if state.version > self.newest.version:
-            if state.turn < self.newest.turn:
-                self.broken(f"turn numbers went back from {self.newest.turn} to {state.turn}")
-            if state.turn > self.newest.turn:
+            number, former = state.last_evacuation_number, self.newest.last_evacuation_number
+            if number < former:
+                self.broken(f"turn numbers went back from {former} to {number}")
+            if number > former:
                 # Who died a moment ago is not the turn's doing.
-                left = len(self.ready_of_late() - set(state.out))
-                if left < self.wish.floor:
-                    self.broken(f"turn {state.turn} leaves {left} ready, the floor is {self.wish.floor:g}")
-            self.rolled_back += sum(o.stage == EMPTYING and m not in state.out for m, o in self.newest.out.items())
+                left = len(self.ready_of_late() - set(state.evacuations))
+                if left < self.wish.min_ready_capacity:
+                    self.broken(f"turn {number} leaves {left} ready, the floor is {self.wish.min_ready_capacity:g}")
+            self.rolled_back += sum(
+                o.stage == EMPTYING and m not in state.evacuations for m, o in self.newest.evacuations.items()
+            )
             self.newest = state
-        self.most_out = max(self.most_out, len(state.out))
-        zones = [self.zones[machine] for machine in state.out]
-        if len(zones) > self.wish.most or any(zones.count(zone) > self.wish.most_zone for zone in zones):
+        self.most_out = max(self.most_out, len(state.evacuations))
+        zones = [self.zones[machine] for machine in state.evacuations]
+        if len(zones) > self.wish.max_unavailable or any(
+            zones.count(zone) > self.wish.max_unavailable_per_zone for zone in zones
+        ):
             self.broken(f"{len(zones)} out at once, in zones {sorted(zones)}")
 
     def uses(self, relay: str, machine: str, how: str) -> None:
         """A relay places or holds a connection there now."""
-        out = self.newest.out.get(machine)
+        out = self.newest.evacuations.get(machine)
         if out is not None and out.stage == FREE:
-            self.broken(f"{relay} {how} at {machine}, which is free by turn {out.turn}")
+            self.broken(f"{relay} {how} at {machine}, which is free by turn {out.number}")
 
 
 @dataclass(slots=True, frozen=True)
@@ -186,12 +204,12 @@
             if not self.alive:
                 return
             if isinstance(effect, SendMessage):
-                self.send(effect.to, effect.message)
+                self.send(effect.destination, effect.message)
             elif isinstance(effect, SetTimer):
-                self.world.clock.after(effect.delay_ms, self.post, TimerFired(effect.what))
+                self.world.clock.after(effect.delay_ms, self.post, TimerFired(effect.timer))
             elif isinstance(effect, AskAcceptor):
                 if self.voter is not None:
-                    self.send(effect.source, self.voter.told(effect.message))
+                    self.send(effect.source, self.voter.on_message(effect.message))
             elif isinstance(effect, StateCommitted):
                 self.world.checker.took(self.name, effect.state)
                 self.world.step(self, effect)
@@ -202,7 +220,7 @@
         if not self.world.plan.wired:
             self.world.send(self.name, to, message)
         else:
-            for part in self.parcels.cut(to, encode(message)):
+            for part in self.parcels.split(to, encode(message)):
                 self.world.send(self.name, to, part)
         self.world.step(self, message)
 
@@ -210,7 +228,7 @@
         if not self.world.plan.wired:
             self.post(MessageReceived(source, message))
         elif self.alive:
-            whole, back = self.parcels.came(self.now(), source, message)
+            whole, back = self.parcels.on_datagram(self.now(), source, message)
             for part in back:
                 self.world.send(self.name, source, part)
             if whole is not None:
@@ -229,7 +247,7 @@
             return
         random, world = self.world.random, self.world
         for machine in list(self.held):
-            emptying = self.core.taken.keeps_off(machine)
+            emptying = self.core.adopted.excludes(machine)
             part = 1.0 if not world.is_up(machine) else STEP_MS / (MOVED_MS if emptying else LIFE_MS)
             self.held[machine] -= sum(random.random() < part for _ in range(self.held[machine]))
             if not self.held[machine]:
@@ -239,14 +257,14 @@
                 self.place()
         for machine in self.held:
             world.checker.uses(self.name, machine, "holds")
-        for to, part_ in self.parcels.due(self.now()):
+        for to, part_ in self.parcels.requests_due(self.now()):
             world.send(self.name, to, part_)
         looks = [
             BackendSample(m, n % 2, 1.0, EndpointState.READY if world.is_up(m) else EndpointState.GONE, world.starts[m])
             for n, m in enumerate(world.machines)
         ]
-        seen, trouble = self.watch.look(self.now(), looks, self.core.taken)
-        self.post(FleetObserved(frozenset(self.held), seen, world.there(), trouble))
+        found = self.watch.assess(self.now(), looks, self.core.adopted)
+        self.post(FleetObserved(frozenset(self.held), found.backends, world.there(), found.fault))
 
 
 class TurnWorld:
@@ -265,11 +283,11 @@
         )
         self.wishes = [self.wish]
         if self.plan.clash:
-            self.wishes.append(replace(self.wish, machines=self.wish.machines[::2], order="fewest"))
+            self.wishes.append(structs.replace(self.wish, backends=self.wish.backends[::2], order="fewest"))
         self.names = relay_names(relays)
         self.first = self.parts.state({name: FIRST for name in self.names})
         self.files: dict[str, AcceptorState[MaintenanceState]] = {
-            name: AcceptorState(FIRST, NONE, NONE, self.first) for name in self.names
+            name: AcceptorState(FIRST, NO_BALLOT, NO_BALLOT, self.first) for name in self.names
         }
         self.checker = Checker(self.wish, self.zones, self.ready_of_late)
         self.relays: dict[str, TurnRelay] = {}
@@ -295,7 +313,7 @@
         """Those that were up some time ago: a turn that was agreed on before a machine died may be heard of after it,
         where its proposer died too, and is taken back then."""
         now = self.clock.seconds
-        return {m for m in self.machines if m not in self.downs or self.downs[m] > now - TROUBLE_MS / 1000.0}
+        return {m for m in self.machines if m not in self.downs or self.downs[m] > now - FAULT_PERIOD_MS / 1000.0}
 
     def end(self, machine: str) -> None:
         self.downs[machine] = self.clock.seconds
@@ -327,7 +345,7 @@
         relay.held.clear()
         if lose:
             identity = FIRST if self.parts.lies else f"file {self.random.getrandbits(40):x}"
-            self.files[name] = AcceptorState(identity, NONE, NONE, self.first)
+            self.files[name] = AcceptorState(identity, NO_BALLOT, NO_BALLOT, self.first)
 
     def step(self, relay: TurnRelay, what: Any) -> None:
         """The relay that comes to a step first, the n-th time, dies at it, and starts again after a second."""
@@ -357,26 +375,26 @@
         def ends() -> None:
             self.kill("s0")
             self.clock.after(2000.0, self._ended, "s0")
-            self.files["s1"] = AcceptorState(f"file {self.random.getrandbits(40):x}", NONE, NONE, self.first)
+            self.files["s1"] = AcceptorState(f"file {self.random.getrandbits(40):x}", NO_BALLOT, NO_BALLOT, self.first)
             if self.relays["s1"].alive:
                 self.kill("s1")
                 self.start("s1")
-                self.relays["s1"].post(OperatorCommand("voter", "s1", self.files["s1"].identity))
+                self.relays["s1"].post(AddVoter("s1", self.files["s1"].identity))
 
         self.clock.after(4000.0, ends)
-        self.clock.after(12_000.0, lambda: self.order(OperatorCommand("no voter", self.names[-1])))
+        self.clock.after(12_000.0, lambda: self.order(RemoveVoter(self.names[-1])))
 
     def _ended(self, name: str) -> None:
         """Until it stands in the state: an operator looks."""
         incarnation = self.checker.newest.relays.get(name)
         if incarnation is not None:
-            self.order(OperatorCommand("ended", name, incarnation))
+            self.order(RemoveRelay(name, incarnation))
         self.clock.after(2000.0, self._ended, name)  # its word may have been on the way when it ended
 
     def _cancel(self) -> None:
         for number, request in self.checker.newest.requests.items():
             if request.state == QUEUED:
-                self.order(OperatorCommand("cancel", number, request.at))
+                self.order(CancelRequest(number, request.changed_at_version))
 
     def _step(self) -> None:
         self.clock.after(STEP_MS, self._step)
@@ -384,11 +402,11 @@
             relay.live()
         # The operator's hand: a machine that is free is worked on for a moment, and given back.
         newest = self.checker.newest
-        for machine, out in newest.out.items():
+        for machine, out in newest.evacuations.items():
             if out.stage == FREE and self.random.random() < 0.1:
                 if self.is_up(machine) and self.random.random() < 0.3:  # a new kernel
                     self.starts[machine] = self.clock.now()
-                self.order(OperatorCommand("done", machine, out.turn))
+                self.order(CompleteWork(machine, out.number))
 
     def order(self, order: OperatorCommand) -> None:
         alive = [relay for relay in self.relays.values() if relay.alive]
@@ -423,7 +441,7 @@
     def over(self) -> bool:
         """Every wanted machine has been out and is back, or somebody cancelled that."""
         state = self.checker.newest
-        return self.asked() and all(r.state != QUEUED for r in state.requests.values()) and not state.out
+        return self.asked() and all(r.state != QUEUED for r in state.requests.values()) and not state.evacuations
 
 
 def play_turns(
@@ -450,19 +468,20 @@
     world.apply(day.faults, lose)
     world.run(0.5)
     # Two operators at two relays: the same wish is one, and of two that clash one is refused.
-    for wish in (*world.wishes, replace(world.wish)):
-        world.order(OperatorCommand("ask", wish, 0))
+    for wish in (*world.wishes, structs.replace(world.wish)):
+        world.order(QueueRequest(wish, 0))
     while world.clock.seconds < faults_s + within_s and not world.over() and not world.checker.violations:
         world.run(0.5)
         if world.clock.seconds > 2.0 and not world.asked():
-            world.order(OperatorCommand("ask", world.wish, 0))  # whoever had it died with it
+            world.order(QueueRequest(world.wish, 0))  # whoever had it died with it
     checker = world.checker
     day.violations, day.most_out, day.rolled_back = checker.violations, checker.most_out, checker.rolled_back
-    day.turns, day.took_s = checker.newest.turn, world.clock.seconds
+    day.turns, day.took_s = checker.newest.last_evacuation_number, world.clock.seconds
     if not world.over() and not day.violations:
         state = checker.newest
+        unconfirmed = {m: state.unconfirmed_relays(m) for m in state.evacuations}
         day.stuck.append(
-            f"out {state.out}, waits for { {m: state.waits_for(m) for m in state.out} }, paused "
-            f"{state.paused!r}, {[(r.state, r.waiting) for r in state.requests.values()]}"
+            f"out {state.evacuations}, waits for {unconfirmed}, paused "
+            f"{state.pause_reason!r}, {[(r.state, r.waiting) for r in state.requests.values()]}"
         )
     return day
