--- a/benchmarks/capacity/change.py
+++ b/benchmarks/capacity/change.py
@@ -305,10 +305,10 @@
         day.asked.clear()
     for kind, host in (
         ("relay", world.relays[0]),
-        ("controller", max(world.controllers, key=lambda one: len(one.core.relays))),
+        ("controller", max(world.controllers, key=lambda one: len(one.core.sessions.relays))),
     ):
         found[f"{kind}_kb"] = round(deep_kb([host.core, host.link]), 1)
-    found["controller_relays"] = max(len(host.core.relays) for host in world.controllers)
+    found["controller_relays"] = max(len(host.core.sessions.relays) for host in world.controllers)
     return found
 
 
--- a/benchmarks/capacity/sockets.py
+++ b/benchmarks/capacity/sockets.py
@@ -26,22 +26,12 @@
 import uvloop
 
 from yarrowspindle.configuration.agent import Agent
-from yarrowspindle.configuration.codec import FILE
+from yarrowspindle.configuration.codec import ACCEPTOR_FILE
 from yarrowspindle.configuration.controller import Controller
+from yarrowspindle.configuration.effects import ApplySettings, AskAcceptor, ChangeAnswered, SendMessage, SetTimer
+from yarrowspindle.configuration.events import ChangeRequested, Event, MessageReceived, Sender, TimerFired
 from yarrowspindle.configuration.link import Link
-from yarrowspindle.configuration.messages import (
-    ApplySettings,
-    AskAcceptor,
-    ChangeAnswered,
-    ChangeRequested,
-    Event,
-    MessageReceived,
-    Sender,
-    SendMessage,
-    SetTimer,
-    TimerFired,
-)
-from yarrowspindle.configuration.settings import ControllerAddress, preferred
+from yarrowspindle.configuration.settings import ControllerAddress, controllers_by_preference
 from yarrowspindle.configuration.state import ControlState
 from yarrowspindle.consensus.register import Acceptor
 from yarrowspindle.lab.model.controlling import CLUSTER, REGIONS, ZONES, check, controllers_of
@@ -97,7 +87,7 @@
                 if effect.to.address == self.address:
                     self.loop.call_soon(self.post, MessageReceived(Sender(self.name, self.address), effect.message))
                 else:
-                    for data in self.link.packed(self.now(), effect.to.address, effect.message):
+                    for data in self.link.encode(self.now(), effect.to.address, effect.message):
                         self.put(effect.to.address, data)
             elif isinstance(effect, SetTimer):
                 self.loop.call_later(effect.delay_ms / 1000.0, self.post, TimerFired())
@@ -113,17 +103,17 @@
 
     def _came(self, data: bytes, source: Address) -> None:
         try:
-            sender, message, back = self.link.came(self.now(), data, source)
+            received = self.link.receive(self.now(), data, source)
         except DroppedDatagramError:
             return
-        for datagram in back:
-            self.put(sender.address, datagram)
-        if message is not None:
-            self.post(MessageReceived(sender, message))
+        for datagram in received.replies:
+            self.put(received.sender.address, datagram)
+        if received.message is not None:
+            self.post(MessageReceived(received.sender, received.message))
 
     def parcels(self) -> None:
-        for to, data in self.link.due(self.now()):
-            self.put(to, data)
+        for request in self.link.missing_fragment_requests(self.now()):
+            self.put(request.to, request.data)
 
 
 class Relay(Endpoint):
@@ -131,7 +121,7 @@
         address, zone = relay_at(number, port)
         super().__init__(network, f"r{number:04d}", address, REGIONS[zone])
         self.took: list[tuple[int, float]] = []
-        self.core = Agent(preferred(machines, self.name, zone, self.region), check, number, self.now())
+        self.core = Agent(controllers_by_preference(machines, self.name, zone, self.region), check, number, self.now())
 
     def effect(self, effect: Any) -> None:
         if isinstance(effect, ApplySettings):
@@ -144,7 +134,7 @@
     ) -> None:
         super().__init__(network, machine.name, machine.address, machine.region)
         first = ControlState({m.name: "the first file" for m in machines if m.voter})
-        self.file = VoterFile(str(Path(folder) / machine.name), machine.name, CLUSTER, FILE)
+        self.file = VoterFile(str(Path(folder) / machine.name), machine.name, CLUSTER, ACCEPTOR_FILE)
         self.voter: Acceptor[ControlState] | None = None
         if machine.voter:
             try:
@@ -172,7 +162,7 @@
             done = self.disk.submit(self.voter.told, effect.message)
             done.add_done_callback(lambda it: self.loop.call_soon_threadsafe(self._voted, effect.sender, it))
         elif isinstance(effect, ChangeAnswered):
-            self.answers.append((effect.ticket, effect.version, effect.why, time.monotonic()))
+            self.answers.append((effect.ticket, effect.version, effect.reason, time.monotonic()))
 
     def _voted(self, to: Sender, done: Any) -> None:
         if done.exception() is None:
--- a/tests/configuration/test_configuration.py
+++ b/tests/configuration/test_configuration.py
@@ -3,54 +3,62 @@
 
 from __future__ import annotations
 
-from dataclasses import replace
 from typing import Any
 
 import pytest
+from msgspec.structs import replace
 
 from yarrowspindle.configuration import codec
-from yarrowspindle.configuration.agent import AHEAD_MS, SILENT_MS, Agent
-from yarrowspindle.configuration.controller import EXPIRE_MS, MAX_LOG, MAX_ORDERS, MAX_RELAYS, SURE_MS, Controller
-from yarrowspindle.configuration.link import MAX_INCARNATIONS, SOURCE_PER_S, Link
-from yarrowspindle.configuration.messages import (
+from yarrowspindle.configuration.agent import CONTROLLER_TIMEOUT_MS, MAX_NEWER_VERSION_MS, Agent
+from yarrowspindle.configuration.change_proposals import MAX_QUEUED_ORDERS, ORDER_EXPIRY_MS
+from yarrowspindle.configuration.committed_log import MAX_LOGGED_STEPS
+from yarrowspindle.configuration.controller import Controller
+from yarrowspindle.configuration.controller_context import ATTACHMENT_GRACE_MS
+from yarrowspindle.configuration.effects import (
     ApplySettings,
     AskAcceptor,
     ChangeAnswered,
+    LogMessage,
+    Persist,
+    SendMessage,
+    StateCommitted,
+)
+from yarrowspindle.configuration.events import (
     ChangeRequested,
+    Event,
+    MessageReceived,
+    Sender,
+    SettingsRejected,
+    TimerFired,
+)
+from yarrowspindle.configuration.link import MAX_DATAGRAMS_PER_SOURCE_PER_S, MAX_INCARNATIONS, Link
+from yarrowspindle.configuration.messages import (
     Delta,
     Detach,
-    Event,
     Heartbeat,
     LatestVersion,
-    LogMessage,
-    MessageReceived,
     NewerIncarnation,
-    Persist,
     RelayReattached,
     RelaySummary,
-    Sender,
-    SendMessage,
-    SettingsRejected,
     Snapshot,
-    StateCommitted,
     StateUpdate,
-    TimerFired,
 )
+from yarrowspindle.configuration.relay_sessions import MAX_RELAYS
 from yarrowspindle.configuration.settings import ControllerAddress
 from yarrowspindle.configuration.state import (
-    MAX_CONTENT,
-    MAX_DONE,
     MAX_ENTRIES,
-    MAX_STEPS,
-    MAX_VALUE,
+    MAX_ENTRIES_CHARACTERS,
+    MAX_RECENT_STEPS,
+    MAX_RECENT_STEPS_CHARACTERS,
+    MAX_VALUE_CHARACTERS,
     ChangeOrder,
     CommittedStep,
     ControlState,
     Entries,
     Step,
-    bounds,
-    digest,
-    stepped,
+    apply_step,
+    content_digest,
+    entries_bounds_error,
 )
 from yarrowspindle.consensus.register import NONE, Accept, Acceptor, AcceptorState, Prepare, Promise, Rejected
 from yarrowspindle.lab.faults import Fault
@@ -72,9 +80,9 @@
 
 def after(*steps: Step, state: ControlState = FIRST, taker: str = "c01", incarnation: int = 1) -> ControlState:
     """These orders of one taker, settled."""
-    before, number = state.takers.get(taker, (0, 0))
+    before, number = state.last_settled.get(taker, (0, 0))
     for n, step in enumerate(steps, number + 1 if before == incarnation else 1):
-        state = settled(state.settled(ChangeOrder(taker, incarnation, n, step), check))
+        state = settled(state.settle(ChangeOrder(taker, incarnation, n, step), check))
     return state
 
 
@@ -83,50 +91,62 @@
 
 def test_an_order_is_settled_once_and_in_its_turn() -> None:
     order, next_ = ChangeOrder("c01", 5, 1, {"a": "1"}), ChangeOrder("c01", 5, 2, {"a": "2"})
-    assert FIRST.settled(next_, check) is None, "the first has not been"
-    one = settled(FIRST.settled(order, check))
-    assert one.settled(order, check) is None and one.is_settled(order) and not one.is_settled(next_)
-    two = settled(one.settled(next_, check))
-    assert two.entries == {"a": "2"} and two.settled(order, check) is None
-    assert two.settled(ChangeOrder("c01", 4, 1, {"a": "0"}), check) is None, "an earlier process's, held up"
-    assert two.settled(ChangeOrder("c01", 6, 2, {"a": "0"}), check) is None
-    three = settled(two.settled(ChangeOrder("c01", 6, 1, {"a": None}), check))
-    assert three.entries == {} and three.settled(ChangeOrder("c01", 5, 3, {"a": "0"}), check) is None
-    assert settled(three.settled(ChangeOrder("c02", 1, 1, {"b": "1"}), check)).version == 4, (
+    assert FIRST.settle(next_, check) is None, "the first has not been"
+    one = settled(FIRST.settle(order, check))
+    assert one.settle(order, check) is None and one.is_settled(order) and not one.is_settled(next_)
+    two = settled(one.settle(next_, check))
+    assert two.entries == {"a": "2"} and two.settle(order, check) is None
+    assert two.settle(ChangeOrder("c01", 4, 1, {"a": "0"}), check) is None, "an earlier process's, held up"
+    assert two.settle(ChangeOrder("c01", 6, 2, {"a": "0"}), check) is None
+    three = settled(two.settle(ChangeOrder("c01", 6, 1, {"a": None}), check))
+    assert three.entries == {} and three.settle(ChangeOrder("c01", 5, 3, {"a": "0"}), check) is None
+    assert settled(three.settle(ChangeOrder("c02", 1, 1, {"b": "1"}), check)).version == 4, (
         "another taker's turn is its own"
     )
 
 
 def test_what_makes_no_sense_where_it_is_written_is_refused_under_a_version_of_its_own() -> None:
     state = after({"left": "1"})
-    refused = settled(state.settled(ChangeOrder("c02", 1, 1, {"right": "1"}), check))
+    refused = settled(state.settle(ChangeOrder("c02", 1, 1, {"right": "1"}), check))
     assert refused.version == 2 and refused.entries == {"left": "1"}
-    assert refused.done[-1] == CommittedStep(2, {}, "left and right are not both possible", "c02", 1, 1)
-    assert settled(refused.settled(ChangeOrder("c02", 1, 2, {"left": None, "right": "1"}), check)).entries == {
+    assert refused.recent_steps[-1] == CommittedStep(2, {}, "left and right are not both possible", "c02", 1, 1)
+    assert settled(refused.settle(ChangeOrder("c02", 1, 2, {"left": None, "right": "1"}), check)).entries == {
         "right": "1"
     }
-    many = {f"k{n}": "x" * (MAX_CONTENT // 8) for n in range(9)}
-    assert "at most" in settled(FIRST.settled(ChangeOrder("c02", 1, 1, many), check)).done[-1].why
+    many = {f"k{n}": "x" * (MAX_ENTRIES_CHARACTERS // 8) for n in range(9)}
+    assert "at most" in settled(FIRST.settle(ChangeOrder("c02", 1, 1, many), check)).recent_steps[-1].rejection_reason
 
 
 @pytest.mark.parametrize(
     "entries",
-    [{"": "x"}, {"k" * 65: "x"}, {"k": "x" * (MAX_VALUE + 1)}, {f"k{n}": "" for n in range(MAX_ENTRIES + 1)}],
+    [
+        {"": "x"},
+        {"k" * 65: "x"},
+        {"k": "x" * (MAX_VALUE_CHARACTERS + 1)},
+        {f"k{n}": "" for n in range(MAX_ENTRIES + 1)},
+    ],
 )
 def test_entries_have_bounds(entries: dict[str, str]) -> None:
-    assert bounds(entries) and not bounds({"k": "x" * MAX_VALUE})
+    assert entries_bounds_error(entries) and not entries_bounds_error({"k": "x" * MAX_VALUE_CHARACTERS})
 
 
 def test_the_steps_that_are_kept_are_bounded_and_without_a_gap() -> None:
-    state = after(*({"k": f"{n}"} for n in range(MAX_DONE + 9)))
-    assert [d.version for d in state.done] == list(range(10, MAX_DONE + 10))
+    state = after(*({"k": f"{n}"} for n in range(MAX_RECENT_STEPS + 9)))
+    assert [d.version for d in state.recent_steps] == list(range(10, MAX_RECENT_STEPS + 10))
     state = after(*({"k": f"{n}" * 8000} for n in range(9)))
-    assert sum(len(d.step["k"] or "") for d in state.done) <= MAX_STEPS and state.done[-1].version == 9
+    assert (
+        sum(len(d.step["k"] or "") for d in state.recent_steps) <= MAX_RECENT_STEPS_CHARACTERS
+        and state.recent_steps[-1].version == 9
+    )
 
 
 def test_a_digest_speaks_of_version_and_content() -> None:
-    assert digest(1, {"a": "1", "b": "2"}) == digest(1, {"b": "2", "a": "1"}) != digest(2, {"a": "1", "b": "2"})
-    assert digest(1, {"a": "1"}) != digest(1, {"a": "2"})
+    assert (
+        content_digest(1, {"a": "1", "b": "2"})
+        == content_digest(1, {"b": "2", "a": "1"})
+        != content_digest(2, {"a": "1", "b": "2"})
+    )
+    assert content_digest(1, {"a": "1"}) != content_digest(1, {"a": "2"})
 
 
 def test_a_voter_with_another_file_is_a_version_and_an_epoch() -> None:
@@ -140,7 +160,9 @@
 
 
 def test_messages_come_back_as_they_were_and_nonsense_does_not() -> None:
-    state = replace(after({"a": "1"}, {"a": None}), done=[CommittedStep(1, {"a": "1"}), CommittedStep(2, {"a": None})])
+    state = replace(
+        after({"a": "1"}, {"a": None}), recent_steps=[CommittedStep(1, {"a": "1"}), CommittedStep(2, {"a": None})]
+    )
     for message in (
         Heartbeat(3, b"x" * 8, 2, "why", True, True, "c01"),
         LatestVersion(3, b"x" * 8),
@@ -163,7 +185,7 @@
         whole[:1] + b"\x77" + whole[2:],
         codec.encode(LatestVersion(-1, b"x" * 8)),
         codec.encode(LatestVersion(1, b"x")),
-        codec.encode(Delta(0, 99, b"x" * 8, [{}] * (MAX_DONE + 1))),
+        codec.encode(Delta(0, 99, b"x" * 8, [{}] * (MAX_RECENT_STEPS + 1))),
     ):
         with pytest.raises(InvalidMessageError):
             codec.decode(bad)
@@ -174,11 +196,11 @@
     [
         ControlState({}),
         ControlState({"c": "f"}, 3),
-        ControlState({"c": "f"}, 3, done=(CommittedStep(1, {}), CommittedStep(3, {}))),
+        ControlState({"c": "f"}, 3, recent_steps=(CommittedStep(1, {}), CommittedStep(3, {}))),
         ControlState({"c": "f"}, -1),
-        ControlState({"c": "f"}, entries={"k": "x" * (MAX_VALUE + 1)}),
+        ControlState({"c": "f"}, entries={"k": "x" * (MAX_VALUE_CHARACTERS + 1)}),
         ControlState({"c" * 99: "f"}),
-        ControlState({"c": "f"}, takers={f"t{n}": (1, 1) for n in range(65)}),
+        ControlState({"c": "f"}, last_settled={f"t{n}": (1, 1) for n in range(65)}),
     ],
 )
 def test_a_state_that_no_controller_could_have_made_is_not_taken_up(wrong: ControlState) -> None:
@@ -195,36 +217,38 @@
 
 def test_other_clusters_and_changed_bytes_are_dropped_and_counted() -> None:
     here, there = link(), link("r0", host="10.0.1.1")
-    (data,) = there.packed(1.0, here.address, Detach())
-    sender, message, replies = here.came(1.0, data, there.address)
-    assert (sender.name, sender.incarnation, message, replies) == ("r0", 5, Detach(), [])
-    (strange,) = link("r0", cluster="other", host="10.0.1.1").packed(1.0, here.address, Detach())
+    (data,) = there.encode(1.0, here.address, Detach())
+    received = here.receive(1.0, data, there.address)
+    sender = received.sender
+    assert (sender.name, sender.incarnation, received.message, received.replies) == ("r0", 5, Detach(), [])
+    (strange,) = link("r0", cluster="other", host="10.0.1.1").encode(1.0, here.address, Detach())
     for bad in (strange, data[:-1], bytes((data[0] ^ 1,)) + data[1:], b"", b"junk"):
         with pytest.raises(DroppedDatagramError):
-            here.came(1.0, bad, there.address)
+            here.receive(1.0, bad, there.address)
     with pytest.raises(DroppedDatagramError):
-        there.came(1.0, data, there.address)  # its own, back
+        there.receive(1.0, data, there.address)  # its own, back
     assert sum(n for why, n in here.counts.items() if why.startswith("dropped")) == 5
 
 
 def test_a_flood_from_one_address_is_dropped_and_others_are_heard() -> None:
     here, there, third = link(), link("r0", host="10.0.1.1"), link("r1", host="10.0.1.2")
-    for _ in range(SOURCE_PER_S):
-        here.came(1.0, there.packed(1.0, here.address, Detach())[0], there.address)
+    for _ in range(MAX_DATAGRAMS_PER_SOURCE_PER_S):
+        here.receive(1.0, there.encode(1.0, here.address, Detach())[0], there.address)
     with pytest.raises(DroppedDatagramError, match="flood"):
-        here.came(1.0, there.packed(1.0, here.address, Detach())[0], there.address)
-    assert here.came(1.0, third.packed(1.0, here.address, Detach())[0], third.address)[1] == Detach()
-    assert here.came(1002.0, there.packed(1.0, here.address, Detach())[0], there.address)[1] == Detach()
+        here.receive(1.0, there.encode(1.0, here.address, Detach())[0], there.address)
+    assert here.receive(1.0, third.encode(1.0, here.address, Detach())[0], third.address).message == Detach()
+    assert here.receive(1002.0, there.encode(1.0, here.address, Detach())[0], there.address).message == Detach()
 
 
 def test_a_process_whose_clock_went_back_takes_a_higher_incarnation_and_is_heard() -> None:
     here, before, now = link(), link("r0", 900, host="10.0.1.1"), link("r0", 3, host="10.0.1.1")
-    here.came(1.0, before.packed(1.0, here.address, Detach())[0], before.address)
-    sender, message, (later,) = here.came(2.0, now.packed(2.0, here.address, Detach())[0], now.address)
-    assert message is None and now.came(2.0, later, here.address)[1] is None and now.incarnation == 901
-    assert here.came(3.0, now.packed(3.0, here.address, Detach())[0], now.address)[1] == Detach()
+    here.receive(1.0, before.encode(1.0, here.address, Detach())[0], before.address)
+    received = here.receive(2.0, now.encode(2.0, here.address, Detach())[0], now.address)
+    (later,) = received.replies
+    assert received.message is None and now.receive(2.0, later, here.address).message is None and now.incarnation == 901
+    assert here.receive(3.0, now.encode(3.0, here.address, Detach())[0], now.address).message == Detach()
     assert (
-        now.came(4.0, here.packed(4.0, now.address, NewerIncarnation(7))[0], here.address)[1] is None
+        now.receive(4.0, here.encode(4.0, now.address, NewerIncarnation(7))[0], here.address).message is None
         and now.incarnation == 901
     )
 
@@ -233,12 +257,12 @@
     here = link()
     for n in range(MAX_INCARNATIONS + 9):
         there = link("r", host=f"10.{n >> 8}.{n & 255}.9")
-        here.sources.clear()
-        here.came(1.0, there.packed(1.0, here.address, Detach())[0], there.address)
-    assert len(here.incarnations) == MAX_INCARNATIONS
+        here.datagrams_by_source.clear()
+        here.receive(1.0, there.encode(1.0, here.address, Detach())[0], there.address)
+    assert len(here.newest_incarnations) == MAX_INCARNATIONS
     for _ in range(600):
-        here.packed(1.0, RELAY.address, Snapshot(1, b"x" * 8, {f"{n}": f"{hash((n, 7))}" * 9 for n in range(40)}))
-    assert len(here.parcels.sent) <= 256
+        here.encode(1.0, RELAY.address, Snapshot(1, b"x" * 8, {f"{n}": f"{hash((n, 7))}" * 9 for n in range(40)}))
+    assert len(here.fragmenter.sent) <= 256
 
 
 # --- the agent ------------------------------------------------------------------------------------
@@ -272,26 +296,26 @@
 
 
 def whole(version: int, entries: Entries) -> Snapshot:
-    return Snapshot(version, digest(version, entries), dict(entries))
+    return Snapshot(version, content_digest(version, entries), dict(entries))
 
 
 def difference(base: int, before: Entries, *steps: Step) -> Delta:
     entries = before
     for step in steps:
-        entries = stepped(entries, step)
+        entries = apply_step(entries, step)
     version = base + len(steps)
-    return Delta(base, version, digest(version, entries), [dict(step) for step in steps])
+    return Delta(base, version, content_digest(version, entries), [dict(step) for step in steps])
 
 
 def test_steps_are_taken_in_their_order_and_kept() -> None:
     relay = Relay()
     relay.came(difference(0, {}, {"a": "1"}, {"a": "2", "b": "1"}))
     assert relay.takes() == [(2, {"a": "2", "b": "1"})] and Persist(2, {"a": "2", "b": "1"}) in relay.effects
-    assert relay.beats()[-1].taken == 2
+    assert relay.beats()[-1].applied_version == 2
     relay.came(difference(1, {"a": "1"}, {"a": "2", "b": "1"}, {"a": None}))
     assert relay.takes() == [(3, {"b": "1"})], "of steps that overlap those that it has not"
     (take,) = [e for e in relay.effects if isinstance(e, ApplySettings)]
-    assert take.changed == {"a"}
+    assert take.changed_keys == {"a"}
 
 
 def test_nothing_older_and_nothing_over_a_gap_is_taken() -> None:
@@ -302,39 +326,43 @@
         whole(5, {"a": "other"}),
         difference(3, {}, {"a": "4"}),
         difference(6, {"a": "5"}, {"a": "7"}),
-        Delta(4, 9, digest(9, {"a": "9"}), [{"a": "9"}]),
+        Delta(4, 9, content_digest(9, {"a": "9"}), [{"a": "9"}]),
     ):
         relay.came(message)
-        assert not relay.takes() and relay.agent.taken == 5, message
-    assert relay.beats()[-1].known == 5, "it says from where on"
+        assert not relay.takes() and relay.agent.applied_version == 5, message
+    assert relay.beats()[-1].known_version == 5, "it says from where on"
 
 
 def test_a_wrong_digest_is_not_taken_and_all_is_asked_for_and_no_storm_comes_of_it() -> None:
     relay = Relay()
     relay.came(whole(1, {"a": "1"}))
-    relay.came(Delta(1, 2, digest(2, {"a": "2"}), [{"a": "3"}]))
-    assert not relay.takes() and relay.beats()[-1].whole
+    relay.came(Delta(1, 2, content_digest(2, {"a": "2"}), [{"a": "3"}]))
+    assert not relay.takes() and relay.beats()[-1].wants_snapshot
     relay.came(Snapshot(2, b"12345678", {"a": "2"}))
     assert not relay.takes() and not relay.beats(), "a sender with a fault that stays would answer at once"
     relay.came(whole(2, {"a": "2"}))
-    assert relay.takes() == [(2, {"a": "2"})] and not relay.beats()[-1].whole
+    assert relay.takes() == [(2, {"a": "2"})] and not relay.beats()[-1].wants_snapshot
 
 
 def test_another_content_under_its_version_is_said_and_the_next_is_taken_whole() -> None:
     relay = Relay()
     relay.came(whole(1, {"a": "1"}))
-    relay.came(LatestVersion(1, digest(1, {"a": "2"})))
-    assert "another content" in relay.notes()[0] and relay.agent.whole and not relay.takes()
+    relay.came(LatestVersion(1, content_digest(1, {"a": "2"})))
+    assert "another content" in relay.notes()[0] and relay.agent.needs_snapshot and not relay.takes()
 
 
 def test_what_the_check_turns_down_is_not_served_by_and_the_next_good_one_is() -> None:
     relay = Relay()
     relay.came(whole(1, {"a": "1"}))
     relay.came(difference(1, {"a": "1"}, {"a": "nonsense"}))
-    assert not relay.takes() and relay.agent.served == {"a": "1"}
-    assert (relay.beats()[-1].known, relay.beats()[-1].taken, relay.beats()[-1].why) == (2, 1, "a makes no sense")
+    assert not relay.takes() and relay.agent.applied_entries == {"a": "1"}
+    assert (relay.beats()[-1].known_version, relay.beats()[-1].applied_version, relay.beats()[-1].rejection_reason) == (
+        2,
+        1,
+        "a makes no sense",
+    )
     relay.came(difference(2, {"a": "nonsense"}, {"a": "3"}))
-    assert relay.takes() == [(3, {"a": "3"})] and relay.beats()[-1].why == ""
+    assert relay.takes() == [(3, {"a": "3"})] and relay.beats()[-1].rejection_reason == ""
 
 
 def test_a_version_that_the_process_cannot_take_leaves_it_at_the_one_before() -> None:
@@ -342,13 +370,17 @@
     relay.came(whole(1, {"a": "1"}))
     relay.came(whole(2, {"a": "2"}))
     relay.post(SettingsRejected(1, "too late to matter"))
-    assert relay.agent.taken == 2
+    assert relay.agent.applied_version == 2
     relay.post(SettingsRejected(2, "no memory"))
-    assert (relay.agent.taken, relay.agent.served) == (1, {"a": "1"})
-    assert (relay.beats()[-1].known, relay.beats()[-1].taken, relay.beats()[-1].why) == (2, 1, "no memory")
+    assert (relay.agent.applied_version, relay.agent.applied_entries) == (1, {"a": "1"})
+    assert (relay.beats()[-1].known_version, relay.beats()[-1].applied_version, relay.beats()[-1].rejection_reason) == (
+        2,
+        1,
+        "no memory",
+    )
     relay.came(difference(2, {"a": "2"}, {"b": "3"}))
     (take,) = [e for e in relay.effects if isinstance(e, ApplySettings)]
-    assert take.changed == {"a", "b"}, "from what it serves by"
+    assert take.changed_keys == {"a", "b"}, "from what it serves by"
 
 
 def test_after_a_restart_it_serves_by_what_it_kept_without_any_controller() -> None:
@@ -361,11 +393,11 @@
 
 def test_a_relay_that_is_ahead_takes_nothing_older_and_says_that_the_controllers_lost_something() -> None:
     relay = Relay(7, {"a": "7"})
-    assert not relay.came(LatestVersion(3, digest(3, {}))) or not relay.notes()
-    relay.came(LatestVersion(3, digest(3, {})), late_ms=AHEAD_MS + 1.0)
-    assert "nothing older is taken" in relay.notes()[0] and relay.agent.taken == 7
+    assert not relay.came(LatestVersion(3, content_digest(3, {}))) or not relay.notes()
+    relay.came(LatestVersion(3, content_digest(3, {})), late_ms=MAX_NEWER_VERSION_MS + 1.0)
+    assert "nothing older is applied" in relay.notes()[0] and relay.agent.applied_version == 7
     relay.came(LatestVersion(7, relay.agent.digest))
-    relay.came(LatestVersion(3, digest(3, {})), late_ms=AHEAD_MS + 1.0)
+    relay.came(LatestVersion(3, content_digest(3, {})), late_ms=MAX_NEWER_VERSION_MS + 1.0)
     assert not relay.notes(), "one that is behind for a moment is not noted"
 
 
@@ -373,23 +405,23 @@
     relay = Relay()
     for sender in (Sender("c99", ("10.0.0.9", 1)), Sender("c00", ("10.0.0.99", 7950))):
         relay.post(MessageReceived(sender, whole(9, {"a": "9"})))
-        assert not relay.takes() and "none of the controllers here" in relay.notes()[0]
+        assert not relay.takes() and "is no controller of the settings" in relay.notes()[0]
 
 
 def test_a_silent_controller_is_left_for_another_and_a_better_one_is_gone_back_to() -> None:
     relay = Relay()
-    relay.came(LatestVersion(0, digest(0, {})), MACHINES[1])
+    relay.came(LatestVersion(0, content_digest(0, {})), MACHINES[1])
     assert relay.agent.current is MACHINES[1]
-    relay.came(LatestVersion(0, digest(0, {})), MACHINES[2])
+    relay.came(LatestVersion(0, content_digest(0, {})), MACHINES[2])
     assert relay.agent.current is MACHINES[1], "one that answers is kept"
-    relay.came(LatestVersion(0, digest(0, {})), MACHINES[0])
+    relay.came(LatestVersion(0, content_digest(0, {})), MACHINES[0])
     left = [e.to.name for e in relay.effects if isinstance(e, SendMessage) and isinstance(e.message, Detach)]
     assert relay.agent.current is MACHINES[0] and left == ["c01"]
-    relay.post(TimerFired(), SILENT_MS + 1.0)
+    relay.post(TimerFired(), CONTROLLER_TIMEOUT_MS + 1.0)
     assert {e.to.name for e in relay.effects if isinstance(e, SendMessage)} >= {"c00", "c01"}, "it asks others"
-    relay.came(LatestVersion(0, digest(0, {})), MACHINES[2])
-    assert relay.agent.current is MACHINES[2] and relay.beats()[-1].before == "c00"
-    assert [type(e.message) for e in relay.agent.leave() if isinstance(e, SendMessage)] == [Detach]
+    relay.came(LatestVersion(0, content_digest(0, {})), MACHINES[2])
+    assert relay.agent.current is MACHINES[2] and relay.beats()[-1].previous_controller == "c00"
+    assert [type(e.message) for e in relay.agent.detach() if isinstance(e, SendMessage)] == [Detach]
 
 
 # --- the controller -------------------------------------------------------------------------------
@@ -441,7 +473,7 @@
         )
 
     def answers(self) -> list[tuple[int, int, str]]:
-        return [(e.ticket, e.version, e.why) for e in self.effects if isinstance(e, ChangeAnswered)]
+        return [(e.ticket, e.version, e.reason) for e in self.effects if isinstance(e, ChangeAnswered)]
 
     def sent(self, kind: type) -> list[Any]:
         return [e.message for e in self.effects if isinstance(e, SendMessage) and isinstance(e.message, kind)]
@@ -451,7 +483,9 @@
 
 
 def beat(known: int = 0, entries: Entries | None = None, **more: Any) -> Heartbeat:
-    return Heartbeat(known, digest(known, entries or {}), more.pop("taken", known), attached=True, **more)
+    return Heartbeat(
+        known, content_digest(known, entries or {}), more.pop("applied_version", known), attached=True, **more
+    )
 
 
 def test_an_order_is_agreed_on_answered_and_told_to_relays_at_once() -> None:
@@ -469,7 +503,7 @@
     control.came(Sender("c01", MACHINES[1].address, 1), ChangeOrder("c01", 1, 2, {"a": "2"}))
     for _ in range(20):
         control.post(TimerFired(), 100.0)
-    assert control.core.proposer.highest <= 4
+    assert control.core.proposals.proposer.highest <= 4
     control.came(Sender("c01", MACHINES[1].address, 1), ChangeOrder("c01", 1, 1, {"a": "1"}))
     assert control.core.state.entries == {"a": "2"} and control.core.state.version == 2
 
@@ -478,7 +512,7 @@
     ("step", "why"),
     [
         ({"a": "nonsense"}, "makes no sense"),
-        ({"a": "x" * (MAX_VALUE + 1)}, "at most"),
+        ({"a": "x" * (MAX_VALUE_CHARACTERS + 1)}, "at most"),
         ({"": "x"}, "characters"),
         ({"right": "1"}, "not both possible"),
     ],
@@ -496,27 +530,27 @@
     control.came(Sender("c01", MACHINES[1].address, 4), ChangeOrder("c01", 4, 1, {"left": "1"}))
     control.post(MessageReceived(Sender("c02", MACHINES[2].address, 4, 9), ChangeOrder("c02", 4, 1, {"right": "1"})))
     assert control.core.state.entries == {"left": "1"}
-    assert control.core.shown()["refused"] == [{"version": 2, "why": "left and right are not both possible"}]
+    assert control.core.status().to_json()["refused"] == [{"version": 2, "why": "left and right are not both possible"}]
 
 
 def test_without_a_majority_orders_end_with_the_cause_and_the_next_go_under_a_new_incarnation() -> None:
     control = Control("c01")  # no voter, and nobody answers
     control.post(ChangeRequested(1, {"a": "1"}))
-    control.post(TimerFired(), EXPIRE_MS + 100.0)
+    control.post(TimerFired(), ORDER_EXPIRY_MS + 100.0)
     ((ticket, version, why),) = control.answers()
-    assert (ticket, version) == (1, 0) and "may still come" in why and not control.core.pending
+    assert (ticket, version) == (1, 0) and "may still come" in why and not control.core.changes.pending
     control.post(ChangeRequested(2, {"a": "2"}))
-    assert control.core.pending[0].order == ChangeOrder("c01", 2, 1, {"a": "2"})
+    assert control.core.changes.pending[0].order == ChangeOrder("c01", 2, 1, {"a": "2"})
 
 
 def test_waiting_orders_are_bounded() -> None:
     control = Control("c01")
-    for n in range(MAX_ORDERS + 1):
+    for n in range(MAX_QUEUED_ORDERS + 1):
         control.post(ChangeRequested(n, {"a": f"{n}"}), 0.0)
-    assert "wait already" in control.answers()[0][2] and len(control.core.pending) == MAX_ORDERS
-    for n in range(2 * MAX_ORDERS):
+    assert "wait already" in control.answers()[0][2] and len(control.core.changes.pending) == MAX_QUEUED_ORDERS
+    for n in range(2 * MAX_QUEUED_ORDERS):
         control.came(Sender("c02", MACHINES[2].address, 4), ChangeOrder("c02", 4, n + 2, {"a": "1"}), 0.0)
-    assert len(control.core.round.queue) <= MAX_ORDERS
+    assert len(control.core.proposals.queue) <= MAX_QUEUED_ORDERS
 
 
 def test_orders_and_votes_and_states_of_strangers_change_nothing() -> None:
@@ -536,7 +570,7 @@
             assert not [e for e in control.effects if not isinstance(e, LogMessage)], message
     control.came(Sender("c01", MACHINES[1].address, 1), ChangeOrder("c02", 1, 1, {"a": "1"}))
     control.came(Sender("c01", MACHINES[1].address, 1), "what is this")
-    assert control.core.state.version == 0 and not control.core.round.queue
+    assert control.core.state.version == 0 and not control.core.proposals.queue
 
 
 def test_who_has_no_file_is_no_voter() -> None:
@@ -562,55 +596,55 @@
     control.came(twin, beat())
     assert ["two relays are called r0" in note for note in control.notes()] == [True]
     control.came(Sender("r0", ("10.0.1.3", 7950), 1), beat())
-    assert not control.notes() and len(control.core.relays) == 3
+    assert not control.notes() and len(control.core.sessions.relays) == 3
 
 
 def test_a_relay_that_is_ahead_is_said_and_told_nothing_older() -> None:
     control = Control()
     control.came(RELAY, beat(9), late_ms=6000.0)
-    assert "newer than what is agreed on here" in control.notes()[0]
+    assert "newer than the committed version" in control.notes()[0]
     assert control.sent(LatestVersion) and not control.sent(Snapshot) and not control.sent(Delta)
 
 
 def test_what_was_overtaken_on_its_way_changes_nothing() -> None:
     control = Control()
-    control.post(MessageReceived(Sender("r0", RELAY.address, 2, 50), beat(taken=0)))
+    control.post(MessageReceived(Sender("r0", RELAY.address, 2, 50), beat(applied_version=0)))
     for sender in (Sender("r0", RELAY.address, 2, 49), Sender("r0", RELAY.address, 1, 99)):
         control.post(MessageReceived(sender, beat(4)))
         control.post(MessageReceived(sender, Detach()))
     c01 = MACHINES[1]
     control.post(MessageReceived(Sender("c01", c01.address, 1, 1), RelayReattached(*RELAY.address, 2, 49)))
-    (relay,) = control.core.relays.values()
-    assert relay.known == 0 and not relay.left
+    (relay,) = control.core.sessions.relays.values()
+    assert relay.known_version == 0 and not relay.detached_at
     control.post(MessageReceived(Sender("c01", c01.address, 2, 50), RelaySummary(0, 7, [(0, 7)], [])))
     control.post(MessageReceived(Sender("c01", c01.address, 2, 49), RelaySummary(0, 1, [(0, 1)], [])))
-    assert control.core.shown()["controllers"]["c01"]["relays"] == 7
+    assert control.core.status().controllers["c01"].relays == 7
 
 
 def test_the_table_of_relays_is_bounded_and_the_longest_silent_goes() -> None:
     control = Control()
     for n in range(MAX_RELAYS + 1):
         control.came(Sender(f"r{n}", (f"10.1.{n >> 8}.{n & 255}", 1), 1), beat(), 0.0)
-    assert len(control.core.relays) == MAX_RELAYS and control.core.counts["no_room"] == 1
+    assert len(control.core.sessions.relays) == MAX_RELAYS and control.core.counts["no_room"] == 1
     control.came(Sender("late", ("10.2.0.1", 1), 1), beat(), 5000.0)
-    assert len(control.core.relays) == MAX_RELAYS and ("10.2.0.1", 1) in control.core.relays
+    assert len(control.core.sessions.relays) == MAX_RELAYS and ("10.2.0.1", 1) in control.core.sessions.relays
 
 
 def test_steps_that_are_no_longer_known_are_told_as_a_whole() -> None:
     control, c01 = Control(), Sender("c01", MACHINES[1].address, 1)
     state = FIRST
-    for _ in range(MAX_LOG // MAX_DONE + 2):
-        state = after(*({"k": f"{n}" * 9, f"x{n}": "y" * 40} for n in range(MAX_DONE)), state=state)
+    for _ in range(MAX_LOGGED_STEPS // MAX_RECENT_STEPS + 2):
+        state = after(*({"k": f"{n}" * 9, f"x{n}": "y" * 40} for n in range(MAX_RECENT_STEPS)), state=state)
         control.came(c01, StateUpdate(state))
-    assert len(control.core.log) <= MAX_LOG
+    assert len(control.core.context.committed.steps) <= MAX_LOGGED_STEPS
     newest = state.version
     control.came(RELAY, beat(newest - 2, state.entries), 300.0)
     assert [d.base for d in control.sent(Delta)] == [newest - 2]
     control.came(RELAY, beat(newest - 100, state.entries), 300.0)
     assert control.sent(Snapshot) == [whole(newest, state.entries)]
-    control.came(RELAY, beat(newest - 1, state.entries, whole=True))
+    control.came(RELAY, beat(newest - 1, state.entries, wants_snapshot=True))
     assert control.sent(Snapshot) == [whole(newest, state.entries)], "who asks for all gets all"
-    far = after(*({"k": f"{n}"} for n in range(MAX_DONE + 30)), state=state)
+    far = after(*({"k": f"{n}"} for n in range(MAX_RECENT_STEPS + 30)), state=state)
     control.came(c01, StateUpdate(far))
     control.came(RELAY, beat(newest, state.entries), 300.0)
     assert control.sent(Snapshot) and not control.sent(Delta), "over a gap"
@@ -636,16 +670,16 @@
     state = after({"a": "1"}, {"a": "2"}, taker="c01", incarnation=502)
     control.came(c00, StateUpdate(after({"b": "old"}, state=state, taker="c01", incarnation=1000)))
     assert control.answers() == [(1, 1, ""), (2, 2, "")]
-    assert [p.order for p in control.core.pending] == [ChangeOrder("c01", 1001, 1, {"a": "3"})]
+    assert [p.order for p in control.core.changes.pending] == [ChangeOrder("c01", 1001, 1, {"a": "3"})]
 
 
 def test_orders_of_which_nobody_knows_any_more_are_answered_so() -> None:
     control, c00 = Control("c01", incarnation=502), Sender("c00", MACHINES[0].address, 1)
     control.post(ChangeRequested(1, {"a": "1"}))
     state = after({"b": "old"}, state=after({"a": "1"}, taker="c01", incarnation=502), taker="c01", incarnation=1000)
-    control.came(c00, StateUpdate(after(*({"z": f"{n}"} for n in range(MAX_DONE)), state=state, taker="c02")))
+    control.came(c00, StateUpdate(after(*({"z": f"{n}"} for n in range(MAX_RECENT_STEPS)), state=state, taker="c02")))
     ((_, version, why),) = control.answers()
-    assert version == 0 and "see `show`" in why and not control.core.pending
+    assert version == 0 and "see `show`" in why and not control.core.changes.pending
 
 
 # --- what is said to be in force ------------------------------------------------------------------
@@ -654,7 +688,7 @@
 def steady() -> Control:
     """Two controllers that hear each other for a while, and a relay at each."""
     control, c01 = Control(), Sender("c01", MACHINES[1].address, 1)
-    for _ in range(int(SURE_MS / 100.0) + 5):
+    for _ in range(int(ATTACHMENT_GRACE_MS / 100.0) + 5):
         control.came(RELAY, beat(), 0.0)
         control.came(c01, RelaySummary(0, 1, [(0, 1)], []), 0.0)
         control.post(TimerFired(), 100.0)
@@ -664,13 +698,13 @@
 def test_in_force_is_what_all_relays_of_all_controllers_have() -> None:
     control, c01 = steady(), Sender("c01", MACHINES[1].address, 1)
     control.post(ChangeRequested(1, {"a": "1"}))
-    assert control.core.shown()["in_force"] == 0
+    assert control.core.status().applied_everywhere == 0
     control.came(RELAY, beat(1, {"a": "1"}))
-    assert control.core.shown()["in_force"] == 0, "c01's relay has not"
+    assert control.core.status().applied_everywhere == 0, "c01's relay has not"
     control.came(c01, RelaySummary(1, 1, [(1, 1)], []))
-    assert control.core.shown()["in_force"] == 1
+    assert control.core.status().applied_everywhere == 1
     notes = [note for _ in range(4) for note in control.post(TimerFired(), 100.0) and control.notes()]
-    assert ["version 1 is in force at 2 relays" in note for note in notes] == [True], "said once"
+    assert ["version 1 is applied by all 2 relays" in note for note in notes] == [True], "said once"
 
 
 @pytest.mark.parametrize("what", ["silent", "new life", "stood still", "just started"])
@@ -690,13 +724,13 @@
     incarnation = 2 if what == "new life" else 1
     if what != "silent":
         control.came(Sender("c01", MACHINES[1].address, incarnation), RelaySummary(1, 0, [], []))
-    assert control.core.shown()["in_force"] == 0, "a relay may be on its way from one to another"
-    for _ in range(int(SURE_MS / 100.0) + 2):
+    assert control.core.status().applied_everywhere == 0, "a relay may be on its way from one to another"
+    for _ in range(int(ATTACHMENT_GRACE_MS / 100.0) + 2):
         control.came(RELAY, beat(1, {"a": "1"}), 0.0)
         if what != "silent":
             control.came(Sender("c01", MACHINES[1].address, incarnation), RelaySummary(1, 0, [], []), 0.0)
         control.post(TimerFired(), 100.0)
-    assert control.core.shown()["in_force"] == 1
+    assert control.core.status().applied_everywhere == 1
 
 
 @pytest.mark.parametrize("told", [True, False])
@@ -705,16 +739,16 @@
     control.came(c01, RelaySummary(0, 0, [], []))
     control.post(MessageReceived(Sender("r0", RELAY.address, 1, 10_000), Detach()))
     control.post(ChangeRequested(1, {"a": "1"}))
-    assert control.core.shown()["in_force"] == 0 and control.core.shown()["relays"] == 0
+    assert control.core.status().applied_everywhere == 0 and control.core.status().relays == 0
     assert not control.sent(Delta), "it is told by another"
     if told:
         control.came(c01, RelayReattached(*RELAY.address, 1, 10_001))
-    for n in range(int(SURE_MS / 100.0) + 4):
+    for n in range(int(ATTACHMENT_GRACE_MS / 100.0) + 4):
         if n == 20:
-            assert control.core.shown()["in_force"] == (1 if told else 0)
+            assert control.core.status().applied_everywhere == (1 if told else 0)
         control.came(c01, RelaySummary(1, 1, [(1, 1)], []), 0.0)
         control.post(TimerFired(), 100.0)
-    assert control.core.shown()["in_force"] == 1 and not control.core.relays
+    assert control.core.status().applied_everywhere == 1 and not control.core.sessions.relays
 
 
 # --- days -----------------------------------------------------------------------------------------
--- a/tests/daemon/test_cached_settings.py
+++ b/tests/daemon/test_cached_settings.py
@@ -10,11 +10,12 @@
 import pytest
 
 from tests.daemon.test_configuration_daemon import ENTRIES, Cluster
-from yarrowspindle.configuration.messages import MessageReceived, Snapshot
-from yarrowspindle.configuration.state import digest
-from yarrowspindle.daemon import configuration_endpoint as control
+from yarrowspindle.configuration.events import MessageReceived
+from yarrowspindle.configuration.messages import Snapshot
+from yarrowspindle.configuration.state import content_digest
+from yarrowspindle.daemon import background_store
 from yarrowspindle.daemon.config import read_operator
-from yarrowspindle.daemon.configuration_endpoint import RelayEndpoint
+from yarrowspindle.daemon.relay_configuration import RelayEndpoint
 
 
 @pytest.mark.parametrize("well_again", (True, False))
@@ -24,7 +25,7 @@
     """The disk is well again before the next try is due, and then the process is told to end."""
 
     async def body() -> None:
-        monkeypatch.setattr(control, "AGAIN_S", 30.0)
+        monkeypatch.setattr(background_store, "RETRY_S", 30.0)
         world = Cluster(tmp_path, ["c0"])
         settings = read_operator(world.relay("r0")).control
         assert settings is not None
@@ -41,7 +42,7 @@
 
         monkeypatch.setattr(endpoint.file, "store", on_bad_disk)
         endpoint.start()
-        endpoint.post(MessageReceived(settings.machines[0].sender, Snapshot(1, digest(1, ENTRIES), ENTRIES)))
+        endpoint.post(MessageReceived(settings.controllers[0].sender, Snapshot(1, content_digest(1, ENTRIES), ENTRIES)))
         while not endpoint.counts["unkept"]:
             await asyncio.sleep(0.01)
         failing = not well_again
--- a/tests/daemon/test_configuration_daemon.py
+++ b/tests/daemon/test_configuration_daemon.py
@@ -21,26 +21,18 @@
 from tests.ports import own_net
 from tests.stand_ins import ROOT, SETTINGS, WAIT_S, World, relay
 from yarrowspindle.commands.configuration import main
-from yarrowspindle.configuration.codec import TAKEN
+from yarrowspindle.configuration.codec import APPLIED_SETTINGS_FILE
 from yarrowspindle.configuration.controller import Controller as CoreController
+from yarrowspindle.configuration.effects import Persist, SetTimer
+from yarrowspindle.configuration.events import MessageReceived, Sender, TimerFired
 from yarrowspindle.configuration.link import Link
-from yarrowspindle.configuration.messages import (
-    Delta,
-    LatestVersion,
-    MessageReceived,
-    Persist,
-    Sender,
-    SetTimer,
-    Snapshot,
-    StateUpdate,
-    TimerFired,
-)
+from yarrowspindle.configuration.messages import Delta, LatestVersion, Snapshot, StateUpdate
 from yarrowspindle.configuration.settings import ControllerAddress
-from yarrowspindle.configuration.state import ChangeOrder, ControlState, digest
+from yarrowspindle.configuration.state import ChangeOrder, ControlState, content_digest
 from yarrowspindle.daemon.config import ConfigError, Operator, load_operator, read_config, read_operator
-from yarrowspindle.daemon.configuration_endpoint import RelayEndpoint
+from yarrowspindle.daemon.relay_configuration import RelayEndpoint
 from yarrowspindle.daemon.relay_service import RelayService
-from yarrowspindle.daemon.shared_settings import check, shared_of, text_of
+from yarrowspindle.daemon.shared_settings import check, entry_value, read_platform_settings
 from yarrowspindle.lab.faults import Fault, Ways
 from yarrowspindle.lab.processes.proxy import DatagramProxy
 from yarrowspindle.routing.address import Address
@@ -49,7 +41,7 @@
 from yarrowspindle.storage.durable_file import FIRST, DurableFile
 
 CHAT = dict(SETTINGS["categories"][0])
-ENTRIES, _, _ = shared_of(SETTINGS)
+ENTRIES = read_platform_settings(SETTINGS).entries
 # A submitter that says that it waits for so long is believed only where the class's deadline is 1.5 s or more.
 LONG_MS = 2500
 addresses = iter(range(1 << 16))
@@ -66,7 +58,7 @@
 
 
 def chat(deadline_ms: float) -> str:
-    return f"categories={text_of([CHAT | {'deadline_ms': deadline_ms}])}"
+    return f"categories={entry_value([CHAT | {'deadline_ms': deadline_ms}])}"
 
 
 class Controller:
@@ -100,7 +92,7 @@
             sys.executable, "-B", "-m", "yarrowspindle", cwd=ROOT, env=env, stderr=asyncio.subprocess.PIPE
         )
         self.reading = asyncio.ensure_future(self._read())
-        await self.logged("commands are taken")
+        await self.logged("commands are accepted")
 
     async def _read(self) -> None:
         assert self.process.stderr is not None
@@ -148,7 +140,7 @@
         )
 
     def file(self, name: str) -> DurableFile[Persist]:
-        return DurableFile(f"{self.folder}/{name}-kept", name, self.name, "taken", TAKEN)
+        return DurableFile(f"{self.folder}/{name}-kept", name, self.name, "taken", APPLIED_SETTINGS_FILE)
 
     async def say(self, at: int, *words: str) -> int:
         return await asyncio.to_thread(main, ["--at", text(self.controllers[at].command), *words])
@@ -198,7 +190,7 @@
 
 async def served(found: list[World], version: int) -> None:
     """At all of these relays, as they say themselves."""
-    await asyncio.gather(*(one.logged(f"served by version {version}") for one in found))
+    await asyncio.gather(*(one.logged(f"applied version {version};") for one in found))
 
 
 async def believes(world: World, wait_ms: int) -> bool:
@@ -244,7 +236,7 @@
             assert await world.say(1, "load", str(tmp_path / "platform.json")) == 0
             assert "nothing differs" in capsys.readouterr().out
             assert await world.say(2, "set", chat(900.0)) == 0
-            await asyncio.gather(*(one.logged("served by version 2, of which is new: categories") for one in found))
+            await asyncio.gather(*(one.logged("applied version 2; changed: categories") for one in found))
             shown = await world.in_force(1, 2, 5, capsys)
             assert not shown["named"] and shown["voters"] == ["c0", "c1", "c2"]
             for one in found:
@@ -255,7 +247,7 @@
             await refused(world, "limit is no member of the settings", "set", "limit={}")
             await refused(world, "zone is each relay's own", "set", "zone=1")
             await refused(world, "no entry limit", "unset", "limit")
-            await refused(world, "a name of its own", "set", f"categories={text_of([CHAT, CHAT])}")
+            await refused(world, "a name of its own", "set", f"categories={entry_value([CHAT, CHAT])}")
             assert (await world.show(0, capsys))["version"] == 2
 
             # One controller less, whichever: the next change is in force within 3 s.
@@ -333,18 +325,18 @@
             await flood(flooded)
             assert await believes(other, LONG_MS)
             said = [other.log.get_nowait() for _ in range(other.log.qsize())]
-            assert 0 < sum("dropped what" in line for line in said) <= 60, "20 a second at most"
+            assert 0 < sum("dropped a datagram of" in line for line in said) <= 60, "20 a second at most"
             await controller.has("two relays are called twin")
             await controller.has("another cluster")
             # One that has more than the controllers know of takes nothing lower.
-            await controller.has("relay ahead has version 50, newer than what is agreed on here")
+            await controller.has("relay ahead has version 50, newer than the committed version")
 
             # A disk that fails: at the voter, then at a relay.
             blocked = controller.directory / "voter.new"
             blocked.mkdir()
             (tmp_path / "settings.json").write_text(json.dumps(SETTINGS))
             loading = asyncio.ensure_future(world.say(0, "load", str(tmp_path / "settings.json")))
-            await controller.has("the voter's file cannot be written, so nothing is voted")
+            await controller.has("the voter's file cannot be written, so this controller does not vote")
             assert not loading.done() and (await world.show(0, capsys))["version"] == 0
             kept = world.file("twin").folder / "taken.new"
             kept.mkdir(parents=True)
@@ -352,10 +344,10 @@
             assert await loading == 0
             shown = await world.in_force(0, 1, 4, capsys)
             assert shown["version"] == 1 and not shown["named"]
-            await twin.logged("version 1 is served, but cannot be kept yet")
+            await twin.logged("version 1 is applied, but cannot be stored yet")
             assert await believes(twin, LONG_MS)
             kept.rmdir()
-            await twin.logged("version 1 is kept in")
+            await twin.logged("version 1 is stored in")
             assert world.file("twin").load().version == 1
 
             assert not await believes(ahead, LONG_MS) and world.file("ahead").load().version == 50
@@ -366,7 +358,7 @@
 
 async def flood(at: Address) -> None:
     """Of many strangers; some look like somebody's datagram."""
-    sealed = Link("x", address(), "lab", 1, 1, 0.0).packed(0.0, at, LatestVersion(1, bytes(8)))[0]
+    sealed = Link("x", address(), "lab", 1, 1, 0.0).encode(0.0, at, LatestVersion(1, bytes(8)))[0]
     for n in range(150):
         with socket.socket(type=socket.SOCK_DGRAM) as stranger:
             for data in (b"", os.urandom(1 + n), sealed, sealed[:-n] + os.urandom(n), os.urandom(1400)):
@@ -388,7 +380,7 @@
             assert any("it is cut off" in line for line in last.said[before:])
             assert any("has its voter's file, promised 0" in line for line in last.said[before:])
             assert (last.directory / "voter.bad").exists()
-            await world.controllers[0].logged("version 2 is agreed on: voters")
+            await world.controllers[0].logged("version 2 is committed: voters")
             await world.controllers[0].end()  # what is left is a majority again
             assert await world.say(1, "set", chat(900.0)) == 0
 
@@ -457,13 +449,22 @@
         sent: list[Any] = []
         endpoint._send = lambda send: sent.append(send.message)  # type: ignore[method-assign]
         endpoint.carry_out(endpoint.core.take_effects())
-        sender = settings.machines[0].sender
-        endpoint.post(MessageReceived(sender, Snapshot(1, digest(1, ENTRIES), ENTRIES)))
-        assert (endpoint.core.known, endpoint.core.taken, endpoint.core.why) == (1, 0, "no room")
-        assert endpoint.unkept is None and {beat.taken for beat in sent} == {0} and sent[-1].why == "no room"
+        sender = settings.controllers[0].sender
+        endpoint.post(MessageReceived(sender, Snapshot(1, content_digest(1, ENTRIES), ENTRIES)))
+        assert (endpoint.core.known_version, endpoint.core.applied_version, endpoint.core.rejection_reason) == (
+            1,
+            0,
+            "no room",
+        )
+        assert (
+            endpoint.store is not None
+            and endpoint.store.pending is None
+            and {beat.applied_version for beat in sent} == {0}
+            and sent[-1].rejection_reason == "no room"
+        )
         cannot = False
-        endpoint.post(MessageReceived(sender, Delta(1, 2, digest(2, ENTRIES), [{}])))
-        assert endpoint.core.taken == 2 == sent[-1].taken and endpoint.unkept is not None
+        endpoint.post(MessageReceived(sender, Delta(1, 2, content_digest(2, ENTRIES), [{}])))
+        assert endpoint.core.applied_version == 2 == sent[-1].applied_version and endpoint.store.pending is not None
         effects: list[Any] = []
         monkeypatch.setattr(endpoint, "carry_out", effects.extend)
         monkeypatch.setattr(endpoint.core, "step", None)
@@ -499,7 +500,7 @@
         for n in range(2000):
             name = ("chat", "chat", "video")[n % 3]
             changed = [CHAT | {"name": name, "deadline_ms": 3000.0 + n}, CHAT | {"name": "call"}]
-            hub.take(ENTRIES | {"categories": text_of(changed)})
+            hub.take(ENTRIES | {"categories": entry_value(changed)})
             classes, current = hub.config.settings.classes, hub.config.current
             assert len(classes) <= 6 and hub.reducer.balancer.settings.classes == classes
             assert len(set(current.values())) == 2 and classes[current[name]].deadline_ms == 3000.0 + n
@@ -519,7 +520,9 @@
         assert estimates is not None
         estimates.loads[0] = 3.0
         for name in ("b", "c", "d", "chat"):  # one entry under other names: only the name tells them apart
-            hub.take(ENTRIES | {"categories": text_of([CHAT | {"name": name}]), "stats": text_of(probed["stats"])})
+            hub.take(
+                ENTRIES | {"categories": entry_value([CHAT | {"name": name}]), "stats": entry_value(probed["stats"])}
+            )
             assert len(estimates.loads) == len(estimates.counts) == len(hub.config.classes) <= 2
             assert estimates.loads[hub.config.current[name]] == 1.0
         hub.runtime.close()
@@ -530,7 +533,7 @@
 def test_a_machine_with_a_controllers_name_is_not_heard_from_elsewhere() -> None:
     machines = tuple(ControllerAddress(f"c{n}", (f"10.0.0.{n}", 1), voter=True) for n in range(3))
     first = ControlState({machine.name: FIRST for machine in machines})
-    learned = first.settled(ChangeOrder("c1", 1, 1, ENTRIES), check)
+    learned = first.settle(ChangeOrder("c1", 1, 1, ENTRIES), check)
     assert learned is not None
     for at, version in ((("10.0.0.9", 1), 0), (machines[1].address, 1)):
         core = CoreController(machines[0], machines, first, FIRST, first, 5, check, 1, 0.0)
@@ -551,8 +554,8 @@
         ({"categories": "{}"}, "categories.count is missing"),
         ({"categories": "[]"}, "make no sense"),
         ({"categories": '{"count": 1, "0": {"slo_ms": 1, "deadline_ms": 1}}'}, "categories is a list of objects"),
-        ({"categories": text_of([CHAT | {"name": ""}])}, "a name of its own"),
-        ({"categories": text_of([CHAT | {"name": "a\nb"}])}, "a name of its own"),
+        ({"categories": entry_value([CHAT | {"name": ""}])}, "a name of its own"),
+        ({"categories": entry_value([CHAT | {"name": "a\nb"}])}, "a name of its own"),
         ({"balancers": "0"}, "balancers must be at least 1"),
         ({"obligations": "[" * 5000}, "make no sense"),
         ({"obligations": "9" * 5000}, "make no sense"),
--- a/tests/forms/published.py
+++ b/tests/forms/published.py
@@ -116,7 +116,7 @@
         ControllerAddress(name, ("127.0.0.1", 7000 + number)) for number, name in enumerate(("c1", "c2", "c3"))
     )
     core = Controller(machines[0], machines, CONTROL_STATE, "aa", CONTROL_STATE, 17, lambda entries: "", 7, 0.0)
-    return dict(core.shown(RelaySummary(2, 12, [(1, 2), (2, 10)], [LaggingRelay("n7", 1, 2500, "refused")], 3)))
+    return core.status(RelaySummary(2, 12, [(1, 2), (2, 10)], [LaggingRelay("n7", 1, 2500, "refused")], 3)).to_json()
 
 
 def options(command: click.Command) -> dict[str, Any]:
--- a/tests/forms/samples.py
+++ b/tests/forms/samples.py
@@ -7,6 +7,7 @@
 
 from yarrowspindle.configuration import codec as control_codec
 from yarrowspindle.configuration import messages as control
+from yarrowspindle.configuration.effects import Persist
 from yarrowspindle.configuration.state import ChangeOrder, CommittedStep, ControlState
 from yarrowspindle.consensus.register import Accept, Accepted, AcceptorState, Prepare, Promise, Rejected
 from yarrowspindle.decisions.events import EndpointState, ListKind, PeerLoads
@@ -56,8 +57,8 @@
     version=2,
     epoch=1,
     entries={"step_ms": "2"},
-    takers={"c1": (1700000000000, 2)},
-    done=[
+    last_settled={"c1": (1700000000000, 2)},
+    recent_steps=[
         CommittedStep(1, {"step_ms": "1", "limits": "{}"}, "", "c1", 1700000000000, 1),
         CommittedStep(2, STEP, "no", "c1", 17, 2),
     ],
@@ -127,9 +128,9 @@
     """Name -> codec and value of each file."""
     return {
         "turns voter": (turns_codec.FILE, AcceptorState("cc", (6, "n1 k1"), (5, "n2 k2"), TURN_STATE)),
-        "control voter": (control_codec.FILE, AcceptorState("cc", (6, "c1 k1"), (5, "c2 k2"), CONTROL_STATE)),
-        "control settings of a relay": (control_codec.TAKEN, control.Persist(2, {"step_ms": "2"})),
-        "control state of a controller": (control_codec.AGREED, CONTROL_STATE),
+        "control voter": (control_codec.ACCEPTOR_FILE, AcceptorState("cc", (6, "c1 k1"), (5, "c2 k2"), CONTROL_STATE)),
+        "control settings of a relay": (control_codec.APPLIED_SETTINGS_FILE, Persist(2, {"step_ms": "2"})),
+        "control state of a controller": (control_codec.COMMITTED_STATE_FILE, CONTROL_STATE),
     }
 
 
--- a/yarrowspindle/commands/configuration.py
+++ b/yarrowspindle/commands/configuration.py
@@ -1,9 +1,10 @@
-"""`python -m yarrowspindle control ...`: operators change what all relays serve by, at one controller."""
+"""`python -m yarrowspindle control ...`: operators change the settings of all relays, at one controller."""
 
 from __future__ import annotations
 
 import json
 import time
+from collections.abc import Mapping
 from pathlib import Path
 from typing import Any
 
@@ -11,63 +12,74 @@
 
 from yarrowspindle.commands.api_client import address, call, run
 from yarrowspindle.configuration.settings import CONTROLLER, ControlSettings
+from yarrowspindle.configuration.state import Step
 from yarrowspindle.daemon.config import load_operator
-from yarrowspindle.daemon.controller import file_of, first_state
-from yarrowspindle.daemon.shared_settings import shared_of, text_of
+from yarrowspindle.daemon.controller_files import acceptor_file, first_state
+from yarrowspindle.daemon.shared_settings import PlatformSettings, entry_value, read_platform_settings
 from yarrowspindle.storage.durable_file import FileUnavailableError
 
-ANSWER_S, POLL_S = 12.0, 0.05
+ANSWER_TIMEOUT_S = 12.0
+POLL_INTERVAL_S = 0.05
+MAX_SHOWN_VALUE_CHARACTERS = 80
+ELLIPSIS = "..."
+SILENT_AFTER_S = 1.0  # a controller without a summary for this long is shown as silent
 
 
-def settings() -> ControlSettings | None:
+def configured_settings() -> ControlSettings | None:
+    """The `[control]` of the operator's file; None where it has none."""
     return load_operator().control
 
 
-def ask(at: str | None, method: str, path: str, told: dict[str, Any] | None = None) -> Any:
-    known = settings() if at is None else None
-    return call(address(at, known.command if known else None, "control.command"), "controller", method, path, told)
+def call_controller(at: str | None, method: str, path: str, body: dict[str, Any] | None = None) -> Any:
+    """Calls the controller at an address, else at the one of the operator's file. Raises ClickException."""
+    settings = configured_settings() if at is None else None
+    to = address(at, settings.command if settings else None, "control.command")
+    return call(to, "controller", method, path, body)
 
 
-def change(at: str | None, step: dict[str, str | None]) -> None:
-    """Until it is settled: agreed on by a majority of the voters, or turned down."""
-    ticket = ask(at, "PUT", "/control/change", {"step": step})["ticket"]
-    until = time.monotonic() + ANSWER_S
-    while time.monotonic() < until:
-        found = ask(at, "PUT", "/control/answer", {"ticket": ticket})
-        if found["settled"]:
-            if not found["version"]:
-                raise click.ClickException(found["error"])
-            click.echo(f"version {found['version']} is agreed on: {', '.join(sorted(step))}")
+def request_change(at: str | None, step: Step) -> None:
+    """Requests a change and waits until it is committed. Raises ClickException where it is rejected."""
+    ticket = call_controller(at, "PUT", "/control/change", {"step": step})["ticket"]
+    deadline = time.monotonic() + ANSWER_TIMEOUT_S
+    while time.monotonic() < deadline:
+        answer = call_controller(at, "PUT", "/control/answer", {"ticket": ticket})
+        if answer["settled"]:
+            if not answer["version"]:
+                raise click.ClickException(answer["error"])
+            click.echo(f"version {answer['version']} is agreed on: {', '.join(sorted(step))}")
             return
-        time.sleep(POLL_S)
-    raise click.ClickException(f"no answer within {ANSWER_S:g} s: it may still come, see `show`")
+        time.sleep(POLL_INTERVAL_S)
+    raise click.ClickException(f"no answer within {ANSWER_TIMEOUT_S:g} s: it may still come, see `show`")
+
+
+def reject_constant(text: str) -> float:
+    """Rejects NaN and infinities, which JSON does not have. Raises ValueError."""
+    raise ValueError(f"{text} is no number")
 
 
 @click.group(help="Settings that all relays serve by, agreed on by the controllers.")
 @click.option("--at", metavar="ADDRESS", help="a controller's control.command; else as the operator's file says")
 @click.pass_context
 def control(context: click.Context, at: str | None) -> None:
+    """Stores the address of the controller for the commands."""
     context.obj = at
 
 
-def no_number(text: str) -> float:
-    raise ValueError(f"{text} is no number")
-
-
 @control.command("set", help="Replace members of the settings, all at once.")
 @click.argument("changes", nargs=-1, required=True, metavar="KEY=JSON...")
 @click.pass_context
 def set_(context: click.Context, changes: tuple[str, ...]) -> None:
+    """Sets the given members in one change."""
     step: dict[str, str | None] = {}
-    for one in changes:
-        key, equals, value = one.partition("=")
+    for change in changes:
+        key, equals, value = change.partition("=")
         if not key or not equals or key in step:
-            raise click.BadParameter(f"{one!r}: each key once, as KEY=JSON, is wanted")
+            raise click.BadParameter(f"{change!r}: each key once, as KEY=JSON, is wanted")
         try:
-            step[key] = text_of(json.loads(value, parse_constant=no_number))
+            step[key] = entry_value(json.loads(value, parse_constant=reject_constant))
         except (ValueError, RecursionError) as error:
             raise click.BadParameter(f"the value of {key} is no JSON: {error}") from error
-    change(context.obj, step)
+    request_change(context.obj, step)
 
 
 @control.command(help="Remove members. Without any left each relay serves by its own file.")
@@ -75,86 +87,119 @@
 @click.option("--all", "everything", is_flag=True, help="all members")
 @click.pass_context
 def unset(context: click.Context, keys: tuple[str, ...], everything: bool) -> None:
+    """Removes the given members, or all, in one change."""
     if bool(keys) is everything:
         raise click.UsageError("keys, or --all, are wanted")
-    found = ask(context.obj, "GET", "/control")["entries"] if everything else keys
-    if not found:
+    removed = call_controller(context.obj, "GET", "/control")["entries"] if everything else keys
+    if not removed:
         raise click.ClickException("there are no entries")
-    change(context.obj, dict.fromkeys(found))
+    request_change(context.obj, dict.fromkeys(removed))
 
 
 @control.command(help="Make the settings those of a platform's configuration file, or of a file with `settings` alone.")
 @click.argument("file", type=click.Path(exists=True, dir_okay=False, path_type=Path))
 @click.pass_context
 def load(context: click.Context, file: Path) -> None:
-    try:
-        data = json.loads(file.read_text(encoding="utf-8"), parse_constant=no_number)
-        found = data.get("settings", data)
-        wanted, own, unread = shared_of(found)
-    except (OSError, ValueError, RecursionError, AttributeError) as error:
-        raise click.ClickException(f"{file} holds no settings: {error}") from error
-    for left_out, why in ((own, "each relay's own"), (unread, "not read by the program")):
+    """Changes what differs from the file, in one change."""
+    platform = read_file(file)
+    for left_out, reason in ((platform.own, "each relay's own"), (platform.unread, "not read by the program")):
         if left_out:
-            click.echo(f"left out, {why}: {', '.join(left_out)}")
-    if not wanted:
+            click.echo(f"left out, {reason}: {', '.join(left_out)}")
+    if not platform.entries:
         raise click.ClickException(f"{file} holds no settings that can be shared")
-    have = ask(context.obj, "GET", "/control")["entries"]
-    step: dict[str, str | None] = {
-        key: value for key, value in wanted.items() if key not in have or json.loads(have[key]) != json.loads(value)
-    }
-    step |= dict.fromkeys(have.keys() - wanted.keys())
+    current = call_controller(context.obj, "GET", "/control")["entries"]
+    step = difference(current, platform.entries)
     if step:
-        change(context.obj, step)
+        request_change(context.obj, step)
     else:
         click.echo("nothing differs from what is served")
 
 
+def read_file(file: Path) -> PlatformSettings:
+    """Reads a platform's file. Raises ClickException where it has no settings."""
+    try:
+        data = json.loads(file.read_text(encoding="utf-8"), parse_constant=reject_constant)
+        return read_platform_settings(data.get("settings", data))
+    except (OSError, ValueError, RecursionError, AttributeError) as error:
+        raise click.ClickException(f"{file} holds no settings: {error}") from error
+
+
+def difference(current: Mapping[str, str], wanted: Mapping[str, str]) -> dict[str, str | None]:
+    """Returns the step from current to wanted entries; values are compared as JSON."""
+    step: dict[str, str | None] = {
+        key: value
+        for key, value in wanted.items()
+        if key not in current or json.loads(current[key]) != json.loads(value)
+    }
+    return step | dict.fromkeys(current.keys() - wanted.keys())
+
+
 @control.command(help="What is agreed on, where it is in force, and who is behind.")
 @click.option("--json", "as_json", is_flag=True)
 @click.pass_context
 def show(context: click.Context, as_json: bool) -> None:
-    found = ask(context.obj, "GET", "/control")
-    click.echo(json.dumps(found) if as_json else table(found))
+    """Shows the status of a controller."""
+    status = call_controller(context.obj, "GET", "/control")
+    click.echo(json.dumps(status) if as_json else status_table(status))
 
 
-def table(shown: dict[str, Any]) -> str:
+def status_table(status: dict[str, Any]) -> str:
+    """Returns the status as lines of text."""
     lines = [
-        f"version {shown['version']} is agreed on, {shown['in_force']} is in force at {shown['relays']} relays "
-        f"(asked: {shown['name']} of cluster {shown['cluster']})"
+        f"version {status['version']} is agreed on, {status['in_force']} is in force at {status['relays']} relays "
+        f"(asked: {status['name']} of cluster {status['cluster']})"
     ]
-    for key, value in sorted(shown["entries"].items()):
-        lines.append(f"  {key} = {value if len(value) <= 80 else value[:77] + '...'}")
-    if not shown["entries"]:
+    lines += [f"  {key} = {shortened(value)}" for key, value in sorted(status["entries"].items())]
+    if not status["entries"]:
         lines.append("  no entries: each relay serves by its own file")
-    for one in shown["named"]:
-        lines.append(
-            f"relay {one['relay']} serves by version {one['version']}, for {one['for_s']:.1f} s: {one['why']} "
-            f"(at {one['controller']})"
-        )
-    if shown["more"]:
-        lines.append(f"and {shown['more']} more relays")
-    for name, one in sorted(shown["controllers"].items()):
-        silent = f"SILENT for {one['silent_s']:.1f} s" if one["silent_s"] > 1.0 else "heard"
-        votes = ", votes" if name in shown["voters"] else ""
-        lines.append(f"controller {name}: {silent}, version {one['version']}, {one['relays']} relays{votes}")
-    if shown["round"]:
-        lines.append(f"agreeing fails: {shown['round']}")
-    lines += [f"version {one['version']} was refused: {one['why']}" for one in shown["refused"]]
+    lines += [relay_line(relay) for relay in status["named"]]
+    if status["more"]:
+        lines.append(f"and {status['more']} more relays")
+    for name, controller in sorted(status["controllers"].items()):
+        lines.append(controller_line(name, controller, name in status["voters"]))
+    if status["round"]:
+        lines.append(f"agreeing fails: {status['round']}")
+    lines += [f"version {rejected['version']} was refused: {rejected['why']}" for rejected in status["refused"]]
     return "\n".join(lines)
 
 
+def shortened(value: str) -> str:
+    """Returns a value of at most MAX_SHOWN_VALUE_CHARACTERS."""
+    if len(value) <= MAX_SHOWN_VALUE_CHARACTERS:
+        return value
+    return value[: MAX_SHOWN_VALUE_CHARACTERS - len(ELLIPSIS)] + ELLIPSIS
+
+
+def relay_line(relay: dict[str, Any]) -> str:
+    """Returns the line of a relay that lags."""
+    return (
+        f"relay {relay['relay']} serves by version {relay['version']}, for {relay['for_s']:.1f} s: {relay['why']} "
+        f"(at {relay['controller']})"
+    )
+
+
+def controller_line(name: str, controller: dict[str, Any], is_voter: bool) -> str:
+    """Returns the line of a controller."""
+    silent_s = controller["silent_s"]
+    health = f"SILENT for {silent_s:.1f} s" if silent_s > SILENT_AFTER_S else "heard"
+    votes = ", votes" if is_voter else ""
+    return f"controller {name}: {health}, version {controller['version']}, {controller['relays']} relays{votes}"
+
+
 @control.command(help="Make this voter's first file: once, before the first start of all; never after a loss.")
 def init() -> None:
-    known = settings()
-    if known is None or known.role != CONTROLLER:
+    """Creates the file of this controller's acceptor."""
+    settings = configured_settings()
+    if settings is None or settings.role != CONTROLLER:
         raise click.ClickException("the operator's file has no [control] of a controller")
-    file = file_of(known)
+    file = acceptor_file(settings)
     try:
-        file.make_first(first_state(known))
+        file.make_first(first_state(settings))
     except (FileUnavailableError, OSError) as error:
         raise click.ClickException(str(error)) from error
     click.echo(f"{file.path} is made for {file.owner}")
 
 
 def main(arguments: list[str]) -> int:
+    """Runs a command. Returns the exit status: 1 where it fails, 2 for invalid arguments."""
     return run(control, arguments, "control")
--- a/yarrowspindle/configuration/__init__.py
+++ b/yarrowspindle/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""Changes of configuration for all relays: agreed on by controllers, down to each relay, confirmed upwards. Pure."""
+"""Distribution of the settings that all relays share: committed by controllers, applied and confirmed by relays."""
--- a/yarrowspindle/configuration/agent.py
+++ b/yarrowspindle/configuration/agent.py
@@ -1,12 +1,12 @@
-"""A relay's side of control: `(state, event) -> effects`, for real sockets and the virtual clock alike.
+"""A relay's side of the configuration: `(state, event) -> effects`, the same on real sockets and the virtual clock.
 
-Safe to lose: without a controller the relay serves on by what it has. It talks with one controller at a time, its
-zone's first, and with another when that one is silent; never with other relays.
+Without a controller the relay continues with the settings that it has. It is attached to one controller at a time,
+preferably in its zone, and attaches to another one where that one fails; it never talks to other relays.
 
 Rules
-1. A version is taken only after all steps up to it, or as a whole, and only where its digest is right.
-2. Never a lower version after a higher one, also after a restart where the relay has a folder.
-3. What the check turns down is not served by: the last good entries stay, and the controller is told why.
+1. A version is adopted only after all steps up to it, or as a snapshot, and only where its digest is right.
+2. No lower version is adopted after a higher one, also after a restart where the relay has a directory.
+3. Entries that the check rejects are not applied: the last valid ones stay, and the controller gets the reason.
 """
 
 from __future__ import annotations
@@ -15,241 +15,274 @@
 from collections.abc import Mapping
 from random import Random
 
+from yarrowspindle.configuration import published_counters
+from yarrowspindle.configuration.effects import ApplySettings, Effect, LogMessage, Persist, SendMessage, SetTimer
+from yarrowspindle.configuration.events import Event, MessageReceived, SettingsRejected, TimerFired
 from yarrowspindle.configuration.messages import (
-    MAX_WHY,
-    ApplySettings,
+    MAX_REASON_CHARACTERS,
     Delta,
     Detach,
-    Effect,
-    Event,
     Heartbeat,
     LatestVersion,
-    LogMessage,
-    MessageReceived,
-    Persist,
-    SendMessage,
-    SetTimer,
-    SettingsRejected,
     Snapshot,
-    TimerFired,
 )
 from yarrowspindle.configuration.settings import ControllerAddress
-from yarrowspindle.configuration.state import Check, Entries, bounds, digest, stepped
+from yarrowspindle.configuration.state import Entries, EntriesCheck, apply_step, content_digest, entries_bounds_error
 
-TICK_MS, BEAT_MS = 250.0, 500.0  # how often it looks; how often it says that it is there
-SILENT_MS = 900.0  # a controller that has not answered for so long is left
-ASKED = 2  # controllers that are asked at once by a relay that has none
-HOME_MS = 10_000.0  # a better one is asked this often
-BEFORE_BEATS = 3  # beats that say where the relay was before
-AHEAD_MS = 10_000.0  # controllers that know less for so long have lost something
+TICK_INTERVAL_MS = 250.0
+HEARTBEAT_INTERVAL_MS = 500.0
+CONTROLLER_TIMEOUT_MS = 900.0  # a controller that has not answered for this long is replaced
+PARALLEL_CANDIDATES = 2  # controllers that a relay without one contacts at a time
+PREFERRED_CHECK_INTERVAL_MS = 10_000.0  # between two heartbeats to controllers that are preferred to the current one
+REATTACHMENT_HEARTBEATS = 3  # heartbeats that name the previous controller
+MAX_NEWER_VERSION_MS = 10_000.0  # controllers that have an older version for this long have lost data
+NOT_SET_MS = -1.0
 
 
 class Agent:
-    """machines: in the order in which this relay prefers them. version, entries: what it had before a restart; 0 and
-    nothing: it serves by its file."""
+    """The configuration of one relay.
+
+    Args:
+        controllers: In the order in which this relay prefers them.
+        check: Rejects entries that the relay cannot serve by.
+        seed: Of the random source for jitter.
+        now: Milliseconds of a clock that only goes forward.
+        version: The one that was stored before a restart; 0 where the relay serves by its own file.
+        entries: Those of that version.
+    """
 
     def __init__(
         self,
-        machines: list[ControllerAddress],
-        check: Check,
+        controllers: list[ControllerAddress],
+        check: EntriesCheck,
         seed: int,
         now: float,
         version: int = 0,
         entries: Mapping[str, str] | None = None,
     ) -> None:
-        self.machines, self.check, self.now = machines, check, now
-        self.rank = {machine.name: n for n, machine in enumerate(machines)}
+        self.controllers, self.check, self.now = controllers, check, now
+        self.rank = {controller.name: rank for rank, controller in enumerate(controllers)}
         self.random = Random(seed)
-        self.known, self.entries = version, dict(entries or {})  # the newest, checked or not
-        self.digest = digest(self.known, self.entries)
-        self.taken, self.why = 0, ""
-        self.served: Entries = {}  # by which the relay serves
-        self.previous: tuple[int, Entries] = (0, {})  # the same before the last that was taken
+        # The newest version, whether the check accepts it or not.
+        self.known_version, self.entries = version, dict(entries or {})
+        self.digest = content_digest(self.known_version, self.entries)
+        self.applied_version, self.rejection_reason = 0, ""
+        self.applied_entries: Entries = {}
+        self.previous_applied: tuple[int, Entries] = (0, {})  # before the last `ApplySettings`
         self.current: ControllerAddress | None = None
-        self.heard = now  # the current one
-        self.beat_at = now
-        self.asked_at = -1.0  # a beat went out that has no answer yet
-        self.next = 0  # whom to ask while there is none
-        self.home_at = now + HOME_MS * self.random.uniform(0.5, 1.0)
-        self.whole = False
-        self.before, self.before_beats = "", 0
-        self.ahead_since = -1.0
+        self.last_received_at = now  # from the current controller
+        self.next_heartbeat_at = now
+        self.unanswered_since = NOT_SET_MS
+        self.next_candidate = 0
+        self.next_preferred_check_at = self._preferred_check_at()
+        self.needs_snapshot = False
+        self.previous_controller, self.reattachment_heartbeats_left = "", 0
+        self.newer_since = NOT_SET_MS  # than the controllers' version
         self.counts: Counter[str] = Counter()
         self.effects: list[Effect] = []
-        if self.known:
-            self._take()
-        self.effects.append(SetTimer(TICK_MS * self.random.random()))
+        if self.known_version:
+            self._apply()
+        self.effects.append(SetTimer(TICK_INTERVAL_MS * self.random.random()))
 
     def step(self, now: float, event: Event) -> list[Effect]:
+        """Handles an event at `now`, in milliseconds of a clock that only goes forward."""
         self.now = max(self.now, now)
         if isinstance(event, MessageReceived):
-            self._came(event)
+            self._on_message(event)
         elif isinstance(event, TimerFired):
-            self._tick()
-        elif isinstance(event, SettingsRejected) and event.version == self.taken:
-            self.taken, self.served = self.previous
-            self._refused(event.why)
-            self._again()
+            self._on_timer()
+        elif isinstance(event, SettingsRejected) and event.version == self.applied_version:
+            self.applied_version, self.applied_entries = self.previous_applied
+            self._reject(event.reason)
+            self._send_heartbeat_to_current()
         return self.take_effects()
 
     def take_effects(self) -> list[Effect]:
+        """The effects since the last call."""
         effects, self.effects = self.effects, []
         return effects
 
-    def leave(self) -> list[Effect]:
-        """The relay ends in good order."""
+    def detach(self) -> list[Effect]:
+        """Leaves the controller, at a graceful shutdown of the relay."""
         if self.current is not None:
             self.effects.append(SendMessage(self.current.sender, Detach()))
         return self.take_effects()
 
-    # --- who is talked with ---------------------------------------------------------------------
-
     @property
-    def alone(self) -> bool:
-        """No controller answers."""
-        return self.current is None or self.now > self.heard + SILENT_MS
-
-    def _tick(self) -> None:
-        if self.alone:
-            if self.current is not None:
-                self._beat(self.current)
-            for _ in range(min(ASKED, len(self.machines))):
-                self._beat(self.machines[self.next])
-                self.next = (self.next + 1) % len(self.machines)
-        elif self.current is not None and (self.now >= self.beat_at or self.asked_at >= 0.0):
-            self.beat_at = self.now + BEAT_MS - TICK_MS / 4.0
-            self.asked_at = self.now
-            self._beat(self.current)
-        if self.current is not None and not self.alone and self.now >= self.home_at:
-            self.home_at = self.now + HOME_MS * self.random.uniform(0.5, 1.0)
-            for better in self.machines[: min(self.rank[self.current.name], ASKED)]:
-                self._beat(better)
-        self.effects.append(SetTimer(TICK_MS * self.random.uniform(0.9, 1.1)))
-
-    def _beat(self, to: ControllerAddress) -> None:
-        before = ""
-        if to is self.current and self.before_beats:
-            self.before_beats -= 1
-            before = self.before
-        self.counts["beats"] += 1
-        self.effects.append(
-            SendMessage(
-                to.sender,
-                Heartbeat(
-                    self.known, self.digest, self.taken, self.why[:MAX_WHY], self.whole, to is self.current, before
-                ),
-            )
+    def has_no_controller(self) -> bool:
+        """Whether no controller answers."""
+        return self.current is None or self.now > self.last_received_at + CONTROLLER_TIMEOUT_MS
+
+    # --- the controller ---------------------------------------------------------------------------
+
+    def _on_timer(self) -> None:
+        if self.has_no_controller:
+            self._contact_candidates()
+        elif self.now >= self.next_heartbeat_at or self.unanswered_since >= 0.0:
+            self.next_heartbeat_at = self.now + HEARTBEAT_INTERVAL_MS - TICK_INTERVAL_MS / 4.0
+            self.unanswered_since = self.now
+            self._send_heartbeat_to_current()
+        if not self.has_no_controller and self.now >= self.next_preferred_check_at:
+            self.next_preferred_check_at = self._preferred_check_at()
+            self._contact_preferred()
+        self.effects.append(SetTimer(TICK_INTERVAL_MS * self.random.uniform(0.9, 1.1)))
+
+    def _preferred_check_at(self) -> float:
+        return self.now + PREFERRED_CHECK_INTERVAL_MS * self.random.uniform(0.5, 1.0)
+
+    def _contact_candidates(self) -> None:
+        self._send_heartbeat_to_current()
+        for _ in range(min(PARALLEL_CANDIDATES, len(self.controllers))):
+            self._send_heartbeat(self.controllers[self.next_candidate])
+            self.next_candidate = (self.next_candidate + 1) % len(self.controllers)
+
+    def _contact_preferred(self) -> None:
+        if self.current is not None:
+            rank = self.rank[self.current.name]
+            for preferred in self.controllers[: min(rank, PARALLEL_CANDIDATES)]:
+                self._send_heartbeat(preferred)
+
+    def _send_heartbeat_to_current(self) -> None:
+        if self.current is not None:
+            self._send_heartbeat(self.current)
+
+    def _send_heartbeat(self, to: ControllerAddress) -> None:
+        is_current = to is self.current
+        previous_controller = ""
+        if is_current and self.reattachment_heartbeats_left:
+            self.reattachment_heartbeats_left -= 1
+            previous_controller = self.previous_controller
+        self.counts[published_counters.HEARTBEATS_SENT] += 1
+        heartbeat = Heartbeat(
+            self.known_version,
+            self.digest,
+            self.applied_version,
+            self.rejection_reason[:MAX_REASON_CHARACTERS],
+            self.needs_snapshot,
+            is_current,
+            previous_controller,
         )
+        self.effects.append(SendMessage(to.sender, heartbeat))
 
-    def _came(self, event: MessageReceived) -> None:
-        rank = self.rank.get(event.sender.name)
-        if rank is None or self.machines[rank].address != event.sender.address:
-            where = f"{event.sender.address[0]}:{event.sender.address[1]}"
-            self.counts["strangers"] += 1
-            self.effects.append(LogMessage(f"{event.sender.name} at {where} is none of the controllers here", True))
+    def _on_message(self, event: MessageReceived) -> None:
+        source = self._known_controller(event)
+        if source is None:
             return
-        source, message = self.machines[rank], event.message
-        if self.current is None or source is not self.current and (self.alone or rank < self.rank[self.current.name]):
-            self._move(source)
+        message = event.message
+        if self._should_attach_to(source):
+            self._attach_to(source)
         if source is self.current:
-            self.heard, self.asked_at = self.now, -1.0
+            self.last_received_at, self.unanswered_since = self.now, NOT_SET_MS
         elif not isinstance(message, LatestVersion):
-            self.effects.append(SendMessage(source.sender, Detach()))  # it takes this relay for its own
+            # That controller counts this relay among its own.
+            self.effects.append(SendMessage(source.sender, Detach()))
         if isinstance(message, LatestVersion):
-            self._newest(message)
+            self._on_latest_version(message)
         elif isinstance(message, Delta):
-            self._difference(message)
+            self._on_delta(message)
         elif isinstance(message, Snapshot):
-            self._came_whole(message)
+            self._on_snapshot(message)
 
-    def _move(self, to: ControllerAddress) -> None:
+    def _known_controller(self, event: MessageReceived) -> ControllerAddress | None:
+        rank = self.rank.get(event.sender.name)
+        if rank is not None and self.controllers[rank].address == event.sender.address:
+            return self.controllers[rank]
+        (host, port) = event.sender.address
+        self.counts[published_counters.UNKNOWN_SENDERS] += 1
+        self._log(f"{event.sender.name} at {host}:{port} is no controller of the settings", rate_limited=True)
+        return None
+
+    def _should_attach_to(self, source: ControllerAddress) -> bool:
+        if self.current is None:
+            return True
+        is_preferred = self.rank[source.name] < self.rank[self.current.name]
+        return source is not self.current and (self.has_no_controller or is_preferred)
+
+    def _attach_to(self, to: ControllerAddress) -> None:
         if self.current is not None:
-            self.before, self.before_beats = self.current.name, BEFORE_BEATS
+            self.previous_controller = self.current.name
+            self.reattachment_heartbeats_left = REATTACHMENT_HEARTBEATS
             self.effects.append(SendMessage(self.current.sender, Detach()))
-            self.counts["moves"] += 1
+            self.counts[published_counters.REATTACHMENTS] += 1
         self.current = to
-        self.heard = self.now
-        self._beat(to)
-
-    # --- what is taken --------------------------------------------------------------------------
-
-    def _newest(self, message: LatestVersion) -> None:
-        if message.version == self.known and message.digest != self.digest:
-            self._differs()
-        if message.version >= self.known:
-            self.ahead_since = -1.0
-        elif self.ahead_since < 0.0:
-            self.ahead_since = self.now
-        elif self.now >= self.ahead_since + AHEAD_MS:
-            self.ahead_since = self.now
-            self.effects.append(
-                LogMessage(
-                    f"the controllers know of version {message.version}, this relay has {self.known}: "
-                    "they lost what was agreed on, or are another fleet's; nothing older is taken",
-                    bad=True,
-                )
-            )
+        self.last_received_at = self.now
+        self._send_heartbeat(to)
+
+    # --- versions ---------------------------------------------------------------------------------
 
-    def _differs(self) -> None:
-        self.counts["differs"] += 1
-        self.effects.append(
-            LogMessage(
-                f"version {self.known} has another content here than at the controller: the next "
-                "version is taken whole",
-                True,
-                True,
+    def _on_latest_version(self, message: LatestVersion) -> None:
+        if message.version == self.known_version and message.digest != self.digest:
+            self._on_digest_mismatch()
+        if message.version >= self.known_version:
+            self.newer_since = NOT_SET_MS
+        elif self.newer_since < 0.0:
+            self.newer_since = self.now
+        elif self.now >= self.newer_since + MAX_NEWER_VERSION_MS:
+            self.newer_since = self.now
+            self._log(
+                f"the controllers have version {message.version}, this relay has {self.known_version}: "
+                "they lost committed versions, or belong to another fleet; nothing older is applied",
+                is_warning=True,
             )
+
+    def _on_digest_mismatch(self) -> None:
+        self.counts[published_counters.DIGEST_MISMATCHES] += 1
+        self._log(
+            f"version {self.known_version} has another content here than at the controller: the next version is "
+            "requested as a snapshot",
+            rate_limited=True,
+            is_warning=True,
         )
-        self.whole = True
+        self.needs_snapshot = True
 
-    def _difference(self, message: Delta) -> None:
-        if message.version <= self.known:
+    def _on_delta(self, message: Delta) -> None:
+        if message.version <= self.known_version:
             return
-        if message.base > self.known or message.version - message.base != len(message.steps):
-            self._again()  # there is a gap: the beat says from where on
+        if message.base > self.known_version or message.version - message.base != len(message.steps):
+            self._send_heartbeat_to_current()  # there is a gap: the heartbeat says which version is known
             return
         entries: Entries = self.entries
-        for step in message.steps[self.known - message.base :]:
-            entries = stepped(entries, step)
-        self._learned(message.version, entries, message.digest)
+        for step in message.steps[self.known_version - message.base :]:
+            entries = apply_step(entries, step)
+        self._adopt(message.version, entries, message.digest)
 
-    def _came_whole(self, message: Snapshot) -> None:
-        if message.version > self.known:
-            self.counts["wholes"] += 1
-            self._learned(message.version, message.entries, message.digest)
+    def _on_snapshot(self, message: Snapshot) -> None:
+        if message.version > self.known_version:
+            self.counts[published_counters.SNAPSHOTS] += 1
+            self._adopt(message.version, message.entries, message.digest)
 
-    def _again(self) -> None:
-        if self.current is not None:
-            self._beat(self.current)
-
-    def _learned(self, version: int, entries: Entries, wanted: bytes) -> None:
-        if digest(version, entries) != wanted or bounds(entries):
-            self.counts["bent"] += 1
-            if not self.whole:  # once at once, then with each beat: the sender may have a fault that stays
-                self.whole = True
-                self._again()
+    def _adopt(self, version: int, entries: Entries, digest: bytes) -> None:
+        """Takes over a version where its content has this digest; else requests a snapshot."""
+        if content_digest(version, entries) != digest or entries_bounds_error(entries):
+            self.counts[published_counters.INVALID_UPDATES] += 1
+            if not self.needs_snapshot:  # at once only the first time: a sender with a permanent fault would loop
+                self.needs_snapshot = True
+                self._send_heartbeat_to_current()
             return
-        self.whole, self.ahead_since = False, -1.0
-        self.known, self.entries, self.digest = version, dict(entries), wanted
-        self._take()
-        self._again()
-
-    def _take(self) -> None:
-        why = self.check(self.entries) if self.entries else ""
-        if why:
-            self._refused(why)
+        self.needs_snapshot, self.newer_since = False, NOT_SET_MS
+        self.known_version, self.entries, self.digest = version, dict(entries), digest
+        self._apply()
+        self._send_heartbeat_to_current()
+
+    def _apply(self) -> None:
+        """Applies the known version, or rejects it."""
+        reason = self.check(self.entries) if self.entries else ""
+        if reason:
+            self._reject(reason)
             return
-        changed = frozenset(
-            key for key in self.entries.keys() | self.served.keys() if self.entries.get(key) != self.served.get(key)
-        )
-        self.previous = (self.taken, self.served)
-        self.taken, self.served, self.why = self.known, self.entries, ""
-        self.effects.append(ApplySettings(self.known, self.entries, changed))
-        self.effects.append(Persist(self.known, self.entries))
-
-    def _refused(self, why: str) -> None:
-        self.why = why
-        self.counts["refused"] += 1
-        self.effects.append(
-            LogMessage(f"version {self.known} is turned down, version {self.taken} stays: {why}", bad=True)
-        )
+        keys = self.entries.keys() | self.applied_entries.keys()
+        changed_keys = frozenset(key for key in keys if self.entries.get(key) != self.applied_entries.get(key))
+        self.previous_applied = (self.applied_version, self.applied_entries)
+        self.applied_version, self.applied_entries = self.known_version, self.entries
+        self.rejection_reason = ""
+        self.effects.append(ApplySettings(self.known_version, self.entries, changed_keys))
+        self.effects.append(Persist(self.known_version, self.entries))
+
+    def _reject(self, reason: str) -> None:
+        self.rejection_reason = reason
+        self.counts[published_counters.REJECTED_VERSIONS] += 1
+        text = f"version {self.known_version} is rejected, version {self.applied_version} stays: {reason}"
+        self._log(text, is_warning=True)
+
+    def _log(self, text: str, *, rate_limited: bool = False, is_warning: bool = False) -> None:
+        self.effects.append(LogMessage(text, rate_limited, is_warning))
--- a/yarrowspindle/configuration/codec.py
+++ b/yarrowspindle/configuration/codec.py
@@ -1,51 +1,66 @@
-"""Messages of control as bytes, and what is kept in files: MessagePack by msgspec, pressed, bounded, checked."""
+"""Messages of the configuration as bytes, and what is stored in files: MessagePack, compressed, bounded, checked."""
 
 from __future__ import annotations
 
+from yarrowspindle.configuration.effects import Persist
 from yarrowspindle.configuration.messages import (
     Delta,
     Detach,
     Heartbeat,
     LatestVersion,
     NewerIncarnation,
-    Persist,
     RelayReattached,
     RelaySummary,
     Snapshot,
     StateUpdate,
 )
-from yarrowspindle.configuration.state import MAX_DONE, MAX_NAME, ChangeOrder, ControlState, bounds
+from yarrowspindle.configuration.state import (
+    MAX_NAME_CHARACTERS,
+    MAX_RECENT_STEPS,
+    ChangeOrder,
+    ControlState,
+    entries_bounds_error,
+)
 from yarrowspindle.consensus.register import Accept, Accepted, AcceptorState, Prepare, Promise, Rejected
 from yarrowspindle.maintenance.codec import FileCodec, InvalidMessageError, MessageCodec
 
-VERSION = 1
-MAX_VOTERS, MAX_TAKERS = 64, 64
+VERSION = 1  # of the encoding
+MAX_VOTERS = 64
+MAX_ACCEPTING_CONTROLLERS = 64
+MAX_VERSION = (1 << 53) - 1
 
 
-def within(state: ControlState | None) -> None:
-    """A state that no controller could have made is not taken up, whoever sent it."""
+def check_state_bounds(state: ControlState | None) -> None:
+    """Raises InvalidMessageError where no controller could have made this state."""
     if state is None:
         return
-    versions = [done.version for done in state.done]
+    versions = [recent.version for recent in state.recent_steps]
+    first_version = state.version - len(versions) + 1
+    names = [*state.voters, *state.last_settled]
     if (
         not 0 < len(state.voters) <= MAX_VOTERS
-        or len(state.takers) > MAX_TAKERS
-        or len(versions) > MAX_DONE
-        or any(len(name) > MAX_NAME for name in [*state.voters, *state.takers])
-        or versions != list(range(state.version - len(versions) + 1, state.version + 1))
+        or len(state.last_settled) > MAX_ACCEPTING_CONTROLLERS
+        or len(versions) > MAX_RECENT_STEPS
+        or any(len(name) > MAX_NAME_CHARACTERS for name in names)
+        or versions != list(range(first_version, state.version + 1))
         or bool(versions) != (state.version > 0)
         or min(state.version, state.epoch) < 0
-        or bounds(state.entries)
+        or entries_bounds_error(state.entries)
     ):
         raise InvalidMessageError("a state out of bounds")
 
 
-def _kept_within(kept: Persist) -> None:
-    if not 0 < kept.version < 1 << 53 or bounds(kept.entries):
+def _check_acceptor_state(acceptor_state: AcceptorState[ControlState]) -> None:
+    check_state_bounds(acceptor_state.state)
+
+
+def _check_applied_settings(applied: Persist) -> None:
+    if not 0 < applied.version <= MAX_VERSION or entries_bounds_error(applied.entries):
         raise InvalidMessageError("entries out of bounds")
 
 
-KINDS = (
+# The position of a type is its number on the wire.
+MESSAGE_TYPES = (
     Heartbeat,
     LatestVersion,
     Delta,
@@ -62,10 +77,12 @@
     Accepted,
     Rejected[ControlState],
 )
-MESSAGES = MessageCodec(VERSION, KINDS, within)
-FILE: FileCodec[AcceptorState[ControlState]] = FileCodec(
-    VERSION, AcceptorState[ControlState], lambda kept: within(kept.state)
+MESSAGES = MessageCodec(VERSION, MESSAGE_TYPES, check_state_bounds)
+ACCEPTOR_FILE: FileCodec[AcceptorState[ControlState]] = FileCodec(
+    VERSION, AcceptorState[ControlState], _check_acceptor_state
 )
-TAKEN: FileCodec[Persist] = FileCodec(VERSION, Persist, _kept_within)  # by a relay
-AGREED: FileCodec[ControlState] = FileCodec(VERSION, ControlState, within)  # what a controller knows is committed
+# What a relay applied last.
+APPLIED_SETTINGS_FILE: FileCodec[Persist] = FileCodec(VERSION, Persist, _check_applied_settings)
+# The newest committed state that a controller knows.
+COMMITTED_STATE_FILE: FileCodec[ControlState] = FileCodec(VERSION, ControlState, check_state_bounds)
 encode, decode = MESSAGES.encode, MESSAGES.decode
--- a/yarrowspindle/configuration/link.py
+++ b/yarrowspindle/configuration/link.py
@@ -1,103 +1,154 @@
-"""Messages of control in peers' datagrams: cut into parcels, sealed, bounded; no I/O.
+"""Messages of the configuration in peers' datagrams: fragmented, authenticated by cluster, bounded; no I/O.
 
-Each datagram is a `Datagram` with a `Carried` body. Who does not fit (another cluster, another version, a process that
-has a successor, a flood) is dropped and counted by its cause.
+Each datagram is a `Datagram` with a `Carried` body. Datagrams of another cluster, another protocol version, an earlier
+incarnation or a sender above its rate are dropped and counted by their cause.
 """
 
 from __future__ import annotations
 
 from collections import Counter, OrderedDict
+from dataclasses import dataclass
 
-from yarrowspindle.configuration import codec
-from yarrowspindle.configuration.messages import NewerIncarnation, Sender
+from yarrowspindle.configuration import codec, published_counters
+from yarrowspindle.configuration.events import Sender
+from yarrowspindle.configuration.messages import NewerIncarnation
 from yarrowspindle.maintenance.codec import InvalidMessageError
 from yarrowspindle.membership.codec import VERSION, Carried, Codec, Datagram, DroppedDatagramError
 from yarrowspindle.protocol.fragments import Fragmenter
 from yarrowspindle.routing.address import Address
 
-MAX_INCARNATIONS = 4096  # addresses whose newest life is remembered
-SOURCE_PER_S, MAX_SOURCES = 1000, 4096  # datagrams taken of one address in a second, and addresses
-MAX_SENT = 256  # messages of several parcels that are kept to send parts again
+MAX_INCARNATIONS = 4096  # addresses whose newest incarnation is known
+MAX_DATAGRAMS_PER_SOURCE_PER_S = 1000
+MAX_SOURCES = 4096  # addresses that are counted in a window
+SOURCE_WINDOW_MS = 1000.0
+MAX_RETAINED_MESSAGES = 256  # messages of several fragments, kept to send fragments again
+
+
+@dataclass(slots=True, frozen=True)
+class Reception:
+    """What a datagram leads to: the message that it completes, if any, and datagrams to send back to the sender."""
+
+    sender: Sender
+    message: object | None
+    replies: list[bytes]
+
+
+@dataclass(slots=True, frozen=True)
+class OutgoingDatagram:
+    """Bytes to send to an address."""
+
+    to: Address
+    data: bytes
 
 
 class Link:
-    """life: grows from one process to the next at this address; where the clock behind it went back, the others say
-    so. first: a number for parcels that an earlier process did not use of late; any will do."""
+    """One process's messages to and from all others. Times are milliseconds of its own clock.
 
-    def __init__(self, name: str, address: Address, cluster: str, incarnation: int, first: int, now: float) -> None:
+    Args:
+        name: Of this process.
+        address: Where others reach it.
+        cluster: Datagrams of other clusters are dropped.
+        incarnation: Grows from one process to the next at this address. Where the clock behind it went back, a
+            receiver reports the newest one that it knows.
+        first_number: Of messages; any that an earlier process did not use of late.
+        now: The time.
+    """
+
+    def __init__(
+        self, name: str, address: Address, cluster: str, incarnation: int, first_number: int, now: float
+    ) -> None:
         self.name, self.address, self.cluster, self.incarnation = name, address, cluster, incarnation
         self.codec = Codec(cluster)
-        self.parcels = Fragmenter(first, MAX_SENT)
-        self.started, self.at = now, -1
-        self.incarnations: OrderedDict[Address, int] = OrderedDict()
-        self.sources: Counter[Address] = Counter()
-        self.sources_at = now
+        self.fragmenter = Fragmenter(first_number, MAX_RETAINED_MESSAGES)
+        self.started_at, self.last_sent_at = now, -1
+        self.newest_incarnations: OrderedDict[Address, int] = OrderedDict()
+        self.datagrams_by_source: Counter[Address] = Counter()
+        self.source_window_began_at = now
         self.counts: Counter[str] = Counter()
-        self.last: tuple[object, bytes] = (None, b"")
+        self.last_encoded: tuple[object, bytes] = (None, b"")
 
-    def _sealed(self, now: float, data: bytes) -> bytes:
-        self.at = max(int(now - self.started), self.at + 1)
-        sealed = self.codec.encode(
-            Datagram(VERSION, self.cluster, self.name, *self.address, self.incarnation, 0, self.at, Carried(data))
-        )
-        self.counts["sent"] += 1
-        self.counts["sent_bytes"] += len(sealed)
-        return sealed
+    def encode(self, now: float, to: Address, message: object) -> list[bytes]:
+        """Returns the datagrams that carry a message to an address."""
+        if message is not self.last_encoded[0]:  # one message often goes to many addresses
+            self.last_encoded = message, codec.encode(message)
+        fragments = self.fragmenter.cut(self._place(to), self.last_encoded[1])
+        return [self._seal(now, fragment) for fragment in fragments]
 
-    def packed(self, now: float, to: Address, message: object) -> list[bytes]:
-        """The datagrams that carry a message there."""
-        if message is not self.last[0]:  # one message often goes to many
-            self.last = message, codec.encode(message)
-        return [self._sealed(now, part) for part in self.parcels.cut(f"{to[0]}:{to[1]}", self.last[1])]
-
-    def came(self, now: float, data: bytes, source: Address) -> tuple[Sender, object | None, list[bytes]]:
-        """Who sent it, a whole message where this made it whole, and datagrams that go back to the sender. Raises
-        Dropped."""
-        self.counts["came"] += 1
-        self.counts["came_bytes"] += len(data)
-        if now >= self.sources_at + 1000.0:
-            self.sources_at = now
-            self.sources.clear()
-        if self.sources[source] >= SOURCE_PER_S or len(self.sources) > MAX_SOURCES:
-            raise self._dropped("flood")
-        self.sources[source] += 1
-        try:
-            datagram = self.codec.decode(data)
-        except DroppedDatagramError as why:
-            raise self._dropped(str(why)) from None
+    def receive(self, now: float, data: bytes, source: Address) -> Reception:
+        """Handles a datagram. Raises DroppedDatagramError where it is not accepted."""
+        self.counts[published_counters.DATAGRAMS_RECEIVED] += 1
+        self.counts[published_counters.BYTES_RECEIVED] += len(data)
+        self._limit_source(now, source)
+        datagram, fragment = self._decode(data)
         sender = Sender(datagram.name, datagram.address, datagram.incarnation, datagram.at)
-        if sender.address == self.address or not isinstance(datagram.body, Carried):
-            raise self._dropped("no message of control")
-        known = self.incarnations.pop(sender.address, 0)
-        self.incarnations[sender.address] = max(known, sender.incarnation)
-        while len(self.incarnations) > MAX_INCARNATIONS:
-            self.incarnations.popitem(last=False)
-        if sender.incarnation < known:
-            self.counts["earlier_life"] += 1
-            return sender, None, self.packed(now, sender.address, NewerIncarnation(known))
-        place = f"{sender.address[0]}:{sender.address[1]}"
-        whole, back = self.parcels.came(now, place, datagram.body.data)
-        replies = [self._sealed(now, part) for part in back]
-        if whole is None:
-            return sender, None, replies
-        try:
-            message = codec.decode(whole)
-        except InvalidMessageError as why:
-            raise self._dropped(str(why)) from None
+        newest_incarnation = self._newest_incarnation(sender)
+        if sender.incarnation < newest_incarnation:
+            self.counts[published_counters.EARLIER_INCARNATIONS] += 1
+            return Reception(sender, None, self.encode(now, sender.address, NewerIncarnation(newest_incarnation)))
+        complete, fragment_replies = self.fragmenter.came(now, self._place(sender.address), fragment)
+        replies = [self._seal(now, reply) for reply in fragment_replies]
+        message = None if complete is None else self._decode_message(complete)
         if isinstance(message, NewerIncarnation):
             if message.incarnation >= self.incarnation:
                 self.incarnation = message.incarnation + 1
-            return sender, None, replies
-        return sender, message, replies
+            message = None
+        return Reception(sender, message, replies)
 
-    def due(self, now: float) -> list[tuple[Address, bytes]]:
-        """To be called every now and then: datagrams that ask for parts that are missing."""
+    def missing_fragment_requests(self, now: float) -> list[OutgoingDatagram]:
+        """Returns datagrams that request missing fragments; to be called at intervals."""
         found = []
-        for place, data in self.parcels.due(now):
+        for place, data in self.fragmenter.due(now):
             host, _, port = place.rpartition(":")
-            found.append(((host, int(port)), self._sealed(now, data)))
+            found.append(OutgoingDatagram((host, int(port)), self._seal(now, data)))
         return found
 
-    def _dropped(self, why: str) -> DroppedDatagramError:
-        self.counts[f"dropped_{why.replace(' ', '_')}"] += 1
-        return DroppedDatagramError(why)
+    @staticmethod
+    def _place(address: Address) -> str:
+        return f"{address[0]}:{address[1]}"
+
+    def _seal(self, now: float, data: bytes) -> bytes:
+        self.last_sent_at = max(int(now - self.started_at), self.last_sent_at + 1)
+        datagram = Datagram(
+            VERSION, self.cluster, self.name, *self.address, self.incarnation, 0, self.last_sent_at, Carried(data)
+        )
+        sealed = self.codec.encode(datagram)
+        self.counts[published_counters.DATAGRAMS_SENT] += 1
+        self.counts[published_counters.BYTES_SENT] += len(sealed)
+        return sealed
+
+    def _limit_source(self, now: float, source: Address) -> None:
+        if now >= self.source_window_began_at + SOURCE_WINDOW_MS:
+            self.source_window_began_at = now
+            self.datagrams_by_source.clear()
+        is_above_rate = self.datagrams_by_source[source] >= MAX_DATAGRAMS_PER_SOURCE_PER_S
+        if is_above_rate or len(self.datagrams_by_source) > MAX_SOURCES:
+            raise self._dropped(published_counters.SOURCE_RATE_EXCEEDED)
+        self.datagrams_by_source[source] += 1
+
+    def _decode(self, data: bytes) -> tuple[Datagram, bytes]:
+        try:
+            datagram = self.codec.decode(data)
+        except DroppedDatagramError as error:
+            raise self._dropped(str(error)) from None
+        if datagram.address == self.address or not isinstance(datagram.body, Carried):
+            raise self._dropped(published_counters.UNEXPECTED_BODY)
+        return datagram, datagram.body.data
+
+    def _newest_incarnation(self, sender: Sender) -> int:
+        """The newest incarnation of the sender's address that was known before this datagram."""
+        known = self.newest_incarnations.pop(sender.address, 0)
+        self.newest_incarnations[sender.address] = max(known, sender.incarnation)
+        while len(self.newest_incarnations) > MAX_INCARNATIONS:
+            self.newest_incarnations.popitem(last=False)
+        return known
+
+    def _decode_message(self, data: bytes) -> object:
+        try:
+            return codec.decode(data)
+        except InvalidMessageError as error:
+            raise self._dropped(str(error)) from None
+
+    def _dropped(self, cause: str) -> DroppedDatagramError:
+        """Counts a dropped datagram and returns the error to raise."""
+        self.counts[published_counters.DROPPED_PREFIX + cause.replace(" ", "_")] += 1
+        return DroppedDatagramError(cause)
--- a/yarrowspindle/configuration/messages.py
+++ b/yarrowspindle/configuration/messages.py
@@ -1,216 +1,118 @@
-"""What agents and controllers tell one another, what their cores are told, and what they ask for. Times are
-milliseconds of a clock that only goes on."""
+"""Messages on the wire between relays and controllers, and between controllers.
+
+Each is encoded as an array, so its fields are known by their position. Times are milliseconds.
+"""
 
 from __future__ import annotations
 
-from collections.abc import Mapping
-from dataclasses import dataclass
-from typing import Annotated, Any
+from typing import Annotated
 
 from msgspec import Meta, Struct
 
-from yarrowspindle.configuration.state import MAX_DONE, MAX_ENTRIES, MAX_NAME, ControlState, Entries, Step
-from yarrowspindle.routing.address import Address
+from yarrowspindle.configuration.state import (
+    DIGEST_BYTES,
+    MAX_ENTRIES,
+    MAX_NAME_CHARACTERS,
+    MAX_RECENT_STEPS,
+    ControlState,
+)
 
-Number = Annotated[int, Meta(ge=0, lt=1 << 53)]
-Digest = Annotated[bytes, Meta(min_length=8, max_length=8)]
-Name = Annotated[str, Meta(max_length=MAX_NAME)]
-Why = Annotated[str, Meta(max_length=400)]
-MAX_NAMED, MAX_COUNTS = 12, 6  # relays named, and versions told apart, in one sum
-MAX_WHY = 120  # characters of a cause, as relays tell it
+MAX_LAGGING_RELAYS = 12  # named in one summary
+MAX_DISTINCT_VERSIONS = 6  # counted apart in one summary
+MAX_REASON_CHARACTERS = 120  # as senders write it; receivers accept MAX_RECEIVED_REASON_CHARACTERS
+MAX_RECEIVED_REASON_CHARACTERS = 400
 
-# --- on the wire --------------------------------------------------------------------------------
+UnsignedInteger = Annotated[int, Meta(ge=0, lt=1 << 53)]
+Digest = Annotated[bytes, Meta(min_length=DIGEST_BYTES, max_length=DIGEST_BYTES)]
+Name = Annotated[str, Meta(max_length=MAX_NAME_CHARACTERS)]
+Reason = Annotated[str, Meta(max_length=MAX_RECEIVED_REASON_CHARACTERS)]
 
 
 class Heartbeat(Struct, array_like=True, frozen=True):
-    """A relay is there. known: the newest version that it has, of this digest; taken: the one that it serves by, older
-    only where it refused the newest, for which `why` stands. whole: send all entries. attached: the relay talks with
-    this controller, and does not only ask whether it is there. before: the one that it talked with until now."""
+    """From a relay to a controller.
+
+    `known_version` is the newest version that the relay has, with `digest`. `applied_version` is the one that it
+    serves by; it is older only where the relay rejected the newest, for `rejection_reason`. `wants_snapshot` asks for
+    all entries. `attached` is false where the relay only checks whether the controller answers. `previous_controller`
+    names the one that it was attached to until now.
+    """
 
-    known: Number
+    known_version: UnsignedInteger
     digest: Digest
-    taken: Number
-    why: Why = ""
-    whole: bool = False
+    applied_version: UnsignedInteger
+    rejection_reason: Reason = ""
+    wants_snapshot: bool = False
     attached: bool = False
-    before: Name = ""
+    previous_controller: Name = ""
 
 
 class LatestVersion(Struct, array_like=True, frozen=True):
-    """The controller is there, and knows of this."""
+    """From a controller to a relay: the newest committed version that it knows."""
 
-    version: Number
+    version: UnsignedInteger
     digest: Digest
 
 
 class Delta(Struct, array_like=True, frozen=True):
-    """All steps from `base` to `version`, in order; digest: of what comes out."""
+    """From a controller to a relay: all steps after `base` up to `version`, in order, and the digest of the result."""
 
-    base: Number
-    version: Number
+    base: UnsignedInteger
+    version: UnsignedInteger
     digest: Digest
-    steps: Annotated[list[dict[str, str | None]], Meta(max_length=MAX_DONE)]
+    steps: Annotated[list[dict[str, str | None]], Meta(max_length=MAX_RECENT_STEPS)]
 
 
 class Snapshot(Struct, array_like=True, frozen=True):
-    version: Number
+    """From a controller to a relay: all entries of a version."""
+
+    version: UnsignedInteger
     digest: Digest
     entries: Annotated[dict[str, str], Meta(max_length=MAX_ENTRIES)]
 
 
 class Detach(Struct, array_like=True, frozen=True):
-    """The relay talks with another controller, or ends."""
+    """From a relay to a controller: it attached to another one, or ends."""
 
 
 class RelayReattached(Struct, array_like=True, frozen=True):
-    """Between controllers: this relay talks with the sender now, since `at` of its own clock in this life."""
+    """Between controllers: this relay is attached to the sender, since `sent_at` of its own clock."""
 
     host: str
     port: int
-    incarnation: Number
-    at: Number
+    incarnation: UnsignedInteger
+    sent_at: UnsignedInteger
 
 
 class NewerIncarnation(Struct, array_like=True, frozen=True):
-    """A later life of the same address is known here: the receiver must take a higher one to be heard."""
+    """The sender knows a later incarnation of the receiver's address: the receiver must use a higher one."""
 
-    incarnation: Number
+    incarnation: UnsignedInteger
 
 
 class LaggingRelay(Struct, array_like=True, frozen=True):
-    """A relay that is behind, silent or refuses. age_ms: since when."""
+    """A relay that lacks the newest version, rejects it or is silent."""
 
     name: Name
-    taken: Number
-    age_ms: Number
-    why: Why
+    applied_version: UnsignedInteger
+    lagging_for_ms: UnsignedInteger
+    reason: Reason
 
 
 class RelaySummary(Struct, array_like=True, frozen=True):
-    """Between controllers: the newest version that the sender knows; how many living relays talk with it, how many of
-    them serve by which version (lowest first; what does not fit is under the last), and those to be named. more: how
-    many are not named for want of room."""
+    """Between controllers: the sender's newest committed version, and the relays that are attached to it.
 
-    version: Number
-    relays: Number
-    counts: Annotated[list[tuple[int, int]], Meta(max_length=MAX_COUNTS)]
-    named: Annotated[list[LaggingRelay], Meta(max_length=MAX_NAMED)]
-    more: Number = 0
+    `relays_by_version` has pairs of an applied version and a number of relays, the lowest version first; the last pair
+    covers all higher versions. `omitted_relays` counts lagging relays that are not named.
+    """
+
+    version: UnsignedInteger
+    relays: UnsignedInteger
+    relays_by_version: Annotated[list[tuple[int, int]], Meta(max_length=MAX_DISTINCT_VERSIONS)]
+    lagging_relays: Annotated[list[LaggingRelay], Meta(max_length=MAX_LAGGING_RELAYS)]
+    omitted_relays: UnsignedInteger = 0
 
 
 class StateUpdate(Struct, array_like=True, frozen=True):
     """Between controllers: a committed state."""
 
     state: ControlState
-
-
-# --- events -------------------------------------------------------------------------------------
-
-
-@dataclass(slots=True, frozen=True)
-class Sender:
-    """Of a message. life: grows from one process to the next at an address; at: its own clock, so that what was
-    overtaken is known."""
-
-    name: str
-    address: Address
-    incarnation: int = 0
-    at: int = 0
-
-
-@dataclass(slots=True)
-class MessageReceived:
-    sender: Sender
-    message: Any
-
-
-@dataclass(slots=True)
-class TimerFired:
-    pass
-
-
-@dataclass(slots=True)
-class ChangeRequested:
-    """An operator's change; the `Answer` comes under the same ticket."""
-
-    ticket: int
-    step: Step
-
-
-@dataclass(slots=True)
-class SettingsRejected:
-    """What was to be taken could not be: the relay serves on as before."""
-
-    version: int
-    why: str
-
-
-Event = MessageReceived | TimerFired | ChangeRequested | SettingsRejected
-
-
-# --- effects ------------------------------------------------------------------------------------
-
-
-@dataclass(slots=True)
-class SendMessage:
-    to: Sender
-    message: Any
-
-
-@dataclass(slots=True)
-class SetTimer:
-    delay_ms: float
-
-
-@dataclass(slots=True)
-class ApplySettings:
-    """Serve by these entries from now on; none: by the relay's own file. changed: keys that differ from before."""
-
-    version: int
-    entries: Entries
-    changed: frozenset[str]
-
-
-@dataclass(slots=True)
-class Persist:
-    """To be found again after a restart."""
-
-    version: int
-    entries: Entries
-
-
-@dataclass(slots=True)
-class AskAcceptor:
-    """To this machine's voter, whose answer goes back to the sender."""
-
-    sender: Sender
-    message: Any
-
-
-@dataclass(slots=True)
-class StateCommitted:
-    """A controller took up a committed state."""
-
-    state: ControlState
-
-
-@dataclass(slots=True)
-class ChangeAnswered:
-    """To an operator. version: the change stands there; 0: it was turned down, or nobody knows (`why`)."""
-
-    ticket: int
-    version: int
-    why: str = ""
-
-
-@dataclass(slots=True)
-class LogMessage:
-    """For the log; `bounded`: strangers can cause it; `bad`: an operator should look."""
-
-    text: str
-    bounded: bool = False
-    bad: bool = False
-
-
-Effect = SendMessage | SetTimer | ApplySettings | Persist | AskAcceptor | StateCommitted | ChangeAnswered | LogMessage
-Shown = Mapping[str, Any]
--- a/yarrowspindle/configuration/settings.py
+++ b/yarrowspindle/configuration/settings.py
@@ -1,25 +1,27 @@
-"""What operators may set of control, with checks that name the wrong key."""
+"""Operators' settings of `[control]`, with checks that name the invalid key."""
 
 from __future__ import annotations
 
-from collections.abc import Mapping
+from collections.abc import Mapping, Sequence
 from dataclasses import dataclass, fields
 from difflib import get_close_matches
 from hashlib import blake2b
 from typing import Any
 
-from yarrowspindle.configuration.messages import Sender
-from yarrowspindle.configuration.state import MAX_NAME, ControlError
+from yarrowspindle.configuration.events import Sender
+from yarrowspindle.configuration.state import MAX_NAME_CHARACTERS, ControlError
 from yarrowspindle.membership.settings import PeerError, read_address
 from yarrowspindle.routing.address import Address
 
 RELAY, CONTROLLER = "relay", "controller"
-MAX_MACHINES, MAX_VOTERS = 32, 15
+MAX_CONTROLLERS = 32
+MAX_VOTERS = 15
+LOOPBACK_PREFIX = "127."
 
 
 @dataclass(slots=True, frozen=True)
 class ControllerAddress:
-    """A controller. voter: it keeps a file and votes; the same in all files."""
+    """A controller, the same in the files of all processes. voter: it stores a file and votes on changes."""
 
     name: str
     address: Address
@@ -29,24 +31,31 @@
 
     @property
     def sender(self) -> Sender:
+        """The controller as the receiver of a message."""
         return Sender(self.name, self.address)
 
 
 @dataclass(slots=True, frozen=True)
 class ControlSettings:
-    """role: "relay", or "controller" for a machine that serves nobody and is named under `machines`.
-    listen: an IPv4 address and port over UDP. advertise: where others reach it; `listen` where that is left out.
-    machines: the controllers, the same in all files.
-    cluster: what comes from other clusters is not heard.
-    name: the configuration's where it is left out. zone, region: where this relay is; its controllers first.
-    directory: this process's own folder: what a relay took last, a controller's voter's file. A relay without one
-    starts from its own configuration each time.
-    command: where `python -m yarrowspindle control` calls a controller, on loopback; nowhere where it is left out.
+    """The settings of one process.
+
+    Attributes:
+        role: "relay", or "controller" for a process that serves no clients and is one of `controllers`.
+        listen: An IPv4 address and UDP port.
+        controllers: The controllers, the same in all files (`[[control.machine]]`).
+        advertise: Where others reach this process; `listen` where it is left out.
+        cluster: Datagrams of other clusters are dropped.
+        name: That of the relay's own configuration where it is left out.
+        zone: Where this relay is; controllers of its zone are preferred.
+        region: The same for the region.
+        directory: This process's own, for what a relay applied last and for a controller's files. A relay without one
+            starts from its own configuration each time.
+        command: Where `python -m yarrowspindle control` reaches a controller, on loopback; nowhere if left out.
     """
 
     role: str
     listen: Address
-    machines: tuple[ControllerAddress, ...]
+    controllers: tuple[ControllerAddress, ...]
     advertise: Address | None = None
     cluster: str = "default"
     name: str = ""
@@ -56,89 +65,119 @@
     command: Address | None = None
 
     def __post_init__(self) -> None:
+        self._check_texts()
+        self._check_controllers()
+        if self.role == CONTROLLER:
+            self._check_own_controller()
+
+    def _check_texts(self) -> None:
         if self.role not in (RELAY, CONTROLLER):
             raise ControlError(f'control.role is {self.role!r}: "{RELAY}" or "{CONTROLLER}" is wanted')
         for key in ("cluster", "name", "zone", "region", "directory"):
             value = getattr(self, key)
-            if not isinstance(value, str) or key != "directory" and len(value.encode()) > MAX_NAME:
-                raise ControlError(f"control.{key} is {value!r}: a text of at most {MAX_NAME} bytes is wanted")
-        places = [m.address for m in self.machines]
-        if not 0 < len(self.machines) <= MAX_MACHINES:
-            raise ControlError(f"control.machine is there {len(self.machines)} times: 1 to {MAX_MACHINES} are wanted")
-        for what, given in (("name", [m.name for m in self.machines]), ("address", [f"{a}:{b}" for a, b in places])):
-            if twice := [one for one in given if given.count(one) > 1]:
-                raise ControlError(f"two of control.machine have the {what} {twice[0]}")
-        if not 0 < sum(m.voter for m in self.machines) <= MAX_VOTERS:
-            raise ControlError(f"1 to {MAX_VOTERS} of control.machine are voters")
-        if self.role == CONTROLLER:
-            if not self.directory:
-                raise ControlError("control.directory is missing: a controller keeps its voter's file there")
-            if self.reached_at not in places or self.name and self.name != self.me.name:
+            is_too_long = key != "directory" and isinstance(value, str) and len(value.encode()) > MAX_NAME_CHARACTERS
+            if not isinstance(value, str) or is_too_long:
                 raise ControlError(
-                    f"no control.machine is called {self.name!r} at {self.reached_at[0]}:"
-                    f"{self.reached_at[1]}, where this controller is reached"
+                    f"control.{key} is {value!r}: a text of at most {MAX_NAME_CHARACTERS} bytes is wanted"
                 )
 
+    def _check_controllers(self) -> None:
+        count = len(self.controllers)
+        if not 0 < count <= MAX_CONTROLLERS:
+            raise ControlError(f"control.machine is there {count} times: 1 to {MAX_CONTROLLERS} are wanted")
+        self._check_unique("name", [one.name for one in self.controllers])
+        self._check_unique("address", [f"{host}:{port}" for host, port in self._addresses])
+        if not 0 < sum(one.voter for one in self.controllers) <= MAX_VOTERS:
+            raise ControlError(f"1 to {MAX_VOTERS} of control.machine are voters")
+
+    @staticmethod
+    def _check_unique(what: str, values: Sequence[str]) -> None:
+        repeated = [value for value in values if values.count(value) > 1]
+        if repeated:
+            raise ControlError(f"two of control.machine have the {what} {repeated[0]}")
+
+    def _check_own_controller(self) -> None:
+        if not self.directory:
+            raise ControlError("control.directory is missing: a controller keeps its voter's file there")
+        (host, port) = self.advertised_address
+        if self.advertised_address not in self._addresses or self.name and self.name != self.own_address.name:
+            raise ControlError(
+                f"no control.machine is called {self.name!r} at {host}:{port}, where this controller is reached"
+            )
+
     @property
-    def reached_at(self) -> Address:
+    def _addresses(self) -> list[Address]:
+        return [one.address for one in self.controllers]
+
+    @property
+    def advertised_address(self) -> Address:
+        """Where others reach this process."""
         return self.advertise or self.listen
 
     @property
-    def me(self) -> ControllerAddress:
-        """Of a controller: itself, by its address."""
-        return next(m for m in self.machines if m.address == self.reached_at)
+    def own_address(self) -> ControllerAddress:
+        """The entry of this process, which is a controller, found by its address."""
+        return next(one for one in self.controllers if one.address == self.advertised_address)
 
     @property
     def voters(self) -> tuple[str, ...]:
-        return tuple(sorted(m.name for m in self.machines if m.voter))
+        """The sorted names of the voters."""
+        return tuple(sorted(one.name for one in self.controllers if one.voter))
+
 
+def controllers_by_preference(
+    controllers: tuple[ControllerAddress, ...], name: str, zone: str, region: str
+) -> list[ControllerAddress]:
+    """Returns the controllers in the order in which the relay of this name tries them.
 
-def preferred(machines: tuple[ControllerAddress, ...], name: str, zone: str, region: str) -> list[ControllerAddress]:
-    """The controllers as a relay of this name tries them: its zone's, its region's, the rest; among alike ones by
-    hash, so that the relays of a zone spread over them."""
+    Those of its zone come first, then those of its region. Among equals the order is by hash, so that the relays of a
+    zone spread over them.
+    """
 
-    def rank(machine: ControllerAddress) -> tuple[bool, bool, bytes]:
-        mixed = blake2b(f"{name} {machine.name}".encode(), digest_size=8).digest()
-        return machine.zone != zone, machine.region != region, mixed
+    def rank(controller: ControllerAddress) -> tuple[bool, bool, bytes]:
+        order = blake2b(f"{name} {controller.name}".encode(), digest_size=8).digest()
+        return controller.zone != zone, controller.region != region, order
 
-    return sorted(machines, key=rank)
+    return sorted(controllers, key=rank)
 
 
-def read_control(section: Mapping[str, Any]) -> ControlSettings:
-    """The settings from the operator's `[control]`; raises ControlError."""
+def read_control_settings(section: Mapping[str, Any]) -> ControlSettings:
+    """Returns the settings of an operator's `[control]`. Raises ControlError where they are not valid."""
     values = dict(section)
-    raw = values.pop("machine", [])
-    known = [f.name for f in fields(ControlSettings) if f.name != "machines"]
-    for key in values.keys() - set(known):
-        near = get_close_matches(key, [*known, "machine"], 1)
-        raise ControlError(f"control.{key} is not known" + (f"; {near[0]} is" if near else ""))
+    raw_controllers = values.pop("machine", [])
+    known = [field.name for field in fields(ControlSettings) if field.name != "controllers"]
+    _check_known("control", values, known, [*known, "machine"])
     for key in ("role", "listen"):
         if key not in values:
             raise ControlError(f"control.{key} is missing")
-    if not isinstance(raw, list) or not all(isinstance(one, dict) for one in raw):
+    if not isinstance(raw_controllers, list) or not all(isinstance(one, dict) for one in raw_controllers):
         raise ControlError("control.machine is no list of tables")
     try:
         for key in ("listen", "advertise", "command"):
             if key in values:
                 values[key] = read_address(key, values[key])
-        values["machines"] = tuple(_machine(one) for one in raw)
+        values["controllers"] = tuple(_read_controller(one) for one in raw_controllers)
     except PeerError as error:
         raise ControlError(str(error).replace("peers.", "control.", 1)) from None
-    if values.get("command") and not values["command"][0].startswith("127."):
+    if values.get("command") and not values["command"][0].startswith(LOOPBACK_PREFIX):
         raise ControlError("control.command is no address of the loopback network")
     return ControlSettings(**values)
 
 
-def _machine(one: Mapping[str, Any]) -> ControllerAddress:
-    known = [f.name for f in fields(ControllerAddress)]
-    for key in one.keys() - set(known):
-        near = get_close_matches(key, known, 1)
-        raise ControlError(f"control.machine.{key} is not known" + (f"; {near[0]} is" if near else ""))
+def _read_controller(table: Mapping[str, Any]) -> ControllerAddress:
+    known = [field.name for field in fields(ControllerAddress)]
+    _check_known("control.machine", table, known, known)
     for key in known:
         wanted = bool if key == "voter" else str
-        if key in one and not isinstance(one[key], wanted):
-            raise ControlError(f"control.machine.{key} is {one[key]!r}, of another kind than is wanted")
-    name = one.get("name", "")
-    if not 0 < len(name.encode()) <= MAX_NAME or "address" not in one:
+        if key in table and not isinstance(table[key], wanted):
+            raise ControlError(f"control.machine.{key} is {table[key]!r}, of another kind than is wanted")
+    name = table.get("name", "")
+    if not 0 < len(name.encode()) <= MAX_NAME_CHARACTERS or "address" not in table:
         raise ControlError("each control.machine has a name and an address")
-    return ControllerAddress(**{**one, "address": read_address("machine.address", one["address"])})
+    return ControllerAddress(**{**table, "address": read_address("machine.address", table["address"])})
+
+
+def _check_known(section: str, values: Mapping[str, Any], known: list[str], suggested: list[str]) -> None:
+    for key in values.keys() - set(known):
+        similar = get_close_matches(key, suggested, 1)
+        raise ControlError(f"{section}.{key} is not known" + (f"; {similar[0]} is" if similar else ""))
--- a/yarrowspindle/configuration/state.py
+++ b/yarrowspindle/configuration/state.py
@@ -1,135 +1,169 @@
-"""What the controllers agree on: the entries that all relays serve by, under versions that grow by one. Pure.
+"""What the controllers commit: the entries that all relays serve by, under versions that grow by one.
 
-A version has one content: the register commits one state under it, and the digest speaks of version and entries. Each
-change is a step of its own, kept for a while, so that who is behind gets the steps in their order and skips none.
+A version has one content: the consensus commits one state under it, and its digest covers version and entries. Each
+change is a step. The newest steps are part of the state, so that a relay that lags receives each of them, in order.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable, Mapping, Sequence
-from dataclasses import dataclass, field, replace
 from hashlib import blake2b
 
-from msgspec import Struct
+from msgspec import Struct, field
+from msgspec.structs import replace
 
 Entries = Mapping[str, str]  # key -> JSON text
-Step = Mapping[str, str | None]  # what one change sets; None: removes
-Check = Callable[[Entries], str]  # why a relay cannot serve by these entries; empty: it can. The same at all relays
+Step = Mapping[str, str | None]  # what one change sets; None removes the key
+# Returns why a relay cannot serve by these entries; empty where it can. The same at all relays and controllers.
+EntriesCheck = Callable[[Entries], str]
 
-MAX_KEY, MAX_VALUE, MAX_ENTRIES, MAX_CONTENT = 64, 16_384, 128, 65_536  # characters; entries; characters in all
-MAX_DONE, MAX_STEPS = 64, 32_768  # newest steps kept in the state, and their characters
-MAX_NAME, MAX_WHY = 64, 400
+MAX_KEY_CHARACTERS = 64
+MAX_VALUE_CHARACTERS = 16_384
+MAX_ENTRIES = 128
+MAX_ENTRIES_CHARACTERS = 65_536  # of all keys and values
+MAX_RECENT_STEPS = 64
+MAX_RECENT_STEPS_CHARACTERS = 32_768
+MAX_NAME_CHARACTERS = 64
+MAX_REJECTION_REASON_CHARACTERS = 400
+DIGEST_BYTES = 8
 
 
 class ControlError(ValueError):
-    """A change or a setting that makes no sense; the text says why."""
+    """A change or a setting is not valid; the text says why."""
 
 
-def size(step: Step) -> int:
-    """Characters of keys and values."""
+def character_count(step: Step) -> int:
+    """The characters of all keys and values."""
     return sum(len(key) + len(value or "") for key, value in step.items())
 
 
-def bounds(entries: Entries) -> str:
-    """What is out of bounds in entries; empty: nothing."""
+def entries_bounds_error(entries: Entries) -> str:
+    """Returns which bound the entries exceed; empty where they exceed none."""
     for key, value in entries.items():
-        if not 0 < len(key) <= MAX_KEY or len(value) > MAX_VALUE:
-            return f"{key[:MAX_KEY]!r}: a key has 1 to {MAX_KEY} characters, a value {MAX_VALUE} at most"
-    if len(entries) > MAX_ENTRIES or size(entries) > MAX_CONTENT:
-        return f"{len(entries)} entries of {size(entries)} characters: {MAX_ENTRIES} and {MAX_CONTENT} at most"
+        if not 0 < len(key) <= MAX_KEY_CHARACTERS or len(value) > MAX_VALUE_CHARACTERS:
+            return (
+                f"{key[:MAX_KEY_CHARACTERS]!r}: a key has 1 to {MAX_KEY_CHARACTERS} characters, "
+                f"a value {MAX_VALUE_CHARACTERS} at most"
+            )
+    characters = character_count(entries)
+    if len(entries) > MAX_ENTRIES or characters > MAX_ENTRIES_CHARACTERS:
+        return f"{len(entries)} entries of {characters} characters: {MAX_ENTRIES} and {MAX_ENTRIES_CHARACTERS} at most"
     return ""
 
 
-def bounds_of(step: Step) -> str:
-    """The same for a step, and the keys that it removes."""
-    return bounds({key: value or "" for key, value in step.items()})
+def step_bounds_error(step: Step) -> str:
+    """Returns which bound a step exceeds, also by the keys that it removes; empty where it exceeds none."""
+    return entries_bounds_error({key: value or "" for key, value in step.items()})
 
 
-def digest(version: int, entries: Entries) -> bytes:
-    """Of 8 bytes: equal where version and content are."""
+def content_digest(version: int, entries: Entries) -> bytes:
+    """Returns 8 bytes that are equal where version and entries are."""
     text = repr((version, sorted(entries.items())))
-    return blake2b(text.encode(), digest_size=8).digest()
+    return blake2b(text.encode(), digest_size=DIGEST_BYTES).digest()
 
 
-def stepped(entries: Entries, step: Step) -> dict[str, str]:
-    """The entries after a change."""
-    found = {key: value for key, value in entries.items() if key not in step}
-    return found | {key: value for key, value in step.items() if value is not None}
+def apply_step(entries: Entries, step: Step) -> dict[str, str]:
+    """Returns the entries after a step."""
+    kept = {key: value for key, value in entries.items() if key not in step}
+    return kept | {key: value for key, value in step.items() if value is not None}
 
 
-class ChangeOrder(Struct, frozen=True, rename={"incarnation": "life"}):
-    """A change that an operator gave to `taker`, a controller, as the number-th of that life of its orders. Each is
-    settled once and in its turn: one that was held up on its way undoes nothing newer."""
+class ChangeOrder(Struct, frozen=True, rename={"incarnation": "life", "accepted_by": "taker"}):
+    """An operator's change, with the controller that accepted it and its number in that controller's incarnation.
 
-    taker: str
+    Each order is settled once and in its turn: one that is delivered late does not undo a newer one.
+    """
+
+    accepted_by: str
     incarnation: int
     number: int
     step: Step
 
 
-class CommittedStep(Struct, frozen=True, rename={"incarnation": "life"}):
-    """The step to a version. why: it was refused, and changes nothing; taker, life, number: whose order it was."""
+class CommittedStep(
+    Struct, frozen=True, rename={"rejection_reason": "why", "accepted_by": "taker", "incarnation": "life"}
+):
+    """The step to a version, and the order that caused it.
+
+    A step with a `rejection_reason` changes nothing.
+    """
 
     version: int
     step: Step
-    why: str = ""
-    taker: str = ""
+    rejection_reason: str = ""
+    accepted_by: str = ""
     incarnation: int = 0
     number: int = 0
 
 
-@dataclass(slots=True, frozen=True)
-class ControlState:
-    """voters: name -> identity of the voter's file. takers: controller -> life and number of its newest settled
-    order. done: the newest steps, oldest first, without a gap up to `version`."""
+class ControlState(Struct, frozen=True, rename={"last_settled": "takers", "recent_steps": "done"}):
+    """The replicated state.
+
+    `voters` maps names to the identities of their files; `epoch` grows with each change of them. `last_settled` maps
+    controllers to the incarnation and number of their newest settled order. `recent_steps` are the newest steps, the
+    oldest first, without a gap up to `version`.
+    """
 
     voters: Mapping[str, str] = field(default_factory=dict)
     version: int = 0
     epoch: int = 0
     entries: Entries = field(default_factory=dict)
-    takers: Mapping[str, tuple[int, int]] = field(default_factory=dict)
-    done: Sequence[CommittedStep] = ()
+    last_settled: Mapping[str, tuple[int, int]] = field(default_factory=dict)
+    recent_steps: Sequence[CommittedStep] = ()
 
     @property
     def digest(self) -> bytes:
-        return digest(self.version, self.entries)
+        """The digest of version and entries."""
+        return content_digest(self.version, self.entries)
 
     def at_epoch(self, epoch: int) -> ControlState:
+        """Returns the same state of another epoch."""
         return replace(self, epoch=epoch)
 
     def is_settled(self, order: ChangeOrder) -> bool:
-        return (order.incarnation, order.number) <= self.takers.get(order.taker, (0, 0))
+        """Whether this order, or a later one of the same controller, is settled."""
+        return (order.incarnation, order.number) <= self.last_settled.get(order.accepted_by, (0, 0))
 
     def is_next(self, order: ChangeOrder) -> bool:
-        """It is this order's turn among its taker's."""
-        incarnation, number = self.takers.get(order.taker, (0, 0))
-        return (
-            (order.incarnation, order.number) == (incarnation, number + 1)
-            or order.incarnation > incarnation
-            and order.number == 1
-        )
-
-    def settled(self, order: ChangeOrder, check: Check) -> ControlState | None:
-        """With this order's step, or its refusal, as the next version; None: it is settled, or not yet its turn."""
+        """Whether it is this order's turn among those of its controller."""
+        incarnation, number = self.last_settled.get(order.accepted_by, (0, 0))
+        follows = (order.incarnation, order.number) == (incarnation, number + 1)
+        begins_incarnation = order.incarnation > incarnation and order.number == 1
+        return follows or begins_incarnation
+
+    def settle(self, order: ChangeOrder, check: EntriesCheck) -> ControlState | None:
+        """Returns the next version, with the order's step or its rejection; None where it is not the order's turn."""
         if not self.is_next(order):
             return None
-        entries = stepped(self.entries, order.step)
-        why = (bounds_of(order.step) or bounds(entries) or check(entries))[:MAX_WHY]
-        done = CommittedStep(
-            self.version + 1, {} if why else order.step, why, order.taker, order.incarnation, order.number
+        entries = apply_step(self.entries, order.step)
+        reason = step_bounds_error(order.step) or entries_bounds_error(entries) or check(entries)
+        reason = reason[:MAX_REJECTION_REASON_CHARACTERS]
+        committed = CommittedStep(
+            self.version + 1,
+            {} if reason else order.step,
+            reason,
+            order.accepted_by,
+            order.incarnation,
+            order.number,
+        )
+        last_settled = dict(self.last_settled) | {order.accepted_by: (order.incarnation, order.number)}
+        return replace(
+            self._with_step(committed), entries=self.entries if reason else entries, last_settled=last_settled
         )
-        takers = dict(self.takers) | {order.taker: (order.incarnation, order.number)}
-        return replace(self._with(done), entries=self.entries if why else entries, takers=takers)
 
     def with_voter(self, name: str, identity: str) -> ControlState | None:
-        """This voter has another file from here on; None: it has it already."""
+        """Returns the next version, in which this voter has another file; None where it has it already."""
         if self.voters.get(name) == identity:
             return None
-        changed = self._with(CommittedStep(self.version + 1, {}))
+        changed = self._with_step(CommittedStep(self.version + 1, {}))
         return replace(changed, voters=dict(self.voters) | {name: identity}, epoch=self.epoch + 1)
 
-    def _with(self, done: CommittedStep) -> ControlState:
-        kept = [*self.done, done][-MAX_DONE:]
-        while len(kept) > 1 and sum(size(one.step) for one in kept) > MAX_STEPS:
-            del kept[0]
-        return replace(self, version=done.version, done=tuple(kept))
+    def _with_step(self, step: CommittedStep) -> ControlState:
+        recent_steps = [*self.recent_steps, step][-MAX_RECENT_STEPS:]
+        while len(recent_steps) > 1 and self._step_characters(recent_steps) > MAX_RECENT_STEPS_CHARACTERS:
+            del recent_steps[0]
+        return replace(self, version=step.version, recent_steps=tuple(recent_steps))
+
+    @staticmethod
+    def _step_characters(steps: Sequence[CommittedStep]) -> int:
+        return sum(character_count(one.step) for one in steps)
--- /dev/null
+++ b/yarrowspindle/daemon/background_store.py
@@ -0,0 +1,96 @@
+"""Stores the newest value of a process in a durable file, on a thread, and retries while the disk fails."""
+
+from __future__ import annotations
+
+import asyncio
+from collections import Counter
+from concurrent.futures import ThreadPoolExecutor
+from typing import Final, Generic, Protocol, TypeVar
+
+from loguru import logger
+
+from yarrowspindle.storage.durable_file import DurableFile
+
+RETRY_S = 1.0  # after a lock or a disk that failed
+FINAL_STORE_TIMEOUT_S = 0.1
+FAILED_STORES: Final = "unkept"  # published name of a counter
+
+
+class Versioned(Protocol):
+    """A value with a version, which the log names."""
+
+    @property
+    def version(self) -> int: ...
+
+
+V = TypeVar("V", bound=Versioned)
+
+
+class BackgroundStore(Generic[V]):
+    """Stores values without delaying requests or heartbeats.
+
+    `pending` is the newest value that is not stored yet; a value that is replaced before it is stored is skipped.
+    """
+
+    def __init__(self, file: DurableFile[V], disk: ThreadPoolExecutor, counts: Counter[str]) -> None:
+        self.file, self.disk, self.counts = file, disk, counts
+        self.pending: V | None = None
+        self.has_pending = asyncio.Event()
+
+    def put(self, value: V) -> None:
+        """Sets the value to store."""
+        self.pending = value
+        self.has_pending.set()
+
+    async def run(self) -> None:
+        """Stores values until it is cancelled.
+
+        Until a disk that fails recovers, the value that was stored before stays. While an earlier process has the
+        lock, that one stores what it applies itself.
+        """
+        last_failure = ""
+        while True:
+            await self.has_pending.wait()
+            value = self.pending
+            if value is None:
+                self.has_pending.clear()
+                continue
+            failure = await self._store(value)
+            if not failure:
+                self.pending = None if self.pending is value else self.pending
+                if last_failure:
+                    logger.info("control: version {} is stored in {}", value.version, self.file.path)
+            else:
+                self.counts[FAILED_STORES] += 1
+                if failure != last_failure:
+                    logger.warning(
+                        "control: version {} is applied, but cannot be stored yet for a restart: {}",
+                        value.version,
+                        failure,
+                    )
+                await asyncio.sleep(RETRY_S)
+            last_failure = failure
+
+    async def flush(self) -> None:
+        """Tries once more to store the pending value, without waiting for a slow disk."""
+        if self.pending is None or self.file.unlocked():
+            return
+        version = self.pending.version
+        try:
+            await asyncio.wait_for(self._store_on_thread(self.pending), FINAL_STORE_TIMEOUT_S)
+        except (OSError, TimeoutError) as error:
+            logger.warning("control: version {} is not stored for a restart: {}", version, repr(error))
+
+    async def _store(self, value: V) -> str:
+        """Returns why the value cannot be stored; empty once it is."""
+        failure = self.file.unlocked()
+        if failure:
+            return failure
+        try:
+            await self._store_on_thread(value)
+        except OSError as error:
+            return str(error)
+        return ""
+
+    async def _store_on_thread(self, value: V) -> None:
+        await asyncio.get_running_loop().run_in_executor(self.disk, self.file.store, value)
--- a/yarrowspindle/daemon/config.py
+++ b/yarrowspindle/daemon/config.py
@@ -198,7 +198,9 @@
 
 def read_control(section: Mapping[str, Any]) -> ControlSettings:
     try:
-        from yarrowspindle.configuration.settings import read_control as read  # the platform does without the package
+        from yarrowspindle.configuration.settings import (
+            read_control_settings as read,  # the platform does without the package
+        )
     except ImportError as error:
         raise ValueError(f"[control] needs requirements-turns.txt: {error}") from error
     return read(section)
--- /dev/null
+++ b/yarrowspindle/daemon/controller_api.py
@@ -0,0 +1,116 @@
+"""The operators' calls to a controller: its status, a change, and the answer to a change."""
+
+from __future__ import annotations
+
+from collections import OrderedDict
+from collections.abc import Callable, Mapping
+from dataclasses import dataclass
+from typing import Any
+
+import msgspec
+from loguru import logger
+
+from yarrowspindle.configuration.effects import ChangeAnswered
+from yarrowspindle.configuration.events import ChangeRequested
+from yarrowspindle.configuration.state import ControlError, Entries, Step
+from yarrowspindle.operator_api import OperatorApi
+from yarrowspindle.operator_api.http import Answer as HttpAnswer
+from yarrowspindle.routing.address import Address
+
+MAX_ANSWERS = 1024
+MAX_BODY_BYTES = 512 * 1024
+MAX_NAMED_KEYS_CHARACTERS = 200
+HTTP_OK, HTTP_CONFLICT = 200, 409
+
+
+@dataclass(slots=True, frozen=True)
+class ControllerApiSources:
+    """What the calls use of a controller."""
+
+    status: Callable[[], Mapping[str, Any]]
+    entries: Callable[[], Entries]
+    request: Callable[[ChangeRequested], None]
+
+
+class ControllerApi:
+    """Serves the calls on a loopback address.
+
+    An HTTP answer here cannot wait, so a change returns a ticket, with which the operator's command polls the answer.
+    """
+
+    def __init__(self, sources: ControllerApiSources, first_ticket: int) -> None:
+        self.sources = sources
+        self.ticket = first_ticket
+        self.answers: OrderedDict[int, ChangeAnswered | None] = OrderedDict()  # None: not settled yet
+        self.server: OperatorApi | None = None
+
+    async def start(self, address: Address) -> None:
+        """Starts to listen; where that fails the controller works without the calls."""
+        routes = {
+            "/control/change": {"PUT": self._handler(self._change)},
+            "/control/answer": {"PUT": self._handler(self._poll_answer)},
+        }
+        self.server = OperatorApi(
+            {"/control": {"GET": self._status}},
+            lambda text: logger.error("control: a call failed: {}", text),
+            routes,
+            MAX_BODY_BYTES,
+        )
+        try:
+            await self.server.start(*address)
+            logger.info("control: commands are accepted at {}:{}", *address)
+        except OSError as error:
+            logger.error("control: no commands can be accepted at {}:{}: {}", *address, error)
+
+    def close(self) -> None:
+        """Stops to listen."""
+        if self.server is not None:
+            self.server.close()
+
+    def on_answer(self, answer: ChangeAnswered) -> None:
+        """Stores an answer until the operator polls it."""
+        self.answers[answer.ticket] = answer
+
+    def _status(self) -> HttpAnswer:
+        return HTTP_OK, self._json(self.sources.status())
+
+    @staticmethod
+    def _json(value: object) -> str:
+        return msgspec.json.encode(value).decode() + "\n"
+
+    def _handler(self, handle: Callable[[dict[str, Any]], object]) -> Callable[[bytes], HttpAnswer]:
+        def answer(body: bytes) -> HttpAnswer:
+            try:
+                call = msgspec.json.decode(body or b"{}", type=dict[str, Any])
+                return HTTP_OK, self._json(handle(call))
+            except (ControlError, msgspec.DecodeError, msgspec.ValidationError) as error:
+                return HTTP_CONFLICT, self._json({"error": str(error)})
+
+        return answer
+
+    def _change(self, call: dict[str, Any]) -> object:
+        step = msgspec.convert(call.get("step"), dict[str, str | None])
+        self._check_step(step)
+        self.ticket += 1
+        self.answers[self.ticket] = None
+        while len(self.answers) > MAX_ANSWERS:
+            self.answers.popitem(last=False)
+        self.sources.request(ChangeRequested(self.ticket, step))
+        return {"ticket": self.ticket}
+
+    def _check_step(self, step: Step) -> None:
+        entries = self.sources.entries()
+        absent = sorted(key for key, value in step.items() if value is None and key not in entries)
+        if not step:
+            raise ControlError("nothing is to be changed")
+        if absent:
+            raise ControlError(f"there is no entry {', '.join(absent)[:MAX_NAMED_KEYS_CHARACTERS]}")
+
+    def _poll_answer(self, call: dict[str, Any]) -> object:
+        ticket = msgspec.convert(call.get("ticket"), int)
+        if ticket not in self.answers:
+            raise ControlError("no such change is known here: this controller has started anew. See `show`")
+        answer = self.answers[ticket]
+        if answer is None:
+            return {"settled": False}
+        return {"settled": True, "version": answer.version, "error": answer.reason}
--- /dev/null
+++ b/yarrowspindle/daemon/controller_files.py
@@ -0,0 +1,68 @@
+"""A controller's files: that of its acceptor, and the newest committed state that it knows."""
+
+from __future__ import annotations
+
+from typing import Any
+
+from yarrowspindle.configuration import codec
+from yarrowspindle.configuration.settings import ControlSettings
+from yarrowspindle.configuration.state import ControlState
+from yarrowspindle.consensus.register import AcceptorState
+from yarrowspindle.storage.durable_file import FIRST, DurableFile, FileUnavailableError, K, VoterFile
+
+COMMITTED_STATE = "agreed"  # name of the file
+
+
+def first_state(settings: ControlSettings) -> ControlState:
+    """Returns the state that all controllers start from: the voters with the files that operators create once."""
+    return ControlState({name: FIRST for name in settings.voters})
+
+
+def acceptor_file(settings: ControlSettings) -> VoterFile[ControlState]:
+    """Returns the file of the acceptor of a controller with these settings."""
+    return VoterFile(settings.directory, settings.own_address.name, settings.cluster, codec.ACCEPTOR_FILE)
+
+
+class ControllerFiles:
+    """The files under the one lock of the controller's directory, and what they contained at the start.
+
+    `acceptor_state` and `committed_state` are None where the file is missing or cannot be used, for a reason in
+    `errors`.
+    """
+
+    def __init__(self, settings: ControlSettings) -> None:
+        self.acceptor = acceptor_file(settings)
+        self.committed: DurableFile[ControlState] = DurableFile(
+            settings.directory,
+            settings.own_address.name,
+            settings.cluster,
+            COMMITTED_STATE,
+            codec.COMMITTED_STATE_FILE,
+        )
+        self.acceptor_state: AcceptorState[ControlState] | None = None
+        self.committed_state: ControlState | None = None
+        self.errors: dict[DurableFile[Any], FileUnavailableError] = {}
+
+    def load(self) -> str:
+        """Takes the lock and reads the files. Returns why that is not possible yet; empty once it is done.
+
+        It is not possible while another process has the lock or the disk cannot be read. A file that is missing or
+        damaged is no reason to wait.
+        """
+        failure = self.acceptor.unlocked()
+        if failure:
+            return failure
+        self.committed.lock = self.acceptor.lock  # this process has it
+        try:
+            self.acceptor_state = self._read(self.acceptor)
+            self.committed_state = self._read(self.committed)
+        except OSError as error:
+            return f"the files in {self.acceptor.folder} cannot be read now: {error}"
+        return ""
+
+    def _read(self, file: DurableFile[K]) -> K | None:
+        try:
+            return file.load()
+        except FileUnavailableError as error:
+            self.errors[file] = error
+            return None
--- a/yarrowspindle/daemon/main.py
+++ b/yarrowspindle/daemon/main.py
@@ -56,7 +56,7 @@
     hub.start()
     control = None
     if operator.control is not None:
-        from yarrowspindle.daemon.configuration_endpoint import (
+        from yarrowspindle.daemon.relay_configuration import (
             RelayEndpoint,  # needs a package that the platform does without
         )
 
--- a/yarrowspindle/daemon/shared_settings.py
+++ b/yarrowspindle/daemon/shared_settings.py
@@ -1,16 +1,18 @@
-"""What the shared entries of control mean to a relay: members of the platform's `settings`, as JSON texts. Pure.
+"""What the entries of the configuration mean to a relay: members of the platform's `settings`, as JSON texts.
 
-Relays and controllers judge by the same function of the entries alone, so that all judge alike. Members that are a
-relay's own are not shared: they come from its file.
+Relays and controllers judge by the same function of the entries alone, so that all come to the same result. Members
+that are specific to a relay are not shared: they come from its file.
 """
 
 from __future__ import annotations
 
 import json
 from collections.abc import Iterable, Mapping
+from dataclasses import dataclass
 from difflib import get_close_matches
 from typing import Any
 
+from yarrowspindle.configuration.state import Entries
 from yarrowspindle.daemon.config import OWN, ConfigError, shared_settings
 
 SHARED = (
@@ -26,40 +28,57 @@
     "step_ms",
     "weight_kind",
 )
-STAND_IN = {"zone": 0, "slot_no": 0, "azs": ["a"], "skus": ["m"], "realms": []}  # for the own members of any relay
-MAX_WHY = 300  # characters
+# Stands for the relay-specific members of any relay.
+SAMPLE_OWN_SETTINGS = {"zone": 0, "slot_no": 0, "azs": ["a"], "skus": ["m"], "realms": []}
+MAX_REASON_CHARACTERS = 300
 
 
-def unknown(keys: Iterable[str]) -> str:
-    """Why a key cannot be shared; empty: all can."""
+@dataclass(slots=True, frozen=True)
+class PlatformSettings:
+    """A platform's settings, divided into shared entries, relay-specific members and members that are not read."""
+
+    entries: dict[str, str]
+    own: list[str]
+    unread: list[str]
+
+
+def unknown_key_error(keys: Iterable[str]) -> str:
+    """Returns why one of the keys cannot be shared; empty where all can."""
     for key in sorted(keys):
         if key in OWN:
             return f"{key} is each relay's own: it stays in the relays' files"
         if key not in SHARED:
-            near = get_close_matches(key, SHARED, 1)
-            return f"{key} is no member of the settings that the program reads" + (f"; {near[0]} is" if near else "")
+            similar = get_close_matches(key, SHARED, 1)
+            suggestion = f"; {similar[0]} is" if similar else ""
+            return f"{key} is no member of the settings that the program reads{suggestion}"
     return ""
 
 
-def check(entries: Mapping[str, str]) -> str:
-    """Why a relay cannot serve by these entries; empty: it can, whatever its own members are. None: by its file."""
+def check(entries: Entries) -> str:
+    """Returns why a relay cannot serve by these entries; empty where it can, whatever its own members are.
+
+    Without entries a relay serves by its file.
+    """
     if not entries:
         return ""
-    why = unknown(entries)
-    if not why:
+    reason = unknown_key_error(entries)
+    if not reason:
         try:
-            shared_settings(STAND_IN, entries)
+            shared_settings(SAMPLE_OWN_SETTINGS, entries)
         except ConfigError as error:
-            why = str(error)
-    return why[:MAX_WHY]
+            reason = str(error)
+    return reason[:MAX_REASON_CHARACTERS]
 
 
-def text_of(value: object) -> str:
-    """A member as an entry's value."""
+def entry_value(value: object) -> str:
+    """Returns a member of the settings as the value of an entry."""
     return json.dumps(value, separators=(",", ":"), ensure_ascii=False, allow_nan=False)
 
 
-def shared_of(settings: Mapping[str, Any]) -> tuple[dict[str, str], list[str], list[str]]:
-    """Of a platform's settings: the entries; members that are each relay's own; such as the program does not read."""
-    entries = {key: text_of(value) for key, value in settings.items() if key in SHARED}
-    return entries, sorted(settings.keys() & OWN), sorted(settings.keys() - OWN - set(SHARED))
+def read_platform_settings(settings: Mapping[str, Any]) -> PlatformSettings:
+    """Divides a platform's settings."""
+    return PlatformSettings(
+        entries={key: entry_value(value) for key, value in settings.items() if key in SHARED},
+        own=sorted(settings.keys() & OWN),
+        unread=sorted(settings.keys() - OWN - set(SHARED)),
+    )
--- a/yarrowspindle/lab/model/controlling.py
+++ b/yarrowspindle/lab/model/controlling.py
@@ -17,26 +17,21 @@
 
 from yarrowspindle.configuration.agent import Agent
 from yarrowspindle.configuration.controller import Controller
-from yarrowspindle.configuration.link import Link
-from yarrowspindle.configuration.messages import (
+from yarrowspindle.configuration.effects import (
     ApplySettings,
     AskAcceptor,
     ChangeAnswered,
-    ChangeRequested,
-    Delta,
     LogMessage,
-    MessageReceived,
     Persist,
-    Sender,
     SendMessage,
     SetTimer,
-    SettingsRejected,
-    Snapshot,
     StateCommitted,
-    TimerFired,
 )
-from yarrowspindle.configuration.settings import ControllerAddress, preferred
-from yarrowspindle.configuration.state import CommittedStep, ControlState, Entries, Step, stepped
+from yarrowspindle.configuration.events import ChangeRequested, MessageReceived, Sender, SettingsRejected, TimerFired
+from yarrowspindle.configuration.link import Link
+from yarrowspindle.configuration.messages import Delta, Snapshot
+from yarrowspindle.configuration.settings import ControllerAddress, controllers_by_preference
+from yarrowspindle.configuration.state import CommittedStep, ControlState, Entries, Step, apply_step
 from yarrowspindle.consensus.register import NONE, Acceptor, AcceptorState, Proposer
 from yarrowspindle.lab.faults import Ways
 from yarrowspindle.lab.model.clock import VirtualClock
@@ -135,22 +130,22 @@
         if known != state.entries:
             self.two += 1
             self.broken(f"two contents under version {state.version}: {controller} took another")
-        for done in state.done:
+        for done in state.recent_steps:
             if self.done.setdefault(done.version, done) != done:
                 self.two += 1
                 self.broken(f"two steps to version {done.version}: {controller} took another")
-            if done.taker:
-                order = (done.taker, done.incarnation, done.number)
+            if done.accepted_by:
+                order = (done.accepted_by, done.incarnation, done.number)
                 if self.orders.setdefault(order, done.version) != done.version:
                     self.broken(f"order {order} was settled by versions {self.orders[order]} and {done.version}")
-                if done.number > 1 and (done.taker, done.incarnation, done.number - 1) not in self.orders:
+                if done.number > 1 and (done.accepted_by, done.incarnation, done.number - 1) not in self.orders:
                     self.broken(f"order {order} was settled before the one before it")
             before = self.contents.get(done.version - 1)
             if before is not None and done.version not in self.contents:
-                self.contents[done.version] = stepped(before, done.step)
+                self.contents[done.version] = apply_step(before, done.step)
         before = self.contents.get(state.version - 1)
         last = self.done.get(state.version)
-        if before is not None and last is not None and stepped(before, last.step) != state.entries:
+        if before is not None and last is not None and apply_step(before, last.step) != state.entries:
             self.broken(f"version {state.version} is not version {state.version - 1} and its step")
 
     def took_down(self, relay: str, version: int, entries: Entries, why: str, reached: int) -> None:
@@ -238,7 +233,7 @@
             )
             return
         began = time.thread_time() if self.world.measures else 0.0
-        datagrams = self.link.packed(self.now(), to, message)
+        datagrams = self.link.encode(self.now(), to, message)
         if self.world.measures:
             self.spent += time.thread_time() - began
         for data in datagrams:
@@ -256,16 +251,16 @@
             return
         began = time.thread_time() if self.world.measures else 0.0
         try:
-            sender, message, back = self.link.came(self.now(), data, source)
+            received = self.link.receive(self.now(), data, source)
         except DroppedDatagramError:
             return
         finally:
             if self.world.measures:
                 self.spent += time.thread_time() - began
-        for datagram in back:
-            self.world.send(self, sender.address, datagram)
-        if message is not None:
-            self.post(MessageReceived(sender, message))
+        for datagram in received.replies:
+            self.world.send(self, received.sender.address, datagram)
+        if received.message is not None:
+            self.post(MessageReceived(received.sender, received.message))
         self._ask()
 
     def _awake(self) -> None:
@@ -274,15 +269,15 @@
             self.came(data, source)
 
     def _ask(self) -> None:
-        if self.link.parcels.half and not self.asks:
+        if self.link.fragmenter.half and not self.asks:
             self.asks = True
             self.world.clock.after(AGAIN_MS, self._asked)
 
     def _asked(self) -> None:
         self.asks = False
         if self.alive and self.stalled_until <= self.world.clock.now():
-            for to, data in self.link.due(self.now()):
-                self.world.send(self, to, data)
+            for request in self.link.missing_fragment_requests(self.now()):
+                self.world.send(self, request.to, request.data)
         if self.alive:
             self._ask()
 
@@ -297,7 +292,7 @@
         self.taken, self.turns_down = 0, 0  # turns_down: this version cannot be taken here, whatever the check says
         self.began, self.wanted = world.clock.seconds, world.newest()  # what was the newest then
         self.check = check_of_old if name in world.old_programs else check
-        machines = preferred(world.machines, name, zone, self.region)
+        machines = controllers_by_preference(world.machines, name, zone, self.region)
         self.core = world.parts.agent(
             machines, self.check, world.random.randrange(1 << 30), self.now(), version, entries
         )
@@ -549,7 +544,7 @@
 
     def took(self, host: ControllerHost, state: ControlState) -> None:
         self.checker.took(host.name, state)
-        for done in state.done:
+        for done in state.recent_steps:
             if not done.step or done.version in self.agreed:
                 continue
             self.agreed.add(done.version)
@@ -586,8 +581,8 @@
         change = self.changes[host.name, answer.ticket]
         if change.answered is not None:
             self.checker.broken(f"{host.name} answered an order twice")
-        change.answered, change.answered_s = answer.why, self.clock.seconds
-        self.checker.answered(change, answer.version, answer.why)
+        change.answered, change.answered_s = answer.reason, self.clock.seconds
+        self.checker.answered(change, answer.version, answer.reason)
 
     def run(self, for_s: float) -> None:
         self.clock.run_until(self.clock.now() + 1000.0 * for_s)
--- a/yarrowspindle/lab/model/controlling_days.py
+++ b/yarrowspindle/lab/model/controlling_days.py
@@ -233,8 +233,8 @@
         ]
         least = min((relay.taken for relay in there), default=world.newest())
         for host in world.controllers:
-            if host.core.leads and host.stalled_until <= world.clock.now():
-                said = host.core.shown()["in_force"]
+            if host.core.is_leader and host.stalled_until <= world.clock.now():
+                said = host.core.status().applied_everywhere
                 self.found.counts["claims"] += 1
                 if said > least:
                     late = [relay.name for relay in there if relay.taken < said]
@@ -290,7 +290,7 @@
 
     def _until_well(self, after: str) -> None:
         if self.world.until(lambda: not self.well() or bool(self.world.checker.violations), WITHIN_S) < 0.0:
-            rounds = {h.name: (h.core.round.why, h.core.leads) for h in self.world.controllers}
+            rounds = {h.name: (h.core.proposals.last_failure, h.core.is_leader) for h in self.world.controllers}
             self.found.stuck.append(f"{after}: {self.well()}; {rounds}")
 
     def play(self) -> ControlDay:
@@ -329,7 +329,7 @@
         )
         found.counts.update(answers)
         found.counts["versions"] = world.newest()
-        found.counts["refused by race"] = sum(bool(done.why) for done in world.checker.done.values())
+        found.counts["refused by race"] = sum(bool(done.rejection_reason) for done in world.checker.done.values())
         found.counts["wholes"] = sum(h.core.counts["wholes"] for h in world.controllers)
         found.counts["differences"] = sum(h.core.counts["differences"] for h in world.controllers)
         return found
--- a/yarrowspindle/lab/model/planted_control.py
+++ b/yarrowspindle/lab/model/planted_control.py
@@ -2,13 +2,27 @@
 
 from __future__ import annotations
 
-from dataclasses import replace
 from typing import Any
 
+from msgspec.structs import replace
+
 from yarrowspindle.configuration.agent import Agent
+from yarrowspindle.configuration.change_proposals import ChangeProposals
+from yarrowspindle.configuration.change_queue import ChangeQueue
+from yarrowspindle.configuration.committed_log import NO_VERSION, CommittedLog
 from yarrowspindle.configuration.controller import Controller
-from yarrowspindle.configuration.messages import Delta, LatestVersion, Snapshot
-from yarrowspindle.configuration.state import ChangeOrder, Check, ControlState, Entries, stepped
+from yarrowspindle.configuration.events import Sender
+from yarrowspindle.configuration.messages import Delta, Detach, LatestVersion, RelaySummary, Snapshot
+from yarrowspindle.configuration.relay_sessions import RelaySessions
+from yarrowspindle.configuration.state import (
+    MAX_RECENT_STEPS,
+    ChangeOrder,
+    ControlState,
+    Entries,
+    EntriesCheck,
+    apply_step,
+)
+from yarrowspindle.configuration.status import ControllerStatus, StatusReporter
 from yarrowspindle.consensus.register import Proposer
 from yarrowspindle.lab.model import planted
 from yarrowspindle.lab.model.controlling import ControlParts
@@ -17,137 +31,186 @@
 
 
 class TakesOlder(Agent):
-    """Goes by what its controller has, also where that is older."""
+    """Adopts what its controller has, also where that is older."""
 
-    def _newest(self, message: LatestVersion) -> None:
-        if message.version < self.known:
-            self.known, self.whole = 0, True
+    def _on_latest_version(self, message: LatestVersion) -> None:
+        if message.version < self.known_version:
+            self.known_version, self.needs_snapshot = 0, True
 
 
 class OverAGap(Agent):
-    """Applies the steps that it got, whatever lies before them."""
+    """Applies the steps that it received, also where one before them is missing."""
 
-    def _difference(self, message: Delta) -> None:
-        if message.version > self.known:
+    def _on_delta(self, message: Delta) -> None:
+        if message.version > self.known_version:
             entries: Entries = self.entries
-            for step in message.steps[max(0, self.known - message.base) :]:
-                entries = stepped(entries, step)
-            self._learned(message.version, entries, message.digest)
+            for step in message.steps[max(0, self.known_version - message.base) :]:
+                entries = apply_step(entries, step)
+            self._adopt(message.version, entries, message.digest)
 
 
 class NoDigest(Agent):
-    """Takes what comes out, whatever its digest."""
+    """Adopts a version whatever its digest."""
 
-    def _learned(self, version: int, entries: Entries, wanted: bytes) -> None:
-        self.whole = False
-        self.known, self.entries, self.digest = version, dict(entries), wanted
-        self._take()
-        self._again()
+    def _adopt(self, version: int, entries: Entries, digest: bytes) -> None:
+        self.needs_snapshot = False
+        self.known_version, self.entries, self.digest = version, dict(entries), digest
+        self._apply()
+        self._send_heartbeat_to_current()
 
 
 class NoCheck(Agent):
-    """Serves by whatever was agreed on."""
+    """Serves by whatever was committed."""
 
-    def __init__(self, machines: Any, check: Check, *more: Any) -> None:
-        super().__init__(machines, lambda entries: "", *more)
+    def __init__(self, controllers: Any, check: EntriesCheck, *more: Any) -> None:
+        super().__init__(controllers, lambda entries: "", *more)
 
 
 class ServesOn(Agent):
-    """Says that it serves by what it turned down."""
+    """Reports a version that it rejected as applied."""
 
-    def _refused(self, why: str) -> None:
-        super()._refused(why)
-        self.taken = self.known
+    def _reject(self, reason: str) -> None:
+        super()._reject(reason)
+        self.applied_version = self.known_version
 
 
 # --- the controller -----------------------------------------------------------------------------
 
 
-class SettlesTwice(Controller):
-    """An order that comes again is settled again."""
+class ProposalsThatSettleTwice(ChangeProposals):
+    """An order that is delivered again is settled again."""
 
     def _change(self, state: ControlState) -> ControlState | None:
         found = state
-        for _, (order, _) in sorted(self.round.queue.items()):
-            found = found.settled(order, self.check) or self._again(found, order) or found
+        for order in self.orders_in_turn():
+            found = found.settle(order, self.context.check) or self._settle_again(found, order) or found
         return found if found.version > state.version else None
 
-    def _again(self, state: ControlState, order: ChangeOrder) -> ControlState | None:
+    def _settle_again(self, state: ControlState, order: ChangeOrder) -> ControlState | None:
         if not state.is_settled(order):
             return None
         before = (order.incarnation, order.number - 1)
-        found = replace(state, takers=dict(state.takers) | {order.taker: before}).settled(order, self.check)
-        return found and replace(found, takers=dict(state.takers))
+        last_settled = dict(state.last_settled) | {order.accepted_by: before}
+        found = replace(state, last_settled=last_settled).settle(order, self.context.check)
+        return found and replace(found, last_settled=dict(state.last_settled))
 
 
-class OutOfTurn(Controller):
+class SettlesTwice(Controller):
+    """An order that is delivered again is settled again."""
+
+    proposals_type = ProposalsThatSettleTwice
+
+
+class ProposalsOutOfTurn(ChangeProposals):
     """An order is settled though one before it is not."""
 
     def _change(self, state: ControlState) -> ControlState | None:
         found = state
-        for _, (order, _) in sorted(self.round.queue.items(), reverse=True):
+        for order in reversed(self.orders_in_turn()):
             if not found.is_settled(order):
-                takers = dict(found.takers) | {order.taker: (order.incarnation, order.number - 1)}
-                found = replace(found, takers=takers).settled(order, self.check) or found
+                last_settled = dict(found.last_settled) | {order.accepted_by: (order.incarnation, order.number - 1)}
+                found = replace(found, last_settled=last_settled).settle(order, self.context.check) or found
         return found if found.version > state.version else None
 
 
-class NoCheckAgain(Controller):
-    """What was checked at the door is not checked on the state that it is written into."""
+class OutOfTurn(Controller):
+    """An order is settled though one before it is not."""
+
+    proposals_type = ProposalsOutOfTurn
+
+
+class ProposalsWithoutCheck(ChangeProposals):
+    """The state that an order is written into is not checked."""
 
     def _change(self, state: ControlState) -> ControlState | None:
-        check, self.check = self.check, lambda entries: ""
+        check, self.context.check = self.context.check, lambda entries: ""
         found = super()._change(state)
-        self.check = check
+        self.context.check = check
         return found
 
 
-class LogOverAGap(Controller):
-    """The steps that it knows are sent, also where one between them is missing."""
+class NoCheckAgain(Controller):
+    """What was checked when it was accepted is not checked on the state that it is written into."""
 
-    def _steps(self, base: int) -> object:
-        found = super()._steps(base)
-        if isinstance(found, Snapshot) and base >= 0:
-            steps = [self.log[n] for n in range(base + 1, self.taken.version + 1) if n in self.log]
-            found = Delta(base, self.taken.version, self.digest, [dict(step) for step in steps][-64:])
+    proposals_type = ProposalsWithoutCheck
+
+
+class LogWithGaps(CommittedLog):
+    """The steps that are known are sent, also where one between them is missing."""
+
+    def update_since(self, base: int) -> Delta | Snapshot:
+        found = super().update_since(base)
+        if isinstance(found, Snapshot) and base != NO_VERSION:
+            steps = [self.steps[n] for n in range(base + 1, self.version + 1) if n in self.steps]
+            found = Delta(base, self.version, self.digest, [dict(step) for step in steps][-MAX_RECENT_STEPS:])
         return found
 
 
-class PushesProposals(Controller):
-    """What voters have accepted may be told already, it thinks."""
+class LogOverAGap(Controller):
+    """The steps that are known are sent, also where one between them is missing."""
+
+    committed_log_type = LogWithGaps
+
+
+class ProposalsBeforeCommit(ChangeProposals):
+    """A state that one acceptor has accepted counts as committed."""
 
     def _carry_out(self, effects: Any) -> None:
         super()._carry_out(effects)
         if self.proposer.round is not None and self.proposer.round.accepted:
-            self.proposer.learned(self.proposer.round.proposed or self.taken)
-            self._take()
+            self.proposer.learned(self.proposer.round.proposed or self.context.committed.state)
+            self.on_committed()
+
+
+class PushesProposals(Controller):
+    """Relays are sent what is not committed yet."""
+
+    proposals_type = ProposalsBeforeCommit
+
+
+class ReporterWithoutGrace(StatusReporter):
+    """Relays that are on their way to another controller are not waited for."""
+
+    def status(self, own: RelaySummary | None = None) -> ControllerStatus:
+        self.peers.attachments_complete_at = self.context.now
+        return super().status(own)
 
 
 class SaysTooEarly(Controller):
-    """A version is in force when all relays of the controllers that are heard have it, whoever came or went."""
+    """A version counts as applied when all relays of the live controllers apply it, whoever joined or failed."""
 
-    def shown(self, own: Any = None) -> Any:
-        self.sure_at = self.now
-        return super().shown(own)
+    reporter_type = ReporterWithoutGrace
 
 
-class ForgetsWhoLeaves(Controller):
-    """A relay that leaves is in no sum until its next controller has told of it."""
+class SessionsThatForget(RelaySessions):
+    """A relay that detaches is removed at once."""
 
-    def _leave(self, sender: Any, message: object) -> None:
-        super()._leave(sender, message)
-        if sender.address in self.relays and self.relays[sender.address].left:
+    def on_detach(self, sender: Sender, message: Detach) -> None:
+        super().on_detach(sender, message)
+        if sender.address in self.relays and self.relays[sender.address].detached_at:
             del self.relays[sender.address]
 
 
-class NumbersAnewTooSoon(Controller):
-    """Orders get new numbers before it is looked up whether they stand under the old ones."""
+class ForgetsWhoLeaves(Controller):
+    """A relay that detaches is in no summary until its next controller counts it."""
+
+    sessions_type = SessionsThatForget
+
 
-    def _settle(self) -> None:
-        incarnation, _ = self.taken.takers.get(self.me.name, (0, 0))
+class ChangesNumberedTooSoon(ChangeQueue):
+    """Orders get new numbers before it is looked up whether they are settled under the old ones."""
+
+    def _answer_settled(self) -> None:
+        incarnation = self._settled_incarnation()
         if incarnation > self.incarnation:
             self._renumber(incarnation + 1)
-        super()._settle()
+        super()._answer_settled()
+
+
+class NumbersAnewTooSoon(Controller):
+    """Orders get new numbers before it is looked up whether they are settled under the old ones."""
+
+    changes_type = ChangesNumberedTooSoon
 
 
 class BelievesOne(Proposer[ControlState]):
