--- /dev/null
+++ b/tests/configuration/harness.py
@@ -0,0 +1,161 @@
+"""An agent or a controller with its effects, for the tests of their parts."""
+
+from __future__ import annotations
+
+from typing import Any
+
+from yarrowspindle.configuration.agent import Agent
+from yarrowspindle.configuration.controller import Controller
+from yarrowspindle.configuration.controller_context import ATTACHMENT_GRACE_MS
+from yarrowspindle.configuration.effects import ApplySettings, AskAcceptor, ChangeAnswered, LogMessage, SendMessage
+from yarrowspindle.configuration.events import Event, MessageReceived, Sender, TimerFired
+from yarrowspindle.configuration.messages import Delta, Heartbeat, RelaySummary, Snapshot
+from yarrowspindle.configuration.settings import ControllerAddress
+from yarrowspindle.configuration.state import ChangeOrder, ControlState, Entries, Step, apply_step, content_digest
+from yarrowspindle.consensus.register import NONE, Acceptor, AcceptorState
+from yarrowspindle.lab.model.controlling import check
+
+CONTROLLERS = tuple(ControllerAddress(f"c{n:02d}", (f"10.0.0.{n + 1}", 7950), voter=n == 0) for n in range(3))
+FIRST = ControlState({"c00": "file"})
+RELAY = Sender("r0", ("10.0.1.1", 7950), 1, 1)
+TICK_MS = 100.0
+
+
+def settled(state: ControlState | None) -> ControlState:
+    """The state that settling an order returned."""
+    assert state is not None
+    return state
+
+
+def committed(
+    *steps: Step, state: ControlState = FIRST, accepted_by: str = "c01", incarnation: int = 1
+) -> ControlState:
+    """A state with these steps settled as orders of one controller."""
+    last_incarnation, last_number = state.last_settled.get(accepted_by, (0, 0))
+    first_number = last_number + 1 if last_incarnation == incarnation else 1
+    for number, step in enumerate(steps, first_number):
+        state = settled(state.settle(ChangeOrder(accepted_by, incarnation, number, step), check))
+    return state
+
+
+def snapshot(version: int, entries: Entries) -> Snapshot:
+    """All entries of a version."""
+    return Snapshot(version, content_digest(version, entries), dict(entries))
+
+
+def delta(base: int, before: Entries, *steps: Step) -> Delta:
+    """These steps after version `base`, which has the entries `before`."""
+    entries = before
+    for step in steps:
+        entries = apply_step(entries, step)
+    version = base + len(steps)
+    return Delta(base, version, content_digest(version, entries), [dict(step) for step in steps])
+
+
+def heartbeat(known_version: int = 0, entries: Entries | None = None, **more: Any) -> Heartbeat:
+    """A heartbeat of an attached relay, which applies the version that it knows."""
+    digest = content_digest(known_version, entries or {})
+    return Heartbeat(known_version, digest, more.pop("applied_version", known_version), attached=True, **more)
+
+
+class RelayHarness:
+    """An agent, the effects of its last event, and the controllers whose messages it receives."""
+
+    def __init__(self, version: int = 0, entries: Entries | None = None, controllers: int = 3) -> None:
+        self.agent = Agent(list(CONTROLLERS[:controllers]), check, 1, 0.0, version, entries)
+        self.now, self.sent_at = 0.0, 0
+        self.effects: list[Any] = self.agent.take_effects()
+
+    def post(self, event: Event, elapsed_ms: float = 1.0) -> list[Any]:
+        """Passes an event to the agent, this long after the last one."""
+        self.now += elapsed_ms
+        self.effects = self.agent.step(self.now, event)
+        return self.effects
+
+    def receive(
+        self, message: object, controller: ControllerAddress = CONTROLLERS[0], elapsed_ms: float = 1.0
+    ) -> list[Any]:
+        """Passes a controller's message to the agent."""
+        self.sent_at += 1
+        sender = Sender(controller.name, controller.address, 1, self.sent_at)
+        return self.post(MessageReceived(sender, message), elapsed_ms)
+
+    def applied(self) -> list[tuple[int, Entries]]:
+        """Versions and entries that are to be applied."""
+        return [(e.version, e.entries) for e in self.effects if isinstance(e, ApplySettings)]
+
+    def heartbeats(self) -> list[Heartbeat]:
+        """Heartbeats that are sent."""
+        return [e.message for e in self.effects if isinstance(e, SendMessage) and isinstance(e.message, Heartbeat)]
+
+    def log_lines(self) -> list[str]:
+        """Lines for the log."""
+        return [e.text for e in self.effects if isinstance(e, LogMessage)]
+
+
+class ControllerHarness:
+    """One controller with its acceptor, and the effects of its last event."""
+
+    def __init__(
+        self, name: str = "c00", incarnation: int = 1, seed: int = 1, kept: AcceptorState[ControlState] | None = None
+    ) -> None:
+        address = next(one for one in CONTROLLERS if one.name == name)
+        self.kept = kept or AcceptorState("file", NONE, NONE, FIRST)
+        self.own = Sender(name, address.address, incarnation)
+        self.core = Controller(
+            address,
+            CONTROLLERS,
+            FIRST,
+            self.kept.identity if address.voter else "",
+            self.kept.state,
+            incarnation,
+            check,
+            seed,
+            0.0,
+        )
+        self.core.take_effects()
+        self.acceptor = Acceptor(self.kept, lambda kept: None)
+        self.now, self.sent_at = 0.0, 0
+        self.effects: list[Any] = []
+
+    def post(self, event: Event, elapsed_ms: float = 1.0) -> list[Any]:
+        """Passes an event to the controller, and its messages to itself and its acceptor until there are none."""
+        self.now += elapsed_ms
+        self.effects, events = [], [event]
+        while events:
+            for effect in self.core.step(self.now, events.pop(0)):
+                if isinstance(effect, SendMessage) and effect.to.name == self.own.name:
+                    events.append(MessageReceived(self.own, effect.message))
+                elif isinstance(effect, AskAcceptor):
+                    events.append(MessageReceived(self.own, self.acceptor.told(effect.message)))
+                else:
+                    self.effects.append(effect)
+        return self.effects
+
+    def receive(self, sender: Sender, message: object, elapsed_ms: float = 1.0) -> list[Any]:
+        """Passes another process's message to the controller."""
+        self.sent_at += 1
+        numbered = Sender(sender.name, sender.address, sender.incarnation, self.sent_at)
+        return self.post(MessageReceived(numbered, message), elapsed_ms)
+
+    def answers(self) -> list[tuple[int, int, str]]:
+        """Answers to operators: ticket, version and reason."""
+        return [(e.ticket, e.version, e.reason) for e in self.effects if isinstance(e, ChangeAnswered)]
+
+    def sent(self, kind: type) -> list[Any]:
+        """Messages of this type that are sent."""
+        return [e.message for e in self.effects if isinstance(e, SendMessage) and isinstance(e.message, kind)]
+
+    def log_lines(self) -> list[str]:
+        """Lines for the log."""
+        return [e.text for e in self.effects if isinstance(e, LogMessage)]
+
+
+def steady() -> ControllerHarness:
+    """A controller after the grace period, with one live peer and a relay at each of the two."""
+    controller, c01 = ControllerHarness(), Sender("c01", CONTROLLERS[1].address, 1)
+    for _ in range(int(ATTACHMENT_GRACE_MS / TICK_MS) + 5):
+        controller.receive(RELAY, heartbeat(), 0.0)
+        controller.receive(c01, RelaySummary(0, 1, [(0, 1)], []), 0.0)
+        controller.post(TimerFired(), TICK_MS)
+    return controller
--- /dev/null
+++ b/tests/configuration/test_controller.py
@@ -0,0 +1,51 @@
+"""The controller as a whole: unknown senders, states, ballots."""
+
+from __future__ import annotations
+
+from tests.configuration.harness import CONTROLLERS, RELAY, ControllerHarness, committed
+from yarrowspindle.configuration.effects import LogMessage, SendMessage, StateCommitted
+from yarrowspindle.configuration.events import Sender, TimerFired
+from yarrowspindle.configuration.messages import Detach, RelayReattached, RelaySummary, StateUpdate
+from yarrowspindle.configuration.state import ChangeOrder
+from yarrowspindle.consensus.register import NONE, Prepare, Promise
+
+
+def test_messages_of_unknown_senders_change_nothing() -> None:
+    controller, newer = ControllerHarness(), committed({"a": "1"})
+    for name in ("c99", "r0"):
+        unknown = Sender(name, ("10.9.9.9", 1), 1)
+        for message in (
+            ChangeOrder(name, 1, 1, {"a": "1"}),
+            StateUpdate(newer),
+            RelaySummary(9, 0, [], []),
+            Detach(),
+            Promise((1, "x"), "file", NONE, newer),
+            RelayReattached(*RELAY.address, 9, 9),
+            Prepare((99, name), 0, "file"),
+        ):
+            controller.receive(unknown, message)
+            assert not [e for e in controller.effects if not isinstance(e, LogMessage)], message
+    controller.receive(Sender("c01", CONTROLLERS[1].address, 1), ChangeOrder("c02", 1, 1, {"a": "1"}))
+    controller.receive(Sender("c01", CONTROLLERS[1].address, 1), "what is this")
+    assert controller.core.state.version == 0 and not controller.core.proposals.queue
+
+
+def test_an_older_state_is_not_adopted() -> None:
+    controller = ControllerHarness("c01")
+    older, newer = committed({"a": "1"}), committed({"a": "1"}, {"a": "2"})
+    c00 = Sender("c00", CONTROLLERS[0].address, 1)
+    controller.receive(c00, StateUpdate(newer))
+    controller.receive(c00, StateUpdate(older))
+    assert controller.core.state == newer and not [e for e in controller.effects if isinstance(e, StateCommitted)]
+
+
+def test_no_two_processes_of_a_controller_use_one_ballot() -> None:
+    ballots = set()
+    for seed in (1, 2):
+        controller = ControllerHarness(seed=seed)
+        ballots |= {
+            e.message.ballot
+            for e in controller.core.step(500.0, TimerFired())
+            if isinstance(e, SendMessage) and isinstance(e.message, Prepare)
+        }
+    assert len(ballots) == 2 and len({number for number, _ in ballots}) == 1
--- /dev/null
+++ b/tests/configuration/test_model_days.py
@@ -0,0 +1,156 @@
+"""Days of the model fleet with faults, and planted defects that the checker must find."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+import pytest
+
+from yarrowspindle.lab.faults import Fault
+from yarrowspindle.lab.model.controlling_days import KINDS, play_control, seeds
+from yarrowspindle.lab.model.planted_control import DEFECTS
+
+
+@pytest.mark.parametrize("first", range(0, 32, 8))
+def test_no_rule_is_violated_under_faults_and_all_relays_converge_afterwards(first: int) -> None:
+    played = seeds(first, 8)
+    assert not played.violations and not played.stuck, played
+    assert played.days == 8 and played.counts["versions"] > 80 and played.counts["claims"] > 150
+
+
+def test_a_day_replays_exactly() -> None:
+    one, other = play_control(11), play_control(11)
+    assert (one.counts, one.faults, one.took_s) == (other.counts, other.faults, other.took_s)
+
+
+@pytest.mark.parametrize("kind", KINDS)
+def test_a_controller_may_fail_at_each_message(kind: str) -> None:
+    for number in (1, 4):
+        faults = [Fault("dies", 1.0, 5.0, one=(kind, f"{number}")), Fault("loss", 1.0, 5.0, 0.1)]
+        found = play_control(number, faults=faults, fleet=(3, 3, 6))
+        assert not found.violations and not found.stuck, (kind, number, found)
+
+
+def test_without_a_majority_nothing_changes_and_changes_resume_with_it() -> None:
+    faults = [Fault("kill", 2.0, 5.0, one=(name,)) for name in ("c00", "c01")]
+    found = play_control(3, faults=faults, fleet=(3, 3, 6), together=False)
+    assert not found.violations and not found.stuck and found.counts["versions"] > 3
+
+
+ALL_RELAYS = tuple(f"r{n:04d}" for n in range(6))
+SMALL, LARGER = (3, 3, 6), (5, 5, 6)
+LOSS, DUPLICATES = Fault("loss", 1.0, 9.0, 0.3), Fault("double", 1.0, 9.0, 0.5, 700.0)
+SPLITS = [
+    LOSS,
+    Fault("held", 1.0, 9.0, 0.25, 1500.0),
+    Fault("split", 2.0, 3.0, one=("c00", *ALL_RELAYS), other=("c01", "c02")),
+    Fault("split", 5.5, 3.0, one=("c01", *ALL_RELAYS), other=("c00", "c02")),
+]
+KILLS = [
+    *(Fault("kill", 2.0 + n * 0.8, 0.4, one=(f"c{n % 3:02d}",)) for n in range(9)),
+    Fault("loss", 1.0, 9.0, 0.2),
+    Fault("double", 1.0, 9.0, 0.5, 1500.0),
+]
+DISORDER = [
+    Fault("reorder", 1.0, 9.0, 0.5, 700.0),
+    LOSS,
+    DUPLICATES,
+    Fault("oneway", 1.0, 9.0, one=("c01",), other=("c00",)),
+]
+STALLS = [
+    *(Fault("stall", 2.0 + n * 1.2, 0.9, one=(f"c{n % 3:02d}",)) for n in range(6)),
+    Fault("loss", 1.0, 9.0, 0.2),
+    Fault("late", 1.0, 9.0, late_ms=300.0),
+]
+
+
+@dataclass(slots=True, frozen=True)
+class DefectDay:
+    """The day that finds a defect: its seed, and fleet (controllers, voters, relays) and faults if not the seed's."""
+
+    seed: int
+    fleet: tuple[int, int, int] | None = None
+    faults: list[Fault] | None = None
+
+
+DAYS: dict[str, DefectDay] = {
+    "unkept": DefectDay(0),
+    "digest": DefectDay(2),
+    "unchecked": DefectDay(8),
+    "not checked again": DefectDay(8),
+    "forgets": DefectDay(1, SMALL, KILLS),
+    "twice": DefectDay(0, SMALL, SPLITS),
+    "out of turn": DefectDay(0, SMALL, SPLITS),
+    "uncommitted": DefectDay(0, SMALL, DISORDER),
+    "believes one voter": DefectDay(1, SMALL, DISORDER),
+    "believes proposals": DefectDay(0, SMALL, STALLS),
+    "not adopted": DefectDay(0, SMALL, KILLS),
+    "oldest promise": DefectDay(0, SMALL, KILLS),
+    "half": DefectDay(0, SMALL, SPLITS),
+    "breaks promises": DefectDay(3, SMALL, DISORDER),
+    "promises nothing": DefectDay(24, SMALL, SPLITS),
+    "hides": DefectDay(0, SMALL, SPLITS),
+    "any ballot": DefectDay(5, SMALL, DISORDER),
+    "older": DefectDay(
+        0,
+        SMALL,
+        [Fault("split", 1.5, 7.0, one=("c01",), other=("c00", "c02")), Fault("kill", 4.0, 2.0, one=("c00",))],
+    ),
+    "in force too early": DefectDay(
+        0, SMALL, [Fault("kill", 3.2 + n * 2.0, 1.3, one=(f"c{n % 3:02d}",)) for n in range(4)]
+    ),
+    "forgets who leaves": DefectDay(99),
+    "lies": DefectDay(
+        0,
+        SMALL,
+        [
+            Fault("lost", 1.2, 2.8, one=("c02",), other=("c00", "c01")),
+            Fault("file", 4.0, 0.3, one=("c01",)),
+            Fault("stall", 4.1, 4.0, one=("c00",)),
+        ],
+    ),
+    "serves on": DefectDay(0, SMALL, [Fault("old program", 1.0, 8.0, one=ALL_RELAYS[:3])]),
+    "log over a gap": DefectDay(2, SMALL, [Fault("kill", 1.2, 8.0, one=("r0003",))]),
+    "gap": DefectDay(
+        26,
+        SMALL,
+        [
+            Fault("old program", 1.0, 9.0, one=ALL_RELAYS),
+            Fault("held", 1.0, 9.0, 0.3, 1500.0),
+            *(Fault("kill", 1.5 + 0.7 * n, 0.3, one=(ALL_RELAYS[n % 6],)) for n in range(11)),
+        ],
+    ),
+    "numbers anew": DefectDay(
+        2,
+        SMALL,
+        [
+            Fault("clock", 2.0, 0.5, one=("c02",)),
+            Fault("clock", 4.0, 0.5, one=("c01",)),
+            Fault("late", 1.0, 9.0, late_ms=500.0),
+            Fault("loss", 1.0, 9.0, 0.2),
+            Fault("double", 1.0, 9.0, 0.5, 2000.0),
+        ],
+    ),
+    "counts twice": DefectDay(
+        7,
+        LARGER,
+        [
+            Fault("split", 2.0, 4.0, one=("c00", "c01", *ALL_RELAYS), other=("c02", "c03", "c04")),
+            Fault("double", 1.0, 8.0, 0.5, 200.0),
+        ],
+    ),
+}
+
+
+def test_every_planted_defect_has_a_day() -> None:
+    assert DAYS.keys() == DEFECTS.keys()
+
+
+@pytest.mark.parametrize("defect", DAYS)
+def test_each_planted_defect_is_found_and_the_day_passes_without_it(defect: str) -> None:
+    day = DAYS[defect]
+    together = None if day.faults is None else False
+    found = play_control(day.seed, DEFECTS[defect], day.faults, day.fleet, together)
+    assert found.violations or found.stuck
+    sound = play_control(day.seed, None, day.faults, day.fleet, together)
+    assert not sound.violations and not sound.stuck, sound
