--- a/tests/configuration/test_controller.py
+++ b/tests/configuration/test_controller.py
@@ -3,11 +3,16 @@
 from __future__ import annotations
 
 from tests.configuration.harness import CONTROLLERS, RELAY, ControllerHarness, committed
+from tests.daemon.configuration_processes import ENTRIES
+from yarrowspindle.configuration.controller import Controller
 from yarrowspindle.configuration.effects import LogMessage, SendMessage, StateCommitted
-from yarrowspindle.configuration.events import Sender, TimerFired
+from yarrowspindle.configuration.events import MessageReceived, Sender, TimerFired
 from yarrowspindle.configuration.messages import Detach, RelayReattached, RelaySummary, StateUpdate
-from yarrowspindle.configuration.state import ChangeOrder
+from yarrowspindle.configuration.settings import ControllerAddress
+from yarrowspindle.configuration.state import ChangeOrder, ControlState
 from yarrowspindle.consensus.register import NONE, Prepare, Promise
+from yarrowspindle.daemon.shared_settings import check as check_shared_settings
+from yarrowspindle.storage.durable_file import FIRST
 
 
 def test_messages_of_unknown_senders_change_nothing() -> None:
@@ -49,3 +54,14 @@
             if isinstance(e, SendMessage) and isinstance(e.message, Prepare)
         }
     assert len(ballots) == 2 and len({number for number, _ in ballots}) == 1
+
+
+def test_a_process_with_a_controllers_name_is_ignored_at_another_address() -> None:
+    machines = tuple(ControllerAddress(f"c{n}", (f"10.0.0.{n}", 1), voter=True) for n in range(3))
+    first = ControlState({machine.name: FIRST for machine in machines})
+    learned = first.settle(ChangeOrder("c1", 1, 1, ENTRIES), check_shared_settings)
+    assert learned is not None
+    for at, version in ((("10.0.0.9", 1), 0), (machines[1].address, 1)):
+        core = Controller(machines[0], machines, first, FIRST, first, 5, check_shared_settings, 1, 0.0)
+        core.step(1.0, MessageReceived(Sender("c1", at, 1, 1), StateUpdate(learned)))
+        assert core.state.version == version and core.counts["strangers"] == 1 - version
