--- a/yarrowspindle/daemon/main.py
+++ b/yarrowspindle/daemon/main.py
@@ -24,9 +24,9 @@
 from yarrowspindle.runtime import SystemClock
 
 if TYPE_CHECKING:  # the platform does without these packages
-    from yarrowspindle.daemon.configuration_endpoint import RelayEndpoint
     from yarrowspindle.daemon.maintenance_endpoint import MaintenanceEndpoint
     from yarrowspindle.daemon.membership_endpoint import MembershipEndpoint
+    from yarrowspindle.daemon.relay_configuration import RelayEndpoint
     from yarrowspindle.operator_api import OperatorApi
 
 T = TypeVar("T")
@@ -107,7 +107,7 @@
     def _start_configuration(self) -> None:
         if self.operator.control is None:
             return
-        from yarrowspindle.daemon.configuration_endpoint import RelayEndpoint
+        from yarrowspindle.daemon.relay_configuration import RelayEndpoint
 
         self.configuration = RelayEndpoint(self.service, self.operator.control)
         self.configuration.start()
--- a/yarrowspindle/daemon/operator_config.py
+++ b/yarrowspindle/daemon/operator_config.py
@@ -165,7 +165,7 @@
 
 def _read_control(section: Mapping[str, Any]) -> ControlSettings:
     try:
-        from yarrowspindle.configuration.settings import read_control
+        from yarrowspindle.configuration.settings import read_control_settings
     except ImportError as error:
         raise ValueError(f"[control] needs requirements-turns.txt: {error}") from error
-    return read_control(section)
+    return read_control_settings(section)
--- a/yarrowspindle/daemon/settings_update.py
+++ b/yarrowspindle/daemon/settings_update.py
@@ -12,14 +12,7 @@
 from dataclasses import dataclass, fields, replace
 from typing import Any
 
-from yarrowspindle.daemon.config import (
-    RELAY_OWN_MEMBERS,
-    Config,
-    ConfigError,
-    load_config,
-    names_of,
-    parse_settings,
-)
+from yarrowspindle.daemon.config import RELAY_OWN_MEMBERS, Config, ConfigError, load_config, names_of, parse_settings
 from yarrowspindle.decisions.settings import RequestClass, Settings
 from yarrowspindle.protocol.endpoint_list import ListError, parse_address
 from yarrowspindle.protocol.platform_settings import SettingsError
