--- a/yarrowspindle/configuration/settings.py
+++ b/yarrowspindle/configuration/settings.py
@@ -133,12 +133,12 @@
     Those of its zone come first, then those of its region. Among equals the order is by hash, so that the relays of a
     zone spread over them.
     """
+    by_hash = sorted(controllers, key=lambda one: _hash(f"{name} {one.name}"))
+    return sorted(by_hash, key=lambda one: (one.zone != zone, one.region != region))
 
-    def rank(controller: ControllerAddress) -> tuple[bool, bool, bytes]:
-        order = blake2b(f"{name} {controller.name}".encode(), digest_size=8).digest()
-        return controller.zone != zone, controller.region != region, order
 
-    return sorted(controllers, key=rank)
+def _hash(text: str) -> bytes:
+    return blake2b(text.encode(), digest_size=8).digest()
 
 
 def read_control_settings(section: Mapping[str, Any]) -> ControlSettings:
@@ -150,13 +150,12 @@
     for key in ("role", "listen"):
         if key not in values:
             raise ControlError(f"control.{key} is missing")
-    if not isinstance(raw_controllers, list) or not all(isinstance(one, dict) for one in raw_controllers):
-        raise ControlError("control.machine is no list of tables")
+    tables = _checked_tables(raw_controllers)
     try:
         for key in ("listen", "advertise", "command"):
             if key in values:
                 values[key] = read_address(key, values[key])
-        values["controllers"] = tuple(_read_controller(one) for one in raw_controllers)
+        values["controllers"] = tuple(_read_controller(table) for table in tables)
     except PeerError as error:
         raise ControlError(str(error).replace("peers.", "control.", 1)) from None
     if values.get("command") and not values["command"][0].startswith(LOOPBACK_PREFIX):
@@ -164,6 +163,12 @@
     return ControlSettings(**values)
 
 
+def _checked_tables(tables: object) -> list[Mapping[str, Any]]:
+    if not isinstance(tables, list) or not all(isinstance(table, dict) for table in tables):
+        raise ControlError("control.machine is no list of tables")
+    return tables
+
+
 def _read_controller(table: Mapping[str, Any]) -> ControllerAddress:
     known = [field.name for field in fields(ControllerAddress)]
     _check_known("control.machine", table, known, known)
--- a/yarrowspindle/configuration/status.py
+++ b/yarrowspindle/configuration/status.py
@@ -37,6 +37,24 @@
     version: int
 
 
+@dataclass(slots=True, frozen=True)
+class ReportedRelay:
+    """A lagging relay, with the controller that it is attached to."""
+
+    controller: str
+    relay: LaggingRelay
+
+    def to_json(self) -> dict[str, Any]:
+        """The relay under its published names."""
+        return {
+            "relay": self.relay.name,
+            "version": self.relay.applied_version,
+            "for_s": self.relay.lagging_for_ms / 1000.0,
+            "why": self.relay.reason,
+            "controller": self.controller,
+        }
+
+
 @dataclass(slots=True, frozen=True)
 class ControllerStatus:
     """What operators are shown.
@@ -69,9 +87,13 @@
         return sum(summary.omitted_relays for summary in self.summaries.values())
 
     @property
-    def lagging_relays(self) -> list[tuple[str, LaggingRelay]]:
-        """Lagging relays with the names of their controllers."""
-        return [(name, relay) for name, summary in sorted(self.summaries.items()) for relay in summary.lagging_relays]
+    def lagging_relays(self) -> list[ReportedRelay]:
+        """Lagging relays of all live controllers, by the names of these."""
+        return [
+            ReportedRelay(name, relay)
+            for name, summary in sorted(self.summaries.items())
+            for relay in summary.lagging_relays
+        ]
 
     def to_json(self) -> dict[str, Any]:
         """The status under its published names."""
@@ -89,22 +111,12 @@
                 for name, health in self.controllers.items()
             },
             "waiting": self.pending_changes,
-            "named": [self._relay_to_json(name, relay) for name, relay in self.lagging_relays],
+            "named": [reported.to_json() for reported in self.lagging_relays],
             "more": self.omitted_relays,
             "refused": [{"version": step.version, "why": step.rejection_reason} for step in self.rejected],
             "entries": dict(self.entries),
         }
 
-    @staticmethod
-    def _relay_to_json(controller: str, relay: LaggingRelay) -> dict[str, Any]:
-        return {
-            "relay": relay.name,
-            "version": relay.applied_version,
-            "for_s": relay.lagging_for_ms / 1000.0,
-            "why": relay.reason,
-            "controller": controller,
-        }
-
 
 class StatusReporter:
     """Derives a controller's reports from its parts."""
--- a/yarrowspindle/daemon/config.py
+++ b/yarrowspindle/daemon/config.py
@@ -198,12 +198,11 @@
 
 def read_control(section: Mapping[str, Any]) -> ControlSettings:
     try:
-        from yarrowspindle.configuration.settings import (
-            read_control_settings as read,  # the platform does without the package
-        )
+        # Imported late: the platform does without the package that this one needs.
+        from yarrowspindle.configuration.settings import read_control_settings
     except ImportError as error:
         raise ValueError(f"[control] needs requirements-turns.txt: {error}") from error
-    return read(section)
+    return read_control_settings(section)
 
 
 def read_metrics(section: dict[str, Any]) -> MetricsConfig:
--- a/yarrowspindle/daemon/controller_endpoint.py
+++ b/yarrowspindle/daemon/controller_endpoint.py
@@ -34,7 +34,8 @@
     def __init__(self, settings: ControlSettings, files: ControllerFiles) -> None:
         super().__init__(settings, settings.own_address.name)
         self.files, self.first = files, first_state(settings)
-        self.store = BackgroundStore(files.committed, self.disk, self.counts)
+        self.committed_store = BackgroundStore(files.committed, self.disk, self.counts)
+        self.store = self.committed_store
         self.acceptor: Acceptor[ControlState] | None = None
         self.waiting_acceptor_requests = 0
         self.logged_version = 0
@@ -119,8 +120,7 @@
             if step.version > self.logged_version:
                 logger.info("control: version {} is committed: {}", step.version, self._describe(step))
         self.logged_version = state.version
-        assert self.store is not None
-        self.store.put(state)
+        self.committed_store.put(state)
         self._create_acceptor_file(state)
 
     @staticmethod
--- a/yarrowspindle/daemon/main.py
+++ b/yarrowspindle/daemon/main.py
@@ -56,9 +56,8 @@
     hub.start()
     control = None
     if operator.control is not None:
-        from yarrowspindle.daemon.relay_configuration import (
-            RelayEndpoint,  # needs a package that the platform does without
-        )
+        # Imported late: the platform does without the package that this one needs.
+        from yarrowspindle.daemon.relay_configuration import RelayEndpoint
 
         control = RelayEndpoint(hub, operator.control)
         control.start()
