--- a/yarrowspindle/configuration/change_proposals.py
+++ b/yarrowspindle/configuration/change_proposals.py
@@ -166,7 +166,7 @@
             self.peers.broadcast_state()
 
     def _on_round_failed(self, failed: RoundFailed) -> None:
-        self.last_failure = failed.why
+        self.last_failure = failed.reason
         self.failures = min(self.failures + 1, MAX_COUNTED_FAILURES)
         if self.peers.is_leader:
             max_wait_ms = min(MAX_BACKOFF_MS, MIN_BACKOFF_MS * 2.0**self.failures)
