--- a/benchmarks/signals.py
+++ b/benchmarks/signals.py
@@ -74,7 +74,11 @@
         came = [n.taken - before[n.name] for n in fleet.backends.values()]
         before.update({n.name: n.taken for n in fleet.backends.values()})
         shares.append(max(came) / max(sum(came), 1))
-        ages.extend(r.reducer.balancer.others.told_age for r in fleet.relays if r.reducer.balancer.others.heard)
+        ages.extend(
+            r.reducer.balancer.peer_loads.age_at_update_ms
+            for r in fleet.relays
+            if r.reducer.balancer.peer_loads.reporting_peers
+        )
 
     fleet.samples.append(sample)
     fleet.run(RUN_S)
--- a/benchmarks/soak/planted.py
+++ b/benchmarks/soak/planted.py
@@ -14,8 +14,8 @@
 
 from yarrowspindle.daemon.main import main
 from yarrowspindle.decisions import request_gate as gate
-from yarrowspindle.decisions.balancer import Balancer
 from yarrowspindle.decisions.events import EndpointState, Outcome
+from yarrowspindle.decisions.placement import Placement
 from yarrowspindle.decisions.settings import Idempotency
 from yarrowspindle.fronts import line_front
 from yarrowspindle.routing import reducer
@@ -38,8 +38,12 @@
     """A keyed request is repeated after its window."""
     real = gate.repeat_within
 
-    def within(effect: Idempotency, ran_at: float | None, window_ms: float, slack_ms: float, now: float) -> float:
-        return inf if effect is Idempotency.KEYED else real(effect, ran_at, window_ms, slack_ms, now)
+    def within(
+        idempotency: Idempotency, may_have_run_at: float | None, window_ms: float, margin_ms: float, now: float
+    ) -> float:
+        if idempotency is Idempotency.KEYED:
+            return inf
+        return real(idempotency, may_have_run_at, window_ms, margin_ms, now)
 
     gate.repeat_within = within
 
@@ -88,13 +92,14 @@
 
 def flood_cold_servers() -> None:
     """Servers that have just started get whatever comes, while there is one."""
-    gate.may_feed = lambda chance, drawn: None
+    gate.may_use_slow_start = lambda probability, draw: None
 
-    def feed(self: Balancer) -> Any:
-        found = self.slow_start.candidates(self.now, self.settings, self.everywhere, False, self.standing)
-        return next((server for server in found if server.ready), None)
+    def feed(self: Placement) -> Any:
+        state = self.state
+        found = self.slow_start.draw_candidates(state.now, state.settings, state.fleet_ring, False, state.connections)
+        return next((backend for backend in found if backend.ready), None)
 
-    Balancer._feed = feed  # type: ignore[method-assign]
+    Placement._warming_up_backend = feed  # type: ignore[method-assign]
 
 
 def late_connections() -> None:
--- a/tests/daemon/test_configuration_daemon.py
+++ b/tests/daemon/test_configuration_daemon.py
@@ -517,11 +517,11 @@
         hub = RelayService(config(**probed), SystemClock())
         estimates = hub.reducer.balancer.estimates
         assert estimates is not None
-        estimates.loads[0] = 3.0
+        estimates.class_loads[0] = 3.0
         for name in ("b", "c", "d", "chat"):  # one entry under other names: only the name tells them apart
             hub.take(ENTRIES | {"categories": text_of([CHAT | {"name": name}]), "stats": text_of(probed["stats"])})
-            assert len(estimates.loads) == len(estimates.counts) == len(hub.config.classes) <= 2
-            assert estimates.loads[hub.config.current[name]] == 1.0
+            assert len(estimates.class_loads) == len(estimates.class_connections) == len(hub.config.classes) <= 2
+            assert estimates.class_loads[hub.config.current[name]] == 1.0
         hub.runtime.close()
 
     asyncio.run(body())
--- a/tests/daemon/test_own_network.py
+++ b/tests/daemon/test_own_network.py
@@ -56,7 +56,7 @@
         answers = await asyncio.gather(*(ask(hub, n) for n in range(1, REQUESTS + 1)))
         assert all(answer.split()[0] == b"BUSY" for answer in answers), "none was sent"
         reducer = hub.reducer
-        assert len(reducer.balancer.avoided(reducer.now)) <= 1
+        assert len(reducer.balancer.ejected(reducer.now)) <= 1
 
     with asyncio.Runner(loop_factory=Network) as runner:
         runner.run(body())
--- a/tests/decisions/test_bookkeeping.py
+++ b/tests/decisions/test_bookkeeping.py
@@ -12,9 +12,9 @@
 def test_every_outcome_lets_go_of_the_backend(outcome: Outcome) -> None:
     b = balancer(max_attempts=1)
     (send,) = sends(b.handle(0.0, RequestReceived(7, left_ms=1000.0, load=3.0)))
-    assert (b.backends[send.backend].open, b.backends[send.backend].load) == (1, 3.0)
+    assert (b.backends[send.backend].connections, b.backends[send.backend].load) == (1, 3.0)
     end(b, 5.0, 7, send.backend, outcome, finished=outcome is Outcome.OK)
-    assert (b.backends[send.backend].open, b.backends[send.backend].load) == (0, 0.0)
+    assert (b.backends[send.backend].connections, b.backends[send.backend].load) == (0, 0.0)
     assert b.requests == {}
     assert (outcome in NEVER_RAN) == (outcome in (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT))
 
@@ -22,9 +22,9 @@
 def test_a_connection_open_at_start_counts_where_it_is_told() -> None:
     b = balancer()
     b.handle(0.0, ExistingConnection(9, backend=2, load=4.0))
-    assert (b.backends[2].open, b.backends[2].load) == (1, 4.0)
+    assert (b.backends[2].connections, b.backends[2].load) == (1, 4.0)
     end(b, 8.0, 9, 2)
-    assert b.backends[2].open == 0
+    assert b.backends[2].connections == 0
 
 
 def test_a_changed_load_is_counted_and_taken_off_again() -> None:
--- a/tests/decisions/test_fleet.py
+++ b/tests/decisions/test_fleet.py
@@ -109,7 +109,7 @@
         reducer.step(now, UnclassifiedReport(1, figure))
     (backend,) = reducer.balancer.backends.values()
     assert reducer.requests[1].load == 40.0 and backend.load == 40.0
-    assert backend.slow_until > 3000.0 and backend.message_ms == 185.0
+    assert backend.slow_until > 3000.0 and backend.message_latency_ms == 185.0
     reducer.step(4000.0, UnclassifiedReport(1, 20.0))
     assert backend.slow_until < 4000.0
     reducer.step(9000.0, UnclassifiedReport(1, 700.0))  # a load that is small
--- a/tests/decisions/test_load_estimates.py
+++ b/tests/decisions/test_load_estimates.py
@@ -12,8 +12,8 @@
 from tests.helpers import end, full_list, open_one, sends, settings
 from tests.stand_ins import SETTINGS, World, relay
 from yarrowspindle.decisions.actions import Action, CheckHealth, MigrateConnection, RejectRequest, SetTimer
-from yarrowspindle.decisions.backends import Backend, Request
-from yarrowspindle.decisions.balancer import BEAT_MS, Balancer
+from yarrowspindle.decisions.backends import Backend
+from yarrowspindle.decisions.balancer import Balancer
 from yarrowspindle.decisions.events import (
     Endpoint,
     EndpointList,
@@ -25,7 +25,9 @@
     SlowMessageObserved,
     TimerFired,
 )
-from yarrowspindle.decisions.load_estimates import Estimates
+from yarrowspindle.decisions.health_checks import HEALTH_CHECK_INTERVAL_MS
+from yarrowspindle.decisions.load_estimates import LoadEstimates
+from yarrowspindle.decisions.requests import Request
 from yarrowspindle.decisions.settings import RequestClass
 from yarrowspindle.protocol.lines import LineError, report_of
 from yarrowspindle.routing import events as routing_events
@@ -95,11 +97,11 @@
 def warmed(**changes: Any) -> Relay:
     """All nodes have reported."""
     r = Relay(**changes)
-    r.balancer.probes = 100.0
+    r.balancer.health_checks.credit = 100.0
     r.run(3000.0)
     assert set(r.probes) == set(r.used)
     r.moves.clear()
-    r.balancer.probes = 100.0
+    r.balancer.health_checks.credit = 100.0
     return r
 
 
@@ -109,7 +111,7 @@
     assert r.probes == [], "nobody came"
     for _ in range(4):
         r.place()
-    r.run(BEAT_MS)
+    r.run(HEALTH_CHECK_INTERVAL_MS)
     assert len(r.probes) == 6 and set(r.probes) == set(r.used)
     r.run(20_000.0)
     assert len(r.probes) == 6
@@ -167,7 +169,7 @@
     r.run(2500.0)
     there = [n for n, backend in on.items() if backend == sick]
     assert len(set(r.moves) & set(there)) >= len(there) // 3 and sick not in {r.place() for _ in range(20)}
-    assert (sick in r.balancer.avoided(r.now)) == (told is None or told >= 9.0)
+    assert (sick in r.balancer.ejected(r.now)) == (told is None or told >= 9.0)
 
 
 @pytest.mark.parametrize("backends", [2, 6])
@@ -177,12 +179,12 @@
     for seed in range(60):
         r = Relay(backends=backends, seed=seed)
         r.used[2] = None  # from the start: it never told what it holds
-        r.balancer.probes = 100.0
+        r.balancer.health_checks.credit = 100.0
         r.run(3000.0)
-        assert r.balancer.backends[2].used >= 9.0
+        assert r.balancer.backends[2].utilization >= 9.0
         assert 2 not in {r.place() for _ in range(24)}, f"seed {seed}"
         r.used = dict.fromkeys(r.used)
-        r.balancer.probes = 100.0
+        r.balancer.health_checks.credit = 100.0
         r.run(3000.0)
         assert r.place() in (0, *r.used), "where none answers, no walk over all of them finds another"
 
@@ -225,7 +227,7 @@
 
 def test_what_a_class_asks_is_learned_from_reports() -> None:
     """Two classes, one asks four times as much as the other."""
-    known, rng = Estimates(settings(**TOLD)), random.Random(3)
+    known, rng = LoadEstimates(settings(**TOLD)), random.Random(3)
     backends = [Backend(n) for n in range(8)]
     true = (0.5, 2.0)
     for backend in backends:
@@ -233,13 +235,17 @@
     for step in range(1500):
         backend = rng.choice(backends)
         request = Request(step, rng.randrange(2), 1.0, 0.0, 1.0)
-        by = 1 if backend.open < 20 and rng.random() < 0.6 or not backend.classes.get(request.cls) else -1
-        backend.open += by
-        known.held(backend, request, by, 0.0)
-        load = sum(true[c] * n for c, n in backend.classes.items())
-        known.told(backend, float(step), (backend.open, 0.05 * load / backend.capacity))
-    assert 2.5 < known.loads[1] / known.loads[0] < 6.0
-    assert sum(known.counts) == sum(s.open for s in backends) and not known.holders
+        by = (
+            1
+            if backend.connections < 20 and rng.random() < 0.6 or not backend.connections_by_class.get(request.cls)
+            else -1
+        )
+        backend.connections += by
+        known.on_connection_change(backend, request, by, 0.0)
+        load = sum(true[c] * n for c, n in backend.connections_by_class.items())
+        known.on_health_check(backend, float(step), (backend.connections, 0.05 * load / backend.capacity))
+    assert 2.5 < known.class_loads[1] / known.class_loads[0] < 6.0
+    assert sum(known.class_connections) == sum(s.connections for s in backends) and not known.backends_by_group
 
 
 def test_books_of_groups_forget_what_has_ended() -> None:
@@ -247,11 +253,13 @@
     b.handle(0.0, full_list(Endpoint(1), Endpoint(2)))
     for n in range(1, 40):
         b.handle(0.0, RequestReceived(n, 0, left_ms=4800.0, group=n % 5 + 1))
-    assert b.estimates is not None and len(b.estimates.holders) == 5
+    assert b.estimates is not None and len(b.estimates.backends_by_group) == 5
     for n in range(1, 40):
         if n in b.requests and (backend := b.requests[n].backend) is not None:
             end(b, 1.0, n, backend.id)
-    assert not b.estimates.holders and not any(s.groups or s.classes for s in b.backends.values())
+    assert not b.estimates.backends_by_group and not any(
+        s.connections_by_group or s.connections_by_class for s in b.backends.values()
+    )
 
 
 def test_a_repeat_that_may_have_run_goes_where_repeats_are_dropped_and_nowhere_else() -> None:
@@ -297,7 +305,7 @@
     reducer.step(2.0, BackendAccepted(1, 0))
     reducer.step(3.0, UnclassifiedReport(1, 483.0))
     (backend,) = reducer.balancer.backends.values()
-    assert backend.message_ms == 483.0 and backend.used > 1.0 and reducer.requests[1].load == 0.0
+    assert backend.message_latency_ms == 483.0 and backend.utilization > 1.0 and reducer.requests[1].load == 0.0
 
 
 # --- on sockets -----------------------------------------------------------------------------------
--- a/tests/decisions/test_placement.py
+++ b/tests/decisions/test_placement.py
@@ -9,7 +9,7 @@
 from tests.helpers import balancer, end, full_list, open_one, sends, settings
 from yarrowspindle.decisions.actions import FailRequest, MigrateConnection, RejectRequest, SetTimer
 from yarrowspindle.decisions.backends import Backend
-from yarrowspindle.decisions.balancer import BREAKS, Balancer
+from yarrowspindle.decisions.balancer import Balancer
 from yarrowspindle.decisions.events import (
     ConnectionEstablished,
     Endpoint,
@@ -22,6 +22,7 @@
     SlowMessageObserved,
     TimerFired,
 )
+from yarrowspindle.decisions.outlier_detection import RESETS_BEFORE_EJECTION
 from yarrowspindle.decisions.settings import RequestClass
 
 TOLD = (RequestClass(500.0, 2000.0, message_latency_objective_ms=90.0),)
@@ -48,7 +49,7 @@
     b = balancer(10, seed=3)
     for n in range(500):
         place(b, float(n), n)
-    counts = [s.open for s in b.backends.values()]
+    counts = [s.connections for s in b.backends.values()]
     assert max(counts) <= 54  # one choice leaves the fullest of ten near 62
 
 
@@ -57,7 +58,7 @@
     b.handle(0.0, full_list(Endpoint(1, capacity=1.0), Endpoint(2, capacity=3.0)))
     for n in range(400):
         place(b, float(n), n)
-    assert b.backends[2].open == pytest.approx(300, abs=12)
+    assert b.backends[2].connections == pytest.approx(300, abs=12)
 
 
 def test_a_heavy_connection_counts_as_much_as_it_weighs() -> None:
@@ -97,7 +98,7 @@
             backend = place(b, 0.0, n)
             assert backend is not None
             drawn[backend] += 1
-        assert sum(s.open > 0 for s in b.backends.values()) <= 4  # its own arc only
+        assert sum(s.connections > 0 for s in b.backends.values()) <= 4  # its own arc only
     assert min(drawn.values()) > 0.6 * 80 and max(drawn.values()) < 1.4 * 80
 
 
@@ -105,7 +106,7 @@
     b = balancer(30, balancers=2)
     for n in range(600):
         place(b, 0.0, n)
-    assert all(s.open for s in b.backends.values())
+    assert all(s.connections for s in b.backends.values())
 
 
 def test_home_comes_first_where_crossing_is_dear_and_not_where_it_is_cheap() -> None:
@@ -124,11 +125,11 @@
     assert retry.backend != send.backend
     for n in range(2, 40):
         place(b, 2.0, n)
-    shunned = b.backends[send.backend].open
+    shunned = b.backends[send.backend].connections
     assert shunned <= 1  # all four draws would have to name it
     for n in range(40, 200):
         place(b, 30_000.0, n)
-    assert b.backends[send.backend].open > shunned + 20
+    assert b.backends[send.backend].connections > shunned + 20
 
 
 def test_the_ready_set_is_never_empty_for_want_of_health() -> None:
@@ -149,9 +150,9 @@
     backend = place(b, 0.0, 1)
     assert backend is not None
     end(b, 1.0, 1, backend, Outcome.ERROR, finished=False)
-    assert b.backends[backend].bad_until > 1.0
+    assert b.backends[backend].ejected_until > 1.0
     b.handle(2.0, EndpointList(ListKind.DELTA, [Endpoint(backend, started_ms=2.0)]))
-    assert b.backends[backend].bad_until < 2.0 and not b.backends[backend].strikes
+    assert b.backends[backend].ejected_until < 2.0 and not b.backends[backend].consecutive_failures
 
 
 def test_a_slow_backend_gets_nothing_new_and_loses_its_heaviest_connection() -> None:
@@ -211,9 +212,9 @@
     connections as well: one at each server had the relay refuse everything for seconds."""
     b = balancer(2, seed=1, classes=TOLD, backend_reports_latency=False)
     backends = {n: open_one(b, 0.0, n) for n in range(1, 20)}
-    for i, n in enumerate([n for n, s in backends.items() if s == 1][:BREAKS]):
+    for i, n in enumerate([n for n, s in backends.items() if s == 1][:RESETS_BEFORE_EJECTION]):
         end(b, 1.0 + i * apart, n, 1, Outcome.RESET)
-    now = 2.0 + BREAKS * apart
+    now = 2.0 + RESETS_BEFORE_EJECTION * apart
     assert (1 in {place(b, now, n) for n in range(20, 40)}) != full
 
 
@@ -231,9 +232,9 @@
     backend = place(b, 0.0, 1)
     assert backend is not None
     (again,) = sends(end(b, 1.0, 1, backend, Outcome.CONNECT_FAILED, finished=False))
-    assert b.backends[backend].bad_until > 1.0
+    assert b.backends[backend].ejected_until > 1.0
     b.handle(2.0, ConnectionEstablished(1, 1, again.backend))
-    assert b.backends[backend].bad_until < 2.0
+    assert b.backends[backend].ejected_until < 2.0
 
 
 def test_retries_have_a_budget_and_then_wait_longer_each_time() -> None:
@@ -279,11 +280,11 @@
         b.handle(4.0, RequestReceived(2, left_ms=100.0))
     with pytest.raises(ValueError, match="unknown request"):
         b.handle(5.0, ConnectionEstablished(77, 0, 1))
-    with pytest.raises(ValueError, match="not out"):
+    with pytest.raises(ValueError, match="not in flight"):
         end(b, 5.0, 1, backend, attempt=3)
     with pytest.raises(ValueError, match="unknown class"):
         b.handle(5.0, RequestReceived(3, cls=9, left_ms=100.0))
-    with pytest.raises(ValueError, match="come before"):
+    with pytest.raises(ValueError, match="already known"):
         b.handle(5.0, RequestReceived(1, left_ms=100.0))
     with pytest.raises(TypeError):
         b.handle(5.0, FailRequest(1))  # type: ignore[arg-type]
@@ -352,7 +353,7 @@
     b = balancer(3, seed=1, backend_reports_latency=False, classes=TOLD)
     backends = {n: open_one(b, 0.0, n, load=50.0) for n in range(1, 10)}
     b.handle(1.0, SlowMessageObserved(1, backends[1], 500.0))
-    assert b.blind and b.backends[backends[1]].slow_until > 1.0
+    assert b.state.uses_own_load_only and b.backends[backends[1]].slow_until > 1.0
 
 
 def test_a_word_of_the_list_costs_the_same_in_a_large_fleet() -> None:
@@ -373,14 +374,14 @@
     b = balancer(0)
     for number in range(1, 1001):
         b.backends[number] = Counted(number)
-        b._usable(b.backends[number], True)
+        b.registry.set_ready(b.backends[number], True)
     open_one(b, 0.0, 1)
     for state in (EndpointState.DRAINING, EndpointState.READY, EndpointState.GONE):
         looked = 0
         b.handle(1.0, EndpointList(ListKind.DELTA, [Endpoint(77, state=state)]))
         open_one(b, 1.0, 10 + state)
         assert looked <= 160, "one block is counted anew, not the fleet"
-    assert 77 not in b.backends and b.everywhere.total == 999.0
+    assert 77 not in b.backends and b.state.fleet_ring.total_capacity == 999.0
 
 
 def test_the_books_of_the_ring_and_of_own_load_stay_exact() -> None:
@@ -416,8 +417,10 @@
             else:
                 end(b, now, request, at.pop(request), rng.choice((Outcome.OK, Outcome.RESET)))
         ready = sorted((s for s in b.backends.values() if s.ready), key=lambda s: s.id)
-        assert b.everywhere.pool == ready and b.inner.pool == [s for s in ready if s.zone == 0]
-        assert abs(b.everywhere.total - sum(s.capacity for s in ready)) < 1e-6
-        assert {s.id for s in b.backends.values() if s.open} <= b.held_at.keys() | set()
-        assert all(s.ready or s.open for s in b.backends.values())
-        assert {s.id for s in ready if now < s.started + 500.0 and s.started > 0.0} <= b.slow_start.young.keys()
+        assert b.state.fleet_ring.members == ready and b.state.home_ring.members == [s for s in ready if s.zone == 0]
+        assert abs(b.state.fleet_ring.total_capacity - sum(s.capacity for s in ready)) < 1e-6
+        assert {s.id for s in b.backends.values() if s.connections} <= b.state.observed_backends.keys() | set()
+        assert all(s.ready or s.connections for s in b.backends.values())
+        assert {
+            s.id for s in ready if now < s.started_ms + 500.0 and s.started_ms > 0.0
+        } <= b.slow_start.warming_up.keys()
--- a/tests/decisions/test_request_gate.py
+++ b/tests/decisions/test_request_gate.py
@@ -13,30 +13,30 @@
 from yarrowspindle.decisions.settings import Idempotency
 
 TAKEN: dict[str, Any] = {
-    "ending": False,
+    "shutting_down": False,
     "id_in_use": False,
     "names_backend": False,
-    "begun": True,
-    "left_ms": 900.0,
-    "deadline_ms": 900.0,
+    "started": True,
+    "remaining_ms": 900.0,
+    "class_deadline_ms": 900.0,
 }
-WRITTEN: dict[str, Any] = {"pinned": False, "now": 1000.0, "begin_by": inf, "deadline": 1900.0}
+WRITTEN: dict[str, Any] = {"sticky": False, "now": 1000.0, "begin_by": inf, "deadline": 1900.0}
 
 
 @pytest.mark.parametrize(
     ("changes", "refused"),
     [
         ({}, None),
-        ({"ending": True}, RejectionReason.SHUTTING_DOWN),
-        ({"id_in_use": True, "ending": True}, RejectionReason.ID_IN_USE),
-        ({"left_ms": 900.0 + gate.PATIENCE_MS}, None),
-        ({"left_ms": 901.0 + gate.PATIENCE_MS}, RejectionReason.DEADLINE_TOO_LONG),
+        ({"shutting_down": True}, RejectionReason.SHUTTING_DOWN),
+        ({"id_in_use": True, "shutting_down": True}, RejectionReason.ID_IN_USE),
+        ({"remaining_ms": 900.0 + gate.MAX_CLIENT_DEADLINE_SLACK_MS}, None),
+        ({"remaining_ms": 901.0 + gate.MAX_CLIENT_DEADLINE_SLACK_MS}, RejectionReason.DEADLINE_TOO_LONG),
         ({"names_backend": True}, RejectionReason.LATE_BACKEND_AFFINITY),
-        ({"names_backend": True, "begun": False, "left_ms": 1e6}, None),
+        ({"names_backend": True, "started": False, "remaining_ms": 1e6}, None),
     ],
 )
 def test_a_request_is_taken_or_not(changes: dict[str, Any], refused: RejectionReason | None) -> None:
-    assert gate.may_take(**(TAKEN | changes)) is refused
+    assert gate.may_admit(**(TAKEN | changes)) is refused
 
 
 @pytest.mark.parametrize(
@@ -46,17 +46,17 @@
         (None, {}, RejectionReason.BACKEND_UNKNOWN),
         (EndpointState.DRAINING, {}, RejectionReason.BACKEND_DRAINING),
         (EndpointState.GONE, {}, RejectionReason.BACKEND_REMOVED),
-        (EndpointState.DRAINING, {"pinned": True}, None),
+        (EndpointState.DRAINING, {"sticky": True}, None),
         (EndpointState.READY, {"begin_by": 1000.0}, RejectionReason.IDEMPOTENCY_WINDOW_EXPIRED),
         (EndpointState.READY, {"begin_by": 1000.1}, None),
-        (EndpointState.READY, {"deadline": 1000.0 + gate.EARLY_MS}, RejectionReason.DEADLINE_EXCEEDED),
-        (EndpointState.READY, {"deadline": 1000.1 + gate.EARLY_MS}, None),
+        (EndpointState.READY, {"deadline": 1000.0 + gate.ANSWER_MARGIN_MS}, RejectionReason.DEADLINE_EXCEEDED),
+        (EndpointState.READY, {"deadline": 1000.1 + gate.ANSWER_MARGIN_MS}, None),
     ],
 )
 def test_the_first_byte_is_written_or_not(
     state: EndpointState | None, changes: dict[str, Any], refused: RejectionReason | None
 ) -> None:
-    assert gate.may_write(state, **(WRITTEN | changes)) is refused
+    assert gate.may_forward(state, **(WRITTEN | changes)) is refused
 
 
 @pytest.mark.parametrize(
@@ -75,21 +75,26 @@
     effect: Idempotency, ran_at: float | None, within: float, refused: RejectionReason | None
 ) -> None:
     found = gate.repeat_within(effect, ran_at, 400.0, 10.0, 1000.0)
-    assert found == within and gate.may_repeat(effect, found) is refused
+    assert found == within and gate.may_retry(effect, found) is refused
 
 
 def test_attempts_answers_and_moves_at_their_edges() -> None:
     assert gate.may_attempt(2, 3, 10.0, 20.0) is None
     assert gate.may_attempt(3, 3, 10.0, 20.0) is RejectionReason.ATTEMPTS_EXHAUSTED
     assert gate.may_attempt(0, 3, 20.0, 20.0) is RejectionReason.DEADLINE_EXCEEDED
-    assert gate.may_begin(EndpointState.READY, gate.EARLY_MS) is RejectionReason.DEADLINE_EXCEEDED
-    assert gate.may_begin(EndpointState.READY, gate.EARLY_MS + 0.1) is None
-    assert gate.may_begin(EndpointState.GONE, 100.0) is RejectionReason.BACKEND_REMOVED
-    assert gate.may_answer(waiting=True, out=False) is None
-    assert gate.may_answer(waiting=False, out=False) is RejectionReason.ALREADY_ANSWERED
-    assert gate.may_answer(waiting=True, out=True) is RejectionReason.ATTEMPT_IN_FLIGHT
-    assert gate.may_move(standing=False) is RejectionReason.NOT_ESTABLISHED and gate.may_move(standing=True) is None
-    assert gate.may_feed(0.5, 0.5) is RejectionReason.SLOW_START and gate.may_feed(0.5, 0.49) is None
+    assert gate.may_connect(EndpointState.READY, gate.ANSWER_MARGIN_MS) is RejectionReason.DEADLINE_EXCEEDED
+    assert gate.may_connect(EndpointState.READY, gate.ANSWER_MARGIN_MS + 0.1) is None
+    assert gate.may_connect(EndpointState.GONE, 100.0) is RejectionReason.BACKEND_REMOVED
+    assert gate.may_answer(answer_pending=True, in_flight=False) is None
+    assert gate.may_answer(answer_pending=False, in_flight=False) is RejectionReason.ALREADY_ANSWERED
+    assert gate.may_answer(answer_pending=True, in_flight=True) is RejectionReason.ATTEMPT_IN_FLIGHT
+    assert (
+        gate.may_migrate(established=False) is RejectionReason.NOT_ESTABLISHED
+        and gate.may_migrate(established=True) is None
+    )
+    assert (
+        gate.may_use_slow_start(0.5, 0.5) is RejectionReason.SLOW_START and gate.may_use_slow_start(0.5, 0.49) is None
+    )
 
 
 def test_only_what_cannot_have_run_or_may_be_repeated_is_promised_to_be_harmless() -> None:
--- a/tests/decisions/test_rules.py
+++ b/tests/decisions/test_rules.py
@@ -270,7 +270,7 @@
     assert first.begin_ms == inf
     (again,) = sends(end(b, 110.0, 1, first.backend, Outcome.RESET, finished=False))
     assert again.begin_ms == 400.0 - 100.0 - 10.0
-    b.retries.spare = 0.0
+    b.lifecycle.retries.available = 0.0
     assert sends(end(b, 120.0, 1, again.backend, Outcome.RESET, attempt=1, finished=False)) == []
     assert (
         b.handle(130.0, DeadlineReached(1)) == [FailRequest(1, RejectionReason.DEADLINE_EXCEEDED)]
--- a/tests/fronts/test_quic_front.py
+++ b/tests/fronts/test_quic_front.py
@@ -101,7 +101,7 @@
         assert sum(len(n.links) for n in w.backends) == 6, "no connection was set up twice"
         assert all(c.got.empty() and not c.ended.done() for c in clients), "nothing was answered twice"
         assert len(set(homes)) == 2
-        counted = {s.open for s in w.hub.reducer.balancer.backends.values()}
+        counted = {s.connections for s in w.hub.reducer.balancer.backends.values()}
         assert counted == {homes.count("node-0"), homes.count("node-1")}
 
     run(body, {}, {})
@@ -216,7 +216,7 @@
         flow.heard -= w.front.config.idle_s
         w.front._sweep()
         assert not w.front.flows and not w.front.by_id and not w.front.by_link
-        assert [s.open for s in w.hub.reducer.balancer.backends.values()] == [0]
+        assert [s.connections for s in w.hub.reducer.balancer.backends.values()] == [0]
 
     run(body, {}, max_connections=1)
 
--- a/tests/library/test_library.py
+++ b/tests/library/test_library.py
@@ -61,7 +61,7 @@
         async with placer:
             await body(placer)
         assert not placer.reducer.requests and not placer.placements and not placer.inside
-        assert all(s.open == 0 for s in placer.reducer.balancer.backends.values())
+        assert all(s.connections == 0 for s in placer.reducer.balancer.backends.values())
         assert not placer.runtime.owners and not placer.runtime.timers.current
 
     asyncio.run(inside())
@@ -105,7 +105,7 @@
             backends = placer.reducer.backends.values()
             assert all(not n.slow for n in backends), "what waited in our own socket took no time at the node"
             servers = placer.reducer.balancer.backends.values()
-            assert all(s.strikes == 0 for s in servers), "no node is passed over for our own stall"
+            assert all(s.consecutive_failures == 0 for s in servers), "no node is passed over for our own stall"
             if stalled_ms > 400.0:
                 assert reaching.moved.is_set()
                 with pytest.raises(Rejected):
@@ -291,13 +291,13 @@
             while placer.counters().get("lists", 0) < 2:
                 await asyncio.sleep(0)
             failing = True
-            while placer.reducer.balancer.failures == 0:
+            while placer.reducer.balancer.discovery.failures == 0:
                 await asyncio.sleep(0.001)
             async with placer.place() as placement:
                 placement.up()
             failing, before = False, calls
             source.ask(0)  # as the module does by its own wait
-            while calls == before or placer.reducer.balancer.failures:
+            while calls == before or placer.reducer.balancer.discovery.failures:
                 await asyncio.sleep(0.001)
 
     asyncio.run(body())
@@ -343,7 +343,7 @@
             async with placer.place(deadline=5.0) as placement:
                 assert placement.address == ("10.1.0.18", 3000)
             watch.writer.transport.abort()
-            while placer.reducer.balancer.failures == 0:
+            while placer.reducer.balancer.discovery.failures == 0:
                 await asyncio.sleep(0.001)
 
     asyncio.run(body())
--- a/tests/membership/test_members.py
+++ b/tests/membership/test_members.py
@@ -218,13 +218,16 @@
     others = signals.others(5000.0, 2, 0)
     assert heard.age(5000.0) == 5000.0 and others.reporting_relays == 0 and others.loads == {}
     book = PeerLoadTable(4)
-    assert book.shares(0.0) == (0.0, 4.0)
+    assert (book.load_weight(0.0), book.similar_balancers(0.0)) == (0.0, 4.0)
     from yarrowspindle.decisions.events import PeerLoads
 
-    book.told(PeerLoads({5: (2, 100.0)}, reporting_relays=3, relays=4, age_ms=100.0), 0.0)
-    assert book.shares(0.0) == (1.0, 1.0) and book.shares(9000.0) == (0.0, 4.0)
-    weight, alike = book.shares(3400.0)
-    assert 0.0 < weight < 0.5 and alike == pytest.approx(2.8)
+    book.on_peer_loads(PeerLoads({5: (2, 100.0)}, reporting_relays=3, relays=4, age_ms=100.0), 0.0)
+    assert (book.load_weight(0.0), book.similar_balancers(0.0)) == (1.0, 1.0) and (
+        book.load_weight(9000.0),
+        book.similar_balancers(9000.0),
+    ) == (0.0, 4.0)
+    weight, similar = book.load_weight(3400.0), book.similar_balancers(3400.0)
+    assert 0.0 < weight < 0.5 and similar == pytest.approx(2.8)
 
 
 def test_datagrams_stay_within_their_bytes_whatever_is_held() -> None:
--- a/tests/middleware/test_middleware.py
+++ b/tests/middleware/test_middleware.py
@@ -87,7 +87,7 @@
 
         await body(PlacementMiddleware(api, placer), placer, go)
         assert not placer.reducer.requests and not placer.placements and not placer.inside
-        assert all(s.open == 0 for s in placer.reducer.balancer.backends.values())
+        assert all(s.connections == 0 for s in placer.reducer.balancer.backends.values())
 
     asyncio.run(inside())
 
@@ -97,7 +97,10 @@
         client = Client(app)
         assert (await client.next())["status"] == 200
         backend = (await client.next())["body"].decode()
-        assert [s.open for s in placer.reducer.balancer.backends.values()].count(1) == 1 and backend in ("s-1", "s-2")
+        assert [s.connections for s in placer.reducer.balancer.backends.values()].count(1) == 1 and backend in (
+            "s-1",
+            "s-2",
+        )
         go["end"].set()
         await client.task
 
--- a/yarrowspindle/daemon/maintenance_endpoint.py
+++ b/yarrowspindle/daemon/maintenance_endpoint.py
@@ -291,7 +291,7 @@
         reducer, now = self.hub.reducer, self._now()
         if now >= self.looked + 1000.0 * LOOK_S:
             self.looked = now
-            avoided, others = reducer.balancer.avoided(reducer.now), reducer.balancer.others.holds
+            avoided, others = reducer.balancer.ejected(reducer.now), reducer.balancer.peer_loads.loads
             # By what the list says; what the relays agreed on is laid over it elsewhere.
             looks = [
                 BackendSample(
--- /dev/null
+++ b/yarrowspindle/decisions/backend_registry.py
@@ -0,0 +1,84 @@
+"""Which backends exist, which are on the rings, and which own connections they carry."""
+
+from __future__ import annotations
+
+from yarrowspindle.decisions.backends import MIN_CAPACITY, Backend
+from yarrowspindle.decisions.events import Endpoint, EndpointList, EndpointState, ListKind
+from yarrowspindle.decisions.requests import Request
+from yarrowspindle.decisions.slow_start import SlowStart
+from yarrowspindle.decisions.state import BalancerState
+
+
+class BackendRegistry:
+    """Applies endpoint lists and counts own connections; keeps rings, slow start and estimates in step."""
+
+    def __init__(self, state: BalancerState, slow_start: SlowStart) -> None:
+        self.state, self.slow_start = state, slow_start
+
+    def apply(self, event: EndpointList) -> None:
+        """Apply an endpoint list. A full or cached one takes each backend that it does not name off the rings."""
+        state = self.state
+        if event.kind is not ListKind.DELTA:
+            listed = {entry.backend for entry in event.entries}
+            for backend in [b for b in state.fleet_ring.members if b.id not in listed]:
+                self.set_ready(backend, False)
+        for entry in sorted(event.entries, key=lambda e: e.backend):  # the order of a list must not matter
+            self._apply_entry(entry)
+        for ring in (state.home_ring, state.fleet_ring):
+            ring.nominal_capacity = max(ring.nominal_capacity, ring.total_capacity)
+
+    def _apply_entry(self, entry: Endpoint) -> None:
+        state = self.state
+        backend = state.backends.setdefault(entry.backend, Backend(entry.backend))
+        # A capacity that excludes the present load is too low: the highest one seen is the backend's size.
+        known_capacity = backend.capacity if state.settings.capacity_excludes_load else MIN_CAPACITY
+        capacity = max(entry.capacity, known_capacity)
+        if (backend.zone, backend.capacity) != (entry.zone, capacity):
+            self.set_ready(backend, False)  # rings sum up capacities: it is removed before they change
+        backend.zone, backend.cell, backend.capacity = entry.zone, entry.cell, capacity
+        if backend.started_ms != entry.started_ms:
+            backend.started_ms = entry.started_ms
+            backend.forget_process()
+        self.set_ready(backend, entry.state is EndpointState.READY)
+
+    def set_ready(self, backend: Backend, ready: bool) -> None:
+        """Put a backend on its rings or take it off; one that is neither ready nor in use is forgotten."""
+        state = self.state
+        backend.ready = ready
+        for ring in (state.home_ring, state.fleet_ring):
+            if not ready:
+                ring.remove(backend)
+            elif ring is state.fleet_ring or backend.zone == state.settings.zone:
+                ring.add(backend)
+        state.backends[backend.id] = backend
+        self.slow_start.on_backend_listed(backend)
+        if not ready and not backend.connections:
+            self.slow_start.forget(backend.id)
+            state.backends.pop(backend.id, None)
+            state.observed_backends.pop(backend.id, None)
+
+    def add_connection(self, backend: Backend, request: Request) -> None:
+        """Count an attempt or an established connection at its backend."""
+        self._count_connection(backend, request, 1)
+        self.observe(backend)
+
+    def remove_connection(self, backend: Backend, request: Request) -> None:
+        """Take an ended attempt or connection off its backend again."""
+        self._count_connection(backend, request, -1)
+        if not backend.connections:
+            backend.load = 0.0  # sums of floats drift
+            if not backend.ready:
+                self.set_ready(backend, False)
+
+    def _count_connection(self, backend: Backend, request: Request, change: int) -> None:
+        state = self.state
+        backend.connections += change
+        state.connections += change
+        backend.load += change * request.load
+        if state.estimates is not None:
+            state.estimates.on_connection_change(backend, request, change, state.now)
+
+    def observe(self, backend: Backend) -> None:
+        """Remember that something is known of this backend, while it is ready or in use."""
+        if backend.ready or backend.connections:
+            self.state.observed_backends[backend.id] = backend
--- a/yarrowspindle/decisions/cost_placement.py
+++ b/yarrowspindle/decisions/cost_placement.py
@@ -1,7 +1,7 @@
-"""Placement where servers tell their load when they are probed: by what a connection costs there, in worth.
+"""Placement where backends report their load to health checks: a connection goes where it costs least.
 
-The cost of a connection at a server is what it and those beside it lose by late messages, and the crossing between
-zones at its stated price. Estimates come from load reports (`reports.py`), carried on by what was placed since.
+The cost of a connection at a backend is what it and the connections beside it lose by late messages, and the stated
+price of crossing zones. Costs are in priority weight. Utilization comes from `load_estimates`.
 """
 
 from __future__ import annotations
@@ -9,100 +9,111 @@
 from collections.abc import Callable, Iterable
 from math import inf
 from random import Random
+from typing import NamedTuple
 
-from yarrowspindle.decisions.backends import Backend, Request
-from yarrowspindle.decisions.load_estimates import SICK, Estimates
+from yarrowspindle.decisions.backends import Backend
+from yarrowspindle.decisions.load_estimates import UNRESPONSIVE_UTILIZATION, LoadEstimates
+from yarrowspindle.decisions.requests import Request
 from yarrowspindle.decisions.settings import Settings
 from yarrowspindle.decisions.weighted_ring import WeightedRing
 
-ROUNDS = 3  # draws, while all that were drawn cost more than the connection is worth
-DRAWS = 2  # servers drawn from each ring in a round
-MOVE_GAIN, FIRM_FRACTION = 0.05, 0.33  # worth a move, in mean worth; counted of what is only estimated
+MAX_ROUNDS = 3  # of draws, while all that were drawn cost more than the connection's priority weight
+DRAWS_PER_RING = 2  # backends drawn from each ring in a round
+MIN_MIGRATION_GAIN = 0.05  # in mean priority weight
+ESTIMATED_GAIN_FRACTION = 0.33  # of a gain that is only estimated this fraction counts: estimates are noisy
+
+Rings = tuple[WeightedRing[Backend], WeightedRing[Backend]]
+
+
+class Choice(NamedTuple):
+    """The cheapest backend that was found (None: none is usable) and its cost in priority weight."""
+
+    backend: Backend | None
+    cost: float
 
 
 class CostPlacement:
-    """known: the estimates of all servers. rings: the own zone's and all servers, which may be the same. random: draws
-    in 0 to 1."""
-
-    def __init__(
-        self, known: Estimates, rings: tuple[WeightedRing[Backend], WeightedRing[Backend]], random: Callable[[], float]
-    ) -> None:
-        self.known, self.rings, self.random = known, rings, random
-
-    def cheapest(
-        self,
-        request: Request,
-        settings: Settings,
-        now: float,
-        rings: tuple[WeightedRing[Backend], WeightedRing[Backend]] | None = None,
-    ) -> tuple[Backend | None, float]:
-        """Of two servers drawn at home, two drawn from all and those with the group: where it costs least, and what.
-
-        A group draws alike at all balancers: each server that holds any of it pays for it once. rings: where the
-        request is bound to fewer servers."""
-        known, rings = self.known, rings or self.rings
-        luck = Random(request.group).random if known.groups and request.group else self.random
-        found = list(known.holders.get(request.group, {}).values()) if rings[1] is self.rings[1] else []
+    """Chooses by cost. rings: backends of the own zone and of the fleet, perhaps the same; random: draws in 0 to 1."""
+
+    def __init__(self, estimates: LoadEstimates, rings: Rings, random: Callable[[], float]) -> None:
+        self.estimates, self.rings, self.random = estimates, rings, random
+
+    def cheapest(self, request: Request, settings: Settings, now: float, rings: Rings | None = None) -> Choice:
+        """Return the cheapest of two backends drawn from each ring and those that serve the request's group.
+
+        All balancers draw the same backends for a group, since each backend that serves any of it pays GROUP_COST.
+        rings: given where the request may go to some backends only.
+        """
+        estimates, rings = self.estimates, rings or self.rings
+        shared_seed = estimates.groups_share_work and request.group
+        random = Random(request.group).random if shared_seed else self.random
+        found = list[Backend]()
+        if rings[1] is self.rings[1]:
+            found += estimates.backends_by_group.get(request.group, {}).values()
         best, least = None, inf
-        for _ in range(ROUNDS):
-            found += [ring.draw(luck, 0.0, 1.0) for ring in rings if ring.size for _ in range(DRAWS)]
+        for _ in range(MAX_ROUNDS):
+            found += [ring.draw(random, 0.0, 1.0) for ring in rings if ring.size for _ in range(DRAWS_PER_RING)]
             for backend in found:
                 if backend is request.backend or not backend.usable(now, settings):
                     continue
                 cost = self.cost(backend, request, settings)
                 if cost < least:
                     best, least = backend, cost
-            if best is not None and best.used < SICK and least <= settings.classes[request.cls].priority_weight:
-                break
-        return best, least
-
-    def best(
-        self,
-        request: Request,
-        settings: Settings,
-        now: float,
-        rings: tuple[WeightedRing[Backend], WeightedRing[Backend]],
-    ) -> Backend | None:
-        """Where the request goes: the cheapest drawn, or whoever answers where that one does not."""
-        found = self.cheapest(request, settings, now, rings)[0]
-        if found is not None and found.used < SICK:
+            if best is not None and best.utilization < UNRESPONSIVE_UTILIZATION:
+                if least <= settings.classes[request.cls].priority_weight:
+                    break
+        return Choice(best, least)
+
+    def best(self, request: Request, settings: Settings, now: float, rings: Rings) -> Backend | None:
+        """Return where the request goes: the cheapest drawn, or of all that respond where that one does not."""
+        found = self.cheapest(request, settings, now, rings).backend
+        if found is not None and found.utilization < UNRESPONSIVE_UTILIZATION:
             return found
-        well: Iterable[Backend] = (
+        responsive: Iterable[Backend] = (
             backend
-            for backend in rings[1].pool
-            if backend.used < SICK and backend is not request.backend and backend.usable(now, settings)
+            for backend in rings[1].members
+            if backend.utilization < UNRESPONSIVE_UTILIZATION
+            and backend is not request.backend
+            and backend.usable(now, settings)
         )
-        return min(well, key=lambda backend: self.cost(backend, request, settings), default=found)
+        return min(responsive, key=lambda backend: self.cost(backend, request, settings), default=found)
 
-    def cost(self, backend: Backend, request: Request, settings: Settings, there: bool = False) -> float:
-        """In worth; there: the connection stands there already."""
-        known = self.known
-        adds, worth = known.adds(backend, request, there), settings.classes[request.cls].priority_weight
-        served, fall = known.served(known.used(backend) + (0.0 if there else adds))
+    def cost(self, backend: Backend, request: Request, settings: Settings, already_there: bool = False) -> float:
+        """Return what the connection costs at this backend, in priority weight; `already_there`: it is counted."""
+        estimates = self.estimates
+        added = estimates.added_utilization(backend, request, already_there)
+        utilization = estimates.utilization(backend) + (0.0 if already_there else added)
+        own_weight = settings.classes[request.cls].priority_weight
         crossing = settings.cross_zone_price if backend.zone != settings.zone else 0.0
-        beside = max(backend.holds, backend.open) * fall * adds
-        return worth * (1.0 - served) + known.worth * (beside + crossing)
+        connections = max(backend.reported_connections, backend.connections)
+        lost_by_others = connections * estimates.on_time_decline(utilization) * added
+        own_loss = own_weight * (1.0 - estimates.on_time_fraction(utilization))
+        return own_loss + estimates.mean_priority_weight * (lost_by_others + crossing)
 
     @property
-    def worth_a_move(self) -> float:
-        return MOVE_GAIN * self.known.worth
+    def min_migration_gain(self) -> float:
+        """The gain above which a connection is migrated, in priority weight."""
+        return MIN_MIGRATION_GAIN * self.estimates.mean_priority_weight
 
     def gain(
         self, request: Request, backend: Backend, settings: Settings, now: float, reserve_above: float = inf
     ) -> float:
-        """What a move would save, in worth each second; of a load that is only estimated a part counts. Above
-        `reserve_above` the connection is counted where it would go."""
-        known = self.known
-        stays = self.cost(backend, request, settings, True)
-        if stays <= self.worth_a_move:
+        """Return what a migration off `backend` would save, in priority weight.
+
+        The price of crossing zones counts in full, a difference of estimated load by ESTIMATED_GAIN_FRACTION. Where
+        the gain exceeds `reserve_above` the connection is counted at its new backend at once.
+        """
+        estimates = self.estimates
+        present_cost = self.cost(backend, request, settings, True)
+        if present_cost <= self.min_migration_gain:
             return 0.0
         best, least = self.cheapest(request, settings, now)
         if best is None:
             return 0.0
-        nearer = (backend.zone != settings.zone) - (best.zone != settings.zone)
-        firm = nearer * settings.cross_zone_price * known.worth
-        estimated = stays - least - firm
-        gain = firm + estimated * (FIRM_FRACTION if estimated > 0.0 else 1.0)
+        crossings_saved = (backend.zone != settings.zone) - (best.zone != settings.zone)
+        certain = crossings_saved * settings.cross_zone_price * estimates.mean_priority_weight
+        estimated = present_cost - least - certain
+        gain = certain + estimated * (ESTIMATED_GAIN_FRACTION if estimated > 0.0 else 1.0)
         if gain > reserve_above:
-            known.reserve(best, request, now)
+            estimates.reserve(best, request, now)
         return gain
--- /dev/null
+++ b/yarrowspindle/decisions/health_checks.py
@@ -0,0 +1,67 @@
+"""Which backends' health is checked when, where backends report their load in the answer."""
+
+from __future__ import annotations
+
+from yarrowspindle.decisions.actions import CheckHealth
+from yarrowspindle.decisions.events import HealthCheckCompleted, Outcome, PeerLoads
+from yarrowspindle.decisions.migration import Migration
+from yarrowspindle.decisions.state import BalancerState
+
+HEALTH_CHECK_INTERVAL_MS = 500.0  # of checks and of migrations for gain
+CHECKS_PER_CONNECTION = 1.5  # that each new connection pays for
+MAX_SAVED_CHECKS = 200.0
+MIN_INTERVALS_BETWEEN_CHECKS = 1.9  # of one backend
+
+SILENT_OUTCOMES = frozenset((Outcome.TIMEOUT, Outcome.RESET, Outcome.CONNECT_FAILED))
+
+
+class HealthChecks:
+    """Checks backends at an interval, as many as new connections have paid for. credit: checks that may go out."""
+
+    def __init__(self, state: BalancerState, migration: Migration) -> None:
+        self.state, self.migration = state, migration
+        self.credit = 0.0
+        self.started = False
+
+    def earn(self) -> None:
+        """Count a new connection: checks cost backends work, so they are in proportion to the traffic."""
+        self.credit = min(self.credit + CHECKS_PER_CONNECTION, MAX_SAVED_CHECKS)
+
+    def start(self) -> None:
+        """Begin with the checks, once, where backends report their load."""
+        if self.state.estimates is not None and not self.started:
+            self.started = True
+            self._on_interval()
+
+    def _on_interval(self) -> None:
+        self.state.set_timer(HEALTH_CHECK_INTERVAL_MS, self._on_interval)
+        self._check()
+        self.migration.migrate_for_gain()
+
+    def _check(self) -> None:
+        """Check the backends that were not checked for the longest time, as far as the credit goes."""
+        state, now = self.state, self.state.now
+        due = (b for b in state.backends.values() if b.ready and state.peer_loads.may_check(b, now))
+        for backend in sorted(due, key=lambda b: b.last_checked_at):
+            next_check_at = backend.last_checked_at + MIN_INTERVALS_BETWEEN_CHECKS * HEALTH_CHECK_INTERVAL_MS
+            if self.credit < 1.0 or now < next_check_at:
+                break
+            self.credit -= 1.0
+            backend.last_checked_at = now
+            state.emit(CheckHealth(backend.id))
+
+    def on_completed(self, event: HealthCheckCompleted) -> None:
+        """Apply the load report of a check, or the backend's silence."""
+        state = self.state
+        backend = state.backends.get(event.backend)
+        if backend is not None and state.estimates is not None:
+            silent = event.outcome in SILENT_OUTCOMES
+            state.estimates.on_health_check(backend, state.now, event.report, silent)
+
+    def on_peer_loads(self, event: PeerLoads) -> None:
+        """Apply what peers have at the backends, and the load reports that they received."""
+        state = self.state
+        state.peer_loads.on_peer_loads(event, state.now)
+        if state.estimates is not None:
+            for backend, change, report in state.peer_loads.updated_backends(event, state.backends, state.now):
+                state.estimates.on_peer_update(backend, change, report, state.now)
--- a/yarrowspindle/decisions/load_estimates.py
+++ b/yarrowspindle/decisions/load_estimates.py
@@ -1,7 +1,7 @@
-"""Estimates of how full servers are: load reports and message times, carried on by what was placed since.
+"""Estimated utilization of backends, from load reports and message latency, updated by what was placed since.
 
-A load is measured in mean connections, and `unit` says how much capacity one takes; both are learned. Nothing here
-decides anything.
+Load is counted in mean connections; `capacity_per_connection` converts it to capacity. Both it and the load of each
+class are learned from reports. Nothing here decides anything.
 """
 
 from __future__ import annotations
@@ -9,139 +9,197 @@
 from collections.abc import Iterable
 from math import exp, inf
 
-from yarrowspindle.decisions.backends import Backend, Request
-from yarrowspindle.decisions.peer_loads import PeerLoadTable
+from yarrowspindle.decisions.backends import Backend
+from yarrowspindle.decisions.peer_loads import LoadReport, PeerLoadTable
+from yarrowspindle.decisions.requests import Request
 from yarrowspindle.decisions.settings import Settings
 
-USED, HOLDS = "x0", "rif"  # fields of a load report: load asked over what the server can do, connections held
-KNEE, STEEP = 0.96, 11.0  # half of the messages are late at this use; measured over 24 days, see docs
-GROUP = 1.0  # mean connections that a server pays for a group, of which it holds any
-UNIT = 0.06  # capacity that a mean connection takes, until reports tell
-GUESS = 0.5  # the use of a server that has not reported
-AGE_MS = 1000.0  # a report speaks of a time up to so long ago: what was placed since is not in it
-SICK = 9.0  # the use of a server that does not answer
-MAX_SINCE = 256  # placements since a report, one by one
-LEARN, LEARN_UNIT = 0.05, 0.05
-MIN_LOAD, MAX_LOAD = 0.1, 4.0  # of a class, in mean connections
-SOUND = 1.5  # above this use a report tells of a sick server, not of its connections' load
-
-
-class Estimates:
-    """Of all servers, as one balancer sees them."""
-
-    def __init__(self, settings: Settings, others: PeerLoadTable | None = None) -> None:
-        self.others = others or PeerLoadTable(settings.balancers)
-        self.unit = UNIT
-        self.loads: list[float] = []
-        self.counts: list[float] = []  # own connections of each class
-        self.holders: dict[int, dict[int, Backend]] = {}  # of each group: the servers that hold any of ours
-        self.retuned(settings)
-
-    def retuned(self, settings: Settings, anew: Iterable[int] = ()) -> None:
-        """New settings; classes keep their numbers. anew: of classes that nothing is known of yet."""
-        self.classes, self.report, self.groups = (
-            settings.classes,
-            settings.load_report_fields,
-            settings.groups_share_work,
-        )
-        new = len(self.classes) - len(self.loads)
-        self.loads, self.counts = self.loads[: len(self.classes)], self.counts[: len(self.classes)]
-        self.loads += [1.0] * new
-        self.counts += [0.0] * new
-        for number in anew:
-            self.loads[number] = 1.0
-        self.aim_ms = min(
-            (c.message_latency_objective_ms for c in self.classes if c.message_latency_objective_ms > 0.0), default=0.0
-        )
+UTILIZATION_FIELD = "x0"  # of a load report: load over capacity
+CONNECTIONS_FIELD = "rif"  # of a load report: connections in flight
+HALF_LATE_UTILIZATION = 0.96  # at which half of the messages miss their latency objective
+LATENESS_EXPONENT = 11.0  # how steeply late messages increase with utilization
+GROUP_COST = 1.0  # mean connections that a backend spends on a group that it serves
+INITIAL_CAPACITY_PER_CONNECTION = 0.06  # until reports are received
+UNREPORTED_UTILIZATION = 0.5  # of a backend that has not reported
+REPORT_LAG_MS = 1000.0  # a report may describe a time this long ago: what was placed since is not in it
+UNRESPONSIVE_UTILIZATION = 9.0  # of a backend that does not answer its health check
+MAX_CHANGES_SINCE_REPORT = 256  # kept one by one
+CLASS_LOAD_LEARNING_RATE = 0.05
+CAPACITY_LEARNING_RATE = 0.05
+MIN_CLASS_LOAD, MAX_CLASS_LOAD = 0.1, 4.0  # in mean connections
+MAX_LEARNING_UTILIZATION = 1.5  # above it a report shows a faulty backend, not the load of its connections
+MEAN_LOAD_LEARNING_RATE = 0.05
+
+
+class MeanConnectionLoad:
+    """The load of a connection: as reported, else the recent mean, so that deployments without hints compare alike.
+
+    Loads are milliseconds of standard-core work for each second.
+    """
+
+    def __init__(self) -> None:
+        self.mean = 0.0
+
+    def estimate(self, load: float) -> float:
+        """Return the load to count for a connection; 0 as the reported `load` means that there is no hint."""
+        if load > 0.0:
+            self.mean += (load - self.mean) * (MEAN_LOAD_LEARNING_RATE if self.mean else 1.0)
+        return load or self.mean or 1.0
+
+
+class LoadEstimates:
+    """The utilization of all backends, as one balancer estimates it."""
+
+    def __init__(self, settings: Settings, peer_loads: PeerLoadTable | None = None) -> None:
+        self.peer_loads = peer_loads or PeerLoadTable(settings.balancers)
+        self.capacity_per_connection = INITIAL_CAPACITY_PER_CONNECTION
+        self.class_loads: list[float] = []  # by class, in mean connections
+        self.class_connections: list[float] = []  # own connections, by class
+        self.backends_by_group: dict[int, dict[int, Backend]] = {}  # with own connections of the group
+        self.on_settings_changed(settings)
+
+    def on_settings_changed(self, settings: Settings, reassigned_classes: Iterable[int] = ()) -> None:
+        """Take new settings over. Classes keep their numbers; what was learned of reassigned ones is dropped."""
+        self.classes = settings.classes
+        self.report_fields = settings.load_report_fields
+        self.groups_share_work = settings.groups_share_work
+        added = len(self.classes) - len(self.class_loads)
+        self.class_loads = self.class_loads[: len(self.classes)] + [1.0] * added
+        self.class_connections = self.class_connections[: len(self.classes)] + [0.0] * added
+        for number in reassigned_classes:
+            self.class_loads[number] = 1.0
+        objectives = (c.message_latency_objective_ms for c in self.classes if c.message_latency_objective_ms > 0.0)
+        self.message_latency_objective_ms = min(objectives, default=0.0)
 
     @property
-    def worth(self) -> float:
-        """Of a mean connection."""
-        total = sum(self.counts) + len(self.counts)
-        return sum(c.priority_weight * (n + 1.0) for c, n in zip(self.classes, self.counts, strict=True)) / total
-
-    def adds(self, backend: Backend, request: Request, there: bool = False) -> float:
-        """What this connection adds to the server's use, or takes from it where it is `there` already."""
-        alone = (
-            self.groups
+    def mean_priority_weight(self) -> float:
+        """The priority weight of a mean connection; each class counts one connection more than there are."""
+        total = sum(self.class_connections) + len(self.class_connections)
+        weights = zip(self.classes, self.class_connections, strict=True)
+        return sum(cls.priority_weight * (count + 1.0) for cls, count in weights) / total
+
+    def added_utilization(self, backend: Backend, request: Request, already_there: bool = False) -> float:
+        """Return what the connection adds to a backend's utilization, or takes off where it is `already_there`.
+
+        The first connection of a group at a backend costs GROUP_COST more, where groups share work.
+        """
+        only_one_of_group = (
+            self.groups_share_work
             and request.group
-            and backend.groups.get(request.group, 0) <= there
-            and not self.others.group(backend, request.group)
+            and backend.connections_by_group.get(request.group, 0) <= already_there
+            and not self.peer_loads.group_connections(backend, request.group)
         )
-        return (self.loads[request.cls] + (GROUP if alone else 0.0)) * self.unit / backend.capacity
+        load = self.class_loads[request.cls] + (GROUP_COST if only_one_of_group else 0.0)
+        return load * self.capacity_per_connection / backend.capacity
 
     def reserve(self, backend: Backend, request: Request, now: float) -> None:
-        """It is about to come."""
-        backend.since.append((now, self.adds(backend, request)))
-
-    def held(self, backend: Backend, request: Request, by: int, now: float) -> None:
-        """An own connection more (1) or less (-1)."""
-        backend.since.append((now, by * self.adds(backend, request, by < 0)))
-        self.counts[request.cls] += by
-        for book, key in ((backend.classes, request.cls), (backend.groups, request.group)):
-            book[key] = book.get(key, 0) + by
-            if book[key] <= 0:
-                del book[key]
-        holders = self.holders.setdefault(request.group, {})
-        if self.groups and request.group and request.group in backend.groups:
-            holders[backend.id] = backend
+        """Count a connection that is about to be migrated to this backend."""
+        backend.changes_since_report.append((now, self.added_utilization(backend, request)))
+
+    def on_connection_change(self, backend: Backend, request: Request, change: int, now: float) -> None:
+        """Count an own connection that was added (1) or has ended (-1)."""
+        added = self.added_utilization(backend, request, change < 0)
+        backend.changes_since_report.append((now, change * added))
+        self.class_connections[request.cls] += change
+        _add_count(backend.connections_by_class, request.cls, change)
+        _add_count(backend.connections_by_group, request.group, change)
+        group_backends = self.backends_by_group.setdefault(request.group, {})
+        if self.groups_share_work and request.group and request.group in backend.connections_by_group:
+            group_backends[backend.id] = backend
         else:
-            holders.pop(backend.id, None)
-            if not holders:
-                del self.holders[request.group]
+            group_backends.pop(backend.id, None)
+            if not group_backends:
+                del self.backends_by_group[request.group]
+
+    def on_peer_update(self, backend: Backend, change: int, report: LoadReport | None, now: float) -> None:
+        """Apply what peers observed of a backend.
 
-    def beside(self, backend: Backend, came: int, report: tuple[float, float, float] | None, now: float) -> None:
-        """Other balancers' connections came there, or went, each taken for a mean one; and a report that one of them
-        was told (use, connections, when)."""
+        change: how many connections of peers were added there (or ended), each taken for a mean one. report: the
+        newest load report that a peer received.
+        """
         if report is not None:
-            fields = {USED: report[0], HOLDS: report[1]}
-            self.told(backend, report[2], tuple(fields.get(name, 0.0) for name in self.report))
-            backend.told_at = -inf  # not told to us
-        if came and backend.used >= 0.0:
-            if len(backend.since) > MAX_SINCE:  # reports have stopped: only the sum is of use
-                backend.since = [(now, sum(by for _, by in backend.since))]
-            backend.since.append((now, came * self.unit / backend.capacity))
-
-    def told(self, backend: Backend, now: float, report: tuple[float, ...], silent: bool = False) -> None:
-        """A probe's end: a load report, none so far, or silence."""
+            fields = {UTILIZATION_FIELD: report.utilization, CONNECTIONS_FIELD: report.connections}
+            values = tuple(fields.get(name, 0.0) for name in self.report_fields)
+            self.on_health_check(backend, report.received_at, values)
+            backend.last_report_at = -inf  # it was reported to a peer, who distributes it
+        if change and backend.utilization >= 0.0:
+            if len(backend.changes_since_report) > MAX_CHANGES_SINCE_REPORT:  # reports have stopped
+                backend.changes_since_report = [(now, sum(added for _, added in backend.changes_since_report))]
+            backend.changes_since_report.append((now, change * self.capacity_per_connection / backend.capacity))
+
+    def on_health_check(self, backend: Backend, now: float, report: tuple[float, ...], silent: bool = False) -> None:
+        """Apply a health check's result. report: values of the settings' report fields, or empty; silent: no answer."""
         if silent:
-            backend.used = max(backend.used, SICK)
+            backend.utilization = max(backend.utilization, UNRESPONSIVE_UTILIZATION)
         if not report:
             return
-        told = dict(zip(self.report, report, strict=False))
-        backend.used, backend.holds = told.get(USED, backend.used), told.get(HOLDS, backend.holds)
-        backend.told_at = now
-        backend.since = [(at, by) for at, by in backend.since if at > now - AGE_MS]
-        if HOLDS in told and backend.holds >= 1.0 and 0.0 <= backend.used < SOUND:
+        fields = dict(zip(self.report_fields, report, strict=False))
+        backend.utilization = fields.get(UTILIZATION_FIELD, backend.utilization)
+        backend.reported_connections = fields.get(CONNECTIONS_FIELD, backend.reported_connections)
+        backend.last_report_at = now
+        _drop_reported_changes(backend, now)
+        plausible = 0.0 <= backend.utilization < MAX_LEARNING_UTILIZATION
+        if CONNECTIONS_FIELD in fields and backend.reported_connections >= 1.0 and plausible:
             self._learn(backend)
 
     def _learn(self, backend: Backend) -> None:
-        """What a mean connection takes, and each class beside it: one step towards what this report explains.
-
-        What others hold there is taken to be of our own mixture."""
-        self.unit += (backend.used * backend.capacity / backend.holds - self.unit) * LEARN_UNIT
-        others = max(0.0, backend.holds - backend.open) / (sum(self.counts) or 1.0)
-        held = [backend.classes.get(c, 0) + others * n for c, n in enumerate(self.counts)]
-        guess = sum(n * load for n, load in zip(held, self.loads, strict=True)) + GROUP * len(backend.groups)
-        step = LEARN * (backend.used * backend.capacity / self.unit - guess) / (1.0 + sum(n * n for n in held))
-        self.loads = [min(MAX_LOAD, max(MIN_LOAD, load + step * n)) for n, load in zip(held, self.loads, strict=True)]
-
-    def noted(self, backend: Backend, message_ms: float, now: float) -> None:
-        """Messages take so long there now: word of what reports will tell later."""
-        late = exp(-self.aim_ms / max(message_ms, 1.0))
-        used = KNEE * (late / max(1.0 - late, 1e-9)) ** (1.0 / STEEP)
-        if used > backend.used:
-            backend.used = used
-            backend.since = [(at, by) for at, by in backend.since if at > now - AGE_MS]
-
-    def used(self, backend: Backend) -> float:
-        base = backend.used if backend.used >= 0.0 else GUESS
-        return max(0.0, base + sum(by for _, by in backend.since))
-
-    def served(self, used: float) -> tuple[float, float]:
-        """The share of messages in time at this use, and how much of it one more unit of use would take.
-
-        Beyond the knee the fall is kept at its steepest: what is piled up there makes it worse with time."""
-        odds, near = (used / KNEE) ** STEEP, min(used / KNEE, 1.0)
-        fall = near**STEEP
-        return 1.0 / (1.0 + odds), STEEP * fall / max(near, 1e-3) / KNEE / (1.0 + fall) ** 2
+        """Move the load of a mean connection and of each class one step towards what this report explains.
+
+        Peers' connections there are assumed to have the same mix of classes as this balancer's own.
+        """
+        used_capacity = backend.utilization * backend.capacity
+        observed = used_capacity / backend.reported_connections
+        self.capacity_per_connection += (observed - self.capacity_per_connection) * CAPACITY_LEARNING_RATE
+        peer_connections = max(0.0, backend.reported_connections - backend.connections)
+        peers_per_own = peer_connections / (sum(self.class_connections) or 1.0)
+        connections = [
+            backend.connections_by_class.get(number, 0) + peers_per_own * own
+            for number, own in enumerate(self.class_connections)
+        ]
+        expected = sum(count * load for count, load in zip(connections, self.class_loads, strict=True))
+        expected += GROUP_COST * len(backend.connections_by_group)
+        error = used_capacity / self.capacity_per_connection - expected
+        step = CLASS_LOAD_LEARNING_RATE * error / (1.0 + sum(count * count for count in connections))
+        self.class_loads = [
+            min(MAX_CLASS_LOAD, max(MIN_CLASS_LOAD, load + step * count))
+            for count, load in zip(connections, self.class_loads, strict=True)
+        ]
+
+    def on_slow_message(self, backend: Backend, message_ms: float, now: float) -> None:
+        """Raise the utilization to what this message latency shows, before a report does."""
+        late = exp(-self.message_latency_objective_ms / max(message_ms, 1.0))
+        utilization = HALF_LATE_UTILIZATION * (late / max(1.0 - late, 1e-9)) ** (1.0 / LATENESS_EXPONENT)
+        if utilization > backend.utilization:
+            backend.utilization = utilization
+            _drop_reported_changes(backend, now)
+
+    def utilization(self, backend: Backend) -> float:
+        """Return the estimated load over capacity of a backend, with what was placed since its report."""
+        reported = backend.utilization if backend.utilization >= 0.0 else UNREPORTED_UTILIZATION
+        return max(0.0, reported + sum(added for _, added in backend.changes_since_report))
+
+    def on_time_fraction(self, utilization: float) -> float:
+        """Return the fraction of messages that meet their latency objective at this utilization."""
+        odds: float = (utilization / HALF_LATE_UTILIZATION) ** LATENESS_EXPONENT  # of being late
+        return 1.0 / (1.0 + odds)
+
+    def on_time_decline(self, utilization: float) -> float:
+        """Return by how much the on-time fraction declines for one more unit of utilization.
+
+        Beyond HALF_LATE_UTILIZATION it stays at its steepest: queued work makes an overload worse with time.
+        """
+        relative = min(utilization / HALF_LATE_UTILIZATION, 1.0)
+        odds: float = relative**LATENESS_EXPONENT
+        return LATENESS_EXPONENT * odds / max(relative, 1e-3) / HALF_LATE_UTILIZATION / (1.0 + odds) ** 2
+
+
+def _add_count(counts: dict[int, int], key: int, change: int) -> None:
+    counts[key] = counts.get(key, 0) + change
+    if counts[key] <= 0:
+        del counts[key]
+
+
+def _drop_reported_changes(backend: Backend, now: float) -> None:
+    """Drop the changes that a report of now includes already."""
+    oldest = now - REPORT_LAG_MS
+    backend.changes_since_report = [(at, added) for at, added in backend.changes_since_report if at > oldest]
--- a/yarrowspindle/decisions/request_gate.py
+++ b/yarrowspindle/decisions/request_gate.py
@@ -1,8 +1,8 @@
-"""The one place that answers whether a request may be taken, sent, repeated, moved or answered now, and why not.
+"""Whether a request may be admitted, sent, retried, migrated or answered now, and why not.
 
-Every path asks here: new requests, attempts, retries, the first byte on a connection that has come up, moves, final
-answers, slow start. Each function returns None where it may be, else the `Refusal` that logs and metrics carry. Pure:
-whoever asks brings the facts; times are milliseconds of one clock that never goes back.
+Every path asks here: new requests, attempts, retries, the first byte on a new connection, migrations, final answers,
+slow start. Each function returns None where it is allowed, else the `RejectionReason` that logs and metrics carry.
+All are pure; times are milliseconds of one clock that never goes back.
 """
 
 from __future__ import annotations
@@ -13,27 +13,37 @@
 from yarrowspindle.decisions.rejection import RejectionReason
 from yarrowspindle.decisions.settings import Idempotency
 
-EARLY_MS = 4.0  # the deadline's answer leaves this long before the client stops waiting; nothing is begun after that
-PATIENCE_MS = 1000.0  # a client that would wait for longer than its class's deadline and this is not believed
+# The answer at a deadline is sent this long before the client stops waiting; no attempt starts after that.
+ANSWER_MARGIN_MS = 4.0
+# A client that states a longer wait than its class's deadline and this is rejected: the value is not plausible.
+MAX_CLIENT_DEADLINE_SLACK_MS = 1000.0
 
 
-def may_take(
-    *, ending: bool, id_in_use: bool, names_backend: bool, begun: bool, left_ms: float, deadline_ms: float
+def may_admit(
+    *,
+    shutting_down: bool,
+    id_in_use: bool,
+    names_backend: bool,
+    started: bool,
+    remaining_ms: float,
+    class_deadline_ms: float,
 ) -> RejectionReason | None:
-    """A new request. ending: this process begins nothing any more. names_server: the client names the server that held
-    its connection before the run, which it may until the run has `begun`. left_ms: how long it would wait.
-    deadline_ms: of its class."""
+    """Whether a new request is admitted.
+
+    names_backend: the client names the backend that had its connection before this process; it may do so until the
+    run has `started`. remaining_ms: how long the client would wait. class_deadline_ms: of the request's class.
+    """
     if id_in_use:
         return RejectionReason.ID_IN_USE
-    if names_backend and begun:
+    if names_backend and started:
         return RejectionReason.LATE_BACKEND_AFFINITY
-    if not names_backend and left_ms > deadline_ms + PATIENCE_MS:
+    if not names_backend and remaining_ms > class_deadline_ms + MAX_CLIENT_DEADLINE_SLACK_MS:
         return RejectionReason.DEADLINE_TOO_LONG
-    return RejectionReason.SHUTTING_DOWN if ending else None
+    return RejectionReason.SHUTTING_DOWN if shutting_down else None
 
 
-def may_use(state: EndpointState | None) -> RejectionReason | None:
-    """A server for a new attempt; None as the state of one that is not listed."""
+def may_use_backend(state: EndpointState | None) -> RejectionReason | None:
+    """Whether a backend may get a new attempt; `state` is None for one that is not listed."""
     if state is EndpointState.READY:
         return None
     if state is None:
@@ -41,71 +51,80 @@
     return RejectionReason.BACKEND_DRAINING if state is EndpointState.DRAINING else RejectionReason.BACKEND_REMOVED
 
 
-def may_begin(state: EndpointState | None, left_ms: float) -> RejectionReason | None:
-    """The attempt's connection may be opened. left_ms: of the time that the attempt has."""
-    if left_ms <= EARLY_MS:
+def may_connect(state: EndpointState | None, remaining_ms: float) -> RejectionReason | None:
+    """Whether an attempt's connection may be opened. remaining_ms: until the attempt times out."""
+    if remaining_ms <= ANSWER_MARGIN_MS:
         return RejectionReason.DEADLINE_EXCEEDED
-    return may_use(state)
+    return may_use_backend(state)
 
 
-def may_write(
-    state: EndpointState | None, *, pinned: bool, now: float, begin_by: float, deadline: float
+def may_forward(
+    state: EndpointState | None, *, sticky: bool, now: float, begin_by: float, deadline: float
 ) -> RejectionReason | None:
-    """The first byte of the request, once its connection has come up: much may have happened since it was opened.
-    pinned: it goes to the server that held the connection before the run, whatever that one's state."""
+    """Whether the first byte of a request may be sent on its new connection: facts may have changed since it began.
+
+    sticky: it goes to the backend that had the connection before this process, whatever that one's state. begin_by:
+    when the backends' idempotency window ends.
+    """
     if now >= begin_by:
         return RejectionReason.IDEMPOTENCY_WINDOW_EXPIRED
-    if deadline - now <= EARLY_MS:
+    if deadline - now <= ANSWER_MARGIN_MS:
         return RejectionReason.DEADLINE_EXCEEDED
-    return None if pinned else may_use(state)
+    return None if sticky else may_use_backend(state)
 
 
-def repeat_within(effect: Idempotency, ran_at: float | None, window_ms: float, slack_ms: float, now: float) -> float:
-    """For how long from now a further attempt may begin: without end where none may have run (ran_at: None) or the
-    class may repeat, else until the servers' window closes, less the slack; 0 and below: no more."""
-    if ran_at is None or effect is Idempotency.IDEMPOTENT:
+def repeat_within(
+    idempotency: Idempotency, may_have_run_at: float | None, window_ms: float, margin_ms: float, now: float
+) -> float:
+    """Return for how many milliseconds from now another attempt may begin; 0 or less: no longer.
+
+    Without end where no attempt may have run (`may_have_run_at` is None) or the request is idempotent. With an
+    idempotency key until the backends' window ends, less the margin, since a later attempt would run again.
+    """
+    if may_have_run_at is None or idempotency is Idempotency.IDEMPOTENT:
         return inf
-    if effect is Idempotency.NON_IDEMPOTENT:
+    if idempotency is Idempotency.NON_IDEMPOTENT:
         return 0.0
-    return ran_at + window_ms - slack_ms - now
+    return may_have_run_at + window_ms - margin_ms - now
 
 
-def may_repeat(effect: Idempotency, within_ms: float) -> RejectionReason | None:
-    """A further attempt. within_ms: of `repeat_within`."""
+def may_retry(idempotency: Idempotency, within_ms: float) -> RejectionReason | None:
+    """Whether there may be another attempt. within_ms: from `repeat_within`."""
     if within_ms > 0.0:
         return None
-    return (
-        RejectionReason.MAY_HAVE_RUN
-        if effect is Idempotency.NON_IDEMPOTENT
-        else RejectionReason.IDEMPOTENCY_WINDOW_EXPIRED
-    )
+    if idempotency is Idempotency.NON_IDEMPOTENT:
+        return RejectionReason.MAY_HAVE_RUN
+    return RejectionReason.IDEMPOTENCY_WINDOW_EXPIRED
 
 
-def may_attempt(made: int, most: int, now: float, deadline: float) -> RejectionReason | None:
-    """One more attempt after so many that were made."""
-    if made >= most:
+def may_attempt(attempts: int, max_attempts: int, now: float, deadline: float) -> RejectionReason | None:
+    """Whether there may be one more attempt after this many."""
+    if attempts >= max_attempts:
         return RejectionReason.ATTEMPTS_EXHAUSTED
     return RejectionReason.DEADLINE_EXCEEDED if now >= deadline else None
 
 
-def may_promise_no_effect(effect: Idempotency, may_have_run: bool) -> bool:
-    """Whether a final answer may say that trying again is harmless."""
-    return not may_have_run or effect is Idempotency.IDEMPOTENT
+def may_promise_no_effect(idempotency: Idempotency, may_have_run: bool) -> bool:
+    """Whether a final answer may state that a retry by the client is harmless."""
+    return not may_have_run or idempotency is Idempotency.IDEMPOTENT
 
 
-def may_answer(*, waiting: bool, out: bool) -> RejectionReason | None:
-    """A final answer of the relay's own. waiting: the client has none yet. out: an attempt is out."""
-    if not waiting:
+def may_answer(*, answer_pending: bool, in_flight: bool) -> RejectionReason | None:
+    """Whether the relay may send a final answer of its own. in_flight: an attempt is."""
+    if not answer_pending:
         return RejectionReason.ALREADY_ANSWERED
-    return RejectionReason.ATTEMPT_IN_FLIGHT if out else None
+    return RejectionReason.ATTEMPT_IN_FLIGHT if in_flight else None
+
 
+def may_migrate(*, established: bool) -> RejectionReason | None:
+    """Whether a client may be asked to connect again."""
+    return None if established else RejectionReason.NOT_ESTABLISHED
 
-def may_move(*, standing: bool) -> RejectionReason | None:
-    """A client is told to come again."""
-    return None if standing else RejectionReason.NOT_ESTABLISHED
 
+def may_use_slow_start(probability: float, draw: float) -> RejectionReason | None:
+    """Whether a request may go to a backend in slow start.
 
-def may_feed(chance: float, drawn: float) -> RejectionReason | None:
-    """A request for a server in slow start. chance: this relay's part of the budget, for each request; drawn: in
-    0 to 1. By chance with each request: saved up for a whole one, all relays would send theirs in one moment."""
-    return None if drawn < chance else RejectionReason.SLOW_START
+    probability: this balancer's part of the budget for each request; draw: in 0 to 1. At random for each request:
+    with a budget in whole connections all balancers would send theirs at the same moment.
+    """
+    return None if draw < probability else RejectionReason.SLOW_START
--- a/yarrowspindle/decisions/retries.py
+++ b/yarrowspindle/decisions/retries.py
@@ -1,71 +1,89 @@
-"""Whether and where a request may be tried again: what may have run, within which window, at which servers."""
+"""Whether, when and where another attempt of a request may be made."""
 
 from __future__ import annotations
 
-from math import inf
-
 from yarrowspindle.decisions import request_gate as gate
-from yarrowspindle.decisions.backends import Backend, Request
+from yarrowspindle.decisions.backends import Backend
 from yarrowspindle.decisions.rejection import RejectionReason
-from yarrowspindle.decisions.settings import DeduplicationScope, RequestClass, Settings
+from yarrowspindle.decisions.requests import Request
+from yarrowspindle.decisions.settings import DeduplicationScope, Idempotency, Settings
 from yarrowspindle.decisions.weighted_ring import WeightedRing
 
-RETRY_FRACTION = 0.2  # other attempts allowed at once for each connection set up: retries add a fifth at most
-MAX_SPARE = 2.0  # and saved up for later
+RETRIES_PER_CONNECTION = 0.2  # immediate retries earned by each established connection: a fifth more load at most
+MAX_SAVED_RETRIES = 2.0
+FIRST_BACKOFF_EXPONENT = 3  # the backoff is the latency objective at the third attempt, and doubles with each
 
 
 class RetryBudget:
-    """Other attempts that may go out at once; without one they wait, since what many servers share has failed."""
+    """Immediate retries that are available; without one a retry waits, since a shared dependency may have failed."""
 
     def __init__(self) -> None:
-        self.spare = MAX_SPARE
+        self.available = MAX_SAVED_RETRIES
 
-    def earn(self) -> None:
-        """A connection was set up."""
-        self.spare = min(self.spare + RETRY_FRACTION, MAX_SPARE)
+    def on_established(self) -> None:
+        """Earn a part of a retry for a connection that was established."""
+        self.available = min(self.available + RETRIES_PER_CONNECTION, MAX_SAVED_RETRIES)
 
     def spend(self, free: bool) -> bool:
-        """Whether another attempt may go out at once. free: the last one was never sent, so this one costs nothing."""
+        """Return whether a retry may go out at once. free: the last attempt was never sent, so it costs nothing."""
         if free:
             return True
-        if self.spare < 1.0:
+        if self.available < 1.0:
             return False
-        self.spare -= 1.0
+        self.available -= 1.0
         return True
 
 
+def backoff_ms(setup_latency_objective_ms: float, attempts: int, draw: float) -> float:
+    """Return how long a retry without budget waits: it doubles with each attempt, times 0.5 to 1.5 by the draw."""
+    return setup_latency_objective_ms * 2.0 ** (attempts - FIRST_BACKOFF_EXPONENT) * (0.5 + draw)
+
+
 def repeat_within(request: Request, settings: Settings, now: float) -> float:
-    """Milliseconds within which a further attempt has to begin, so that it is known as a repeat where it arrives."""
+    """Return for how many milliseconds another attempt may begin, so that backends recognise it as a repeat."""
     cls = settings.classes[request.cls]
-    ran_at = request.ran_at if request.ran_on is not None else None
-    return gate.repeat_within(
-        cls.idempotency, ran_at, cls.idempotency_window_ms, settings.tick_ms + settings.answer_slack_ms, now
-    )
+    may_have_run_at = request.may_have_run_at if request.may_have_run_on is not None else None
+    margin_ms = settings.tick_ms + settings.answer_slack_ms
+    return gate.repeat_within(cls.idempotency, may_have_run_at, cls.idempotency_window_ms, margin_ms, now)
 
 
 def may_attempt(request: Request, settings: Settings, now: float) -> RejectionReason | None:
-    """One more attempt of the request, wherever."""
-    made = gate.may_attempt(request.attempts, min(request.most, settings.max_attempts), now, request.deadline)
-    if made or request.ran_on is None:
-        return made
-    return gate.may_repeat(settings.classes[request.cls].idempotency, repeat_within(request, settings, now))
-
-
-def repeat_group(
-    request: Request, ran_on: Backend, cls: RequestClass, within_ms: float, pool: list[Backend]
-) -> WeightedRing[Backend]:
-    """The servers that drop a repeat of a request which may have run on `ran_on`."""
+    """Return why there may be no further attempt at any backend; None where there may."""
+    max_attempts = min(request.max_attempts, settings.max_attempts)
+    refused = gate.may_attempt(request.attempts, max_attempts, now, request.deadline)
+    if refused or request.may_have_run_on is None:
+        return refused
+    return gate.may_retry(settings.classes[request.cls].idempotency, repeat_within(request, settings, now))
+
+
+def deduplication_ring(
+    request: Request, settings: Settings, now: float, fleet: WeightedRing[Backend]
+) -> WeightedRing[Backend] | None:
+    """Return the backends that recognise another attempt as a repeat; None where it may go to any.
+
+    The ring is empty where the idempotency window has ended or the class is not idempotent.
+    """
+    cls, ran_on = settings.classes[request.cls], request.may_have_run_on
+    if ran_on is None or cls.idempotency is Idempotency.IDEMPOTENT:
+        return None
     ring = WeightedRing[Backend]()
-    for backend in pool if within_ms > 0.0 else ():
-        same_zone, same_cell = backend.zone == ran_on.zone, backend.cell == ran_on.cell
-        if cls.deduplication_scope is DeduplicationScope.ALL or (
-            same_zone if cls.deduplication_scope is DeduplicationScope.ZONE else same_cell
-        ):
-            ring.put(backend)
+    if repeat_within(request, settings, now) <= 0.0:
+        return ring
+    for backend in fleet.members:
+        if _shares_deduplication(backend, ran_on, cls.deduplication_scope):
+            ring.add(backend)
     return ring
 
 
-def least_wait(request: Request, settings: Settings, until: float, now: float) -> float:
-    """How long the request may still wait before its next attempt has to begin; `until` bounds it too."""
-    left = min(request.deadline - settings.tick_ms, until) - now
-    return min(left, repeat_within(request, settings, now), inf)
+def _shares_deduplication(backend: Backend, ran_on: Backend, scope: DeduplicationScope) -> bool:
+    if scope is DeduplicationScope.ALL:
+        return True
+    if scope is DeduplicationScope.ZONE:
+        return backend.zone == ran_on.zone
+    return backend.cell == ran_on.cell
+
+
+def max_wait_ms(request: Request, settings: Settings, until: float, now: float) -> float:
+    """Return how long the request may still wait before its next attempt has to begin, at most to `until`."""
+    remaining_ms = min(request.deadline - settings.tick_ms, until) - now
+    return min(remaining_ms, repeat_within(request, settings, now))
--- a/yarrowspindle/decisions/slow_start.py
+++ b/yarrowspindle/decisions/slow_start.py
@@ -1,8 +1,8 @@
-"""How fast servers that have just started are fed (slow start), so that all relays together stay within the budget.
+"""Slow start: how many requests a backend gets while it warms up, so that all balancers together stay in the budget.
 
-A cold server takes new connections no faster than fills it over its warm-up, by the ramp that the settings guarantee.
-Each relay adds its part: of what it holds itself, or ends well in such a time, what falls to these servers; so the
-fleet keeps the budget however busy the other relays are, and whoever comes again and again.
+A backend that is warming up gets new connections no faster than fills it over its warm-up, by the capacity fraction
+that the settings guarantee. Each balancer contributes in proportion to the connections that it has, or that end well
+in such a time: so the fleet keeps the budget however busy the other balancers are, and whichever clients come again.
 """
 
 from __future__ import annotations
@@ -10,60 +10,96 @@
 from bisect import bisect
 from collections.abc import Callable
 from itertools import accumulate
-from math import inf
+from math import exp, inf
 
 from yarrowspindle.decisions import request_gate as gate
-from yarrowspindle.decisions.backends import Backend, Rate
+from yarrowspindle.decisions.backends import Backend
 from yarrowspindle.decisions.settings import Settings
 from yarrowspindle.decisions.weighted_ring import WeightedRing
 
-BUDGET_FRACTION = 0.75  # of the fall multiple, used of a cold server's budget; the rest is for chance
-HEADROOM = 2.0  # what fills a server, over its share of what stands as a rule
-LOOKS = 32.0  # in the time in which a fall is judged: how often cold servers are looked up
-CANDIDATES = 2
+BUDGET_FRACTION = 0.75  # of the overload multiple: the rest is a margin for the randomness of all balancers' draws
+FILL_HEADROOM = 2.0  # rate that fills a backend, over its share of the connections in steady state
+REFRESHES_PER_WINDOW = 32.0  # how often the warming backends are looked up in one overload window
+MAX_UNUSED_WINDOWS = 2.0  # overload windows of budget that a quiet time may save up
+CANDIDATES = 2  # drawn, of which the less loaded one gets the request
+
+
+class DecayingRate:
+    """Events for each millisecond, averaged with exponential decay over about `average_over_ms`."""
+
+    def __init__(self, average_over_ms: float, now: float) -> None:
+        self.average_over_ms = max(average_over_ms, 1e-3)
+        self.updated_at, self.decayed_count = now, 0.0
+
+    def count(self, now: float) -> None:
+        """Count one event."""
+        self.decayed_count, self.updated_at = 1.0 + self.get(now) * self.average_over_ms, now
+
+    def get(self, now: float) -> float:
+        """Return the events for each millisecond as of now."""
+        decay = exp((self.updated_at - now) / self.average_over_ms)
+        return self.decayed_count * decay / self.average_over_ms
 
 
 class SlowStart:
-    """One relay's part of the budget of all cold servers that it feeds. random: draws in 0 to 1."""
+    """One balancer's part of the budget of the backends that warm up. random: draws in 0 to 1."""
 
     def __init__(self, settings: Settings, random: Callable[[], float], now: float) -> None:
         self.random = random
-        self.young: dict[int, Backend] = {}  # servers that may be cold
-        self.cold: list[Backend] = []  # those that we feed, as last looked up, and sums of what they can do
-        self.cold_ends: list[float] = []
-        self.looked_at, self.fed_at = -inf, now
-        # Own connections that ended well: in the long run as many as are wanted, whoever comes again.
-        self.ended = Rate(settings.warmup_ms, now)
+        self.warming_up: dict[int, Backend] = {}  # backends that may be warming up
+        self.eligible: list[Backend] = []  # those that this balancer may send to, as last refreshed
+        self.cumulative_capacity: list[float] = []  # running sums of what `eligible` can carry now
+        self.refreshed_at, self.budget_used_at = -inf, now
+        # Completions count what clients want in the long run: clients that come again don't raise it.
+        self.completions = DecayingRate(settings.warmup_ms, now)
 
-    def seen(self, backend: Backend) -> None:
-        """It was listed, or turned up on the books: it may have started a moment ago."""
-        self.young[backend.id] = backend
+    def on_backend_listed(self, backend: Backend) -> None:
+        """Take note of a backend that was listed or appeared: it may have started a moment ago."""
+        self.warming_up[backend.id] = backend
 
     def forget(self, backend: int) -> None:
-        self.young.pop(backend, None)
+        """Drop a backend that is neither ready nor in use."""
+        self.warming_up.pop(backend, None)
 
-    def candidates(
-        self, now: float, settings: Settings, fed: WeightedRing[Backend], home_only: bool, standing: int
+    def draw_candidates(
+        self, now: float, settings: Settings, ring: WeightedRing[Backend], home_only: bool, connections: int
     ) -> list[Backend]:
-        """Cold servers of which one is to get this request; empty: the budget says no. fed: the ring whose cold servers
-        we feed, of the own zone alone where `home_only`. standing: own connections."""
-        if now >= self.looked_at + settings.overload_window_ms / LOOKS:
-            self._look_up(now, settings, home_only)
-        since, self.fed_at = now - self.fed_at, now
-        if not self.cold:
+        """Return the warming backends of which one gets the present request; none where the budget is used up.
+
+        ring: the backends among which this balancer feeds the warming ones, of its own zone alone where `home_only`.
+        connections: own connections, over all backends.
+        """
+        if now >= self.refreshed_at + settings.overload_window_ms / REFRESHES_PER_WINDOW:
+            self._refresh(now, settings, home_only)
+        elapsed_ms, self.budget_used_at = now - self.budget_used_at, now
+        if not self.eligible:
             return []
-        part = BUDGET_FRACTION * HEADROOM * settings.overload_multiple * self.cold_ends[-1] / fed.usual
-        stands = max(standing / settings.warmup_ms, self.ended.get(now))
-        if gate.may_feed(part * stands * min(since, 2.0 * settings.overload_window_ms), self.random()):
+        warming_capacity = self.cumulative_capacity[-1]
+        budget_multiple = BUDGET_FRACTION * FILL_HEADROOM * settings.overload_multiple
+        budget_fraction = budget_multiple * warming_capacity / ring.nominal_capacity
+        own_rate = max(connections / settings.warmup_ms, self.completions.get(now))  # for each millisecond
+        elapsed_ms = min(elapsed_ms, MAX_UNUSED_WINDOWS * settings.overload_window_ms)
+        if gate.may_use_slow_start(budget_fraction * own_rate * elapsed_ms, self.random()):
             return []
-        return [self.cold[bisect(self.cold_ends, self.random() * self.cold_ends[-1])] for _ in range(CANDIDATES)]
+        return [self._draw(warming_capacity) for _ in range(CANDIDATES)]
+
+    def _draw(self, warming_capacity: float) -> Backend:
+        return self.eligible[bisect(self.cumulative_capacity, self.random() * warming_capacity)]
+
+    def connections_are_short(self, now: float, settings: Settings, connections: int) -> bool:
+        """Return whether connections last less than a warm-up on average.
 
-    def turns_over(self, now: float, settings: Settings, standing: int) -> bool:
-        """Whether connections live for less than a warm-up: then what a server holds tells what it gets."""
-        return self.ended.get(now) > standing / settings.warmup_ms
+        Then a backend's own connections show its share of the traffic, and the share is enforced too.
+        """
+        return self.completions.get(now) > connections / settings.warmup_ms
 
-    def _look_up(self, now: float, settings: Settings, home_only: bool) -> None:
-        self.looked_at = now
-        self.young = {i: s for i, s in self.young.items() if s.ready and s.ramp(now, settings) < 1.0}
-        self.cold = [s for s in self.young.values() if not home_only or s.zone == settings.zone]
-        self.cold_ends = list(accumulate(s.capacity * s.ramp(now, settings) for s in self.cold))
+    def _refresh(self, now: float, settings: Settings, home_only: bool) -> None:
+        self.refreshed_at = now
+        self.warming_up = {
+            number: backend
+            for number, backend in self.warming_up.items()
+            if backend.ready and backend.capacity_fraction(now, settings) < 1.0
+        }
+        self.eligible = [b for b in self.warming_up.values() if not home_only or b.zone == settings.zone]
+        capacities = (b.capacity * b.capacity_fraction(now, settings) for b in self.eligible)
+        self.cumulative_capacity = list(accumulate(capacities))
--- a/yarrowspindle/decisions/weighted_ring.py
+++ b/yarrowspindle/decisions/weighted_ring.py
@@ -1,8 +1,8 @@
-"""Servers to draw from at random, in proportion to capacity, from an arc of a ring. It decides nothing.
+"""Backends to draw from at random in proportion to capacity, from an arc of a ring. It decides nothing.
 
-They stand in the order of their ids, each with a part of the ring in proportion to its capacity. They are kept in
-blocks with running sums of their own: a change of the list costs one block and the sums over blocks, not a sum over
-the whole fleet. Up to `BLOCK` servers are one block, and a draw is one bisection.
+They are ordered by id, each with a part of the ring in proportion to its capacity. They are kept in blocks with
+running sums of their own: an update costs one block and the sums over blocks, not a sum over the fleet. Up to
+MAX_BLOCK_SIZE backends are one block, and a draw is one bisection.
 """
 
 from __future__ import annotations
@@ -10,116 +10,143 @@
 from bisect import bisect, bisect_left
 from collections.abc import Callable
 from itertools import accumulate
-from typing import Generic, Protocol, TypeVar
+from typing import Generic, NamedTuple, Protocol, TypeVar
 
-COVER = 8.0  # balancers that each server is drawn by: own counts are near one, one balancer's luck an eighth
-BLOCK = 128
+# Balancers that draw each backend: own counts stay near one, and one balancer's randomness is an eighth of them.
+BALANCERS_PER_BACKEND = 8.0
+MIN_SUBSET_SIZE = 2.0  # backends
+MAX_BLOCK_SIZE = 128
+ROUNDING_TOLERANCE = 1e-9  # in capacity
 
 
-class Weighed(Protocol):
+class Weighted(Protocol):
+    """What a ring needs of its members."""
+
     id: int
     capacity: float
 
 
-T = TypeVar("T", bound=Weighed)
+T = TypeVar("T", bound=Weighted)
 
 
 class Block(Generic[T]):
-    """Some servers that stand side by side, and the running sums of their capacities."""
+    """Some adjacent members, and the running sums of their capacities."""
+
+    def __init__(self, members: list[T]) -> None:
+        self.members = members
+        self.ids = [member.id for member in members]
+        self.update_sums()
+
+    def update_sums(self) -> None:
+        """Compute the running sums anew after a change of the members."""
+        self.cumulative_capacity = list(accumulate(member.capacity for member in self.members))
 
-    def __init__(self, pool: list[T]) -> None:
-        self.pool = pool
-        self.ids = [s.id for s in pool]
-        self.count()
 
-    def count(self) -> None:
-        self.ends = list(accumulate(s.capacity for s in self.pool))
+class Position(NamedTuple):
+    """Where an id is on the ring or would be inserted: block, offset in the block, whether it is there."""
+
+    block: int
+    offset: int
+    found: bool
 
 
 class WeightedRing(Generic[T]):
-    """`sharers`: how many balancers draw from it. total: the capacity that it has; usual: the most that it has had
-    after a whole list (within one, servers come before those that they replace are gone)."""
+    """A ring that `balancers` balancers draw from.
+
+    total_capacity: of all members. nominal_capacity: the highest total after a complete list (within one, backends
+    are added before those that they replace are removed).
+    """
 
-    def __init__(self, sharers: float = 1.0) -> None:
-        self.sharers = sharers
+    def __init__(self, balancers: float = 1.0) -> None:
+        self.balancers = balancers
         self.blocks: list[Block[T]] = []
-        self.firsts: list[int] = []  # the least id of each block
-        self.ends: list[float] = []  # running sums over blocks
+        self.first_ids: list[int] = []  # the lowest id of each block
+        self.cumulative_capacity: list[float] = []  # running sums over blocks
         self.size = 0
-        self.total = self.usual = 0.0
+        self.total_capacity = self.nominal_capacity = 0.0
 
     @property
-    def pool(self) -> list[T]:
-        return [backend for block in self.blocks for backend in block.pool]
+    def members(self) -> list[T]:
+        """All members by id, in a new list."""
+        return [member for block in self.blocks for member in block.members]
 
     @property
-    def arc(self) -> float:
-        """The part of the ring that one balancer draws from on the ordinary path: two servers at the least."""
-        return min(1.0, max(COVER / self.sharers, 2.0 / max(1, self.size)))
+    def subset_fraction(self) -> float:
+        """The fraction of the ring that one balancer draws from, in 0 to 1: MIN_SUBSET_SIZE backends at least."""
+        return min(1.0, max(BALANCERS_PER_BACKEND / self.balancers, MIN_SUBSET_SIZE / max(1, self.size)))
 
-    def _block(self, backend: T) -> tuple[int, int, bool]:
-        """Its block, where it stands in it or would stand, and whether it is there."""
-        number = max(0, bisect(self.firsts, backend.id) - 1)
+    def _position(self, member: T) -> Position:
+        number = max(0, bisect(self.first_ids, member.id) - 1)
         if number == len(self.blocks):
-            return number, 0, False
+            return Position(number, 0, False)
         ids = self.blocks[number].ids
-        at = bisect_left(ids, backend.id)
-        return number, at, at < len(ids) and ids[at] == backend.id
+        offset = bisect_left(ids, member.id)
+        return Position(number, offset, offset < len(ids) and ids[offset] == member.id)
 
-    def put(self, backend: T) -> None:
-        """Takes it in; nothing where it is in already."""
-        number, at, there = self._block(backend)
-        if there:
+    def add(self, member: T) -> None:
+        """Add a member; nothing where it is one already."""
+        number, offset, found = self._position(member)
+        if found:
             return
         if number == len(self.blocks):
-            self.blocks.append(Block([backend]))
+            self.blocks.append(Block([member]))
         else:
-            block = self.blocks[number]
-            block.pool.insert(at, backend)
-            block.ids.insert(at, backend.id)
-            if len(block.pool) > BLOCK:
-                half = len(block.pool) // 2
-                self.blocks[number : number + 1] = [Block(block.pool[:half]), Block(block.pool[half:])]
-            else:
-                block.count()
+            self._insert(number, offset, member)
         self.size += 1
-        self._count()
+        self._update_sums()
 
-    def drop(self, backend: T) -> None:
-        """Takes it out; nothing where it is not in."""
-        number, at, there = self._block(backend)
-        if not there:
+    def _insert(self, number: int, offset: int, member: T) -> None:
+        block = self.blocks[number]
+        block.members.insert(offset, member)
+        block.ids.insert(offset, member.id)
+        if len(block.members) > MAX_BLOCK_SIZE:
+            half = len(block.members) // 2
+            self.blocks[number : number + 1] = [Block(block.members[:half]), Block(block.members[half:])]
+        else:
+            block.update_sums()
+
+    def remove(self, member: T) -> None:
+        """Remove a member; nothing where it is not one."""
+        number, offset, found = self._position(member)
+        if not found:
             return
         block = self.blocks[number]
-        del block.pool[at], block.ids[at]
-        if block.pool:
-            block.count()
+        del block.members[offset], block.ids[offset]
+        if block.members:
+            block.update_sums()
         else:
             del self.blocks[number]
         self.size -= 1
-        self._count()
-
-    def _count(self) -> None:
-        self.firsts = [block.ids[0] for block in self.blocks]
-        self.ends = list(accumulate(block.ends[-1] for block in self.blocks))
-        self.total = self.ends[-1] if self.ends else 0.0
-
-    def draw(self, random: Callable[[], float], start: float, arc: float) -> T:
-        """One of the arc's servers, in proportion to capacity. The ring must not be empty."""
-        place = (start + arc * random()) % 1.0 * self.total
-        number = bisect(self.ends, place, 0, len(self.ends) - 1)
+        self._update_sums()
+
+    def _update_sums(self) -> None:
+        self.first_ids = [block.ids[0] for block in self.blocks]
+        self.cumulative_capacity = list(accumulate(block.cumulative_capacity[-1] for block in self.blocks))
+        self.total_capacity = self.cumulative_capacity[-1] if self.cumulative_capacity else 0.0
+
+    def draw(self, random: Callable[[], float], start: float, fraction: float) -> T:
+        """Return a member of the arc that begins at `start`, in proportion to capacity.
+
+        start, fraction: of the whole ring, in 0 to 1. random: draws in 0 to 1; called once. Raises IndexError where
+        the ring is empty.
+        """
+        point = (start + fraction * random()) % 1.0 * self.total_capacity
+        sums = self.cumulative_capacity
+        number = bisect(sums, point, 0, len(sums) - 1)
         block = self.blocks[number]
         if number:
-            place -= self.ends[number - 1]
-        return block.pool[bisect(block.ends, place, 0, len(block.pool) - 1)]
-
-    def within(self, start: float, arc: float) -> list[T]:
-        """The servers that lie wholly in the arc."""
-        if arc >= 1.0:
-            return self.pool
-        found, end, first, length = [], 0.0, start * self.total, arc * self.total
-        for backend in self.pool:
-            if (end - first) % self.total + backend.capacity <= length + 1e-9:
-                found.append(backend)
-            end += backend.capacity
+            point -= sums[number - 1]
+        return block.members[bisect(block.cumulative_capacity, point, 0, len(block.members) - 1)]
+
+    def within(self, start: float, fraction: float) -> list[T]:
+        """Return the members that are completely in the arc."""
+        if fraction >= 1.0:
+            return self.members
+        found = []
+        end = 0.0
+        first, length = start * self.total_capacity, fraction * self.total_capacity
+        for member in self.members:
+            if (end - first) % self.total_capacity + member.capacity <= length + ROUNDING_TOLERANCE:
+                found.append(member)
+            end += member.capacity
         return found
--- a/yarrowspindle/routing/reducer.py
+++ b/yarrowspindle/routing/reducer.py
@@ -17,7 +17,7 @@
 from yarrowspindle.decisions.balancer import Balancer
 from yarrowspindle.decisions.events import EndpointState, ListKind
 from yarrowspindle.decisions.rejection import RejectionReason
-from yarrowspindle.decisions.request_gate import EARLY_MS
+from yarrowspindle.decisions.request_gate import ANSWER_MARGIN_MS
 from yarrowspindle.decisions.settings import Settings
 from yarrowspindle.routing.address import Address
 from yarrowspindle.routing.effects import (
@@ -176,7 +176,7 @@
         # A Cancel needs nothing more: it only comes for a job whose submitter left, and _left ends the attempt.
 
     def _probe(self, backend: Backend | None) -> None:
-        if backend is not None and not gate.may_use(backend.state):  # of any other the module knows enough
+        if backend is not None and not gate.may_use_backend(backend.state):  # of any other the module knows enough
             self.effects.append(CheckHealth(backend.name, backend.address, PROBE_MS))
 
     def _probe_over(self, event: HealthCheckCompleted) -> None:
@@ -189,14 +189,16 @@
             )
 
     def _send(self, request: Request, backend: Backend | None, send: actions.StartAttempt) -> None:
-        if refused := gate.may_answer(waiting=request.phase is not Phase.CLOSED, out=request.phase is not Phase.QUEUED):
+        if refused := gate.may_answer(
+            answer_pending=request.phase is not Phase.CLOSED, in_flight=request.phase is not Phase.QUEUED
+        ):
             raise ValueError(f"job {request.id} is {request.phase.name}: {refused.value}")
         request.attempt += 1
         left = request.deadline - self.now
         if send.timeout_ms > 0.0:
             left = min(left, send.timeout_ms)
         request.begin_by = self.now + send.begin_ms
-        if backend is None or gate.may_begin(backend.state, left):
+        if backend is None or gate.may_connect(backend.state, left):
             number = backend.number if backend else 0
             self._tell(
                 balancer_events.AttemptEnded(
@@ -215,7 +217,9 @@
 
     def _answer(self, number: int, answer: RejectRequest | FailRequest) -> None:
         request = self.requests.get(number)
-        if request is not None and not gate.may_answer(waiting=request.phase is not Phase.ESTABLISHED, out=request.out):
+        if request is not None and not gate.may_answer(
+            answer_pending=request.phase is not Phase.ESTABLISHED, in_flight=request.out
+        ):
             self._finish(request)
             self.effects.append(answer)
             if self.rebalance is not None and isinstance(answer, RejectRequest):
@@ -262,7 +266,7 @@
             self._answer(request.id, RejectRequest(request.id, 0.0, RejectionReason.NO_USABLE_BACKEND))
 
     def _move(self, request: Request | None) -> None:
-        if request is not None and not gate.may_move(standing=request.phase is Phase.ESTABLISHED):
+        if request is not None and not gate.may_migrate(established=request.phase is Phase.ESTABLISHED):
             self.effects.append(MigrateConnection(request.id))
             self._ended(request, TerminationReason.MIGRATED, True)
 
@@ -288,7 +292,9 @@
             )
             request.backend, request.attempt = self.backends.get(event.at), 0
             request.deadline = self.now + PINNED_MS
-        self.effects.append(SetTimer(max(request.deadline - self.now - EARLY_MS, 0.0), ("deadline", request.id)))
+        self.effects.append(
+            SetTimer(max(request.deadline - self.now - ANSWER_MARGIN_MS, 0.0), ("deadline", request.id))
+        )
         if request.adoption is not None:
             self._pin(request)
         else:
@@ -314,13 +320,13 @@
         if not event.ref:
             return RejectionReason.SHUTTING_DOWN if self.ended(self.now) else None
         pinned = bool(event.at)
-        refused = gate.may_take(
-            ending=self.ended(self.now),
+        refused = gate.may_admit(
+            shutting_down=self.ended(self.now),
             id_in_use=event.ref in self.refs,
             names_backend=pinned,
-            begun=self.begun,
-            left_ms=event.left_ms,
-            deadline_ms=self.settings.classes[event.cls].deadline_ms,
+            started=self.begun,
+            remaining_ms=event.left_ms,
+            class_deadline_ms=self.settings.classes[event.cls].deadline_ms,
         )
         if not pinned and (refused is None or refused is RejectionReason.SHUTTING_DOWN):
             self.begun = True
@@ -363,9 +369,9 @@
         request = self._current(event.request, event.attempt)
         if request is None or request.backend is None or request.phase is not Phase.CONNECTING:
             return
-        refused = gate.may_write(
+        refused = gate.may_forward(
             request.backend.state,
-            pinned=request.adoption is not None,
+            sticky=request.adoption is not None,
             now=self.now,
             begin_by=request.begin_by,
             deadline=request.deadline,
@@ -538,11 +544,11 @@
             # Nothing was sent yet, and nothing may be sent to a node that drains or is gone; a new one is chosen anew.
             request = self.requests[number]
             if request.phase is Phase.CONNECTING and request.adoption is None:
-                why = gate.may_use(request.backend.state) if request.backend is not None else None
+                why = gate.may_use_backend(request.backend.state) if request.backend is not None else None
                 self.effects.append(AbortAttempt(request.id, request.attempt, why or TerminationReason.NOT_SENT))
                 self._ended(request, TerminationReason.NOT_SENT, False)
         for backend in changed:
-            if self.settings.may_probe and (backend.name in renewed or gate.may_use(backend.state)):
+            if self.settings.may_probe and (backend.name in renewed or gate.may_use_backend(backend.state)):
                 self.effects.append(CancelHealthCheck(backend.name))
             if backend.state is EndpointState.GONE and touched[backend.name] is not EndpointState.GONE:
                 self.effects.append(BackendRemoved(backend.name))
@@ -667,7 +673,7 @@
         if rebalance is None:
             return
         self.effects.append(SetTimer(rebalance.beat_ms, PLAN))
-        moves = rebalance.beat(self.now, *self.balancer.drawn())
+        moves = rebalance.beat(self.now, *self.balancer.subset())
         self._level(rebalance.level)
         for number in moves:
             self._move(self.requests.get(number))
@@ -704,7 +710,7 @@
     def _deadline(self, request: Request) -> None:
         if request.out:
             self.effects.append(AbortAttempt(request.id, request.attempt, RejectionReason.DEADLINE_EXCEEDED))
-            stalled = request.deadline - EARLY_MS <= self.stalled_at
+            stalled = request.deadline - ANSWER_MARGIN_MS <= self.stalled_at
             request.deadline = self.now
             self._ended(
                 request, TerminationReason.EVENT_LOOP_STALLED if stalled else TerminationReason.DEADLINE_EXCEEDED, False
--- a/yarrowspindle/runtime/membership_driver.py
+++ b/yarrowspindle/runtime/membership_driver.py
@@ -119,13 +119,13 @@
     own = LocalLoad({})
     for backend in backends:
         key = backend.id & BACKEND_KEY_MASK
-        if backend.open:
-            own.holds[key] = (backend.open, backend.load)
-            for group, count in backend.groups.items():
+        if backend.connections:
+            own.holds[key] = (backend.connections, backend.load)
+            for group, count in backend.connections_by_group.items():
                 if group:
                     own.holds[group_key(backend.id, group)] = (count, 0.0)
-        if now < backend.bad_until:
-            own.passed[key] = backend.bad_until - now
-        if now <= backend.told_at + REPORT_MS:
-            own.reports[key] = (backend.used, backend.holds, now - backend.told_at)
+        if now < backend.ejected_until:
+            own.passed[key] = backend.ejected_until - now
+        if now <= backend.last_report_at + REPORT_MS:
+            own.reports[key] = (backend.utilization, backend.reported_connections, now - backend.last_report_at)
     return own
--- a/yarrowspindle/telemetry/counts.py
+++ b/yarrowspindle/telemetry/counts.py
@@ -66,7 +66,7 @@
             for figure in FIGURES:
                 found[f"{figure}.{name}"] = self.counts[f"{figure}.{name}"]
         listed = [backend for backend in reducer.backends.values() if backend.state is not EndpointState.GONE]
-        avoided = reducer.balancer.avoided(reducer.now)
+        avoided = reducer.balancer.ejected(reducer.now)
         found |= {
             "backend_calls": self.counts["backend_calls"],
             "inflight": len(reducer.requests),
