--- a/yarrowspindle/decisions/load_estimates.py
+++ b/yarrowspindle/decisions/load_estimates.py
@@ -48,7 +48,10 @@
 
 
 class LoadEstimates:
-    """The utilization of all backends, as one balancer estimates it."""
+    """The utilization of all backends, as one balancer estimates it.
+
+    mean_priority_weight: of a mean connection, over all backends.
+    """
 
     def __init__(self, settings: Settings, peer_loads: PeerLoadTable | None = None) -> None:
         self.peer_loads = peer_loads or PeerLoadTable(settings.balancers)
@@ -70,13 +73,13 @@
             self.class_loads[number] = 1.0
         objectives = (c.message_latency_objective_ms for c in self.classes if c.message_latency_objective_ms > 0.0)
         self.message_latency_objective_ms = min(objectives, default=0.0)
+        self._update_mean_priority_weight()
 
-    @property
-    def mean_priority_weight(self) -> float:
-        """The priority weight of a mean connection; each class counts one connection more than there are."""
+    def _update_mean_priority_weight(self) -> None:
+        """Each class counts one connection more than there are, so that a class without any counts too."""
         total = sum(self.class_connections) + len(self.class_connections)
-        weights = zip(self.classes, self.class_connections, strict=True)
-        return sum(cls.priority_weight * (count + 1.0) for cls, count in weights) / total
+        counts = zip(self.classes, self.class_connections, strict=True)
+        self.mean_priority_weight = sum(cls.priority_weight * (count + 1.0) for cls, count in counts) / total
 
     def added_utilization(self, backend: Backend, request: Request, already_there: bool = False) -> float:
         """Return what the connection adds to a backend's utilization, or takes off where it is `already_there`.
@@ -101,6 +104,7 @@
         added = self.added_utilization(backend, request, change < 0)
         backend.changes_since_report.append((now, change * added))
         self.class_connections[request.cls] += change
+        self._update_mean_priority_weight()
         _add_count(backend.connections_by_class, request.cls, change)
         _add_count(backend.connections_by_group, request.group, change)
         group_backends = self.backends_by_group.setdefault(request.group, {})
--- a/yarrowspindle/decisions/weighted_ring.py
+++ b/yarrowspindle/decisions/weighted_ring.py
@@ -54,7 +54,8 @@
     """A ring that `balancers` balancers draw from.
 
     total_capacity: of all members. nominal_capacity: the highest total after a complete list (within one, backends
-    are added before those that they replace are removed).
+    are added before those that they replace are removed). subset_fraction: of the ring, in 0 to 1; the part that one
+    balancer draws from, MIN_SUBSET_SIZE backends at least.
     """
 
     def __init__(self, balancers: float = 1.0) -> None:
@@ -64,17 +65,13 @@
         self.cumulative_capacity: list[float] = []  # running sums over blocks
         self.size = 0
         self.total_capacity = self.nominal_capacity = 0.0
+        self.subset_fraction = 1.0
 
     @property
     def members(self) -> list[T]:
         """All members by id, in a new list."""
         return [member for block in self.blocks for member in block.members]
 
-    @property
-    def subset_fraction(self) -> float:
-        """The fraction of the ring that one balancer draws from, in 0 to 1: MIN_SUBSET_SIZE backends at least."""
-        return min(1.0, max(BALANCERS_PER_BACKEND / self.balancers, MIN_SUBSET_SIZE / max(1, self.size)))
-
     def _position(self, member: T) -> Position:
         number = max(0, bisect(self.first_ids, member.id) - 1)
         if number == len(self.blocks):
@@ -123,6 +120,8 @@
         self.first_ids = [block.ids[0] for block in self.blocks]
         self.cumulative_capacity = list(accumulate(block.cumulative_capacity[-1] for block in self.blocks))
         self.total_capacity = self.cumulative_capacity[-1] if self.cumulative_capacity else 0.0
+        smallest_subset = MIN_SUBSET_SIZE / max(1, self.size)
+        self.subset_fraction = min(1.0, max(BALANCERS_PER_BACKEND / self.balancers, smallest_subset))
 
     def draw(self, random: Callable[[], float], start: float, fraction: float) -> T:
         """Return a member of the arc that begins at `start`, in proportion to capacity.
