--- a/yarrowspindle/decisions/actions.py
+++ b/yarrowspindle/decisions/actions.py
@@ -1,8 +1,4 @@
-"""What a balancer asks for: the actions that each event returns, to be carried out in order.
-
-All times are milliseconds, all loads are milliseconds of standard-core work asked for in each second. Nothing here
-decides anything.
-"""
+"""The actions that a balancer returns for an event, to be carried out in order. All times are milliseconds."""
 
 from __future__ import annotations
 
@@ -14,17 +10,17 @@
 
 @dataclass(slots=True)
 class StartAttempt:
-    """Start the request's next attempt; attempts count from 0 in the order of their sends."""
+    """Start the request's next attempt; attempts are numbered from 0."""
 
     request: int
     backend: int
     timeout_ms: float  # 0: until the client gives up
-    begin_ms: float = inf  # a repeat may not begin later than this from now: it would not be known as one any more
+    begin_ms: float = inf  # from now: a later attempt would not be recognised as a repeat any more
 
 
 @dataclass(slots=True)
 class RejectRequest:
-    """Final answer: not served, and trying again does no harm."""
+    """Final answer: not served, and a retry by the client is harmless."""
 
     request: int
     retry_after_ms: float = 0.0
@@ -33,7 +29,7 @@
 
 @dataclass(slots=True)
 class FailRequest:
-    """Final answer: not served, with no promise on whether it ran."""
+    """Final answer: not served, and it may have run."""
 
     request: int
     reason: RejectionReason | None = None
@@ -41,37 +37,45 @@
 
 @dataclass(slots=True)
 class CancelAttempt:
+    """Abort an attempt that is in flight, since its client has disconnected."""
+
     request: int
     attempt: int
 
 
 @dataclass(slots=True)
 class MigrateConnection:
-    """End an established connection politely; its client comes again as a new request."""
+    """Ask the client of an established connection to connect again, as a new request."""
 
     request: int
 
 
 @dataclass(slots=True)
 class SetTimer:
+    """Send `TimerFired` with this token after the delay."""
+
     delay_ms: float
     token: int
 
 
 @dataclass(slots=True)
 class CheckHealth:
-    """Ask a server for its load report; one `Probed` answers it. Each costs the server work and has a price."""
+    """Check a backend's health and load; one `HealthCheckCompleted` answers it. Each costs the backend work."""
 
     backend: int
 
 
 @dataclass(slots=True)
 class WatchEndpoints:
+    """Ask discovery for the endpoint list."""
+
     on: bool = True
 
 
 @dataclass(slots=True)
 class LogMessage:
+    """Write a line to the log."""
+
     text: str
 
 
--- a/yarrowspindle/decisions/cost_placement.py
+++ b/yarrowspindle/decisions/cost_placement.py
@@ -50,18 +50,24 @@
         found = list[Backend]()
         if rings[1] is self.rings[1]:
             found += estimates.backends_by_group.get(request.group, {}).values()
-        best, least = None, inf
+        choice = Choice(None, inf)
         for _ in range(MAX_ROUNDS):
             found += [ring.draw(random, 0.0, 1.0) for ring in rings if ring.size for _ in range(DRAWS_PER_RING)]
-            for backend in found:
-                if backend is request.backend or not backend.usable(now, settings):
-                    continue
-                cost = self.cost(backend, request, settings)
-                if cost < least:
-                    best, least = backend, cost
-            if best is not None and best.utilization < UNRESPONSIVE_UTILIZATION:
-                if least <= settings.classes[request.cls].priority_weight:
-                    break
+            choice = self._cheapest_of(found, request, settings, now)
+            responsive = choice.backend is not None and choice.backend.utilization < UNRESPONSIVE_UTILIZATION
+            if responsive and choice.cost <= settings.classes[request.cls].priority_weight:
+                break
+        return choice
+
+    def _cheapest_of(self, backends: list[Backend], request: Request, settings: Settings, now: float) -> Choice:
+        """The first of the cheapest usable backends, other than that of the request's last attempt."""
+        best, least = None, inf
+        for backend in backends:
+            if backend is request.backend or not backend.usable(now, settings):
+                continue
+            cost = self.cost(backend, request, settings)
+            if cost < least:
+                best, least = backend, cost
         return Choice(best, least)
 
     def best(self, request: Request, settings: Settings, now: float, rings: Rings) -> Backend | None:
--- a/yarrowspindle/decisions/placement.py
+++ b/yarrowspindle/decisions/placement.py
@@ -70,21 +70,19 @@
         group draw from a shared seed, so that all balancers meet at the same backends.
         """
         state, settings = self.state, self.state.settings
-        target, draws = 0.0, DRAWS
-        if state.rebalancing_target and request.returned:
-            target, draws = state.rebalancing_target, REBALANCING_DRAWS
-        shared_seed = request.group and (target or settings.groups_share_work and not request.attempts)
+        target = state.rebalancing_target if request.returned else 0.0
+        draws = REBALANCING_DRAWS if target else DRAWS
+        groups_share_work = settings.groups_share_work and not request.attempts
+        shared_seed = request.group and (target or groups_share_work)
         random = Random(request.group).random if shared_seed else state.random
         start = 0.0 if shared_seed else state.subset_start
         target = target if request.group else 0.0
-        best = None
-        for ring, fraction in ((home, home.subset_fraction), (fleet, 1.0)):
-            if ring.size:
-                best = self._draw(ring, random, draws, start, 1.0 if shared_seed else fraction, target, best)
-            # Without reported latency own load has to show which backend is slow: the fleet is always drawn from.
-            if best is not None and not state.uses_own_load_only and self._rank(best)[0] == HEALTHY:
-                break
-        return best
+        fraction = 1.0 if shared_seed else home.subset_fraction
+        best = self._draw(home, random, draws, start, fraction, target, None)
+        # Without reported latency own load has to show which backend is slow: the fleet is always drawn from.
+        if best is not None and not state.uses_own_load_only and self._rank(best)[0] == HEALTHY:
+            return best
+        return self._draw(fleet, random, draws, start, 1.0, target, best)
 
     def _draw(
         self,
@@ -100,6 +98,8 @@
 
         target: own load for each unit of capacity; 0: none. Backends that warm up are left to slow start.
         """
+        if not ring.size:
+            return best
         now, warmup_ms = self.state.now, self.state.settings.warmup_ms
         best_rank = self._rank(best) if best is not None else None
         for _ in range(draws):
