--- a/yarrowspindle/decisions/events.py
+++ b/yarrowspindle/decisions/events.py
@@ -202,8 +202,8 @@
 
     Backends and groups are named by key: the low 32 bits of a backend's id, or `group_key`. loads: connections and
     load of all reporting peers, the new sums. connection_changes: connections that were added (or ended, below 0)
-    since. reporting_relays: how many peers the sums are of. relays: active ones, this one included. age_ms: of the
-    oldest report in the sums. ejected_by_peers: backends that more than half of the reporting peers have ejected.
+    since. reporting_relays: how many peers the sums are of. relays: active ones, this one included. age_ms: mean age of
+    the reports in the sums. ejected_by_peers: backends that more than half of the reporting peers have ejected.
     reports: utilization, connections and age in milliseconds of load reports that peers received. rank: of this
     balancer among the active ones, from 0; what one does for all is assigned by it.
     """
