--- a/tests/decisions/test_bookkeeping.py
+++ b/tests/decisions/test_bookkeeping.py
@@ -1,4 +1,4 @@
-"""Own counts after every kind of outcome."""
+"""Own connections and loads after every kind of outcome."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 @pytest.mark.parametrize("outcome", list(Outcome))
-def test_every_outcome_lets_go_of_the_backend(outcome: Outcome) -> None:
+def test_every_outcome_takes_the_connection_off_its_backend(outcome: Outcome) -> None:
     b = balancer(max_attempts=1)
     (send,) = sends(b.handle(0.0, RequestReceived(7, left_ms=1000.0, load=3.0)))
     assert (b.backends[send.backend].connections, b.backends[send.backend].load) == (1, 3.0)
@@ -19,7 +19,7 @@
     assert (outcome in NEVER_RAN) == (outcome in (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT))
 
 
-def test_a_connection_open_at_start_counts_where_it_is_told() -> None:
+def test_a_connection_that_exists_at_the_start_counts_at_its_backend() -> None:
     b = balancer()
     b.handle(0.0, ExistingConnection(9, backend=2, load=4.0))
     assert (b.backends[2].connections, b.backends[2].load) == (1, 4.0)
@@ -27,7 +27,7 @@
     assert b.backends[2].connections == 0
 
 
-def test_a_changed_load_is_counted_and_taken_off_again() -> None:
+def test_a_changed_load_is_counted_and_removed_again() -> None:
     b = balancer()
     backend = open_one(b, 0.0, 1, load=2.0)
     b.handle(1.0, LoadChanged(1, backend, 5.0))
--- a/tests/decisions/test_fleet.py
+++ b/tests/decisions/test_fleet.py
@@ -1,4 +1,4 @@
-"""What changes as the fleet grows: many balancers that each meet a server seldom, and what they learn too late."""
+"""Large fleets: many balancers that each use a backend seldom; classification of loads and latencies."""
 
 from __future__ import annotations
 
@@ -42,9 +42,8 @@
     return Balancer(settings(**(values | changes)), number + 1, 0.0)
 
 
-def test_where_most_backends_are_replaced_the_cold_ones_are_fed_by_forty_balancers() -> None:
-    """At more than eight balancers no cold server was ever drawn: the wider circle was drawn from whole, and cold
-    servers are only fed along a balancer's arc."""
+def test_forty_balancers_use_the_slow_start_budget_where_most_backends_are_replaced() -> None:
+    """With more than eight balancers a warming backend must still be drawn, outside of a balancer's subset too."""
     old = [Endpoint(n, zone=n % 3, capacity=4.0) for n in range(1, 25)]
     new = [Endpoint(n, zone=n % 3, capacity=4.0, started_ms=30_000.0) for n in range(25, 61)]
     fed = 0
@@ -65,8 +64,8 @@
     assert max(in_window.values()) <= 3.0 * 0.31 * 100.0 * 1.5 / 9.0
 
 
-def test_what_a_message_takes_is_not_taken_for_a_load() -> None:
-    """A node whose messages took 134 ms was believed to carry next to nothing, and got more for it."""
+def test_a_message_latency_is_not_classified_as_a_load() -> None:
+    """A backend with a message latency of 134 ms must not be taken for one with hardly any load."""
     figures = LoadReportClassifier(50.0)
     assert figures.told(0.0, 1, 28_489.8, lambda request: True) is Kind.LOAD
     assert figures.told(2000.0, 1, 134.0, lambda request: True) is Kind.OPEN
@@ -86,7 +85,7 @@
     assert figures.settle(1300.0) is None
 
 
-def test_random_loads_on_many_connections_are_hardly_ever_taken_for_message_times() -> None:
+def test_random_loads_on_many_connections_are_hardly_ever_classified_as_latencies() -> None:
     random, figures, times, loads = Random(5), LoadReportClassifier(50.0), 0, 0
     now = 0.0
     for _ in range(20_000):
@@ -97,7 +96,7 @@
     assert times <= loads / 500
 
 
-def test_the_reducer_tells_the_module_of_long_messages_and_keeps_the_load() -> None:
+def test_the_reducer_reports_slow_messages_to_the_balancer_and_keeps_the_load() -> None:
     reducer = Reducer(settings(classes=STATUS), 1, 0.0)
     reducer.step(
         0.0, EndpointsUpdated(ListKind.FULL, [routing_events.Endpoint("a", ("10.0.0.1", 1), EndpointState.READY)], 1)
--- a/tests/decisions/test_load_estimates.py
+++ b/tests/decisions/test_load_estimates.py
@@ -1,4 +1,4 @@
-"""Placing where nodes tell their load when probed: estimates, cost in worth, probes, moves; probes on sockets."""
+"""Placement by reported load: estimates, costs, health checks and migrations; health checks on sockets."""
 
 from __future__ import annotations
 
@@ -52,7 +52,7 @@
 
 
 class Relay:
-    """A balancer, its timers, and nodes of two zones that answer probes with what `used` says (None: silence)."""
+    """A balancer, its timers, and backends of two zones that report the utilization in `used` (None: no answer)."""
 
     def __init__(self, backends: int = 6, seed: int = 1, **changes: Any) -> None:
         self.now, self.requests = 0.0, 0
@@ -88,14 +88,14 @@
         self.now = goal
 
     def place(self, cls: int = 0, group: int = 0) -> int:
-        """0 where it is refused."""
+        """Place a request; returns its backend, or 0 where it is rejected."""
         self.requests += 1
         actions = self.tell(RequestReceived(self.requests, cls, left_ms=4800.0, group=group))
         return sends(actions)[0].backend if sends(actions) else 0
 
 
 def warmed(**changes: Any) -> Relay:
-    """All nodes have reported."""
+    """Return a relay to which all backends have reported."""
     r = Relay(**changes)
     r.balancer.health_checks.credit = 100.0
     r.run(3000.0)
@@ -105,10 +105,10 @@
     return r
 
 
-def test_probes_are_paid_for_by_new_connections_and_go_to_whoever_was_asked_longest_ago() -> None:
+def test_new_connections_pay_for_health_checks_and_the_longest_unchecked_backend_is_checked_first() -> None:
     r = Relay()
     r.run(5000.0)
-    assert r.probes == [], "nobody came"
+    assert r.probes == [], "there were no connections"
     for _ in range(4):
         r.place()
     r.run(HEALTH_CHECK_INTERVAL_MS)
@@ -118,10 +118,10 @@
     silent = Relay(load_report_fields=())
     silent.place()
     silent.run(5000.0)
-    assert silent.probes == [], "where probes bring no report none is sent"
+    assert silent.probes == [], "where health checks have no report none is sent"
 
 
-def test_groups_are_held_together_and_at_home() -> None:
+def test_groups_are_placed_together_and_in_the_own_zone() -> None:
     def backends_paying(**changes: Any) -> float:
         r = warmed(backends=24, **changes)
         r.used.update(dict.fromkeys(r.used, 0.45))
@@ -132,7 +132,7 @@
         for group in order:
             held.setdefault(group, set()).add(r.place(group=group))
         assert sum(backend % 2 for backends in held.values() for backend in backends) <= 1, (
-            "crossing has a price, and home room"
+            "crossing has a price, and the own zone has capacity"
         )
         return sum(map(len, held.values())) / len(held)
 
@@ -144,7 +144,7 @@
     assert [one.place(group=g) for g in range(1, 20)] == [other.place(group=g) for g in range(1, 20)]
 
 
-def test_home_is_left_where_it_is_full_and_the_cheap_class_is_refused_first() -> None:
+def test_a_full_own_zone_is_left_and_the_class_of_lower_priority_is_rejected_first() -> None:
     r = warmed()
     for backend in (2, 4, 6):
         r.used[backend] = 0.95
@@ -153,11 +153,11 @@
     r.used.update(dict.fromkeys(r.used, 0.75))
     r.run(2500.0)
     assert r.place(cls=1) == 0 and isinstance(r.tell(RequestReceived(999, 1, left_ms=1200.0))[-1], RejectRequest)
-    assert r.place(cls=0) != 0, "worth ten times as much"
+    assert r.place(cls=0) != 0, "its priority weight is ten times as high"
 
 
 @pytest.mark.parametrize("told", [9.0, None, 1.3])
-def test_a_backend_that_hangs_vanishes_or_is_slow_is_passed_over_and_emptied(told: float | None) -> None:
+def test_a_backend_that_hangs_vanishes_or_is_slow_is_ejected_and_emptied(told: float | None) -> None:
     r = warmed()
     on = {}
     for _ in range(20):
@@ -173,9 +173,8 @@
 
 
 @pytest.mark.parametrize("backends", [2, 6])
-def test_a_silent_backend_gets_nothing_while_another_is_usable_whatever_is_drawn(backends: int) -> None:
-    """Empty, it cost no more than a connection is worth: where all draws fell on it the first round took it. With a
-    job each 150 ms that was 2 of 24 on two nodes, and the daemon's test failed with it on a faster machine."""
+def test_an_unresponsive_backend_gets_nothing_while_another_is_usable_whatever_is_drawn(backends: int) -> None:
+    """Its estimated cost may be below the priority weight of a connection, and all draws may fall on it."""
     for seed in range(60):
         r = Relay(backends=backends, seed=seed)
         r.used[2] = None  # from the start: it never told what it holds
@@ -186,7 +185,7 @@
         r.used = dict.fromkeys(r.used)
         r.balancer.health_checks.credit = 100.0
         r.run(3000.0)
-        assert r.place() in (0, *r.used), "where none answers, no walk over all of them finds another"
+        assert r.place() in (0, *r.used), "where none answers there is no better one"
 
 
 def _established(request: int, backend: int) -> Any:
@@ -195,7 +194,7 @@
     return ConnectionEstablished(request, 0, backend, 10.0)
 
 
-def test_word_of_long_messages_counts_before_the_report_does() -> None:
+def test_slow_messages_count_before_the_load_report_does() -> None:
     r = warmed()
     backend = r.place(group=3)
     r.tell(_established(r.requests, backend))
@@ -203,7 +202,7 @@
     assert backend not in {r.place() for _ in range(30)}
 
 
-def test_connections_from_before_the_start_come_home_one_by_one_where_crossing_has_a_price() -> None:
+def test_existing_connections_are_migrated_to_the_own_zone_one_by_one_where_crossing_has_a_price() -> None:
     def moved(price: float) -> list[int]:
         r = Relay(cross_zone_price=price)
         for n in range(1, 11):
@@ -214,8 +213,8 @@
     assert 4 <= len(moved(0.16)) <= 8 and len(moved(0.0)) <= 2
 
 
-def test_a_live_weight_is_no_size() -> None:
-    """Taken for sizes, they made home look short of capacity, and half of the connections crossed."""
+def test_a_capacity_that_excludes_load_is_not_the_size_of_a_backend() -> None:
+    """Else the own zone would seem short of capacity, and connections would cross zones for it."""
     r = warmed()
     entries = [Endpoint(n, zone=n % 2, capacity=0.2) for n in r.used]
     r.tell(EndpointList(ListKind.DELTA, entries))
@@ -225,8 +224,8 @@
     assert {s.capacity for s in nominal.balancer.backends.values()} == {0.2}
 
 
-def test_what_a_class_asks_is_learned_from_reports() -> None:
-    """Two classes, one asks four times as much as the other."""
+def test_the_load_of_a_class_is_learned_from_reports() -> None:
+    """Two classes, one with four times the load of the other."""
     known, rng = LoadEstimates(settings(**TOLD)), random.Random(3)
     backends = [Backend(n) for n in range(8)]
     true = (0.5, 2.0)
@@ -248,7 +247,7 @@
     assert sum(known.class_connections) == sum(s.connections for s in backends) and not known.backends_by_group
 
 
-def test_books_of_groups_forget_what_has_ended() -> None:
+def test_counts_of_groups_are_dropped_when_their_connections_end() -> None:
     b = Balancer(settings(**TOLD), 1, 0.0)
     b.handle(0.0, full_list(Endpoint(1), Endpoint(2)))
     for n in range(1, 40):
@@ -262,7 +261,7 @@
     )
 
 
-def test_a_repeat_that_may_have_run_goes_where_repeats_are_dropped_and_nowhere_else() -> None:
+def test_a_retry_that_may_have_run_goes_only_to_backends_that_drop_repeats() -> None:
     from yarrowspindle.decisions.settings import DeduplicationScope, Idempotency
 
     keyed = RequestClass(
@@ -286,18 +285,18 @@
         (b"PONG rif=1", ()),
     ],
 )
-def test_a_report_is_read(line: bytes, told: tuple[float, ...]) -> None:
+def test_a_load_report_is_parsed(line: bytes, told: tuple[float, ...]) -> None:
     assert report_of(line, ("rif", "x0")) == told
 
 
 @pytest.mark.parametrize("line", [b"NO", b"ERR", b"", b"PONG x0=nan", b"PONG x0=-1", b"PONG x0", b"PONG \xff", b"UP 1"])
-def test_an_answer_that_makes_no_sense_is_none(line: bytes) -> None:
+def test_an_invalid_load_report_is_an_error(line: bytes) -> None:
     with pytest.raises(LineError):
         report_of(line, ("rif", "x0"))
 
 
-def test_where_no_load_is_told_each_figure_is_a_message_time() -> None:
-    """Taken for loads they had to wait for a beat, and the first of them stood as a load of next to nothing."""
+def test_where_backends_report_no_load_each_report_is_a_message_latency() -> None:
+    """It must count at once, and not as a small load."""
     reducer = Reducer(settings(**(TOLD | {"backend_reports_load": False})), 1, 0.0)
     reducer.step(0.0, EndpointsUpdated(ListKind.FULL, [routing_events.Endpoint("a", ("10.0.0.1", 1))], 1))
     reducer.step(0.0, routing_events.RequestReceived(1, 4800.0))
@@ -317,7 +316,7 @@
 
 
 def run(tmp: Path, answers: dict[str, str], body: Any, **changes: Any) -> None:
-    """Both stand-in nodes answer each `STATS` with their line, where they have one; all else goes to the test."""
+    """Both stand-in backends answer each `STATS` with their line, where they have one; the test does the rest."""
 
     async def inside() -> None:
         async with relay(tmp, **(PROBED | changes)) as world:
@@ -337,19 +336,19 @@
         await asyncio.sleep(0.02)
 
 
-def test_backends_are_probed_on_connections_of_their_own_and_the_full_one_gets_nothing(tmp_path: Path) -> None:
+def test_health_checks_use_connections_of_their_own_and_a_full_backend_gets_nothing(tmp_path: Path) -> None:
     async def body(w: World) -> None:
         for name in w.backends:
             await probed(w, name, 2)
         assert {(await w.standing())[1] for _ in range(8)} == {"s-2"}
         assert max(backend.probe_connections for backend in w.backends.values()) == 1, (
-            "one connection serves all probes"
+            "one connection serves all health checks"
         )
 
     run(tmp_path, {"s-1": "PONG rif=40,x0=2.5", "s-2": "PONG rif=2,x0=0.1"}, body)
 
 
-def test_a_backend_that_never_answers_its_probe_is_passed_over(tmp_path: Path) -> None:
+def test_a_backend_that_never_answers_its_health_check_is_ejected(tmp_path: Path) -> None:
     async def body(w: World) -> None:
         await probed(w, "s-2", 3)
         await w.logged("execute node s-1 does not answer its probe: no answer in time")
@@ -363,19 +362,19 @@
 
 
 @pytest.mark.parametrize("nonsense", ["NO", "PONG x0=a lot", "x" * 5000])
-def test_nonsense_is_logged_and_placement_goes_on_without(tmp_path: Path, nonsense: str) -> None:
+def test_an_invalid_report_is_logged_and_placement_continues_without_it(tmp_path: Path, nonsense: str) -> None:
     async def body(w: World) -> None:
         client, _, backend = await w.standing()
         assert "WARNING" in await w.logged("execute node s-")
         stand = [await w.standing() for _ in range(6)]
-        assert {name for _, name, _ in stand} == {"s-1", "s-2"}, "it says nothing against the node"
+        assert {name for _, name, _ in stand} == {"s-1", "s-2"}, "it does not count against the backend"
         backend.say("still here")
         assert await client.hear() == "still here"
 
     run(tmp_path, dict.fromkeys(("s-1", "s-2"), nonsense), body)
 
 
-def test_no_probe_is_sent_where_settings_do_not_allow_it(tmp_path: Path) -> None:
+def test_no_health_check_is_sent_where_settings_do_not_allow_it(tmp_path: Path) -> None:
     async def body(w: World) -> None:
         for _ in range(4):
             await w.standing()
--- a/tests/decisions/test_peer_loads.py
+++ b/tests/decisions/test_peer_loads.py
@@ -1,4 +1,4 @@
-"""The module with word of the others: sums are compared, what most pass over is passed over, turns are kept."""
+"""Placement with loads of peers: sums are compared, ejections of most peers count, balancers take turns."""
 
 from __future__ import annotations
 
@@ -23,16 +23,16 @@
     return found
 
 
-def test_two_draws_take_who_holds_less_with_the_others_counted() -> None:
+def test_two_choices_count_the_load_of_peers() -> None:
     b = balancer(2, balancers=4)
     b.handle(0.0, PeerLoads({1: (9, 9.0), 2: (2, 2.0)}, reporting_relays=3, relays=4))
     # 2 is taken whenever it is drawn; both draws fall on 1 in a quarter.
     assert placed(b, 0.0, 200).count(1) < 80
     b.handle(1.0, PeerLoads({1: (0, 0.0)}, reporting_relays=3, relays=4))
-    assert placed(b, 1.0, 200).count(2) < 80, "what changed is told, the rest stands"
+    assert placed(b, 1.0, 200).count(2) < 80, "changes are reported, the rest stays"
 
 
-def test_own_placements_count_at_once_beside_what_was_told() -> None:
+def test_own_placements_count_at_once_beside_reported_loads() -> None:
     b = balancer(2, balancers=2)
     b.handle(0.0, PeerLoads({1: (3, 3.0)}, reporting_relays=1, relays=2))
     for n in range(9):
@@ -41,20 +41,20 @@
     assert held[2] - held[1] in range(1, 6) and sum(held.values()) == 9
 
 
-def test_word_that_nobody_renews_decays_to_what_is_done_without() -> None:
+def test_reports_that_are_not_renewed_decay_to_placement_without_peers() -> None:
     alone, told = balancer(4, seed=3, balancers=4), balancer(4, seed=3, balancers=4)
     told.handle(0.0, PeerLoads({1: (50, 50.0)}, reporting_relays=3, relays=4))
     for n in range(60):
         assert open_one(alone, 6000.0, n, 1.0) == open_one(told, 6000.0, n, 1.0)
 
 
-def test_what_most_of_the_others_pass_over_is_taken_only_where_nothing_else_is_drawn() -> None:
+def test_a_backend_ejected_by_most_peers_is_used_only_where_no_other_is_drawn() -> None:
     b = balancer(4, balancers=4)
     b.handle(0.0, PeerLoads(reporting_relays=3, relays=4, ejected_by_peers=frozenset((1,))))
-    assert placed(b, 0.0, 300).count(1) < 50, "both draws fall on it once in sixteen, then both of the wider circle"
+    assert placed(b, 0.0, 300).count(1) < 50, "both draws fall on it once in sixteen, then both of the fleet"
 
 
-def test_one_relay_probes_a_backend_for_all_and_another_takes_over_where_it_does_not() -> None:
+def test_one_relay_checks_a_backend_for_all_and_another_takes_over_where_it_does_not() -> None:
     r = warmed(backends=6)
     r.probes.clear()
     reports = {n & BACKEND_KEY_MASK: (0.3, 10.0, 1.0) for n in r.used}
@@ -63,13 +63,13 @@
         r.balancer.health_checks.credit = 100.0
         r.run(HEALTH_CHECK_INTERVAL_MS)
         r.tell(PeerLoads(reporting_relays=2, relays=3, rank=0, reports=reports))
-    assert set(r.probes) == {3, 6}, "the others are another's turn, and were told of"
+    assert set(r.probes) == {3, 6}, "the others are assigned to peers, who reported them"
     r.balancer.health_checks.credit = 100.0
-    r.run(3000.0)  # nobody tells of them any more
+    r.run(3000.0)  # peers report them no more
     assert set(r.probes) == set(r.used)
 
 
-def test_a_report_that_another_was_told_counts_as_one_s_own_where_it_is_newer() -> None:
+def test_a_report_to_a_peer_counts_as_an_own_one_where_it_is_newer() -> None:
     r = warmed(backends=4)
     backend = r.balancer.backends[2]
     r.tell(PeerLoads({}, reporting_relays=1, relays=2, reports={2: (0.9, 30.0, 100.0)}))
@@ -81,11 +81,11 @@
     before = r.balancer.estimates.utilization(backend) if r.balancer.estimates else 0.0
     r.tell(PeerLoads({2: (8, 8.0)}, {2: 5}, reporting_relays=1, relays=2))
     assert r.balancer.estimates is not None and r.balancer.estimates.utilization(backend) > before, (
-        "five came there since"
+        "five were added there since"
     )
 
 
-def test_a_report_told_by_another_is_not_told_on() -> None:
+def test_a_report_from_a_peer_is_not_distributed_again() -> None:
     r = warmed(backends=4)
     r.run(5000.0)
     r.tell(PeerLoads({}, reporting_relays=1, relays=2, reports={2: (0.9, 30.0, 100.0)}))
@@ -93,7 +93,7 @@
     assert 2 not in word.reports
 
 
-def test_a_backend_where_others_hold_the_group_costs_the_group_no_second_time() -> None:
+def test_a_backend_that_serves_a_group_for_peers_costs_no_more_for_it() -> None:
     r = warmed(backends=6, balancers=3)
     r.tell(PeerLoads({group_key(4, 77): (4, 0.0)}, reporting_relays=2, relays=3))
     assert r.balancer.estimates is not None
@@ -103,13 +103,13 @@
     assert adds[4] < 0.6 * adds[2]
 
 
-def test_new_settings_count_their_balancers() -> None:
+def test_changed_settings_apply_their_number_of_balancers() -> None:
     b = balancer(2, balancers=4)
     b.handle(0.0, SettingsChanged(settings(balancers=7)))
     assert (b.peer_loads.load_weight(0.0), b.peer_loads.similar_balancers(0.0)) == (0.0, 7.0)
 
 
-def test_moves_go_by_turns_among_those_heard_of() -> None:
+def test_balancers_take_turns_with_migrations() -> None:
     books = [PeerLoadTable(1) for _ in range(5)]
     for rank, book in enumerate(books):
         assert book.allowed_migrations(0.0) == 1
@@ -118,7 +118,7 @@
         assert sum(book.allowed_migrations(beat * MIGRATION_TURN_MS) for book in books) == CONCURRENT_MIGRATORS
 
 
-def test_word_of_own_holdings_names_groups_failures_and_reports() -> None:
+def test_the_local_load_names_groups_failures_and_reports() -> None:
     r = Relay(backends=4)
     backend = r.balancer.backends[2]
     backend.connections, backend.load, backend.ejected_until, backend.connections_by_group = (
--- a/tests/decisions/test_placement.py
+++ b/tests/decisions/test_placement.py
@@ -1,4 +1,4 @@
-"""The ordinary path and the exceptions to it."""
+"""The choice of a backend: two choices, zones, groups and subsets."""
 
 from __future__ import annotations
 
@@ -33,8 +33,8 @@
     return got[0].backend if got else None
 
 
-def test_two_are_drawn_and_the_one_with_less_of_our_own_load_wins() -> None:
-    """With a lone balancer and equal servers this is the paper, replayed with the same random numbers."""
+def test_two_backends_are_drawn_and_the_one_with_less_own_load_is_chosen() -> None:
+    """With one balancer and equal backends this is the rule of the paper, with the same random numbers."""
     b, rng = balancer(5, seed=11), random.Random(11)
     load = dict.fromkeys(range(1, 6), 0)
     for n in range(300):
@@ -61,7 +61,7 @@
     assert b.backends[2].connections == pytest.approx(300, abs=12)
 
 
-def test_a_heavy_connection_counts_as_much_as_it_weighs() -> None:
+def test_a_connection_counts_by_its_load() -> None:
     b = balancer(2, seed=1)
     heavy = open_one(b, 0.0, 1, load=10.0)
     others = [place(b, 1.0, n, load=1.0) for n in range(2, 10)]
@@ -69,8 +69,8 @@
     assert others.count(heavy) <= 4
 
 
-def test_connections_of_one_group_meet_whichever_balancers_take_them_and_a_retry_goes_by_luck() -> None:
-    """Each server that holds any of a group pays for it once; drawn by luck a group lay on nearly all of them."""
+def test_a_group_meets_at_the_same_backend_at_all_balancers_and_a_retry_does_not() -> None:
+    """Each backend that serves any of a group pays for it once; other draws would spread it over nearly all."""
 
     def taken(groups: bool) -> set[int]:
         found = set()
@@ -89,8 +89,8 @@
     assert len(again) > 4
 
 
-def test_each_backend_lies_in_about_as_many_arcs() -> None:
-    """Guards the golden-ratio spread: with many balancers all servers are drawn alike, none is left out."""
+def test_each_backend_is_in_about_as_many_subsets() -> None:
+    """With many balancers all backends are drawn equally often, by the golden-ratio spread of the subsets."""
     drawn = dict.fromkeys(range(1, 51), 0)
     for number in range(200):
         b = balancer(50, seed=number, balancers=200, number=number)
@@ -98,7 +98,7 @@
             backend = place(b, 0.0, n)
             assert backend is not None
             drawn[backend] += 1
-        assert sum(s.connections > 0 for s in b.backends.values()) <= 4  # its own arc only
+        assert sum(s.connections > 0 for s in b.backends.values()) <= 4  # its own subset only
     assert min(drawn.values()) > 0.6 * 80 and max(drawn.values()) < 1.4 * 80
 
 
@@ -109,7 +109,7 @@
     assert all(s.connections for s in b.backends.values())
 
 
-def test_home_comes_first_where_crossing_is_dear_and_not_where_it_is_cheap() -> None:
+def test_the_own_zone_is_preferred_where_crossing_zones_is_expensive_only() -> None:
     entries = [Endpoint(i, zone=i % 2) for i in range(1, 9)]
     for price, crossings in ((0.12, False), (0.01, True)):
         b = Balancer(settings(zones=2, cross_zone_price=price), 1, 0.0)
@@ -118,7 +118,7 @@
         assert (1 in zones) == crossings
 
 
-def test_a_failing_backend_is_passed_over_and_comes_back_by_trial() -> None:
+def test_a_failing_backend_is_ejected_and_tried_again_later() -> None:
     b = balancer(4, seed=2, warmup_ms=20_000.0)
     (send,) = sends(b.handle(0.0, RequestReceived(1, left_ms=2000.0)))
     (retry,) = sends(end(b, 1.0, 1, send.backend, Outcome.ERROR, finished=False))
@@ -126,13 +126,13 @@
     for n in range(2, 40):
         place(b, 2.0, n)
     shunned = b.backends[send.backend].connections
-    assert shunned <= 1  # all four draws would have to name it
+    assert shunned <= 1  # all four draws would have to be of it
     for n in range(40, 200):
         place(b, 30_000.0, n)
     assert b.backends[send.backend].connections > shunned + 20
 
 
-def test_the_ready_set_is_never_empty_for_want_of_health() -> None:
+def test_a_backend_is_chosen_even_where_all_are_ejected() -> None:
     b = balancer(2, max_attempts=2)
     for n in range(1, 9):
         backend = place(b, 0.0, n)
@@ -144,8 +144,8 @@
     assert place(b, 1.0, 99) is not None
 
 
-def test_a_restarted_backend_starts_without_its_old_strikes() -> None:
-    """Round 6: the debt and strikes of the old process kept a returned server out for its whole warm-up."""
+def test_a_restarted_backend_has_no_consecutive_failures() -> None:
+    """Failures of the old process must not eject the new one during its warm-up."""
     b = balancer(1, max_attempts=1)
     backend = place(b, 0.0, 1)
     assert backend is not None
@@ -166,7 +166,7 @@
     assert {place(b, 3.0, n) for n in range(100, 110)} <= {2, None}
 
 
-def test_a_moved_connection_is_not_moved_or_answered_again() -> None:
+def test_a_migrated_connection_is_not_migrated_or_answered_again() -> None:
     b = balancer(1, seed=1, classes=TOLD)
     backend = open_one(b, 0.0, 1)
     moves = [a for t in range(1, 200) for a in b.handle(float(t), SlowMessageObserved(1, backend, 500.0))]
@@ -174,20 +174,20 @@
     assert end(b, 300.0, 1, backend, Outcome.CANCELLED) == []
 
 
-def test_a_slow_note_below_the_aim_moves_nothing() -> None:
+def test_a_message_latency_within_the_objective_migrates_nothing() -> None:
     b = balancer(1, classes=TOLD)
     backend = open_one(b, 0.0, 1)
     assert all(b.handle(float(t), SlowMessageObserved(1, backend, 80.0)) == [] for t in range(1, 50))
 
 
-def test_a_class_without_a_message_aim_is_neither_moved_nor_refused_for_slow_messages() -> None:
+def test_a_class_without_a_message_objective_is_neither_migrated_nor_rejected_for_slow_messages() -> None:
     b = balancer(1)
     backend = open_one(b, 0.0, 1)
     assert all(b.handle(float(t), SlowMessageObserved(1, backend, 500.0)) == [] for t in range(1, 30))
     assert place(b, 40.0, 2) == backend
 
 
-def test_a_request_that_would_earn_nothing_anywhere_is_refused_at_once_with_spread_waits() -> None:
+def test_a_request_that_would_miss_its_objective_everywhere_is_rejected_at_once_with_spread_waits() -> None:
     b = balancer(1, classes=TOLD, retry_after=True, max_retry_after_ms=1000.0)
     backend = open_one(b, 0.0, 1)
     b.handle(1.0, SlowMessageObserved(1, backend, 500.0))
@@ -196,8 +196,8 @@
     assert len(waits) == 10 and len(set(waits)) == 10 and 500.0 <= min(waits) and max(waits) <= 1000.0
 
 
-def test_trouble_at_home_says_nothing_of_the_other_zone() -> None:
-    """Round 18: an overfull home zone had strangers in the other zone refused for."""
+def test_slow_backends_of_the_own_zone_do_not_count_for_another_zone() -> None:
+    """An overloaded own zone must not cause rejections for another zone."""
     b = Balancer(settings(classes=TOLD, zones=2, cross_zone_price=0.1), 3, 0.0)
     b.handle(0.0, full_list(Endpoint(1), Endpoint(2, zone=1), Endpoint(3, zone=1)))
     assert open_one(b, 0.0, 1) == 1
@@ -207,9 +207,8 @@
 
 
 @pytest.mark.parametrize(("apart", "full"), [(1.0, True), (1500.0, False)])
-def test_connections_dropped_together_say_that_their_backend_is_full(apart: float, full: bool) -> None:
-    """iee6bba: where servers shed load, the full ones are no longer among our connections. Networks break single
-    connections as well: one at each server had the relay refuse everything for seconds."""
+def test_connections_reset_together_show_that_their_backend_is_overloaded(apart: float, full: bool) -> None:
+    """Incident iee6bba: a backend that sheds load resets many connections; networks reset single ones as well."""
     b = balancer(2, seed=1, classes=TOLD, backend_reports_latency=False)
     backends = {n: open_one(b, 0.0, n) for n in range(1, 20)}
     for i, n in enumerate([n for n, s in backends.items() if s == 1][:RESETS_BEFORE_EJECTION]):
@@ -218,7 +217,7 @@
     assert (1 in {place(b, now, n) for n in range(20, 40)}) != full
 
 
-def test_a_new_process_is_not_held_to_be_full_as_the_old_one_was() -> None:
+def test_a_restarted_backend_is_not_taken_to_be_overloaded() -> None:
     b = balancer(2, seed=1, classes=TOLD)
     for n in [n for n in range(1, 20) if open_one(b, 0.0, n) == 1]:
         end(b, 1.0, n, 1, Outcome.RESET)
@@ -227,7 +226,7 @@
     assert b.backends[1].slow_until < 2.0
 
 
-def test_a_set_up_that_stands_ends_the_time_for_which_its_backend_is_passed_over() -> None:
+def test_an_established_connection_ends_the_ejection_of_its_backend() -> None:
     b = balancer(1, max_attempts=2)
     backend = place(b, 0.0, 1)
     assert backend is not None
@@ -237,8 +236,8 @@
     assert b.backends[backend].ejected_until < 2.0
 
 
-def test_retries_have_a_budget_and_then_wait_longer_each_time() -> None:
-    """Main-floor's slow store: each of 39 attempts a request called the store again."""
+def test_retries_have_a_budget_and_then_a_backoff() -> None:
+    """Each attempt calls the dependencies that backends share: with a slow one retries must be limited."""
     b = balancer(8, max_attempts=6)
     at_once, waits = 0, []
     for n in range(1, 5):
@@ -252,8 +251,8 @@
     assert sends(b.handle(1.0 + waits[0].delay_ms, TimerFired(waits[0].token)))
 
 
-def test_set_ups_that_take_all_of_their_aim_are_thinned_out() -> None:
-    """i82a5ad: set-ups waited in a slow store's queue till the client left; the store worked for nobody."""
+def test_requests_are_shed_while_setups_take_all_of_their_objective() -> None:
+    """Incident i82a5ad: setups must not wait in a slow dependency's queue until their clients disconnect."""
     b = balancer(8, max_attempts=1)
     for n in range(1, 40):
         if (backend := place(b, 1.0, n)) is not None:
@@ -265,7 +264,7 @@
     assert all(place(b, 4.0, n) is not None for n in range(300, 320))
 
 
-def test_a_refused_connect_is_tried_elsewhere_at_once_whatever_the_budget() -> None:
+def test_a_failed_connect_is_retried_at_once_whatever_the_budget() -> None:
     b = balancer(8, max_attempts=6)
     for n in range(1, 30):
         backend = place(b, 1.0, n)
@@ -273,7 +272,7 @@
         assert sends(end(b, 1.0, n, backend, Outcome.CONNECT_FAILED, finished=False))
 
 
-def test_wrong_calls_are_refused_with_a_plain_exception() -> None:
+def test_invalid_events_raise_plain_exceptions() -> None:
     b = balancer()
     backend = open_one(b, 5.0, 1)
     with pytest.raises(ValueError, match="clock"):
@@ -307,7 +306,7 @@
     assert run(False) == run(True)
 
 
-def test_the_order_of_a_list_decides_nothing() -> None:
+def test_the_order_of_an_endpoint_list_does_not_matter() -> None:
     entries = [Endpoint(i, capacity=1.0 + i % 3) for i in range(1, 20)]
     placed = []
     for order in (entries, entries[::-1]):
@@ -317,8 +316,8 @@
     assert placed[0] == placed[1]
 
 
-def test_where_no_message_times_are_told_own_load_opens_other_zones() -> None:
-    """Without notes a home zone filled up while others lay idle: nothing was ever slow, so nobody looked there."""
+def test_where_no_message_latency_is_reported_own_load_opens_other_zones() -> None:
+    """Without reported latency no backend is ever slow: only own load shows that the own zone is full."""
     for tells, crossed in ((True, False), (False, True)):
         b = Balancer(settings(classes=TOLD, zones=2, cross_zone_price=0.1, backend_reports_latency=tells), 1, 0.0)
         b.handle(0.0, full_list(Endpoint(2), Endpoint(3, zone=1), Endpoint(4)))
@@ -326,8 +325,8 @@
         assert all(homes[:4]) and all(homes) != crossed
 
 
-def test_cold_backends_of_other_zones_are_fed_where_nobody_tells() -> None:
-    """After a crash in a zone without a relay nobody fed its new processes until they were warm."""
+def test_warming_backends_of_other_zones_get_requests_where_no_latency_is_reported() -> None:
+    """Else new processes of a zone without a relay would get nothing until they have warmed up."""
     b = Balancer(
         settings(
             zones=2,
@@ -348,16 +347,16 @@
     assert 2 in [place(b, 6001.0 + n, n, load=50.0) for n in range(100, 130)]
 
 
-def test_a_single_word_of_a_slow_backend_does_not_make_the_others_known() -> None:
-    """A node that hung for a moment had the relay rely for good on words that the platform's wire does not carry."""
+def test_a_single_slow_message_does_not_end_placement_by_own_load() -> None:
+    """Reports of latency may be an exception that the platform's protocol does not guarantee."""
     b = balancer(3, seed=1, backend_reports_latency=False, classes=TOLD)
     backends = {n: open_one(b, 0.0, n, load=50.0) for n in range(1, 10)}
     b.handle(1.0, SlowMessageObserved(1, backends[1], 500.0))
     assert b.state.uses_own_load_only and b.backends[backends[1]].slow_until > 1.0
 
 
-def test_a_word_of_the_list_costs_the_same_in_a_large_fleet() -> None:
-    """Guards against sums made anew over the whole fleet: only rings' binary searches may depend on its size."""
+def test_an_endpoint_update_costs_the_same_in_a_large_fleet() -> None:
+    """Guards against sums over the whole fleet: only the rings' binary searches may depend on its size."""
     looked = 0
 
     class Counted(Backend):
@@ -384,8 +383,8 @@
     assert 77 not in b.backends and b.state.fleet_ring.total_capacity == 999.0
 
 
-def test_the_books_of_the_ring_and_of_own_load_stay_exact() -> None:
-    """Random lists, jobs and loads: what is kept up step by step is what a walk over all would find."""
+def test_the_state_of_the_rings_and_of_own_load_stays_exact() -> None:
+    """Random lists, requests and loads: incremental updates equal what a walk over all backends finds."""
     rng = random.Random(5)
     b = balancer(
         0,
--- a/tests/decisions/test_request_gate.py
+++ b/tests/decisions/test_request_gate.py
@@ -1,4 +1,4 @@
-"""The gate: what may be done with a request now, and why not; each rule at its edges."""
+"""The request gate: each rule at its limits."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
         ({"names_backend": True, "started": False, "remaining_ms": 1e6}, None),
     ],
 )
-def test_a_request_is_taken_or_not(changes: dict[str, Any], refused: RejectionReason | None) -> None:
+def test_a_request_is_admitted_or_not(changes: dict[str, Any], refused: RejectionReason | None) -> None:
     assert gate.may_admit(**(TAKEN | changes)) is refused
 
 
@@ -53,7 +53,7 @@
         (EndpointState.READY, {"deadline": 1000.1 + gate.ANSWER_MARGIN_MS}, None),
     ],
 )
-def test_the_first_byte_is_written_or_not(
+def test_the_first_byte_is_forwarded_or_not(
     state: EndpointState | None, changes: dict[str, Any], refused: RejectionReason | None
 ) -> None:
     assert gate.may_forward(state, **(WRITTEN | changes)) is refused
@@ -71,14 +71,14 @@
         (Idempotency.KEYED, 610.0, 0.0, RejectionReason.IDEMPOTENCY_WINDOW_EXPIRED),
     ],
 )
-def test_a_request_is_repeated_or_not(
+def test_a_request_is_retried_or_not(
     effect: Idempotency, ran_at: float | None, within: float, refused: RejectionReason | None
 ) -> None:
     found = gate.repeat_within(effect, ran_at, 400.0, 10.0, 1000.0)
     assert found == within and gate.may_retry(effect, found) is refused
 
 
-def test_attempts_answers_and_moves_at_their_edges() -> None:
+def test_attempts_answers_and_migrations_at_their_limits() -> None:
     assert gate.may_attempt(2, 3, 10.0, 20.0) is None
     assert gate.may_attempt(3, 3, 10.0, 20.0) is RejectionReason.ATTEMPTS_EXHAUSTED
     assert gate.may_attempt(0, 3, 20.0, 20.0) is RejectionReason.DEADLINE_EXCEEDED
@@ -97,7 +97,7 @@
     )
 
 
-def test_only_what_cannot_have_run_or_may_be_repeated_is_promised_to_be_harmless() -> None:
+def test_a_retry_is_called_harmless_only_where_nothing_ran_or_the_class_is_idempotent() -> None:
     for effect in Idempotency:
         assert gate.may_promise_no_effect(effect, may_have_run=False)
         assert gate.may_promise_no_effect(effect, may_have_run=True) is (effect is Idempotency.IDEMPOTENT)
--- a/tests/decisions/test_rules.py
+++ b/tests/decisions/test_rules.py
@@ -45,7 +45,7 @@
 
 
 def entries(pick: int, now: float) -> list[Endpoint]:
-    """A few servers in states, zones and ages that follow from one number."""
+    """Return a few backends in states, zones and ages that follow from one number."""
     out = []
     for i in range(6):
         state = (EndpointState.READY, EndpointState.READY, EndpointState.DRAINING, EndpointState.GONE)[
@@ -73,8 +73,8 @@
     d = Driver(settings(**values), seed=7)
     d.list(EndpointList(ListKind.CACHED, entries(0, d.now)))
     for what, pick in steps:
-        waiting = [n for n, b in d.books.items() if b.out and not b.established and not b.gone]
-        running = [n for n, b in d.books.items() if b.out and b.established]
+        waiting = [n for n, b in d.records.items() if b.in_flight and not b.established and not b.disconnected]
+        running = [n for n, b in d.records.items() if b.in_flight and b.established]
         if what == "request":
             d.request(pick % len(CLASSES), (40.0, 400.0, 1200.0)[pick % 3], load=float(pick % 7))
         elif what == "establish" and waiting:
@@ -87,15 +87,15 @@
             d.leave(waiting[pick % len(waiting)])
         elif what == "slow" and running:
             number = running[pick % len(running)]
-            d.tell(SlowMessageObserved(number, d.books[number].attempts[-1].backend, float(pick % 500)))
+            d.handle(SlowMessageObserved(number, d.records[number].attempts[-1].backend, float(pick % 500)))
         elif what == "list":
             kind = (ListKind.DELTA, ListKind.FULL, ListKind.FAILED)[pick % 3]
             d.list(EndpointList(kind, entries(pick, d.now) if kind is not ListKind.FAILED else []))
         elif what == "wait":
             d.advance(float(pick % 400))
     d.advance(20_000.0)
-    assert all(not book.owed for book in d.books.values()), "every request has its answer"
-    assert all(book.answered <= 1 for book in d.books.values())
+    assert all(not record.answer_pending for record in d.records.values()), "every request has its answer"
+    assert all(record.answered <= 1 for record in d.records.values())
     return d.log
 
 
@@ -111,11 +111,11 @@
 @hypothesis_settings(
     derandomize=True, max_examples=60, deadline=None, suppress_health_check=list(HealthCheck), database=None
 )
-def test_rules_hold_where_the_list_is_asked_for_and_crossing_is_dear(steps: list[tuple[str, int]]) -> None:
+def test_rules_hold_where_discovery_is_polled_and_crossing_zones_is_expensive(steps: list[tuple[str, int]]) -> None:
     run(steps, polls_discovery=True, cross_zone_price=0.1)
 
 
-def test_an_unsafe_request_that_may_have_run_fails_and_is_not_sent_again() -> None:
+def test_a_non_idempotent_request_that_may_have_run_fails_and_is_not_retried() -> None:
     d = Driver(settings(classes=CLASSES), seed=1)
     d.list(EndpointList(ListKind.FULL, [Endpoint(1), Endpoint(2)]))
     number = d.request(4, 2000.0)
@@ -123,7 +123,7 @@
     assert [type(a).__name__ for a in d.log] == ["StartAttempt", "FailRequest"]
 
 
-def test_an_unsafe_request_that_never_ran_is_sent_again() -> None:
+def test_a_non_idempotent_request_that_never_ran_is_retried() -> None:
     d = Driver(settings(classes=CLASSES), seed=1)
     d.list(EndpointList(ListKind.FULL, [Endpoint(1), Endpoint(2)]))
     number = d.request(4, 2000.0)
@@ -131,35 +131,35 @@
     assert [type(a).__name__ for a in d.log] == ["StartAttempt", "StartAttempt"]
 
 
-def test_with_nothing_usable_a_request_is_held_till_its_aim_and_then_refused() -> None:
+def test_with_no_usable_backend_a_request_is_queued_until_its_objective_and_then_rejected() -> None:
     d = Driver(settings(classes=CLASSES), seed=1)
     number = d.request(0, 2000.0)
     d.advance(499.0)
-    assert d.books[number].owed
+    assert d.records[number].answer_pending
     d.advance(2.0)
-    assert d.books[number].answered == 1
+    assert d.records[number].answered == 1
 
 
-def test_a_held_request_goes_out_when_a_backend_becomes_ready() -> None:
+def test_a_queued_request_is_placed_when_a_backend_becomes_ready() -> None:
     d = Driver(settings(classes=CLASSES), seed=1)
     d.list(EndpointList(ListKind.FULL, [Endpoint(1, state=EndpointState.DRAINING)]))
     number = d.request(0, 2000.0)
     d.list(EndpointList(ListKind.DELTA, [Endpoint(2)]))
-    assert d.books[number].attempts[0].backend == 2
+    assert d.records[number].attempts[0].backend == 2
 
 
-def test_a_backend_missing_from_a_whole_list_gets_nothing_new() -> None:
+def test_a_backend_missing_from_a_full_list_gets_nothing_new() -> None:
     d = Driver(settings(classes=CLASSES), seed=1)
     d.list(EndpointList(ListKind.FULL, [Endpoint(1), Endpoint(2)]))
     d.list(EndpointList(ListKind.FULL, [Endpoint(2)]))
     for _ in range(30):
         d.request(0, 2000.0)
-    assert {a.backend for b in d.books.values() for a in b.attempts} == {2}
+    assert {a.backend for b in d.records.values() for a in b.attempts} == {2}
 
 
 @pytest.mark.parametrize("balancers", [1, 10, 20, 30, 200])
-def test_a_cold_backend_gets_no_more_than_its_budget_even_alone_and_in_a_flood(balancers: int) -> None:
-    """Guards the cold budget: all others busy, counts empty, clients coming back many times over."""
+def test_a_warming_backend_gets_no_more_than_its_budget_even_alone_and_in_a_burst(balancers: int) -> None:
+    """Guards the slow-start budget: all other backends busy, no connections yet, many returning clients."""
     cold_ms, share, multiple, window = 20_000.0, 0.2, 3.0, 2_000.0
     sent: list[tuple[float, float]] = []
     ordinary = 1.0 / 40.0  # connections a millisecond that the fleet of 8 servers ends well
@@ -197,7 +197,7 @@
         assert got <= multiple * able + 2.0 * (multiple * able) ** 0.5 + 2.0, (low, got, multiple * able)
 
 
-def test_a_fleet_of_cold_backends_only_is_still_held_to_its_budget() -> None:
+def test_a_fleet_of_warming_backends_only_stays_within_its_budget() -> None:
     b = balancer(
         0, warmup_ms=20_000.0, initial_capacity_fraction=0.1, overload_multiple=3.0, overload_window_ms=1_000.0
     )
@@ -205,8 +205,8 @@
     assert sum(len(sends(b.handle(2.0, RequestReceived(n, left_ms=1000.0)))) for n in range(50)) <= 3
 
 
-def test_few_relays_make_their_first_calls_in_turn_and_many_within_their_time() -> None:
-    """A discovery that serves four calls a second is not asked faster by few."""
+def test_few_relays_poll_first_in_turn_and_many_within_a_time_limit() -> None:
+    """A discovery service that handles four calls a second is not polled faster by few relays."""
     for balancers, least, most in ((1, 100.0, 200.0), (4, 500.0, 800.0), (200, 1200.0, 1500.0)):
         first = []
         for seed in range(50):
@@ -215,7 +215,7 @@
         assert least < max(first) <= most
 
 
-def test_subscribing_is_spread_and_repeated_after_a_failure_with_growing_waits() -> None:
+def test_polls_are_spread_and_repeated_after_a_failure_with_backoff() -> None:
     first = set()
     for seed in range(20):
         b = Balancer(settings(polls_discovery=True, poll_interval_ms=1000.0), seed, 0.0)
@@ -228,16 +228,16 @@
         assert b.handle(now, TimerFired(pending.token)) == [WatchEndpoints()]
         (pending,) = timers(b.handle(now, EndpointList(ListKind.FAILED)))
         waits.append(pending.delay_ms)
-        assert b.handle(now, EndpointList(ListKind.FAILED)) == []  # one call under way at a time
+        assert b.handle(now, EndpointList(ListKind.FAILED)) == []  # one call at a time
     assert max(waits[:2]) < min(waits[-4:])
-    # Discovery counts as told 6 s after it could be asked: a call that hangs for 2.2 s and a wait fit into that.
+    # A list counts as current for 6 s after it was available: a call that hangs for 2.2 s and a wait fit into that.
     for balancers in (1, 6, 40, 200):
         for seed in range(50):
             b = Balancer(settings(polls_discovery=True, balancers=balancers), seed, 0.0)
             pending, now = timers(b.handle(0.0, EndpointList(ListKind.CACHED, [Endpoint(1)])))[0], 0.0
             for _ in range(10):
                 assert pending.delay_ms + 2200.0 <= 6000.0
-                assert now > 0.0 or pending.delay_ms <= 1500.0  # what changed before the start counts as told sooner
+                assert now > 0.0 or pending.delay_ms <= 1500.0  # changes before the start count sooner
                 now += pending.delay_ms
                 b.handle(now, TimerFired(pending.token))
                 (pending,) = timers(b.handle(now, EndpointList(ListKind.FAILED)))
@@ -247,7 +247,7 @@
     return [a for a in actions if isinstance(a, SetTimer)]
 
 
-def test_a_request_keeps_the_class_and_the_attempts_that_it_was_taken_with() -> None:
+def test_a_request_keeps_the_number_of_attempts_that_it_was_admitted_with() -> None:
     b = balancer(2, max_attempts=1)
     (send,) = sends(b.handle(1.0, RequestReceived(1, left_ms=2000.0)))
     b.handle(2.0, SettingsChanged(settings(max_attempts=4)))
@@ -257,7 +257,7 @@
     assert sends(end(b, 6.0, 2, b.requests[2].backend.id, Outcome.REJECTED, finished=False)) == []  # type: ignore[union-attr]
 
 
-def test_a_repeat_has_to_begin_within_its_window_and_what_may_have_run_is_not_called_harmless() -> None:
+def test_a_retry_begins_within_its_idempotency_window_and_a_request_that_may_have_run_fails() -> None:
     keyed = RequestClass(
         setup_latency_objective_ms=500.0,
         deadline_ms=2000.0,
@@ -278,13 +278,13 @@
     )
 
 
-def test_where_the_list_comes_by_itself_it_is_never_asked_for() -> None:
+def test_discovery_that_pushes_its_list_is_never_polled() -> None:
     b = balancer(3)
     assert b.handle(0.0, EndpointList(ListKind.FAILED)) == []
 
 
-def test_the_first_backend_back_in_a_dead_home_zone_is_not_everyones_own() -> None:
-    """Incident i6f1d78: a zone died, and each of its balancers took the first server back for its own."""
+def test_the_first_backend_to_return_in_a_failed_zone_is_not_overloaded_by_its_balancers() -> None:
+    """Incident i6f1d78: after a zone failed, each of its balancers sent to the first backend that returned."""
     got = 0
     for number in range(40):
         b = balancer(
--- a/tests/decisions/test_slow_start_clock.py
+++ b/tests/decisions/test_slow_start_clock.py
@@ -1,4 +1,4 @@
-"""Slow start where the wall clocks of this machine and of discovery do not agree: spans are real time."""
+"""Slow start where the wall clocks of this machine and of discovery differ: durations are real time."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 class Relay:
-    """A reducer whose servers serve each request for a while, and a list that tells what changes."""
+    """A reducer whose backends serve each request for a while, and an endpoint list with updates."""
 
     def __init__(self, seed: int = 7, **changes: Any) -> None:
         values = {
@@ -57,7 +57,7 @@
         self.tell(ListKind.DELTA, [name], quiet_ms)
 
     def serve(self, for_ms: float) -> dict[str, int]:
-        """A request each few milliseconds, served at once and for a while; how many each server got."""
+        """Send a request each few milliseconds, served for a while; return how many each backend got."""
         got = dict.fromkeys(self.machines, 0)
         until = self.now + for_ms
         while self.now < until:
@@ -76,13 +76,13 @@
 
 
 def share_of(got: dict[str, int], name: str) -> float:
-    """Of what each of the others got in the mean."""
+    """Return what this backend got, over the mean of the others."""
     others = [count for other, count in got.items() if other != name]
     return got[name] / (sum(others) / len(others))
 
 
 @pytest.mark.parametrize("wrong_ms", (-HOUR_MS, -5000.0, 0.0, HOUR_MS))
-def test_a_restart_that_the_relay_sees_is_dated_by_its_own_clock_where_the_wall_clocks_do_not_agree(
+def test_an_observed_restart_is_dated_by_the_own_clock_where_the_wall_clocks_differ(
     wrong_ms: float,
 ) -> None:
     relay = Relay()
@@ -93,15 +93,15 @@
     assert 0.75 < share_of(relay.serve(2000.0), "s-3") < 1.25, "and none once its time is over"
 
 
-def test_a_restart_is_dated_as_told_where_the_clocks_agree() -> None:
-    """Word that comes late, after a quiet time, does not start the slow start anew."""
+def test_a_restart_is_dated_as_listed_where_the_clocks_agree() -> None:
+    """A late update, after a time without any, does not restart slow start."""
     relay = Relay()
     relay.serve(2000.0)
     relay.restart("s-3", relay.now - COLD_MS, quiet_ms=COLD_MS + 1000.0)
     assert 0.75 < share_of(relay.serve(2000.0), "s-3") < 1.25
 
 
-def test_a_start_in_the_future_that_is_first_seen_in_a_list_does_not_keep_a_backend_cold_for_an_hour() -> None:
+def test_a_start_in_the_future_does_not_keep_a_backend_in_slow_start_for_an_hour() -> None:
     relay = Relay()
     relay.machines["s-3"] = Endpoint("s-3", ("127.0.0.1", 4), started_ms=relay.now + HOUR_MS)
     relay.tell(ListKind.FULL, list(relay.machines), quiet_ms=None)
@@ -110,8 +110,8 @@
 
 
 @pytest.mark.parametrize("seed", (1, 2, 3))
-def test_a_backend_that_warms_up_is_not_fed_over_what_each_of_the_others_gets(seed: int) -> None:
-    """Its budget would allow it, where the settings are generous; its own clients would pay for it."""
+def test_a_backend_that_warms_up_gets_no_more_than_each_of_the_others(seed: int) -> None:
+    """Its budget would allow more with generous settings, at the expense of its clients."""
     relay = Relay(seed, warmup_ms=3000.0)
     relay.serve(3000.0)
     relay.restart("s-3", relay.now)
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""Small builders shared by the tests."""
+"""Builders that the tests share."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 
 
 def open_one(b: Balancer, now: float, request: int, load: float = 0.0, tenant: int = 0) -> int:
-    """Place one request and establish it; the server it went to."""
+    """Place a request and establish it; return its backend."""
     (send,) = sends(b.handle(now, RequestReceived(request, left_ms=2000.0, load=load, tenant=tenant)))
     b.handle(now, ConnectionEstablished(request, 0, send.backend))
     return send.backend
