--- /dev/null
+++ b/tests/decisions/test_admission.py
@@ -0,0 +1,46 @@
+"""Rejection at once of requests that would miss their objective."""
+
+from __future__ import annotations
+
+from tests.helpers import WITH_MESSAGE_OBJECTIVE, balancer, end, full_list, open_one, place, settings
+from yarrowspindle.decisions.actions import RejectRequest
+from yarrowspindle.decisions.balancer import Balancer
+from yarrowspindle.decisions.events import (
+    ConnectionEstablished,
+    Endpoint,
+    Outcome,
+    RequestReceived,
+    SlowMessageObserved,
+)
+
+
+def test_a_request_that_would_miss_its_objective_everywhere_is_rejected_at_once_with_spread_waits() -> None:
+    b = balancer(1, classes=WITH_MESSAGE_OBJECTIVE, retry_after=True, max_retry_after_ms=1000.0)
+    backend = open_one(b, 0.0, 1)
+    b.handle(1.0, SlowMessageObserved(1, backend, 500.0))
+    answers = [a for n in range(2, 12) for a in b.handle(2.0, RequestReceived(n, left_ms=2000.0))]
+    waits = [a.retry_after_ms for a in answers if isinstance(a, RejectRequest)]
+    assert len(waits) == 10 and len(set(waits)) == 10 and 500.0 <= min(waits) and max(waits) <= 1000.0
+
+
+def test_slow_backends_of_the_own_zone_do_not_count_for_another_zone() -> None:
+    """An overloaded own zone must not cause rejections for another zone."""
+    b = Balancer(settings(classes=WITH_MESSAGE_OBJECTIVE, zones=2, cross_zone_price=0.1), 3, 0.0)
+    b.handle(0.0, full_list(Endpoint(1), Endpoint(2, zone=1), Endpoint(3, zone=1)))
+    assert open_one(b, 0.0, 1) == 1
+    b.handle(1.0, SlowMessageObserved(1, 1, 80.0))
+    placed = [place(b, 2.0, n) for n in range(2, 30)]
+    assert placed.count(None) == 0 and set(placed) & {2, 3}
+
+
+def test_requests_are_shed_while_setups_take_all_of_their_objective() -> None:
+    """Incident i82a5ad: setups must not wait in a slow dependency's queue until their clients disconnect."""
+    b = balancer(8, max_attempts=1)
+    for n in range(1, 40):
+        if (backend := place(b, 1.0, n)) is not None:
+            end(b, 1.0, n, backend, Outcome.TIMEOUT, finished=False)
+    assert 1 <= sum(place(b, 2.0, n) is not None for n in range(100, 200)) <= 30
+    for n in range(200, 300):  # those that get through in time bring the others back
+        if (backend := place(b, 3.0, n)) is not None:
+            b.handle(3.0, ConnectionEstablished(n, 0, backend, latency_ms=20.0))
+    assert all(place(b, 4.0, n) is not None for n in range(300, 320))
--- /dev/null
+++ b/tests/decisions/test_migration.py
@@ -0,0 +1,42 @@
+"""Migration of connections with slow messages."""
+
+from __future__ import annotations
+
+from tests.helpers import WITH_MESSAGE_OBJECTIVE, balancer, end, open_one, place
+from yarrowspindle.decisions.actions import MigrateConnection
+from yarrowspindle.decisions.events import (
+    Outcome,
+    SlowMessageObserved,
+)
+
+
+def test_a_slow_backend_gets_nothing_new_and_loses_its_heaviest_connection() -> None:
+    b = balancer(2, seed=4, classes=WITH_MESSAGE_OBJECTIVE)
+    on: dict[int, list[int]] = {1: [], 2: []}
+    for n in range(1, 30):
+        on[open_one(b, 0.0, n, load=float(n))].append(n)
+    moved = b.handle(1.0, SlowMessageObserved(on[1][0], 1, 500.0))
+    moved += b.handle(2.0, SlowMessageObserved(on[1][0], 1, 500.0))
+    assert MigrateConnection(on[1][-1]) in moved
+    assert {place(b, 3.0, n) for n in range(100, 110)} <= {2, None}
+
+
+def test_a_migrated_connection_is_not_migrated_or_answered_again() -> None:
+    b = balancer(1, seed=1, classes=WITH_MESSAGE_OBJECTIVE)
+    backend = open_one(b, 0.0, 1)
+    moves = [a for t in range(1, 200) for a in b.handle(float(t), SlowMessageObserved(1, backend, 500.0))]
+    assert moves.count(MigrateConnection(1)) <= 1
+    assert end(b, 300.0, 1, backend, Outcome.CANCELLED) == []
+
+
+def test_a_message_latency_within_the_objective_migrates_nothing() -> None:
+    b = balancer(1, classes=WITH_MESSAGE_OBJECTIVE)
+    backend = open_one(b, 0.0, 1)
+    assert all(b.handle(float(t), SlowMessageObserved(1, backend, 80.0)) == [] for t in range(1, 50))
+
+
+def test_a_class_without_a_message_objective_is_neither_migrated_nor_rejected_for_slow_messages() -> None:
+    b = balancer(1)
+    backend = open_one(b, 0.0, 1)
+    assert all(b.handle(float(t), SlowMessageObserved(1, backend, 500.0)) == [] for t in range(1, 30))
+    assert place(b, 40.0, 2) == backend
--- /dev/null
+++ b/tests/decisions/test_slow_start.py
@@ -0,0 +1,115 @@
+"""Slow start: warming backends get their budget and no more."""
+
+from __future__ import annotations
+
+import pytest
+
+from tests.helpers import balancer, end, full_list, open_one, place, sends, settings
+from yarrowspindle.decisions.balancer import Balancer
+from yarrowspindle.decisions.events import (
+    ConnectionEstablished,
+    Endpoint,
+    EndpointList,
+    ListKind,
+    Outcome,
+    RequestReceived,
+)
+
+
+def test_warming_backends_of_other_zones_get_requests_where_no_latency_is_reported() -> None:
+    """Else new processes of a zone without a relay would get nothing until they have warmed up."""
+    b = Balancer(
+        settings(
+            zones=2,
+            cross_zone_price=0.1,
+            backend_reports_latency=False,
+            warmup_ms=9000.0,
+            initial_capacity_fraction=0.3,
+            overload_multiple=3.0,
+            overload_window_ms=1500.0,
+        ),
+        3,
+        0.0,
+    )
+    b.handle(0.0, full_list(Endpoint(1), Endpoint(2, zone=1)))
+    for n in range(1, 60):
+        end(b, 100.0 * n, n, open_one(b, 100.0 * n, n, load=50.0))
+    b.handle(6000.0, EndpointList(ListKind.DELTA, [Endpoint(2, zone=1, started_ms=6000.0)]))
+    assert 2 in [place(b, 6001.0 + n, n, load=50.0) for n in range(100, 130)]
+
+
+@pytest.mark.parametrize("balancers", [1, 10, 20, 30, 200])
+def test_a_warming_backend_gets_no_more_than_its_budget_even_alone_and_in_a_burst(balancers: int) -> None:
+    """Guards the slow-start budget: all other backends busy, no connections yet, many returning clients."""
+    cold_ms, share, multiple, window = 20_000.0, 0.2, 3.0, 2_000.0
+    sent: list[tuple[float, float]] = []
+    ordinary = 1.0 / 40.0  # connections a millisecond that the fleet of 8 servers ends well
+    for number in range(balancers):
+        b = balancer(
+            8,
+            seed=number,
+            balancers=balancers,
+            number=number,
+            warmup_ms=cold_ms,
+            initial_capacity_fraction=share,
+            overload_multiple=multiple,
+            overload_window_ms=window,
+            max_attempts=3,
+        )
+        gap, request, now = balancers / ordinary, 0, 0.0
+        while now < 3 * cold_ms:  # learn the ordinary traffic
+            request, now = request + 1, now + gap
+            (send,) = sends(b.handle(now, RequestReceived(request, left_ms=2000.0, load=1.0)))
+            b.handle(now, ConnectionEstablished(request, 0, send.backend))
+            end(b, now, request, send.backend)
+        start = now
+        b.handle(now, EndpointList(ListKind.DELTA, [Endpoint(1, started_ms=start)]))
+        while now < start + cold_ms / 2:  # a flood, twenty times the ordinary, that no server takes
+            request, now = request + 1, now + gap / 20.0
+            for send in sends(b.handle(now, RequestReceived(request, left_ms=100.0, load=1.0))):
+                if send.backend == 1:
+                    sent.append((now - start, 1.0))
+                b.handle(now, ConnectionEstablished(request, 0, send.backend))
+                end(b, now, request, send.backend, Outcome.RESET)
+    for k in range(10):
+        low, high = k * window / 2, k * window / 2 + window
+        able = (share + (1 - share) * low / cold_ms) * ordinary / 8 * window
+        got = sum(load for at, load in sent if low <= at < high)
+        assert got <= multiple * able + 2.0 * (multiple * able) ** 0.5 + 2.0, (low, got, multiple * able)
+
+
+def test_a_fleet_of_warming_backends_only_stays_within_its_budget() -> None:
+    b = balancer(
+        0, warmup_ms=20_000.0, initial_capacity_fraction=0.1, overload_multiple=3.0, overload_window_ms=1_000.0
+    )
+    b.handle(1.0, EndpointList(ListKind.FULL, [Endpoint(i, started_ms=1.0) for i in (1, 2, 3)]))
+    assert sum(len(sends(b.handle(2.0, RequestReceived(n, left_ms=1000.0)))) for n in range(50)) <= 3
+
+
+def test_the_first_backend_to_return_in_a_failed_zone_is_not_overloaded_by_its_balancers() -> None:
+    """Incident i6f1d78: after a zone failed, each of its balancers sent to the first backend that returned."""
+    got = 0
+    for number in range(40):
+        b = balancer(
+            0,
+            seed=number,
+            balancers=40,
+            number=number,
+            zones=2,
+            cross_zone_price=0.1,
+            warmup_ms=9e3,
+            initial_capacity_fraction=0.3,
+            overload_multiple=3.0,
+            overload_window_ms=1000.0,
+        )
+        fleet = [Endpoint(i + 1, zone=i % 2) for i in range(20)]
+        b.handle(0.0, EndpointList(ListKind.FULL, fleet))
+        for n in range(60):  # about one connection a second ends well at each balancer
+            (send,) = sends(b.handle(1000.0 * n, RequestReceived(n, left_ms=2000.0, load=1.0)))
+            end(b, 1000.0 * n, n, send.backend)
+        b.handle(60_000.0, EndpointList(ListKind.FULL, [e for e in fleet if e.zone == 1]))
+        b.handle(70_000.0, EndpointList(ListKind.DELTA, [Endpoint(1, zone=0, started_ms=70_000.0)]))
+        for n in range(100, 110):
+            got += sum(s.backend == 1 for s in sends(b.handle(70_100.0, RequestReceived(n, left_ms=2000.0, load=1.0))))
+    # The fleet ends 40 connections a second well on 20 servers: 2 a second at a warm one, 0.6 at the start.
+    assert got <= 3 * 0.6 + 3 * (3 * 0.6) ** 0.5
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from yarrowspindle.decisions.actions import Action, StartAttempt
+from yarrowspindle.decisions.actions import Action, SetTimer, StartAttempt
 from yarrowspindle.decisions.balancer import Balancer
 from yarrowspindle.decisions.events import (
     AttemptEnded,
@@ -17,26 +17,31 @@
 )
 from yarrowspindle.decisions.settings import RequestClass, Settings
 
-SAFE = RequestClass(setup_latency_objective_ms=500.0, deadline_ms=2000.0)
+IDEMPOTENT = RequestClass(setup_latency_objective_ms=500.0, deadline_ms=2000.0)
+WITH_MESSAGE_OBJECTIVE = (RequestClass(500.0, 2000.0, message_latency_objective_ms=90.0),)
 
 
 def settings(**changes: Any) -> Settings:
-    values: dict[str, Any] = {"classes": (SAFE,), "max_attempts": 4, "may_cancel": True}
+    """Return settings of one idempotent class, with these changes."""
+    values: dict[str, Any] = {"classes": (IDEMPOTENT,), "max_attempts": 4, "may_cancel": True}
     values.update(changes)
     return Settings(**values)
 
 
 def full_list(*entries: Endpoint, kind: ListKind = ListKind.FULL) -> EndpointList:
+    """Return an endpoint list of these entries."""
     return EndpointList(kind, list(entries))
 
 
 def balancer(backends: int = 4, seed: int = 1, **changes: Any) -> Balancer:
+    """Return a balancer with this many ready backends, from 1."""
     b = Balancer(settings(**changes), seed, 0.0)
     b.handle(0.0, full_list(*(Endpoint(i + 1) for i in range(backends)), kind=ListKind.CACHED))
     return b
 
 
 def sends(actions: list[Action]) -> list[StartAttempt]:
+    """Return the attempts that the actions start."""
     return [a for a in actions if isinstance(a, StartAttempt)]
 
 
@@ -56,4 +61,16 @@
     attempt: int = 0,
     finished: bool = True,
 ) -> list[Action]:
+    """End an attempt; return the actions that follow."""
     return b.handle(now, AttemptEnded(request, attempt, backend, outcome, finished))
+
+
+def place(b: Balancer, now: float, request: int, load: float = 1.0, left: float = 2000.0) -> int | None:
+    """Place a request; return its backend, or None where it is rejected or queued."""
+    got = sends(b.handle(now, RequestReceived(request, left_ms=left, load=load)))
+    return got[0].backend if got else None
+
+
+def timers(actions: list[Action]) -> list[SetTimer]:
+    """Return the timers that the actions set."""
+    return [a for a in actions if isinstance(a, SetTimer)]
