--- a/tests/decisions/test_admission.py
+++ b/tests/decisions/test_admission.py
@@ -2,8 +2,18 @@
 
 from __future__ import annotations
 
+import pytest
+
 from tests.helpers import WITH_MESSAGE_OBJECTIVE, balancer, end, full_list, open_one, place, settings
 from yarrowspindle.decisions.actions import RejectRequest
+from yarrowspindle.decisions.admission import (
+    SETUP_SAMPLES,
+    SetupLatencyAverage,
+    SlowBackendFractions,
+    retry_after_ms,
+    shedding_probability,
+)
+from yarrowspindle.decisions.backends import Backend
 from yarrowspindle.decisions.balancer import Balancer
 from yarrowspindle.decisions.events import (
     ConnectionEstablished,
@@ -44,3 +54,36 @@
         if (backend := place(b, 3.0, n)) is not None:
             b.handle(3.0, ConnectionEstablished(n, 0, backend, latency_ms=20.0))
     assert all(place(b, 4.0, n) is not None for n in range(300, 320))
+
+
+@pytest.mark.parametrize(("setup_fraction", "shed"), [(0.0, 0.0), (0.5, 0.0), (0.6, 0.2), (0.9, 0.8), (1.0, 0.9)])
+def test_shedding_begins_at_half_of_the_setup_objective(setup_fraction: float, shed: float) -> None:
+    assert shedding_probability(setup_fraction) == pytest.approx(shed)
+
+
+def test_the_setup_average_counts_a_failure_as_all_of_the_objective() -> None:
+    average, failed = SetupLatencyAverage(), SetupLatencyAverage()
+    average.record(5000.0, 500.0)
+    failed.record_failure()
+    assert average.fraction == failed.fraction == 1.0 / SETUP_SAMPLES
+    average.record(0.0, 500.0)
+    assert average.fraction < failed.fraction
+
+
+def test_the_fraction_of_slow_backends_is_of_those_observed_in_the_zone() -> None:
+    observed = {number: Backend(number) for number in range(1, 5)}
+    for backend in observed.values():
+        backend.ready, backend.connections, backend.zone = True, 1, backend.id % 2
+    observed[1].slow_until = 500.0
+    observed[2].connections = 0  # neither slow nor in use
+    fractions = SlowBackendFractions(50.0, 0.0)
+    assert [fractions.in_zone(zone, observed, 100.0) for zone in (0, 1, 2)] == [0.0, 0.5, 0.0]
+    assert 2 not in observed
+    assert fractions.in_zone(1, observed, 149.0) == 0.5, "not refreshed yet"
+    assert fractions.in_zone(1, observed, 600.0) == 0.0
+
+
+def test_retry_after_is_spread_over_the_second_half_of_the_longest_wait() -> None:
+    heeded = settings(retry_after=True, max_retry_after_ms=1000.0)
+    assert [retry_after_ms(heeded, draw) for draw in (0.0, 0.5, 1.0)] == [500.0, 750.0, 1000.0]
+    assert retry_after_ms(settings(max_retry_after_ms=1000.0), 0.5) == 0.0
--- a/tests/decisions/test_migration.py
+++ b/tests/decisions/test_migration.py
@@ -2,12 +2,15 @@
 
 from __future__ import annotations
 
+import pytest
+
 from tests.helpers import WITH_MESSAGE_OBJECTIVE, balancer, end, open_one, place
 from yarrowspindle.decisions.actions import MigrateConnection
 from yarrowspindle.decisions.events import (
     Outcome,
     SlowMessageObserved,
 )
+from yarrowspindle.decisions.migration import slow_message_probability
 
 
 def test_a_slow_backend_gets_nothing_new_and_loses_its_heaviest_connection() -> None:
@@ -40,3 +43,20 @@
     backend = open_one(b, 0.0, 1)
     assert all(b.handle(float(t), SlowMessageObserved(1, backend, 500.0)) == [] for t in range(1, 30))
     assert place(b, 40.0, 2) == backend
+
+
+@pytest.mark.parametrize(
+    ("slow_fraction", "setup_fraction", "retry_after", "expected"),
+    [
+        (0.0, 0.0, False, 0.8),
+        (0.5, 0.0, False, 0.4),
+        (1.0, 0.0, False, 0.0),
+        (1.0, 0.0, True, 0.24),
+        (0.0, 0.5, True, 0.4),
+        (0.0, 1.0, True, 0.0),
+    ],
+)
+def test_migrations_for_slow_messages_become_rare_in_an_overload_and_while_setups_are_slow(
+    slow_fraction: float, setup_fraction: float, retry_after: bool, expected: float
+) -> None:
+    assert slow_message_probability(slow_fraction, setup_fraction, retry_after) == pytest.approx(expected)
--- a/tests/decisions/test_outlier_detection.py
+++ b/tests/decisions/test_outlier_detection.py
@@ -5,6 +5,8 @@
 import pytest
 
 from tests.helpers import WITH_MESSAGE_OBJECTIVE, balancer, end, open_one, place, sends
+from yarrowspindle.decisions import outlier_detection
+from yarrowspindle.decisions.backends import Backend
 from yarrowspindle.decisions.events import (
     ConnectionEstablished,
     Endpoint,
@@ -90,3 +92,37 @@
     backends = {n: open_one(b, 0.0, n, load=50.0) for n in range(1, 10)}
     b.handle(1.0, SlowMessageObserved(1, backends[1], 500.0))
     assert b.state.uses_own_load_only and b.backends[backends[1]].slow_until > 1.0
+
+
+def test_an_ejection_lasts_for_the_deadline_with_jitter_and_doubles_once() -> None:
+    backend = Backend(1)
+    outlier_detection.eject(backend, 100.0, 2000.0, 0.0)
+    assert backend.ejected_until == 100.0 + 1000.0
+    for _ in range(4):
+        outlier_detection.eject(backend, 100.0, 2000.0, 0.5)
+        assert backend.ejected_until == 100.0 + 2 * 2000.0
+    assert backend.consecutive_failures == 5
+    for failures in (2, 1):
+        outlier_detection.on_established(backend)
+        assert backend.consecutive_failures == failures and backend.ejected_until > 0.0
+    outlier_detection.on_established(backend)
+    assert backend.consecutive_failures == 0 and backend.ejected_until < 0.0
+
+
+@pytest.mark.parametrize("outcome", list(Outcome))
+def test_the_end_of_an_attempt_counts_as_a_failure_or_not(outcome: Outcome) -> None:
+    failed = outcome not in (Outcome.OK, Outcome.CANCELLED, Outcome.NOT_SENT)
+    assert outlier_detection.is_failure(outcome, established_reset=False, overload_reset=False) is failed
+    for overloaded in (False, True):
+        found = outlier_detection.is_failure(Outcome.RESET, established_reset=True, overload_reset=overloaded)
+        assert found is overloaded
+
+
+def test_resets_count_together_only_within_their_window() -> None:
+    window_ms = outlier_detection.RESET_WINDOW_MS
+    backend = Backend(1)
+    together = [outlier_detection.is_overload_reset(backend, 10.0 * n, True) for n in range(RESETS_BEFORE_EJECTION)]
+    assert together == [False] * (RESETS_BEFORE_EJECTION - 1) + [True]
+    apart = [outlier_detection.is_overload_reset(backend, (n + 2) * (window_ms + 1.0), True) for n in range(5)]
+    assert not any(apart)
+    assert outlier_detection.is_overload_reset(Backend(2), 0.0, False), "one is enough where latency is reported"
--- a/tests/decisions/test_retries.py
+++ b/tests/decisions/test_retries.py
@@ -17,6 +17,7 @@
     TimerFired,
 )
 from yarrowspindle.decisions.rejection import RejectionReason
+from yarrowspindle.decisions.retries import RetryBudget, backoff_ms
 from yarrowspindle.decisions.settings import DeduplicationScope, Idempotency, RequestClass
 
 
@@ -72,3 +73,17 @@
         b.handle(130.0, DeadlineReached(1)) == [FailRequest(1, RejectionReason.DEADLINE_EXCEEDED)]
         and b.handle(131.0, DeadlineReached(1)) == []
     )
+
+
+def test_the_budget_allows_saved_retries_and_a_fifth_of_the_connections() -> None:
+    budget = RetryBudget()
+    assert [budget.spend(free=False) for _ in range(3)] == [True, True, False]
+    assert budget.spend(free=True)
+    for _ in range(6):
+        budget.on_established()
+    assert [budget.spend(free=False) for _ in range(2)] == [True, False]
+
+
+def test_the_backoff_doubles_with_each_attempt_and_has_jitter() -> None:
+    assert [backoff_ms(800.0, attempts, 0.5) for attempts in (1, 2, 3, 4)] == [200.0, 400.0, 800.0, 1600.0]
+    assert (backoff_ms(800.0, 3, 0.0), backoff_ms(800.0, 3, 1.0)) == (400.0, 1200.0)
