--- /dev/null
+++ b/tests/decisions/reporting_relay.py
@@ -0,0 +1,96 @@
+"""A balancer whose backends report their load to health checks."""
+
+from __future__ import annotations
+
+from typing import Any
+
+from tests.helpers import full_list, sends, settings
+from yarrowspindle.decisions.actions import Action, CheckHealth, MigrateConnection, SetTimer
+from yarrowspindle.decisions.balancer import Balancer
+from yarrowspindle.decisions.events import (
+    ConnectionEstablished,
+    Endpoint,
+    HealthCheckCompleted,
+    ListKind,
+    Outcome,
+    RequestReceived,
+    TimerFired,
+)
+from yarrowspindle.decisions.settings import RequestClass
+
+CLASSES = (
+    RequestClass(800.0, 4800.0, priority_weight=3.0, message_latency_objective_ms=60.0),
+    RequestClass(300.0, 1200.0, priority_weight=0.3, message_latency_objective_ms=50.0),
+)
+REPORTING: dict[str, Any] = dict(
+    classes=CLASSES,
+    may_probe=True,
+    load_report_fields=("rif", "x0"),
+    zones=2,
+    cross_zone_price=0.16,
+    capacity_excludes_load=True,
+    groups_share_work=True,
+    retry_after=True,
+    max_retry_after_ms=2000.0,
+)
+
+
+class Relay:
+    """A balancer, its timers, and backends of two zones that report the utilization in `used` (None: no answer)."""
+
+    def __init__(self, backends: int = 6, seed: int = 1, **changes: Any) -> None:
+        self.now, self.requests = 0.0, 0
+        self.balancer = Balancer(settings(**(REPORTING | changes)), seed, 0.0)
+        self.used: dict[int, float | None] = dict.fromkeys(range(1, backends + 1), 0.3)
+        self.probes: list[int] = []
+        self.moves: list[int] = []
+        self.timers: list[tuple[float, int]] = []
+        self.tell(full_list(*(Endpoint(n, zone=n % 2, capacity=2.0) for n in self.used), kind=ListKind.CACHED))
+
+    def tell(self, event: Any) -> list[Action]:
+        actions = self.balancer.handle(self.now, event)
+        for action in actions:
+            if isinstance(action, SetTimer):
+                self.timers.append((self.now + action.delay_ms, action.token))
+            elif isinstance(action, CheckHealth):
+                self.probes.append(action.backend)
+                reported = self.used[action.backend]
+                outcome = Outcome.OK if reported is not None else Outcome.TIMEOUT
+                self.tell(
+                    HealthCheckCompleted(
+                        action.backend, outcome, 1.0, () if reported is None else (reported * 33.0, reported)
+                    )
+                )
+            elif isinstance(action, MigrateConnection):
+                self.moves.append(action.request)
+        return actions
+
+    def run(self, ms: float) -> None:
+        goal = self.now + ms
+        while due := sorted(t for t in self.timers if t[0] <= goal):
+            self.timers.remove(due[0])
+            self.now = due[0][0]
+            self.tell(TimerFired(due[0][1]))
+        self.now = goal
+
+    def place(self, cls: int = 0, group: int = 0) -> int:
+        """Place a request; returns its backend, or 0 where it is rejected."""
+        self.requests += 1
+        actions = self.tell(RequestReceived(self.requests, cls, left_ms=4800.0, group=group))
+        return sends(actions)[0].backend if sends(actions) else 0
+
+
+def warmed(**changes: Any) -> Relay:
+    """Return a relay to which all backends have reported."""
+    r = Relay(**changes)
+    r.balancer.health_checks.credit = 100.0
+    r.run(3000.0)
+    assert set(r.probes) == set(r.used)
+    r.moves.clear()
+    r.balancer.health_checks.credit = 100.0
+    return r
+
+
+def established(request: int, backend: int) -> ConnectionEstablished:
+    """Return the event that attempt 0 of a request succeeded."""
+    return ConnectionEstablished(request, 0, backend, 10.0)
--- /dev/null
+++ b/tests/decisions/test_health_checks.py
@@ -0,0 +1,106 @@
+"""Health checks: when backends are checked; load reports on sockets."""
+
+from __future__ import annotations
+
+import asyncio
+from pathlib import Path
+from typing import Any
+
+import pytest
+
+from tests.decisions.reporting_relay import Relay
+from tests.stand_ins import SETTINGS, World, relay
+from yarrowspindle.decisions.health_checks import HEALTH_CHECK_INTERVAL_MS
+
+
+def test_new_connections_pay_for_health_checks_and_the_longest_unchecked_backend_is_checked_first() -> None:
+    r = Relay()
+    r.run(5000.0)
+    assert r.probes == [], "there were no connections"
+    for _ in range(4):
+        r.place()
+    r.run(HEALTH_CHECK_INTERVAL_MS)
+    assert len(r.probes) == 6 and set(r.probes) == set(r.used)
+    r.run(20_000.0)
+    assert len(r.probes) == 6
+    silent = Relay(load_report_fields=())
+    silent.place()
+    silent.run(5000.0)
+    assert silent.probes == [], "where health checks have no report none is sent"
+
+
+# --- on sockets -----------------------------------------------------------------------------------
+
+PROBED: dict[str, Any] = {
+    "stats": {"columns": ["rif", "x0"], "source": "probe"},
+    "limits": SETTINGS["limits"] | {"conn_idle_ms": 5000.0},
+}
+
+
+def run(tmp: Path, answers: dict[str, str], body: Any, **changes: Any) -> None:
+    """Both stand-in backends answer each `STATS` with their line, where they have one; the test does the rest."""
+
+    async def inside() -> None:
+        async with relay(tmp, **(PROBED | changes)) as world:
+            for name, backend in world.backends.items():
+                backend.stats = answers.get(name)
+            await body(world)
+
+    asyncio.run(inside())
+
+
+async def probed(w: World, name: str, times: int) -> None:
+    while w.backends[name].probed < times:
+        client, _, backend = await w.standing()
+        backend.say("BYE")
+        backend.writer.close()
+        await client.hear()
+        await asyncio.sleep(0.02)
+
+
+def test_health_checks_use_connections_of_their_own_and_a_full_backend_gets_nothing(tmp_path: Path) -> None:
+    async def body(w: World) -> None:
+        for name in w.backends:
+            await probed(w, name, 2)
+        assert {(await w.standing())[1] for _ in range(8)} == {"s-2"}
+        assert max(backend.probe_connections for backend in w.backends.values()) == 1, (
+            "one connection serves all health checks"
+        )
+
+    run(tmp_path, {"s-1": "PONG rif=40,x0=2.5", "s-2": "PONG rif=2,x0=0.1"}, body)
+
+
+def test_a_backend_that_never_answers_its_health_check_is_ejected(tmp_path: Path) -> None:
+    async def body(w: World) -> None:
+        await probed(w, "s-2", 3)
+        await w.logged("execute node s-1 does not answer its probe: no answer in time")
+        assert {(await w.standing())[1] for _ in range(8)} == {"s-2"}
+        w.backends["s-1"].stats = "PONG rif=0,x0=0.0"
+        while "s-1" not in {(await w.standing())[1] for _ in range(4)}:
+            await asyncio.sleep(0.1)
+        await w.logged("execute node s-1 answers its probes again")
+
+    run(tmp_path, {"s-2": "PONG rif=2,x0=0.1"}, body)
+
+
+@pytest.mark.parametrize("nonsense", ["NO", "PONG x0=a lot", "x" * 5000])
+def test_an_invalid_report_is_logged_and_placement_continues_without_it(tmp_path: Path, nonsense: str) -> None:
+    async def body(w: World) -> None:
+        client, _, backend = await w.standing()
+        assert "WARNING" in await w.logged("execute node s-")
+        stand = [await w.standing() for _ in range(6)]
+        assert {name for _, name, _ in stand} == {"s-1", "s-2"}, "it does not count against the backend"
+        backend.say("still here")
+        assert await client.hear() == "still here"
+
+    run(tmp_path, dict.fromkeys(("s-1", "s-2"), nonsense), body)
+
+
+def test_no_health_check_is_sent_where_settings_do_not_allow_it(tmp_path: Path) -> None:
+    async def body(w: World) -> None:
+        for _ in range(4):
+            await w.standing()
+        await asyncio.sleep(1.2)  # two beats
+        assert not any(backend.probed for backend in w.backends.values())
+
+    run(tmp_path, {}, body, limits=PROBED["limits"] | {"probing": False})
--- a/tests/decisions/test_load_estimates.py
+++ b/tests/decisions/test_load_estimates.py
@@ -1,31 +1,26 @@
-"""Placement by reported load: estimates, costs, health checks and migrations; health checks on sockets."""
+"""Placement by reported load: estimates, costs and migrations for gain."""
 
 from __future__ import annotations
 
-import asyncio
 import random
-from pathlib import Path
 from typing import Any
 
 import pytest
 
+from tests.decisions.reporting_relay import REPORTING, Relay, established, warmed
 from tests.helpers import end, full_list, open_one, sends, settings
-from tests.stand_ins import SETTINGS, World, relay
-from yarrowspindle.decisions.actions import Action, CheckHealth, MigrateConnection, RejectRequest, SetTimer
+from yarrowspindle.decisions.actions import RejectRequest
 from yarrowspindle.decisions.backends import Backend
 from yarrowspindle.decisions.balancer import Balancer
 from yarrowspindle.decisions.events import (
     Endpoint,
     EndpointList,
     ExistingConnection,
-    HealthCheckCompleted,
     ListKind,
     Outcome,
     RequestReceived,
     SlowMessageObserved,
-    TimerFired,
 )
-from yarrowspindle.decisions.health_checks import HEALTH_CHECK_INTERVAL_MS
 from yarrowspindle.decisions.load_estimates import LoadEstimates
 from yarrowspindle.decisions.requests import Request
 from yarrowspindle.decisions.settings import RequestClass
@@ -34,92 +29,6 @@
 from yarrowspindle.routing.events import BackendAccepted, BackendConnected, EndpointsUpdated, UnclassifiedReport
 from yarrowspindle.routing.reducer import Reducer
 
-CLASSES = (
-    RequestClass(800.0, 4800.0, priority_weight=3.0, message_latency_objective_ms=60.0),
-    RequestClass(300.0, 1200.0, priority_weight=0.3, message_latency_objective_ms=50.0),
-)
-TOLD: dict[str, Any] = dict(
-    classes=CLASSES,
-    may_probe=True,
-    load_report_fields=("rif", "x0"),
-    zones=2,
-    cross_zone_price=0.16,
-    capacity_excludes_load=True,
-    groups_share_work=True,
-    retry_after=True,
-    max_retry_after_ms=2000.0,
-)
-
-
-class Relay:
-    """A balancer, its timers, and backends of two zones that report the utilization in `used` (None: no answer)."""
-
-    def __init__(self, backends: int = 6, seed: int = 1, **changes: Any) -> None:
-        self.now, self.requests = 0.0, 0
-        self.balancer = Balancer(settings(**(TOLD | changes)), seed, 0.0)
-        self.used: dict[int, float | None] = dict.fromkeys(range(1, backends + 1), 0.3)
-        self.probes: list[int] = []
-        self.moves: list[int] = []
-        self.timers: list[tuple[float, int]] = []
-        self.tell(full_list(*(Endpoint(n, zone=n % 2, capacity=2.0) for n in self.used), kind=ListKind.CACHED))
-
-    def tell(self, event: Any) -> list[Action]:
-        actions = self.balancer.handle(self.now, event)
-        for action in actions:
-            if isinstance(action, SetTimer):
-                self.timers.append((self.now + action.delay_ms, action.token))
-            elif isinstance(action, CheckHealth):
-                self.probes.append(action.backend)
-                told = self.used[action.backend]
-                outcome = Outcome.OK if told is not None else Outcome.TIMEOUT
-                self.tell(
-                    HealthCheckCompleted(action.backend, outcome, 1.0, () if told is None else (told * 33.0, told))
-                )
-            elif isinstance(action, MigrateConnection):
-                self.moves.append(action.request)
-        return actions
-
-    def run(self, ms: float) -> None:
-        goal = self.now + ms
-        while due := sorted(t for t in self.timers if t[0] <= goal):
-            self.timers.remove(due[0])
-            self.now = due[0][0]
-            self.tell(TimerFired(due[0][1]))
-        self.now = goal
-
-    def place(self, cls: int = 0, group: int = 0) -> int:
-        """Place a request; returns its backend, or 0 where it is rejected."""
-        self.requests += 1
-        actions = self.tell(RequestReceived(self.requests, cls, left_ms=4800.0, group=group))
-        return sends(actions)[0].backend if sends(actions) else 0
-
-
-def warmed(**changes: Any) -> Relay:
-    """Return a relay to which all backends have reported."""
-    r = Relay(**changes)
-    r.balancer.health_checks.credit = 100.0
-    r.run(3000.0)
-    assert set(r.probes) == set(r.used)
-    r.moves.clear()
-    r.balancer.health_checks.credit = 100.0
-    return r
-
-
-def test_new_connections_pay_for_health_checks_and_the_longest_unchecked_backend_is_checked_first() -> None:
-    r = Relay()
-    r.run(5000.0)
-    assert r.probes == [], "there were no connections"
-    for _ in range(4):
-        r.place()
-    r.run(HEALTH_CHECK_INTERVAL_MS)
-    assert len(r.probes) == 6 and set(r.probes) == set(r.used)
-    r.run(20_000.0)
-    assert len(r.probes) == 6
-    silent = Relay(load_report_fields=())
-    silent.place()
-    silent.run(5000.0)
-    assert silent.probes == [], "where health checks have no report none is sent"
-
 
 def test_groups_are_placed_together_and_in_the_own_zone() -> None:
     def backends_paying(**changes: Any) -> float:
@@ -163,7 +72,7 @@
     for _ in range(20):
         backend = r.place(group=7)
         on[r.requests] = backend
-        r.tell(_established(r.requests, backend))
+        r.tell(established(r.requests, backend))
     sick = next(iter(on.values()))
     r.used[sick] = told
     r.run(2500.0)
@@ -188,16 +97,10 @@
         assert r.place() in (0, *r.used), "where none answers there is no better one"
 
 
-def _established(request: int, backend: int) -> Any:
-    from yarrowspindle.decisions.events import ConnectionEstablished
-
-    return ConnectionEstablished(request, 0, backend, 10.0)
-
-
 def test_slow_messages_count_before_the_load_report_does() -> None:
     r = warmed()
     backend = r.place(group=3)
-    r.tell(_established(r.requests, backend))
+    r.tell(established(r.requests, backend))
     r.tell(SlowMessageObserved(r.requests, backend, 20_000.0))
     assert backend not in {r.place() for _ in range(30)}
 
@@ -226,7 +129,7 @@
 
 def test_the_load_of_a_class_is_learned_from_reports() -> None:
     """Two classes, one with four times the load of the other."""
-    known, rng = LoadEstimates(settings(**TOLD)), random.Random(3)
+    known, rng = LoadEstimates(settings(**REPORTING)), random.Random(3)
     backends = [Backend(n) for n in range(8)]
     true = (0.5, 2.0)
     for backend in backends:
@@ -248,7 +151,7 @@
 
 
 def test_counts_of_groups_are_dropped_when_their_connections_end() -> None:
-    b = Balancer(settings(**TOLD), 1, 0.0)
+    b = Balancer(settings(**REPORTING), 1, 0.0)
     b.handle(0.0, full_list(Endpoint(1), Endpoint(2)))
     for n in range(1, 40):
         b.handle(0.0, RequestReceived(n, 0, left_ms=4800.0, group=n % 5 + 1))
@@ -268,7 +171,7 @@
         800.0, 4800.0, Idempotency.KEYED, DeduplicationScope.ZONE, 5000.0, message_latency_objective_ms=60.0
     )
     for seed in range(20):
-        b = Balancer(settings(**(TOLD | {"classes": (keyed,)})), seed, 0.0)
+        b = Balancer(settings(**(REPORTING | {"classes": (keyed,)})), seed, 0.0)
         b.handle(0.0, full_list(*(Endpoint(n, zone=n % 2) for n in range(1, 9))))
         open_one(b, 0.0, 1)
         (send,) = sends(b.handle(1.0, RequestReceived(2, left_ms=4800.0, group=9)))
@@ -297,7 +200,7 @@
 
 def test_where_backends_report_no_load_each_report_is_a_message_latency() -> None:
     """It must count at once, and not as a small load."""
-    reducer = Reducer(settings(**(TOLD | {"backend_reports_load": False})), 1, 0.0)
+    reducer = Reducer(settings(**(REPORTING | {"backend_reports_load": False})), 1, 0.0)
     reducer.step(0.0, EndpointsUpdated(ListKind.FULL, [routing_events.Endpoint("a", ("10.0.0.1", 1))], 1))
     reducer.step(0.0, routing_events.RequestReceived(1, 4800.0))
     reducer.step(1.0, BackendConnected(1, 0))
@@ -305,80 +208,3 @@
     reducer.step(3.0, UnclassifiedReport(1, 483.0))
     (backend,) = reducer.balancer.backends.values()
     assert backend.message_latency_ms == 483.0 and backend.utilization > 1.0 and reducer.requests[1].load == 0.0
-
-
-# --- on sockets -----------------------------------------------------------------------------------
-
-PROBED: dict[str, Any] = {
-    "stats": {"columns": ["rif", "x0"], "source": "probe"},
-    "limits": SETTINGS["limits"] | {"conn_idle_ms": 5000.0},
-}
-
-
-def run(tmp: Path, answers: dict[str, str], body: Any, **changes: Any) -> None:
-    """Both stand-in backends answer each `STATS` with their line, where they have one; the test does the rest."""
-
-    async def inside() -> None:
-        async with relay(tmp, **(PROBED | changes)) as world:
-            for name, backend in world.backends.items():
-                backend.stats = answers.get(name)
-            await body(world)
-
-    asyncio.run(inside())
-
-
-async def probed(w: World, name: str, times: int) -> None:
-    while w.backends[name].probed < times:
-        client, _, backend = await w.standing()
-        backend.say("BYE")
-        backend.writer.close()
-        await client.hear()
-        await asyncio.sleep(0.02)
-
-
-def test_health_checks_use_connections_of_their_own_and_a_full_backend_gets_nothing(tmp_path: Path) -> None:
-    async def body(w: World) -> None:
-        for name in w.backends:
-            await probed(w, name, 2)
-        assert {(await w.standing())[1] for _ in range(8)} == {"s-2"}
-        assert max(backend.probe_connections for backend in w.backends.values()) == 1, (
-            "one connection serves all health checks"
-        )
-
-    run(tmp_path, {"s-1": "PONG rif=40,x0=2.5", "s-2": "PONG rif=2,x0=0.1"}, body)
-
-
-def test_a_backend_that_never_answers_its_health_check_is_ejected(tmp_path: Path) -> None:
-    async def body(w: World) -> None:
-        await probed(w, "s-2", 3)
-        await w.logged("execute node s-1 does not answer its probe: no answer in time")
-        assert {(await w.standing())[1] for _ in range(8)} == {"s-2"}
-        w.backends["s-1"].stats = "PONG rif=0,x0=0.0"
-        while "s-1" not in {(await w.standing())[1] for _ in range(4)}:
-            await asyncio.sleep(0.1)
-        await w.logged("execute node s-1 answers its probes again")
-
-    run(tmp_path, {"s-2": "PONG rif=2,x0=0.1"}, body)
-
-
-@pytest.mark.parametrize("nonsense", ["NO", "PONG x0=a lot", "x" * 5000])
-def test_an_invalid_report_is_logged_and_placement_continues_without_it(tmp_path: Path, nonsense: str) -> None:
-    async def body(w: World) -> None:
-        client, _, backend = await w.standing()
-        assert "WARNING" in await w.logged("execute node s-")
-        stand = [await w.standing() for _ in range(6)]
-        assert {name for _, name, _ in stand} == {"s-1", "s-2"}, "it does not count against the backend"
-        backend.say("still here")
-        assert await client.hear() == "still here"
-
-    run(tmp_path, dict.fromkeys(("s-1", "s-2"), nonsense), body)
-
-
-def test_no_health_check_is_sent_where_settings_do_not_allow_it(tmp_path: Path) -> None:
-    async def body(w: World) -> None:
-        for _ in range(4):
-            await w.standing()
-        await asyncio.sleep(1.2)  # two beats
-        assert not any(backend.probed for backend in w.backends.values())
-
-    run(tmp_path, {}, body, limits=PROBED["limits"] | {"probing": False})
--- a/tests/decisions/test_peer_loads.py
+++ b/tests/decisions/test_peer_loads.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from tests.decisions.test_load_estimates import Relay, warmed
+from tests.decisions.reporting_relay import Relay, warmed
 from tests.helpers import balancer, end, open_one, settings
 from yarrowspindle.decisions.backends import Backend
 from yarrowspindle.decisions.events import BACKEND_KEY_MASK, PeerLoads, SettingsChanged, group_key
--- a/yarrowspindle/decisions/placement.py
+++ b/yarrowspindle/decisions/placement.py
@@ -69,11 +69,10 @@
         During rebalancing clients that come again get more draws, to find a backend below the target. Requests of a
         group draw from a shared seed, so that all balancers meet at the same backends.
         """
-        state, settings = self.state, self.state.settings
+        state = self.state
         target = state.rebalancing_target if request.returned else 0.0
         draws = REBALANCING_DRAWS if target else DRAWS
-        groups_share_work = settings.groups_share_work and not request.attempts
-        shared_seed = request.group and (target or groups_share_work)
+        shared_seed = self._has_shared_seed(request, target)
         random = Random(request.group).random if shared_seed else state.random
         start = 0.0 if shared_seed else state.subset_start
         target = target if request.group else 0.0
@@ -84,6 +83,12 @@
             return best
         return self._draw(fleet, random, draws, start, 1.0, target, best)
 
+    def _has_shared_seed(self, request: Request, target: float) -> bool:
+        """Whether all balancers draw the same backends for the request's group; a retry has to go elsewhere."""
+        if not request.group:
+            return False
+        return target > 0.0 or (self.state.settings.groups_share_work and not request.attempts)
+
     def _draw(
         self,
         ring: WeightedRing[Backend],
