--- a/tests/daemon/test_shared_settings.py
+++ b/tests/daemon/test_shared_settings.py
@@ -62,13 +62,13 @@
         service = RelayService(config(**probed), SystemClock())
         estimates = service.reducer.balancer.estimates
         assert estimates is not None
-        estimates.loads[0] = 3.0
+        estimates.class_loads[0] = 3.0
         for name in ("b", "c", "d", "chat"):  # one entry under other names: only the name differs
             service.take(
                 ENTRIES | {"categories": entry_value([CHAT | {"name": name}]), "stats": entry_value(probed["stats"])}
             )
-            assert len(estimates.loads) == len(estimates.counts) == len(service.config.classes) <= 2
-            assert estimates.loads[service.config.current_classes[name]] == 1.0
+            assert len(estimates.class_loads) == len(estimates.class_connections) == len(service.config.classes) <= 2
+            assert estimates.class_loads[service.config.current_classes[name]] == 1.0
         service.runtime.close()
 
     asyncio.run(body())
--- a/yarrowspindle/daemon/maintenance_endpoint.py
+++ b/yarrowspindle/daemon/maintenance_endpoint.py
@@ -343,8 +343,8 @@
     def _samples(self) -> list[BackendSample]:
         """Return the backends by the endpoint list alone, without regard to the agreed state."""
         reducer = self.service.reducer
-        ejected = reducer.balancer.avoided(reducer.now)
-        peer_connections = reducer.balancer.others.holds
+        ejected = reducer.balancer.ejected(reducer.now)
+        peer_connections = reducer.balancer.peer_loads.loads
         samples = []
         for name, backend in reducer.backends.items():
             endpoint = backend.listed
