--- a/benchmarks/rebalance.py
+++ b/benchmarks/rebalance.py
@@ -69,7 +69,7 @@
     """Measures each plan of each relay; the model's run is the same with and without it."""
     run.cost = []
     for relay in fleet.relays:
-        rebalancer = relay.reducer.rebalance
+        rebalancer = relay.reducer.rebalancer
         if rebalancer is not None:
             wrap(run, rebalancer)
 
--- a/benchmarks/soak/planted.py
+++ b/benchmarks/soak/planted.py
@@ -18,7 +18,8 @@
 from yarrowspindle.decisions.events import EndpointState, Outcome
 from yarrowspindle.decisions.settings import Idempotency
 from yarrowspindle.fronts import line_front
-from yarrowspindle.routing import reducer
+from yarrowspindle.routing.endpoints import EndpointHandlers
+from yarrowspindle.routing.requests import RequestHandlers
 from yarrowspindle.routing.termination import OUTCOMES, TerminationReason
 from yarrowspindle.transport import client as client
 from yarrowspindle.transport import connecting
@@ -46,15 +47,15 @@
 
 def ignore_drains() -> None:
     """A backend that drains is taken for a ready one."""
-    real = reducer.Reducer._list
+    real = EndpointHandlers.on_endpoints_updated
 
-    def listed(self: reducer.Reducer, event: Any, said: bool = True) -> None:
-        for machine in event.endpoints:
-            if machine.state is EndpointState.DRAINING:
-                machine.state = EndpointState.READY
-        real(self, event, said)
+    def updated(self: EndpointHandlers, event: Any, log_changes: bool = True) -> None:
+        for endpoint in event.endpoints:
+            if endpoint.state is EndpointState.DRAINING:
+                endpoint.state = EndpointState.READY
+        real(self, event, log_changes)
 
-    reducer.Reducer._list = listed  # type: ignore[method-assign]
+    EndpointHandlers.on_endpoints_updated = updated  # type: ignore[method-assign]
 
 
 def go_on_after_leaving() -> None:
@@ -125,13 +126,13 @@
 
 def answer_late() -> None:
     """The deadline is taken for twice as long."""
-    real = reducer.Reducer._arrived
+    real = RequestHandlers.on_request_received
 
-    def arrived(self: reducer.Reducer, event: Any) -> None:
+    def received(self: RequestHandlers, event: Any) -> None:
         event.left_ms += 900.0
         real(self, event)
 
-    reducer.Reducer._arrived = arrived  # type: ignore[method-assign]
+    RequestHandlers.on_request_received = received  # type: ignore[method-assign]
 
 
 DEFECTS: dict[str, Callable[[], None]] = {
--- a/tests/forms/published.py
+++ b/tests/forms/published.py
@@ -19,6 +19,7 @@
 from yarrowspindle.maintenance.coordinator import FleetObserved, MaintenanceCoordinator
 from yarrowspindle.maintenance.state import BackendObservation
 from yarrowspindle.routing import effects
+from yarrowspindle.routing.events import RequestReceived
 from yarrowspindle.routing.reducer import Reducer
 from yarrowspindle.routing.state import Phase, Request
 from yarrowspindle.routing.termination import TerminationReason
@@ -68,8 +69,8 @@
 def metrics() -> dict[str, list[str]]:
     reducer = Reducer(SETTINGS, 7, 0.0)
     for number, phase in enumerate(Phase):
-        reducer.requests[number] = Request(number, 0.0, 1000.0)
-        reducer.requests[number].phase = phase
+        reducer.context.requests[number] = Request(RequestReceived(number, 1000.0), 0.0)
+        reducer.context.requests[number].phase = phase
     counted = Metrics(reducer)
     for event in sequence_events():
         counted.event(event)
--- a/tests/fronts/test_quic_front.py
+++ b/tests/fronts/test_quic_front.py
@@ -183,7 +183,7 @@
         home = w.backend_of(await client.ask(b"x"))
         for flow in list(w.front.flows.values()):  # as after a restart: the table is empty
             w.front._forget(flow, answered=False)
-        w.hub.reducer.requests.clear()
+        w.hub.reducer.context.requests.clear()
         assert await client.ask(b"y") == f"{home}:y".encode()
         assert w.front.counts["taken_over"] == 1
 
--- a/tests/library/test_library.py
+++ b/tests/library/test_library.py
@@ -103,7 +103,7 @@
             assert isinstance(next(e for e in seen if isinstance(e, EventLoopStalled)), EventLoopStalled)
             assert not standing.moved.is_set() and not standing.over
             backends = placer.reducer.backends.values()
-            assert all(not n.slow for n in backends), "what waited in our own socket took no time at the node"
+            assert all(not n.reported_slow for n in backends), "what waited in our own socket took no time at the node"
             servers = placer.reducer.balancer.backends.values()
             assert all(s.strikes == 0 for s in servers), "no node is passed over for our own stall"
             if stalled_ms > 400.0:
--- a/tests/quic_stand_ins.py
+++ b/tests/quic_stand_ins.py
@@ -19,7 +19,7 @@
 from tests.ports import free_port
 from yarrowspindle.protocol import quic
 from yarrowspindle.routing.address import Address
-from yarrowspindle.routing.reducer import backend_id
+from yarrowspindle.routing.context import backend_id
 
 ID_KEY, RESET_KEY = bytes(range(16)), bytes(range(16, 48))
 IDS = quic.BackendIds(ID_KEY)
--- a/tests/rebalancing/test_rebalancing.py
+++ b/tests/rebalancing/test_rebalancing.py
@@ -377,7 +377,7 @@
     assert fleet.counts["moves"] == moves
     fleet.configure(RebalanceSettings())  # and put in again: the standing jobs are all known
     relay = fleet.relays[0]
-    rebalance = relay.reducer.rebalance
+    rebalance = relay.reducer.rebalancer
     assert rebalance is not None and len(rebalance.view.requests) == sum(
         j.phase.name == "ESTABLISHED" for j in relay.reducer.requests.values()
     )
--- a/tests/routing/test_reducer_model.py
+++ b/tests/routing/test_reducer_model.py
@@ -172,20 +172,20 @@
     def named(self, left: float, ref: str, at: str) -> None:
         """A submitter that uses an open job's name, would wait without end, or picks its node in mid-run is denied."""
         number = next(self.numbers)
-        taken = ref in self.reducer.refs
+        taken = ref in self.reducer.context.client_request_ids
         self.requests[number] = Seen(self.now + (38_000.0 if at else left))
-        begun = self.reducer.begun
+        begun = self.reducer.context.serving_new_requests
         self.tell(RequestReceived(number, left, at=at, ref=ref))
         if taken or left > DEADLINE and not at or at and begun:
             assert (
                 self.requests[number].over
                 and self.requests[number].attempts == 0
-                and (ref in self.reducer.refs) == taken
+                and (ref in self.reducer.context.client_request_ids) == taken
             )
 
     @rule(port=st.integers(1, 2))
     def reload(self, port: int) -> None:
-        before = self.reducer.list_at
+        before = self.reducer.discovery_address
         effects = self.reducer.step(self.now, DiscoveryAddressChanged(("127.0.0.1", port)))
         assert effects == ([] if before == ("127.0.0.1", port) else [WatchEndpoints(0, ("127.0.0.1", port))])
 
@@ -244,19 +244,19 @@
                 self.tell(TimerFired(what))
         self.now = goal
 
-    @precondition(lambda self: not self.reducer.stop_at)
+    @precondition(lambda self: not self.reducer.context.shutdown_deadline)
     @rule()
     def stop(self) -> None:
         self.tell(ShutdownRequested(2800.0))
 
-    @precondition(lambda self: not self.reducer.stop_at)
+    @precondition(lambda self: not self.reducer.context.shutdown_deadline)
     @rule()
     def evacuate(self) -> None:
         self.tell(ShutdownRequested(2500.0, process_exits=False))
 
     @rule()
     def rejoin(self) -> None:
-        if not self.reducer.exits:
+        if not self.reducer.process_exits:
             self.tell(DrainCancelled())
 
     @rule(attempts=st.integers(1, 3), deadline=st.sampled_from((DEADLINE, 900.0)))
@@ -345,8 +345,12 @@
         assert counts["taken.0"] == answered + len(self.telemetry.waiting), "the figures add up"
         assert set(self.telemetry.waiting) <= set(self.reducer.requests), "who waits is a job"
         assert self.telemetry.figures()["inflight"] == len([j for j in self.requests.values() if not j.over])
-        if self.reducer.stop_at and self.reducer.exits and self.now > self.reducer.stop_at + 100.0:
-            assert all(j.over for n, j in self.requests.items() if j.deadline <= self.reducer.stop_at)
+        if (
+            self.reducer.context.shutdown_deadline
+            and self.reducer.process_exits
+            and self.now > self.reducer.context.shutdown_deadline + 100.0
+        ):
+            assert all(j.over for n, j in self.requests.items() if j.deadline <= self.reducer.context.shutdown_deadline)
 
 
 Relayed.TestCase.settings = settings(
--- a/yarrowspindle/daemon/maintenance_endpoint.py
+++ b/yarrowspindle/daemon/maintenance_endpoint.py
@@ -304,7 +304,7 @@
                     len(backend.requests) + others.get(backend.number & BACKEND_KEY_MASK, (0, 0.0))[0],
                 )
                 for name, backend in reducer.backends.items()
-                if (m := backend.listed) is not None
+                if (m := backend.endpoint) is not None
             ]
             counts = self.hub.telemetry.counts
             asked = sum(n for name, n in counts.items() if name.startswith("taken."))
@@ -353,9 +353,9 @@
         """since below 0: only if it was never asked for."""
         names, backends = self.hub.config.names, self.hub.reducer.backends
         listed = {
-            name: backend.listed
+            name: backend.endpoint
             for name, backend in backends.items()
-            if backend.listed is not None and backend.listed.state is not EndpointState.GONE
+            if backend.endpoint is not None and backend.endpoint.state is not EndpointState.GONE
         }
         machines = asking.machines
         if asking.zone or asking.kind:
--- a/yarrowspindle/daemon/metrics.py
+++ b/yarrowspindle/daemon/metrics.py
@@ -74,8 +74,8 @@
     def gauges(self) -> dict[str, float]:
         phases = Counter(request.phase for request in self.reducer.requests.values())
         found = {f"jobs.{name}": float(phases[phase]) for phase, name in PHASES.items()}
-        if self.reducer.rebalance is not None:
-            gauges = self.reducer.rebalance.gauges(self.reducer.now)
+        if self.reducer.rebalancer is not None:
+            gauges = self.reducer.rebalancer.gauges(self.reducer.now)
             found |= {f"rebalance.{name}": value for name, value in gauges.items()}
         for more in self.more_gauges:
             found |= more()
--- a/yarrowspindle/daemon/relay_service.py
+++ b/yarrowspindle/daemon/relay_service.py
@@ -117,14 +117,14 @@
 
     def rejoin(self) -> None:
         """Back to work after an evacuation; harmless without one, and no help after SIGTERM."""
-        if self.reducer.draining and not self.reducer.exits:
+        if self.reducer.draining and not self.reducer.process_exits:
             logger.info("rejoining: new connections are taken again")
             self.post(DrainCancelled())
 
     def _rebalance(self) -> None:
-        if self.operator.rebalance is not None or self.reducer.rebalance is not None:
+        if self.operator.rebalance is not None or self.reducer.rebalancer is not None:
             self.post(RebalancingConfigured(self.operator.rebalance, self.config.seed))
-            self.metrics.rebalance(self.reducer.rebalance)
+            self.metrics.rebalance(self.reducer.rebalancer)
 
     def stop(self) -> float:
         """Everybody is to be moved or answered within the time that is given back, in milliseconds."""
--- a/yarrowspindle/fronts/line_front.py
+++ b/yarrowspindle/fronts/line_front.py
@@ -80,7 +80,7 @@
     async def end(self, within_s: float) -> None:
         """Once the reducer begins nothing any more: whoever waits at the door is taken in and answered, whoever rests
         is ended in order, all are heard to their end while there is time. A close over unread bytes would reset."""
-        while not self.hub.reducer.ended(self.hub.runtime.clock.now()):
+        while not self.hub.reducer.has_ended(self.hub.runtime.clock.now()):
             await asyncio.sleep(TURN_S)
         until = self.loop.time() + within_s
         await self.listener.close(within_s / 3.0)
--- a/yarrowspindle/fronts/quic_front.py
+++ b/yarrowspindle/fronts/quic_front.py
@@ -21,6 +21,7 @@
 from yarrowspindle.protocol import quic
 from yarrowspindle.protocol.quic import Header, Link, PacketError
 from yarrowspindle.routing.address import Address
+from yarrowspindle.routing.context import backend_id
 from yarrowspindle.routing.effects import (
     AbortAttempt,
     BackendRemoved,
@@ -34,7 +35,6 @@
     StartRelaying,
 )
 from yarrowspindle.routing.events import AttemptEnded, BackendAccepted, BackendConnected, RequestReceived
-from yarrowspindle.routing.reducer import backend_id
 from yarrowspindle.routing.termination import TerminationReason
 from yarrowspindle.transport.datagrams import Front, Path
 
@@ -139,7 +139,7 @@
         return None, None
 
     def _backend_of(self, link: Link) -> str:
-        backend = self.hub.reducer.numbers.get(link[0])
+        backend = self.hub.reducer.backends_by_number.get(link[0])
         return backend.name if backend is not None else ""
 
     def _first(self, header: Header, data: bytes, client: Address) -> None:
@@ -179,7 +179,7 @@
     def _known_id(self, link: Link, header: Header, data: bytes, client: Address) -> None:
         """An id that names its node, of a connection that this relay does not know: it came from another relay,
         or this one has started anew. It goes on at its node, draining or not, until the node is gone."""
-        backend = self.hub.reducer.numbers.get(link[0])
+        backend = self.hub.reducer.backends_by_number.get(link[0])
         if link in self.over or backend is None or backend.state is EndpointState.GONE:
             self._reset(header.destination, len(data), client)
         elif len(self.flows) >= self.config.max_connections:
--- a/yarrowspindle/lab/model/fleet.py
+++ b/yarrowspindle/lab/model/fleet.py
@@ -194,7 +194,7 @@
     def configure(self, settings: RebalanceSettings | None) -> None:
         """What SIGHUP does at all relays at once."""
         for relay in self.relays:
-            if settings is not None or relay.reducer.rebalance is not None:
+            if settings is not None or relay.reducer.rebalancer is not None:
                 relay.post(RebalancingConfigured(settings, 7 if self.spec.alike else self.seed * 31 + relay.index))
 
     # --- nodes and the list ---------------------------------------------------------------------
@@ -491,7 +491,7 @@
         return sum(1 for s in self.clients if s.moved_open and s.tries > 6)
 
     def relay_counts(self, name: str) -> int:
-        return sum(r.reducer.rebalance.counts[name] for r in self.relays if r.reducer.rebalance is not None)
+        return sum(r.reducer.rebalancer.counts[name] for r in self.relays if r.reducer.rebalancer is not None)
 
     def run(self, seconds: float) -> None:
         self.clock.run_until(self.clock.time + seconds * 1000.0)
--- /dev/null
+++ b/yarrowspindle/routing/attempts.py
@@ -0,0 +1,208 @@
+"""Attempts, final answers and migrations: what the balancer decides for requests, carried out on their state.
+
+Held here, whatever the balancer or the network does: exactly one final answer for each request, one attempt in flight
+at a time, numbered as the balancer counts, and no attempt at a backend that is listed as draining or removed.
+"""
+
+from __future__ import annotations
+
+from yarrowspindle.decisions import actions
+from yarrowspindle.decisions import events as balancer_events
+from yarrowspindle.decisions import request_gate as gate
+from yarrowspindle.decisions.events import EndpointState, Outcome
+from yarrowspindle.decisions.rejection import RejectionReason
+from yarrowspindle.routing.context import RoutingContext
+from yarrowspindle.routing.effects import (
+    AbortAttempt,
+    CancelTimer,
+    CheckHealth,
+    FailRequest,
+    LogMessage,
+    MigrateConnection,
+    OpenBackendConnection,
+    RejectRequest,
+    SetTimer,
+    WatchEndpoints,
+)
+from yarrowspindle.routing.state import Backend, Phase, Request
+from yarrowspindle.routing.termination import OUTCOMES, TerminationReason
+from yarrowspindle.routing.timers import RECONNECT_TIMER, REQUEST_DEADLINE_TIMER
+
+RECONNECT_DELAY_MS = 400.0
+HEALTH_CHECK_TIMEOUT_MS = 500.0  # a backend that pauses for a quarter of a second still answers within this
+
+
+class Attempts:
+    """Notifies the balancer of events and carries out its actions."""
+
+    __slots__ = ("_context", "_requests", "_backends_by_number")
+
+    def __init__(self, context: RoutingContext) -> None:
+        self._context = context
+        self._requests = context.requests
+        self._backends_by_number = context.backends_by_number
+
+    # --- the balancer's actions -------------------------------------------------------------------
+
+    def notify_balancer(self, event: balancer_events.Event) -> None:
+        """Pass the event to the balancer and carry out its actions in order."""
+        context = self._context
+        for action in context.balancer.handle(context.now, event):
+            self._perform(action)
+
+    def _perform(self, action: actions.Action) -> None:
+        if isinstance(action, actions.StartAttempt):
+            self._start(self._requests[action.request], action)
+        elif isinstance(action, actions.RejectRequest):
+            self.answer(action.request, RejectRequest(action.request, action.retry_after_ms, action.reason))
+        elif isinstance(action, actions.FailRequest):
+            self.answer(action.request, FailRequest(action.request, action.reason))
+        elif isinstance(action, actions.MigrateConnection):
+            self.migrate(self._requests.get(action.request))
+        elif isinstance(action, actions.SetTimer):
+            self._context.effects.append(SetTimer(action.delay_ms, action.token))
+        elif isinstance(action, actions.CheckHealth):
+            self._check_health(self._backends_by_number.get(action.backend))
+        elif isinstance(action, actions.WatchEndpoints):
+            self.watch_endpoints()
+        elif isinstance(action, actions.LogMessage):
+            self._context.effects.append(LogMessage(action.text))
+        # A cancelled attempt needs no effect: it belongs to a client that left, which has already aborted it.
+
+    def _check_health(self, backend: Backend | None) -> None:
+        # The balancer needs no report of a backend that may not be used.
+        if backend is not None and not gate.may_use(backend.state):
+            self._context.effects.append(CheckHealth(backend.name, backend.address, HEALTH_CHECK_TIMEOUT_MS))
+
+    def watch_endpoints(self, renew: bool = False) -> None:
+        """Watch the endpoint list from the version that is known."""
+        context = self._context
+        context.effects.append(WatchEndpoints(context.endpoint_list_version, context.discovery_address, renew))
+
+    # --- attempts ---------------------------------------------------------------------------------
+
+    def _start(self, request: Request, action: actions.StartAttempt) -> None:
+        """Start an attempt, or report it as not sent where its backend or the time left forbid it.
+
+        Raises ValueError where the request is answered or has an attempt in flight.
+        """
+        refused = gate.may_answer(waiting=request.phase is not Phase.CLOSED, out=request.phase is not Phase.QUEUED)
+        if refused:
+            raise ValueError(f"request {request.id} is {request.phase.name}: {refused.value}")
+        now = self._context.now
+        request.attempt += 1
+        remaining_ms = request.deadline - now
+        if action.timeout_ms > 0.0:
+            remaining_ms = min(remaining_ms, action.timeout_ms)
+        request.write_before = now + action.begin_ms
+        backend = self._backends_by_number.get(action.backend)
+        if backend is None or gate.may_begin(backend.state, remaining_ms):
+            number = backend.number if backend else 0
+            self.notify_balancer(
+                balancer_events.AttemptEnded(request.id, request.attempt, number, Outcome.NOT_SENT, False)
+            )
+            return
+        self._connect(request, backend, remaining_ms)
+
+    def _connect(self, request: Request, backend: Backend, remaining_ms: float) -> None:
+        context = self._context
+        request.enter(Phase.CONNECTING)
+        request.backend = backend
+        request.attempt_started_at = context.now
+        backend.requests.add(request.id)
+        timeout_ms = min(remaining_ms, context.settings.connect_timeout_ms, request.write_before - context.now)
+        context.effects.append(
+            OpenBackendConnection(request.id, request.attempt, backend.name, backend.address, timeout_ms)
+        )
+
+    def reconnect(self, request: Request) -> None:
+        """Connect an existing connection to its backend again, or reject it where that one is not available."""
+        backend = request.backend
+        if backend is None or backend.state is EndpointState.GONE or self._context.in_maintenance(backend.name):
+            self.answer(request.id, RejectRequest(request.id, 0.0, RejectionReason.BACKEND_REMOVED))
+        else:
+            self._connect(request, backend, request.deadline - self._context.now)
+
+    def abort(self, request: Request, shown: TerminationReason | RejectionReason, ended: TerminationReason) -> None:
+        """End the attempt in flight from this side; `shown` goes to logs and metrics, `ended` to the balancer."""
+        self._context.effects.append(AbortAttempt(request.id, request.attempt, shown))
+        self.end(request, ended, finished=False)
+
+    def end(self, request: Request, reason: TerminationReason, finished: bool) -> None:
+        """End the newest attempt and report it to the balancer; `finished`: the client is owed no answer.
+
+        Raises ValueError where the request has no attempt.
+        """
+        backend = request.backend
+        if backend is None:
+            raise ValueError(f"request {request.id} has no attempt")
+        self._report_to_rebalancer(request, backend, reason, finished)
+        if finished:
+            self.finish(request)
+        else:
+            self._leave_backend(request)
+            request.enter(Phase.QUEUED)
+        if request.existing_connection is None:
+            duration_ms = self._context.now - request.attempt_started_at
+            self.notify_balancer(
+                balancer_events.AttemptEnded(
+                    request.id, request.attempt, backend.number, OUTCOMES[reason], finished, duration_ms
+                )
+            )
+        elif not finished and reason is TerminationReason.CONNECT_FAILED:
+            # All existing connections return at once, which may exceed what a backend accepts at a time.
+            self._context.effects.append(SetTimer(RECONNECT_DELAY_MS, (RECONNECT_TIMER, request.id)))
+        elif not finished:
+            self.answer(request.id, RejectRequest(request.id, 0.0, RejectionReason.NO_USABLE_BACKEND))
+
+    def _report_to_rebalancer(
+        self, request: Request, backend: Backend, reason: TerminationReason, finished: bool
+    ) -> None:
+        rebalancer = self._context.rebalancer
+        if rebalancer is None:
+            return
+        if finished:
+            rebalancer.over(self._context.now, request.id, OUTCOMES[reason] is Outcome.RESET)
+        elif reason not in (TerminationReason.NOT_SENT, TerminationReason.CONNECT_FAILED):
+            rebalancer.attempt_failed(self._context.now, backend.name, request.received.returned)
+
+    # --- the end of a request ---------------------------------------------------------------------
+
+    def answer(self, number: int, answer: RejectRequest | FailRequest) -> None:
+        """Give the final answer, unless the request has one already or an attempt is in flight."""
+        request = self._requests.get(number)
+        if request is None:
+            return
+        if gate.may_answer(waiting=request.phase is not Phase.ESTABLISHED, out=request.in_flight):
+            return
+        context = self._context
+        self.finish(request)
+        context.effects.append(answer)
+        if context.rebalancer is not None and isinstance(answer, RejectRequest):
+            context.rebalancer.refused(context.now)
+        if context.evacuator is not None:
+            context.evacuator.refused = True
+
+    def migrate(self, request: Request | None) -> None:
+        """Ask the client of an established connection to connect again."""
+        if request is not None and not gate.may_move(standing=request.phase is Phase.ESTABLISHED):
+            self.close_established(request, TerminationReason.MIGRATED)
+
+    def close_established(self, request: Request, reason: TerminationReason) -> None:
+        """End an established connection; its client is asked to connect again."""
+        self._context.effects.append(MigrateConnection(request.id, reason))
+        self.end(request, reason, finished=True)
+
+    def finish(self, request: Request) -> None:
+        """Close the request and drop its state."""
+        self._leave_backend(request)
+        if request.phase is not Phase.ESTABLISHED:
+            self._context.effects.append(CancelTimer((REQUEST_DEADLINE_TIMER, request.id)))
+        request.enter(Phase.CLOSED)
+        del self._requests[request.id]
+        self._context.client_request_ids.discard(request.client_request_id)
+
+    def _leave_backend(self, request: Request) -> None:
+        if request.backend is not None:
+            request.backend.requests.discard(request.id)
+            self._context.forget_if_unused(request.backend)
--- /dev/null
+++ b/yarrowspindle/routing/draining.py
@@ -0,0 +1,74 @@
+"""Planned restart and drain: established connections are migrated, spread over the time that there is."""
+
+from __future__ import annotations
+
+from math import ceil
+
+from yarrowspindle.routing.attempts import Attempts
+from yarrowspindle.routing.context import RoutingContext
+from yarrowspindle.routing.effects import CancelTimer, SetTimer
+from yarrowspindle.routing.events import DrainCancelled, ShutdownRequested
+from yarrowspindle.routing.requests import RequestHandlers
+from yarrowspindle.routing.state import Phase
+from yarrowspindle.routing.timers import SHUTDOWN_TIMER
+
+MIGRATION_INTERVAL_MS = 50.0
+# No client is migrated sooner after SIGTERM: the front still sends new connections to this relay for 0.4 s, and in a
+# rolling restart the relay before this one accepts connections again only after 1.7 s.
+QUIET_PERIOD_MS = 1500.0
+
+
+class DrainHandlers:
+    """Handles shutdown requests and drains; the process outlives a drain."""
+
+    __slots__ = ("_context", "_attempts", "_request_handlers")
+
+    def __init__(self, context: RoutingContext, attempts: Attempts, request_handlers: RequestHandlers) -> None:
+        self._context = context
+        self._attempts = attempts
+        self._request_handlers = request_handlers
+
+    def on_shutdown_requested(self, event: ShutdownRequested) -> None:
+        """Start to migrate all clients; those that arrive meanwhile are served and migrated as well."""
+        context = self._context
+        context.shutdown_deadline = context.now + event.within_ms
+        context.process_exits = event.process_exits
+        if context.rebalancer is not None:
+            context.rebalancer.stop()
+        context.effects.append(SetTimer(min(QUIET_PERIOD_MS, event.within_ms / 2.0), SHUTDOWN_TIMER))
+
+    def on_drain_cancelled(self, event: DrainCancelled) -> None:
+        """Stop migrating clients."""
+        context = self._context
+        if context.shutdown_deadline:
+            context.shutdown_deadline = 0.0
+            context.effects.append(CancelTimer(SHUTDOWN_TIMER))
+            if context.rebalancer is not None:
+                context.rebalancer.stopped = False
+
+    def on_shutdown_timer(self) -> None:
+        """Migrate this interval's part of the established connections, or all once the time has passed."""
+        context = self._context
+        remaining_ms = context.shutdown_deadline - context.now
+        interval_ms = min(remaining_ms, MIGRATION_INTERVAL_MS) if remaining_ms > 0.0 else MIGRATION_INTERVAL_MS
+        # Set first: a connection that cannot be migrated must not keep the others here.
+        context.effects.append(SetTimer(interval_ms, SHUTDOWN_TIMER))
+        if remaining_ms > 0.0:
+            self._migrate_part(remaining_ms)
+        else:
+            self._migrate_all()
+
+    def _migrate_part(self, remaining_ms: float) -> None:
+        """Migrate as many as leave an equal number for each of the remaining intervals."""
+        established = [request for request in self._context.requests.values() if request.phase is Phase.ESTABLISHED]
+        intervals = max(1.0, remaining_ms / MIGRATION_INTERVAL_MS - 1.0)
+        for request in established[: ceil(len(established) / intervals)]:
+            self._attempts.migrate(request)
+
+    def _migrate_all(self) -> None:
+        """Migrate all established connections; requests that wait are answered only where the process exits."""
+        for request in list(self._context.requests.values()):
+            if request.phase is Phase.ESTABLISHED:
+                self._attempts.migrate(request)
+            elif self._context.process_exits:
+                self._request_handlers.expire(request)
--- /dev/null
+++ b/yarrowspindle/routing/endpoints.py
@@ -0,0 +1,187 @@
+"""The endpoint list: what an update changes, which attempts it ends, and the watch that delivers the next one."""
+
+from __future__ import annotations
+
+from collections.abc import Sequence
+from dataclasses import dataclass, field
+
+from yarrowspindle.decisions import events as balancer_events
+from yarrowspindle.decisions import request_gate as gate
+from yarrowspindle.decisions.events import EndpointState, ListKind
+from yarrowspindle.routing.attempts import Attempts
+from yarrowspindle.routing.context import RoutingContext, backend_id
+from yarrowspindle.routing.effects import BackendRemoved, CancelHealthCheck, LogMessage, SetTimer
+from yarrowspindle.routing.events import DiscoveryAddressChanged, Endpoint, EndpointsUpdated, WallClockStepped
+from yarrowspindle.routing.state import Backend, Phase
+from yarrowspindle.routing.termination import TerminationReason
+from yarrowspindle.routing.timers import ENDPOINT_WATCH_TIMER
+
+# Where lists are pushed, a change counts as known once the agent on this machine has it, also on a watch that no longer
+# delivers: the watch is renewed so that such a change still arrives within the drain's grace period.
+WATCH_RENEWAL_FRACTION = 0.5
+MIN_WATCH_RENEWAL_MS = 250.0
+MAX_LOGGED_BACKENDS = 8
+
+
+@dataclass(slots=True)
+class EndpointChanges:
+    """What one update changes.
+
+    previous_states: of each backend that the update names, before it. restarted: those of them under a new start,
+    which may be cold although they were chosen as warm.
+    """
+
+    previous_states: dict[str, EndpointState] = field(default_factory=dict)
+    restarted: set[str] = field(default_factory=set)
+
+
+class EndpointHandlers:
+    """Handles updates of the endpoint list and of the discovery service's address."""
+
+    __slots__ = ("_context", "_attempts")
+
+    def __init__(self, context: RoutingContext, attempts: Attempts) -> None:
+        self._context = context
+        self._attempts = attempts
+
+    def on_endpoints_updated(self, event: EndpointsUpdated, log_changes: bool = True) -> None:
+        """Apply the update, notify the balancer and end the attempts that may no longer be sent.
+
+        Only the named backends are visited, so that a change of one does not cost a walk over the fleet.
+        """
+        if event.kind is ListKind.FAILED:
+            self._on_list_failed()
+            return
+        context = self._context
+        context.endpoint_list_version = event.version
+        changes = EndpointChanges()
+        if event.kind is not ListKind.DELTA:
+            self._remove_missing(event.endpoints, changes)
+        entries = [self._apply(endpoint, event.quiet_ms, changes) for endpoint in event.endpoints]
+        if context.rebalancer is not None:
+            context.rebalancer.view.list_over([context.backends[name] for name in changes.previous_states])
+        self._attempts.notify_balancer(balancer_events.EndpointList(event.kind, entries, event.version))
+        changed = [context.backends[name] for name in sorted(changes.previous_states)]
+        if log_changes and event.kind is not ListKind.CACHED:
+            self._log_state_changes(event.version, changed, changes)
+        self._abort_unsent_attempts(changed, changes)
+        self._clean_up(changed, changes)
+        if event.kind is ListKind.CACHED:
+            self.watch_if_pushed(renew=False)
+
+    def _on_list_failed(self) -> None:
+        self._attempts.notify_balancer(balancer_events.EndpointList(ListKind.FAILED))
+        if not self._context.settings.polls_discovery:
+            self._context.effects.append(SetTimer(MIN_WATCH_RENEWAL_MS, ENDPOINT_WATCH_TIMER))
+
+    def _remove_missing(self, endpoints: Sequence[Endpoint], changes: EndpointChanges) -> None:
+        """Mark the backends as removed that a full list does not name."""
+        listed = {endpoint.name for endpoint in endpoints}
+        for name, backend in self._context.backends.items():
+            if name not in listed:
+                changes.previous_states[name] = backend.state
+                backend.state = EndpointState.GONE
+                backend.endpoint = None
+
+    def _apply(self, endpoint: Endpoint, quiet_ms: float | None, changes: EndpointChanges) -> balancer_events.Endpoint:
+        """Update the endpoint's backend; return the entry for the balancer."""
+        context, name = self._context, endpoint.name
+        backend = context.backends.get(name)
+        if backend is None:
+            backend = self._add_backend(name)
+        changes.previous_states.setdefault(name, backend.state)
+        backend.address = endpoint.address
+        backend.endpoint = endpoint
+        backend.capacity = endpoint.capacity
+        backend.state = endpoint.state
+        if endpoint.state is EndpointState.READY and context.in_maintenance(name):
+            backend.state = EndpointState.DRAINING
+        backend.start_time = context.start_times.estimate(
+            name, endpoint.started_ms, backend.start_time, context.now, quiet_ms
+        )
+        started_at = max(backend.start_time.local_ms, backend.readmitted_at)
+        if started_at != backend.started_at:
+            backend.started_at = started_at
+            changes.restarted.add(name)
+        if context.rebalancer is not None:
+            context.rebalancer.view.backend(
+                context.now, name, backend.number, backend.state, backend.capacity, started_at
+            )
+        return balancer_events.Endpoint(
+            backend.number,
+            endpoint.zone,
+            endpoint.cell,
+            backend.state,
+            endpoint.capacity,
+            started_at,
+            endpoint.kind,
+        )
+
+    def _add_backend(self, name: str) -> Backend:
+        context = self._context
+        backend = Backend(name, backend_id(name), context.classifier_threshold_ms())
+        context.backends[name] = backend
+        context.backends_by_number[backend.number] = backend
+        if context.maintenance_plan is not None and name in context.maintenance_plan.back:
+            backend.readmitted_at = context.now
+        return backend
+
+    def _log_state_changes(self, version: int, changed: Sequence[Backend], changes: EndpointChanges) -> None:
+        """Operators ask which states were reported, and when."""
+        moved = [backend for backend in changed if backend.state is not changes.previous_states[backend.name]]
+        if not moved:
+            return
+        named = ", ".join(f"{backend.name} {backend.state.name.lower()}" for backend in moved[:MAX_LOGGED_BACKENDS])
+        unnamed = len(moved) - MAX_LOGGED_BACKENDS
+        more = f" and {unnamed} more" if unnamed > 0 else ""
+        self._context.effects.append(LogMessage(f"machine list {version}: {named}{more}"))
+
+    def _abort_unsent_attempts(self, changed: Sequence[Backend], changes: EndpointChanges) -> None:
+        """End the attempts that nothing was sent for, at backends that drain, are removed or have started anew."""
+        affected = [
+            backend
+            for backend in changed
+            if backend.state is not EndpointState.READY or backend.name in changes.restarted
+        ]
+        requests = self._context.requests
+        for number in sorted(number for backend in affected for number in backend.requests):
+            request = requests[number]
+            if request.phase is Phase.CONNECTING and request.existing_connection is None:
+                refused = gate.may_use(request.backend.state) if request.backend is not None else None
+                self._attempts.abort(request, refused or TerminationReason.NOT_SENT, TerminationReason.NOT_SENT)
+
+    def _clean_up(self, changed: Sequence[Backend], changes: EndpointChanges) -> None:
+        """Cancel health checks that no longer matter, and drop the backends that were removed."""
+        context = self._context
+        for backend in changed:
+            not_usable = gate.may_use(backend.state)
+            if context.settings.may_probe and (backend.name in changes.restarted or not_usable):
+                context.effects.append(CancelHealthCheck(backend.name))
+            was_listed = changes.previous_states[backend.name] is not EndpointState.GONE
+            if backend.state is EndpointState.GONE and was_listed:
+                context.effects.append(BackendRemoved(backend.name))
+            context.forget_if_unused(backend)
+
+    def watch_if_pushed(self, renew: bool) -> None:
+        """Watch the list where it is pushed; where it is polled, the balancer asks for it when it needs it."""
+        settings = self._context.settings
+        if not settings.polls_discovery:
+            self._attempts.watch_endpoints(renew)
+            renewal_ms = max(WATCH_RENEWAL_FRACTION * settings.drain_grace_ms, MIN_WATCH_RENEWAL_MS)
+            self._context.effects.append(SetTimer(renewal_ms, ENDPOINT_WATCH_TIMER))
+
+    def on_watch_timer(self) -> None:
+        """Renew the watch."""
+        self.watch_if_pushed(renew=True)
+
+    def on_discovery_address_changed(self, event: DiscoveryAddressChanged) -> None:
+        """Request the whole list from the new address: another service may count versions in another way."""
+        context = self._context
+        if event.address != context.discovery_address:
+            context.discovery_address = event.address
+            context.endpoint_list_version = 0
+            self._attempts.watch_endpoints()
+
+    def on_wall_clock_stepped(self, event: WallClockStepped) -> None:
+        """Reported starts can no longer be compared with this machine's wall clock."""
+        self._context.start_times.on_clock_stepped()
--- a/yarrowspindle/routing/load_reports.py
+++ b/yarrowspindle/routing/load_reports.py
@@ -1,63 +1,83 @@
-"""What the figure of a `LOAD X` line stands for, where the platform's nodes tell two things in one form.
+"""What the figure of a `LOAD X` line stands for, where the platform's backends report two quantities in one form.
 
-A node tells a connection's load, in microseconds of work a second, when it changes. While its messages take longer than
-a third of their aim it also tells, in the same form and once a second on one connection of each relay, how many
-milliseconds a message takes; and once more when that is over. Taken for loads, these figures make the fullest node look
-like the emptiest. What tells them apart is their rhythm: a load that happens to be as small does not come again on the
-same connection one second later.
+A backend reports a connection's load, in microseconds of work a second, when it changes. While its messages take longer
+than a third of their latency objective it also reports, in the same form and once a second on one connection of each
+relay, how many milliseconds a message takes; and once more when that is over. Taken for loads, these figures make the
+fullest backend look like the emptiest. Their period tells them apart: a load that happens to be as small is not
+repeated on the same connection one second later.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable
+from dataclasses import dataclass
 from enum import Enum
 
-BEAT_MS = 1000.0
-OFF_MS = 80.0  # from the beat: the network, and a relay that is busy
-MOST_MS = 6000.0  # no message waits for longer: buffers are shorter, and figures above are loads
+LATENCY_REPORT_INTERVAL_MS = 1000.0
+MAX_INTERVAL_ERROR_MS = 80.0  # of the interval: the network's delay, and a busy relay's
+MAX_MESSAGE_LATENCY_MS = 6000.0  # no message waits longer, since buffers are shorter: figures above are loads
 
 
-class Kind(Enum):
+class ReportKind(Enum):
+    """What a figure stands for."""
+
     LOAD = "the connection's load, in microseconds of work a second"
-    TIME = "what a message takes at the node, in milliseconds"
-    OPEN = "not known yet; `settle` tells later if it was a load"
+    LATENCY = "the latency of a message at the backend, in milliseconds"
+    UNDECIDED = "not decided yet; `take_resolved_load` returns it later if it was a load"
+
+
+@dataclass(slots=True, frozen=True)
+class ReportedLoad:
+    """A load of a request's connection, in microseconds of work a second."""
+
+    request: int
+    load_us: float
 
 
 class LoadReportClassifier:
-    """Of one node, as one relay hears them. Times are the caller's, in milliseconds.
-
-    slow: a figure above this is a long message; the beat ends with one below it."""
-
-    __slots__ = ("slow", "request", "at", "beating", "open")
-
-    def __init__(self, slow_ms: float) -> None:
-        self.slow = slow_ms
-        self.request = 0  # on which the last figure came that is, or may be, a time
-        self.at = -1e18
-        self.beating = False  # times come
-        self.open: tuple[int, float] | None = None  # job and figure that may be either
-
-    def told(self, now: float, request: int, figure: float, stands: Callable[[int], bool]) -> Kind:
-        """`stands`: whether a job's connection still does; a beat goes on elsewhere only where its own has ended."""
-        if self.slow <= 0.0 or figure > MOST_MS:
-            return Kind.LOAD
-        late = now - self.at - BEAT_MS
-        same = request == self.request and (self.beating or self.open is not None)
-        if abs(late) <= OFF_MS and (same or self.beating and not stands(self.request)):
-            self.request, self.at, self.open = request, now, None
-            self.beating = figure > self.slow
-            return Kind.TIME
-        if self.beating and late < OFF_MS:  # between two beats: a small load
-            return Kind.LOAD
-        if figure <= self.slow:
-            return Kind.LOAD  # nothing that begins a beat
-        self.beating = False
-        self.request, self.at, self.open = request, now, (request, figure)
-        return Kind.OPEN
-
-    def settle(self, now: float) -> tuple[int, float] | None:
-        """A figure whose beat did not come: job and load. Ask before each figure and now and then."""
-        if self.open is None or now <= self.at + BEAT_MS + OFF_MS:
+    """Classifies the reports of one backend, as one relay receives them. Times are the caller's, in milliseconds.
+
+    slow_message_ms: a figure above this is a long latency; the series of latencies ends with one below it.
+    """
+
+    __slots__ = ("slow_message_ms", "_request", "_last_at", "_in_series", "_undecided")
+
+    def __init__(self, slow_message_ms: float) -> None:
+        self.slow_message_ms = slow_message_ms
+        self._request = 0  # on whose connection the last figure came that is, or may be, a latency
+        self._last_at = -1e18
+        self._in_series = False  # latencies are being reported
+        self._undecided: ReportedLoad | None = None
+
+    def classify(self, now: float, request: int, figure: float, is_open: Callable[[int], bool]) -> ReportKind:
+        """What the figure stands for.
+
+        is_open: whether a request's connection is still open; a series of latencies continues on another connection
+        only after its own has ended.
+        """
+        if self.slow_message_ms <= 0.0 or figure > MAX_MESSAGE_LATENCY_MS:
+            return ReportKind.LOAD
+        late_ms = now - self._last_at - LATENCY_REPORT_INTERVAL_MS
+        on_time = abs(late_ms) <= MAX_INTERVAL_ERROR_MS
+        same_connection = request == self._request and (self._in_series or self._undecided is not None)
+        if on_time and (same_connection or self._in_series and not is_open(self._request)):
+            self._request, self._last_at, self._undecided = request, now, None
+            self._in_series = figure > self.slow_message_ms
+            return ReportKind.LATENCY
+        if self._in_series and late_ms < MAX_INTERVAL_ERROR_MS:
+            return ReportKind.LOAD  # a small load between two reports of the series
+        if figure <= self.slow_message_ms:
+            return ReportKind.LOAD  # no series starts with a short latency
+        self._in_series = False
+        self._request, self._last_at, self._undecided = request, now, ReportedLoad(request, figure)
+        return ReportKind.UNDECIDED
+
+    def take_resolved_load(self, now: float) -> ReportedLoad | None:
+        """The undecided figure, once no report followed it in time and it is known as a load; else None.
+
+        To be called before each figure is classified, and periodically.
+        """
+        if self._undecided is None or now <= self._last_at + LATENCY_REPORT_INTERVAL_MS + MAX_INTERVAL_ERROR_MS:
             return None
-        found, self.open = self.open, None
-        return found
+        resolved, self._undecided = self._undecided, None
+        return resolved
--- /dev/null
+++ b/yarrowspindle/routing/maintenance.py
@@ -0,0 +1,63 @@
+"""Maintenance of backends, as agreed by the relays: nothing is placed on them, and their connections are migrated."""
+
+from __future__ import annotations
+
+from yarrowspindle.decisions.events import ListKind
+from yarrowspindle.routing.attempts import Attempts
+from yarrowspindle.routing.context import RoutingContext
+from yarrowspindle.routing.effects import SetTimer
+from yarrowspindle.routing.endpoints import EndpointHandlers
+from yarrowspindle.routing.events import EndpointsUpdated, MaintenanceUpdated
+from yarrowspindle.routing.state import Phase
+from yarrowspindle.routing.timers import EVACUATION_TIMER
+
+
+class MaintenanceHandlers:
+    """Handles new maintenance plans and evacuates backends."""
+
+    __slots__ = ("_context", "_attempts", "_endpoint_handlers")
+
+    def __init__(self, context: RoutingContext, attempts: Attempts, endpoint_handlers: EndpointHandlers) -> None:
+        self._context = context
+        self._attempts = attempts
+        self._endpoint_handlers = endpoint_handlers
+
+    def on_maintenance_updated(self, event: MaintenanceUpdated) -> None:
+        """Adopt the plan: for the balancer a backend in maintenance is draining, and one that returned is cold."""
+        from yarrowspindle.maintenance.evacuation import BEAT_MS, BackendEvacuator  # the platform does without it
+
+        context = self._context
+        before = {name for name in context.backends if context.in_maintenance(name)}
+        previous, context.maintenance_plan = context.maintenance_plan, event.plan
+        for name in event.plan.back - (previous.back if previous is not None else frozenset()):
+            if name in context.backends:
+                context.backends[name].readmitted_at = context.now
+        changed = [
+            backend.endpoint
+            for name, backend in context.backends.items()
+            if backend.endpoint is not None and (name in before) != context.in_maintenance(name)
+        ]
+        if changed:
+            update = EndpointsUpdated(ListKind.DELTA, changed, context.endpoint_list_version)
+            self._endpoint_handlers.on_endpoints_updated(update, log_changes=False)
+        if context.evacuator is None:
+            context.evacuator = BackendEvacuator(context.now)
+            context.effects.append(SetTimer(BEAT_MS, EVACUATION_TIMER))
+        context.evacuator.told(context.now, event.plan)
+
+    def on_evacuation_timer(self) -> None:
+        """Migrate the connections that the evacuator's rate allows now."""
+        from yarrowspindle.maintenance.evacuation import BEAT_MS  # the platform does without it
+
+        context = self._context
+        context.effects.append(SetTimer(BEAT_MS, EVACUATION_TIMER))
+        if context.evacuator is None or context.maintenance_plan is None:
+            return
+        established = {name: self._established_at(name) for name in context.evacuator.until if name in context.backends}
+        for number in context.evacuator.beat(context.now, context.maintenance_plan, established):
+            self._attempts.migrate(context.requests.get(number))
+
+    def _established_at(self, name: str) -> list[int]:
+        requests = self._context.requests
+        numbers = sorted(self._context.backends[name].requests)
+        return [number for number in numbers if requests[number].phase is Phase.ESTABLISHED]
--- /dev/null
+++ b/yarrowspindle/routing/rebalancing.py
@@ -0,0 +1,96 @@
+"""Rebalancing: established connections are migrated towards even load, at the pace of the rebalancer's plan."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+from yarrowspindle.decisions import events as balancer_events
+from yarrowspindle.routing.attempts import Attempts
+from yarrowspindle.routing.context import RoutingContext
+from yarrowspindle.routing.effects import CancelTimer, LogMessage, SetTimer
+from yarrowspindle.routing.events import RebalancingConfigured
+from yarrowspindle.routing.state import Phase
+from yarrowspindle.routing.timers import REBALANCING_TIMER
+
+if TYPE_CHECKING:  # the platform does without this package
+    from yarrowspindle.rebalancing import Rebalancer, RebalanceSettings
+
+
+class RebalancingHandlers:
+    """Starts, configures and stops the rebalancer and carries out its migrations."""
+
+    __slots__ = ("_context", "_attempts", "_target")
+
+    def __init__(self, context: RoutingContext, attempts: Attempts) -> None:
+        self._context = context
+        self._attempts = attempts
+        self._target = 0.0  # as the balancer was last notified
+
+    def on_rebalancing_configured(self, event: RebalancingConfigured) -> None:
+        """Start the rebalancer, change its settings, or stop it where there are none."""
+        context = self._context
+        if event.settings is None:
+            context.rebalancer = None
+            context.effects.append(CancelTimer(REBALANCING_TIMER))
+            self._set_target(0.0)
+        elif context.rebalancer is not None:
+            context.rebalancer.configure(event.settings)
+        else:
+            self._start(event.settings, event.seed)
+
+    def _start(self, rebalance_settings: RebalanceSettings, seed: int) -> None:
+        from yarrowspindle.rebalancing import Rebalancer  # the platform does without it
+
+        context, settings = self._context, self._context.settings
+        context.rebalancer = Rebalancer(
+            rebalance_settings,
+            seed,
+            context.now,
+            settings.balancers,
+            settings.warmup_ms,
+            settings.initial_capacity_fraction,
+        )
+        self._fill_view(context.rebalancer)
+        if context.shutdown_deadline:
+            context.rebalancer.stop()
+        context.effects.append(SetTimer(context.rebalancer.first_beat_ms(), REBALANCING_TIMER))
+
+    def _fill_view(self, rebalancer: Rebalancer) -> None:
+        """Give the rebalancer the present backends and established connections."""
+        context = self._context
+        for backend in context.backends.values():
+            rebalancer.view.backend(
+                context.now, backend.name, backend.number, backend.state, backend.capacity, backend.started_at
+            )
+        if context.backends:
+            rebalancer.view.list_over(())
+        for request in context.requests.values():
+            if request.phase is Phase.ESTABLISHED and request.backend is not None:
+                received = request.received
+                rebalancer.opened(
+                    request.established_at,
+                    request.id,
+                    request.backend.name,
+                    request.load,
+                    received.key,
+                    received.group,
+                    received.returned,
+                )
+
+    def on_rebalancing_timer(self) -> None:
+        """Migrate the connections that the rebalancer chooses now."""
+        context, rebalancer = self._context, self._context.rebalancer
+        if rebalancer is None:
+            return
+        context.effects.append(SetTimer(rebalancer.beat_ms, REBALANCING_TIMER))
+        migrations = rebalancer.beat(context.now, *context.balancer.drawn())
+        self._set_target(rebalancer.level)
+        for number in migrations:
+            self._attempts.migrate(context.requests.get(number))
+        context.effects += [LogMessage(text) for text in rebalancer.take_notes()]
+
+    def _set_target(self, target: float) -> None:
+        """Notify the balancer of the target where it changed."""
+        if target != self._target:
+            self._target = target
+            self._attempts.notify_balancer(balancer_events.RebalancingTarget(target))
--- /dev/null
+++ b/yarrowspindle/routing/requests.py
@@ -0,0 +1,272 @@
+"""Requests: arrival, the progress of their attempts, deadlines, and answers after an internal error."""
+
+from __future__ import annotations
+
+from yarrowspindle.decisions import events as balancer_events
+from yarrowspindle.decisions import request_gate as gate
+from yarrowspindle.decisions.events import Outcome
+from yarrowspindle.decisions.rejection import RejectionReason
+from yarrowspindle.decisions.request_gate import EARLY_MS
+from yarrowspindle.routing.attempts import Attempts
+from yarrowspindle.routing.context import RoutingContext, backend_id
+from yarrowspindle.routing.effects import (
+    AbortAttempt,
+    CancelTimer,
+    CloseClientConnection,
+    FailRequest,
+    ForwardRequest,
+    MigrateConnection,
+    RejectRequest,
+    SetTimer,
+    StartRelaying,
+)
+from yarrowspindle.routing.events import (
+    AttemptEnded,
+    BackendAccepted,
+    BackendConnected,
+    ClientDisconnected,
+    InternalError,
+    RequestReceived,
+    UnexpectedClientData,
+)
+from yarrowspindle.routing.state import Backend, Phase, Request
+from yarrowspindle.routing.termination import TerminationReason
+from yarrowspindle.routing.timers import RECONNECT_TIMER, REQUEST_DEADLINE_TIMER
+
+# Clients of connections from before this process wait 40 s for them to be established again.
+EXISTING_CONNECTION_DEADLINE_MS = 38_000.0
+
+
+class RequestHandlers:
+    """Handles the events of requests from arrival to their final answer."""
+
+    __slots__ = ("_context", "_attempts", "_requests")
+
+    def __init__(self, context: RoutingContext, attempts: Attempts) -> None:
+        self._context = context
+        self._attempts = attempts
+        self._requests = context.requests
+
+    # --- arrival ----------------------------------------------------------------------------------
+
+    def on_request_received(self, event: RequestReceived) -> None:
+        """Accept the request and pass it to the balancer, or refuse it at once."""
+        context = self._context
+        refused = self._reason_to_refuse(event)
+        if refused is not None:
+            self._refuse(event.request, refused)
+            return
+        request = self._requests[event.request] = Request(event, context.now)
+        if context.rebalancer is not None:
+            context.rebalancer.arrived(context.now)
+        if event.ref:
+            request.client_request_id = event.ref
+            context.client_request_ids.add(event.ref)
+        if event.at:
+            self._bind_to_previous_backend(request, event)
+        deadline_ms = max(request.deadline - context.now - EARLY_MS, 0.0)
+        context.effects.append(SetTimer(deadline_ms, (REQUEST_DEADLINE_TIMER, request.id)))
+        if request.existing_connection is not None:
+            self._attempts.reconnect(request)
+            return
+        self._attempts.notify_balancer(
+            balancer_events.RequestReceived(
+                event.request,
+                event.cls,
+                event.tenant,
+                event.key,
+                event.left_ms,
+                event.load,
+                event.group,
+                event.repeated,
+                False,
+                event.returned,
+            )
+        )
+
+    def _refuse(self, request: int, reason: RejectionReason) -> None:
+        # Only during shutdown is it harmless for the client to try again elsewhere.
+        if reason is RejectionReason.SHUTTING_DOWN:
+            self._context.effects.append(RejectRequest(request, 0.0, reason))
+        else:
+            self._context.effects.append(FailRequest(request, reason))
+
+    def _bind_to_previous_backend(self, request: Request, event: RequestReceived) -> None:
+        """A connection from before this process goes to the backend that had it, and to no other."""
+        request.existing_connection = balancer_events.ExistingConnection(
+            event.request, backend_id(event.at), event.cls, event.tenant, event.key, event.load, event.group
+        )
+        request.backend = self._context.backends.get(event.at)
+        request.attempt = 0
+        request.deadline = self._context.now + EXISTING_CONNECTION_DEADLINE_MS
+
+    def _reason_to_refuse(self, event: RequestReceived) -> RejectionReason | None:
+        """Why the request may not be accepted; None where it may.
+
+        Protects backends and other requests from a client that uses another's id, that would wait without limit, or
+        that names its backend after the first new request (that backend may be draining by then). A request without an
+        id was made by the front itself.
+        """
+        context = self._context
+        ending = context.has_ended(context.now)
+        if not event.ref:
+            return RejectionReason.SHUTTING_DOWN if ending else None
+        names_backend = bool(event.at)
+        refused = gate.may_take(
+            ending=ending,
+            id_in_use=event.ref in context.client_request_ids,
+            names_backend=names_backend,
+            begun=context.serving_new_requests,
+            left_ms=event.left_ms,
+            deadline_ms=context.settings.classes[event.cls].deadline_ms,
+        )
+        if not names_backend and (refused is None or refused is RejectionReason.SHUTTING_DOWN):
+            context.serving_new_requests = True
+        return refused
+
+    # --- the client -------------------------------------------------------------------------------
+
+    def on_client_disconnected(self, event: ClientDisconnected) -> None:
+        """Drop the request and abort its attempt."""
+        request = self._requests.get(event.request)
+        if request is None:
+            return
+        if request.phase is not Phase.ESTABLISHED and request.existing_connection is None:
+            self._attempts.notify_balancer(balancer_events.ClientDisconnected(request.id))
+        if request.phase is Phase.QUEUED:
+            self._attempts.finish(request)
+            return
+        reason = TerminationReason.CLIENT_DISCONNECTED
+        self._context.effects.append(AbortAttempt(request.id, request.attempt, reason))
+        self._attempts.end(request, reason, finished=True)
+
+    def on_unexpected_client_data(self, event: UnexpectedClientData) -> None:
+        """Fail a request whose client sent more before its answer."""
+        request = self._requests.get(event.request)
+        if request is not None and request.phase is not Phase.ESTABLISHED:
+            self.on_client_disconnected(ClientDisconnected(request.id))
+            self._context.effects.append(FailRequest(request.id, RejectionReason.UNEXPECTED_CLIENT_DATA))
+
+    # --- the attempt ------------------------------------------------------------------------------
+
+    def _with_current_attempt(self, number: int, attempt: int) -> Request | None:
+        """The request, where this attempt is its newest and has not ended; else None."""
+        request = self._requests.get(number)
+        if request is None or request.attempt != attempt or request.phase is Phase.QUEUED:
+            return None
+        return request
+
+    def on_backend_connected(self, event: BackendConnected) -> None:
+        """Forward the request, unless its backend or the time left forbid it by now."""
+        request = self._with_current_attempt(event.request, event.attempt)
+        if request is None or request.backend is None or request.phase is not Phase.CONNECTING:
+            return
+        context = self._context
+        refused = gate.may_write(
+            request.backend.state,
+            pinned=request.existing_connection is not None,
+            now=context.now,
+            begin_by=request.write_before,
+            deadline=request.deadline,
+        )
+        if refused:
+            self._attempts.abort(request, refused, TerminationReason.NOT_SENT)
+            return
+        request.enter(Phase.AWAITING_RESPONSE)
+        context.effects.append(ForwardRequest(request.id, request.attempt, request.deadline - context.now))
+
+    def on_backend_accepted(self, event: BackendAccepted) -> None:
+        """Establish the connection."""
+        request = self._with_current_attempt(event.request, event.attempt)
+        if request is None or request.backend is None or request.phase is not Phase.AWAITING_RESPONSE:
+            return
+        context, backend = self._context, request.backend
+        request.enter(Phase.ESTABLISHED)
+        backend.last_data_at = request.established_at = context.now
+        if context.rebalancer is not None:
+            received = request.received
+            context.rebalancer.opened(
+                context.now, request.id, backend.name, request.load, received.key, received.group, received.returned
+            )
+        context.effects += (CancelTimer((REQUEST_DEADLINE_TIMER, request.id)), StartRelaying(request.id))
+        if request.existing_connection is not None:
+            self._attempts.notify_balancer(request.existing_connection)
+            request.existing_connection = None
+            return
+        setup_ms = context.now - request.attempt_started_at
+        self._attempts.notify_balancer(
+            balancer_events.ConnectionEstablished(request.id, request.attempt, backend.number, setup_ms)
+        )
+
+    def on_attempt_ended(self, event: AttemptEnded) -> None:
+        """End the attempt, or the established connection with its client's side."""
+        request = self._with_current_attempt(event.request, event.attempt)
+        if request is None:
+            return
+        established = request.phase is Phase.ESTABLISHED
+        if established:
+            self._context.effects.append(CloseClientConnection(request.id, event.reason))
+        self._attempts.end(request, event.reason, finished=established)
+
+    # --- timers -----------------------------------------------------------------------------------
+
+    def on_request_timer(self, name: str, number: int) -> None:
+        """The timer of a request fired; ignored where the request is closed."""
+        request = self._requests.get(number)
+        if request is None:
+            return
+        if name == REQUEST_DEADLINE_TIMER:
+            self.expire(request)
+        elif name == RECONNECT_TIMER and request.phase is Phase.QUEUED:
+            self._attempts.reconnect(request)
+
+    def expire(self, request: Request) -> None:
+        """The deadline was reached: abort the attempt in flight and give the final answer."""
+        if request.in_flight:
+            self._abort_expired(request)
+        if request.phase is Phase.QUEUED and request.existing_connection is None:
+            # Only the balancer knows whether an attempt may have run, so that repeating it may do harm.
+            self._attempts.notify_balancer(balancer_events.DeadlineReached(request.id))
+        if request.phase is Phase.QUEUED:
+            self._attempts.answer(request.id, RejectRequest(request.id, 0.0, RejectionReason.DEADLINE_EXCEEDED))
+
+    def _abort_expired(self, request: Request) -> None:
+        stalled = request.deadline - EARLY_MS <= self._context.stalled_at
+        ended = TerminationReason.EVENT_LOOP_STALLED if stalled else TerminationReason.DEADLINE_EXCEEDED
+        request.deadline = self._context.now
+        self._attempts.abort(request, RejectionReason.DEADLINE_EXCEEDED, ended)
+
+    # --- internal errors --------------------------------------------------------------------------
+
+    def on_internal_error(self, event: InternalError) -> None:
+        """Answer the client of a request whose step failed, whatever is left undone.
+
+        The balancer is notified last, since it may be what failed.
+        """
+        request = self._requests.get(event.request)
+        if request is None:
+            if event.arrived:
+                self._context.effects.append(FailRequest(event.request, RejectionReason.INTERNAL_ERROR))
+            return
+        backend, phase, attempt = request.backend, request.phase, request.attempt
+        self._answer_internal_error(request)
+        self._attempts.finish(request)
+        if request.existing_connection is None:
+            self._cancel_at_balancer(request.id, attempt, phase, backend)
+
+    def _answer_internal_error(self, request: Request) -> None:
+        effects = self._context.effects
+        if request.phase is Phase.ESTABLISHED:
+            effects.append(MigrateConnection(request.id))
+            return
+        if request.in_flight:
+            effects.append(AbortAttempt(request.id, request.attempt, RejectionReason.INTERNAL_ERROR))
+        effects.append(FailRequest(request.id, RejectionReason.INTERNAL_ERROR))
+
+    def _cancel_at_balancer(self, number: int, attempt: int, phase: Phase, backend: Backend | None) -> None:
+        if phase is not Phase.ESTABLISHED:
+            self._attempts.notify_balancer(balancer_events.ClientDisconnected(number))
+        if backend is not None and phase is not Phase.QUEUED:
+            self._attempts.notify_balancer(
+                balancer_events.AttemptEnded(number, attempt, backend.number, Outcome.CANCELLED, True)
+            )
