--- a/yarrowspindle/routing/effects.py
+++ b/yarrowspindle/routing/effects.py
@@ -1,4 +1,4 @@
-"""What the reducer asks for: effects, which the runtime and the fronts carry out in order. Times are milliseconds."""
+"""Effects: what the core asks the runtime and the fronts to carry out, in order. Times are milliseconds."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(slots=True)
 class OpenBackendConnection:
-    """Open a connection to the execute node for this attempt."""
+    """Open a connection to the backend for this attempt."""
 
     request: int
     attempt: int
@@ -22,7 +22,7 @@
 
 @dataclass(slots=True)
 class ForwardRequest:
-    """Send the job on the connection that has come up."""
+    """Send the request on the connection that is established for its attempt."""
 
     request: int
     attempt: int
@@ -31,7 +31,7 @@
 
 @dataclass(slots=True)
 class AbortAttempt:
-    """Give the attempt up: end the connection to the execute node."""
+    """Abort the attempt: close its connection to the backend."""
 
     request: int
     attempt: int
@@ -40,14 +40,14 @@
 
 @dataclass(slots=True)
 class StartRelaying:
-    """Pass the execute node's first answer back; from now on both sides flow."""
+    """Pass the backend's first answer to the client; from now on relay data in both directions."""
 
     request: int
 
 
 @dataclass(slots=True)
 class RejectRequest:
-    """Final answer: not served, come again after this time."""
+    """Final answer: rejected; the client may retry after this time."""
 
     request: int
     retry_after_ms: float
@@ -64,7 +64,7 @@
 
 @dataclass(slots=True)
 class MigrateConnection:
-    """Tell the submitter to come again, and end both sides."""
+    """Ask the client to connect again, and close both sides."""
 
     request: int
     reason: TerminationReason = TerminationReason.MIGRATED
@@ -72,7 +72,7 @@
 
 @dataclass(slots=True)
 class CloseClientConnection:
-    """End the submitter's side as the execute node's side ended."""
+    """Close the client's side in the way in which the backend's side ended."""
 
     request: int
     reason: TerminationReason
@@ -80,20 +80,25 @@
 
 @dataclass(slots=True)
 class SetTimer:
+    """Return `TimerFired` with this timer after the delay; an earlier delay of the same timer is replaced."""
+
     delay_ms: float
     timer: object
 
 
 @dataclass(slots=True)
 class CancelTimer:
+    """Cancel the timer, where it is set."""
+
     timer: object
 
 
 @dataclass(slots=True)
 class WatchEndpoints:
-    """Watch the machine list at this address, from this version on; a watch at another address is given up for it.
+    """Watch the endpoint list at this address, from this version on; it replaces a watch at another address.
 
-    renew: also where a watch is open there already; that one is kept until the new one has told something."""
+    renew: replace also an open watch at the same address, once the new one has delivered an update.
+    """
 
     version: int
     address: Address | None = None
@@ -102,7 +107,7 @@
 
 @dataclass(slots=True)
 class CheckHealth:
-    """Ask the execute node for its load report; one `ProbeOver` answers it, within this time."""
+    """Request the backend's load report; one `HealthCheckCompleted` follows within this time."""
 
     backend: str
     address: Address
@@ -111,20 +116,22 @@
 
 @dataclass(slots=True)
 class CancelHealthCheck:
-    """Take back what is asked of this node, and ask nothing more on its connection."""
+    """Cancel the health check of this backend, and send no further one on its connection."""
 
     backend: str
 
 
 @dataclass(slots=True)
 class BackendRemoved:
-    """The machine list says that the node is gone; a wire on which that does not show ends what it held."""
+    """The backend was removed from the endpoint list: close its connections where the transport does not show that."""
 
     backend: str
 
 
 @dataclass(slots=True)
 class LogMessage:
+    """Write this text to the log."""
+
     text: str
 
 
--- a/yarrowspindle/routing/events.py
+++ b/yarrowspindle/routing/events.py
@@ -1,4 +1,4 @@
-"""What the reducer is told. Times are milliseconds."""
+"""Events: what fronts and runtime report to the core. Times are milliseconds."""
 
 from __future__ import annotations
 
@@ -17,6 +17,20 @@
 
 @dataclass(slots=True)
 class RequestReceived:
+    """A client's request was received.
+
+    Attributes:
+        left_ms: how long the client waits for its answer.
+        cls, tenant: the numbers of its class and tenant.
+        key: identifies the client; 0 for none.
+        load: a hint of the connection's load, in milliseconds of work a second; 0 for none.
+        group: identifies the client's group, which can share work at a backend; 0 for none.
+        repeated: the client sends the request again after an answer that allowed it.
+        returned: the client's former connection was migrated or reset.
+        at: the backend that had the connection before this process started; empty where it is new.
+        ref: the id that the client gave the request; empty where the front made the request itself.
+    """
+
     request: int
     left_ms: float
     cls: int = 0
@@ -26,37 +40,43 @@
     group: int = 0
     repeated: bool = False
     returned: bool = False
-    at: str = ""  # the execute node that held it before the run
-    ref: str = ""  # the name that its submitter gave it; empty where the front made the job itself
+    at: str = ""
+    ref: str = ""
 
 
 @dataclass(slots=True)
 class ClientDisconnected:
+    """The client closed its connection, or it was reset."""
+
     request: int
 
 
 @dataclass(slots=True)
 class UnexpectedClientData:
-    """The submitter sent more while it had to wait for its answer."""
+    """The client sent more before it had its answer, which the protocol forbids."""
 
     request: int
 
 
 @dataclass(slots=True)
 class BackendConnected:
+    """The attempt's connection to the backend is established; nothing was sent."""
+
     request: int
     attempt: int
 
 
 @dataclass(slots=True)
 class BackendAccepted:
+    """The backend accepted the attempt's request."""
+
     request: int
     attempt: int
 
 
 @dataclass(slots=True)
 class AttemptEnded:
-    """The execute node's side of an attempt or of a standing connection has ended."""
+    """The backend's side of an attempt or of an established connection ended."""
 
     request: int
     attempt: int
@@ -65,13 +85,15 @@
 
 @dataclass(slots=True)
 class LoadReported:
+    """The backend reported the connection's load, in milliseconds of work a second."""
+
     request: int
     load: float
 
 
 @dataclass(slots=True)
 class UnclassifiedReport:
-    """The figure of a node's `LOAD` line as it came: a load or a message time, see `routing.figures`."""
+    """The figure of a `LOAD` line as received: a load or a message latency, see `routing.load_reports`."""
 
     request: int
     figure: float
@@ -79,7 +101,7 @@
 
 @dataclass(slots=True)
 class ClientDataForwarded:
-    """The submitter sent lines on a standing connection."""
+    """Lines of the client were forwarded on an established connection."""
 
     request: int
     lines: int = 1
@@ -87,7 +109,7 @@
 
 @dataclass(slots=True)
 class BackendDataForwarded:
-    """The execute node sent lines back on it."""
+    """Lines of the backend were forwarded to the client."""
 
     request: int
     lines: int = 1
@@ -95,7 +117,7 @@
 
 @dataclass(slots=True)
 class Endpoint:
-    """One entry of the machine list."""
+    """An entry of the endpoint list; `started_ms` is the start of its process by discovery's wall clock."""
 
     name: str
     address: Address
@@ -109,8 +131,11 @@
 
 @dataclass(slots=True)
 class EndpointsUpdated:
-    """quiet_ms: how long ago discovery was last heard before this, so that what it tells as changed has changed since
-    then; None where it was not heard before."""
+    """The endpoint list was read, changed, or could not be read, see `ListKind`.
+
+    quiet_ms: time since the update before this one, so that what changed has changed since then; None where there was
+    none.
+    """
 
     kind: ListKind
     endpoints: list[Endpoint] = field(default_factory=list)
@@ -120,12 +145,14 @@
 
 @dataclass(slots=True)
 class TimerFired:
+    """A timer of `SetTimer` fired."""
+
     timer: object
 
 
 @dataclass(slots=True)
 class ShutdownRequested:
-    """A planned restart or a drain: all clients are to be moved within this time; a drain is outlived."""
+    """A planned restart, or a drain (process_exits False): all clients are to be migrated within this time."""
 
     within_ms: float
     process_exits: bool = True
@@ -133,8 +160,10 @@
 
 @dataclass(slots=True)
 class SettingsChanged:
-    """New settings; their classes keep the numbers of those under way (`program.config.retune`). anew: numbers that
-    nobody uses and that stand for another class than before."""
+    """New settings; classes of requests in progress keep their numbers.
+
+    reassigned_classes: unused numbers that stand for another class than before.
+    """
 
     settings: Settings
     reassigned_classes: frozenset[int] = frozenset()
@@ -142,27 +171,29 @@
 
 @dataclass(slots=True)
 class DrainCancelled:
-    """Back to work after a drain: nobody is moved for it any more."""
+    """The drain was cancelled: no further client is migrated for it."""
 
 
 @dataclass(slots=True)
 class DiscoveryAddressChanged:
-    """The operator's new configuration: where the machine list is from now on."""
+    """The endpoint list is served at this address from now on."""
 
     address: Address
 
 
 @dataclass(slots=True)
 class EventLoopStalled:
-    """This process did nothing for so long: what stayed unanswered meanwhile is not the nodes' doing."""
+    """The event loop did not run for so long: delays in that time are not the backends' fault."""
 
     for_ms: float
 
 
 @dataclass(slots=True)
 class InternalError:
-    """A step or an effect on this job failed (a fault of the program, which was logged): its client is answered now.
-    arrived: it failed as the job came, so that the reducer may not know of it."""
+    """A step or an effect on this request raised an error, which was logged; its client is to be answered now.
+
+    arrived: it was raised while the request was being received, so that the core may not know the request.
+    """
 
     request: int
     arrived: bool = False
@@ -170,14 +201,14 @@
 
 @dataclass(slots=True)
 class WallClockStepped:
-    """This machine's wall clock was set to another time while the process ran."""
+    """This machine's wall clock was set to another time."""
 
     by_ms: float
 
 
 @dataclass(slots=True)
 class RebalancingConfigured:
-    """Standing jobs are to be moved towards balance from now on, or with other settings, or no longer (None)."""
+    """Rebalance established connections with these settings from now on, or no longer (None)."""
 
     settings: RebalanceSettings | None
     seed: int = 0
@@ -185,7 +216,7 @@
 
 @dataclass(slots=True)
 class HealthCheckCompleted:
-    """How a probe of an execute node ended: SERVED with the values of its load report, or why there is none."""
+    """A health check ended: COMPLETED with the values of the load report, or the reason why there is none."""
 
     backend: str
     reason: TerminationReason
@@ -195,14 +226,14 @@
 
 @dataclass(slots=True)
 class PeerLoadsUpdated:
-    """What other relays hold, where relays hear one another."""
+    """The loads of the other relays, where relays exchange them."""
 
     loads: PeerLoads
 
 
 @dataclass(slots=True)
 class MaintenanceUpdated:
-    """What relays have agreed on of machines out for work."""
+    """The relays agreed on a new maintenance plan."""
 
     plan: MaintenancePlan
 
--- a/yarrowspindle/routing/termination.py
+++ b/yarrowspindle/routing/termination.py
@@ -1,4 +1,4 @@
-"""Every way in which a connection can end, and what the module is told of it."""
+"""Why an attempt or an established connection ended, and the outcome that the balancer is notified of."""
 
 from __future__ import annotations
 
@@ -9,24 +9,26 @@
 
 @unique
 class TerminationReason(Enum):
-    COMPLETED = "the execute node served it to its end"
-    BACKEND_DRAINING = "the execute node asked the submitter to come again"
-    REJECTED = "the execute node took it for nothing: full, draining, or no time left"
-    BACKEND_ERROR = "the execute node answered with an error"
-    PROTOCOL_ERROR = "the execute node answered with nothing that the protocol knows"
-    CONNECT_FAILED = "no connection came up, or it broke before all was sent"
-    CONNECTION_RESET = "the connection to the execute node broke or ended"
-    UNRESPONSIVE = "the execute node brought nothing back for too long"
-    BACKEND_REMOVED = "the machine list says that the execute node is gone"
-    IDLE_EXPIRED = "nothing came from either side for so long that it must have ended"
-    DEADLINE_EXCEEDED = "the relay stopped waiting: the deadline has passed"
-    EVENT_LOOP_STALLED = "the deadline passed while this process stood still: nobody knows what the execute node did"
-    CLIENT_DISCONNECTED = "the submitter left, or its connection broke"
-    MIGRATED = "the relay told the submitter to come again"
-    NOT_SENT = "nothing was sent: the execute node drains or is gone, or there was no time"
-
-
-OUTCOMES = {
+    """Why an attempt or an established connection ended; the value is a description for people."""
+
+    COMPLETED = "the backend completed the connection"
+    BACKEND_DRAINING = "the backend is draining and asked the client to connect again"
+    REJECTED = "the backend rejected the request: at capacity, draining, or no time left"
+    BACKEND_ERROR = "the backend answered with an error"
+    PROTOCOL_ERROR = "the backend's answer violates the protocol"
+    CONNECT_FAILED = "the connection to the backend failed before the whole request was sent"
+    CONNECTION_RESET = "the connection to the backend was reset or closed"
+    UNRESPONSIVE = "the backend did not respond in time"
+    BACKEND_REMOVED = "the backend was removed from the endpoint list"
+    IDLE_EXPIRED = "neither side sent data within the idle timeout"
+    DEADLINE_EXCEEDED = "the request's deadline was exceeded"
+    EVENT_LOOP_STALLED = "the deadline passed while this process was stalled, so the backend's part is unknown"
+    CLIENT_DISCONNECTED = "the client disconnected"
+    MIGRATED = "the relay asked the client to connect again"
+    NOT_SENT = "nothing was sent: the backend is draining or removed, or no time was left"
+
+
+OUTCOMES: dict[TerminationReason, Outcome] = {
     TerminationReason.COMPLETED: Outcome.OK,
     TerminationReason.BACKEND_DRAINING: Outcome.CANCELLED,
     TerminationReason.REJECTED: Outcome.REJECTED,
