--- a/benchmarks/soak/planted.py
+++ b/benchmarks/soak/planted.py
@@ -129,7 +129,7 @@
     real = RequestHandlers.on_request_received
 
     def received(self: RequestHandlers, event: Any) -> None:
-        event.left_ms += 900.0
+        event.remaining_ms += 900.0
         real(self, event)
 
     RequestHandlers.on_request_received = received  # type: ignore[method-assign]
--- a/tests/benchmarks/test_soak.py
+++ b/tests/benchmarks/test_soak.py
@@ -200,7 +200,7 @@
 def test_a_planted_defect_ends_the_soak_with_the_rule_and_the_timeline_of_the_request() -> None:
     status, told, text = soak("--seed", "3", "--faults", "refuse", "--planted", "close_unanswered")
     assert status == 1 and told["unanswered"] > 0, text  # type: ignore[operator]
-    assert "VIOLATION unanswered" in text and "refused reason=" in text
+    assert "VIOLATION unanswered" in text and "rejected reason=" in text
 
 
 @pytest.mark.parametrize("words", (("--processes", "9"), ("--faults", "sloth"), ("--seconds", "2"), ("--seeds", "0")))
--- a/tests/daemon/test_configuration_daemon.py
+++ b/tests/daemon/test_configuration_daemon.py
@@ -503,7 +503,7 @@
             classes, current = hub.config.settings.classes, hub.config.current
             assert len(classes) <= 6 and hub.reducer.balancer.settings.classes == classes
             assert len(set(current.values())) == 2 and classes[current[name]].deadline_ms == 3000.0 + n
-            assert standing.received.cls == 0 and classes[0] == old and hub.class_name(0) == "chat"
+            assert standing.received.request_class == 0 and classes[0] == old and hub.class_name(0) == "chat"
             assert 0 not in current.values(), "its number is nobody else's while it is here"
         assert hub.telemetry.figures()["reconfig_ok"] == 2000 and hub.telemetry.figures()["reconfig_failed"] == 0
         hub.runtime.close()
--- a/tests/daemon/test_operations.py
+++ b/tests/daemon/test_operations.py
@@ -192,7 +192,7 @@
     reducer = Reducer(Settings(classes=(RequestClass(setup_latency_objective_ms=800.0, deadline_ms=4800.0),)), 1, 0.0)
     telemetry = Telemetry(reducer, lambda cls: f"class{cls}")
     for request in range(1000):
-        telemetry.event(RequestReceived(request, 4800.0, request))
-        telemetry.event(ClientDisconnected(request))
+        telemetry.on_event(RequestReceived(request, 4800.0, request))
+        telemetry.on_event(ClientDisconnected(request))
     assert telemetry.counts["taken.class255"] == 1 and telemetry.counts["taken.other"] == 1000 - MAX_CLASSES
     assert len(telemetry.counts) == 2 * (MAX_CLASSES + 1) and not telemetry.waiting
--- a/tests/decisions/test_slow_start_clock.py
+++ b/tests/decisions/test_slow_start_clock.py
@@ -49,7 +49,7 @@
     def tell(self, kind: ListKind, names: list[str], quiet_ms: float | None) -> None:
         told = EndpointsUpdated(kind, [self.machines[name] for name in names], 1)
         if quiet_ms is not None:
-            told.quiet_ms = quiet_ms
+            told.since_last_update_ms = quiet_ms
         self.reducer.step(self.now, told)
 
     def restart(self, name: str, told_start_ms: float, quiet_ms: float = HEARTBEAT_MS) -> None:
--- a/tests/forms/published.py
+++ b/tests/forms/published.py
@@ -89,14 +89,14 @@
 def telemetry() -> list[str]:
     """The operators' figures, as `GET /api/telemetry` gives them."""
     reducer = Reducer(SETTINGS, 7, 0.0)
-    told = Telemetry(reducer, lambda number: f"class{number}")
+    counted = Telemetry(reducer, lambda number: f"class{number}")
     for event in sequence_events():
-        told.event(event)
+        counted.on_event(event)
     for effect in sample_effects():
-        told.effect(effect)
-    told.reloaded(True)
-    told.reloaded(False)
-    return told.text().splitlines()
+        counted.on_effect(effect)
+    counted.on_configuration_reloaded(True)
+    counted.on_configuration_reloaded(False)
+    return counted.text().splitlines()
 
 
 def shown_turns() -> dict[str, Any]:
--- a/tests/forms/recorded_names.py
+++ b/tests/forms/recorded_names.py
@@ -14,8 +14,8 @@
 
 # Class -> its recorded name, and its fields' recorded names where they differ.
 CLASSES: Mapping[type, tuple[str, Mapping[str, str]]] = {
-    effects.OpenBackendConnection: ("Reach", {"request": "job", "backend": "node"}),
-    effects.ForwardRequest: ("Ask", {"request": "job"}),
+    effects.OpenBackendConnection: ("Reach", {"request": "job", "backend": "node", "timeout_ms": "within_ms"}),
+    effects.ForwardRequest: ("Ask", {"request": "job", "remaining_ms": "left_ms"}),
     effects.AbortAttempt: ("Drop", {"request": "job", "reason": "why"}),
     effects.StartRelaying: ("Join", {"request": "job"}),
     effects.RejectRequest: ("Requeue", {"request": "job", "reason": "why", "retry_after_ms": "after_ms"}),
@@ -25,7 +25,7 @@
     effects.SetTimer: ("Wake", {"timer": "what"}),
     effects.CancelTimer: ("Unwake", {"timer": "what"}),
     effects.WatchEndpoints: ("Watch", {}),
-    effects.CheckHealth: ("Probe", {"backend": "node"}),
+    effects.CheckHealth: ("Probe", {"backend": "node", "timeout_ms": "within_ms"}),
     effects.CancelHealthCheck: ("Unprobe", {"backend": "node"}),
     effects.BackendRemoved: ("NodeGone", {"backend": "node"}),
     effects.LogMessage: ("Note", {}),
--- a/tests/middleware/test_middleware.py
+++ b/tests/middleware/test_middleware.py
@@ -219,7 +219,7 @@
         go["end"].set()
         await client.task
         arrived = seen[0]
-        assert (arrived.key, arrived.group, arrived.left_ms, arrived.returned) == (7, 9, 300.0, True)
+        assert (arrived.key, arrived.group, arrived.remaining_ms, arrived.returned) == (7, 9, 300.0, True)
         wrong = Client(PlacementMiddleware(app, placer, cls=lambda s: "nobody"))
         assert (await wrong.next())["status"] == 400
         socket = Client(PlacementMiddleware(app, placer, cls=lambda s: 3), type="websocket", scheme="ws")
--- a/tests/routing/test_reducer_model.py
+++ b/tests/routing/test_reducer_model.py
@@ -122,7 +122,7 @@
     def arrive(self, left: float, at: str) -> None:
         number = next(self.numbers)
         self.requests[number] = Seen(self.now + (38_000.0 if at else left))
-        self.tell(RequestReceived(number, left, at=at))
+        self.tell(RequestReceived(number, left, previous_backend=at))
 
     @rule(draw=st.integers(0, 9))
     def reached(self, draw: int) -> None:
@@ -175,7 +175,7 @@
         taken = ref in self.reducer.context.client_request_ids
         self.requests[number] = Seen(self.now + (38_000.0 if at else left))
         begun = self.reducer.context.serving_new_requests
-        self.tell(RequestReceived(number, left, at=at, ref=ref))
+        self.tell(RequestReceived(number, left, previous_backend=at, client_request_id=ref))
         if taken or left > DEADLINE and not at or at and begun:
             assert (
                 self.requests[number].over
@@ -270,9 +270,9 @@
     # --- the relay's side -----------------------------------------------------------------------
 
     def tell(self, event: Event) -> None:
-        self.telemetry.event(event)
+        self.telemetry.on_event(event)
         for effect in self.reducer.step(self.now, event):
-            self.telemetry.effect(effect)
+            self.telemetry.on_effect(effect)
             if isinstance(effect, SetTimer):
                 heapq.heappush(self.timers, (self.now + effect.delay_ms, next(self.numbers), effect.timer))
             elif isinstance(effect, CancelTimer):
@@ -317,7 +317,7 @@
             assert effect.attempt >= request.attempts or effect.attempt == 0 and request.attempts == 1
             request.out, request.asked, request.attempts = effect.backend, False, effect.attempt + 1
         elif isinstance(effect, ForwardRequest):
-            assert request.out and not request.asked and effect.left_ms > 0.0
+            assert request.out and not request.asked and effect.remaining_ms > 0.0
             request.asked = True
         elif isinstance(effect, StartRelaying):
             assert request.asked and not request.open
--- a/yarrowspindle/daemon/relay_service.py
+++ b/yarrowspindle/daemon/relay_service.py
@@ -58,14 +58,14 @@
         self.metrics.sources["runtime"] = self.runtime.counts
         self.runtime.seen.append(lambda now, event: self.metrics.event(event))
         self.telemetry = Telemetry(reducer, self.class_name)
-        self.runtime.seen.append(lambda now, event: self.telemetry.event(event))
+        self.runtime.seen.append(lambda now, event: self.telemetry.on_event(event))
         self.guard = Guard(lambda: self.config.settings, logger.error)
         self.metrics.sources["invariant_violations_total"] = self.guard.counts
-        self.runtime.seen.append(self.guard.event)
+        self.runtime.seen.append(self.guard.on_event)
         self.trace: Trace | None = None
         if self.operator.log_level in TRACED:
             self.trace = trace = Trace(logger.debug)
-            self.runtime.seen.append(lambda now, event: trace.event(event))
+            self.runtime.seen.append(lambda now, event: trace.on_event(event))
         self.runtime.effect = self._effect
         self.serving = False  # set once the fronts take connections, and unset when they no longer do
         self.watch = ListWatch(
@@ -93,11 +93,11 @@
         self._rebalance()
 
     def _effect(self, effect: Effect) -> None:
-        self.guard.effect(effect)
+        self.guard.on_effect(effect)
         self.metrics.effect(effect)
-        self.telemetry.effect(effect)
+        self.telemetry.on_effect(effect)
         if self.trace is not None:
-            self.trace.effect(effect)
+            self.trace.on_effect(effect)
 
     def class_name(self, cls: int) -> str:
         classes = self.config.classes
@@ -140,7 +140,7 @@
             operator = load_operator()
             config, waiting = reload_config(self.config, used=self.reducer.classes, shared=self.shared)
         except (ConfigError, ValueError) as error:
-            self.telemetry.reloaded(False)
+            self.telemetry.on_configuration_reloaded(False)
             logger.error("the configuration was turned down, the old one stays whole: {}", error)
             return
         self._settle(config)
@@ -167,14 +167,14 @@
         try:
             config = retune(self.config, share(self.config, shared), self.reducer.classes)
         except ConfigError:
-            self.telemetry.reloaded(False)
+            self.telemetry.on_configuration_reloaded(False)
             raise
         self.shared = shared
         self._settle(config)
 
     def _settle(self, config: Config) -> None:
         old, self.config = self.config, config
-        self.telemetry.reloaded(True)
+        self.telemetry.on_configuration_reloaded(True)
         anew = frozenset(
             n
             for n, (was, now) in enumerate(zip(old.classes, config.classes, strict=False))
--- a/yarrowspindle/fronts/line_front.py
+++ b/yarrowspindle/fronts/line_front.py
@@ -192,7 +192,7 @@
         self.door.reached_for(side)
         connecting = Connecting(side, effect.address, lambda failure: self._unreached(side, failure))
         self.reaching[effect.request] = connecting
-        connecting.start(effect.within_ms / 1000.0)
+        connecting.start(effect.timeout_ms / 1000.0)
 
     def _unreached(self, side: BackendSide, failure: ConnectFailure) -> None:
         """The attempt's connection did not come up, and never will: nothing was written on it."""
@@ -209,7 +209,7 @@
     def _ask(self, effect: ForwardRequest) -> None:
         side, opened = self.backends.get(effect.request), self.opened.get(effect.request)
         if side is not None and opened is not None:
-            side.ask(opened.forward(effect.left_ms))
+            side.ask(opened.forward(effect.remaining_ms))
 
     def _drop(self, effect: AbortAttempt) -> None:
         side = self.backends.pop(effect.request, None)
--- a/yarrowspindle/fronts/quic_front.py
+++ b/yarrowspindle/fronts/quic_front.py
@@ -190,7 +190,7 @@
             self.by_link[link] = flow
             self.counts["taken_over"] += 1
             cls, deadline_ms = self._first_class()
-            self.hub.post(RequestReceived(flow.request, deadline_ms, cls, at=backend.name))
+            self.hub.post(RequestReceived(flow.request, deadline_ms, cls, previous_backend=backend.name))
         else:
             self.counts["unknown_id"] += 1
 
@@ -272,7 +272,7 @@
         flow.asked = True
         for data in flow.first:
             self._path(flow, flow.client).send(data)
-        wait = min(self.config.answer_ms, effect.left_ms) / 1000.0
+        wait = min(self.config.answer_ms, effect.remaining_ms) / 1000.0
         flow.answer = self.loop.call_later(wait, self._unanswered, flow, flow.attempt)
 
     def _unanswered(self, flow: Flow, attempt: int) -> None:
--- a/yarrowspindle/lab/model/relay.py
+++ b/yarrowspindle/lab/model/relay.py
@@ -218,7 +218,7 @@
             effect.request, effect.attempt, self.fleet.backends.get(effect.backend)
         )
         if attempt.backend is not None and attempt.backend.silent:
-            self.clock.after(effect.within_ms, self._unreached, attempt)
+            self.clock.after(effect.timeout_ms, self._unreached, attempt)
         else:
             self.clock.after(self.fleet.latency(), self._reached, attempt)
 
@@ -280,7 +280,7 @@
             if backend.alive
             else TerminationReason.CONNECT_FAILED
         )
-        wait = effect.within_ms if backend.silent else self.fleet.latency()
+        wait = effect.timeout_ms if backend.silent else self.fleet.latency()
         self.clock.after(
             wait,
             self.post,
--- a/yarrowspindle/replay/player.py
+++ b/yarrowspindle/replay/player.py
@@ -70,7 +70,7 @@
 def choice_of(effect: Effect) -> Choice | None:
     """What the core chose, without what only concerns timers, the list or the log."""
     if isinstance(effect, OpenBackendConnection):
-        return ("reach", effect.request, effect.attempt, effect.backend, effect.within_ms)
+        return ("reach", effect.request, effect.attempt, effect.backend, effect.timeout_ms)
     if isinstance(effect, RejectRequest):
         return ("requeue", effect.request, effect.retry_after_ms)
     if isinstance(effect, FailRequest | MigrateConnection | StartRelaying):
--- a/yarrowspindle/replay/recorded_form.py
+++ b/yarrowspindle/replay/recorded_form.py
@@ -85,7 +85,13 @@
         "relays": "balancers",
         "reporting_relays": "heard",
     },
-    events.RequestReceived: {"request": "job"},
+    events.RequestReceived: {
+        "client_request_id": "ref",
+        "previous_backend": "at",
+        "remaining_ms": "left_ms",
+        "request": "job",
+        "request_class": "cls",
+    },
     events.ClientDisconnected: {"request": "job"},
     events.UnexpectedClientData: {"request": "job"},
     events.BackendConnected: {"request": "job"},
@@ -95,14 +101,15 @@
     events.UnclassifiedReport: {"request": "job"},
     events.ClientDataForwarded: {"request": "job"},
     events.BackendDataForwarded: {"request": "job"},
-    events.EndpointsUpdated: {"endpoints": "machines"},
+    events.EndpointsUpdated: {"endpoints": "machines", "since_last_update_ms": "quiet_ms"},
     events.TimerFired: {"timer": "what"},
-    events.ShutdownRequested: {"process_exits": "exits"},
+    events.ShutdownRequested: {"process_exits": "exits", "time_limit_ms": "within_ms"},
+    events.EventLoopStalled: {"duration_ms": "for_ms"},
     events.DiscoveryAddressChanged: {"address": "list_at"},
     events.PeerLoadsUpdated: {"loads": "others"},
 }
 
-# The texts by which a sequence tells how an attempt ended.
+# The texts by which a sequence records why an attempt ended.
 ENDINGS: Mapping[TerminationReason, str] = {
     TerminationReason.COMPLETED: "the execute node served it to its end",
     TerminationReason.BACKEND_DRAINING: "the execute node asked the submitter to come again",
--- a/yarrowspindle/routing/draining.py
+++ b/yarrowspindle/routing/draining.py
@@ -31,11 +31,11 @@
     def on_shutdown_requested(self, event: ShutdownRequested) -> None:
         """Start to migrate all clients; those that arrive meanwhile are served and migrated as well."""
         context = self._context
-        context.shutdown_deadline = context.now + event.within_ms
+        context.shutdown_deadline = context.now + event.time_limit_ms
         context.process_exits = event.process_exits
         if context.rebalancer is not None:
             context.rebalancer.stop()
-        context.effects.append(SetTimer(min(QUIET_PERIOD_MS, event.within_ms / 2.0), SHUTDOWN_TIMER))
+        context.effects.append(SetTimer(min(QUIET_PERIOD_MS, event.time_limit_ms / 2.0), SHUTDOWN_TIMER))
 
     def on_drain_cancelled(self, event: DrainCancelled) -> None:
         """Stop migrating clients."""
--- a/yarrowspindle/routing/effects.py
+++ b/yarrowspindle/routing/effects.py
@@ -17,7 +17,7 @@
     attempt: int
     backend: str
     address: Address
-    within_ms: float
+    timeout_ms: float
 
 
 @dataclass(slots=True)
@@ -26,7 +26,7 @@
 
     request: int
     attempt: int
-    left_ms: float
+    remaining_ms: float
 
 
 @dataclass(slots=True)
@@ -111,7 +111,7 @@
 
     backend: str
     address: Address
-    within_ms: float
+    timeout_ms: float
 
 
 @dataclass(slots=True)
--- a/yarrowspindle/routing/endpoints.py
+++ b/yarrowspindle/routing/endpoints.py
@@ -57,7 +57,7 @@
         changes = EndpointChanges()
         if event.kind is not ListKind.DELTA:
             self._remove_missing(event.endpoints, changes)
-        entries = [self._apply(endpoint, event.quiet_ms, changes) for endpoint in event.endpoints]
+        entries = [self._apply(endpoint, event.since_last_update_ms, changes) for endpoint in event.endpoints]
         if context.rebalancer is not None:
             context.rebalancer.view.list_over([context.backends[name] for name in changes.previous_states])
         self._attempts.notify_balancer(balancer_events.EndpointList(event.kind, entries, event.version))
--- a/yarrowspindle/routing/events.py
+++ b/yarrowspindle/routing/events.py
@@ -20,28 +20,28 @@
     """A client's request was received.
 
     Attributes:
-        left_ms: how long the client waits for its answer.
-        cls, tenant: the numbers of its class and tenant.
+        remaining_ms: how long the client waits for its answer.
+        request_class, tenant: the numbers of its class and tenant.
         key: identifies the client; 0 for none.
         load: a hint of the connection's load, in milliseconds of work a second; 0 for none.
         group: identifies the client's group, which can share work at a backend; 0 for none.
         repeated: the client sends the request again after an answer that allowed it.
         returned: the client's former connection was migrated or reset.
-        at: the backend that had the connection before this process started; empty where it is new.
-        ref: the id that the client gave the request; empty where the front made the request itself.
+        previous_backend: the backend that had the connection before this process started; empty where it is new.
+        client_request_id: the id that the client gave the request; empty where the front made the request itself.
     """
 
     request: int
-    left_ms: float
-    cls: int = 0
+    remaining_ms: float
+    request_class: int = 0
     tenant: int = 0
     key: int = 0
     load: float = 0.0
     group: int = 0
     repeated: bool = False
     returned: bool = False
-    at: str = ""
-    ref: str = ""
+    previous_backend: str = ""
+    client_request_id: str = ""
 
 
 @dataclass(slots=True)
@@ -133,14 +133,14 @@
 class EndpointsUpdated:
     """The endpoint list was read, changed, or could not be read, see `ListKind`.
 
-    quiet_ms: time since the update before this one, so that what changed has changed since then; None where there was
-    none.
+    since_last_update_ms: time since the update before this one, within which the reported changes were made; None where
+    there was none.
     """
 
     kind: ListKind
     endpoints: list[Endpoint] = field(default_factory=list)
     version: int = 0
-    quiet_ms: float | None = None
+    since_last_update_ms: float | None = None
 
 
 @dataclass(slots=True)
@@ -154,7 +154,7 @@
 class ShutdownRequested:
     """A planned restart, or a drain (process_exits False): all clients are to be migrated within this time."""
 
-    within_ms: float
+    time_limit_ms: float
     process_exits: bool = True
 
 
@@ -185,7 +185,7 @@
 class EventLoopStalled:
     """The event loop did not run for so long: delays in that time are not the backends' fault."""
 
-    for_ms: float
+    duration_ms: float
 
 
 @dataclass(slots=True)
@@ -203,7 +203,7 @@
 class WallClockStepped:
     """This machine's wall clock was set to another time."""
 
-    by_ms: float
+    step_ms: float
 
 
 @dataclass(slots=True)
@@ -220,7 +220,7 @@
 
     backend: str
     reason: TerminationReason
-    took_ms: float = 0.0
+    duration_ms: float = 0.0
     report: tuple[float, ...] = ()
 
 
--- a/yarrowspindle/routing/health.py
+++ b/yarrowspindle/routing/health.py
@@ -154,11 +154,11 @@
         self._context.stalled_at = now
         for request in self._requests.values():
             if request.in_flight:
-                request.attempt_started_at = min(now, request.attempt_started_at + event.for_ms)
+                request.attempt_started_at = min(now, request.attempt_started_at + event.duration_ms)
             for entry in request.unanswered:
-                entry[0] = min(now, entry[0] + event.for_ms)
+                entry[0] = min(now, entry[0] + event.duration_ms)
         for backend in self._context.backends.values():
-            backend.last_data_at = min(now, backend.last_data_at + event.for_ms)
+            backend.last_data_at = min(now, backend.last_data_at + event.duration_ms)
 
     # --- health checks ----------------------------------------------------------------------------
 
@@ -168,6 +168,6 @@
         if backend is not None:
             self._attempts.notify_balancer(
                 balancer_events.HealthCheckCompleted(
-                    backend.number, OUTCOMES[event.reason], event.took_ms, event.report
+                    backend.number, OUTCOMES[event.reason], event.duration_ms, event.report
                 )
             )
--- a/yarrowspindle/routing/reducer.py
+++ b/yarrowspindle/routing/reducer.py
@@ -195,7 +195,7 @@
     def classes(self) -> set[int]:
         """The numbers of the classes that requests are in."""
         context = self.context
-        return {request.received.cls for request in context.requests.values()} | {
+        return {request.received.request_class for request in context.requests.values()} | {
             request.cls for request in context.balancer.requests.values()
         }
 
--- a/yarrowspindle/routing/requests.py
+++ b/yarrowspindle/routing/requests.py
@@ -59,10 +59,10 @@
         request = self._requests[event.request] = Request(event, context.now)
         if context.rebalancer is not None:
             context.rebalancer.arrived(context.now)
-        if event.ref:
-            request.client_request_id = event.ref
-            context.client_request_ids.add(event.ref)
-        if event.at:
+        if event.client_request_id:
+            request.client_request_id = event.client_request_id
+            context.client_request_ids.add(event.client_request_id)
+        if event.previous_backend:
             self._bind_to_previous_backend(request, event)
         deadline_ms = max(request.deadline - context.now - EARLY_MS, 0.0)
         context.effects.append(SetTimer(deadline_ms, (REQUEST_DEADLINE_TIMER, request.id)))
@@ -72,10 +72,10 @@
         self._attempts.notify_balancer(
             balancer_events.RequestReceived(
                 event.request,
-                event.cls,
+                event.request_class,
                 event.tenant,
                 event.key,
-                event.left_ms,
+                event.remaining_ms,
                 event.load,
                 event.group,
                 event.repeated,
@@ -94,9 +94,15 @@
     def _bind_to_previous_backend(self, request: Request, event: RequestReceived) -> None:
         """A connection from before this process goes to the backend that had it, and to no other."""
         request.existing_connection = balancer_events.ExistingConnection(
-            event.request, backend_id(event.at), event.cls, event.tenant, event.key, event.load, event.group
+            event.request,
+            backend_id(event.previous_backend),
+            event.request_class,
+            event.tenant,
+            event.key,
+            event.load,
+            event.group,
         )
-        request.backend = self._context.backends.get(event.at)
+        request.backend = self._context.backends.get(event.previous_backend)
         request.attempt = 0
         request.deadline = self._context.now + EXISTING_CONNECTION_DEADLINE_MS
 
@@ -109,16 +115,16 @@
         """
         context = self._context
         ending = context.has_ended(context.now)
-        if not event.ref:
+        if not event.client_request_id:
             return RejectionReason.SHUTTING_DOWN if ending else None
-        names_backend = bool(event.at)
+        names_backend = bool(event.previous_backend)
         refused = gate.may_take(
             ending=ending,
-            id_in_use=event.ref in context.client_request_ids,
+            id_in_use=event.client_request_id in context.client_request_ids,
             names_backend=names_backend,
             begun=context.serving_new_requests,
-            left_ms=event.left_ms,
-            deadline_ms=context.settings.classes[event.cls].deadline_ms,
+            left_ms=event.remaining_ms,
+            deadline_ms=context.settings.classes[event.request_class].deadline_ms,
         )
         if not names_backend and (refused is None or refused is RejectionReason.SHUTTING_DOWN):
             context.serving_new_requests = True
--- a/yarrowspindle/routing/state.py
+++ b/yarrowspindle/routing/state.py
@@ -75,7 +75,7 @@
         self.established_at = now
         self.attempt = -1
         self.backend: Backend | None = None
-        self.deadline = now + received.left_ms
+        self.deadline = now + received.remaining_ms
         self.attempt_started_at = now
         self.existing_connection: ExistingConnection | None = None
         self.unanswered: deque[list[float]] = deque()
--- a/yarrowspindle/runtime/endpoint_watch.py
+++ b/yarrowspindle/runtime/endpoint_watch.py
@@ -117,7 +117,7 @@
         if watch is self.former and watch.address != self.watch_at:
             told = replace(told, version=self.version)  # another service counts in another way: no place to go on from
         if watch in (self.watch, self.former):
-            told.quiet_ms = self._quiet_ms(watch)
+            told.since_last_update_ms = self._quiet_ms(watch)
             self.told(told)
 
     def watch_over(self, watch: WatchSide, why: str) -> None:
--- a/yarrowspindle/runtime/health_checker.py
+++ b/yarrowspindle/runtime/health_checker.py
@@ -75,7 +75,9 @@
         asked.since, asked.stalled = loop.time(), False
         if asked.late is not None:
             asked.late.cancel()
-        asked.late = loop.call_at(asked.since + effect.within_ms / 1000.0, self._late, asked, effect.within_ms / 1000.0)
+        asked.late = loop.call_at(
+            asked.since + effect.timeout_ms / 1000.0, self._late, asked, effect.timeout_ms / 1000.0
+        )
         asked.side.ask()
 
     def close(self) -> None:
--- a/yarrowspindle/telemetry/__init__.py
+++ b/yarrowspindle/telemetry/__init__.py
@@ -1,4 +1,4 @@
-"""Figures for operators, counted from what the reducer decides, so that they add up."""
+"""Figures, invariant checks and debug lines, from what the core receives and decides."""
 
 from yarrowspindle.telemetry.counts import Telemetry
 
--- a/yarrowspindle/telemetry/counts.py
+++ b/yarrowspindle/telemetry/counts.py
@@ -1,83 +1,99 @@
-"""The operators' figures, fed by the events that the reducer is told and the effects that it asks for.
+"""The operators' figures, counted from the core's events and effects.
 
-Each connection that is taken is counted once in `taken` and, once it has its final answer, once in one of `success`
-(brought up: `Join`), `busy` (`Requeue`) or `failure` (`Deny`); one that its submitter leaves first is `abandoned`.
-So for each class, at every moment: taken = success + busy + failure + abandoned + waiting. The counts start with the
-process; a class that vanishes from the settings keeps its counts.
+Each request that is received is counted once in `taken` and, once it has its final answer, once in one of `success`
+(established), `busy` (rejected) or `failure`; one whose client disconnects first is `abandoned`. So for each class, at
+every moment: taken = success + busy + failure + abandoned + waiting. The counts start with the process; a class that
+is removed from the settings keeps its counts.
 """
 
 from __future__ import annotations
 
 from collections import Counter
-from collections.abc import Callable
+from collections.abc import Callable, Mapping
 
 from yarrowspindle.decisions.events import EndpointState
 from yarrowspindle.routing.effects import Effect, FailRequest, ForwardRequest, RejectRequest, StartRelaying
 from yarrowspindle.routing.events import ClientDisconnected, Event, RequestReceived
 from yarrowspindle.routing.reducer import Reducer
 
-OUTCOMES = {StartRelaying: "success", RejectRequest: "busy", FailRequest: "failure"}
-FIGURES = ("success", "busy", "failure")
+ANSWER_FIGURES: Mapping[type, str] = {StartRelaying: "success", RejectRequest: "busy", FailRequest: "failure"}
 
-MAX_CLASSES, OTHER = 256, "other"  # names of classes told apart in a process's life; later ones are counted together
+MAX_CLASSES = 256  # class names counted apart during a process's lifetime
+OTHER_CLASSES = "other"  # later class names are counted together under this one
 
 
 class Telemetry:
+    """Counts requests by class.
+
+    counts: by `FIGURE.CLASS`, or by the figure's name alone. waiting: the class name of each request without its final
+    answer; bounded by the core's requests.
+    """
+
     def __init__(self, reducer: Reducer, class_name: Callable[[int], str]) -> None:
-        self.reducer, self.class_name = reducer, class_name
-        self.counts: Counter[str] = Counter()  # name.class or name
-        # Job -> the name of its class, taken and not answered yet; bounded by the reducer's jobs.
+        self.counts: Counter[str] = Counter()
         self.waiting: dict[int, str] = {}
-        self.classes: dict[str, None] = {}  # every class that was ever seen, by its name: numbers are used again
+        self._reducer = reducer
+        self._class_name = class_name
+        self._class_names: dict[str, None] = {}  # ordered; by name, since numbers of classes are used again
 
-    def event(self, event: Event) -> None:
+    def on_event(self, event: Event) -> None:
+        """Count an event."""
         if isinstance(event, RequestReceived):
-            name = self.class_name(event.cls)
-            if name not in self.classes:
-                name = name if len(self.classes) < MAX_CLASSES else OTHER
-                self.classes[name] = None
+            name = self._counted_class(event.request_class)
             self.waiting[event.request] = name
             self.counts[f"taken.{name}"] += 1
         elif isinstance(event, ClientDisconnected):
-            self._count("abandoned", event.request)
+            self._count_answer("abandoned", event.request)
 
-    def effect(self, effect: Effect) -> None:
+    def on_effect(self, effect: Effect) -> None:
+        """Count an effect."""
         kind = type(effect)
         if kind is ForwardRequest:
             self.counts["backend_calls"] += 1
             return
-        figure = OUTCOMES.get(kind)
+        figure = ANSWER_FIGURES.get(kind)
         if figure is not None:
-            self._count(figure, effect.request)  # type: ignore[union-attr]  # all three are of a job
+            self._count_answer(figure, effect.request)  # type: ignore[union-attr]  # all three are of a request
+
+    def on_configuration_reloaded(self, applied: bool) -> None:
+        """Count a reload of the configuration."""
+        self.counts["reconfig_ok" if applied else "reconfig_failed"] += 1
 
-    def reloaded(self, taken: bool) -> None:
-        self.counts["reconfig_ok" if taken else "reconfig_failed"] += 1
+    def _counted_class(self, number: int) -> str:
+        """The name under which a class is counted."""
+        name = self._class_name(number)
+        if name not in self._class_names:
+            name = name if len(self._class_names) < MAX_CLASSES else OTHER_CLASSES
+            self._class_names[name] = None
+        return name
 
-    def _count(self, figure: str, request: int) -> None:
+    def _count_answer(self, figure: str, request: int) -> None:
         name = self.waiting.pop(request, None)
         if name is not None:
             self.counts[f"{figure}.{name}"] += 1
 
     def figures(self) -> dict[str, int]:
-        """All figures as of now, in the operators' names."""
-        reducer = self.reducer
+        """All figures as of now, under their published names."""
         found: dict[str, int] = {}
-        for name in self.classes:
-            for figure in FIGURES:
+        for name in self._class_names:
+            for figure in ANSWER_FIGURES.values():
                 found[f"{figure}.{name}"] = self.counts[f"{figure}.{name}"]
-        listed = [backend for backend in reducer.backends.values() if backend.state is not EndpointState.GONE]
-        avoided = reducer.balancer.avoided(reducer.now)
-        found |= {
-            "backend_calls": self.counts["backend_calls"],
-            "inflight": len(reducer.requests),
-            "hosts_listed": len(listed),
-            "hosts_down": sum(
-                1 for backend in listed if backend.state is not EndpointState.READY or backend.number in avoided
-            ),
-            "reconfig_ok": self.counts["reconfig_ok"],
-            "reconfig_failed": self.counts["reconfig_failed"],
-        }
+        found["backend_calls"] = self.counts["backend_calls"]
+        found["inflight"] = len(self._reducer.requests)
+        found |= self._backend_figures()
+        found["reconfig_ok"] = self.counts["reconfig_ok"]
+        found["reconfig_failed"] = self.counts["reconfig_failed"]
         return found
 
+    def _backend_figures(self) -> dict[str, int]:
+        reducer = self._reducer
+        ejected = reducer.balancer.avoided(reducer.now)
+        listed = [backend for backend in reducer.backends.values() if backend.state is not EndpointState.GONE]
+        unavailable = [
+            backend for backend in listed if backend.state is not EndpointState.READY or backend.number in ejected
+        ]
+        return {"hosts_listed": len(listed), "hosts_down": len(unavailable)}
+
     def text(self) -> str:
+        """All figures, one `name=value` a line."""
         return "".join(f"{name}={value}\n" for name, value in self.figures().items())
--- a/yarrowspindle/telemetry/guard.py
+++ b/yarrowspindle/telemetry/guard.py
@@ -1,15 +1,16 @@
-"""Counts broken invariants at run time, from what the reducer is told and what it asks for, with books of its own.
+"""Counts violated invariants at run time, from the core's events and effects, with state of its own.
 
-It decides nothing and knows none of the reducer's state: a fault there shows here. One violation is counted for each
-request and rule, as `invariant_violations_total.RULE`, and logged as an error.
+It decides nothing and reads none of the core's state, so that a fault there shows here. A violation is counted once
+for each request and rule, as `invariant_violations_total.RULE`, and logged as an error.
 """
 
 from __future__ import annotations
 
-from collections import Counter, deque
+from collections import Counter
 from collections.abc import Callable
 from enum import Enum, unique
-from math import inf, sqrt
+from math import inf
+from typing import Any
 
 from yarrowspindle.decisions.events import EndpointState, ListKind
 from yarrowspindle.decisions.settings import Settings
@@ -32,10 +33,10 @@
     RequestReceived,
     TimerFired,
 )
+from yarrowspindle.telemetry.warmup_share import WarmupShare
 
-OVERDUE_MS = 500.0  # an answer so long after the deadline is none
-LOOK_MS = 1000.0  # how often requests without an answer are looked for
-MAX_SHARE = 4.0  # of what a warm server gets here, for each multiple that the settings allow a cold one
+MAX_ANSWER_DELAY_MS = 500.0  # after the deadline; a later answer counts as none
+UNANSWERED_CHECK_INTERVAL_MS = 1000.0
 
 
 @unique
@@ -44,183 +45,170 @@
 
     ONE_FINAL_ANSWER = "one_final_answer"
     ONE_ATTEMPT_IN_FLIGHT = "one_attempt_out"
-    NO_SEND_TO_UNAVAILABLE_BACKEND = (
-        "server_told"  # no byte to a server that is known to drain, to be gone, or to have started anew
-    )
-    CLIENT_GONE = "client_gone"  # no attempt for a client that has left, or has its answer
-    DEADLINE = "deadline"  # no request written after its deadline
-    SLOW_START = "slow_start"  # a cold server's share of what this relay sends
-    UNANSWERED = "unanswered"  # each request that was read gets an answer
+    # Nothing is forwarded to a backend that is listed as draining, was removed, or has started anew.
+    NO_SEND_TO_UNAVAILABLE_BACKEND = "server_told"
+    CLIENT_GONE = "client_gone"  # no attempt for a client that has disconnected, or has its answer
+    DEADLINE = "deadline"  # no request forwarded after its deadline
+    SLOW_START = "slow_start"  # the share of a backend that is warming up
+    UNANSWERED = "unanswered"  # each request that was received gets an answer
 
 
-class Open:
-    """A request without its final answer."""
+class PendingRequest:
+    """A request without its final answer.
 
-    __slots__ = ("arrived", "attempt", "deadline", "name", "noted", "pinned", "backend", "start")
+    Attributes:
+        id: the client's id, for the log.
+        attempt: number of the attempt in flight; None where there is none.
+        backend, started_ms: of that attempt, as listed when it started.
+        violated: the rules that were violated for this request.
+    """
 
-    def __init__(self, name: str, arrived: float, deadline: float, pinned: bool) -> None:
-        self.name, self.arrived, self.deadline, self.pinned = name, arrived, deadline, pinned
-        self.attempt: int | None = None  # that is out
-        self.backend, self.start = "", 0.0  # of that attempt, as listed when it began
-        self.noted: tuple[Rule, ...] = ()
+    __slots__ = ("id", "deadline", "existing_connection", "attempt", "backend", "started_ms", "violated")
+
+    def __init__(self, id: str, deadline: float, existing_connection: bool) -> None:
+        self.id = id
+        self.deadline = deadline
+        self.existing_connection = existing_connection
+        self.attempt: int | None = None
+        self.backend = ""
+        self.started_ms = 0.0
+        self.violated: tuple[Rule, ...] = ()
 
 
 class Guard:
-    """violated: told of each violation, in words for the log."""
+    """Checks the invariants; `report` is given a description of each violation."""
 
-    def __init__(self, settings: Callable[[], Settings], violated: Callable[[str], None]) -> None:
-        self.settings, self.violated = settings, violated
+    def __init__(self, settings: Callable[[], Settings], report: Callable[[str], None]) -> None:
         self.now = 0.0
-        self.open: dict[int, Open] = {}
-        self.backends: dict[str, Endpoint] = {}
         self.counts: Counter[str] = Counter({rule.value: 0 for rule in Rule})
-        self.looked_at = -inf
-        self.seen_at: dict[str, float] = {}  # when a server's present start was first seen
-        self.sent: dict[str, deque[float]] = {}  # to servers that started a moment ago
-        self.writes: deque[float] = deque()  # to all servers, of the time in which a fall is judged
-        self.events: dict[type, Callable[..., None]] = {
-            RequestReceived: self._arrived,
-            ClientDisconnected: self._left,
-            AttemptEnded: self._over,
-            EndpointsUpdated: self._listed,
-            EventLoopStalled: self._stalled,
-            TimerFired: lambda event: self._look(),
+        self._settings = settings
+        self._report = report
+        self._pending: dict[int, PendingRequest] = {}
+        self._endpoints: dict[str, Endpoint] = {}
+        self._last_check_at = -inf
+        self._warmup_share = WarmupShare()
+        self._event_handlers: dict[type, Callable[[Any], None]] = {
+            RequestReceived: self._on_request_received,
+            ClientDisconnected: self._on_client_disconnected,
+            AttemptEnded: self._on_attempt_ended,
+            EndpointsUpdated: self._on_endpoints_updated,
+            EventLoopStalled: self._on_event_loop_stalled,
+            TimerFired: self._on_timer_fired,
         }
-        self.effects: dict[type, Callable[..., None]] = {
-            OpenBackendConnection: self._reach,
-            ForwardRequest: self._ask,
-            AbortAttempt: self._over,
-            StartRelaying: self._answered,
-            RejectRequest: self._answered,
-            FailRequest: self._answered,
+        self._effect_handlers: dict[type, Callable[[Any], None]] = {
+            OpenBackendConnection: self._on_open_backend_connection,
+            ForwardRequest: self._on_forward_request,
+            AbortAttempt: self._on_attempt_ended,
+            StartRelaying: self._on_answer,
+            RejectRequest: self._on_answer,
+            FailRequest: self._on_answer,
         }
 
-    def event(self, now: float, event: Event) -> None:
+    def on_event(self, now: float, event: Event) -> None:
+        """Check an event, before the core handles it."""
         self.now = now
-        handler = self.events.get(type(event))
+        handler = self._event_handlers.get(type(event))
         if handler is not None:
             handler(event)
 
-    def effect(self, effect: Effect) -> None:
-        handler = self.effects.get(type(effect))
+    def on_effect(self, effect: Effect) -> None:
+        """Check an effect."""
+        handler = self._effect_handlers.get(type(effect))
         if handler is not None:
             handler(effect)
 
-    def _violation(self, rule: Rule, request: Open | None, what: str) -> None:
+    def _violation(self, rule: Rule, request: PendingRequest | None, text: str) -> None:
         if request is not None:
-            if rule in request.noted:
+            if rule in request.violated:
                 return
-            request.noted += (rule,)
+            request.violated += (rule,)
         self.counts[rule.value] += 1
-        self.violated(f"invariant {rule.value} violated: request={request.name if request else '?'} {what}")
+        self._report(f"invariant {rule.value} violated: request={request.id if request else '?'} {text}")
 
-    # --- requests -------------------------------------------------------------------------------
+    # --- requests ---------------------------------------------------------------------------------
 
-    def _arrived(self, event: RequestReceived) -> None:
-        pinned = bool(event.at)
-        deadline = inf if pinned else self.now + event.left_ms
-        self.open[event.request] = Open(event.ref or str(event.request), self.now, deadline, pinned)
+    def _on_request_received(self, event: RequestReceived) -> None:
+        existing_connection = bool(event.previous_backend)
+        deadline = inf if existing_connection else self.now + event.remaining_ms
+        id = event.client_request_id or str(event.request)
+        self._pending[event.request] = PendingRequest(id, deadline, existing_connection)
 
-    def _left(self, event: ClientDisconnected) -> None:
-        self.open.pop(event.request, None)
+    def _on_client_disconnected(self, event: ClientDisconnected) -> None:
+        self._pending.pop(event.request, None)
 
-    def _reach(self, effect: OpenBackendConnection) -> None:
-        request = self.open.get(effect.request)
+    def _on_open_backend_connection(self, effect: OpenBackendConnection) -> None:
+        request = self._pending.get(effect.request)
         if request is None:
-            self._violation(Rule.CLIENT_GONE, None, f"job {effect.request}: an attempt at {effect.backend} begins")
+            text = f"number={effect.request} attempt={effect.attempt} connects to backend={effect.backend}"
+            self._violation(Rule.CLIENT_GONE, None, text)
             return
         if request.attempt is not None:
-            self._violation(
-                Rule.ONE_ATTEMPT_IN_FLIGHT, request, f"attempt {request.attempt} is out, {effect.attempt} begins"
-            )
-        listed = self.backends.get(effect.backend)
-        request.attempt, request.backend = effect.attempt, effect.backend
-        request.start = listed.started_ms if listed is not None else 0.0
-
-    def _ask(self, effect: ForwardRequest) -> None:
-        request = self.open.get(effect.request)
+            text = f"attempt={effect.attempt} starts while attempt={request.attempt} is in flight"
+            self._violation(Rule.ONE_ATTEMPT_IN_FLIGHT, request, text)
+        endpoint = self._endpoints.get(effect.backend)
+        request.attempt = effect.attempt
+        request.backend = effect.backend
+        request.started_ms = endpoint.started_ms if endpoint is not None else 0.0
+
+    def _on_forward_request(self, effect: ForwardRequest) -> None:
+        request = self._pending.get(effect.request)
         if request is None:
-            self._violation(Rule.CLIENT_GONE, None, f"job {effect.request}: it is written")
+            self._violation(Rule.CLIENT_GONE, None, f"number={effect.request} is forwarded")
             return
         if self.now > request.deadline:
-            self._violation(Rule.DEADLINE, request, f"written {self.now - request.deadline:.0f} ms after its deadline")
-        if request.pinned:
-            return
-        listed = self.backends.get(request.backend)
-        if listed is None or listed.state is not EndpointState.READY or listed.started_ms != request.start:
-            state = "gone" if listed is None else listed.state.name.lower()
-            self._violation(
-                Rule.NO_SEND_TO_UNAVAILABLE_BACKEND, request, f"written to {request.backend}, which is known as {state}"
-            )
-        self._written(request)
-
-    def _over(self, ended: AttemptEnded | AbortAttempt) -> None:
-        request = self.open.get(ended.request)
+            text = f"forwarded {self.now - request.deadline:.0f} ms after its deadline"
+            self._violation(Rule.DEADLINE, request, text)
+        if not request.existing_connection:
+            self._check_backend(request)
+
+    def _check_backend(self, request: PendingRequest) -> None:
+        endpoint = self._endpoints.get(request.backend)
+        ready = endpoint is not None and endpoint.state is EndpointState.READY
+        if endpoint is None or not ready or endpoint.started_ms != request.started_ms:
+            state = "gone" if endpoint is None else endpoint.state.name.lower()
+            text = f"forwarded to backend={request.backend}, which is listed as {state}"
+            self._violation(Rule.NO_SEND_TO_UNAVAILABLE_BACKEND, request, text)
+        excess = self._warmup_share.on_forwarded(request.backend, self.now, self._settings(), len(self._endpoints))
+        if excess is not None:
+            self._violation(Rule.SLOW_START, request, excess)
+
+    def _on_attempt_ended(self, ended: AttemptEnded | AbortAttempt) -> None:
+        request = self._pending.get(ended.request)
         if request is not None and request.attempt == ended.attempt:
             request.attempt = None
 
-    def _answered(self, effect: StartRelaying | RejectRequest | FailRequest) -> None:
-        if self.open.pop(effect.request, None) is None:
-            self._violation(
-                Rule.ONE_FINAL_ANSWER, None, f"job {effect.request}: {type(effect).__name__} after its answer"
-            )
+    def _on_answer(self, effect: StartRelaying | RejectRequest | FailRequest) -> None:
+        if self._pending.pop(effect.request, None) is None:
+            text = f"number={effect.request}: {type(effect).__name__} after its final answer"
+            self._violation(Rule.ONE_FINAL_ANSWER, None, text)
 
-    def _stalled(self, event: EventLoopStalled) -> None:
-        """What could not be answered while the process stood still is judged from its end."""
-        for request in self.open.values():
+    def _on_event_loop_stalled(self, event: EventLoopStalled) -> None:
+        """Deadlines that passed during a stall are counted from its end."""
+        for request in self._pending.values():
             if request.deadline < self.now:
                 request.deadline = self.now
 
-    def _look(self) -> None:
-        if self.now < self.looked_at + LOOK_MS:
+    def _on_timer_fired(self, event: TimerFired) -> None:
+        if self.now < self._last_check_at + UNANSWERED_CHECK_INTERVAL_MS:
             return
-        self.looked_at = self.now
-        for request in self.open.values():
-            if self.now > request.deadline + OVERDUE_MS:
-                late = self.now - request.deadline
-                self._violation(Rule.UNANSWERED, request, f"no answer {late:.0f} ms after its deadline")
+        self._last_check_at = self.now
+        for request in self._pending.values():
+            late_ms = self.now - request.deadline
+            if self.now > request.deadline + MAX_ANSWER_DELAY_MS:
+                self._violation(Rule.UNANSWERED, request, f"no answer {late_ms:.0f} ms after its deadline")
 
-    # --- servers --------------------------------------------------------------------------------
+    # --- backends ---------------------------------------------------------------------------------
 
-    def _listed(self, event: EndpointsUpdated) -> None:
+    def _on_endpoints_updated(self, event: EndpointsUpdated) -> None:
         if event.kind is ListKind.FAILED:
             return
         if event.kind is not ListKind.DELTA:
-            self.backends = {}
-        for machine in event.endpoints:
-            known = self.backends.get(machine.name)
-            if known is not None and known.started_ms != machine.started_ms and machine.started_ms > 0.0:
-                self.seen_at[machine.name] = self.now
-                self.sent[machine.name] = deque()
-            if machine.state is EndpointState.GONE:
-                self.backends.pop(machine.name, None)
+            self._endpoints = {}
+        for endpoint in event.endpoints:
+            known = self._endpoints.get(endpoint.name)
+            if known is not None and known.started_ms != endpoint.started_ms and endpoint.started_ms > 0.0:
+                self._warmup_share.on_restarted(endpoint.name, self.now)
+            if endpoint.state is EndpointState.GONE:
+                self._endpoints.pop(endpoint.name, None)
             else:
-                self.backends[machine.name] = machine
-
-    def _written(self, request: Open) -> None:
-        """A server that was seen to start anew gets no more than the settings allow, by what warm ones get here."""
-        settings = self.settings()
-        window = settings.overload_window_ms
-        self.writes.append(self.now)
-        while self.writes[0] < self.now - window:
-            self.writes.popleft()
-        began = self.seen_at.get(request.backend)
-        if began is None:
-            return
-        if self.now > began + settings.warmup_ms:
-            del self.seen_at[request.backend], self.sent[request.backend]
-            return
-        sent = self.sent[request.backend]
-        sent.append(self.now)
-        while sent[0] < self.now - window:
-            sent.popleft()
-        ramp = (
-            settings.initial_capacity_fraction
-            + (1.0 - settings.initial_capacity_fraction) * (self.now - began) / settings.warmup_ms
-        )
-        warm = (len(self.writes) - len(sent)) / max(1, len(self.backends) - 1)  # what each of the others got
-        allowed = MAX_SHARE * settings.overload_multiple * ramp * warm
-        most = allowed + 3.0 * sqrt(allowed) + 3.0
-        if len(sent) > most:
-            what = f"{request.backend} got {len(sent)} in {window:.0f} ms, {most:.0f} at most"
-            self._violation(Rule.SLOW_START, request, what)
+                self._endpoints[endpoint.name] = endpoint
--- a/yarrowspindle/telemetry/trace.py
+++ b/yarrowspindle/telemetry/trace.py
@@ -1,4 +1,4 @@
-"""A line at debug for each step of each request, under the id that its client gave it, from accept to close.
+"""A debug log line for each step of each request, from its arrival to its end.
 
 Attached only where the log shows debug lines, so that it costs nothing elsewhere.
 """
@@ -6,6 +6,7 @@
 from __future__ import annotations
 
 from collections.abc import Callable
+from typing import Any
 
 from yarrowspindle.routing.effects import (
     AbortAttempt,
@@ -31,60 +32,114 @@
 
 
 class Trace:
-    """say: is given each line."""
-
-    def __init__(self, say: Callable[[str], None]) -> None:
-        self.say = say
-        self.names: dict[int, str] = {}  # of jobs that are not over
-        self.retry: dict[int, str] = {}  # why the job's last attempt ended
-
-    def event(self, event: Event) -> None:
-        if isinstance(event, RequestReceived):
-            self.names[event.request] = event.ref or str(event.request)
-            self._line(event.request, f"accepted class={event.cls} tenant={event.tenant} left_ms={event.left_ms:.0f}")
-        elif isinstance(event, BackendConnected):
-            self._line(event.request, f"attempt={event.attempt} connected")
-        elif isinstance(event, BackendAccepted):
-            self._line(event.request, f"attempt={event.attempt} up")
-        elif isinstance(event, AttemptEnded):
-            self.retry[event.request] = reason(event.reason)
-            self._line(event.request, f"attempt={event.attempt} ended reason={reason(event.reason)}")
-        elif isinstance(event, UnexpectedClientData):
-            self._line(event.request, "sent more before its answer")
-        elif isinstance(event, ClientDisconnected):
-            self._line(event.request, "client left")
-            self._over(event.request)
-
-    def effect(self, effect: Effect) -> None:
-        if isinstance(effect, OpenBackendConnection):
-            why = self.retry.pop(effect.request, "")
-            first = f" retry_after={why}" if why else ""
-            self._line(effect.request, f"attempt={effect.attempt} connects server={effect.backend}{first}")
-        elif isinstance(effect, ForwardRequest):
-            self._line(effect.request, f"attempt={effect.attempt} written left_ms={effect.left_ms:.0f}")
-        elif isinstance(effect, AbortAttempt):
-            self.retry[effect.request] = reason(effect.reason)
-            self._line(effect.request, f"attempt={effect.attempt} given up reason={reason(effect.reason)}")
-        elif isinstance(effect, StartRelaying):
-            self._line(effect.request, "answered up")
-        elif isinstance(effect, RejectRequest):
-            self._line(
-                effect.request, f"refused reason={reason(effect.reason)} retry_after_ms={effect.retry_after_ms:.0f}"
-            )
-            self._over(effect.request)
-        elif isinstance(effect, FailRequest):
-            self._line(effect.request, f"failed reason={reason(effect.reason)}")
-            self._over(effect.request)
-        elif isinstance(effect, MigrateConnection):
-            self._line(effect.request, f"moved reason={reason(effect.reason)}")
-            self._over(effect.request)
-        elif isinstance(effect, CloseClientConnection):
-            self._line(effect.request, f"closed reason={reason(effect.reason)}")
-            self._over(effect.request)
-
-    def _line(self, request: int, what: str) -> None:
-        self.say(f"request={self.names.get(request, '?')} job={request} {what}")
-
-    def _over(self, request: int) -> None:
-        self.names.pop(request, None)
-        self.retry.pop(request, None)
+    """Formats the lines and passes each to `write`.
+
+    A line starts with `request=`, the client's id, and `number=`, the relay's own number for the request.
+    """
+
+    def __init__(self, write: Callable[[str], None]) -> None:
+        self._write = write
+        self._client_request_ids: dict[int, str] = {}  # of requests that are not closed
+        self._retry_reasons: dict[int, str] = {}  # why the request's last attempt ended
+        self._handlers: dict[type, Callable[[Any], None]] = {
+            RequestReceived: self._on_request_received,
+            BackendConnected: self._on_backend_connected,
+            BackendAccepted: self._on_backend_accepted,
+            AttemptEnded: self._on_attempt_ended,
+            UnexpectedClientData: self._on_unexpected_client_data,
+            ClientDisconnected: self._on_client_disconnected,
+            OpenBackendConnection: self._on_open_backend_connection,
+            ForwardRequest: self._on_forward_request,
+            AbortAttempt: self._on_abort_attempt,
+            StartRelaying: self._on_start_relaying,
+            RejectRequest: self._on_reject_request,
+            FailRequest: self._on_fail_request,
+            MigrateConnection: self._on_migrate_connection,
+            CloseClientConnection: self._on_close_client_connection,
+        }
+
+    @property
+    def open_requests(self) -> int:
+        """How many requests are remembered."""
+        return len(self._client_request_ids.keys() | self._retry_reasons.keys())
+
+    def on_event(self, event: Event) -> None:
+        """Write the line of an event, where it has one."""
+        self._dispatch(event)
+
+    def on_effect(self, effect: Effect) -> None:
+        """Write the line of an effect, where it has one."""
+        self._dispatch(effect)
+
+    def _dispatch(self, step: Event | Effect) -> None:
+        handler = self._handlers.get(type(step))
+        if handler is not None:
+            handler(step)
+
+    # --- events -----------------------------------------------------------------------------------
+
+    def _on_request_received(self, event: RequestReceived) -> None:
+        self._client_request_ids[event.request] = event.client_request_id or str(event.request)
+        self._line(
+            event.request,
+            f"received class={event.request_class} tenant={event.tenant} remaining_ms={event.remaining_ms:.0f}",
+        )
+
+    def _on_backend_connected(self, event: BackendConnected) -> None:
+        self._line(event.request, f"attempt={event.attempt} connected")
+
+    def _on_backend_accepted(self, event: BackendAccepted) -> None:
+        self._line(event.request, f"attempt={event.attempt} accepted")
+
+    def _on_attempt_ended(self, event: AttemptEnded) -> None:
+        self._retry_reasons[event.request] = reason(event.reason)
+        self._line(event.request, f"attempt={event.attempt} ended reason={reason(event.reason)}")
+
+    def _on_unexpected_client_data(self, event: UnexpectedClientData) -> None:
+        self._line(event.request, "unexpected client data")
+
+    def _on_client_disconnected(self, event: ClientDisconnected) -> None:
+        self._line(event.request, "client disconnected")
+        self._forget(event.request)
+
+    # --- effects ----------------------------------------------------------------------------------
+
+    def _on_open_backend_connection(self, effect: OpenBackendConnection) -> None:
+        retry_reason = self._retry_reasons.pop(effect.request, "")
+        suffix = f" retry_reason={retry_reason}" if retry_reason else ""
+        self._line(effect.request, f"attempt={effect.attempt} connecting backend={effect.backend}{suffix}")
+
+    def _on_forward_request(self, effect: ForwardRequest) -> None:
+        self._line(effect.request, f"attempt={effect.attempt} forwarded remaining_ms={effect.remaining_ms:.0f}")
+
+    def _on_abort_attempt(self, effect: AbortAttempt) -> None:
+        self._retry_reasons[effect.request] = reason(effect.reason)
+        self._line(effect.request, f"attempt={effect.attempt} aborted reason={reason(effect.reason)}")
+
+    def _on_start_relaying(self, effect: StartRelaying) -> None:
+        self._line(effect.request, "established")
+
+    def _on_reject_request(self, effect: RejectRequest) -> None:
+        self._end(effect, f"rejected reason={reason(effect.reason)} retry_after_ms={effect.retry_after_ms:.0f}")
+
+    def _on_fail_request(self, effect: FailRequest) -> None:
+        self._end(effect, f"failed reason={reason(effect.reason)}")
+
+    def _on_migrate_connection(self, effect: MigrateConnection) -> None:
+        self._end(effect, f"migrated reason={reason(effect.reason)}")
+
+    def _on_close_client_connection(self, effect: CloseClientConnection) -> None:
+        self._end(effect, f"closed reason={reason(effect.reason)}")
+
+    # --- lines ------------------------------------------------------------------------------------
+
+    def _line(self, request: int, text: str) -> None:
+        self._write(f"request={self._client_request_ids.get(request, '?')} number={request} {text}")
+
+    def _end(self, effect: RejectRequest | FailRequest | MigrateConnection | CloseClientConnection, text: str) -> None:
+        self._line(effect.request, text)
+        self._forget(effect.request)
+
+    def _forget(self, request: int) -> None:
+        self._client_request_ids.pop(request, None)
+        self._retry_reasons.pop(request, None)
