--- a/tests/routing/test_reducer_model.py
+++ b/tests/routing/test_reducer_model.py
@@ -331,7 +331,7 @@
 
     @invariant()
     def kept(self) -> None:
-        if not hasattr(self, "jobs"):
+        if not hasattr(self, "requests"):
             return
         for number, request in self.requests.items():
             assert (number in self.reducer.requests) != request.over
