--- a/tests/decisions/test_fleet.py
+++ b/tests/decisions/test_fleet.py
@@ -2,23 +2,10 @@
 
 from __future__ import annotations
 
-from random import Random
-
 from tests.helpers import end, open_one, sends, settings
 from yarrowspindle.decisions.balancer import Balancer
-from yarrowspindle.decisions.events import Endpoint, EndpointList, EndpointState, ListKind, RequestReceived
+from yarrowspindle.decisions.events import Endpoint, EndpointList, ListKind, RequestReceived
 from yarrowspindle.decisions.settings import RequestClass
-from yarrowspindle.routing import events as routing_events
-from yarrowspindle.routing.events import (
-    BackendAccepted,
-    BackendConnected,
-    EndpointsUpdated,
-    TimerFired,
-    UnclassifiedReport,
-)
-from yarrowspindle.routing.load_reports import LoadReportClassifier, ReportedLoad, ReportKind
-from yarrowspindle.routing.reducer import Reducer
-from yarrowspindle.routing.timers import LIVENESS_TIMER
 
 RELAYS = 40
 STATUS = (RequestClass(setup_latency_objective_ms=800.0, deadline_ms=4800.0, message_latency_objective_ms=150.0),)
@@ -64,60 +51,3 @@
     assert fed >= 40  # of 160; two with a budget for each server, in whole connections
     # 160 connections in 1.5 s are the fair share of 60 servers of 100 connections each, filled over 9 s.
     assert max(in_window.values()) <= 3.0 * 0.31 * 100.0 * 1.5 / 9.0
-
-
-def test_what_a_message_takes_is_not_taken_for_a_load() -> None:
-    """A node whose messages took 134 ms was believed to carry next to nothing, and got more for it."""
-    figures = LoadReportClassifier(50.0)
-    assert figures.classify(0.0, 1, 28_489.8, lambda request: True) is ReportKind.LOAD
-    assert figures.classify(2000.0, 1, 134.0, lambda request: True) is ReportKind.UNDECIDED
-    assert figures.classify(2050.0, 1, 28_214.0, lambda request: True) is ReportKind.LOAD
-    assert figures.classify(3004.0, 1, 185.0, lambda request: True) is ReportKind.LATENCY
-    assert figures.classify(3400.0, 2, 900.0, lambda request: True) is ReportKind.LOAD  # small, off the beat
-    assert (
-        figures.classify(4004.0, 2, 210.0, lambda request: request != 1) is ReportKind.LATENCY
-    )  # its connection ended
-    assert figures.classify(5010.0, 2, 18.9, lambda request: True) is ReportKind.LATENCY  # over
-    assert figures.classify(6010.0, 2, 18.9, lambda request: True) is ReportKind.LOAD
-
-
-def test_a_small_load_stays_a_load() -> None:
-    figures = LoadReportClassifier(50.0)
-    assert figures.classify(0.0, 1, 976.8, lambda request: True) is ReportKind.UNDECIDED
-    assert figures.take_resolved_load(900.0) is None
-    assert figures.take_resolved_load(1200.0) == ReportedLoad(1, 976.8)
-    assert figures.take_resolved_load(1300.0) is None
-
-
-def test_random_loads_on_many_connections_are_hardly_ever_taken_for_message_times() -> None:
-    random, figures, times, loads = Random(5), LoadReportClassifier(50.0), 0, 0
-    now = 0.0
-    for _ in range(20_000):
-        now += random.expovariate(1.0 / 140.0)  # seven changes a second on seventy connections
-        kind = figures.classify(
-            now, random.randrange(70), 15_000.0 * random.lognormvariate(0.0, 1.4), lambda request: True
-        )
-        times, loads = times + (kind is ReportKind.LATENCY), loads + (kind is not ReportKind.LATENCY)
-        figures.take_resolved_load(now)
-    assert times <= loads / 500
-
-
-def test_the_reducer_tells_the_module_of_long_messages_and_keeps_the_load() -> None:
-    reducer = Reducer(settings(classes=STATUS), 1, 0.0)
-    reducer.step(
-        0.0, EndpointsUpdated(ListKind.FULL, [routing_events.Endpoint("a", ("10.0.0.1", 1), EndpointState.READY)], 1)
-    )
-    reducer.step(0.0, routing_events.RequestReceived(1, 4800.0))
-    reducer.step(1.0, BackendConnected(1, 0))
-    reducer.step(2.0, BackendAccepted(1, 0))
-    for now, figure in ((10.0, 40_000.0), (2000.0, 134.0), (3000.0, 185.0)):
-        reducer.step(now, UnclassifiedReport(1, figure))
-    (backend,) = reducer.balancer.backends.values()
-    assert reducer.requests[1].load == 40.0 and backend.load == 40.0
-    assert backend.slow_until > 3000.0 and backend.message_ms == 185.0
-    reducer.step(4000.0, UnclassifiedReport(1, 20.0))
-    assert backend.slow_until < 4000.0
-    reducer.step(9000.0, UnclassifiedReport(1, 700.0))  # a load that is small
-    for now in (9250.0, 10_100.0):
-        reducer.step(now, TimerFired(LIVENESS_TIMER))
-    assert reducer.requests[1].load == 0.7
--- /dev/null
+++ b/tests/routing/test_start_times.py
@@ -0,0 +1,124 @@
+"""Slow start where the wall clocks of this machine and of discovery do not agree: durations are real time."""
+
+from __future__ import annotations
+
+import itertools
+from typing import Any
+
+import pytest
+
+from tests.helpers import settings
+from yarrowspindle.decisions.events import EndpointState, ListKind
+from yarrowspindle.routing.effects import OpenBackendConnection
+from yarrowspindle.routing.events import (
+    AttemptEnded,
+    BackendAccepted,
+    BackendConnected,
+    Endpoint,
+    EndpointsUpdated,
+    RequestReceived,
+)
+from yarrowspindle.routing.reducer import Reducer
+from yarrowspindle.routing.termination import TerminationReason
+
+HOUR_MS = 3_600_000.0
+WARMUP_MS = 4000.0
+BACKENDS = 10
+START = 1_700_000_000_000.0
+STEP_MS = 6.0
+HEARTBEAT_MS = 2000.0
+
+
+class Relay:
+    """A reducer whose backends serve each request for 200 ms, and an endpoint list that reports changes."""
+
+    def __init__(self, seed: int = 7, **changes: Any) -> None:
+        values = {
+            "warmup_ms": WARMUP_MS,
+            "initial_capacity_fraction": 0.2,
+            "overload_multiple": 2.0,
+            "overload_window_ms": 1000.0,
+            "balancers": 1,
+        }
+        self.reducer = Reducer(settings(**(values | changes)), seed, START)
+        self.now, self.requests = START, itertools.count(1)
+        self.running: list[tuple[float, OpenBackendConnection]] = []
+        self.endpoints = {f"s-{n}": Endpoint(f"s-{n}", ("127.0.0.1", 1 + n)) for n in range(BACKENDS)}
+        self.update(ListKind.FULL, list(self.endpoints), since_last_update_ms=None)
+
+    def update(self, kind: ListKind, names: list[str], since_last_update_ms: float | None) -> None:
+        update = EndpointsUpdated(kind, [self.endpoints[name] for name in names], 1)
+        if since_last_update_ms is not None:
+            update.since_last_update_ms = since_last_update_ms
+        self.reducer.step(self.now, update)
+
+    def restart(self, name: str, reported_start_ms: float, since_last_update_ms: float = HEARTBEAT_MS) -> None:
+        self.endpoints[name] = Endpoint(
+            name, self.endpoints[name].address, EndpointState.READY, started_ms=reported_start_ms
+        )
+        self.update(ListKind.DELTA, [name], since_last_update_ms)
+
+    def serve(self, duration_ms: float) -> dict[str, int]:
+        """A request every 6 ms, accepted at once; returns how many each backend got."""
+        got = dict.fromkeys(self.endpoints, 0)
+        until = self.now + duration_ms
+        while self.now < until:
+            self.now += STEP_MS
+            while self.running and self.running[0][0] <= self.now:
+                _, connection = self.running.pop(0)
+                self.reducer.step(
+                    self.now, AttemptEnded(connection.request, connection.attempt, TerminationReason.COMPLETED)
+                )
+            number = next(self.requests)
+            for effect in self.reducer.step(self.now, RequestReceived(number, 1500.0)):
+                if isinstance(effect, OpenBackendConnection):
+                    got[effect.backend] += 1
+                    self.reducer.step(self.now, BackendConnected(number, effect.attempt))
+                    self.reducer.step(self.now, BackendAccepted(number, effect.attempt))
+                    self.running.append((self.now + 200.0, effect))
+        return got
+
+
+def relative_share(got: dict[str, int], name: str) -> float:
+    """Relative to the mean of the other backends."""
+    others = [count for other, count in got.items() if other != name]
+    return got[name] / (sum(others) / len(others))
+
+
+@pytest.mark.parametrize("clock_error_ms", (-HOUR_MS, -5000.0, 0.0, HOUR_MS))
+def test_a_restart_that_the_relay_sees_is_dated_by_its_own_clock_where_the_wall_clocks_do_not_agree(
+    clock_error_ms: float,
+) -> None:
+    relay = Relay()
+    relay.serve(2000.0)
+    relay.restart("s-3", relay.now + clock_error_ms)
+    assert relative_share(relay.serve(1000.0), "s-3") < 0.75, "slow start in its first second"
+    relay.serve(WARMUP_MS)
+    assert 0.75 < relative_share(relay.serve(2000.0), "s-3") < 1.25, "and none once its time is over"
+
+
+def test_a_restart_is_dated_as_reported_where_the_clocks_agree() -> None:
+    """An update that arrives late, after a gap, does not restart the slow start."""
+    relay = Relay()
+    relay.serve(2000.0)
+    relay.restart("s-3", relay.now - WARMUP_MS, since_last_update_ms=WARMUP_MS + 1000.0)
+    assert 0.75 < relative_share(relay.serve(2000.0), "s-3") < 1.25
+
+
+def test_a_start_in_the_future_that_is_first_seen_in_a_list_does_not_keep_a_backend_cold_for_an_hour() -> None:
+    relay = Relay()
+    relay.endpoints["s-3"] = Endpoint("s-3", ("127.0.0.1", 4), started_ms=relay.now + HOUR_MS)
+    relay.update(ListKind.FULL, list(relay.endpoints), since_last_update_ms=None)
+    relay.serve(WARMUP_MS + 100.0)
+    assert 0.75 < relative_share(relay.serve(2000.0), "s-3") < 1.25
+
+
+@pytest.mark.parametrize("seed", (1, 2, 3))
+def test_a_backend_that_is_warming_up_gets_no_more_than_each_of_the_others(seed: int) -> None:
+    """Even where generous settings allow it, since its own clients would wait for it."""
+    relay = Relay(seed, warmup_ms=3000.0)
+    relay.serve(3000.0)
+    relay.restart("s-3", relay.now)
+    relay.serve(1500.0)
+    assert relative_share(relay.serve(1500.0), "s-3") < 1.25
+    assert 0.75 < relative_share(relay.serve(3000.0), "s-3") < 1.25, "and it has its share once it is warm"
--- a/yarrowspindle/routing/load_reports.py
+++ b/yarrowspindle/routing/load_reports.py
@@ -58,9 +58,7 @@
         if self.slow_message_ms <= 0.0 or figure > MAX_MESSAGE_LATENCY_MS:
             return ReportKind.LOAD
         late_ms = now - self._last_at - LATENCY_REPORT_INTERVAL_MS
-        on_time = abs(late_ms) <= MAX_INTERVAL_ERROR_MS
-        same_connection = request == self._request and (self._in_series or self._undecided is not None)
-        if on_time and (same_connection or self._in_series and not is_open(self._request)):
+        if abs(late_ms) <= MAX_INTERVAL_ERROR_MS and self._continues_series(request, is_open):
             self._request, self._last_at, self._undecided = request, now, None
             self._in_series = figure > self.slow_message_ms
             return ReportKind.LATENCY
@@ -72,6 +70,12 @@
         self._request, self._last_at, self._undecided = request, now, ReportedLoad(request, figure)
         return ReportKind.UNDECIDED
 
+    def _continues_series(self, request: int, is_open: Callable[[int], bool]) -> bool:
+        """Whether a figure at the expected time, on this request's connection, belongs to a series of latencies."""
+        if request == self._request:
+            return self._in_series or self._undecided is not None
+        return self._in_series and not is_open(self._request)
+
     def take_resolved_load(self, now: float) -> ReportedLoad | None:
         """The undecided figure, once no report followed it in time and it is known as a load; else None.
 
--- a/yarrowspindle/routing/reducer.py
+++ b/yarrowspindle/routing/reducer.py
@@ -56,8 +56,7 @@
 if TYPE_CHECKING:  # the platform does without this package
     from yarrowspindle.rebalancing import Rebalancer
 
-EventHandlers = Mapping[type, Callable[[Any], None]]
-TimerHandlers = Mapping[str, Callable[[], None]]
+EventHandlers = dict[type, Callable[[Any], None]]
 
 
 class Reducer:
@@ -67,26 +66,27 @@
     """
 
     def __init__(self, settings: Settings, seed: int, now: float, discovery_address: Address | None = None) -> None:
-        context = RoutingContext(settings, seed, now, discovery_address)
+        self.context = context = RoutingContext(settings, seed, now, discovery_address)
         context.effects.append(SetTimer(LIVENESS_INTERVAL_MS, LIVENESS_TIMER))
-        attempts = Attempts(context)
-        requests = RequestHandlers(context, attempts)
-        endpoints = EndpointHandlers(context, attempts)
-        health = HealthHandlers(context, attempts)
-        draining = DrainHandlers(context, attempts, requests)
-        maintenance = MaintenanceHandlers(context, attempts, endpoints)
-        rebalancing = RebalancingHandlers(context, attempts)
-        self.context = context
-        self._attempts = attempts
-        self._on_request_timer = requests.on_request_timer
-        self._timer_handlers: TimerHandlers = {
-            LIVENESS_TIMER: health.on_liveness_timer,
-            REBALANCING_TIMER: rebalancing.on_rebalancing_timer,
-            ENDPOINT_WATCH_TIMER: endpoints.on_watch_timer,
-            EVACUATION_TIMER: maintenance.on_evacuation_timer,
-            SHUTDOWN_TIMER: draining.on_shutdown_timer,
+        self._attempts = attempts = Attempts(context)
+        self._requests = RequestHandlers(context, attempts)
+        self._endpoints = EndpointHandlers(context, attempts)
+        self._health = HealthHandlers(context, attempts)
+        self._draining = DrainHandlers(context, attempts, self._requests)
+        self._maintenance = MaintenanceHandlers(context, attempts, self._endpoints)
+        self._rebalancing = RebalancingHandlers(context, attempts)
+        self._event_handlers = self._request_event_handlers() | self._fleet_event_handlers()
+        self._timer_handlers: dict[str, Callable[[], None]] = {
+            LIVENESS_TIMER: self._health.on_liveness_timer,
+            REBALANCING_TIMER: self._rebalancing.on_rebalancing_timer,
+            ENDPOINT_WATCH_TIMER: self._endpoints.on_watch_timer,
+            EVACUATION_TIMER: self._maintenance.on_evacuation_timer,
+            SHUTDOWN_TIMER: self._draining.on_shutdown_timer,
         }
-        self._event_handlers: EventHandlers = {
+
+    def _request_event_handlers(self) -> EventHandlers:
+        requests, health = self._requests, self._health
+        return {
             RequestReceived: requests.on_request_received,
             ClientDisconnected: requests.on_client_disconnected,
             UnexpectedClientData: requests.on_unexpected_client_data,
@@ -98,15 +98,19 @@
             UnclassifiedReport: health.on_unclassified_report,
             ClientDataForwarded: health.on_client_data_forwarded,
             BackendDataForwarded: health.on_backend_data_forwarded,
-            EventLoopStalled: health.on_event_loop_stalled,
-            HealthCheckCompleted: health.on_health_check_completed,
-            EndpointsUpdated: endpoints.on_endpoints_updated,
-            DiscoveryAddressChanged: endpoints.on_discovery_address_changed,
-            WallClockStepped: endpoints.on_wall_clock_stepped,
-            ShutdownRequested: draining.on_shutdown_requested,
-            DrainCancelled: draining.on_drain_cancelled,
-            MaintenanceUpdated: maintenance.on_maintenance_updated,
-            RebalancingConfigured: rebalancing.on_rebalancing_configured,
+        }
+
+    def _fleet_event_handlers(self) -> EventHandlers:
+        return {
+            EventLoopStalled: self._health.on_event_loop_stalled,
+            HealthCheckCompleted: self._health.on_health_check_completed,
+            EndpointsUpdated: self._endpoints.on_endpoints_updated,
+            DiscoveryAddressChanged: self._endpoints.on_discovery_address_changed,
+            WallClockStepped: self._endpoints.on_wall_clock_stepped,
+            ShutdownRequested: self._draining.on_shutdown_requested,
+            DrainCancelled: self._draining.on_drain_cancelled,
+            MaintenanceUpdated: self._maintenance.on_maintenance_updated,
+            RebalancingConfigured: self._rebalancing.on_rebalancing_configured,
             SettingsChanged: self._on_settings_changed,
             PeerLoadsUpdated: self._on_peer_loads_updated,
             TimerFired: self._on_timer_fired,
@@ -136,7 +140,7 @@
         elif isinstance(timer, int):
             self._attempts.notify_balancer(balancer_events.TimerFired(timer))
         elif isinstance(timer, tuple):
-            self._on_request_timer(*timer)
+            self._requests.on_request_timer(*timer)
 
     def _on_settings_changed(self, event: SettingsChanged) -> None:
         """New requests are judged by the new settings; those in progress keep their class, whose entry stays."""
--- a/yarrowspindle/routing/start_times.py
+++ b/yarrowspindle/routing/start_times.py
@@ -59,11 +59,15 @@
         if reported_ms > now + MAX_CLOCK_SKEW_MS:
             self.clocks_agree = False
         if known is None:
-            believed = self.clocks_agree or quiet_ms is None
-            return StartTime(reported_ms, min(reported_ms, now) if believed else now)
+            return StartTime(reported_ms, self._date_first_seen(reported_ms, now, quiet_ms))
         plausible = self.clocks_agree and earliest <= reported_ms <= now
         return StartTime(reported_ms, reported_ms if plausible else now)
 
+    def _date_first_seen(self, reported_ms: float, now: float, quiet_ms: float | None) -> float:
+        """On the relay's clock, the start of a backend that was not listed before."""
+        believed = self.clocks_agree or quiet_ms is None
+        return min(reported_ms, now) if believed else now
+
     def on_removed(self, backend: str, start_time: StartTime, now: float) -> None:
         """Remember the start of a backend that is no longer listed."""
         self._removals[backend] = Removal(start_time, now)
--- a/yarrowspindle/routing/state.py
+++ b/yarrowspindle/routing/state.py
@@ -126,7 +126,7 @@
         started_at: when its warmup started: the later of the start and the readmission.
         last_data_at: when any of its connections last delivered data.
         message_latencies_ms: latencies since the last report to the balancer, made at `latencies_reported_at`.
-        reported_slow: whether the balancer was last told that messages take long.
+        reported_slow: whether the last report to the balancer was that messages take long.
     """
 
     __slots__ = (
