--- a/yarrowspindle/routing/maintenance.py
+++ b/yarrowspindle/routing/evacuation.py
@@ -12,7 +12,7 @@
 from yarrowspindle.routing.timers import EVACUATION_TIMER
 
 
-class MaintenanceHandlers:
+class EvacuationHandlers:
     """Handles new maintenance plans and evacuates backends."""
 
     __slots__ = ("_context", "_attempts", "_endpoint_handlers")
--- a/yarrowspindle/routing/reducer.py
+++ b/yarrowspindle/routing/reducer.py
@@ -14,6 +14,7 @@
 from yarrowspindle.routing.draining import DrainHandlers
 from yarrowspindle.routing.effects import Effect, SetTimer
 from yarrowspindle.routing.endpoints import EndpointHandlers
+from yarrowspindle.routing.evacuation import EvacuationHandlers
 from yarrowspindle.routing.events import (
     AttemptEnded,
     BackendAccepted,
@@ -41,7 +42,6 @@
     WallClockStepped,
 )
 from yarrowspindle.routing.health import LIVENESS_INTERVAL_MS, HealthHandlers
-from yarrowspindle.routing.maintenance import MaintenanceHandlers
 from yarrowspindle.routing.rebalancing import RebalancingHandlers
 from yarrowspindle.routing.requests import RequestHandlers
 from yarrowspindle.routing.state import Backend, Request
@@ -73,14 +73,14 @@
         self._endpoints = EndpointHandlers(context, attempts)
         self._health = HealthHandlers(context, attempts)
         self._draining = DrainHandlers(context, attempts, self._requests)
-        self._maintenance = MaintenanceHandlers(context, attempts, self._endpoints)
+        self._evacuation = EvacuationHandlers(context, attempts, self._endpoints)
         self._rebalancing = RebalancingHandlers(context, attempts)
         self._event_handlers = self._request_event_handlers() | self._fleet_event_handlers()
         self._timer_handlers: dict[str, Callable[[], None]] = {
             LIVENESS_TIMER: self._health.on_liveness_timer,
             REBALANCING_TIMER: self._rebalancing.on_rebalancing_timer,
             ENDPOINT_WATCH_TIMER: self._endpoints.on_watch_timer,
-            EVACUATION_TIMER: self._maintenance.on_evacuation_timer,
+            EVACUATION_TIMER: self._evacuation.on_evacuation_timer,
             SHUTDOWN_TIMER: self._draining.on_shutdown_timer,
         }
 
@@ -109,7 +109,7 @@
             WallClockStepped: self._endpoints.on_wall_clock_stepped,
             ShutdownRequested: self._draining.on_shutdown_requested,
             DrainCancelled: self._draining.on_drain_cancelled,
-            MaintenanceUpdated: self._maintenance.on_maintenance_updated,
+            MaintenanceUpdated: self._evacuation.on_maintenance_updated,
             RebalancingConfigured: self._rebalancing.on_rebalancing_configured,
             SettingsChanged: self._on_settings_changed,
             PeerLoadsUpdated: self._on_peer_loads_updated,
