--- a/tests/forms/published.py
+++ b/tests/forms/published.py
@@ -26,7 +26,7 @@
 from yarrowspindle.runtime.health_checker import Prober
 from yarrowspindle.telemetry import Telemetry
 from yarrowspindle.telemetry.guard import Rule
-from yarrowspindle.telemetry.published_names import reason
+from yarrowspindle.telemetry.published_names import reason_name
 
 
 def sample_effects() -> list[effects.Effect]:
@@ -81,7 +81,7 @@
         "gauges": sorted(counted.gauges()),
         "invariants": sorted(rule.value for rule in Rule),
         "reasons of refusals": sorted(refusal.value for refusal in RejectionReason),
-        "reasons of endings": [reason(ending) for ending in TerminationReason],
+        "reasons of endings": [reason_name(ending) for ending in TerminationReason],
         "probes": probe_counters(),
     }
 
--- a/tests/forms/recorded_names.py
+++ b/tests/forms/recorded_names.py
@@ -10,7 +10,7 @@
 from yarrowspindle.replay.recorded_form import ENDINGS
 from yarrowspindle.routing import effects
 from yarrowspindle.routing.termination import TerminationReason
-from yarrowspindle.telemetry.published_names import ENDINGS as PUBLISHED_ENDINGS
+from yarrowspindle.telemetry.published_names import TERMINATION_REASONS
 
 # Class -> its recorded name, and its fields' recorded names where they differ.
 CLASSES: Mapping[type, tuple[str, Mapping[str, str]]] = {
@@ -33,7 +33,7 @@
 
 # Reason -> the recorded name of its enum member.
 REJECTIONS: Mapping[RejectionReason, str] = {reason: reason.value.upper() for reason in RejectionReason}
-TERMINATIONS: Mapping[TerminationReason, str] = {reason: name.upper() for reason, name in PUBLISHED_ENDINGS.items()}
+TERMINATIONS: Mapping[TerminationReason, str] = {reason: name.upper() for reason, name in TERMINATION_REASONS.items()}
 
 
 def recorded_repr(value: object) -> str:
--- a/yarrowspindle/daemon/metrics.py
+++ b/yarrowspindle/daemon/metrics.py
@@ -16,7 +16,7 @@
 from yarrowspindle.routing.effects import AbortAttempt, Effect, FailRequest, MigrateConnection, RejectRequest
 from yarrowspindle.routing.events import AttemptEnded, Event
 from yarrowspindle.routing.reducer import Reducer
-from yarrowspindle.telemetry.published_names import EFFECTS, ENDINGS, EVENTS, PHASES, reason
+from yarrowspindle.telemetry.published_names import EFFECTS, EVENTS, PHASES, TERMINATION_REASONS, reason_name
 from yarrowspindle.transport.receivers import Datagrams, Receiver
 
 if TYPE_CHECKING:
@@ -61,7 +61,7 @@
         if name is not None:
             self.counts[f"event.{name}"] += 1
         elif isinstance(event, AttemptEnded):
-            self.counts[f"ending.{ENDINGS[event.reason]}"] += 1
+            self.counts[f"ending.{TERMINATION_REASONS[event.reason]}"] += 1
 
     def effect(self, effect: Effect) -> None:
         name = EFFECTS.get(type(effect))
@@ -69,7 +69,7 @@
             self.counts[f"effect.{name}"] += 1
         reasons = REASONS.get(type(effect))
         if reasons is not None:
-            self.counts[f"{reasons}.{reason(effect.reason)}"] += 1  # type: ignore[union-attr]  # all of these have one
+            self.counts[f"{reasons}.{reason_name(effect.reason)}"] += 1  # type: ignore[union-attr]  # all of these have one
 
     def gauges(self) -> dict[str, float]:
         phases = Counter(request.phase for request in self.reducer.requests.values())
--- a/yarrowspindle/replay/player.py
+++ b/yarrowspindle/replay/player.py
@@ -22,7 +22,7 @@
 )
 from yarrowspindle.routing.events import ClientDisconnected, EndpointsUpdated, Event, RequestReceived
 from yarrowspindle.runtime import NoTimers
-from yarrowspindle.telemetry.published_names import EFFECTS, ENDINGS
+from yarrowspindle.telemetry.published_names import EFFECTS, TERMINATION_REASONS
 
 Choice = tuple[object, ...]
 
@@ -78,7 +78,7 @@
     if isinstance(effect, AbortAttempt):
         return ("drop", effect.request, effect.attempt)
     if isinstance(effect, CloseClientConnection):
-        return ("close", effect.request, ENDINGS[effect.reason].upper())
+        return ("close", effect.request, TERMINATION_REASONS[effect.reason].upper())
     return None
 
 
--- a/yarrowspindle/runtime/health_checker.py
+++ b/yarrowspindle/runtime/health_checker.py
@@ -16,7 +16,7 @@
 from yarrowspindle.routing.effects import CheckHealth
 from yarrowspindle.routing.events import HealthCheckCompleted
 from yarrowspindle.routing.termination import TerminationReason
-from yarrowspindle.telemetry.published_names import ENDINGS
+from yarrowspindle.telemetry.published_names import TERMINATION_REASONS
 from yarrowspindle.transport.connecting import ConnectFailure, Connecting
 from yarrowspindle.transport.probe import ProbeSide
 
@@ -128,7 +128,7 @@
 
     def _tell(self, backend: str, ending: TerminationReason, since: float, report: tuple[float, ...] = ()) -> None:
         took = (asyncio.get_running_loop().time() - since) * 1000.0 if since else 0.0
-        self.counts[ENDINGS[ending]] += 1
+        self.counts[TERMINATION_REASONS[ending]] += 1
         self.over(HealthCheckCompleted(backend, ending, took, report))
 
     # --- reports of the transport ---------------------------------------------------------------
--- a/yarrowspindle/telemetry/published_names.py
+++ b/yarrowspindle/telemetry/published_names.py
@@ -1,6 +1,6 @@
-"""The names under which metrics, logs and probes publish events, effects, endings and phases.
+"""The names under which metrics, logs and health checks publish events, effects, reasons and phases.
 
-Operators' tools read these names, so they stay as they are whatever the classes and enum members are called.
+Operators' tools read these names, so they stay whatever the classes and enum members are called.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
     effects.CloseClientConnection: "Close",
 }
 
-ENDINGS: Mapping[TerminationReason, str] = {
+TERMINATION_REASONS: Mapping[TerminationReason, str] = {
     TerminationReason.COMPLETED: "served",
     TerminationReason.BACKEND_DRAINING: "sent_away",
     TerminationReason.REJECTED: "turned_away",
@@ -54,8 +54,8 @@
 }
 
 
-def reason(why: RejectionReason | TerminationReason | None) -> str:
-    """The published name of the reason that an answer, a move or an aborted attempt carries."""
-    if why is None:
+def reason_name(reason: RejectionReason | TerminationReason | None) -> str:
+    """The published name of the reason for an answer, a migration or an aborted attempt; "none" where there is none."""
+    if reason is None:
         return "none"
-    return why.value if isinstance(why, RejectionReason) else ENDINGS[why]
+    return reason.value if isinstance(reason, RejectionReason) else TERMINATION_REASONS[reason]
--- a/yarrowspindle/telemetry/trace.py
+++ b/yarrowspindle/telemetry/trace.py
@@ -28,7 +28,7 @@
     RequestReceived,
     UnexpectedClientData,
 )
-from yarrowspindle.telemetry.published_names import reason
+from yarrowspindle.telemetry.published_names import reason_name
 
 
 class Trace:
@@ -92,8 +92,8 @@
         self._line(event.request, f"attempt={event.attempt} accepted")
 
     def _on_attempt_ended(self, event: AttemptEnded) -> None:
-        self._retry_reasons[event.request] = reason(event.reason)
-        self._line(event.request, f"attempt={event.attempt} ended reason={reason(event.reason)}")
+        self._retry_reasons[event.request] = reason_name(event.reason)
+        self._line(event.request, f"attempt={event.attempt} ended reason={reason_name(event.reason)}")
 
     def _on_unexpected_client_data(self, event: UnexpectedClientData) -> None:
         self._line(event.request, "unexpected client data")
@@ -113,23 +113,23 @@
         self._line(effect.request, f"attempt={effect.attempt} forwarded remaining_ms={effect.remaining_ms:.0f}")
 
     def _on_abort_attempt(self, effect: AbortAttempt) -> None:
-        self._retry_reasons[effect.request] = reason(effect.reason)
-        self._line(effect.request, f"attempt={effect.attempt} aborted reason={reason(effect.reason)}")
+        self._retry_reasons[effect.request] = reason_name(effect.reason)
+        self._line(effect.request, f"attempt={effect.attempt} aborted reason={reason_name(effect.reason)}")
 
     def _on_start_relaying(self, effect: StartRelaying) -> None:
         self._line(effect.request, "established")
 
     def _on_reject_request(self, effect: RejectRequest) -> None:
-        self._end(effect, f"rejected reason={reason(effect.reason)} retry_after_ms={effect.retry_after_ms:.0f}")
+        self._end(effect, f"rejected reason={reason_name(effect.reason)} retry_after_ms={effect.retry_after_ms:.0f}")
 
     def _on_fail_request(self, effect: FailRequest) -> None:
-        self._end(effect, f"failed reason={reason(effect.reason)}")
+        self._end(effect, f"failed reason={reason_name(effect.reason)}")
 
     def _on_migrate_connection(self, effect: MigrateConnection) -> None:
-        self._end(effect, f"migrated reason={reason(effect.reason)}")
+        self._end(effect, f"migrated reason={reason_name(effect.reason)}")
 
     def _on_close_client_connection(self, effect: CloseClientConnection) -> None:
-        self._end(effect, f"closed reason={reason(effect.reason)}")
+        self._end(effect, f"closed reason={reason_name(effect.reason)}")
 
     # --- lines ------------------------------------------------------------------------------------
 
