--- a/tests/daemon/test_shared_settings.py
+++ b/tests/daemon/test_shared_settings.py
@@ -46,7 +46,7 @@
             classes, current = service.config.settings.classes, service.config.current_classes
             assert len(classes) <= 6 and service.reducer.balancer.settings.classes == classes
             assert len(set(current.values())) == 2 and classes[current[name]].deadline_ms == 3000.0 + n
-            assert request.came.cls == 0 and classes[0] == old and service.class_name(0) == "chat"
+            assert request.received.request_class == 0 and classes[0] == old and service.class_name(0) == "chat"
             assert 0 not in current.values(), "its number is not reused while the request exists"
         assert (
             service.telemetry.figures()["reconfig_ok"] == 2000 and service.telemetry.figures()["reconfig_failed"] == 0
--- a/tests/forms/published.py
+++ b/tests/forms/published.py
@@ -20,13 +20,14 @@
 from yarrowspindle.maintenance.events import FleetObserved
 from yarrowspindle.maintenance.state import BackendObservation
 from yarrowspindle.routing import effects
+from yarrowspindle.routing.events import RequestReceived
 from yarrowspindle.routing.reducer import Reducer
 from yarrowspindle.routing.state import Phase, Request
 from yarrowspindle.routing.termination import TerminationReason
 from yarrowspindle.runtime.health_checker import Prober
 from yarrowspindle.telemetry import Telemetry
 from yarrowspindle.telemetry.guard import Rule
-from yarrowspindle.telemetry.published_names import reason
+from yarrowspindle.telemetry.published_names import reason_name
 
 
 def sample_effects() -> list[effects.Effect]:
@@ -69,8 +70,8 @@
 def metrics() -> dict[str, list[str]]:
     reducer = Reducer(SETTINGS, 7, 0.0)
     for number, phase in enumerate(Phase):
-        reducer.requests[number] = Request(number, 0.0, 1000.0)
-        reducer.requests[number].phase = phase
+        reducer.context.requests[number] = Request(RequestReceived(number, 1000.0), 0.0)
+        reducer.context.requests[number].phase = phase
     counted = Metrics(reducer)
     for event in sequence_events():
         counted.event(event)
@@ -81,7 +82,7 @@
         "gauges": sorted(counted.gauges()),
         "invariants": sorted(rule.value for rule in Rule),
         "reasons of refusals": sorted(refusal.value for refusal in RejectionReason),
-        "reasons of endings": [reason(ending) for ending in TerminationReason],
+        "reasons of endings": [reason_name(ending) for ending in TerminationReason],
         "probes": probe_counters(),
     }
 
@@ -89,14 +90,14 @@
 def telemetry() -> list[str]:
     """The operators' figures, as `GET /api/telemetry` gives them."""
     reducer = Reducer(SETTINGS, 7, 0.0)
-    told = Telemetry(reducer, lambda number: f"class{number}")
+    counted = Telemetry(reducer, lambda number: f"class{number}")
     for event in sequence_events():
-        told.event(event)
+        counted.on_event(event)
     for effect in sample_effects():
-        told.effect(effect)
-    told.reloaded(True)
-    told.reloaded(False)
-    return told.text().splitlines()
+        counted.on_effect(effect)
+    counted.on_configuration_reloaded(True)
+    counted.on_configuration_reloaded(False)
+    return counted.text().splitlines()
 
 
 def shown_turns() -> dict[str, Any]:
--- a/tests/forms/recorded_names.py
+++ b/tests/forms/recorded_names.py
@@ -10,12 +10,12 @@
 from yarrowspindle.replay.recorded_form import ENDINGS
 from yarrowspindle.routing import effects
 from yarrowspindle.routing.termination import TerminationReason
-from yarrowspindle.telemetry.published_names import ENDINGS as PUBLISHED_ENDINGS
+from yarrowspindle.telemetry.published_names import TERMINATION_REASONS
 
 # Class -> its recorded name, and its fields' recorded names where they differ.
 CLASSES: Mapping[type, tuple[str, Mapping[str, str]]] = {
-    effects.OpenBackendConnection: ("Reach", {"request": "job", "backend": "node"}),
-    effects.ForwardRequest: ("Ask", {"request": "job"}),
+    effects.OpenBackendConnection: ("Reach", {"request": "job", "backend": "node", "timeout_ms": "within_ms"}),
+    effects.ForwardRequest: ("Ask", {"request": "job", "remaining_ms": "left_ms"}),
     effects.AbortAttempt: ("Drop", {"request": "job", "reason": "why"}),
     effects.StartRelaying: ("Join", {"request": "job"}),
     effects.RejectRequest: ("Requeue", {"request": "job", "reason": "why", "retry_after_ms": "after_ms"}),
@@ -25,7 +25,7 @@
     effects.SetTimer: ("Wake", {"timer": "what"}),
     effects.CancelTimer: ("Unwake", {"timer": "what"}),
     effects.WatchEndpoints: ("Watch", {}),
-    effects.CheckHealth: ("Probe", {"backend": "node"}),
+    effects.CheckHealth: ("Probe", {"backend": "node", "timeout_ms": "within_ms"}),
     effects.CancelHealthCheck: ("Unprobe", {"backend": "node"}),
     effects.BackendRemoved: ("NodeGone", {"backend": "node"}),
     effects.LogMessage: ("Note", {}),
@@ -33,7 +33,7 @@
 
 # Reason -> the recorded name of its enum member.
 REJECTIONS: Mapping[RejectionReason, str] = {reason: reason.value.upper() for reason in RejectionReason}
-TERMINATIONS: Mapping[TerminationReason, str] = {reason: name.upper() for reason, name in PUBLISHED_ENDINGS.items()}
+TERMINATIONS: Mapping[TerminationReason, str] = {reason: name.upper() for reason, name in TERMINATION_REASONS.items()}
 
 
 def recorded_repr(value: object) -> str:
--- a/yarrowspindle/daemon/maintenance_commands.py
+++ b/yarrowspindle/daemon/maintenance_commands.py
@@ -93,9 +93,9 @@
         `known_version` is that of `QueueRequest`. Raises MaintenanceError where a zone, kind or backend is unknown.
         """
         listed = {
-            name: backend.listed
+            name: backend.endpoint
             for name, backend in self.service.reducer.backends.items()
-            if backend.listed is not None and backend.listed.state is not EndpointState.GONE
+            if backend.endpoint is not None and backend.endpoint.state is not EndpointState.GONE
         }
         names = self.service.config.names
         if settings.zone:
--- a/yarrowspindle/daemon/maintenance_endpoint.py
+++ b/yarrowspindle/daemon/maintenance_endpoint.py
@@ -347,7 +347,7 @@
         peer_connections = reducer.balancer.peer_loads.loads
         samples = []
         for name, backend in reducer.backends.items():
-            endpoint = backend.listed
+            endpoint = backend.endpoint
             if endpoint is None:
                 continue
             of_peers, _ = peer_connections.get(backend.number & BACKEND_KEY_MASK, (0, 0.0))
--- a/yarrowspindle/daemon/metrics.py
+++ b/yarrowspindle/daemon/metrics.py
@@ -9,7 +9,7 @@
 from yarrowspindle.routing.effects import AbortAttempt, Effect, FailRequest, MigrateConnection, RejectRequest
 from yarrowspindle.routing.events import AttemptEnded, Event
 from yarrowspindle.routing.reducer import Reducer
-from yarrowspindle.telemetry.published_names import EFFECTS, ENDINGS, EVENTS, PHASES, reason
+from yarrowspindle.telemetry.published_names import EFFECTS, EVENTS, PHASES, TERMINATION_REASONS, reason_name
 
 if TYPE_CHECKING:  # the platform does without this package
     from yarrowspindle.rebalancing import Rebalancer
@@ -65,7 +65,7 @@
         if name is not None:
             self.counts[f"event.{name}"] += 1
         elif isinstance(event, AttemptEnded):
-            self.counts[f"ending.{ENDINGS[event.reason]}"] += 1
+            self.counts[f"ending.{TERMINATION_REASONS[event.reason]}"] += 1
 
     def effect(self, effect: Effect) -> None:
         """Counts an effect on a request, and the reason that it carries."""
@@ -73,7 +73,7 @@
         if name is not None:
             self.counts[f"effect.{name}"] += 1
         if isinstance(effect, RejectRequest | FailRequest | AbortAttempt | MigrateConnection):
-            self.counts[f"{REASON_PREFIXES[type(effect)]}.{reason(effect.reason)}"] += 1
+            self.counts[f"{REASON_PREFIXES[type(effect)]}.{reason_name(effect.reason)}"] += 1
 
     def counters(self) -> dict[str, float]:
         """Returns all counters by their published names."""
@@ -87,8 +87,8 @@
         """Returns all gauges by their published names."""
         phases = Counter(request.phase for request in self.reducer.requests.values())
         found = {f"jobs.{name}": float(phases[phase]) for phase, name in PHASES.items()}
-        if self.reducer.rebalance is not None:
-            gauges = self.reducer.rebalance.gauges(self.reducer.now)
+        if self.reducer.rebalancer is not None:
+            gauges = self.reducer.rebalancer.gauges(self.reducer.now)
             found |= {f"rebalance.{name}": value for name, value in gauges.items()}
         for source in self.more_gauges:
             found |= source()
--- a/yarrowspindle/daemon/relay_service.py
+++ b/yarrowspindle/daemon/relay_service.py
@@ -88,12 +88,12 @@
         self.metrics.sources["runtime"] = self.runtime.counts
         self.metrics.sources["invariant_violations_total"] = self.guard.counts
         self.runtime.seen.append(lambda now, event: self.metrics.event(event))
-        self.runtime.seen.append(lambda now, event: self.telemetry.event(event))
-        self.runtime.seen.append(self.guard.event)
+        self.runtime.seen.append(lambda now, event: self.telemetry.on_event(event))
+        self.runtime.seen.append(self.guard.on_event)
         self.trace: Trace | None = None
         if self.operator.log_level in TRACE_LEVELS:
             self.trace = trace = Trace(logger.debug)
-            self.runtime.seen.append(lambda now, event: trace.event(event))
+            self.runtime.seen.append(lambda now, event: trace.on_event(event))
         self.runtime.effect = self._observe_effect
 
     def _watch_discovery(self) -> None:
@@ -128,11 +128,11 @@
         self._configure_rebalancing()
 
     def _observe_effect(self, effect: Effect) -> None:
-        self.guard.effect(effect)
+        self.guard.on_effect(effect)
         self.metrics.effect(effect)
-        self.telemetry.effect(effect)
+        self.telemetry.on_effect(effect)
         if self.trace is not None:
-            self.trace.effect(effect)
+            self.trace.on_effect(effect)
 
     def class_name(self, number: int) -> str:
         """Returns the name of a request class; its number where it has none."""
@@ -153,7 +153,7 @@
 
     def rejoin(self) -> None:
         """Ends a drain of the operators; without one, or after SIGTERM, it changes nothing."""
-        if self.reducer.draining and not self.reducer.exits:
+        if self.reducer.draining and not self.reducer.process_exits:
             logger.info("the drain is cancelled: new connections are accepted")
             self.post(DrainCancelled())
 
@@ -174,7 +174,7 @@
             operator = load_operator()
             reloaded = reload_config(self.config, used=self.reducer.classes, shared=self.shared)
         except (ConfigError, ValueError) as error:
-            self.telemetry.reloaded(False)
+            self.telemetry.on_configuration_reloaded(False)
             logger.error("the configuration is rejected, the old one stays in force: {}", error)
             return
         self._replace_config(reloaded.config)
@@ -209,14 +209,14 @@
         try:
             config = merge_settings(self.config, apply_shared_settings(self.config, shared), self.reducer.classes)
         except ConfigError:
-            self.telemetry.reloaded(False)
+            self.telemetry.on_configuration_reloaded(False)
             raise
         self.shared = shared
         self._replace_config(config)
 
     def _replace_config(self, config: Config) -> None:
         old, self.config = self.config, config
-        self.telemetry.reloaded(True)
+        self.telemetry.on_configuration_reloaded(True)
         reassigned = _reassigned_classes(old, config)
         if reassigned or config.settings != old.settings:
             logger.info("new settings are in force: classes {}", ", ".join(sorted(config.current_classes)))
@@ -224,9 +224,9 @@
             self.post(SettingsChanged(config.settings, reassigned))
 
     def _configure_rebalancing(self) -> None:
-        if self.operator.rebalance is not None or self.reducer.rebalance is not None:
+        if self.operator.rebalance is not None or self.reducer.rebalancer is not None:
             self.post(RebalancingConfigured(self.operator.rebalance, self.config.seed))
-            self.metrics.rebalance(self.reducer.rebalance)
+            self.metrics.rebalance(self.reducer.rebalancer)
 
     def _watch(self, effect: WatchEndpoints) -> None:
         self.watch.ask(effect.version, effect.address or self.config.discovery, effect.renew)
--- a/yarrowspindle/fronts/line_front.py
+++ b/yarrowspindle/fronts/line_front.py
@@ -80,7 +80,7 @@
     async def end(self, within_s: float) -> None:
         """Once the reducer begins nothing any more: whoever waits at the door is taken in and answered, whoever rests
         is ended in order, all are heard to their end while there is time. A close over unread bytes would reset."""
-        while not self.hub.reducer.ended(self.hub.runtime.clock.now()):
+        while not self.hub.reducer.has_ended(self.hub.runtime.clock.now()):
             await asyncio.sleep(TURN_S)
         until = self.loop.time() + within_s
         await self.listener.close(within_s / 3.0)
@@ -192,7 +192,7 @@
         self.door.reached_for(side)
         connecting = Connecting(side, effect.address, lambda failure: self._unreached(side, failure))
         self.reaching[effect.request] = connecting
-        connecting.start(effect.within_ms / 1000.0)
+        connecting.start(effect.timeout_ms / 1000.0)
 
     def _unreached(self, side: BackendSide, failure: ConnectFailure) -> None:
         """The attempt's connection did not come up, and never will: nothing was written on it."""
@@ -209,7 +209,7 @@
     def _ask(self, effect: ForwardRequest) -> None:
         side, opened = self.backends.get(effect.request), self.opened.get(effect.request)
         if side is not None and opened is not None:
-            side.ask(opened.forward(effect.left_ms))
+            side.ask(opened.forward(effect.remaining_ms))
 
     def _drop(self, effect: AbortAttempt) -> None:
         side = self.backends.pop(effect.request, None)
--- a/yarrowspindle/fronts/quic_front.py
+++ b/yarrowspindle/fronts/quic_front.py
@@ -21,6 +21,7 @@
 from yarrowspindle.protocol import quic
 from yarrowspindle.protocol.quic import Header, Link, PacketError
 from yarrowspindle.routing.address import Address
+from yarrowspindle.routing.context import backend_id
 from yarrowspindle.routing.effects import (
     AbortAttempt,
     BackendRemoved,
@@ -34,7 +35,6 @@
     StartRelaying,
 )
 from yarrowspindle.routing.events import AttemptEnded, BackendAccepted, BackendConnected, RequestReceived
-from yarrowspindle.routing.reducer import backend_id
 from yarrowspindle.routing.termination import TerminationReason
 from yarrowspindle.transport.datagrams import Front, Path
 
@@ -128,7 +128,7 @@
         return None, None
 
     def _names_backend(self, link: Link) -> bool:
-        return link[0] in self.service.reducer.numbers
+        return link[0] in self.service.reducer.backends_by_number
 
     def _on_first_initial(self, header: Header, data: bytes, client: Address) -> None:
         """An Initial with an unknown id: a request, unless it was answered already or there is no capacity."""
@@ -163,7 +163,7 @@
         It came from another relay, or this one has started anew. It goes on at its backend, draining or not, until the
         backend is gone.
         """
-        backend = self.service.reducer.numbers.get(link[0])
+        backend = self.service.reducer.backends_by_number.get(link[0])
         if link in self.table.ended or backend is None or backend.state is EndpointState.GONE:
             self._reset(header.destination, len(data), client)
         elif self.table.is_full:
@@ -175,7 +175,7 @@
             self.table.set_link(flow, link)
             self.counts["taken_over"] += 1
             cls, deadline_ms = self._first_class()
-            self.service.post(RequestReceived(flow.request, deadline_ms, cls, at=backend.name))
+            self.service.post(RequestReceived(flow.request, deadline_ms, cls, previous_backend=backend.name))
         else:
             self.counts["unknown_id"] += 1
 
@@ -265,7 +265,7 @@
         flow.forwarding = True
         for data in flow.first_flight:
             self._path(flow, flow.client).send(data)
-        timeout_s = min(self.config.answer_ms, effect.left_ms) / 1000.0
+        timeout_s = min(self.config.answer_ms, effect.remaining_ms) / 1000.0
         flow.timeout = self.loop.call_later(timeout_s, self._on_timeout, flow, flow.attempt)
 
     def _on_timeout(self, flow: Flow, attempt: int) -> None:
--- a/yarrowspindle/replay/player.py
+++ b/yarrowspindle/replay/player.py
@@ -24,7 +24,7 @@
 )
 from yarrowspindle.routing.events import ClientDisconnected, EndpointsUpdated, Event, RequestReceived
 from yarrowspindle.runtime import NoTimers
-from yarrowspindle.telemetry.published_names import EFFECTS, ENDINGS
+from yarrowspindle.telemetry.published_names import EFFECTS, TERMINATION_REASONS
 
 Choice = tuple[object, ...]
 
@@ -79,7 +79,7 @@
 def choice_of(effect: Effect) -> Choice | None:
     """Returns what the core chose; None for effects that concern timers, the endpoint list or the log."""
     if isinstance(effect, OpenBackendConnection):
-        return ("reach", effect.request, effect.attempt, effect.backend, effect.within_ms)
+        return ("reach", effect.request, effect.attempt, effect.backend, effect.timeout_ms)
     if isinstance(effect, RejectRequest):
         return ("requeue", effect.request, effect.retry_after_ms)
     if isinstance(effect, FailRequest | MigrateConnection | StartRelaying):
@@ -87,7 +87,7 @@
     if isinstance(effect, AbortAttempt):
         return ("drop", effect.request, effect.attempt)
     if isinstance(effect, CloseClientConnection):
-        return ("close", effect.request, ENDINGS[effect.reason].upper())
+        return ("close", effect.request, TERMINATION_REASONS[effect.reason].upper())
     return None
 
 
