--- a/tests/maintenance/test_maintenance_days.py
+++ b/tests/maintenance/test_maintenance_days.py
@@ -13,7 +13,7 @@
 
 
 @pytest.mark.parametrize("first", range(0, 48, 12))
-def test_all_machines_go_out_and_come_back_whatever_is_lost(first: int) -> None:
+def test_all_backends_go_out_of_service_and_return_whatever_messages_are_lost(first: int) -> None:
     for seed in range(first, first + 12):
         found = day(seed)
         assert not found.violations and not found.stuck, f"seed {seed}: {found.violations or found.stuck}"
@@ -27,19 +27,23 @@
     assert (one.took_s, one.turns, one.faults) == (other.took_s, other.turns, other.faults)
 
 
-def test_seeds_that_found_something_on_the_way() -> None:
-    """79: a machine was confirmed by a look from before the turn was taken up, and a connection had come since. 1463: a
-    turn was granted by a look from before a stall. 630: agreed on before a machine died, by a relay that died too."""
+def test_seeds_that_found_defects_before() -> None:
+    """Three seeds that each found a defect.
+
+    79: a relay confirmed by an observation from before it adopted the evacuation, and a connection had been placed
+    since. 630: an evacuation was proposed before a backend died, by a relay that died too. 1463: an evacuation was
+    started by an observation from before a stall.
+    """
     for seed in (79, 630, 1463):
         found = day(seed)
         assert not found.violations and not found.stuck
 
 
 @pytest.mark.parametrize("kind", STEPS)
-def test_a_relay_dies_at_each_step(kind: str) -> None:
+def test_a_relay_may_die_at_each_step(kind: str) -> None:
     for number in (1, 2, 5, 13):
-        task, why = dies((kind, number, 3 + number))
-        assert not why, f"{task}: {why}"
+        case, violation = dies((kind, number, 3 + number))
+        assert not violation, f"{case}: {violation}"
 
 
 @pytest.mark.parametrize(
@@ -53,7 +57,7 @@
     ],
     ids=["two and three", "even halves", "one and two", "one way", "stopped for 20 s"],
 )
-def test_named_hard_cases(faults: list[Fault], relays: int) -> None:
+def test_partitions_and_stalls(faults: list[Fault], relays: int) -> None:
     for seed in (1, 2):
         found = play_turns(relays, 6, seed, (), faults=faults, plan=Plan())
         assert not found.violations and not found.stuck and found.turns >= 6
--- a/yarrowspindle/commands/api_client.py
+++ b/yarrowspindle/commands/api_client.py
@@ -1,4 +1,4 @@
-"""What the operators' commands have in common: one call over loopback, and how a command ends."""
+"""The client of the operators' API that the commands share: one call over loopback, and exit statuses."""
 
 from __future__ import annotations
 
@@ -12,51 +12,60 @@
 from yarrowspindle.daemon.config import ConfigError
 from yarrowspindle.routing.address import Address
 
-WITHIN_S = 5.0
+TIMEOUT_S = 5.0
+EXIT_FAILURE = 1
+EXIT_USAGE = 2
 
 
-def address(at: str | None, configured: Address | None, key: str) -> Address:
-    """at: as the operator typed it; else as the operator's file has it under this key."""
-    if at is None:
+def resolve_address(option: str | None, configured: Address | None, key: str) -> Address:
+    """Return the address of the API: that of the `--at` option, else the one configured under this key.
+
+    Raises click.ClickException where neither is given, click.BadParameter where the option is invalid.
+    """
+    if option is None:
         if configured is None:
             raise click.ClickException(f"the operator's file has no {key}; name the address with --at")
         return configured
-    host, _, number = at.rpartition(":")
-    if not host or not number.isdigit():
-        raise click.BadParameter(f"{at!r} is no address like 127.0.0.1:7950", param_hint="--at")
-    return host, int(number)
+    host, _, port = option.rpartition(":")
+    if not host or not port.isdigit():
+        raise click.BadParameter(f"{option!r} is no address like 127.0.0.1:7950", param_hint="--at")
+    return host, int(port)
+
 
+def call(address: Address, server: str, method: str, path: str, parameters: dict[str, Any] | None = None) -> Any:
+    """Return the decoded JSON answer. `server` names the kind of process in errors.
 
-def call(to: Address, whom: str, method: str, path: str, told: dict[str, Any] | None = None) -> Any:
-    """whom: for what is said of it."""
-    connection = http.client.HTTPConnection(*to, timeout=WITHIN_S)
+    Raises click.ClickException where there is no answer, or one that reports an error.
+    """
+    connection = http.client.HTTPConnection(*address, timeout=TIMEOUT_S)
     try:
-        connection.request(method, path, json.dumps(told) if told is not None else None)
+        connection.request(method, path, json.dumps(parameters) if parameters is not None else None)
         answer = connection.getresponse()
         text = answer.read().decode()
     except (OSError, http.client.HTTPException) as error:
-        raise click.ClickException(f"the {whom} at {to[0]}:{to[1]} does not answer: {error}") from error
+        host, port = address
+        raise click.ClickException(f"the {server} at {host}:{port} does not answer: {error}") from error
     finally:
         connection.close()
     try:
-        found = json.loads(text)
+        decoded = json.loads(text)
     except ValueError:
-        raise click.ClickException(f"the {whom} said {answer.status} {text.strip()}") from None
-    if answer.status != 200:
-        raise click.ClickException(str(found.get("error", text)))
-    return found
+        raise click.ClickException(f"the {server} said {answer.status} {text.strip()}") from None
+    if answer.status != http.client.OK:
+        raise click.ClickException(str(decoded.get("error", text)))
+    return decoded
 
 
-def run(group: click.Group, arguments: list[str], name: str) -> int:
-    """The exit status: 1 where the answer is no, 2 for wrong words."""
+def run_command(group: click.Group, arguments: list[str], name: str) -> int:
+    """Run a command line and return its exit status: 0, EXIT_FAILURE or EXIT_USAGE."""
     try:
         group.main(arguments, prog_name=f"python -m yarrowspindle {name}", standalone_mode=False)
     except click.ClickException as error:
         error.show(sys.stderr)
-        return 2 if isinstance(error, click.UsageError) else 1
+        return EXIT_USAGE if isinstance(error, click.UsageError) else EXIT_FAILURE
     except click.Abort:
-        return 1
+        return EXIT_FAILURE
     except ConfigError as error:
         print(f"Error: {error}", file=sys.stderr)
-        return 2
+        return EXIT_USAGE
     return 0
--- a/yarrowspindle/commands/configuration.py
+++ b/yarrowspindle/commands/configuration.py
@@ -9,7 +9,7 @@
 
 import click
 
-from yarrowspindle.commands.api_client import address, call, run
+from yarrowspindle.commands.api_client import call, resolve_address, run_command
 from yarrowspindle.configuration.settings import CONTROLLER, ControlSettings
 from yarrowspindle.daemon.config import load_operator
 from yarrowspindle.daemon.controller import file_of, first_state
@@ -25,7 +25,9 @@
 
 def ask(at: str | None, method: str, path: str, told: dict[str, Any] | None = None) -> Any:
     known = settings() if at is None else None
-    return call(address(at, known.command if known else None, "control.command"), "controller", method, path, told)
+    return call(
+        resolve_address(at, known.command if known else None, "control.command"), "controller", method, path, told
+    )
 
 
 def change(at: str | None, step: dict[str, str | None]) -> None:
@@ -157,4 +159,4 @@
 
 
 def main(arguments: list[str]) -> int:
-    return run(control, arguments, "control")
+    return run_command(control, arguments, "control")
--- a/yarrowspindle/commands/maintenance.py
+++ b/yarrowspindle/commands/maintenance.py
@@ -1,4 +1,4 @@
-"""`python -m yarrowspindle turns ...`: operators ask one relay, on its loopback address."""
+"""`python -m yarrowspindle turns ...`: the operators' commands for maintenance, sent to one relay over loopback."""
 
 from __future__ import annotations
 
@@ -7,29 +7,37 @@
 
 import click
 
-from yarrowspindle.commands import api_client as calls
+from yarrowspindle.commands import api_client
 from yarrowspindle.daemon.config import load_config, load_operator
 from yarrowspindle.daemon.voter_file import MaintenanceVoterFile
 from yarrowspindle.maintenance.settings import ORDERS
 from yarrowspindle.maintenance.status_report import format_table
 from yarrowspindle.storage.durable_file import FileUnavailableError
 
+PENDING_NOTICE = " (this relay is not registered yet: it is done once a majority is heard)"
 
-def call(at: str | None, method: str, path: str, told: dict[str, Any] | None = None) -> Any:
-    known = load_operator().turns if at is None else None
-    return calls.call(calls.address(at, known.command if known else None, "turns.command"), "relay", method, path, told)
 
+def call_relay(address: str | None, method: str, path: str, parameters: dict[str, Any] | None = None) -> Any:
+    """Return the relay's answer. `address` is the `--at` option; without it, that of the operator's file is used."""
+    settings = load_operator().turns if address is None else None
+    configured = settings.command if settings else None
+    resolved = api_client.resolve_address(address, configured, "turns.command")
+    return api_client.call(resolved, "relay", method, path, parameters)
 
-def put(context: click.Context, what: str, **told: Any) -> None:
-    found = call(context.obj, "PUT", f"/turns/{what}", {k: v for k, v in told.items() if v is not None})
-    later = "" if found["registered"] else " (this relay is not registered yet: it is done once a majority is heard)"
-    click.echo(f"{what}: {found['done']}{later}")
+
+def send_command(context: click.Context, command: str, /, **parameters: Any) -> None:
+    """Send a command with those of its parameters that are given, and print what was done."""
+    given = {key: value for key, value in parameters.items() if value is not None}
+    answer = call_relay(context.obj, "PUT", f"/turns/{command}", given)
+    pending = "" if answer["registered"] else PENDING_NOTICE
+    click.echo(f"{command}: {answer['done']}{pending}")
 
 
 @click.group(help="Machines out for work, in turns that the relays agree on.")
 @click.option("--at", metavar="ADDRESS", help="a relay's turns.command; else as the operator's file says")
 @click.pass_context
 def turns(context: click.Context, at: str | None) -> None:
+    """The group of commands; the address is passed on in the context."""
     context.obj = at
 
 
@@ -44,43 +52,47 @@
 @click.option("--order", type=click.Choice(ORDERS), help="which goes first (given)")
 @click.option("--name", help="tells requests apart that are alike")
 @click.pass_context
-def ask(context: click.Context, /, machines: tuple[str, ...], **more: Any) -> None:
-    put(context, "ask", machines=list(machines) or None, **more)
+def ask(context: click.Context, /, machines: tuple[str, ...], **limits: Any) -> None:
+    """Queue a request."""
+    send_command(context, "ask", machines=list(machines) or None, **limits)
 
 
 @turns.command("show", help="The queue, who is out, and what each waits for.")
 @click.option("--json", "as_json", is_flag=True)
 @click.pass_context
-def show_(context: click.Context, as_json: bool) -> None:
-    found = call(context.obj, "GET", "/turns")
-    click.echo(json.dumps(found) if as_json else format_table(found))
+def show(context: click.Context, as_json: bool) -> None:
+    """Print the status."""
+    status = call_relay(context.obj, "GET", "/turns")
+    click.echo(json.dumps(status) if as_json else format_table(status))
 
 
-def about(name: str, what: str, text: str) -> None:
-    """A command that speaks of one thing."""
+def add_command_with_argument(name: str, argument: str, help_text: str) -> None:
+    """Add a command whose one argument is a parameter of the call."""
 
-    @turns.command(name, help=text)
-    @click.argument(what)
+    @turns.command(name, help=help_text)
+    @click.argument(argument)
     @click.pass_context
-    def command(context: click.Context, /, **told: Any) -> None:
-        put(context, name, **told)
+    def command(context: click.Context, /, **parameters: Any) -> None:
+        send_command(context, name, **parameters)
+
 
+add_command_with_argument("cancel", "request", "Start nothing more of a request; what has not emptied yet goes back.")
+add_command_with_argument("unvote", "relay", "Take a voter out; one at a time.")
 
-about("cancel", "request", "Start nothing more of a request; what has not emptied yet goes back.")
-about("unvote", "relay", "Take a voter out; one at a time.")
 
+def add_evacuation_command(name: str, help_text: str) -> None:
+    """Add a command for one backend, optionally only under one evacuation's number."""
 
-def of_turn(name: str, text: str) -> None:
-    @turns.command(name, help=text)
+    @turns.command(name, help=help_text)
     @click.argument("machine")
     @click.option("--turn", type=int, help="only if it is out by this turn")
     @click.pass_context
     def command(context: click.Context, machine: str, turn: int | None) -> None:
-        put(context, name, machine=machine, turn=turn)
+        send_command(context, name, machine=machine, turn=turn)
 
 
-of_turn("done", "The work on a free machine is over: place on it again.")
-of_turn("give-up", "A machine does not come back: wait for it no longer.")
+add_evacuation_command("done", "The work on a free machine is over: place on it again.")
+add_evacuation_command("give-up", "A machine does not come back: wait for it no longer.")
 
 
 @turns.command(help="Say that a relay has ended for good. If it has not, a machine may be worked on while it is used.")
@@ -88,30 +100,35 @@
 @click.option("--force", is_flag=True, help="though it answers")
 @click.pass_context
 def ended(context: click.Context, relay: str, force: bool) -> None:
-    put(context, "ended", relay=relay, force=force or None)
+    """Declare a relay ended."""
+    send_command(context, "ended", relay=relay, force=force or None)
 
 
 @turns.command(help="Grant no turns, and give back what has not emptied.")
 @click.argument("why", default="")
 @click.pass_context
 def pause(context: click.Context, why: str) -> None:
-    put(context, "pause", why=why or None)
+    """Pause maintenance."""
+    send_command(context, "pause", why=why or None)
 
 
 @turns.command(help="Go on after a pause.")
 @click.pass_context
 def resume(context: click.Context) -> None:
-    put(context, "resume")
+    """End a pause."""
+    send_command(context, "resume")
 
 
 @turns.command(help="Make the relay that is asked a voter.")
 @click.pass_context
 def vote(context: click.Context) -> None:
-    put(context, "vote")
+    """Make the relay a voter."""
+    send_command(context, "vote")
 
 
 @turns.command(help="Make this relay's first voter's file: once, before the first start of all; never after a loss.")
 def init() -> None:
+    """Create the first voter file."""
     config, operator = load_config(), load_operator()
     if operator.turns is None or operator.peers is None:
         raise click.ClickException("the operator's file has no [turns]")
@@ -124,4 +141,5 @@
 
 
 def main(arguments: list[str]) -> int:
-    return calls.run(turns, arguments, "turns")
+    """Run the command line and return its exit status."""
+    return api_client.run_command(turns, arguments, "turns")
--- a/yarrowspindle/maintenance/codec.py
+++ b/yarrowspindle/maintenance/codec.py
@@ -20,19 +20,21 @@
 from yarrowspindle.storage.file_codec import FileCodec
 
 VERSION = 1
-MAX_VOTERS_DECODED = 64
+MAX_DECODED_VOTERS = 64
+MAX_DECODED_REQUESTS = 2 * MAX_REQUESTS + 1  # queued and ended ones
+MAX_DECODED_EVACUATIONS = MAX_REQUESTS * MAX_BACKENDS
 
 
 def _check_bounds(state: MaintenanceState | None) -> None:
-    """Raises InvalidMessageError for a state that no relay could have made."""
+    """Check a state that was received. Raises InvalidMessageError for one that no relay could have made."""
     if state is None:
         return
     names = [*state.voters, *state.relays, *state.evacuations]
     if (
-        len(state.requests) > 2 * MAX_REQUESTS + 1
-        or len(state.evacuations) > MAX_REQUESTS * MAX_BACKENDS
+        len(state.requests) > MAX_DECODED_REQUESTS
+        or len(state.evacuations) > MAX_DECODED_EVACUATIONS
         or len(state.relays) > MAX_RELAYS
-        or len(state.voters) > MAX_VOTERS_DECODED
+        or len(state.voters) > MAX_DECODED_VOTERS
         or not state.voters
         or any(len(name) > MAX_NAME_LENGTH for name in names)
         or min(state.version, state.epoch, state.last_evacuation_number) < 0
@@ -57,7 +59,7 @@
     _check_bounds,
 )
 FILE: FileCodec[AcceptorState[MaintenanceState]] = FileCodec(
-    VERSION, AcceptorState[MaintenanceState], lambda kept: _check_bounds(kept.state)
+    VERSION, AcceptorState[MaintenanceState], lambda stored: _check_bounds(stored.state)
 )
 encode, decode = MESSAGES.encode, MESSAGES.decode
 encode_file, decode_file = FILE.encode, FILE.decode
--- a/yarrowspindle/maintenance/coordinator.py
+++ b/yarrowspindle/maintenance/coordinator.py
@@ -175,10 +175,7 @@
     def _on_message(self, event: MessageReceived) -> None:
         source, message = event.source, event.message
         if isinstance(message, Prepare | Accept):
-            if self.identity:
-                self.effects.append(AskAcceptor(source, message))
-            else:
-                self._send(source, Rejected(message.ballot, NO_BALLOT, not_voter=True))
+            self._on_acceptor_request(source, message)
         elif isinstance(message, Promise | Accepted | Rejected):
             self._carry_out(self.proposer.on_message(source, message))
         elif isinstance(message, StateUpdate):
@@ -188,11 +185,24 @@
             if source in self.adopted.relays:
                 self.confirmations[source] = message
         elif isinstance(message, RegisterRelay):
-            if source in self.registering or len(self.registering) < MAX_REGISTERING:
-                self.registering[source] = (message.key, self.now)
+            self._on_register_relay(source, message)
         elif isinstance(message, LatestVersion):
             self._on_latest_version(source, message.version)
-        elif isinstance(message, CatchUpRequest) and self.state.version > message.version:
+        elif isinstance(message, CatchUpRequest):
+            self._on_catch_up_request(source, message.version)
+
+    def _on_acceptor_request(self, source: str, message: Prepare | Accept[MaintenanceState]) -> None:
+        if self.identity:
+            self.effects.append(AskAcceptor(source, message))
+        else:
+            self._send(source, Rejected(message.ballot, NO_BALLOT, not_voter=True))
+
+    def _on_register_relay(self, source: str, message: RegisterRelay) -> None:
+        if source in self.registering or len(self.registering) < MAX_REGISTERING:
+            self.registering[source] = (message.key, self.now)
+
+    def _on_catch_up_request(self, source: str, version: int) -> None:
+        if self.state.version > version:
             self._send(source, StateUpdate(self.state))
 
     def _on_latest_version(self, source: str, version: int) -> None:
