--- a/yarrowspindle/maintenance/coordinator.py
+++ b/yarrowspindle/maintenance/coordinator.py
@@ -6,8 +6,6 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable
-from functools import partial
 from random import Random
 
 from yarrowspindle.consensus.messages import NO_BALLOT, Accept, Accepted, Prepare, Promise, Rejected
@@ -33,6 +31,7 @@
     ReleaseConfirmation,
     StateUpdate,
 )
+from yarrowspindle.maintenance.peer_requests import PeerRequests, StateChange
 from yarrowspindle.maintenance.state import EMPTYING, MaintenanceState
 
 TICK = "tick"  # the one timer
@@ -50,9 +49,6 @@
 STABLE_PERIOD_MS = 10_000.0  # without a fault, before evacuations start again
 MAX_CATCH_UP_RELAYS = 3  # asked at once by a relay that cannot reach the voters
 MAX_COMMANDS = 64
-MAX_REGISTERING = 1024
-
-StateChange = Callable[[MaintenanceState], MaintenanceState | None]
 
 
 class MaintenanceCoordinator:
@@ -85,8 +81,7 @@
         self.proposer.membership_hint = max(initial, membership_hint, key=lambda state: state.epoch)
         self.fleet = FleetObserved(frozenset(), {}, (name,))
         self.commands: list[OperatorCommand] = []
-        self.confirmations: dict[str, ReleaseConfirmation] = {}  # the latest of each relay
-        self.registering: dict[str, tuple[str, float]] = {}  # key and time of request of relays to be registered
+        self.peer_requests = PeerRequests(OWN_REGISTRATION_DELAY_MS)
         self.majority_heard_at = 0.0  # by this relay; 0: never
         self.version_confirmed_at = 0.0  # by a relay that heard a majority; 0: never
         self.confirmable_since = 0.0  # 0: there is nothing to confirm
@@ -183,9 +178,9 @@
             self._adopt()
         elif isinstance(message, ReleaseConfirmation):
             if source in self.adopted.relays:
-                self.confirmations[source] = message
+                self.peer_requests.add_confirmation(source, message)
         elif isinstance(message, RegisterRelay):
-            self._on_register_relay(source, message)
+            self.peer_requests.add_registration(self.now, source, message)
         elif isinstance(message, LatestVersion):
             self._on_latest_version(source, message.version)
         elif isinstance(message, CatchUpRequest):
@@ -197,10 +192,6 @@
         else:
             self._send(source, Rejected(message.ballot, NO_BALLOT, not_voter=True))
 
-    def _on_register_relay(self, source: str, message: RegisterRelay) -> None:
-        if source in self.registering or len(self.registering) < MAX_REGISTERING:
-            self.registering[source] = (message.key, self.now)
-
     def _on_catch_up_request(self, source: str, version: int) -> None:
         if self.state.version > version:
             self._send(source, StateUpdate(self.state))
@@ -286,7 +277,8 @@
             self._send(self._leader, RegisterRelay(self.key))
 
     def _start_round_if_due(self) -> None:
-        self._drop_completed()
+        self.peer_requests.drop_completed(self.now, self.state)
+        self.commands = [command for command in self.commands if command.apply(self.state) is not None]
         jitter = 1.0 + self.random.random()
         read_due = self.now >= self.majority_known_at + self._read_interval_ms() * jitter
         if read_due or self._proposed_change(self.state) is not None:
@@ -313,17 +305,6 @@
         for name in sorted((unconfirmed - {self.name}).intersection(self.fleet.members)):
             self._send(name, StateUpdate(state))
 
-    def _drop_completed(self) -> None:
-        """Forget confirmations, registrations and commands that the committed state contains or cannot accept."""
-        for name in [name for name in self.confirmations if name not in self.state.relays]:
-            del self.confirmations[name]
-        for name, (key, requested_at) in list(self.registering.items()):
-            # A process that still waits repeats its request; an old one may be of a process that has ended.
-            expired = self.now > requested_at + OWN_REGISTRATION_DELAY_MS
-            if expired or self.state.process_keys.get(name) == key:
-                del self.registering[name]
-        self.commands = [command for command in self.commands if command.apply(self.state) is not None]
-
     # Proposed changes
 
     def _proposed_change(self, state: MaintenanceState) -> MaintenanceState | None:
@@ -336,16 +317,18 @@
     def _proposed_changes(self) -> list[StateChange]:
         changes: list[StateChange] = []
         if not self.registered and (self._leads or self.now >= self.started_at + OWN_REGISTRATION_DELAY_MS):
-            changes.append(partial(_register, self.name, self.key))
+            changes.append(self._register)
         changes.append(self._revert_outdated_evacuations)
         changes += [command.apply for command in self.commands]
         changes += [self._confirm_own_releases, self._replace_own_voter_file]
         if self._leads:
-            changes += [partial(_register, name, key) for name, (key, _) in self.registering.items()]
-            changes += [partial(_confirm, name, message) for name, message in self.confirmations.items()]
+            changes += self.peer_requests.changes()
             changes += [self._pause_or_resume, self._advance]
         return changes
 
+    def _register(self, state: MaintenanceState) -> MaintenanceState | None:
+        return state.with_relay(self.name, self.key)
+
     @property
     def _observation_valid(self) -> bool:
         recent = self.now <= self.observed_at + MAX_OBSERVATION_AGE_MS
@@ -403,11 +386,3 @@
         if not self.identity or self.name not in state.voters:
             return None
         return state.with_voter(self.name, self.identity)
-
-
-def _register(name: str, key: str, state: MaintenanceState) -> MaintenanceState | None:
-    return state.with_relay(name, key)
-
-
-def _confirm(name: str, message: ReleaseConfirmation, state: MaintenanceState) -> MaintenanceState | None:
-    return state.with_confirmations(name, message.incarnation, message.numbers)
--- a/yarrowspindle/maintenance/state.py
+++ b/yarrowspindle/maintenance/state.py
@@ -218,8 +218,8 @@
             del requests[number]
         return self.successor(requests=requests)
 
-    def _refusal(self, request: MaintenanceRequest, others: Mapping[str, RequestStatus]) -> str:
-        """Return why the request is refused beside the others; empty where it is not."""
+    def _refusal(self, request: MaintenanceRequest, other_requests: Mapping[str, RequestStatus]) -> str:
+        """Return why the request is refused beside the other requests; empty where it is not."""
         owners: dict[str, str] = {}
         for number, status in self.requests.items():
             if status.state == QUEUED:
@@ -228,7 +228,7 @@
         for backend in request.backends:
             if backend in owners:
                 return f"{backend} is in request {owners[backend]} already"
-        if sum(status.state == QUEUED for status in others.values()) >= MAX_REQUESTS:
+        if sum(status.state == QUEUED for status in other_requests.values()) >= MAX_REQUESTS:
             return f"{MAX_REQUESTS} requests are open already"
         return ""
 
