--- a/yarrowspindle/commands/configuration.py
+++ b/yarrowspindle/commands/configuration.py
@@ -10,7 +10,7 @@
 
 import click
 
-from yarrowspindle.commands.api_client import address, call, run
+from yarrowspindle.commands.api_client import call, resolve_address, run_command
 from yarrowspindle.configuration.settings import CONTROLLER, ControlSettings
 from yarrowspindle.configuration.state import Step
 from yarrowspindle.daemon.controller_files import acceptor_file, first_state
@@ -33,7 +33,7 @@
 def call_controller(at: str | None, method: str, path: str, body: dict[str, Any] | None = None) -> Any:
     """Calls the controller at an address, else at the one of the operator's file. Raises ClickException."""
     settings = configured_settings() if at is None else None
-    to = address(at, settings.command if settings else None, "control.command")
+    to = resolve_address(at, settings.command if settings else None, "control.command")
     return call(to, "controller", method, path, body)
 
 
@@ -202,4 +202,4 @@
 
 def main(arguments: list[str]) -> int:
     """Runs a command. Returns the exit status: 1 where it fails, 2 for invalid arguments."""
-    return run(control, arguments, "control")
+    return run_command(control, arguments, "control")
