--- a/tests/decisions/reporting_relay.py
+++ b/tests/decisions/reporting_relay.py
@@ -36,33 +36,33 @@
 
 
 class Relay:
-    """A balancer, its timers, and backends of two zones that report the utilization in `used` (None: no answer)."""
+    """A balancer, its timers, and backends of two zones that report `utilization` (None: no answer)."""
 
     def __init__(self, backends: int = 6, seed: int = 1, **changes: Any) -> None:
         self.now, self.requests = 0.0, 0
         self.balancer = Balancer(settings(**(REPORTING | changes)), seed, 0.0)
-        self.used: dict[int, float | None] = dict.fromkeys(range(1, backends + 1), 0.3)
-        self.probes: list[int] = []
-        self.moves: list[int] = []
+        self.utilization: dict[int, float | None] = dict.fromkeys(range(1, backends + 1), 0.3)
+        self.checks: list[int] = []
+        self.migrations: list[int] = []
         self.timers: list[tuple[float, int]] = []
-        self.tell(full_list(*(Endpoint(n, zone=n % 2, capacity=2.0) for n in self.used), kind=ListKind.CACHED))
+        self.handle(full_list(*(Endpoint(n, zone=n % 2, capacity=2.0) for n in self.utilization), kind=ListKind.CACHED))
 
-    def tell(self, event: Any) -> list[Action]:
+    def handle(self, event: Any) -> list[Action]:
         actions = self.balancer.handle(self.now, event)
         for action in actions:
             if isinstance(action, SetTimer):
                 self.timers.append((self.now + action.delay_ms, action.token))
             elif isinstance(action, CheckHealth):
-                self.probes.append(action.backend)
-                reported = self.used[action.backend]
+                self.checks.append(action.backend)
+                reported = self.utilization[action.backend]
                 outcome = Outcome.OK if reported is not None else Outcome.TIMEOUT
-                self.tell(
+                self.handle(
                     HealthCheckCompleted(
                         action.backend, outcome, 1.0, () if reported is None else (reported * 33.0, reported)
                     )
                 )
             elif isinstance(action, MigrateConnection):
-                self.moves.append(action.request)
+                self.migrations.append(action.request)
         return actions
 
     def run(self, ms: float) -> None:
@@ -70,13 +70,13 @@
         while due := sorted(t for t in self.timers if t[0] <= goal):
             self.timers.remove(due[0])
             self.now = due[0][0]
-            self.tell(TimerFired(due[0][1]))
+            self.handle(TimerFired(due[0][1]))
         self.now = goal
 
     def place(self, cls: int = 0, group: int = 0) -> int:
         """Place a request; returns its backend, or 0 where it is rejected."""
         self.requests += 1
-        actions = self.tell(RequestReceived(self.requests, cls, left_ms=4800.0, group=group))
+        actions = self.handle(RequestReceived(self.requests, cls, left_ms=4800.0, group=group))
         return sends(actions)[0].backend if sends(actions) else 0
 
 
@@ -85,8 +85,8 @@
     r = Relay(**changes)
     r.balancer.health_checks.credit = 100.0
     r.run(3000.0)
-    assert set(r.probes) == set(r.used)
-    r.moves.clear()
+    assert set(r.checks) == set(r.utilization)
+    r.migrations.clear()
     r.balancer.health_checks.credit = 100.0
     return r
 
--- a/tests/decisions/test_fleet.py
+++ b/tests/decisions/test_fleet.py
@@ -59,8 +59,8 @@
                 if send.backend > 24:
                     fed += 1
                     in_window[send.backend] += 1
-    assert fed >= 40  # of 160; two with a budget for each server, in whole connections
-    # 160 connections in 1.5 s are the fair share of 60 servers of 100 connections each, filled over 9 s.
+    assert fed >= 40  # of 160; a budget in whole connections for each backend would allow two
+    # 160 connections in 1.5 s are the fair share of 60 backends of 100 connections each, filled over 9 s.
     assert max(in_window.values()) <= 3.0 * 0.31 * 100.0 * 1.5 / 9.0
 
 
@@ -71,7 +71,7 @@
     assert figures.told(2000.0, 1, 134.0, lambda request: True) is Kind.OPEN
     assert figures.told(2050.0, 1, 28_214.0, lambda request: True) is Kind.LOAD
     assert figures.told(3004.0, 1, 185.0, lambda request: True) is Kind.TIME
-    assert figures.told(3400.0, 2, 900.0, lambda request: True) is Kind.LOAD  # small, off the beat
+    assert figures.told(3400.0, 2, 900.0, lambda request: True) is Kind.LOAD  # small, outside of the interval
     assert figures.told(4004.0, 2, 210.0, lambda request: request != 1) is Kind.TIME  # its connection ended
     assert figures.told(5010.0, 2, 18.9, lambda request: True) is Kind.TIME  # over
     assert figures.told(6010.0, 2, 18.9, lambda request: True) is Kind.LOAD
--- a/tests/decisions/test_health_checks.py
+++ b/tests/decisions/test_health_checks.py
@@ -16,17 +16,17 @@
 def test_new_connections_pay_for_health_checks_and_the_longest_unchecked_backend_is_checked_first() -> None:
     r = Relay()
     r.run(5000.0)
-    assert r.probes == [], "there were no connections"
+    assert r.checks == [], "there were no connections"
     for _ in range(4):
         r.place()
     r.run(HEALTH_CHECK_INTERVAL_MS)
-    assert len(r.probes) == 6 and set(r.probes) == set(r.used)
+    assert len(r.checks) == 6 and set(r.checks) == set(r.utilization)
     r.run(20_000.0)
-    assert len(r.probes) == 6
+    assert len(r.checks) == 6
     silent = Relay(load_report_fields=())
     silent.place()
     silent.run(5000.0)
-    assert silent.probes == [], "where health checks have no report none is sent"
+    assert silent.checks == [], "where health checks have no report none is sent"
 
 
 # --- on sockets -----------------------------------------------------------------------------------
--- a/tests/decisions/test_load_estimates.py
+++ b/tests/decisions/test_load_estimates.py
@@ -33,17 +33,17 @@
 def test_groups_are_placed_together_and_in_the_own_zone() -> None:
     def backends_paying(**changes: Any) -> float:
         r = warmed(backends=24, **changes)
-        r.used.update(dict.fromkeys(r.used, 0.45))
+        r.utilization.update(dict.fromkeys(r.utilization, 0.45))
         r.run(1500.0)
         order = [group for group in range(1, 5) for _ in range(6)]
         random.Random(4).shuffle(order)
-        held: dict[int, set[int]] = {}
+        backends_by_group: dict[int, set[int]] = {}
         for group in order:
-            held.setdefault(group, set()).add(r.place(group=group))
-        assert sum(backend % 2 for backends in held.values() for backend in backends) <= 1, (
+            backends_by_group.setdefault(group, set()).add(r.place(group=group))
+        assert sum(backend % 2 for backends in backends_by_group.values() for backend in backends) <= 1, (
             "crossing has a price, and the own zone has capacity"
         )
-        return sum(map(len, held.values())) / len(held)
+        return sum(map(len, backends_by_group.values())) / len(backends_by_group)
 
     assert backends_paying() < 2.5 < 4.0 < backends_paying(groups_share_work=False)
 
@@ -56,29 +56,29 @@
 def test_a_full_own_zone_is_left_and_the_class_of_lower_priority_is_rejected_first() -> None:
     r = warmed()
     for backend in (2, 4, 6):
-        r.used[backend] = 0.95
+        r.utilization[backend] = 0.95
     r.run(2000.0)
     assert sum(r.place() % 2 for _ in range(20)) >= 12
-    r.used.update(dict.fromkeys(r.used, 0.75))
+    r.utilization.update(dict.fromkeys(r.utilization, 0.75))
     r.run(2500.0)
-    assert r.place(cls=1) == 0 and isinstance(r.tell(RequestReceived(999, 1, left_ms=1200.0))[-1], RejectRequest)
+    assert r.place(cls=1) == 0 and isinstance(r.handle(RequestReceived(999, 1, left_ms=1200.0))[-1], RejectRequest)
     assert r.place(cls=0) != 0, "its priority weight is ten times as high"
 
 
-@pytest.mark.parametrize("told", [9.0, None, 1.3])
-def test_a_backend_that_hangs_vanishes_or_is_slow_is_ejected_and_emptied(told: float | None) -> None:
+@pytest.mark.parametrize("reported", [9.0, None, 1.3])
+def test_a_backend_that_hangs_vanishes_or_is_slow_is_ejected_and_emptied(reported: float | None) -> None:
     r = warmed()
     on = {}
     for _ in range(20):
         backend = r.place(group=7)
         on[r.requests] = backend
-        r.tell(established(r.requests, backend))
-    sick = next(iter(on.values()))
-    r.used[sick] = told
+        r.handle(established(r.requests, backend))
+    unresponsive = next(iter(on.values()))
+    r.utilization[unresponsive] = reported
     r.run(2500.0)
-    there = [n for n, backend in on.items() if backend == sick]
-    assert len(set(r.moves) & set(there)) >= len(there) // 3 and sick not in {r.place() for _ in range(20)}
-    assert (sick in r.balancer.ejected(r.now)) == (told is None or told >= 9.0)
+    there = [n for n, backend in on.items() if backend == unresponsive]
+    assert len(set(r.migrations) & set(there)) >= len(there) // 3 and unresponsive not in {r.place() for _ in range(20)}
+    assert (unresponsive in r.balancer.ejected(r.now)) == (reported is None or reported >= 9.0)
 
 
 @pytest.mark.parametrize("backends", [2, 6])
@@ -86,22 +86,22 @@
     """Its estimated cost may be below the priority weight of a connection, and all draws may fall on it."""
     for seed in range(60):
         r = Relay(backends=backends, seed=seed)
-        r.used[2] = None  # from the start: it never told what it holds
+        r.utilization[2] = None  # from the start: it has never reported
         r.balancer.health_checks.credit = 100.0
         r.run(3000.0)
         assert r.balancer.backends[2].utilization >= 9.0
         assert 2 not in {r.place() for _ in range(24)}, f"seed {seed}"
-        r.used = dict.fromkeys(r.used)
+        r.utilization = dict.fromkeys(r.utilization)
         r.balancer.health_checks.credit = 100.0
         r.run(3000.0)
-        assert r.place() in (0, *r.used), "where none answers there is no better one"
+        assert r.place() in (0, *r.utilization), "where none answers there is no better one"
 
 
 def test_slow_messages_count_before_the_load_report_does() -> None:
     r = warmed()
     backend = r.place(group=3)
-    r.tell(established(r.requests, backend))
-    r.tell(SlowMessageObserved(r.requests, backend, 20_000.0))
+    r.handle(established(r.requests, backend))
+    r.handle(SlowMessageObserved(r.requests, backend, 20_000.0))
     assert backend not in {r.place() for _ in range(30)}
 
 
@@ -109,9 +109,9 @@
     def moved(price: float) -> list[int]:
         r = Relay(cross_zone_price=price)
         for n in range(1, 11):
-            r.tell(ExistingConnection(1000 + n, 1, group=n % 2 + 1))
+            r.handle(ExistingConnection(1000 + n, 1, group=n % 2 + 1))
         r.run(4000.0)
-        return r.moves
+        return r.migrations
 
     assert 4 <= len(moved(0.16)) <= 8 and len(moved(0.0)) <= 2
 
@@ -119,17 +119,17 @@
 def test_a_capacity_that_excludes_load_is_not_the_size_of_a_backend() -> None:
     """Else the own zone would seem short of capacity, and connections would cross zones for it."""
     r = warmed()
-    entries = [Endpoint(n, zone=n % 2, capacity=0.2) for n in r.used]
-    r.tell(EndpointList(ListKind.DELTA, entries))
+    entries = [Endpoint(n, zone=n % 2, capacity=0.2) for n in r.utilization]
+    r.handle(EndpointList(ListKind.DELTA, entries))
     assert {s.capacity for s in r.balancer.backends.values()} == {2.0}
     nominal = Relay(capacity_excludes_load=False)
-    nominal.tell(EndpointList(ListKind.DELTA, entries))
+    nominal.handle(EndpointList(ListKind.DELTA, entries))
     assert {s.capacity for s in nominal.balancer.backends.values()} == {0.2}
 
 
 def test_the_load_of_a_class_is_learned_from_reports() -> None:
     """Two classes, one with four times the load of the other."""
-    known, rng = LoadEstimates(settings(**REPORTING)), random.Random(3)
+    estimates, rng = LoadEstimates(settings(**REPORTING)), random.Random(3)
     backends = [Backend(n) for n in range(8)]
     true = (0.5, 2.0)
     for backend in backends:
@@ -143,11 +143,11 @@
             else -1
         )
         backend.connections += by
-        known.on_connection_change(backend, request, by, 0.0)
+        estimates.on_connection_change(backend, request, by, 0.0)
         load = sum(true[c] * n for c, n in backend.connections_by_class.items())
-        known.on_health_check(backend, float(step), (backend.connections, 0.05 * load / backend.capacity))
-    assert 2.5 < known.class_loads[1] / known.class_loads[0] < 6.0
-    assert sum(known.class_connections) == sum(s.connections for s in backends) and not known.backends_by_group
+        estimates.on_health_check(backend, float(step), (backend.connections, 0.05 * load / backend.capacity))
+    assert 2.5 < estimates.class_loads[1] / estimates.class_loads[0] < 6.0
+    assert sum(estimates.class_connections) == sum(s.connections for s in backends) and not estimates.backends_by_group
 
 
 def test_counts_of_groups_are_dropped_when_their_connections_end() -> None:
@@ -180,7 +180,7 @@
 
 
 @pytest.mark.parametrize(
-    ("line", "told"),
+    ("line", "expected"),
     [
         (b"PONG", ()),
         (b"PONG rif=9.5,x0=0.195", (9.5, 0.195)),
@@ -188,8 +188,8 @@
         (b"PONG rif=1", ()),
     ],
 )
-def test_a_load_report_is_parsed(line: bytes, told: tuple[float, ...]) -> None:
-    assert report_of(line, ("rif", "x0")) == told
+def test_a_load_report_is_parsed(line: bytes, expected: tuple[float, ...]) -> None:
+    assert report_of(line, ("rif", "x0")) == expected
 
 
 @pytest.mark.parametrize("line", [b"NO", b"ERR", b"", b"PONG x0=nan", b"PONG x0=-1", b"PONG x0", b"PONG \xff", b"UP 1"])
--- a/tests/decisions/test_outlier_detection.py
+++ b/tests/decisions/test_outlier_detection.py
@@ -26,11 +26,11 @@
     assert retry.backend != send.backend
     for n in range(2, 40):
         place(b, 2.0, n)
-    shunned = b.backends[send.backend].connections
-    assert shunned <= 1  # all four draws would have to be of it
+    while_ejected = b.backends[send.backend].connections
+    assert while_ejected <= 1  # all four draws would have to be of it
     for n in range(40, 200):
         place(b, 30_000.0, n)
-    assert b.backends[send.backend].connections > shunned + 20
+    assert b.backends[send.backend].connections > while_ejected + 20
 
 
 def test_a_backend_is_chosen_even_where_all_are_ejected() -> None:
--- a/tests/decisions/test_peer_loads.py
+++ b/tests/decisions/test_peer_loads.py
@@ -37,15 +37,15 @@
     b.handle(0.0, PeerLoads({1: (3, 3.0)}, reporting_relays=1, relays=2))
     for n in range(9):
         open_one(b, 0.0, n, load=1.0)
-    held = {s.id: s.connections for s in b.backends.values()}
-    assert held[2] - held[1] in range(1, 6) and sum(held.values()) == 9
+    connections = {s.id: s.connections for s in b.backends.values()}
+    assert connections[2] - connections[1] in range(1, 6) and sum(connections.values()) == 9
 
 
 def test_reports_that_are_not_renewed_decay_to_placement_without_peers() -> None:
-    alone, told = balancer(4, seed=3, balancers=4), balancer(4, seed=3, balancers=4)
-    told.handle(0.0, PeerLoads({1: (50, 50.0)}, reporting_relays=3, relays=4))
+    alone, with_peers = balancer(4, seed=3, balancers=4), balancer(4, seed=3, balancers=4)
+    with_peers.handle(0.0, PeerLoads({1: (50, 50.0)}, reporting_relays=3, relays=4))
     for n in range(60):
-        assert open_one(alone, 6000.0, n, 1.0) == open_one(told, 6000.0, n, 1.0)
+        assert open_one(alone, 6000.0, n, 1.0) == open_one(with_peers, 6000.0, n, 1.0)
 
 
 def test_a_backend_ejected_by_most_peers_is_used_only_where_no_other_is_drawn() -> None:
@@ -56,30 +56,30 @@
 
 def test_one_relay_checks_a_backend_for_all_and_another_takes_over_where_it_does_not() -> None:
     r = warmed(backends=6)
-    r.probes.clear()
-    reports = {n & BACKEND_KEY_MASK: (0.3, 10.0, 1.0) for n in r.used}
-    r.tell(PeerLoads(reporting_relays=2, relays=3, rank=0))
+    r.checks.clear()
+    reports = {n & BACKEND_KEY_MASK: (0.3, 10.0, 1.0) for n in r.utilization}
+    r.handle(PeerLoads(reporting_relays=2, relays=3, rank=0))
     for _ in range(6):
         r.balancer.health_checks.credit = 100.0
         r.run(HEALTH_CHECK_INTERVAL_MS)
-        r.tell(PeerLoads(reporting_relays=2, relays=3, rank=0, reports=reports))
-    assert set(r.probes) == {3, 6}, "the others are assigned to peers, who reported them"
+        r.handle(PeerLoads(reporting_relays=2, relays=3, rank=0, reports=reports))
+    assert set(r.checks) == {3, 6}, "the others are assigned to peers, who reported them"
     r.balancer.health_checks.credit = 100.0
     r.run(3000.0)  # peers report them no more
-    assert set(r.probes) == set(r.used)
+    assert set(r.checks) == set(r.utilization)
 
 
 def test_a_report_to_a_peer_counts_as_an_own_one_where_it_is_newer() -> None:
     r = warmed(backends=4)
     backend = r.balancer.backends[2]
-    r.tell(PeerLoads({}, reporting_relays=1, relays=2, reports={2: (0.9, 30.0, 100.0)}))
+    r.handle(PeerLoads({}, reporting_relays=1, relays=2, reports={2: (0.9, 30.0, 100.0)}))
     assert (
         backend.utilization == 0.9 and backend.reported_connections == 30.0 and backend.last_checked_at == r.now - 100.0
     )
-    r.tell(PeerLoads({}, reporting_relays=1, relays=2, reports={2: (0.1, 3.0, 5000.0)}))
+    r.handle(PeerLoads({}, reporting_relays=1, relays=2, reports={2: (0.1, 3.0, 5000.0)}))
     assert backend.utilization == 0.9, "older than what is known"
     before = r.balancer.estimates.utilization(backend) if r.balancer.estimates else 0.0
-    r.tell(PeerLoads({2: (8, 8.0)}, {2: 5}, reporting_relays=1, relays=2))
+    r.handle(PeerLoads({2: (8, 8.0)}, {2: 5}, reporting_relays=1, relays=2))
     assert r.balancer.estimates is not None and r.balancer.estimates.utilization(backend) > before, (
         "five were added there since"
     )
@@ -88,14 +88,14 @@
 def test_a_report_from_a_peer_is_not_distributed_again() -> None:
     r = warmed(backends=4)
     r.run(5000.0)
-    r.tell(PeerLoads({}, reporting_relays=1, relays=2, reports={2: (0.9, 30.0, 100.0)}))
-    word = local_load(r.balancer.backends.values(), r.now)
-    assert 2 not in word.reports
+    r.handle(PeerLoads({}, reporting_relays=1, relays=2, reports={2: (0.9, 30.0, 100.0)}))
+    local = local_load(r.balancer.backends.values(), r.now)
+    assert 2 not in local.reports
 
 
 def test_a_backend_that_serves_a_group_for_peers_costs_no_more_for_it() -> None:
     r = warmed(backends=6, balancers=3)
-    r.tell(PeerLoads({group_key(4, 77): (4, 0.0)}, reporting_relays=2, relays=3))
+    r.handle(PeerLoads({group_key(4, 77): (4, 0.0)}, reporting_relays=2, relays=3))
     assert r.balancer.estimates is not None
     request = Request(1, 0, 1.0, 0.0, 1.0)
     request.group = 77
@@ -110,12 +110,12 @@
 
 
 def test_balancers_take_turns_with_migrations() -> None:
-    books = [PeerLoadTable(1) for _ in range(5)]
-    for rank, book in enumerate(books):
-        assert book.allowed_migrations(0.0) == 1
-        book.on_peer_loads(PeerLoads(reporting_relays=4, relays=5, rank=rank), 0.0)
-    for beat in range(10):
-        assert sum(book.allowed_migrations(beat * MIGRATION_TURN_MS) for book in books) == CONCURRENT_MIGRATORS
+    tables = [PeerLoadTable(1) for _ in range(5)]
+    for rank, table in enumerate(tables):
+        assert table.allowed_migrations(0.0) == 1
+        table.on_peer_loads(PeerLoads(reporting_relays=4, relays=5, rank=rank), 0.0)
+    for turn in range(10):
+        assert sum(table.allowed_migrations(turn * MIGRATION_TURN_MS) for table in tables) == CONCURRENT_MIGRATORS
 
 
 def test_the_local_load_names_groups_failures_and_reports() -> None:
@@ -127,6 +127,6 @@
         r.now + 700.0,
         {0: 1, 9: 2},
     )
-    word = local_load(r.balancer.backends.values(), r.now)
-    assert word.holds == {2: (3, 4.5), group_key(2, 9): (2, 0.0)} and word.passed == {2: 700.0} and not word.reports
+    local = local_load(r.balancer.backends.values(), r.now)
+    assert local.holds == {2: (3, 4.5), group_key(2, 9): (2, 0.0)} and local.passed == {2: 700.0} and not local.reports
     assert local_load([Backend(1 << 40 | 5)], 0.0).holds == {}
--- a/tests/decisions/test_request_gate.py
+++ b/tests/decisions/test_request_gate.py
@@ -12,7 +12,7 @@
 from yarrowspindle.decisions.rejection import RejectionReason
 from yarrowspindle.decisions.settings import Idempotency
 
-TAKEN: dict[str, Any] = {
+ADMITTED: dict[str, Any] = {
     "shutting_down": False,
     "id_in_use": False,
     "names_backend": False,
@@ -20,11 +20,11 @@
     "remaining_ms": 900.0,
     "class_deadline_ms": 900.0,
 }
-WRITTEN: dict[str, Any] = {"sticky": False, "now": 1000.0, "begin_by": inf, "deadline": 1900.0}
+FORWARDED: dict[str, Any] = {"sticky": False, "now": 1000.0, "begin_by": inf, "deadline": 1900.0}
 
 
 @pytest.mark.parametrize(
-    ("changes", "refused"),
+    ("changes", "reason"),
     [
         ({}, None),
         ({"shutting_down": True}, RejectionReason.SHUTTING_DOWN),
@@ -35,12 +35,12 @@
         ({"names_backend": True, "started": False, "remaining_ms": 1e6}, None),
     ],
 )
-def test_a_request_is_admitted_or_not(changes: dict[str, Any], refused: RejectionReason | None) -> None:
-    assert gate.may_admit(**(TAKEN | changes)) is refused
+def test_a_request_is_admitted_or_not(changes: dict[str, Any], reason: RejectionReason | None) -> None:
+    assert gate.may_admit(**(ADMITTED | changes)) is reason
 
 
 @pytest.mark.parametrize(
-    ("state", "changes", "refused"),
+    ("state", "changes", "reason"),
     [
         (EndpointState.READY, {}, None),
         (None, {}, RejectionReason.BACKEND_UNKNOWN),
@@ -54,13 +54,13 @@
     ],
 )
 def test_the_first_byte_is_forwarded_or_not(
-    state: EndpointState | None, changes: dict[str, Any], refused: RejectionReason | None
+    state: EndpointState | None, changes: dict[str, Any], reason: RejectionReason | None
 ) -> None:
-    assert gate.may_forward(state, **(WRITTEN | changes)) is refused
+    assert gate.may_forward(state, **(FORWARDED | changes)) is reason
 
 
 @pytest.mark.parametrize(
-    ("effect", "ran_at", "within", "refused"),
+    ("idempotency", "may_have_run_at", "within_ms", "reason"),
     [
         (Idempotency.NON_IDEMPOTENT, None, inf, None),
         (Idempotency.NON_IDEMPOTENT, 1000.0, 0.0, RejectionReason.MAY_HAVE_RUN),
@@ -72,10 +72,10 @@
     ],
 )
 def test_a_request_is_retried_or_not(
-    effect: Idempotency, ran_at: float | None, within: float, refused: RejectionReason | None
+    idempotency: Idempotency, may_have_run_at: float | None, within_ms: float, reason: RejectionReason | None
 ) -> None:
-    found = gate.repeat_within(effect, ran_at, 400.0, 10.0, 1000.0)
-    assert found == within and gate.may_retry(effect, found) is refused
+    found = gate.repeat_within(idempotency, may_have_run_at, 400.0, 10.0, 1000.0)
+    assert found == within_ms and gate.may_retry(idempotency, found) is reason
 
 
 def test_attempts_answers_and_migrations_at_their_limits() -> None:
@@ -98,6 +98,6 @@
 
 
 def test_a_retry_is_called_harmless_only_where_nothing_ran_or_the_class_is_idempotent() -> None:
-    for effect in Idempotency:
-        assert gate.may_promise_no_effect(effect, may_have_run=False)
-        assert gate.may_promise_no_effect(effect, may_have_run=True) is (effect is Idempotency.IDEMPOTENT)
+    for idempotency in Idempotency:
+        assert gate.may_promise_no_effect(idempotency, may_have_run=False)
+        assert gate.may_promise_no_effect(idempotency, may_have_run=True) is (idempotency is Idempotency.IDEMPOTENT)
--- a/tests/decisions/test_slow_start_clock.py
+++ b/tests/decisions/test_slow_start_clock.py
@@ -22,7 +22,7 @@
 from yarrowspindle.routing.termination import TerminationReason
 
 HOUR_MS = 3_600_000.0
-COLD_MS = 4000.0
+WARMUP_MS = 4000.0
 BACKENDS = 10
 START = 1_700_000_000_000.0
 STEP_MS = 6.0
@@ -34,7 +34,7 @@
 
     def __init__(self, seed: int = 7, **changes: Any) -> None:
         values = {
-            "warmup_ms": COLD_MS,
+            "warmup_ms": WARMUP_MS,
             "initial_capacity_fraction": 0.2,
             "overload_multiple": 2.0,
             "overload_window_ms": 1000.0,
@@ -43,28 +43,30 @@
         self.reducer = Reducer(settings(**(values | changes)), seed, START)
         self.now, self.requests = START, itertools.count(1)
         self.running: list[tuple[float, OpenBackendConnection]] = []
-        self.machines = {f"s-{n}": Endpoint(f"s-{n}", ("127.0.0.1", 1 + n)) for n in range(BACKENDS)}
-        self.tell(ListKind.FULL, list(self.machines), quiet_ms=None)
+        self.endpoints = {f"s-{n}": Endpoint(f"s-{n}", ("127.0.0.1", 1 + n)) for n in range(BACKENDS)}
+        self.update_list(ListKind.FULL, list(self.endpoints), quiet_ms=None)
 
-    def tell(self, kind: ListKind, names: list[str], quiet_ms: float | None) -> None:
-        told = EndpointsUpdated(kind, [self.machines[name] for name in names], 1)
+    def update_list(self, kind: ListKind, names: list[str], quiet_ms: float | None) -> None:
+        event = EndpointsUpdated(kind, [self.endpoints[name] for name in names], 1)
         if quiet_ms is not None:
-            told.quiet_ms = quiet_ms
-        self.reducer.step(self.now, told)
+            event.quiet_ms = quiet_ms
+        self.reducer.step(self.now, event)
 
-    def restart(self, name: str, told_start_ms: float, quiet_ms: float = HEARTBEAT_MS) -> None:
-        self.machines[name] = Endpoint(name, self.machines[name].address, EndpointState.READY, started_ms=told_start_ms)
-        self.tell(ListKind.DELTA, [name], quiet_ms)
+    def restart(self, name: str, listed_start_ms: float, quiet_ms: float = HEARTBEAT_MS) -> None:
+        self.endpoints[name] = Endpoint(
+            name, self.endpoints[name].address, EndpointState.READY, started_ms=listed_start_ms
+        )
+        self.update_list(ListKind.DELTA, [name], quiet_ms)
 
     def serve(self, for_ms: float) -> dict[str, int]:
         """Send a request each few milliseconds, served for a while; return how many each backend got."""
-        got = dict.fromkeys(self.machines, 0)
+        got = dict.fromkeys(self.endpoints, 0)
         until = self.now + for_ms
         while self.now < until:
             self.now += STEP_MS
             while self.running and self.running[0][0] <= self.now:
-                _, reach = self.running.pop(0)
-                self.reducer.step(self.now, AttemptEnded(reach.request, reach.attempt, TerminationReason.COMPLETED))
+                _, attempt = self.running.pop(0)
+                self.reducer.step(self.now, AttemptEnded(attempt.request, attempt.attempt, TerminationReason.COMPLETED))
             number = next(self.requests)
             for effect in self.reducer.step(self.now, RequestReceived(number, 1500.0)):
                 if isinstance(effect, OpenBackendConnection):
@@ -89,7 +91,7 @@
     relay.serve(2000.0)
     relay.restart("s-3", relay.now + wrong_ms)
     assert share_of(relay.serve(1000.0), "s-3") < 0.75, "slow start in its first second"
-    relay.serve(COLD_MS)
+    relay.serve(WARMUP_MS)
     assert 0.75 < share_of(relay.serve(2000.0), "s-3") < 1.25, "and none once its time is over"
 
 
@@ -97,15 +99,15 @@
     """A late update, after a time without any, does not restart slow start."""
     relay = Relay()
     relay.serve(2000.0)
-    relay.restart("s-3", relay.now - COLD_MS, quiet_ms=COLD_MS + 1000.0)
+    relay.restart("s-3", relay.now - WARMUP_MS, quiet_ms=WARMUP_MS + 1000.0)
     assert 0.75 < share_of(relay.serve(2000.0), "s-3") < 1.25
 
 
 def test_a_start_in_the_future_does_not_keep_a_backend_in_slow_start_for_an_hour() -> None:
     relay = Relay()
-    relay.machines["s-3"] = Endpoint("s-3", ("127.0.0.1", 4), started_ms=relay.now + HOUR_MS)
-    relay.tell(ListKind.FULL, list(relay.machines), quiet_ms=None)
-    relay.serve(COLD_MS + 100.0)
+    relay.endpoints["s-3"] = Endpoint("s-3", ("127.0.0.1", 4), started_ms=relay.now + HOUR_MS)
+    relay.update_list(ListKind.FULL, list(relay.endpoints), quiet_ms=None)
+    relay.serve(WARMUP_MS + 100.0)
     assert 0.75 < share_of(relay.serve(2000.0), "s-3") < 1.25
 
 
