--- a/yarrowspindle/decisions/__init__.py
+++ b/yarrowspindle/decisions/__init__.py
@@ -1,1 +1,1 @@
-"""What a relay decides, one module for each kind of decision. Pure; imports go down only."""
+"""The decisions of a relay, a module for each rule; pure functions of events, settings and a seed."""
--- a/yarrowspindle/decisions/placement.py
+++ b/yarrowspindle/decisions/placement.py
@@ -87,7 +87,7 @@
         """Whether all balancers draw the same backends for the request's group; a retry has to go elsewhere."""
         if not request.group:
             return False
-        return target > 0.0 or (self.state.settings.groups_share_work and not request.attempts)
+        return bool(target) or (self.state.settings.groups_share_work and not request.attempts)
 
     def _draw(
         self,
