--- a/yarrowspindle/routing/__init__.py
+++ b/yarrowspindle/routing/__init__.py
@@ -1,1 +1,1 @@
-"""The core: jobs, their states and endings, and the one reducer. It knows no wire and no event loop."""
+"""The core without I/O: events in, effects out. It keeps the state of requests and backends and asks the balancer."""
--- a/yarrowspindle/routing/attempts.py
+++ b/yarrowspindle/routing/attempts.py
@@ -6,6 +6,8 @@
 
 from __future__ import annotations
 
+from typing import TYPE_CHECKING
+
 from yarrowspindle.decisions import actions
 from yarrowspindle.decisions import events as balancer_events
 from yarrowspindle.decisions import request_gate as gate
@@ -28,6 +30,9 @@
 from yarrowspindle.routing.termination import OUTCOMES, TerminationReason
 from yarrowspindle.routing.timers import RECONNECT_TIMER, REQUEST_DEADLINE_TIMER
 
+if TYPE_CHECKING:  # the platform does without this package
+    from yarrowspindle.rebalancing import Rebalancer
+
 RECONNECT_DELAY_MS = 400.0
 HEALTH_CHECK_TIMEOUT_MS = 500.0  # a backend that pauses for a quarter of a second still answers within this
 
@@ -136,7 +141,9 @@
         backend = request.backend
         if backend is None:
             raise ValueError(f"request {request.id} has no attempt")
-        self._report_to_rebalancer(request, backend, reason, finished)
+        rebalancer = self._context.rebalancer
+        if rebalancer is not None:
+            self._report_to_rebalancer(rebalancer, request, backend, reason, finished)
         if finished:
             self.finish(request)
         else:
@@ -156,11 +163,8 @@
             self.answer(request.id, RejectRequest(request.id, 0.0, RejectionReason.NO_USABLE_BACKEND))
 
     def _report_to_rebalancer(
-        self, request: Request, backend: Backend, reason: TerminationReason, finished: bool
+        self, rebalancer: Rebalancer, request: Request, backend: Backend, reason: TerminationReason, finished: bool
     ) -> None:
-        rebalancer = self._context.rebalancer
-        if rebalancer is None:
-            return
         if finished:
             rebalancer.over(self._context.now, request.id, OUTCOMES[reason] is Outcome.RESET)
         elif reason not in (TerminationReason.NOT_SENT, TerminationReason.CONNECT_FAILED):
--- a/yarrowspindle/routing/events.py
+++ b/yarrowspindle/routing/events.py
@@ -25,7 +25,7 @@
         key: identifies the client; 0 for none.
         load: a hint of the connection's load, in milliseconds of work a second; 0 for none.
         group: identifies the client's group, which can share work at a backend; 0 for none.
-        repeated: the client sends the request again after an answer that allowed it.
+        repeated: the request repeats an earlier one; passed to the balancer.
         returned: the client's former connection was migrated or reset.
         previous_backend: the backend that had the connection before this process started; empty where it is new.
         client_request_id: the id that the client gave the request; empty where the front made the request itself.
