--- a/benchmarks/capacity/hollow.py
+++ b/benchmarks/capacity/hollow.py
@@ -24,9 +24,9 @@
 from benchmarks.signals import datagram_s, deep_kb, played_again, recorded
 from yarrowspindle.lab.model.members import Relays
 from yarrowspindle.membership import Membership, PeerSettings
-from yarrowspindle.membership.messages import DatagramReceived, LocalLoad
+from yarrowspindle.membership.events import DatagramReceived, LocalLoad
 from yarrowspindle.routing.address import Address
-from yarrowspindle.runtime.membership_driver import PeerPump
+from yarrowspindle.runtime.membership_driver import MembershipDriver
 from yarrowspindle.transport.datagrams import Front
 
 HEADER = 28  # bytes of IP and UDP round each datagram
@@ -125,18 +125,19 @@
     found = per_relay(counts, world.looks.total(), day.relays, day.relays - 1, day.window_s)
     others = list(world.others.values())
     spent = min(played_again(peers[0].made, events, start) for _ in range(3)) / day.window_s
-    untold = [sum(len(c.keys) for c in peer.core.signals.own.told if not c.times) for peer in peers]
+    core = peers[0].core
+    untold = [sum(len(c.keys) for c in peer.core.signals.local.pending if not c.transmissions) for peer in peers]
     found |= {
         "core_cpu": spent,
         "cpu_share": spent + counts["sent"] / day.relays / day.window_s * datagram_s(),
-        "memory_mb": deep_kb([peers[0].core.members.table, peers[0].core.signals, peers[0].core.pings]) / 1024.0,
+        "memory_mb": deep_kb([core.members.table, core.signals, core.probing.pings]) / 1024.0,
         "age_s": fmean(o.age_ms / 1000.0 for o in others),
         "heard": fmean(o.reporting_relays for o in others),
         "untold": fmean(untold),  # changes that no word has told yet
         "beat_s": day.window_s * day.relays / max(world.looks.total(), 1),
     }
     killed = range(day.relays - max(1, min(3, day.relays // CELL)), day.relays)
-    names, knew, began = {peers[index].core.members.me.name for index in killed}, list[float](), world.clock.seconds
+    names, knew, began = {peers[index].core.members.local.name for index in killed}, list[float](), world.clock.seconds
     for index in killed:
         world.kill(index)
     while names and world.clock.seconds < began + MAX_KNOWN_S:
@@ -182,16 +183,16 @@
 
 
 class SocketRelay:
-    """One hollow relay: its own socket, core and pump, as `program/peering.py` has them."""
+    """One hollow relay: its own socket, core and driver, as `daemon/membership_endpoint.py` has them."""
 
     def __init__(self, sockets: Sockets, index: int) -> None:
         self.index, self.loop = index, asyncio.get_running_loop()
         self.settings = sockets.settings(index)
         self.random = Random(f"sockets {sockets.seed} {index}")
         self.holds: Holds = {backend: (1, 100.0) for backend in self.random.sample(range(1, BACKENDS + 1), HELD)}
-        self.front = Front(lambda data, source: self.pump.post(DatagramReceived(data, source)))
+        self.front = Front(lambda data, source: self.driver.post(DatagramReceived(data, source)))
         self.core = Membership(self.settings, f"r{index}", 1, self.random.randrange(1 << 32), self.now())
-        self.pump = PeerPump(
+        self.driver = MembershipDriver(
             self.core, self.now, self._after, self._send, self._own, lambda others: None, lambda text, bounded: None
         )
         self.looks = 0
@@ -217,7 +218,7 @@
         await self.loop.create_datagram_endpoint(lambda: self.front, local_addr=self.settings.listen)
 
     def close(self) -> None:
-        self.pump.close()
+        self.driver.close()
         if self.front.transport is not None:
             self.front.transport.close()
 
@@ -258,7 +259,7 @@
             await relay.open()
         await _until(sockets.begin)
         for relay in relays:
-            relay.loop.call_later(relay.random.uniform(0.0, START_MS) / 1000.0, relay.pump.start)
+            relay.loop.call_later(relay.random.uniform(0.0, START_MS) / 1000.0, relay.driver.start)
         tasks = [asyncio.create_task(_swapping(relays)), asyncio.create_task(_late(late))]
         await _until(sockets.begin + sockets.warm_s)
         late.clear()
@@ -276,15 +277,18 @@
             "signals": sum(relay.looks * sockets.others(relay.index) for relay in relays),
             "late_ms": late[int(0.99 * len(late))],
             "late_most_ms": late[-1],
-            "heard": [sum(heard.counted for heard in relay.core.signals.heard.values()) for relay in relays],
+            "heard": [sum(heard.counted for heard in relay.core.signals.peers.values()) for relay in relays],
             "ages": [
-                h.age(relay.now()) / 1000.0 for relay in relays for h in relay.core.signals.heard.values() if h.counted
+                h.age_ms(relay.now()) / 1000.0
+                for relay in relays
+                for h in relay.core.signals.peers.values()
+                if h.counted
             ],
         }
         silence = time.monotonic()
         for relay in relays:
             if relay.index == sockets.silenced:
-                relay.pump.close()
+                relay.driver.close()
                 found["silence"] = silence
         name, cell = f"r{sockets.silenced}", sockets.silenced % sockets.cells
         ask = [relay for relay in relays if relay.index % sockets.cells == cell and relay.index != sockets.silenced]
--- a/benchmarks/capacity/slopes.py
+++ b/benchmarks/capacity/slopes.py
@@ -30,8 +30,9 @@
 from yarrowspindle.maintenance.codec import encode, encode_file
 from yarrowspindle.maintenance.coordinator import StateUpdate
 from yarrowspindle.maintenance.state import MAX_RELAYS, BackendObservation, MaintenanceRequest, MaintenanceState
-from yarrowspindle.membership.load_signals import MAX_KEYS, LoadSignals, LocalLoadLog
-from yarrowspindle.membership.messages import LocalLoad
+from yarrowspindle.membership.events import LocalLoad
+from yarrowspindle.membership.load_signals import LoadSignals
+from yarrowspindle.membership.local_load_log import MAX_KEYS, LocalLoadLog
 from yarrowspindle.protocol.fragments import PART
 
 AHEAD = 1200  # relays of the fleet ahead
@@ -318,18 +319,18 @@
             *(group_key(backend, group) for backend in range(1, backends + 1) for group in range(1, groups + 1)),
         ]
         teller, hearer = LocalLoadLog(), LoadSignals()
-        teller.signal(LocalLoad({key: (1 + key % 9, 100.0 + key % 500) for key in keys}), 0.0)
-        words = teller.whole()
-        hearer.of("r1", 1).clock(0.0, 0.0)
+        teller.next_signal(LocalLoad({key: (1 + key % 9, 100.0 + key % 500) for key in keys}), 0.0)
+        words = teller.full_signals()
+        hearer.peer("r1", 1).observe_clock(0.0, 0.0)
         for at, word in enumerate(words):
-            hearer.told("r1", 1, at, word, float(at))
-        hearer.others(float(len(words)), 2, 0)
+            hearer.receive("r1", 1, at, word, float(at))
+        hearer.take_peer_loads(float(len(words)), 2, 0)
         rows.append(
             {
                 "nodes": backends,
                 "groups": groups,
                 "keys": len(keys),
-                "kept": len(hearer.heard["r1"].holds),
+                "kept": len(hearer.peers["r1"].loads),
                 "datagrams": len(words),
                 "kb": deep_kb(hearer),
             }
--- a/benchmarks/signals.py
+++ b/benchmarks/signals.py
@@ -190,7 +190,7 @@
         "members": sent - signals,
         "datagrams": datagrams,
         "cpu": spent + datagrams * datagram_s(),
-        "memory_kb": deep_kb([peers[0].core.members.table, peers[0].core.signals, peers[0].core.pings]),
+        "memory_kb": deep_kb([peers[0].core.members.table, peers[0].core.signals, peers[0].core.probing.pings]),
         "age_s": fmean(ages),
         "heard": fmean(others.reporting_relays for others in world.others.values()),
     }
--- a/tests/decisions/test_peer_loads.py
+++ b/tests/decisions/test_peer_loads.py
@@ -118,5 +118,5 @@
     backend = r.balancer.backends[2]
     backend.open, backend.load, backend.bad_until, backend.groups = 3, 4.5, r.now + 700.0, {0: 1, 9: 2}
     word = local_load(r.balancer.backends.values(), r.now)
-    assert word.holds == {2: (3, 4.5), group_key(2, 9): (2, 0.0)} and word.passed == {2: 700.0} and not word.reports
-    assert local_load([Backend(1 << 40 | 5)], 0.0).holds == {}
+    assert word.loads == {2: (3, 4.5), group_key(2, 9): (2, 0.0)} and word.ejected == {2: 700.0} and not word.reports
+    assert local_load([Backend(1 << 40 | 5)], 0.0).loads == {}
--- a/tests/forms/samples.py
+++ b/tests/forms/samples.py
@@ -22,7 +22,7 @@
     MaintenanceState,
     RequestStatus,
 )
-from yarrowspindle.membership import codec as peers
+from yarrowspindle.membership import messages as peers
 from yarrowspindle.protocol.fragments import Fragmenter
 from yarrowspindle.rebalancing import RebalanceSettings
 from yarrowspindle.replay.sequence import Recorder
@@ -106,7 +106,7 @@
 
 
 def peers_datagrams() -> list[peers.Datagram]:
-    rumour = peers.MembershipUpdate("n2", "127.0.0.2", 7946, 1700000000000, 4, peers.SUSPECT, "n1")
+    update = peers.MembershipUpdate("n2", "127.0.0.2", 7946, 1700000000000, 4, peers.MemberState.SUSPECT, "n1")
     bodies: list[Any] = [
         peers.Ping(9, "n2", 123456789),
         peers.Ack(9, 123456789, "n2"),
@@ -115,10 +115,10 @@
         peers.SyncRequest(True),
         peers.LoadSignal(3, 5, [11, 2, 3000], 1, 99, [12, 4, 5000], [13, 700], [14, 950, 6, 120]),
         peers.FullLoadRequest(),
-        peers.Carried(b"carried"),
+        peers.Payload(b"carried"),
     ]
     return [
-        peers.Datagram(peers.VERSION, CLUSTER, "n1", "127.0.0.1", 7946, 1700000000000, 2, 5000, body, [rumour])
+        peers.Datagram(peers.VERSION, CLUSTER, "n1", "127.0.0.1", 7946, 1700000000000, 2, 5000, body, [update])
         for body in bodies
     ]
 
--- a/tests/lab/test_processes.py
+++ b/tests/lab/test_processes.py
@@ -149,7 +149,7 @@
             port = free_port()
             taken.bind(("127.0.0.1", port))
             async with relay(tmp_path, f'[peers]\nlisten = "127.0.0.1:{port}"\nseeds = []\n') as world:
-                await world.logged("cannot be had yet")
+                await world.logged(f"cannot listen at 127.0.0.1:{port} yet")
                 await world.standing()
                 taken.close()
                 await world.logged(f"listens at 127.0.0.1:{port}")
--- a/tests/membership/test_membership_days.py
+++ b/tests/membership/test_membership_days.py
@@ -1,4 +1,4 @@
-"""The hard cases of members and signals, on the virtual clock; each with the core and the pump that the daemon runs."""
+"""Membership under faults, on the virtual clock: the same core and driver as in the daemon."""
 
 from __future__ import annotations
 
@@ -7,7 +7,8 @@
 from yarrowspindle.lab.faults import WORDS, Fault, FaultError, Ways, read_words, relay_names, schedule
 from yarrowspindle.lab.model.members import Relays, play_members
 from yarrowspindle.lab.model.peering import address_of
-from yarrowspindle.membership.messages import DatagramReceived, LocalLoad
+from yarrowspindle.membership.events import DatagramReceived, LocalLoad
+from yarrowspindle.membership.timers import PeriodicTimer
 
 SETS = (
     ("loss", "stall"),
@@ -38,7 +39,7 @@
 
 
 @pytest.mark.parametrize("words", SETS)
-def test_all_agree_again_after_the_faults_on_members_and_sums(words: tuple[str, ...]) -> None:
+def test_all_relays_agree_on_members_and_totals_after_the_faults(words: tuple[str, ...]) -> None:
     for seed in range(3):
         day = play_members((3, 5, 9)[seed % 3], seed, words)
         assert 0.0 <= day.agreed_s <= 15.0, f"seed {seed}: {[str(f) for f in day.faults]}"
@@ -49,52 +50,52 @@
     assert (days[0].bytes, days[0].datagrams, days[0].agreed_s) == (days[1].bytes, days[1].datagrams, days[1].agreed_s)
 
 
-def test_a_cut_one_way_between_two_ends_nobody() -> None:
-    """The others still reach it, and say so."""
+def test_a_one_way_cut_between_two_relays_makes_no_member_dead() -> None:
+    """The helpers still reach it, and acknowledge that."""
     world = started(5)
     fault(world, "oneway", 15.0, "r0", "r3")
     assert all(peer.core.counts["dead"] == 0 for peer in world.net.peers.values()) and world.agree()
 
 
 @pytest.mark.parametrize(("relays", "one", "other"), [(5, "r0 r1", "r2 r3 r4"), (2, "r0", "r1")])
-def test_a_partition_is_two_fleets_and_heals(relays: int, one: str, other: str) -> None:
+def test_a_partition_makes_two_clusters_and_heals(relays: int, one: str, other: str) -> None:
     world = started(relays)
     fault(world, "split", 20.0, one, other)
     for side in (one.split(), other.split()):
         for name in side:
             assert world.net.peers[int(name[1:])].core.members.names == side
-            assert world.others[int(name[1:])].reporting_relays == len(side) - 1, "the other side's part is gone"
+            assert world.others[int(name[1:])].reporting_relays == len(side) - 1, "the other side's load is removed"
     assert 0.0 <= world.until(lambda: world.agree() and world.true_sums(), 10.0)
 
 
-def test_who_stood_still_for_ten_seconds_accuses_nobody_and_is_back() -> None:
+def test_a_relay_stalled_for_ten_seconds_suspects_no_one_and_rejoins() -> None:
     world = started(5)
     before = {i: peer.core.counts["suspicions"] for i, peer in world.net.peers.items()}
     fault(world, "stall", 10.0, "r2")
     world.run(1.5)
     assert world.net.peers[2].core.counts["stood"] >= 1
-    assert world.net.peers[2].core.counts["suspicions"] == before[2], "it distrusts itself first"
+    assert world.net.peers[2].core.counts["suspicions"] == before[2], "its local health falls first"
     assert 0.0 <= world.until(lambda: world.agree() and world.true_sums(), 5.0)
 
 
-def test_the_part_of_a_killed_relay_is_gone_within_five_seconds() -> None:
+def test_the_load_of_a_killed_relay_is_removed_within_five_seconds() -> None:
     for seed in range(20):
         world = started(5, seed)
-        for backend in range(1, 13):  # half of all that is held
+        for backend in range(1, 13):  # half of all load
             world.holds[1][backend] = (20, 2000.0)
         world.run(1.0)
         world.kill(1)
         assert 0.0 <= world.until(world.true_sums, 5.0), f"seed {seed}"
 
 
-def test_one_that_leaves_is_gone_at_once_and_nobody_is_suspected() -> None:
+def test_a_relay_that_leaves_is_removed_at_once_and_none_is_suspected() -> None:
     world = started(5)
     world.net.peers[3].leave()
     assert 0.0 <= world.until(lambda: world.agree() and world.true_sums(), 0.5)
     assert all(peer.core.counts["suspicions"] == 0 for peer in world.net.peers.values())
 
 
-def test_a_hundred_started_in_one_second_find_one_another_with_bounded_bytes() -> None:
+def test_a_hundred_relays_started_in_one_second_join_with_limited_bytes() -> None:
     world = Relays(100, 3, held=2)
     for index in range(100):
         world.clock.after(10.0 * index, world.start, index)
@@ -104,25 +105,25 @@
     assert (world.net.bytes - before) / 100 / max(world.clock.seconds - 1.0, 1.0) < 100_000.0
 
 
-def test_all_restart_one_after_the_other_as_new_incarnations() -> None:
+def test_a_rolling_restart_gives_new_incarnations() -> None:
     world = started(5)
-    incarnations = [peer.core.members.me.incarnation for peer in world.net.peers.values()]
+    incarnations = [peer.core.members.local.incarnation for peer in world.net.peers.values()]
     fault(world, "restart", 10.0, "")
     assert 0.0 <= world.until(lambda: world.agree() and world.true_sums(), 5.0)
     assert all(
-        peer.core.members.me.incarnation > incarnation
+        peer.core.members.local.incarnation > incarnation
         for peer, incarnation in zip(world.net.peers.values(), incarnations, strict=True)
     )
 
 
-def test_late_and_doubled_word_from_an_earlier_incarnation_moves_nothing() -> None:
+def test_late_and_repeated_datagrams_of_an_earlier_incarnation_change_nothing() -> None:
     world = started(3)
-    heard: list[bytes] = []
+    received: list[bytes] = []
     target = world.net.peers[0]
     came = target.came
 
     def listen(data: bytes, source: tuple[str, int]) -> None:
-        heard.append(data)
+        received.append(data)
         came(data, source)
 
     target.came = listen  # type: ignore[method-assign]
@@ -133,15 +134,15 @@
     world.start(1)
     world.holds[1] = {1: (1, 1.0)}
     assert 0.0 <= world.until(lambda: world.agree() and world.true_sums(), 5.0)
-    for data in heard * 3:
-        world.net.peers[0].pump.post(DatagramReceived(data, address_of(1)))
+    for data in received * 3:
+        world.net.peers[0].driver.post(DatagramReceived(data, address_of(1)))
     assert target.core.counts["dropped_earlier_life"] > 0 and target.core.signals.counts["signals_old"] > 0
     world.run(0.5)
     assert world.agree() and world.true_sums()
 
 
-def test_old_word_counts_for_nothing_and_stays_so_while_it_is_old() -> None:
-    """Each datagram takes 5 s; nothing looks older to who only counts from its arrival."""
+def test_load_signals_that_are_too_old_do_not_count() -> None:
+    """Each datagram is delayed by 5 s; an age counted from the arrival alone would not show that."""
     world = started(3)
     world.net.ways.start(Fault("old", 0.0, 60.0, 1.0, 5000.0))
     world.run(12.0)
@@ -150,16 +151,16 @@
         assert all(others.reporting_relays == 0 for others in world.others.values())
 
 
-def test_seeds_that_answer_nobody_are_asked_on_and_bounded() -> None:
+def test_seeds_that_do_not_answer_are_contacted_again_with_backoff() -> None:
     world = Relays(1, 1)
     world.start(0)
     world.run(60.0)
     peer = world.net.peers[0]
     assert peer.core.members.size == 1 and 10 < peer.core.counts["sent"] < 60
-    assert 0 not in world.others, "the module is not told of nobody"
+    assert 0 not in world.others, "no update without peers"
 
 
-def test_a_name_taken_twice_is_the_later_one_s_and_comes_back_to_the_first() -> None:
+def test_a_name_used_twice_belongs_to_the_later_relay_and_returns_to_the_first() -> None:
     world = started(3)
     world.net.names[7] = "r1"
     world.holds += [{}] * 5
@@ -174,7 +175,7 @@
     assert 0.0 <= world.until(lambda: not first.core.members.displaced and world.agree(), 20.0)
 
 
-def test_a_flood_from_a_stranger_costs_the_members_nothing() -> None:
+def test_a_flood_from_outside_the_cluster_does_not_disturb_the_members() -> None:
     world = started(3)
     target = world.net.peers[0]
     for _ in range(200):
@@ -186,14 +187,14 @@
     assert world.agree() and world.true_sums() and counts["dead"] == 0
 
 
-def test_relays_with_different_lists_tell_what_they_hold_all_the_same() -> None:
+def test_relays_with_different_endpoint_lists_exchange_all_loads() -> None:
     world = started(3)
-    world.holds[0] = {901: (3, 30.0)}  # a node that the others' lists do not have yet
+    world.holds[0] = {901: (3, 30.0)}  # a backend that the peers' lists do not have yet
     world.run(1.0)
     assert world.told[1][901] == world.told[2][901] == (3, 30.0)
 
 
-def test_words_are_checked_and_a_schedule_is_the_same_for_the_same_seed() -> None:
+def test_fault_names_are_checked_and_a_schedule_is_the_same_for_the_same_seed() -> None:
     with pytest.raises(FaultError, match="'los' is no fault"):
         read_words("los,cut")
     names = relay_names(5)
@@ -204,7 +205,7 @@
     assert kill.one != stall.one
 
 
-def test_a_pair_s_fate_does_not_hang_on_the_others_traffic() -> None:
+def test_the_fate_of_a_pair_s_datagrams_does_not_depend_on_other_traffic() -> None:
     def fates(noise: bool) -> list[int]:
         ways = Ways(4)
         ways.start(Fault("loss", 0.0, 9.0, 0.4))
@@ -218,20 +219,20 @@
     assert fates(False) == fates(True) and 10 < sum(fates(False)) < 45
 
 
-def test_a_beat_that_fails_is_told_and_tried_again() -> None:
+def test_a_periodic_timer_whose_handler_fails_is_reported_and_retried() -> None:
     world = started(3)
     peer = world.net.peers[0]
     failed: list[str] = []
-    peer.pump.failed = lambda event: failed.append(type(event).__name__)
-    beat = peer.core.wakes["beat"]
-    own = peer.core.handlers[LocalLoad]
+    peer.driver.on_failure = lambda event: failed.append(type(event).__name__)
+    handlers, timer_handlers = peer.core.event_handlers, peer.core.timer_handlers
+    on_probe, on_local_load = timer_handlers[PeriodicTimer.PROBE], handlers[LocalLoad]
 
     def fails(*_: object) -> None:
         raise RuntimeError("on purpose")
 
-    peer.core.wakes["beat"], peer.core.handlers[LocalLoad] = fails, fails
+    timer_handlers[PeriodicTimer.PROBE], handlers[LocalLoad] = fails, fails
     world.run(2.5)
     assert "TimerFired" in failed and "LocalLoad" in failed
-    peer.core.wakes["beat"], peer.core.handlers[LocalLoad] = beat, own
+    timer_handlers[PeriodicTimer.PROBE], handlers[LocalLoad] = on_probe, on_local_load
     world.change(0)
     assert 0.0 <= world.until(lambda: world.agree() and world.true_sums(), 10.0)
--- a/yarrowspindle/configuration/link.py
+++ b/yarrowspindle/configuration/link.py
@@ -1,6 +1,6 @@
 """Messages of control in peers' datagrams: cut into parcels, sealed, bounded; no I/O.
 
-Each datagram is a `Datagram` with a `Carried` body. Who does not fit (another cluster, another version, a process that
+Each datagram is a `Datagram` with a `Payload` body. Who does not fit (another cluster, another version, a process that
 has a successor, a flood) is dropped and counted by its cause.
 """
 
@@ -11,7 +11,8 @@
 from yarrowspindle.configuration import codec
 from yarrowspindle.configuration.messages import NewerIncarnation, Sender
 from yarrowspindle.maintenance.codec import InvalidMessageError
-from yarrowspindle.membership.codec import VERSION, Carried, Codec, Datagram, DroppedDatagramError
+from yarrowspindle.membership.codec import Codec, DroppedDatagramError
+from yarrowspindle.membership.messages import VERSION, Datagram, Payload
 from yarrowspindle.protocol.fragments import Fragmenter
 from yarrowspindle.routing.address import Address
 
@@ -38,7 +39,7 @@
     def _sealed(self, now: float, data: bytes) -> bytes:
         self.at = max(int(now - self.started), self.at + 1)
         sealed = self.codec.encode(
-            Datagram(VERSION, self.cluster, self.name, *self.address, self.incarnation, 0, self.at, Carried(data))
+            Datagram(VERSION, self.cluster, self.name, *self.address, self.incarnation, 0, self.at, Payload(data))
         )
         self.counts["sent"] += 1
         self.counts["sent_bytes"] += len(sealed)
@@ -65,8 +66,8 @@
             datagram = self.codec.decode(data)
         except DroppedDatagramError as why:
             raise self._dropped(str(why)) from None
-        sender = Sender(datagram.name, datagram.address, datagram.incarnation, datagram.at)
-        if sender.address == self.address or not isinstance(datagram.body, Carried):
+        sender = Sender(datagram.name, datagram.address, datagram.incarnation, datagram.sent_at)
+        if sender.address == self.address or not isinstance(datagram.body, Payload):
             raise self._dropped("no message of control")
         known = self.incarnations.pop(sender.address, 0)
         self.incarnations[sender.address] = max(known, sender.incarnation)
--- a/yarrowspindle/daemon/maintenance_endpoint.py
+++ b/yarrowspindle/daemon/maintenance_endpoint.py
@@ -40,7 +40,7 @@
 from yarrowspindle.maintenance.fleet_health import BackendSample, FleetHealth
 from yarrowspindle.maintenance.settings import Asking, TurnSettings, read_asking
 from yarrowspindle.maintenance.state import EMPTYING, FREE, QUEUED, WARMING, MaintenanceError, MaintenanceState
-from yarrowspindle.membership.messages import SendPayload
+from yarrowspindle.membership.events import SendPayload
 from yarrowspindle.operator_api import OperatorApi
 from yarrowspindle.operator_api.http import Answer, BodyRoutes
 from yarrowspindle.protocol.fragments import Fragmenter
@@ -61,7 +61,7 @@
     def __init__(self, hub: RelayService, peering: MembershipEndpoint, settings: TurnSettings) -> None:
         self.hub, self.peering, self.settings = hub, peering, settings
         self.loop = asyncio.get_running_loop()
-        self.name = peering.core.members.me.name
+        self.name = peering.core.members.local.name
         self.file = MaintenanceVoterFile(settings.directory, self.name, peering.settings.cluster)
         self.first = first_state(settings.voters)
         self.voter: Acceptor[MaintenanceState] | None = None
@@ -86,7 +86,7 @@
         hub.metrics.sources["turns"] = self.counts
         hub.metrics.more_gauges.append(self._gauges)
         hub.reloaded.append(self._reloaded)
-        peering.pump.brought = self._brought
+        peering.driver.on_payload = self._brought
 
     async def start(self) -> None:
         self.tasks = [self.loop.create_task(self._begin()), self.loop.create_task(self._parcels())]
@@ -216,12 +216,12 @@
             self.loop.call_soon(self._post, MessageReceived(to, message))
             return
         for part in self.parcels.cut(to, codec.encode(message)):
-            self.peering.pump.post(SendPayload(to, part))
+            self.peering.driver.post(SendPayload(to, part))
 
     def _brought(self, source: str, data: bytes) -> None:
         whole, back = self.parcels.came(self._now(), source, data)
         for part in back:
-            self.peering.pump.post(SendPayload(source, part))
+            self.peering.driver.post(SendPayload(source, part))
         if whole is None:
             return
         try:
@@ -236,7 +236,7 @@
         while True:
             await asyncio.sleep(PARCELS_S)
             for source, data in self.parcels.due(self._now()):
-                self.peering.pump.post(SendPayload(source, data))
+                self.peering.driver.post(SendPayload(source, data))
 
     def _vote(self, vote: AskAcceptor) -> None:
         """On a thread: the disk must not make jobs late. One at a time, in their order."""
--- a/yarrowspindle/daemon/membership_endpoint.py
+++ b/yarrowspindle/daemon/membership_endpoint.py
@@ -1,5 +1,7 @@
-"""Peers on a real socket: the core's pump on the event loop, its word to the reducer, its figures. Off without
-`[peers]`."""
+"""Membership on a UDP socket: the driver on the event loop, the peers' load for the reducer, metrics.
+
+It is not used without the table `[peers]` in the configuration file.
+"""
 
 from __future__ import annotations
 
@@ -16,116 +18,130 @@
 from yarrowspindle.daemon.relay_service import RelayService
 from yarrowspindle.decisions.events import PeerLoads
 from yarrowspindle.membership import Membership, PeerSettings
-from yarrowspindle.membership.messages import DatagramReceived, Event, LeaveCluster, LocalLoad
+from yarrowspindle.membership.events import DatagramReceived, Event, LeaveCluster, LocalLoad
 from yarrowspindle.routing.address import Address
 from yarrowspindle.routing.events import PeerLoadsUpdated
-from yarrowspindle.runtime.membership_driver import PeerPump, local_load
+from yarrowspindle.runtime.membership_driver import MembershipDriver, local_load
 from yarrowspindle.transport.datagrams import Front
 
-FLUSH_S = 0.02
+FLUSH_S = 0.02  # for the last datagrams, before the socket is closed
 
 
 class MembershipEndpoint:
-    """What the others hold reaches the reducer as `OthersTold`; nothing here waits for them, and nothing waits for
-    this."""
-
-    def __init__(self, hub: RelayService, settings: PeerSettings) -> None:
-        self.hub, self.settings = hub, settings
-        self.loop = asyncio.get_running_loop()
-        self.front = Front(self._came)
-        self.opening: asyncio.Task[None] | None = None
-        name = settings.name or hub.config.name
-        # Only a hint: where this clock went back, what the others remember of the name corrects it.
-        incarnation = int(time.time() * 1000.0)
-        self.core = Membership(settings, name, incarnation, int.from_bytes(os.urandom(8), "big"), self._now())
-        self.pump = PeerPump(
-            self.core, self._now, self._after, self._send, self._own, self._told, self._note, self._failed
+    """One relay's membership. Requests never wait for it, and it never waits for them."""
+
+    def __init__(self, service: RelayService, settings: PeerSettings) -> None:
+        self.core = Membership(
+            settings,
+            settings.name or service.config.name,
+            # Where the wall clock went back, the incarnation that peers remember corrects this one.
+            int(time.time() * 1000.0),
+            int.from_bytes(os.urandom(8), "big"),
+            asyncio.get_running_loop().time() * 1000.0,
+        )
+        self.driver = MembershipDriver(
+            self.core,
+            self._now,
+            self._call_later,
+            self._send,
+            self._sample_load,
+            self._on_peer_loads,
+            self._log,
+            self._on_failure,
         )
-        self.bounded = Bounded(time.monotonic)
-        self.handles: set[asyncio.TimerHandle] = set()
-        hub.metrics.sources["peers"] = self.counts
-        hub.metrics.more_gauges.append(self.gauges)
+        self._service = service
+        self.settings = settings
+        self._loop = asyncio.get_running_loop()
+        self._socket = Front(self._on_datagram)
+        self._opening: asyncio.Task[None] | None = None
+        self._warnings = Bounded(time.monotonic)
+        self._timers: set[asyncio.TimerHandle] = set()
+        service.metrics.sources["peers"] = self.counts
+        service.metrics.more_gauges.append(self.gauges)
 
     def start(self) -> None:
-        self.opening = self.loop.create_task(self._open())
+        """Starts to open the socket, and then the driver."""
+        self._opening = self._loop.create_task(self._open())
 
     async def close(self) -> None:
-        """Leaves in good order."""
-        if self.opening is not None:
-            self.opening.cancel()
-        self.pump.post(LeaveCluster())
-        self.pump.close()
-        for handle in self.handles:
-            handle.cancel()
+        """Leaves the cluster and closes the socket."""
+        if self._opening is not None:
+            self._opening.cancel()
+        self.driver.post(LeaveCluster())
+        self.driver.close()
+        for timer in self._timers:
+            timer.cancel()
         await asyncio.sleep(FLUSH_S)
-        if self.front.transport is not None:
-            self.front.transport.close()
+        if self._socket.transport is not None:
+            self._socket.transport.close()
 
     async def _open(self) -> None:
-        await self.front.open(
-            self.settings.listen,
-            lambda error: logger.warning(
-                "peers: {}:{} cannot be had yet, jobs are placed by own load meanwhile: {}",
-                *self.settings.listen,
-                error,
-            ),
-        )
+        await self._socket.open(self.settings.listen, self._on_address_unavailable)
         logger.info(
-            "peers: {} of cluster {} listens at {}:{}, the others reach it at {}:{}",
-            self.core.members.me.name,
+            "peers: {} of cluster {} listens at {}:{}, peers reach it at {}:{}",
+            self.core.members.local.name,
             self.settings.cluster,
             *self.settings.listen,
-            *self.settings.reached_at,
+            *self.settings.advertised_address,
+        )
+        self.driver.start()
+
+    def _on_address_unavailable(self, error: Exception) -> None:
+        logger.warning(
+            "peers: cannot listen at {}:{} yet, requests are placed by this relay's own load until then: {}",
+            *self.settings.listen,
+            error,
         )
-        self.pump.start()
 
-    # --- the pump's sides -----------------------------------------------------------------------
+    # --- the driver's environment ---------------------------------------------------------------
 
     def _now(self) -> float:
-        return self.loop.time() * 1000.0
+        return self._loop.time() * 1000.0
 
-    def _after(self, delay_ms: float, then: Callable[[], None]) -> object:
-        def due() -> None:
-            self.handles.discard(handle)
-            then()
+    def _call_later(self, delay_ms: float, callback: Callable[[], None]) -> object:
+        def fire() -> None:
+            self._timers.discard(timer)
+            callback()
 
-        handle = self.loop.call_later(delay_ms / 1000.0, due)
-        self.handles.add(handle)
-        return handle
+        timer = self._loop.call_later(delay_ms / 1000.0, fire)
+        self._timers.add(timer)
+        return timer
 
-    def _send(self, to: Address, data: bytes) -> None:
+    def _send(self, address: Address, data: bytes) -> None:
         try:
-            self.front.send(data, to)
-        except (OSError, ValueError):  # no address to send to, or no way: as good as lost
+            self._socket.send(data, address)
+        except (OSError, ValueError):  # an unusable or unreachable address: the datagram counts as lost
             self.core.counts["unsendable"] += 1
 
-    def _came(self, data: bytes, source: Address) -> None:
-        self.pump.post(DatagramReceived(data, source))
+    def _on_datagram(self, data: bytes, source: Address) -> None:
+        self.driver.post(DatagramReceived(data, source))
 
-    def _own(self) -> LocalLoad:
-        return local_load(self.hub.reducer.balancer.backends.values(), self.hub.runtime.clock.now())
+    def _sample_load(self) -> LocalLoad:
+        return local_load(self._service.reducer.balancer.backends.values(), self._service.runtime.clock.now())
 
-    def _told(self, others: PeerLoads) -> None:
-        self.hub.post(PeerLoadsUpdated(others))
+    def _on_peer_loads(self, peer_loads: PeerLoads) -> None:
+        self._service.post(PeerLoadsUpdated(peer_loads))
 
-    def _failed(self, event: Event) -> None:
-        """Jobs are served without peers: a fault here must not end the process, nor go unseen."""
+    def _on_failure(self, event: Event) -> None:
+        """Logs a fault of the core; it must not end the process, as requests are served without peers."""
         self.core.counts["failures"] += 1
         logger.exception("peers: the core failed at {}", type(event).__name__)
 
-    def _note(self, text: str, bounded: bool) -> None:
-        if bounded:
-            self.bounded.warn(f"peers: {text}")
+    def _log(self, text: str, rate_limited: bool) -> None:
+        if rate_limited:
+            self._warnings.warn(f"peers: {text}")
         else:
             logger.info("peers: {}", text)
 
-    # --- figures --------------------------------------------------------------------------------
+    # --- metrics --------------------------------------------------------------------------------
 
     def counts(self) -> Counter[str]:
+        """Returns the counters by their published names."""
         return self.core.counts + self.core.signals.counts
 
     def gauges(self) -> dict[str, float]:
-        found = {f"peers.{name}": value for name, value in self.core.gauges().items()}
-        if found["peers.oldest_signal_ms"] == inf:
-            del found["peers.oldest_signal_ms"]
-        return found
+        """Returns the current values by their published names; an unknown age is left out."""
+        gauges = {f"peers.{name}": value for name, value in self.core.gauges().items()}
+        if gauges["peers.oldest_signal_ms"] == inf:
+            del gauges["peers.oldest_signal_ms"]
+        return gauges
--- a/yarrowspindle/lab/model/peering.py
+++ b/yarrowspindle/lab/model/peering.py
@@ -1,4 +1,4 @@
-"""Relays that hear one another on the virtual clock: the same core and pump as over sockets, the same fault words."""
+"""Relays that hear one another on the virtual clock: the same core and driver as over sockets, the same fault words."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 from yarrowspindle.lab.faults import Fault, Ways
 from yarrowspindle.lab.model.clock import VirtualClock
 from yarrowspindle.membership import Membership, PeerSettings
-from yarrowspindle.membership.messages import DatagramReceived, Event, LeaveCluster, LocalLoad
+from yarrowspindle.membership.events import DatagramReceived, Event, LeaveCluster, LocalLoad
 from yarrowspindle.routing.address import Address
-from yarrowspindle.runtime.membership_driver import PeerPump
+from yarrowspindle.runtime.membership_driver import MembershipDriver
 
 MAX_WAITING = 300  # datagrams that wait in a stopped process's socket; more are lost
 
@@ -38,7 +38,7 @@
         self.offset = net.random.uniform(0.0, 1e9)
         self.made = (settings, net.names.get(index, self.party), incarnation, net.random.randrange(1 << 32), self.now())
         self.core = Membership(*self.made)
-        self.pump = PeerPump(self.core, self.now, self._after, self._send, own, told, self._note)
+        self.driver = MembershipDriver(self.core, self.now, self._after, self._send, own, told, self._note)
         self.log: list[tuple[float, str]] = []
         self.alive, self.stalled_until = True, 0.0
         self.waiting: list[Event] = []
@@ -47,7 +47,7 @@
         return self.net.clock.now() - self.net.clock.start + self.offset
 
     def start(self) -> None:
-        self.pump.start()
+        self.driver.start()
 
     def _after(self, delay_ms: float, then: Callable[[], None]) -> object:
         return self.net.clock.after(delay_ms, self._due, then)
@@ -78,23 +78,23 @@
                 if len(self.waiting) == 1:
                     self.net.clock.after(self.stalled_until - self.net.clock.now(), self._awake)
             return
-        self.pump.post(event)
+        self.driver.post(event)
 
     def _awake(self) -> None:
         waiting, self.waiting = self.waiting, []
         for event in waiting:
             if self.alive:
-                self.pump.post(event)
+                self.driver.post(event)
 
     def stall(self, for_ms: float) -> None:
         self.stalled_until = max(self.stalled_until, self.net.clock.now() + for_ms)
 
     def die(self) -> None:
         self.alive = False
-        self.pump.close()
+        self.driver.close()
 
     def leave(self) -> None:
-        self.pump.post(LeaveCluster())
+        self.driver.post(LeaveCluster())
         self.die()
 
 
--- a/yarrowspindle/lab/model/talk.py
+++ b/yarrowspindle/lab/model/talk.py
@@ -62,7 +62,7 @@
             sums: dict[int, tuple[int, float]] = {}
             for other, word in words.items():
                 if other != index:
-                    for key, (count, load) in word.holds.items():
+                    for key, (count, load) in word.loads.items():
                         was = sums.get(key, (0, 0.0))
                         sums[key] = (was[0] + count, was[1] + load)
             before = self.before.get(index, {})
--- a/yarrowspindle/lab/processes/proxy.py
+++ b/yarrowspindle/lab/processes/proxy.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from yarrowspindle.lab.faults import Ways
-from yarrowspindle.membership.codec import Ack, Datagram, Ping, Sealed
+from yarrowspindle.membership.messages import Ack, ChecksummedDatagram, Datagram, Ping
 from yarrowspindle.routing.address import Address
 
 MAX_CONNECTIONS = 4096
@@ -66,14 +66,15 @@
     """The digest of members that a datagram's sender has, where it says so."""
 
     def __init__(self) -> None:
-        self.unseal, self.decode = msgspec.msgpack.Decoder(Sealed).decode, msgspec.msgpack.Decoder(Datagram).decode
+        self.unseal = msgspec.msgpack.Decoder(ChecksummedDatagram).decode
+        self.decode = msgspec.msgpack.Decoder(Datagram).decode
 
     def of(self, data: bytes) -> int | None:
         try:
             body = self.decode(bytes(self.unseal(data).datagram)).body
         except (msgspec.DecodeError, msgspec.ValidationError, ValueError):
             return None
-        return body.view if isinstance(body, Ping | Ack) else None
+        return body.view_digest if isinstance(body, Ping | Ack) else None
 
 
 class Pipe:
--- a/yarrowspindle/membership/codec.py
+++ b/yarrowspindle/membership/codec.py
@@ -1,195 +1,101 @@
-"""What relays send one another: plain structs in MessagePack by msgspec. No wire format of our own.
-
-A datagram is one `Datagram`. It is checked whole before anything looks at it: types, lengths, version, cluster. What
-fails raises `Dropped` with the cause by which it is counted.
-"""
+"""Encodes and decodes datagrams. A datagram is validated as a whole before any of it is used."""
 
 from __future__ import annotations
 
-from typing import Annotated
+from enum import StrEnum
 from zlib import crc32
 
 import msgspec
-from msgspec import Meta, Struct
-
-from yarrowspindle.membership.settings import MAX_NAME
-from yarrowspindle.routing.address import Address
-
-VERSION = 1
-MOST = 1200  # bytes of a datagram
-Name = Annotated[str, Meta(min_length=1, max_length=MAX_NAME)]
-Host = Annotated[str, Meta(max_length=15, pattern=r"^[0-9]{1,3}(\.[0-9]{1,3}){3}$")]
-Port = Annotated[int, Meta(ge=1, le=65_535)]
-Number = Annotated[int, Meta(ge=0, lt=1 << 53)]
-Flat = Annotated[list[Annotated[int, Meta(ge=0, lt=1 << 32)]], Meta(max_length=1200)]
-
-ALIVE, SUSPECT, DEAD, LEFT = 0, 1, 2, 3
-STATES = ("alive", "suspect", "dead", "left")
-
-
-class DroppedDatagramError(Exception):
-    """A datagram that is not taken; the text is its cause, one of few."""
-
-
-class MembershipUpdate(Struct, array_like=True, frozen=True):
-    """What somebody says of a member. life: of the process; turn: within its life, raised by itself alone."""
-
-    name: Name
-    host: Host
-    port: Port
-    incarnation: Number
-    turn: Number
-    state: Annotated[int, Meta(ge=ALIVE, le=LEFT)]
-    by: Annotated[str, Meta(max_length=MAX_NAME)] = ""  # of a suspicion: who has it
-
-
-class Ping(Struct, array_like=True, tag=1, frozen=True):
-    """Are you there? view: a digest of the sender's table, so that differences show."""
-
-    number: Number
-    to: Name  # a relay of another name that listens there now must not answer for it
-    view: Number
-
-
-class Ack(Struct, array_like=True, tag=2, frozen=True):
-    """Yes."""
-
-    number: Number
-    view: Number
-    of: Name  # who is there: the sender, or who was asked for another
-
-
-class PingRequest(Struct, array_like=True, tag=3, frozen=True):
-    """Ask that member for me; answered by its `Ack` or by a `Nack`."""
-
-    number: Number
-    to: Name
-    host: Host
-    port: Port
-
-
-class Nack(Struct, array_like=True, tag=4, frozen=True):
-    """It has not answered me yet either; so the way between us two is open."""
 
-    number: Number
+from yarrowspindle.membership.messages import (
+    MAX_DATAGRAM_BYTES,
+    VERSION,
+    ChecksummedDatagram,
+    Datagram,
+    DatagramPrefix,
+    LoadSignal,
+)
 
+DECODE_ERRORS = (msgspec.DecodeError, msgspec.ValidationError, ValueError)
 
-class SyncRequest(Struct, array_like=True, tag=5, frozen=True):
-    """Rumours only. whole: the sender's table is in here and in the others like it, and it wants ours in return."""
 
-    whole: bool = False
+class DropReason(StrEnum):
+    """Why a datagram is dropped. The values are part of the published metrics' names."""
 
+    TOO_LONG = "too long"
+    MALFORMED = "nonsense"
+    CORRUPT = "corrupt"
+    OTHER_VERSION = "another version"
+    OTHER_CLUSTER = "another cluster"
+    FLOOD = "flood"
+    OWN_NAME = "own name"
+    EARLIER_INCARNATION = "earlier life"
+    TABLE_FULL = "no room"
+    HAS_LEFT = "has left"
 
-class LoadSignal(Struct, array_like=True, tag=6, frozen=True):
-    """What the sender holds. All figures are absolute.
 
-    base, version: what changed after `base` up to `version` is in `changed`, whole.
-    changed, part: node key, connections, load, each three figures. part, first, last: all that the sender holds at
-    nodes with keys from first to last: what is not named there is nothing.
-    passed: node key, milliseconds that it is still passed over. reports: node key, use in thousandths, connections,
-    age in milliseconds.
-    """
-
-    base: Number
-    version: Number
-    changed: Flat
-    first: Number = 0
-    last: Number = 0
-    part: Flat = []
-    passed: Flat = []
-    reports: Flat = []
-
-
-class FullLoadRequest(Struct, array_like=True, tag=7, frozen=True):
-    """Some of what you told was lost: tell me the whole."""
-
-
-class Carried(Struct, array_like=True, tag=8, frozen=True):
-    """Something that is no business of peers, from one relay to another; bounded by the datagram."""
-
-    data: bytes
-
-
-Body = Ping | Ack | PingRequest | Nack | SyncRequest | LoadSignal | FullLoadRequest | Carried
-
-
-class Datagram(Struct, array_like=True, frozen=True):
-    version: int
-    cluster: Annotated[str, Meta(max_length=MAX_NAME)]
-    name: Name
-    host: Host
-    port: Port
-    incarnation: Number
-    turn: Number
-    at: Number  # the sender's own monotonic milliseconds
-    body: Body
-    rumours: Annotated[list[MembershipUpdate], Meta(max_length=64)] = []
-
-    @property
-    def address(self) -> Address:
-        return self.host, self.port
-
-
-class Sealed(Struct, array_like=True, frozen=True):
-    """A datagram as it is sent, with its CRC-32: some networks change bytes past UDP's own sum, and what the fault
-    network changed must not be taken for figures."""
-
-    check: Annotated[int, Meta(ge=0, lt=1 << 32)]
-    datagram: msgspec.Raw
-
-
-class _Head(Struct, array_like=True, frozen=True):
-    """The start of a datagram of any version."""
-
-    version: int
-    cluster: str
+class DroppedDatagramError(Exception):
+    """A datagram is not accepted; the text is one of a few reasons."""
 
 
 class Codec:
+    """Encodes and decodes the datagrams of one cluster."""
+
     def __init__(self, cluster: str) -> None:
         self.cluster = cluster
         self._encode = msgspec.msgpack.Encoder().encode
-        self._unseal = msgspec.msgpack.Decoder(Sealed).decode
-        self._decode = msgspec.msgpack.Decoder(Datagram).decode
-        self._head = msgspec.msgpack.Decoder(_Head).decode
+        self._decode_checksummed = msgspec.msgpack.Decoder(ChecksummedDatagram).decode
+        self._decode_datagram = msgspec.msgpack.Decoder(Datagram).decode
+        self._decode_prefix = msgspec.msgpack.Decoder(DatagramPrefix).decode
 
     def encode(self, datagram: Datagram) -> bytes:
+        """Returns the datagram's bytes, with their checksum."""
         inner = self._encode(datagram)
-        return self._encode(Sealed(crc32(inner), msgspec.Raw(inner)))
+        return self._encode(ChecksummedDatagram(crc32(inner), msgspec.Raw(inner)))
 
     def decode(self, data: bytes) -> Datagram:
-        if len(data) > MOST:
-            raise DroppedDatagramError("too long")
+        """Returns the datagram; raises DroppedDatagramError where it is not valid or not of this cluster."""
+        if len(data) > MAX_DATAGRAM_BYTES:
+            raise DroppedDatagramError(DropReason.TOO_LONG)
+        inner = self._verified(data)
         try:
-            sealed = self._unseal(data)
-        except (msgspec.DecodeError, msgspec.ValidationError, ValueError):
-            raise DroppedDatagramError("nonsense") from None
-        inner = bytes(sealed.datagram)
-        if crc32(inner) != sealed.check:
-            raise DroppedDatagramError("corrupt")
-        try:
-            datagram = self._decode(inner)
-        except (msgspec.DecodeError, msgspec.ValidationError, ValueError):
-            raise DroppedDatagramError(self._why(inner)) from None
+            datagram = self._decode_datagram(inner)
+        except DECODE_ERRORS:
+            raise DroppedDatagramError(self._reason_undecodable(inner)) from None
         if datagram.version != VERSION:
-            raise DroppedDatagramError("another version")
+            raise DroppedDatagramError(DropReason.OTHER_VERSION)
         if datagram.cluster != self.cluster:
-            raise DroppedDatagramError("another cluster")
-        body = datagram.body
-        if isinstance(body, LoadSignal) and (
-            len(body.changed) % 3
-            or len(body.part) % 3
-            or len(body.passed) % 2
-            or len(body.reports) % 4
-            or body.base > body.version
-            or body.first > body.last
-        ):
-            raise DroppedDatagramError("nonsense")
+            raise DroppedDatagramError(DropReason.OTHER_CLUSTER)
+        if isinstance(datagram.body, LoadSignal) and not _is_consistent(datagram.body):
+            raise DroppedDatagramError(DropReason.MALFORMED)
         return datagram
 
-    def _why(self, data: bytes) -> str:
+    def _verified(self, data: bytes) -> bytes:
+        """Returns the encoded datagram whose checksum holds; raises DroppedDatagramError where it does not."""
+        try:
+            checksummed = self._decode_checksummed(data)
+        except DECODE_ERRORS:
+            raise DroppedDatagramError(DropReason.MALFORMED) from None
+        inner = bytes(checksummed.datagram)
+        if crc32(inner) != checksummed.checksum:
+            raise DroppedDatagramError(DropReason.CORRUPT)
+        return inner
+
+    def _reason_undecodable(self, data: bytes) -> DropReason:
         try:
-            head = self._head(data)
-        except (msgspec.DecodeError, msgspec.ValidationError, ValueError):
-            return "nonsense"
-        return "another version" if head.version != VERSION else "nonsense"
+            prefix = self._decode_prefix(data)
+        except DECODE_ERRORS:
+            return DropReason.MALFORMED
+        return DropReason.OTHER_VERSION if prefix.version != VERSION else DropReason.MALFORMED
+
+
+def _is_consistent(signal: LoadSignal) -> bool:
+    """Whether the lists hold complete entries and the ranges are not reversed."""
+    return not (
+        len(signal.changed) % 3
+        or len(signal.range_loads) % 3
+        or len(signal.ejected) % 2
+        or len(signal.reports) % 4
+        or signal.base_version > signal.version
+        or signal.range_first > signal.range_last
+    )
--- a/yarrowspindle/membership/failure_detector.py
+++ b/yarrowspindle/membership/failure_detector.py
@@ -1,7 +1,7 @@
-"""Who is probed when, by whom else, and when silence means an end: SWIM with Lifeguard's distrust of oneself. Pure.
+"""SWIM's failure detector with Lifeguard's local health: whom to probe, and when a suspicion becomes a death.
 
-A relay that stood still, or whose own probes fail though the helpers' way is open, probes more slowly and accuses
-later. A suspicion ends early only where others have it as well.
+A relay that was stalled, or whose probes fail although its helpers are reachable, probes more slowly and suspects
+later. A suspicion ends early only where several relays share it. Times are milliseconds of a monotonic clock.
 """
 
 from __future__ import annotations
@@ -10,21 +10,23 @@
 from dataclasses import dataclass, field
 from math import log, log10
 
-MAX_HEALTH = 4  # probes at the slowest five times as rare: trust is back within 8 s of answers
-HELPERS = 3
-MAX_SUSPICION = 3.0  # times the shortest suspicion, where nobody else shares it
-DIRECT_FRACTION = 0.4  # of a probe's time; the rest is for the helpers
-NACK_FRACTION = 0.36  # after which a helper says that it has no answer either: well within that rest
-STOOD_FRACTION = 0.5  # a beat that comes so late, in probe times: this relay stood still
+MAX_HEALTH_PENALTY = 4  # the probe interval grows up to (1 + this) times
+MAX_HELPERS = 3  # that are asked to ping on our behalf
+MAX_SUSPICION_MULTIPLE = 3.0  # of the shortest suspicion, where no other relay shares it
+DIRECT_PROBE_FRACTION = 0.4  # of the probe interval; the rest is for the helpers
+NACK_FRACTION = 0.36  # of the probe interval, after which a helper reports no answer: well within that rest
+STALL_FRACTION = 0.5  # of the probe interval: a probe timer later than this shows that the process was stalled
+STALL_PENALTY = 2
+GRACE_INTERVALS = 2.0  # probe intervals after a stall in which no member is suspected
 
 
 @dataclass(slots=True)
 class Probe:
-    """The one that is out."""
+    """The probe in progress. `helpers` were asked to ping the target, `nacks` of them reported no answer."""
 
-    name: str
+    target: str
     number: int
-    sent: float
+    sent_at: float
     answered: bool = False
     helpers: int = 0
     nacks: int = 0
@@ -32,101 +34,123 @@
 
 @dataclass(slots=True)
 class Suspicion:
+    """A suspicion of one incarnation of a member, and the relays that share it."""
+
     incarnation: int
-    turn: int
-    since: float
-    by: set[str] = field(default_factory=set)
+    refutations: int
+    started_at: float
+    suspected_by: set[str] = field(default_factory=set)
+
 
+class FailureDetector:
+    """The probe in progress, the suspicions, and this relay's local health.
 
-class Detector:
-    """`shuffle` puts a list in an order drawn at random."""
+    shuffle: puts a list in random order. health_penalty: 0 where this relay is healthy.
+    """
 
     def __init__(self, probe_ms: float, suspicion_ms: float, shuffle: Callable[[list[str]], None]) -> None:
-        self.probe_ms, self.suspicion_ms, self.shuffle = probe_ms, suspicion_ms, shuffle
-        self.health = 0  # 0: well
-        self.order: list[str] = []
+        self.probe_ms = probe_ms
+        self.suspicion_ms = suspicion_ms
+        self.shuffle = shuffle
+        self.health_penalty = 0
+        self.probe_order: list[str] = []
         self.probe: Probe | None = None
         self.suspicions: dict[str, Suspicion] = {}
-        self.trust_from = 0.0  # nobody is accused before this time
+        self.no_suspicions_until = 0.0
 
-    # --- oneself --------------------------------------------------------------------------------
+    # --- local health ---------------------------------------------------------------------------
 
-    def worse(self, by: int = 1) -> None:
-        self.health = min(MAX_HEALTH, max(0, self.health + by))
+    def adjust_health(self, penalty: int) -> None:
+        """Adds to the health penalty, within its limits."""
+        self.health_penalty = min(MAX_HEALTH_PENALTY, max(0, self.health_penalty + penalty))
 
     @property
-    def beat_ms(self) -> float:
-        return self.probe_ms * (1 + self.health)
+    def interval_ms(self) -> float:
+        """The time between probes at the current local health."""
+        return self.probe_ms * (1 + self.health_penalty)
 
     @property
-    def direct_ms(self) -> float:
-        return self.beat_ms * DIRECT_FRACTION
+    def direct_timeout_ms(self) -> float:
+        """The time for the answer to a direct ping, before helpers are asked."""
+        return self.interval_ms * DIRECT_PROBE_FRACTION
+
+    def detect_stall(self, delay_ms: float, now: float) -> bool:
+        """Returns whether a probe timer so late shows a stall of this process; if so, suspends suspicion for a while.
 
-    def stood(self, late_ms: float, now: float) -> bool:
-        """A beat came late by so much. What was waited for meanwhile is nobody's fault, and for a while the others'
-        answers may still lie in our own sockets."""
-        if late_ms < STOOD_FRACTION * self.probe_ms:
+        The answers expected meanwhile may still be in this process's socket buffers.
+        """
+        if delay_ms < STALL_FRACTION * self.probe_ms:
             return False
-        self.worse(2)
+        self.adjust_health(STALL_PENALTY)
         self.probe = None
-        self.trust_from = now + 2.0 * self.probe_ms
+        self.no_suspicions_until = now + GRACE_INTERVALS * self.probe_ms
         for suspicion in self.suspicions.values():
-            suspicion.since = min(now, suspicion.since + late_ms)
+            suspicion.started_at = min(now, suspicion.started_at + delay_ms)
         return True
 
     # --- probes ---------------------------------------------------------------------------------
 
-    def next(self, others: list[str]) -> str | None:
-        """Whom to probe: each in its turn, in an order drawn anew each round."""
-        there = set(others)
-        while self.order:
-            name = self.order.pop()
-            if name in there:
+    def next_target(self, peers: list[str]) -> str | None:
+        """Returns the peer to probe next: each once in a round, in an order drawn anew for each round."""
+        present = set(peers)
+        while self.probe_order:
+            name = self.probe_order.pop()
+            if name in present:
                 return name
-        self.order = list(others)
-        self.shuffle(self.order)
-        return self.order.pop() if self.order else None
+        self.probe_order = list(peers)
+        self.shuffle(self.probe_order)
+        return self.probe_order.pop() if self.probe_order else None
 
-    def judged(self, now: float) -> str | None:
-        """The end of a probe's time: who did not answer, unless we distrust ourselves more."""
+    def finish_probe(self, now: float) -> str | None:
+        """Ends the probe in progress; returns the target to suspect, if any, and adjusts the local health."""
         probe, self.probe = self.probe, None
         if probe is None:
             return None
         if probe.answered:
-            self.worse(-1)
+            self.adjust_health(-1)
             return None
-        # No word from some helpers either: perhaps nobody hears us.
-        self.worse(1 if not probe.helpers else max(0, probe.helpers - probe.nacks))
-        return probe.name if now >= self.trust_from else None
+        # Helpers that sent no nack may be unreachable: this relay itself may be at fault.
+        missing_nacks = max(0, probe.helpers - probe.nacks)
+        self.adjust_health(missing_nacks if probe.helpers else 1)
+        return probe.target if now >= self.no_suspicions_until else None
 
     # --- suspicions -----------------------------------------------------------------------------
 
-    def suspect(self, name: str, incarnation: int, turn: int, by: str, now: float) -> bool:
-        """One more holds it; whether that is news."""
+    def add_suspicion(self, name: str, incarnation: int, refutations: int, suspected_by: str, now: float) -> bool:
+        """Records that a relay suspects a member; returns whether that is new."""
         known = self.suspicions.get(name)
-        if known is None or (known.incarnation, known.turn) < (incarnation, turn):
-            known = self.suspicions[name] = Suspicion(incarnation, turn, now)
-        elif (known.incarnation, known.turn) > (incarnation, turn):
+        if known is None or (known.incarnation, known.refutations) < (incarnation, refutations):
+            known = self.suspicions[name] = Suspicion(incarnation, refutations, now)
+        elif (known.incarnation, known.refutations) > (incarnation, refutations):
             return False
-        if by in known.by or len(known.by) > HELPERS:
+        if suspected_by in known.suspected_by or len(known.suspected_by) > MAX_HELPERS:
             return False
-        known.by.add(by)
+        known.suspected_by.add(suspected_by)
         return True
 
-    def cleared(self, name: str) -> None:
+    def clear_suspicion(self, name: str) -> None:
+        """Removes the suspicion of a member, if there is one."""
         self.suspicions.pop(name, None)
 
-    def lasts_ms(self, suspicion: Suspicion, size: int) -> float:
-        """How long it lasts with as many as hold it: the shorter, the more of them."""
-        least = self.suspicion_ms * max(1.0, log10(max(size, 1)))
-        wanted = min(HELPERS, max(0, size - 2))
-        if not wanted:
-            return least
-        most = MAX_SUSPICION * least
-        return max(least, most - (most - least) * log(len(suspicion.by)) / log(wanted + 1)) if suspicion.by else most
-
-    def ended(self, size: int, now: float) -> list[str]:
-        """Whose suspicion has ended without an objection."""
-        if now < self.trust_from:
+    def suspicion_timeout_ms(self, suspicion: Suspicion, cluster_size: int) -> float:
+        """Returns how long a suspicion lasts: the more relays share it, the shorter."""
+        min_timeout = self.suspicion_ms * max(1.0, log10(max(cluster_size, 1)))
+        max_confirmations = min(MAX_HELPERS, max(0, cluster_size - 2))
+        if not max_confirmations:
+            return min_timeout
+        max_timeout = MAX_SUSPICION_MULTIPLE * min_timeout
+        if not suspicion.suspected_by:
+            return max_timeout
+        range_ms = max_timeout - min_timeout
+        reduction = range_ms * log(len(suspicion.suspected_by)) / log(max_confirmations + 1)
+        return max(min_timeout, max_timeout - reduction)
+
+    def expired_suspicions(self, cluster_size: int, now: float) -> list[str]:
+        """Returns the members whose suspicion ended without a refutation."""
+        if now < self.no_suspicions_until:
             return []
-        return [name for name, s in self.suspicions.items() if now >= s.since + self.lasts_ms(s, size)]
+        return [
+            name
+            for name, suspicion in self.suspicions.items()
+            if now >= suspicion.started_at + self.suspicion_timeout_ms(suspicion, cluster_size)
+        ]
--- /dev/null
+++ b/yarrowspindle/membership/local_load_log.py
@@ -0,0 +1,173 @@
+"""The load that this relay reports to its peers: what changed, in which signals, and all of it on request.
+
+A change is sent in several consecutive signals, as some may be lost. Every few signals a range of all loads goes
+along, so that the peers' views become right again in any case.
+"""
+
+from __future__ import annotations
+
+from collections import deque
+from collections.abc import Iterable
+from dataclasses import dataclass
+from itertools import islice
+from math import inf
+
+from yarrowspindle.membership.events import LocalLoad
+from yarrowspindle.membership.messages import LoadSignal
+
+MAX_FIGURE = (1 << 32) - 1
+MAX_ENTRIES = 50  # of three figures in a signal, so that its datagram stays within MAX_DATAGRAM_BYTES
+MAX_CHANGES_PER_VERSION = MAX_ENTRIES // 2
+MAX_REPORTS = 12  # in a signal; they and the ejections leave room for at least half of the entries
+MAX_EJECTED = 12  # in a signal
+TRANSMISSIONS = 3  # of a change
+MAX_PENDING_VERSIONS = 400
+RANGE_INTERVAL = 4  # signals between two ranges of all loads
+MIN_RANGE_ENTRIES = 8
+MAX_KEYS = 8192  # backends on which one relay may report load
+MIN_LOAD_CHANGE_FRACTION = 0.05  # a smaller change of the load alone is not sent
+MAX_REPORT_AGE_MS = 5000.0
+REPORT_TOLERANCE_MS = 1.0  # a report is newer only if it was made later by more than this
+NO_LOAD = (0, 0)
+
+
+@dataclass(slots=True)
+class VersionChanges:
+    """The backends whose load changed with a version, and how often that was sent."""
+
+    version: int
+    keys: list[int]
+    transmissions: int = 0
+
+
+class LocalLoadLog:
+    """This relay's load as last reported, and the changes that are still to be sent.
+
+    loads: connections and load by backend key. pending: the changes to be sent, oldest first.
+    """
+
+    def __init__(self) -> None:
+        self.loads: dict[int, tuple[int, int]] = {}
+        self.version = 0
+        self.pending: deque[VersionChanges] = deque()
+        self._signals = 0
+        self._range_start = 0
+        self._reports_sent: dict[int, float] = {}  # by backend key: when the report sent last was made
+
+    def next_signal(self, local_load: LocalLoad, now: float, transmissions: int = TRANSMISSIONS) -> LoadSignal:
+        """Returns the next signal, with each change sent so many times as long as newer ones leave room.
+
+        All of it fits into one datagram, so that no part can overtake another; what does not fit goes with the next.
+        """
+        self._signals += 1
+        self._record(self._update_loads(local_load))
+        ejected = [
+            figure
+            for key, remaining_ms in islice(local_load.ejected.items(), MAX_EJECTED)
+            for figure in (key, to_figure(remaining_ms))
+        ]
+        reports = self._new_reports(local_load, now)
+        max_entries = MAX_ENTRIES - len(ejected) // 3 - len(reports) // 3
+        self._discard_pending(transmissions, max_entries)
+        base_version = self.pending[0].version - 1 if self.pending else self.version
+        version, keys = self._select_changes(base_version, max_entries)
+        range_first, range_last, range_loads = 0, 0, list[int]()
+        if self._signals % RANGE_INTERVAL == 0:
+            range_first, range_last, range_loads = self._next_range(max(max_entries - len(keys), MIN_RANGE_ENTRIES))
+        changed = self._entries(keys)
+        return LoadSignal(base_version, version, changed, range_first, range_last, range_loads, ejected, reports)
+
+    def full_signals(self) -> list[LoadSignal]:
+        """Returns all loads, in signals that each cover a range of backend keys."""
+        keys = sorted(self.loads)
+        signals = list[LoadSignal]()
+        first = 0
+        for start in range(0, max(len(keys), 1), MAX_ENTRIES):
+            range_keys = keys[start : start + MAX_ENTRIES]
+            last = range_keys[-1] if start + MAX_ENTRIES < len(keys) else MAX_FIGURE
+            signals.append(LoadSignal(0, self.version, [], first, last, self._entries(range_keys)))
+            first = last + 1
+        return signals
+
+    def _update_loads(self, local_load: LocalLoad) -> list[int]:
+        """Takes over the current load; returns the backends where it changed noticeably."""
+        loads = self.loads
+        changed = []
+        for key, (connections, load) in islice(local_load.loads.items(), MAX_KEYS):
+            current = (to_figure(connections), to_figure(load))
+            previous = loads.get(key)
+            if previous is None or _differs(previous, current):
+                loads[key] = current
+                changed.append(key)
+        for key in [key for key in loads if key not in local_load.loads]:
+            del loads[key]
+            changed.append(key)
+        return changed
+
+    def _record(self, changed: list[int]) -> None:
+        for start in range(0, len(changed), MAX_CHANGES_PER_VERSION):
+            self.version += 1
+            self.pending.append(VersionChanges(self.version, changed[start : start + MAX_CHANGES_PER_VERSION]))
+
+    def _new_reports(self, local_load: LocalLoad, now: float) -> list[int]:
+        """Returns the recent load reports that were not sent yet, as entries of four figures."""
+        entries = list[int]()
+        for key, (utilization, connections, age_ms) in local_load.reports.items():
+            last_sent = self._reports_sent.get(key, -inf)
+            is_new = age_ms < MAX_REPORT_AGE_MS and now - age_ms > last_sent + REPORT_TOLERANCE_MS
+            if is_new and len(entries) < 4 * MAX_REPORTS:
+                self._reports_sent[key] = now - age_ms
+                entries += [key, to_figure(1000.0 * utilization), to_figure(connections), to_figure(age_ms)]
+        if len(self._reports_sent) > MAX_KEYS:
+            self._reports_sent.clear()
+        return entries
+
+    def _discard_pending(self, transmissions: int, max_entries: int) -> None:
+        """Removes what was sent often enough, and the oldest where there is no room.
+
+        A peer that misses a version discarded unsent requests all loads.
+        """
+        pending = self.pending
+        while len(pending) > MAX_PENDING_VERSIONS:
+            pending.popleft()
+        while pending and pending[0].transmissions >= transmissions:
+            pending.popleft()
+        while pending and pending[0].transmissions and sum(len(changes.keys) for changes in pending) > max_entries:
+            pending.popleft()
+
+    def _select_changes(self, base_version: int, max_entries: int) -> tuple[int, dict[int, None]]:
+        """Returns the version up to which the changes fit, and their backend keys in order."""
+        version = base_version
+        keys = dict[int, None]()
+        for changes in self.pending:
+            new_keys = [key for key in changes.keys if key not in keys]
+            if keys and len(keys) + len(new_keys) > max_entries:
+                break
+            keys |= dict.fromkeys(new_keys)
+            changes.transmissions += 1
+            version = changes.version
+        return version, keys
+
+    def _next_range(self, max_entries: int) -> tuple[int, int, list[int]]:
+        """Returns the first and last key of the next range of all loads, and its entries."""
+        if self._range_start > MAX_FIGURE:
+            self._range_start = 0
+        first = self._range_start
+        keys = sorted(key for key in self.loads if key >= first)
+        last = keys[max_entries - 1] if len(keys) > max_entries else MAX_FIGURE
+        self._range_start = last + 1
+        return first, last, self._entries(keys[:max_entries])
+
+    def _entries(self, keys: Iterable[int]) -> list[int]:
+        return [figure for key in keys for figure in (key, *self.loads.get(key, NO_LOAD))]
+
+
+def to_figure(value: float) -> int:
+    """Returns the value rounded to an integer that the wire format can hold."""
+    return min(max(int(value + 0.5), 0), MAX_FIGURE)
+
+
+def _differs(previous: tuple[int, int], current: tuple[int, int]) -> bool:
+    if previous[0] != current[0]:
+        return True
+    return abs(previous[1] - current[1]) > MIN_LOAD_CHANGE_FRACTION * max(previous[1], current[1])
--- a/yarrowspindle/membership/members.py
+++ b/yarrowspindle/membership/members.py
@@ -1,10 +1,10 @@
-"""The table of members: who is there, by SWIM's rules of precedence, and the rumours that spread it. Pure.
+"""The table of members, by SWIM's rules of precedence, and the updates that spread it by gossip.
 
-Rules, each guarded by a test in tests/membership/test_members.py:
-1. Of two words on one name the one with the later (life, turn) holds; of equal ones the graver state does.
-2. Only a member itself raises its turn, so nobody can be brought back to life by an old word.
-3. A life that left never returns. One that was declared dead returns only by a later turn, which it alone can raise.
-4. No wall clock decides: a process whose life number turns out to be too low takes a higher one.
+The rules, each held by a test in tests/membership/test_members.py:
+1. Of two updates on one member, the one with the later (incarnation, refutations, state) wins.
+2. Only the member itself raises its refutations, so that an old update cannot bring it back.
+3. An incarnation that left never returns. A dead one returns only by a further refutation.
+4. No wall clock decides: a process whose incarnation turns out to be too low takes a higher one.
 """
 
 from __future__ import annotations
@@ -14,197 +14,243 @@
 from hashlib import blake2b
 from math import ceil, log2
 
-from yarrowspindle.membership.codec import ALIVE, DEAD, LEFT, STATES, SUSPECT, MembershipUpdate
+from yarrowspindle.membership.messages import MAX_UPDATES_PER_DATAGRAM, MembershipUpdate, MemberState
 from yarrowspindle.routing.address import Address
 
-MAX_MEMBERS = 4096  # names remembered, those of the dead included
-RETOLD = 3.0  # times log2 of the members that a rumour is told
+MAX_MEMBERS = 4096  # names remembered, those of dead members included
+RETRANSMIT_MULTIPLE = 3.0  # times log2 of the cluster's size that an update is sent
+VIEW_DIGEST_BYTES = 6
+MAX_UPDATE_OVERHEAD_BYTES = 36  # of an encoded update, beside its texts
 
 
 @dataclass(slots=True)
 class Member:
+    """What this relay knows of a member. Times are in milliseconds of this relay's clock.
+
+    state_since: when the state was set. last_heard: when the member itself last sent a datagram, -1 for never.
+    """
+
     name: str
     address: Address
     incarnation: int
-    turn: int
-    state: int
-    since: float  # of the state
-    heard: float = -1.0  # when it last said anything itself
+    refutations: int
+    state: MemberState
+    state_since: float
+    last_heard: float = -1.0
 
     @property
-    def here(self) -> bool:
-        return self.state <= SUSPECT
+    def present(self) -> bool:
+        """Whether the member is in the cluster; a suspected one still is."""
+        return self.state <= MemberState.SUSPECT
 
-    def rumour(self, by: str = "") -> MembershipUpdate:
-        return MembershipUpdate(self.name, *self.address, self.incarnation, self.turn, self.state, by)
+    def to_update(self, suspected_by: str = "") -> MembershipUpdate:
+        """Returns the member's entry as an update to send."""
+        return MembershipUpdate(self.name, *self.address, self.incarnation, self.refutations, self.state, suspected_by)
 
 
 @dataclass(slots=True, frozen=True)
-class Change:
-    """A member's state after a word on it; `was`: the state before, None where it was not known."""
+class MemberChange:
+    """A member after an update changed it. `previous_state` is None where the member was not known."""
 
     member: Member
-    was: int | None
+    previous_state: MemberState | None
     new_incarnation: bool = False
 
+    @property
+    def was_present(self) -> bool:
+        """Whether the member was in the cluster before the change."""
+        return self.previous_state is not None and self.previous_state <= MemberState.SUSPECT
+
 
 class Members:
+    """The members by name, this relay included, and the updates still to be spread.
+
+    displaced: a later process at another address has this relay's name.
+    """
+
     def __init__(self, name: str, address: Address, incarnation: int, now: float) -> None:
-        self.me = Member(name, address, incarnation, 0, ALIVE, now, now)
-        self.table: dict[str, Member] = {name: self.me}
-        self.rumours: dict[str, tuple[MembershipUpdate, int]] = {}  # newest last; how often each was told
-        self.displaced = False  # another process took this name
-        self._view: int | None = None
+        self.local = Member(name, address, incarnation, 0, MemberState.ALIVE, now, now)
+        self.table: dict[str, Member] = {name: self.local}
+        self.updates: dict[str, tuple[MembershipUpdate, int]] = {}  # newest last, with the number of transmissions
+        self.displaced = False
+        self._view_digest: int | None = None
         self._size = 1
         self._names: list[str] | None = None
 
-    # --- reading --------------------------------------------------------------------------------
+    # --- queries --------------------------------------------------------------------------------
 
     def __iter__(self) -> Iterator[Member]:
         return iter(self.table.values())
 
     @property
     def size(self) -> int:
-        """Members that are there, this one included."""
+        """The number of members that are present, this relay included."""
         return self._size
 
     @property
     def names(self) -> list[str]:
-        """Of those that are there, in order."""
+        """The sorted names of the members that are present."""
         if self._names is None:
-            self._names = sorted(m.name for m in self.table.values() if m.here)
+            self._names = sorted(member.name for member in self.table.values() if member.present)
         return self._names
 
     @property
-    def view(self) -> int:
-        """A digest of who is there in which life; equal at all who agree."""
-        if self._view is None:
-            text = ";".join(
-                f"{m.name},{m.incarnation}" for m in sorted(self.table.values(), key=lambda m: m.name) if m.here
-            )
-            self._view = int.from_bytes(blake2b(text.encode(), digest_size=6).digest(), "big")
-        return self._view
-
-    # --- words ----------------------------------------------------------------------------------
-
-    def told(self, word: MembershipUpdate, now: float) -> Change | None:
-        """A word on a member, from whomever; the change that it made, if any. What changed is told on."""
-        if word.name == self.me.name:
-            return self._told_of_me(word, now)
-        known = self.table.get(word.name)
+    def view_digest(self) -> int:
+        """A digest of the members that are present and their incarnations; equal at relays that agree."""
+        if self._view_digest is None:
+            members = sorted(self.table.values(), key=lambda member: member.name)
+            text = ";".join(f"{member.name},{member.incarnation}" for member in members if member.present)
+            digest = blake2b(text.encode(), digest_size=VIEW_DIGEST_BYTES).digest()
+            self._view_digest = int.from_bytes(digest, "big")
+        return self._view_digest
+
+    def describe(self) -> str:
+        """Returns the number of members in each state, for the log."""
+        counts = dict.fromkeys(MemberState, 0)
+        for member in self.table.values():
+            counts[member.state] += 1
+        return ", ".join(f"{count} {state.label}" for state, count in counts.items() if count)
+
+    # --- updates --------------------------------------------------------------------------------
+
+    def apply(self, update: MembershipUpdate, now: float) -> MemberChange | None:
+        """Applies an update from any relay; returns the change it made, if any. What changed is spread further."""
+        if update.name == self.local.name:
+            return self._apply_to_local(update, now)
+        known = self.table.get(update.name)
         if known is None:
-            if word.state in (DEAD, LEFT) or not self._room():
-                return None  # of whom nothing is known nothing ends; the dead are not passed on for ever
-            member = Member(word.name, (word.host, word.port), word.incarnation, word.turn, word.state, now)
-            self.table[word.name] = member
-            return self._changed(member, None, word)
-        if (word.incarnation, word.turn, word.state) <= (known.incarnation, known.turn, known.state):
-            return None
-        if word.incarnation == known.incarnation and known.state == LEFT:
-            return None  # it said itself that it ends: no word of that life counts any more
-        was, new_incarnation = known.state, word.incarnation > known.incarnation
-        known.address = (word.host, word.port)
-        known.incarnation, known.turn, known.state, known.since = word.incarnation, word.turn, word.state, now
-        return self._changed(known, was, word, new_incarnation)
-
-    def _told_of_me(self, word: MembershipUpdate, now: float) -> Change | None:
-        me = self.me
-        if (
-            word.incarnation < me.incarnation
-            or self.displaced
-            and (word.state <= SUSPECT or word.incarnation == me.incarnation)
+            return self._add(update, now)
+        if (update.incarnation, update.refutations, update.state) <= (
+            known.incarnation,
+            known.refutations,
+            known.state,
         ):
             return None
-        self.displaced = False  # at the most until the process that took this name has ended
-        if word.incarnation > me.incarnation and (word.host, word.port) != me.address and word.state <= SUSPECT:
-            self.displaced = True  # a later process elsewhere has this name: it is not disputed for ever
+        if update.incarnation == known.incarnation and known.state == MemberState.LEFT:
             return None
-        if word.incarnation > me.incarnation:
-            # Our own earlier life by a clock that was ahead (or its end): this one is later all the same.
-            me.incarnation, me.turn = word.incarnation + 1, 0
-            self._view = None
-        elif word.state == ALIVE or word.turn < me.turn:
+        previous_state = known.state
+        new_incarnation = update.incarnation > known.incarnation
+        known.address = (update.host, update.port)
+        known.incarnation = update.incarnation
+        known.refutations = update.refutations
+        known.state = update.state
+        known.state_since = now
+        return self._changed(known, previous_state, update, new_incarnation)
+
+    def apply_own_finding(self, name: str, state: MemberState, now: float) -> MemberChange | None:
+        """Applies the state that this relay itself found a member to be in."""
+        member = self.table.get(name)
+        if member is None or member is self.local:
             return None
-        else:
-            me.turn = word.turn + 1  # refuted
-        self.spread(me.rumour())
-        return Change(me, word.state)
-
-    def refute(self) -> None:
-        """A word of oneself that the others are behind on."""
-        self.me.turn += 1
-        self.spread(self.me.rumour())
+        update = MembershipUpdate(name, *member.address, member.incarnation, member.refutations, state, self.local.name)
+        return self.apply(update, now)
 
     def leave(self, now: float) -> None:
-        self.me.state, self.me.since = LEFT, now
-        self.spread(self.me.rumour())
+        """Marks this relay as having left, and spreads that."""
+        self.local.state = MemberState.LEFT
+        self.local.state_since = now
+        self.spread(self.local.to_update())
 
-    def judge(self, name: str, state: int, now: float) -> Change | None:
-        """What this relay itself found of a member."""
-        member = self.table.get(name)
-        if member is None or member is self.me:
+    def forget(self, before: float) -> None:
+        """Removes the members that ended before this time."""
+        for name in [m.name for m in self.table.values() if not m.present and m.state_since < before]:
+            self._remove(name)
+
+    def _add(self, update: MembershipUpdate, now: float) -> MemberChange | None:
+        # An update on the end of an unknown member is not spread: it would circulate for ever.
+        if update.state in (MemberState.DEAD, MemberState.LEFT) or not self._make_room():
+            return None
+        address = (update.host, update.port)
+        member = Member(update.name, address, update.incarnation, update.refutations, update.state, now)
+        self.table[update.name] = member
+        return self._changed(member, None, update)
+
+    def _apply_to_local(self, update: MembershipUpdate, now: float) -> MemberChange | None:
+        local = self.local
+        claims_present = update.state <= MemberState.SUSPECT
+        if update.incarnation < local.incarnation:
+            return None
+        if self.displaced and (claims_present or update.incarnation == local.incarnation):
             return None
-        return self.told(
-            MembershipUpdate(name, *member.address, member.incarnation, member.turn, state, self.me.name), now
-        )
+        self.displaced = False
+        if update.incarnation > local.incarnation:
+            if claims_present and (update.host, update.port) != local.address:
+                # A later process at another address has this name; the name is not disputed until it has ended.
+                self.displaced = True
+                return None
+            # An earlier process of this relay, whose clock was ahead: this process is the later one all the same.
+            local.incarnation = update.incarnation + 1
+            local.refutations = 0
+            self._view_digest = None
+        elif update.state == MemberState.ALIVE or update.refutations < local.refutations:
+            return None
+        else:
+            local.refutations = update.refutations + 1
+        self.spread(local.to_update())
+        return MemberChange(local, update.state)
 
-    def _room(self) -> bool:
+    def _make_room(self) -> bool:
+        """Removes the member that ended first where the table is full; returns whether one more member fits."""
         if len(self.table) < MAX_MEMBERS:
             return True
-        gone = min((m for m in self.table.values() if not m.here), key=lambda m: m.since, default=None)
-        if gone is not None:
-            del self.table[gone.name]
-            self.rumours.pop(gone.name, None)
-        return gone is not None
+        ended = (member for member in self.table.values() if not member.present)
+        first_ended = min(ended, key=lambda member: member.state_since, default=None)
+        if first_ended is None:
+            return False
+        self._remove(first_ended.name)
+        return True
 
-    def forget(self, before: float) -> None:
-        """Those that have ended before this time."""
-        for name in [m.name for m in self.table.values() if not m.here and m.since < before]:
-            del self.table[name]
-            self.rumours.pop(name, None)
+    def _remove(self, name: str) -> None:
+        del self.table[name]
+        self.updates.pop(name, None)
 
     def _changed(
-        self, member: Member, was: int | None, word: MembershipUpdate, new_incarnation: bool = False
-    ) -> Change:
-        here = was is not None and was <= SUSPECT
-        if here != member.here or new_incarnation:
-            self._size += member.here - here
-            self._view = self._names = None
-        self.spread(word)
-        return Change(member, was, new_incarnation)
-
-    # --- rumours --------------------------------------------------------------------------------
-
-    def spread(self, word: MembershipUpdate) -> None:
-        self.rumours.pop(word.name, None)
-        self.rumours[word.name] = (word, 0)
-
-    def take_rumours(self, room: int, first: str = "") -> list[MembershipUpdate]:
-        """Those told least, newest first, that fit into so many bytes; `first`: what is said of this member goes
-        before."""
-        if not self.rumours:
+        self,
+        member: Member,
+        previous_state: MemberState | None,
+        update: MembershipUpdate,
+        new_incarnation: bool = False,
+    ) -> MemberChange:
+        change = MemberChange(member, previous_state, new_incarnation)
+        was_present = change.was_present
+        if was_present != member.present or new_incarnation:
+            self._size += member.present - was_present
+            self._view_digest = None
+            self._names = None
+        self.spread(update)
+        return change
+
+    # --- gossip ---------------------------------------------------------------------------------
+
+    def spread(self, update: MembershipUpdate) -> None:
+        """Queues an update to be sent with the next datagrams, in place of an earlier one on the same member."""
+        self.updates.pop(update.name, None)
+        self.updates[update.name] = (update, 0)
+
+    def take_updates(self, max_bytes: int, first: str = "") -> list[MembershipUpdate]:
+        """Returns the updates for one datagram: the least transmitted and newest that fit into so many bytes.
+
+        An update on the member named `first` goes before all others.
+        """
+        if not self.updates:
             return []
-        most = ceil(RETOLD * log2(self.size + 2))
-        order = sorted(reversed(self.rumours.items()), key=lambda item: (item[0] != first, item[1][1]))
+        max_transmissions = ceil(RETRANSMIT_MULTIPLE * log2(self.size + 2))
+        order = sorted(reversed(self.updates.items()), key=lambda item: (item[0] != first, item[1][1]))
         taken = list[MembershipUpdate]()
-        for name, (word, times) in order:
-            room -= rumour_bytes(word)
-            if room < 0 or len(taken) == 64:
+        for name, (update, transmissions) in order:
+            max_bytes -= max_update_bytes(update)
+            if max_bytes < 0 or len(taken) == MAX_UPDATES_PER_DATAGRAM:
                 break
-            taken.append(word)
-            if times + 1 >= most:
-                del self.rumours[name]
+            taken.append(update)
+            if transmissions + 1 >= max_transmissions:
+                del self.updates[name]
             else:
-                self.rumours[name] = (word, times + 1)
+                self.updates[name] = (update, transmissions + 1)
         return taken
 
-    def describe(self) -> str:
-        states = [0] * len(STATES)
-        for member in self.table.values():
-            states[member.state] += 1
-        return ", ".join(f"{count} {state}" for count, state in zip(states, STATES, strict=True) if count)
-
 
-def rumour_bytes(word: MembershipUpdate) -> int:
-    """At the most, in MessagePack."""
-    return 36 + len(word.name.encode()) + len(word.host) + len(word.by.encode())
+def max_update_bytes(update: MembershipUpdate) -> int:
+    """Returns the most bytes that the update takes in MessagePack."""
+    name_bytes = len(update.name.encode())
+    suspected_by_bytes = len(update.suspected_by.encode())
+    return MAX_UPDATE_OVERHEAD_BYTES + name_bytes + len(update.host) + suspected_by_bytes
--- a/yarrowspindle/membership/messages.py
+++ b/yarrowspindle/membership/messages.py
@@ -1,100 +1,170 @@
-"""What the core of peers is told and what it asks for. Times are milliseconds of a clock that only goes on."""
+"""The messages between relays: plain structs, encoded as MessagePack arrays.
+
+The order of the fields is the wire format; their names are not sent.
+"""
 
 from __future__ import annotations
 
-from dataclasses import dataclass, field
+from enum import IntEnum
+from typing import Annotated
+
+import msgspec
+from msgspec import Meta, Struct
 
-from yarrowspindle.decisions.events import PeerLoads
+from yarrowspindle.membership.settings import MAX_NAME_BYTES
 from yarrowspindle.routing.address import Address
 
-# --- events -------------------------------------------------------------------------------------
+VERSION = 1
+MAX_DATAGRAM_BYTES = 1200
+MAX_UPDATES_PER_DATAGRAM = 64
 
+Name = Annotated[str, Meta(min_length=1, max_length=MAX_NAME_BYTES)]
+Host = Annotated[str, Meta(max_length=15, pattern=r"^[0-9]{1,3}(\.[0-9]{1,3}){3}$")]
+Port = Annotated[int, Meta(ge=1, le=65_535)]
+Number = Annotated[int, Meta(ge=0, lt=1 << 53)]
+FlatEntries = Annotated[list[Annotated[int, Meta(ge=0, lt=1 << 32)]], Meta(max_length=1200)]
 
-@dataclass(slots=True)
-class DatagramReceived:
-    """A datagram; `source`: where it seems to come from, used for nothing but a bound on floods."""
 
-    data: bytes
-    source: Address
+class MemberState(IntEnum):
+    """The state of a member. Of two updates with the same incarnation and refutations the greater state wins."""
 
+    ALIVE = 0
+    SUSPECT = 1
+    DEAD = 2
+    LEFT = 3
 
-@dataclass(slots=True)
-class TimerFired:
-    """due: when it should have been; a relay that stood still finds out by it."""
+    @property
+    def label(self) -> str:
+        """The state's name in metrics and log lines."""
+        return self.name.lower()
 
-    what: object
-    due: float
 
+class MembershipUpdate(Struct, array_like=True, frozen=True):
+    """One relay's view of a member, spread by gossip.
 
-@dataclass(slots=True)
-class LocalLoad:
-    """What this relay holds now: node key -> connections, load. Nodes with nothing are left out.
+    incarnation: of the member's process. refutations: how often the member has refuted within this incarnation; only
+    the member itself raises it. suspected_by: the relay that suspects it, of a suspicion.
+    """
 
-    passed: node key -> milliseconds for which it is still passed over as failing.
-    reports: newest load reports that this relay itself was told: node key -> use, connections, age in milliseconds."""
+    name: Name
+    host: Host
+    port: Port
+    incarnation: Number
+    refutations: Number
+    state: MemberState
+    suspected_by: Annotated[str, Meta(max_length=MAX_NAME_BYTES)] = ""
 
-    holds: dict[int, tuple[int, float]]
-    passed: dict[int, float] = field(default_factory=dict)
-    reports: dict[int, tuple[float, float, float]] = field(default_factory=dict)
 
+class Ping(Struct, array_like=True, tag=1, frozen=True):
+    """A probe of `target`. A relay of another name that listens at its address must not acknowledge it.
 
-@dataclass(slots=True)
-class LeaveCluster:
-    """This relay ends in good order."""
+    view_digest: of the sender's members, so that a difference shows.
+    """
 
+    number: Number
+    target: Name
+    view_digest: Number
 
-@dataclass(slots=True)
-class SendPayload:
-    """To be sent to the relay of this name, if its address is known, in a datagram of its own."""
 
-    to: str
-    data: bytes
+class Ack(Struct, array_like=True, tag=2, frozen=True):
+    """The answer to a ping. `responder` is the probed member, also where a helper forwards the answer."""
 
+    number: Number
+    view_digest: Number
+    responder: Name
 
-Event = DatagramReceived | TimerFired | LocalLoad | LeaveCluster | SendPayload
 
+class PingRequest(Struct, array_like=True, tag=3, frozen=True):
+    """Asks a helper to ping `target` on behalf of the sender; answered by `Ack` or `Nack`."""
 
-# --- effects ------------------------------------------------------------------------------------
+    number: Number
+    target: Name
+    host: Host
+    port: Port
 
 
-@dataclass(slots=True)
-class SendDatagram:
-    to: Address
-    data: bytes
+class Nack(Struct, array_like=True, tag=4, frozen=True):
+    """The helper has no answer from the target either; it shows that the path to the helper works."""
+
+    number: Number
+
+
+class SyncRequest(Struct, array_like=True, tag=5, frozen=True):
+    """Carries membership updates only.
+
+    wants_table: the sender's whole table is in this datagram and those that follow, and it asks for the receiver's.
+    """
 
+    wants_table: bool = False
 
-@dataclass(slots=True)
-class SetTimer:
-    delay_ms: float
-    what: object
 
+class LoadSignal(Struct, array_like=True, tag=6, frozen=True):
+    """The load that the sender places on the backends, in absolute figures.
 
-@dataclass(slots=True)
-class SampleLocalLoad:
-    """Say what this relay holds now: an `Own` is wanted at once."""
+    base_version, version: `changed` holds every backend whose load changed after the first, up to the second.
+    changed, range_loads: three figures each: backend key, connections, load.
+    range_first, range_last: `range_loads` is all the load on backends with keys in this inclusive range.
+    ejected: two figures each: backend key, milliseconds for which the sender still ejects it.
+    reports: four figures each: backend key, utilization in thousandths, connections, age in milliseconds.
+    """
 
+    base_version: Number
+    version: Number
+    changed: FlatEntries
+    range_first: Number = 0
+    range_last: Number = 0
+    range_loads: FlatEntries = []
+    ejected: FlatEntries = []
+    reports: FlatEntries = []
 
-@dataclass(slots=True)
-class PeerLoadsUpdated:
-    """What the others hold, as far as it changed since the last time: for the module, as it is."""
 
-    others: PeerLoads
+class FullLoadRequest(Struct, array_like=True, tag=7, frozen=True):
+    """Some load signals were lost: asks for all of the receiver's load."""
 
 
-@dataclass(slots=True)
-class PayloadReceived:
-    """What another relay had carried to us."""
+class Payload(Struct, array_like=True, tag=8, frozen=True):
+    """Data of another subsystem, sent from one relay to another; limited by the size of a datagram."""
 
-    name: str
     data: bytes
 
 
-@dataclass(slots=True)
-class LogMessage:
-    """For the log; `bounded`: strangers can cause it."""
+Body = Ping | Ack | PingRequest | Nack | SyncRequest | LoadSignal | FullLoadRequest | Payload
+
+
+class Datagram(Struct, array_like=True, frozen=True):
+    """A message with its sender. `sent_at` is in milliseconds of the sender's monotonic clock."""
+
+    version: int
+    cluster: Annotated[str, Meta(max_length=MAX_NAME_BYTES)]
+    name: Name
+    host: Host
+    port: Port
+    incarnation: Number
+    refutations: Number
+    sent_at: Number
+    body: Body
+    updates: Annotated[list[MembershipUpdate], Meta(max_length=MAX_UPDATES_PER_DATAGRAM)] = []
+
+    @property
+    def address(self) -> Address:
+        """The address that the sender advertises."""
+        return self.host, self.port
+
+    @property
+    def sender_update(self) -> MembershipUpdate:
+        """The sender's claim that it is alive."""
+        return MembershipUpdate(self.name, self.host, self.port, self.incarnation, self.refutations, MemberState.ALIVE)
+
+
+class ChecksummedDatagram(Struct, array_like=True, frozen=True):
+    """An encoded datagram with its CRC-32: UDP's own checksum does not catch all corruption on the way."""
+
+    checksum: Annotated[int, Meta(ge=0, lt=1 << 32)]
+    datagram: msgspec.Raw
 
-    text: str
-    bounded: bool = False
 
+class DatagramPrefix(Struct, array_like=True, frozen=True):
+    """The first fields of a datagram of any version."""
 
-Effect = SendDatagram | SetTimer | SampleLocalLoad | PeerLoadsUpdated | PayloadReceived | LogMessage
+    version: int
+    cluster: str
--- a/yarrowspindle/membership/settings.py
+++ b/yarrowspindle/membership/settings.py
@@ -1,4 +1,4 @@
-"""What operators may set of peers, with checks that name the wrong key."""
+"""The operator's settings of membership, with errors that name the wrong key."""
 
 from __future__ import annotations
 
@@ -10,25 +10,27 @@
 from yarrowspindle.protocol.endpoint_list import ListError, parse_address
 from yarrowspindle.routing.address import Address
 
-MAX_NAME = 64
+MAX_NAME_BYTES = 64
 MAX_SEEDS = 64
 
 
 class PeerError(ValueError):
-    """A key is unknown, or its value makes no sense; the text names the key and what is allowed."""
+    """A key is unknown or its value is not allowed; the text names the key and what is allowed."""
 
 
 @dataclass(slots=True, frozen=True)
 class PeerSettings:
-    """listen: where this relay hears the others, an IPv4 address and port over UDP.
-    advertise: where the others reach it; `listen` where that is left out.
-    seeds: addresses of some relays, by which a new one finds the others; its own may be among them.
-    cluster: relays of other clusters are not heard.
-    name: this relay's name among the others; the configuration's where it is left out.
-    probe_s: one other relay is probed this often.
-    suspicion_s: a relay that does not answer is held to have ended after so long at the soonest, unless it objects.
-    signal_s: what this relay holds is told this often at the most.
-    bytes_per_s: what is sent in all; with many relays signals are sent less often for it.
+    """The table `[peers]` of the configuration file. Durations are in seconds.
+
+    listen: the IPv4 address and UDP port on which this relay receives its peers' datagrams.
+    advertise: the address by which peers reach it; by default `listen`.
+    seeds: addresses of some relays by which a new one joins; its own may be among them.
+    cluster: datagrams of relays in other clusters are dropped.
+    name: this relay's name in the cluster; by default the configuration's.
+    probe_s: the interval between probes of one peer each.
+    suspicion_s: the shortest time between a suspicion and the death of a peer that does not refute it.
+    signal_s: the shortest interval between load signals.
+    bytes_per_s: the limit on load signals in all; with many relays they are sent less often.
     forget_s: how long a relay that has ended is remembered.
     """
 
@@ -44,25 +46,26 @@
     forget_s: float = 60.0
 
     def __post_init__(self) -> None:
-        for key, (least, most) in RANGES.items():
+        for key, (minimum, maximum) in ALLOWED_RANGES.items():
             value = getattr(self, key)
-            if isinstance(value, bool) or not isinstance(value, int | float) or not least <= value <= most:
-                raise PeerError(f"peers.{key} is {value!r}: a number from {least:g} to {most:g} is wanted")
+            if isinstance(value, bool) or not isinstance(value, int | float) or not minimum <= value <= maximum:
+                raise PeerError(f"peers.{key} is {value!r}: a number from {minimum:g} to {maximum:g} is wanted")
         for key in ("cluster", "name"):
             value = getattr(self, key)
-            if not isinstance(value, str) or len(value.encode()) > MAX_NAME or (key == "cluster" and not value):
-                raise PeerError(f"peers.{key} is {value!r}: a text of at most {MAX_NAME} bytes is wanted")
+            if not isinstance(value, str) or len(value.encode()) > MAX_NAME_BYTES or (key == "cluster" and not value):
+                raise PeerError(f"peers.{key} is {value!r}: a text of at most {MAX_NAME_BYTES} bytes is wanted")
         if len(self.seeds) > MAX_SEEDS:
             raise PeerError(f"peers.seeds names {len(self.seeds)} addresses: {MAX_SEEDS} at most")
         if self.forget_s < 4.0 * self.suspicion_s:
             raise PeerError("peers.forget_s must be at least four times peers.suspicion_s")
 
     @property
-    def reached_at(self) -> Address:
+    def advertised_address(self) -> Address:
+        """The address by which peers reach this relay."""
         return self.advertise or self.listen
 
 
-RANGES: dict[str, tuple[float, float]] = {
+ALLOWED_RANGES: dict[str, tuple[float, float]] = {
     "probe_s": (0.05, 60.0),
     "suspicion_s": (0.1, 600.0),
     "signal_s": (0.05, 60.0),
@@ -72,7 +75,7 @@
 
 
 def read_address(key: str, value: object) -> Address:
-    """An IPv4 address with a port that can be sent to."""
+    """Returns the IPv4 address and port; raises PeerError where the value is not one."""
     try:
         if not isinstance(value, str):
             raise ListError("no text")
@@ -86,12 +89,13 @@
 
 
 def read_peers(section: Mapping[str, Any]) -> PeerSettings:
-    """The settings from the operator's `[peers]`; raises PeerError."""
-    known = [f.name for f in fields(PeerSettings)]
+    """Returns the settings in the table `[peers]`; raises PeerError where a key or value is wrong."""
+    known = [field.name for field in fields(PeerSettings)]
     values = dict(section)
     for key in values.keys() - set(known):
-        near = get_close_matches(key, known, 1)
-        raise PeerError(f"peers.{key} is not known" + (f"; {near[0]} is" if near else ""))
+        similar = get_close_matches(key, known, 1)
+        hint = f"; {similar[0]} is" if similar else ""
+        raise PeerError(f"peers.{key} is not known{hint}")
     if "listen" not in values:
         raise PeerError("peers.listen is missing: where this relay hears the others")
     for key in ("listen", "advertise"):
--- a/yarrowspindle/runtime/membership_driver.py
+++ b/yarrowspindle/runtime/membership_driver.py
@@ -1,6 +1,7 @@
-"""Drives the core of peers: its effects carried out, its own wakes with the time at which they were due.
+"""Drives the membership core: carries out its effects and posts its timers with their deadlines.
 
-The same for real sockets (`program/peering.py`) and for the virtual clock (`lab/model/peering.py`)."""
+The same driver runs on sockets (`daemon/membership_endpoint.py`) and on the virtual clock (`lab/model/peering.py`).
+"""
 
 from __future__ import annotations
 
@@ -9,123 +10,138 @@
 
 from yarrowspindle.decisions.backends import Backend
 from yarrowspindle.decisions.events import BACKEND_KEY_MASK, PeerLoads, group_key
-from yarrowspindle.membership.core import SIGNAL, Membership
-from yarrowspindle.membership.messages import (
+from yarrowspindle.membership.core import Membership
+from yarrowspindle.membership.effects import (
     Effect,
-    Event,
-    LocalLoad,
     PayloadReceived,
     PeerLoadsUpdated,
     SampleLocalLoad,
     SendDatagram,
     SetTimer,
-    TimerFired,
 )
+from yarrowspindle.membership.events import Event, LocalLoad, TimerFired
+from yarrowspindle.membership.timers import PeriodicTimer
 from yarrowspindle.routing.address import Address
 
-AGAIN_MS = 1000.0  # a beat that failed is tried again
-REPORT_MS = 750.0  # own load reports so young are told to the others
+RETRY_DELAY_MS = 1000.0  # until a periodic timer whose handler failed fires again
+MAX_OWN_REPORT_AGE_MS = 750.0  # older load reports of backends are not passed on to peers
 
 
-class PeerPump:
-    """now: milliseconds of a clock that only goes on. after: calls the function after so many milliseconds.
-    own: what this relay holds. told: for the module. note: a text for the log, and whether strangers can cause it.
-    failed: called for an event that the core cannot take, while the exception is handled; without it the exception
-    goes on."""
+def _ignore_payload(sender: str, data: bytes) -> None:
+    """The default receiver of payloads."""
+
+
+class MembershipDriver:
+    """Runs one membership core.
+
+    now: returns milliseconds of a monotonic clock. call_later: calls the function after so many milliseconds.
+    send: sends a datagram. sample_load: returns this relay's load. on_peer_loads: receives the peers' load.
+    log: writes a text; the flag says that hosts outside the cluster can cause it. on_failure: called for an event
+    that the core failed on, while the exception is handled; without it the exception propagates.
+    on_payload: receives the name of a peer and the payload that it sent.
+    """
 
     def __init__(
         self,
         core: Membership,
         now: Callable[[], float],
-        after: Callable[[float, Callable[[], None]], object],
+        call_later: Callable[[float, Callable[[], None]], object],
         send: Callable[[Address, bytes], None],
-        own: Callable[[], LocalLoad],
-        told: Callable[[PeerLoads], None],
-        note: Callable[[str, bool], None],
-        failed: Callable[[Event], None] | None = None,
+        sample_load: Callable[[], LocalLoad],
+        on_peer_loads: Callable[[PeerLoads], None],
+        log: Callable[[str, bool], None],
+        on_failure: Callable[[Event], None] | None = None,
     ) -> None:
-        self.core, self.now, self.after, self.send, self.own, self.told, self.note = (
-            core,
-            now,
-            after,
-            send,
-            own,
-            told,
-            note,
-        )
-        self.failed = failed
-        self.brought: Callable[[str, bytes], None] = lambda name, data: None  # what other relays had carried to us
-        self.queue: deque[Event] = deque()
-        self.busy = self.closed = False
+        self.core = core
+        self.on_failure = on_failure
+        self.on_payload: Callable[[str, bytes], None] = _ignore_payload
+        self._now = now
+        self._call_later = call_later
+        self._send = send
+        self._sample_load = sample_load
+        self._on_peer_loads = on_peer_loads
+        self._log = log
+        self._queue: deque[Event] = deque()
+        self._is_running = False
+        self._is_closed = False
 
     def start(self) -> None:
+        """Carries out the effects of the core's start."""
         self._carry_out(self.core.take_effects())
 
     def post(self, event: Event) -> None:
-        if self.closed:
+        """Runs the core on the event, after those that are already queued."""
+        if self._is_closed:
             return
-        self.queue.append(event)
-        if self.busy:
+        self._queue.append(event)
+        if self._is_running:
             return
-        self.busy = True
+        self._is_running = True
         try:
-            while self.queue:
-                event = self.queue.popleft()
-                try:
-                    self._carry_out(self.core.step(self.now(), event))
-                except Exception:
-                    if self.failed is None:
-                        raise
-                    self.failed(event)
-                    self._go_on(event)
+            while self._queue:
+                self._step(self._queue.popleft())
         finally:
-            self.busy = False
+            self._is_running = False
 
     def close(self) -> None:
-        self.closed = True
-        self.queue.clear()
+        """Discards queued events and all later ones."""
+        self._is_closed = True
+        self._queue.clear()
 
-    def _go_on(self, event: Event) -> None:
-        """After a failure: a beat sets its next one as the last thing that it does, so this one had not."""
+    def _step(self, event: Event) -> None:
+        try:
+            self._carry_out(self.core.step(self._now(), event))
+        except Exception:
+            if self.on_failure is None:
+                raise
+            self.on_failure(event)
+            self._recover(event)
+
+    def _recover(self, event: Event) -> None:
+        """Sets a periodic timer again whose handler failed: it would have done so as its last step."""
         self._carry_out(self.core.take_effects())
-        what = SIGNAL if isinstance(event, LocalLoad) else event.what if isinstance(event, TimerFired) else None
-        if isinstance(what, str):
-            self._wake(SetTimer(AGAIN_MS, what))
+        if isinstance(event, LocalLoad):
+            self._set_timer(SetTimer(RETRY_DELAY_MS, PeriodicTimer.LOAD_SIGNAL))
+        elif isinstance(event, TimerFired) and isinstance(event.timer, PeriodicTimer):
+            self._set_timer(SetTimer(RETRY_DELAY_MS, event.timer))
 
     def _carry_out(self, effects: list[Effect]) -> None:
         for effect in effects:
             if isinstance(effect, SendDatagram):
-                self.send(effect.to, effect.data)
+                self._send(effect.address, effect.data)
             elif isinstance(effect, SetTimer):
-                self._wake(effect)
+                self._set_timer(effect)
             elif isinstance(effect, SampleLocalLoad):
-                self.queue.append(self.own())
-                if not self.busy:
-                    self.post(self.queue.pop())
+                self._post_local_load()
             elif isinstance(effect, PeerLoadsUpdated):
-                self.told(effect.others)
+                self._on_peer_loads(effect.peer_loads)
             elif isinstance(effect, PayloadReceived):
-                self.brought(effect.name, effect.data)
+                self.on_payload(effect.sender, effect.data)
             else:
-                self.note(effect.text, effect.bounded)
+                self._log(effect.text, effect.rate_limited)
+
+    def _post_local_load(self) -> None:
+        self._queue.append(self._sample_load())
+        if not self._is_running:
+            self.post(self._queue.pop())
 
-    def _wake(self, effect: SetTimer) -> None:
-        due = self.now() + effect.delay_ms
-        self.after(effect.delay_ms, lambda: self.post(TimerFired(effect.what, due)))
+    def _set_timer(self, effect: SetTimer) -> None:
+        deadline = self._now() + effect.delay_ms
+        self._call_later(effect.delay_ms, lambda: self.post(TimerFired(effect.timer, deadline)))
 
 
 def local_load(backends: Iterable[Backend], now: float) -> LocalLoad:
-    """What this balancer holds, passes over and was told by probes, for the others."""
+    """Returns this relay's load on the backends, its ejections, and the load reports it received, for its peers."""
     own = LocalLoad({})
     for backend in backends:
         key = backend.id & BACKEND_KEY_MASK
         if backend.open:
-            own.holds[key] = (backend.open, backend.load)
+            own.loads[key] = (backend.open, backend.load)
             for group, count in backend.groups.items():
                 if group:
-                    own.holds[group_key(backend.id, group)] = (count, 0.0)
+                    own.loads[group_key(backend.id, group)] = (count, 0.0)
         if now < backend.bad_until:
-            own.passed[key] = backend.bad_until - now
-        if now <= backend.told_at + REPORT_MS:
+            own.ejected[key] = backend.bad_until - now
+        if now <= backend.told_at + MAX_OWN_REPORT_AGE_MS:
             own.reports[key] = (backend.used, backend.holds, now - backend.told_at)
     return own
