--- a/tests/decisions/test_peer_loads.py
+++ b/tests/decisions/test_peer_loads.py
@@ -128,5 +128,5 @@
         {0: 1, 9: 2},
     )
     local = local_load(r.balancer.backends.values(), r.now)
-    assert local.holds == {2: (3, 4.5), group_key(2, 9): (2, 0.0)} and local.passed == {2: 700.0} and not local.reports
-    assert local_load([Backend(1 << 40 | 5)], 0.0).holds == {}
+    assert local.loads == {2: (3, 4.5), group_key(2, 9): (2, 0.0)} and local.ejected == {2: 700.0} and not local.reports
+    assert local_load([Backend(1 << 40 | 5)], 0.0).loads == {}
--- a/yarrowspindle/configuration/link.py
+++ b/yarrowspindle/configuration/link.py
@@ -1,6 +1,6 @@
 """Messages of the configuration in peers' datagrams: fragmented, authenticated by cluster, bounded; no I/O.
 
-Each datagram is a `Datagram` with a `Carried` body. Datagrams of another cluster, another protocol version, an earlier
+Each datagram is a `Datagram` with a `Payload` body. Datagrams of another cluster, another protocol version, an earlier
 incarnation or a sender above its rate are dropped and counted by their cause.
 """
 
@@ -12,7 +12,8 @@
 from yarrowspindle.configuration import codec, published_counters
 from yarrowspindle.configuration.events import Sender
 from yarrowspindle.configuration.messages import NewerIncarnation
-from yarrowspindle.membership.codec import VERSION, Carried, Codec, Datagram, DroppedDatagramError
+from yarrowspindle.membership.codec import Codec, DroppedDatagramError
+from yarrowspindle.membership.messages import VERSION, Datagram, Payload
 from yarrowspindle.protocol.fragments import Fragmenter
 from yarrowspindle.protocol.message_codec import InvalidMessageError
 from yarrowspindle.routing.address import Address
@@ -80,7 +81,7 @@
         self.counts[published_counters.BYTES_RECEIVED] += len(data)
         self._limit_source(now, source)
         datagram, fragment = self._decode(data)
-        sender = Sender(datagram.name, datagram.address, datagram.incarnation, datagram.at)
+        sender = Sender(datagram.name, datagram.address, datagram.incarnation, datagram.sent_at)
         newest_incarnation = self._newest_incarnation(sender)
         if sender.incarnation < newest_incarnation:
             self.counts[published_counters.EARLIER_INCARNATIONS] += 1
@@ -109,7 +110,7 @@
     def _seal(self, now: float, data: bytes) -> bytes:
         self.last_sent_at = max(int(now - self.started_at), self.last_sent_at + 1)
         datagram = Datagram(
-            VERSION, self.cluster, self.name, *self.address, self.incarnation, 0, self.last_sent_at, Carried(data)
+            VERSION, self.cluster, self.name, *self.address, self.incarnation, 0, self.last_sent_at, Payload(data)
         )
         sealed = self.codec.encode(datagram)
         self.counts[published_counters.DATAGRAMS_SENT] += 1
@@ -130,7 +131,7 @@
             datagram = self.codec.decode(data)
         except DroppedDatagramError as error:
             raise self._dropped(str(error)) from None
-        if datagram.address == self.address or not isinstance(datagram.body, Carried):
+        if datagram.address == self.address or not isinstance(datagram.body, Payload):
             raise self._dropped(published_counters.UNEXPECTED_BODY)
         return datagram, datagram.body.data
 
--- a/yarrowspindle/daemon/maintenance_endpoint.py
+++ b/yarrowspindle/daemon/maintenance_endpoint.py
@@ -43,7 +43,7 @@
 from yarrowspindle.maintenance.requests import MaintenanceError
 from yarrowspindle.maintenance.settings import MaintenanceSettings
 from yarrowspindle.maintenance.state import EMPTYING, WARMING, MaintenanceState
-from yarrowspindle.membership.messages import SendPayload
+from yarrowspindle.membership.events import SendPayload
 from yarrowspindle.operator_api import OperatorApi
 from yarrowspindle.protocol.fragments import Fragmenter
 from yarrowspindle.protocol.message_codec import InvalidMessageError
@@ -70,7 +70,7 @@
         self.membership = membership
         self.settings = settings
         self.loop = asyncio.get_running_loop()
-        self.name = membership.core.members.me.name
+        self.name = membership.core.members.local.name
         self.file = MaintenanceVoterFile(settings.directory, self.name, membership.settings.cluster)
         self.initial = initial_state(settings.voters)
         self.acceptor: Acceptor[MaintenanceState] | None = None
@@ -95,7 +95,7 @@
         service.metrics.sources["turns"] = self.counts
         service.metrics.more_gauges.append(self._gauges)
         service.reloaded.append(self._on_reloaded)
-        membership.pump.brought = self._on_datagram
+        membership.driver.on_payload = self._on_datagram
 
     async def start(self) -> None:
         """Start the coordinator and, where it is configured, the operators' API."""
@@ -245,12 +245,12 @@
             self.loop.call_soon(self._post, MessageReceived(destination, message))
             return
         for fragment in self.fragmenter.split(destination, codec.encode(message)):
-            self.membership.pump.post(SendPayload(destination, fragment))
+            self.membership.driver.post(SendPayload(destination, fragment))
 
     def _on_datagram(self, source: str, data: bytes) -> None:
         complete, replies = self.fragmenter.on_datagram(self._now(), source, data)
         for reply in replies:
-            self.membership.pump.post(SendPayload(source, reply))
+            self.membership.driver.post(SendPayload(source, reply))
         if complete is None:
             return
         try:
@@ -265,7 +265,7 @@
         while True:
             await asyncio.sleep(FRAGMENT_INTERVAL_S)
             for source, data in self.fragmenter.requests_due(self._now()):
-                self.membership.pump.post(SendPayload(source, data))
+                self.membership.driver.post(SendPayload(source, data))
 
     def _ask_acceptor(self, effect: AskAcceptor) -> None:
         """Run the acceptor on its thread, so that the disk does not delay requests; one message at a time, in order."""
