--- a/benchmarks/capacity/change.py
+++ b/benchmarks/capacity/change.py
@@ -91,7 +91,7 @@
         """took: where something else than the orders in force is counted."""
         world = self.world
         # What a controller was told and did not say to anybody before it died is nobody's; the operator has no answer.
-        gone = [c for name, c in self.asked if c.agreed_s < 0.0 and not world.hosts[name].alive or c.answered]
+        gone = [c for name, c in self.asked if (c.agreed_s < 0.0 and not world.hosts[name].alive) or c.answered]
         times = (
             list(took)
             if took is not None
--- a/benchmarks/capacity/data.py
+++ b/benchmarks/capacity/data.py
@@ -88,7 +88,7 @@
                 stdout=subprocess.PIPE,
                 stderr=errors,
                 bufsize=0,
-                preexec_fn=begin,
+                preexec_fn=begin,  # noqa: PLW1509  # no other thread runs yet
             )
 
     def tell(self, order: dict[str, Any]) -> None:
--- a/benchmarks/capacity/hollow.py
+++ b/benchmarks/capacity/hollow.py
@@ -189,7 +189,7 @@
         self.index, self.loop = index, asyncio.get_running_loop()
         self.settings = sockets.settings(index)
         self.random = Random(f"sockets {sockets.seed} {index}")
-        self.holds: Holds = {backend: (1, 100.0) for backend in self.random.sample(range(1, BACKENDS + 1), HELD)}
+        self.holds: Holds = dict.fromkeys(self.random.sample(range(1, BACKENDS + 1), HELD), (1, 100.0))
         self.front = Front(lambda data, source: self.driver.post(DatagramReceived(data, source)))
         self.core = Membership(self.settings, f"r{index}", 1, self.random.randrange(1 << 32), self.now())
         self.driver = MembershipDriver(
@@ -227,7 +227,7 @@
 
 
 def _share(knowing: Any) -> None:
-    global _knowing
+    global _knowing  # noqa: PLW0603  # how a pool hands a shared value to its processes
     _knowing = knowing
 
 
--- a/benchmarks/capacity/slopes.py
+++ b/benchmarks/capacity/slopes.py
@@ -354,7 +354,7 @@
     all is played as well, which takes most of the time."""
     over, points = list[str](), POINTS[size]
     if relays is not None:
-        points = tuple(max(4, relays // part) for part in (8, 4, 2)) + (relays,)
+        points = (*(max(4, relays // part) for part in (8, 4, 2)), relays)
     day = Day(
         0,
         1000 * seed,
--- a/benchmarks/rebalance.py
+++ b/benchmarks/rebalance.py
@@ -11,6 +11,7 @@
 import time
 from collections.abc import Sequence
 from dataclasses import dataclass, replace
+from itertools import pairwise
 from math import ceil, log
 from typing import Any
 
@@ -212,7 +213,7 @@
     ]
     if scenario in ("return", "extra", "skewed"):
         values = [v for _, v in r["imbalance"]]
-        rise = max((b - a for a, b in zip(values, values[1:], strict=False)), default=0.0)
+        rise = max((b - a for a, b in pairwise(values)), default=0.0)
         half, off_half = r["half_life_s"], r["off_half_life_s"]
         must += [
             (rise <= MAX_RISE, f"the imbalance rose by {rise:.3f} in a window"),
--- a/benchmarks/relay_cost.py
+++ b/benchmarks/relay_cost.py
@@ -43,7 +43,7 @@
 
 def cpu_s(pid: int) -> float:
     """User and system time of a process so far; the finest that is told: nanoseconds on the processor."""
-    with open(f"/proc/{pid}/schedstat", encoding="ascii") as file:
+    with Path(f"/proc/{pid}/schedstat").open(encoding="ascii") as file:
         return int(file.read().split()[0]) / 1e9
 
 
--- a/benchmarks/signals.py
+++ b/benchmarks/signals.py
@@ -117,7 +117,7 @@
     seen, found, total = set[int](), [root], 0
     while found:
         item = found.pop()
-        if id(item) in seen or isinstance(item, type) or callable(item) and not hasattr(item, "__self__"):
+        if id(item) in seen or isinstance(item, type) or (callable(item) and not hasattr(item, "__self__")):
             continue
         seen.add(id(item))
         total += sys.getsizeof(item)
--- a/benchmarks/soak/planted.py
+++ b/benchmarks/soak/planted.py
@@ -21,8 +21,7 @@
 from yarrowspindle.routing.endpoints import EndpointHandlers
 from yarrowspindle.routing.requests import RequestHandlers
 from yarrowspindle.routing.termination import OUTCOMES, TerminationReason
-from yarrowspindle.transport import client as client
-from yarrowspindle.transport import connecting
+from yarrowspindle.transport import client, connecting
 
 
 def repeat_what_ran() -> None:
--- a/benchmarks/turns.py
+++ b/benchmarks/turns.py
@@ -120,7 +120,7 @@
 
 
 def real(task: tuple[str, int, tuple[str, ...], bool]) -> tuple[int, tuple[str, ...], bool, TurnReport]:
-    size, seed, words, work = task
+    _, seed, words, work = task
     return seed, words, work, real_run(*task)
 
 
--- a/tests/configuration/test_settings.py
+++ b/tests/configuration/test_settings.py
@@ -14,7 +14,7 @@
 
 def test_an_invalid_section_raises_with_its_key(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     machine = '[[control.machine]]\nname = "c0"\naddress = "127.0.0.1:7"\nvoter = true\n'
-    with pytest.raises(ConfigError, match="control.rol is not known; role is"):
+    with pytest.raises(ConfigError, match=r"control\.rol is not known; role is"):
         read_operator(f'[control]\nrol = "relay"\n{machine}')
     (tmp_path / "o.toml").write_text(f'[control]\nrole = "relay"\nlisten = "127.0.0.1:8"\n{machine}')
     operator = load_operator({"YARROWSPINDLE_OPERATOR": str(tmp_path / "o.toml")})
@@ -22,7 +22,7 @@
     monkeypatch.setitem(sys.modules, "msgspec", None)
     for name in [name for name in sys.modules if name.startswith("yarrowspindle.configuration")]:
         monkeypatch.delitem(sys.modules, name)
-    with pytest.raises(ConfigError, match="needs requirements-turns.txt"):
+    with pytest.raises(ConfigError, match=r"needs requirements-turns\.txt"):
         load_operator({"YARROWSPINDLE_OPERATOR": str(tmp_path / "o.toml")})
 
 
--- a/tests/daemon/test_configuration_daemon.py
+++ b/tests/daemon/test_configuration_daemon.py
@@ -98,7 +98,7 @@
 
             # A reload reads the rest of the file, not its settings.
             found[3].reload(settings=SETTINGS | {"categories": [CHAT | {"deadline_ms": 1950.0}]})
-            await found[3].logged("the settings stay those that control told")
+            await found[3].logged("the settings stay those of the controllers")
             assert not await is_placed(found[3], LONG_WAIT_MS)
 
             # Without any controller a relay that restarts applies the settings that it stored.
--- a/tests/daemon/test_crossings.py
+++ b/tests/daemon/test_crossings.py
@@ -44,7 +44,7 @@
 
     def waits(self) -> bool:
         """Whether a connection is on its way here."""
-        with open("/proc/net/tcp", encoding="ascii") as table:
+        with Path("/proc/net/tcp").open(encoding="ascii") as table:
             rows = [line.split() for line in table]
         return any(row[2].endswith(f":{self.port:04X}") and row[3] == "02" for row in rows)
 
--- a/tests/daemon/test_failing_steps.py
+++ b/tests/daemon/test_failing_steps.py
@@ -12,7 +12,6 @@
 
 from tests.transport.test_connecting import Backend, config
 from yarrowspindle.daemon.config import read_config
-from yarrowspindle.daemon.log import log_to
 from yarrowspindle.daemon.relay_service import RelayService
 from yarrowspindle.decisions.events import ListKind
 from yarrowspindle.fronts.line_front import LineFront
@@ -29,6 +28,7 @@
 from yarrowspindle.runtime import SystemClock
 from yarrowspindle.runtime.endpoint_watch import ListWatch
 from yarrowspindle.runtime.health_checker import Prober
+from yarrowspindle.telemetry.log import log_to
 
 DEADLINE_S = 0.9
 WHERE_FAILS: dict[str, Callable[[RelayService, LineFront], None]] = {
--- a/tests/daemon/test_list_calls.py
+++ b/tests/daemon/test_list_calls.py
@@ -46,9 +46,11 @@
             await asyncio.sleep(SLOW_S)
             peer.writer.write(HEAD + w.members(True, w.member("s-1", "draining"), w.member("s-2")))
 
+        answering: list[asyncio.Future[None]] = []
+
         async def serve() -> None:
             while True:
-                asyncio.ensure_future(answer(await w.list.came.get()))
+                answering.append(asyncio.ensure_future(answer(await w.list.came.get())))
 
         serving = asyncio.ensure_future(serve())
         await asyncio.wait_for(w.logged("s-1 draining"), 6.0)
--- a/tests/decisions/reporting_relay.py
+++ b/tests/decisions/reporting_relay.py
@@ -22,17 +22,17 @@
     RequestClass(800.0, 4800.0, priority_weight=3.0, message_latency_objective_ms=60.0),
     RequestClass(300.0, 1200.0, priority_weight=0.3, message_latency_objective_ms=50.0),
 )
-REPORTING: dict[str, Any] = dict(
-    classes=CLASSES,
-    may_probe=True,
-    load_report_fields=("rif", "x0"),
-    zones=2,
-    cross_zone_price=0.16,
-    capacity_excludes_load=True,
-    groups_share_work=True,
-    retry_after=True,
-    max_retry_after_ms=2000.0,
-)
+REPORTING: dict[str, Any] = {
+    "classes": CLASSES,
+    "may_probe": True,
+    "load_report_fields": ("rif", "x0"),
+    "zones": 2,
+    "cross_zone_price": 0.16,
+    "capacity_excludes_load": True,
+    "groups_share_work": True,
+    "retry_after": True,
+    "max_retry_after_ms": 2000.0,
+}
 
 
 class Relay:
--- a/tests/decisions/test_admission.py
+++ b/tests/decisions/test_admission.py
@@ -30,7 +30,7 @@
     b.handle(1.0, SlowMessageObserved(1, backend, 500.0))
     answers = [a for n in range(2, 12) for a in b.handle(2.0, RequestReceived(n, left_ms=2000.0))]
     waits = [a.retry_after_ms for a in answers if isinstance(a, RejectRequest)]
-    assert len(waits) == 10 and len(set(waits)) == 10 and 500.0 <= min(waits) and max(waits) <= 1000.0
+    assert len(waits) == 10 and len(set(waits)) == 10 and min(waits) >= 500.0 and max(waits) <= 1000.0
 
 
 def test_slow_backends_of_the_own_zone_do_not_count_for_another_zone() -> None:
--- a/tests/decisions/test_fleet.py
+++ b/tests/decisions/test_fleet.py
@@ -12,21 +12,21 @@
 
 
 def by_own_load(number: int = 0, **changes: object) -> Balancer:
-    values: dict[str, object] = dict(
-        classes=STATUS,
-        number=number,
-        balancers=RELAYS,
-        zones=3,
-        zone=number % 3,
-        cross_zone_price=0.1,
-        initial_capacity_fraction=0.31,
-        warmup_ms=9000.0,
-        overload_multiple=3.0,
-        overload_window_ms=1500.0,
-        uses_own_load=True,
-        retry_after=True,
-        max_retry_after_ms=2000.0,
-    )
+    values: dict[str, object] = {
+        "classes": STATUS,
+        "number": number,
+        "balancers": RELAYS,
+        "zones": 3,
+        "zone": number % 3,
+        "cross_zone_price": 0.1,
+        "initial_capacity_fraction": 0.31,
+        "warmup_ms": 9000.0,
+        "overload_multiple": 3.0,
+        "overload_window_ms": 1500.0,
+        "uses_own_load": True,
+        "retry_after": True,
+        "max_retry_after_ms": 2000.0,
+    }
     return Balancer(settings(**(values | changes)), number + 1, 0.0)
 
 
--- a/tests/decisions/test_load_estimates.py
+++ b/tests/decisions/test_load_estimates.py
@@ -45,7 +45,8 @@
         )
         return sum(map(len, backends_by_group.values())) / len(backends_by_group)
 
-    assert backends_paying() < 2.5 < 4.0 < backends_paying(groups_share_work=False)
+    assert backends_paying() < 2.5
+    assert backends_paying(groups_share_work=False) > 4.0
 
 
 def test_the_draws_of_a_group_are_the_same_at_every_relay() -> None:
@@ -139,7 +140,7 @@
         request = Request(step, rng.randrange(2), 1.0, 0.0, 1.0)
         by = (
             1
-            if backend.connections < 20 and rng.random() < 0.6 or not backend.connections_by_class.get(request.cls)
+            if (backend.connections < 20 and rng.random() < 0.6) or not backend.connections_by_class.get(request.cls)
             else -1
         )
         backend.connections += by
--- a/tests/daemon/test_connection_limiter.py
+++ b/tests/fronts/test_connection_limiter.py
@@ -7,7 +7,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from yarrowspindle.daemon.connection_limiter import SPARE, YOUNG_S, Door
+from yarrowspindle.fronts.connection_limiter import SPARE, YOUNG_S, Door
 
 STEPS = ["come"] * 5 + ["known"] * 2 + ["answer", "lose", "wait"]
 
--- a/tests/membership/test_membership_days.py
+++ b/tests/membership/test_membership_days.py
@@ -65,7 +65,7 @@
         for name in side:
             assert world.net.peers[int(name[1:])].core.members.names == side
             assert world.others[int(name[1:])].reporting_relays == len(side) - 1, "the other side's load is removed"
-    assert 0.0 <= world.until(lambda: world.agree() and world.true_sums(), 10.0)
+    assert world.until(lambda: world.agree() and world.true_sums(), 10.0) >= 0.0
 
 
 def test_a_relay_stalled_for_ten_seconds_suspects_no_one_and_rejoins() -> None:
@@ -75,7 +75,7 @@
     world.run(1.5)
     assert world.net.peers[2].core.counts["stood"] >= 1
     assert world.net.peers[2].core.counts["suspicions"] == before[2], "its local health falls first"
-    assert 0.0 <= world.until(lambda: world.agree() and world.true_sums(), 5.0)
+    assert world.until(lambda: world.agree() and world.true_sums(), 5.0) >= 0.0
 
 
 def test_the_load_of_a_killed_relay_is_removed_within_five_seconds() -> None:
@@ -85,13 +85,13 @@
             world.holds[1][backend] = (20, 2000.0)
         world.run(1.0)
         world.kill(1)
-        assert 0.0 <= world.until(world.true_sums, 5.0), f"seed {seed}"
+        assert world.until(world.true_sums, 5.0) >= 0.0, f"seed {seed}"
 
 
 def test_a_relay_that_leaves_is_removed_at_once_and_none_is_suspected() -> None:
     world = started(5)
     world.net.peers[3].leave()
-    assert 0.0 <= world.until(lambda: world.agree() and world.true_sums(), 0.5)
+    assert world.until(lambda: world.agree() and world.true_sums(), 0.5) >= 0.0
     assert all(peer.core.counts["suspicions"] == 0 for peer in world.net.peers.values())
 
 
@@ -101,7 +101,7 @@
         world.clock.after(10.0 * index, world.start, index)
     world.run(1.0)
     before = world.net.bytes
-    assert 0.0 <= world.until(world.agree, 10.0)
+    assert world.until(world.agree, 10.0) >= 0.0
     assert (world.net.bytes - before) / 100 / max(world.clock.seconds - 1.0, 1.0) < 100_000.0
 
 
@@ -109,7 +109,7 @@
     world = started(5)
     incarnations = [peer.core.members.local.incarnation for peer in world.net.peers.values()]
     fault(world, "restart", 10.0, "")
-    assert 0.0 <= world.until(lambda: world.agree() and world.true_sums(), 5.0)
+    assert world.until(lambda: world.agree() and world.true_sums(), 5.0) >= 0.0
     assert all(
         peer.core.members.local.incarnation > incarnation
         for peer, incarnation in zip(world.net.peers.values(), incarnations, strict=True)
@@ -133,7 +133,7 @@
     world.run(0.2)
     world.start(1)
     world.holds[1] = {1: (1, 1.0)}
-    assert 0.0 <= world.until(lambda: world.agree() and world.true_sums(), 5.0)
+    assert world.until(lambda: world.agree() and world.true_sums(), 5.0) >= 0.0
     for data in received * 3:
         world.net.peers[0].driver.post(DatagramReceived(data, address_of(1)))
     assert target.core.counts["dropped_earlier_life"] > 0 and target.core.signals.counts["signals_old"] > 0
@@ -172,7 +172,7 @@
     assert world.net.peers[0].core.members.table["r1"].address == address_of(7)
     later.die()
     del world.net.peers[7]
-    assert 0.0 <= world.until(lambda: not first.core.members.displaced and world.agree(), 20.0)
+    assert world.until(lambda: not first.core.members.displaced and world.agree(), 20.0) >= 0.0
 
 
 def test_a_flood_from_outside_the_cluster_does_not_disturb_the_members() -> None:
@@ -200,7 +200,7 @@
     names = relay_names(5)
     drawn = [schedule(list(WORDS), names, ["n0"], 9, 1.0, 6.0) for _ in range(2)]
     assert drawn[0] == drawn[1] and len(drawn[0]) == len(WORDS)
-    assert all(1.0 <= f.at_s and f.ends_s <= 7.01 for f in drawn[0])
+    assert all(f.at_s >= 1.0 and f.ends_s <= 7.01 for f in drawn[0])
     kill, stall = (next(f for f in drawn[0] if f.word == word) for word in ("kill", "stall"))
     assert kill.one != stall.one
 
@@ -235,4 +235,4 @@
     assert "TimerFired" in failed and "LocalLoad" in failed
     timer_handlers[PeriodicTimer.PROBE], handlers[LocalLoad] = on_probe, on_local_load
     world.change(0)
-    assert 0.0 <= world.until(lambda: world.agree() and world.true_sums(), 10.0)
+    assert world.until(lambda: world.agree() and world.true_sums(), 10.0) >= 0.0
--- a/tests/middleware/test_middleware.py
+++ b/tests/middleware/test_middleware.py
@@ -361,9 +361,9 @@
         await websocket.close()
 
     placer = Placer(settings(), StaticList(machines(EndpointState.READY)), seed=1)
-    with TestClient(PlacementMiddleware(Starlette(routes=[WebSocketRoute("/plan", socket)]), placer)) as client:
-        with client.websocket_connect("/plan") as connection:
-            assert connection.receive_text() == "s-1"
+    app = PlacementMiddleware(Starlette(routes=[WebSocketRoute("/plan", socket)]), placer)
+    with TestClient(app) as client, client.websocket_connect("/plan") as connection:
+        assert connection.receive_text() == "s-1"
     assert placer.state == "closed" and placer.counters()["up"] == 1
 
     async def body(app: Any, placer: Placer, go: dict[str, Any]) -> None:
--- a/tests/protocol/test_protocol.py
+++ b/tests/protocol/test_protocol.py
@@ -84,7 +84,7 @@
             refused = at + size < len(data)  # the side takes what follows as out of turn
             break
     assert refused == (2 * probes > lines.MAX_PROBES or bool(behind))
-    assert refused or opened == parse_open(LINE.encode()) and answers == b"PONG\r\nNO\r\n" * probes
+    assert refused or (opened == parse_open(LINE.encode()) and answers == b"PONG\r\nNO\r\n" * probes)
 
 
 @pytest.mark.parametrize("bad", [b"x" * lines.LONGEST, b"x" * lines.LONGEST + b"\r\n", b"PING\n", b"\r\n", b"\0\r\n"])
--- a/tests/routing/test_reducer_model.py
+++ b/tests/routing/test_reducer_model.py
@@ -192,7 +192,7 @@
                 number, remaining_ms, previous_backend=previous_backend, client_request_id=client_request_id
             )
         )
-        if in_use or remaining_ms > DEADLINE_MS and not previous_backend or previous_backend and serving:
+        if in_use or (remaining_ms > DEADLINE_MS and not previous_backend) or (previous_backend and serving):
             assert (
                 self.requests[number].closed
                 and self.requests[number].attempts == 0
@@ -333,12 +333,10 @@
         assert not request.closed, "nothing follows the end of a request"
         if isinstance(effect, OpenBackendConnection):
             assert not request.backend and self.now < request.deadline and effect.backend not in self.excluded
-            assert (
-                self.endpoint_states[effect.backend] is EndpointState.READY
-                or effect.attempt == 0
-                and request.deadline > self.now + 3000.0
+            assert self.endpoint_states[effect.backend] is EndpointState.READY or (
+                effect.attempt == 0 and request.deadline > self.now + 3000.0
             )
-            assert effect.attempt >= request.attempts or effect.attempt == 0 and request.attempts == 1
+            assert effect.attempt >= request.attempts or (effect.attempt == 0 and request.attempts == 1)
             request.backend, request.forwarded, request.attempts = effect.backend, False, effect.attempt + 1
         elif isinstance(effect, ForwardRequest):
             assert request.backend and not request.forwarded and effect.remaining_ms > 0.0
--- a/tests/daemon/test_log.py
+++ b/tests/telemetry/test_log.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from yarrowspindle.daemon.log import MAX_WARNINGS, PERIOD_S, RateLimitedLog
+from yarrowspindle.telemetry.log import MAX_WARNINGS, PERIOD_S, RateLimitedLog
 
 
 def test_warnings_that_clients_can_cause_are_limited() -> None:
--- a/tests/test_ports.py
+++ b/tests/test_ports.py
@@ -5,6 +5,7 @@
 import socket
 import subprocess
 import sys
+from pathlib import Path
 
 from tests.ports import FIRST, SHARE, SHARES, free_port
 from tests.stand_ins import ROOT
@@ -16,9 +17,9 @@
     said = subprocess.run([sys.executable, "-B", "-c", code], cwd=ROOT, capture_output=True, text=True, check=True)
     theirs = {int(port) for port in said.stdout.split()}
     assert len(theirs) > 300 and len(ours) > 300 and not theirs & ours
-    with open("/proc/sys/net/ipv4/ip_local_port_range", encoding="ascii") as table:
+    with Path("/proc/sys/net/ipv4/ip_local_port_range").open(encoding="ascii") as table:
         given_out = int(table.read().split()[0])
-    assert FIRST <= min(theirs | ours) and max(theirs | ours) < FIRST + SHARE * SHARES <= given_out
+    assert min(theirs | ours) >= FIRST and max(theirs | ours) < FIRST + SHARE * SHARES <= given_out
 
 
 def test_a_port_that_is_taken_is_passed_over() -> None:
--- a/tools/api_reference.py
+++ b/tools/api_reference.py
@@ -33,6 +33,7 @@
 
 
 def page() -> str:
+    """Returns the whole page."""
     lines = ["# API reference", "", "Made from the docstrings by `python -m tools.api_reference`.", ""]
     for module in MODULES:
         lines += [f"## `{module.__name__}`", "", inspect.getdoc(module) or "", ""]
--- a/yarrowspindle/configuration/settings.py
+++ b/yarrowspindle/configuration/settings.py
@@ -100,7 +100,7 @@
         if not self.directory:
             raise ControlError("control.directory is missing: a controller keeps its voter's file there")
         (host, port) = self.advertised_address
-        if self.advertised_address not in self._addresses or self.name and self.name != self.own_address.name:
+        if self.advertised_address not in self._addresses or (self.name and self.name != self.own_address.name):
             raise ControlError(
                 f"no control.machine is called {self.name!r} at {host}:{port}, where this controller is reached"
             )
--- a/yarrowspindle/consensus/messages.py
+++ b/yarrowspindle/consensus/messages.py
@@ -13,8 +13,10 @@
 
 @dataclass(slots=True, frozen=True)
 class Prepare:
-    """A proposer asks for a promise. `identity` is the file that it expects the acceptor to have; `epoch` is that of
-    the voter set it uses."""
+    """A proposer asks for a promise.
+
+    `identity` is the file that it expects the acceptor to have; `epoch` is that of the voter set it uses.
+    """
 
     ballot: Ballot
     epoch: int
--- a/yarrowspindle/daemon/background_store.py
+++ b/yarrowspindle/daemon/background_store.py
@@ -20,7 +20,9 @@
     """A value with a version, which the log names."""
 
     @property
-    def version(self) -> int: ...
+    def version(self) -> int:
+        """The number of the version."""
+        ...
 
 
 V = TypeVar("V", bound=Versioned)
--- a/yarrowspindle/daemon/configuration_endpoint.py
+++ b/yarrowspindle/daemon/configuration_endpoint.py
@@ -19,9 +19,9 @@
 from yarrowspindle.configuration.link import Link
 from yarrowspindle.configuration.settings import ControlSettings
 from yarrowspindle.daemon.background_store import BackgroundStore
-from yarrowspindle.daemon.log import RateLimitedLog
 from yarrowspindle.membership.codec import DroppedDatagramError
 from yarrowspindle.routing.address import Address
+from yarrowspindle.telemetry.log import RateLimitedLog
 from yarrowspindle.transport.datagrams import Front
 
 RETRY_MS = 1000.0  # until the next timer event after one that failed
--- a/yarrowspindle/daemon/controller_files.py
+++ b/yarrowspindle/daemon/controller_files.py
@@ -17,7 +17,7 @@
 
 def first_state(settings: ControlSettings) -> ControlState:
     """Returns the state that all controllers start from: the voters with the files that operators create once."""
-    return ControlState({name: INITIAL_IDENTITY for name in settings.voters})
+    return ControlState(dict.fromkeys(settings.voters, INITIAL_IDENTITY))
 
 
 def acceptor_file(settings: ControlSettings) -> VoterFile[ControlState]:
--- a/yarrowspindle/daemon/main.py
+++ b/yarrowspindle/daemon/main.py
@@ -15,13 +15,13 @@
 from loguru import logger
 
 from yarrowspindle.daemon.config import Config, ConfigError, load_config
-from yarrowspindle.daemon.connection_limiter import descriptors_left
-from yarrowspindle.daemon.log import log_to
 from yarrowspindle.daemon.metrics_reporter import report
 from yarrowspindle.daemon.operator_config import Operator, load_operator
 from yarrowspindle.daemon.relay_service import RelayService
+from yarrowspindle.fronts.connection_limiter import descriptors_left
 from yarrowspindle.fronts.line_front import LineFront
 from yarrowspindle.runtime import SystemClock
+from yarrowspindle.telemetry.log import log_to
 
 if TYPE_CHECKING:  # the platform does without these packages
     from yarrowspindle.daemon.maintenance_endpoint import MaintenanceEndpoint
--- a/yarrowspindle/daemon/maintenance_endpoint.py
+++ b/yarrowspindle/daemon/maintenance_endpoint.py
@@ -17,7 +17,6 @@
 
 from yarrowspindle.consensus.acceptor import Acceptor, AcceptorState
 from yarrowspindle.consensus.messages import ResponseMessage
-from yarrowspindle.daemon.log import RateLimitedLog
 from yarrowspindle.daemon.maintenance_commands import NEVER_QUEUED, MaintenanceCommands, json_body
 from yarrowspindle.daemon.membership_endpoint import MembershipEndpoint
 from yarrowspindle.daemon.operator_config import Operator
@@ -49,6 +48,7 @@
 from yarrowspindle.protocol.message_codec import InvalidMessageError
 from yarrowspindle.routing.events import MaintenanceUpdated
 from yarrowspindle.storage.durable_file import FileUnavailableError
+from yarrowspindle.telemetry.log import RateLimitedLog
 
 FILE_RETRY_S = 0.2  # of the lock, and of a file that cannot be read
 OBSERVATION_INTERVAL_S = 0.5
--- a/yarrowspindle/daemon/membership_endpoint.py
+++ b/yarrowspindle/daemon/membership_endpoint.py
@@ -14,7 +14,6 @@
 
 from loguru import logger
 
-from yarrowspindle.daemon.log import RateLimitedLog
 from yarrowspindle.daemon.relay_service import RelayService
 from yarrowspindle.decisions.events import PeerLoads
 from yarrowspindle.membership import Membership, PeerSettings
@@ -22,6 +21,7 @@
 from yarrowspindle.routing.address import Address
 from yarrowspindle.routing.events import PeerLoadsUpdated
 from yarrowspindle.runtime.membership_driver import MembershipDriver, local_load
+from yarrowspindle.telemetry.log import RateLimitedLog
 from yarrowspindle.transport.datagrams import Front
 
 FLUSH_S = 0.02  # for the last datagrams, before the socket is closed
--- a/yarrowspindle/daemon/relay_service.py
+++ b/yarrowspindle/daemon/relay_service.py
@@ -12,7 +12,6 @@
 from loguru import logger
 
 from yarrowspindle.daemon.config import Config, ConfigError
-from yarrowspindle.daemon.log import RateLimitedLog
 from yarrowspindle.daemon.metrics import Metrics
 from yarrowspindle.daemon.operator_config import Operator, load_operator
 from yarrowspindle.daemon.settings_update import apply_shared_settings, merge_settings, reload_config
@@ -31,6 +30,7 @@
 from yarrowspindle.runtime.health_checker import Prober
 from yarrowspindle.telemetry import Telemetry
 from yarrowspindle.telemetry.guard import Guard
+from yarrowspindle.telemetry.log import RateLimitedLog
 from yarrowspindle.telemetry.trace import Trace
 
 TRACE_LEVELS = ("TRACE", "DEBUG")  # log levels at which each step of each request is logged
@@ -158,8 +158,10 @@
             self.post(DrainCancelled())
 
     def stop(self) -> float:
-        """Begins the shutdown, also during a drain. Returns the milliseconds by which everybody has an answer or was
-        migrated."""
+        """Begins the shutdown, also during a drain.
+
+        Returns the milliseconds within which everybody gets an answer or is migrated.
+        """
         classes = self.config.settings.classes
         longest_ms = max(classes[number].deadline_ms for number in self.config.current_classes.values())
         within_ms = min(longest_ms, MAX_DEADLINE_MS) + KILL_GRACE_MS - CLOSE_RESERVE_MS
--- a/yarrowspindle/decisions/placement.py
+++ b/yarrowspindle/decisions/placement.py
@@ -127,9 +127,9 @@
         state, peer_loads, now = self.state, self.state.peer_loads, self.state.now
         load = backend.load + peer_loads.load_weight(now) * peer_loads.load(backend) + state.connection_loads.mean
         penalty = 0.0
-        if state.uses_own_load_only and state.home_ring is not state.fleet_ring:
-            if backend.zone != state.settings.zone:
-                penalty = CROSS_ZONE_LOAD_PENALTY / peer_loads.similar_balancers(now)
+        has_zones = state.uses_own_load_only and state.home_ring is not state.fleet_ring
+        if has_zones and backend.zone != state.settings.zone:
+            penalty = CROSS_ZONE_LOAD_PENALTY / peer_loads.similar_balancers(now)
         if now < backend.ejected_until:
             health = EJECTED
         else:
--- a/yarrowspindle/decisions/settings.py
+++ b/yarrowspindle/decisions/settings.py
@@ -119,7 +119,7 @@
         """Raise ValueError where a value is out of range."""
         _require(len(self.classes) > 0, "no request class")
         _require(self.balancers >= 1, "balancers must be at least 1")
-        _require(0 <= self.number, "own number must not be negative")
+        _require(self.number >= 0, "own number must not be negative")
         _require(self.zones >= 1 and 0 <= self.zone < self.zones, "own zone is not among the zones")
         _require(self.max_attempts >= 1, "max_attempts must be at least 1")
         _require(0.0 < self.initial_capacity_fraction <= 1.0, "initial_capacity_fraction must be above 0 and at most 1")
--- a/yarrowspindle/daemon/connection_limiter.py
+++ b/yarrowspindle/fronts/connection_limiter.py
@@ -7,10 +7,10 @@
 
 from __future__ import annotations
 
-import os
 import resource
 from collections.abc import Callable
 from itertools import islice
+from pathlib import Path
 
 from yarrowspindle.transport.line_connection import LineConnection
 
@@ -26,7 +26,7 @@
     if most == resource.RLIM_INFINITY:
         most = 1 << 20
     try:
-        used = len(os.listdir("/proc/self/fd"))
+        used = len(list(Path("/proc/self/fd").iterdir()))
     except OSError:
         used = 32
     return max(0, min(most, told or most) - used)
--- a/yarrowspindle/fronts/line_front.py
+++ b/yarrowspindle/fronts/line_front.py
@@ -4,13 +4,11 @@
 
 import asyncio
 from collections.abc import Callable
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 from loguru import logger
 
-from yarrowspindle.daemon.connection_limiter import Door
-from yarrowspindle.daemon.log import RateLimitedLog
-from yarrowspindle.daemon.relay_service import RelayService
+from yarrowspindle.fronts.connection_limiter import Door
 from yarrowspindle.protocol import lines
 from yarrowspindle.protocol.lines import LineError, Open
 from yarrowspindle.routing.effects import (
@@ -36,11 +34,15 @@
     UnexpectedClientData,
 )
 from yarrowspindle.routing.termination import TerminationReason
+from yarrowspindle.telemetry.log import RateLimitedLog
 from yarrowspindle.transport.backend import BackendSide
 from yarrowspindle.transport.client import ClientConnection
 from yarrowspindle.transport.connecting import ConnectFailure, Connecting, OwnNetwork
 from yarrowspindle.transport.listener import Listener
 
+if TYPE_CHECKING:
+    from yarrowspindle.daemon.relay_service import RelayService
+
 BACKLOG = 1024
 TURN_S = 0.001
 READ_S = 0.02  # a few turns of the loop, each of which reads all sockets
--- a/yarrowspindle/fronts/quic_front.py
+++ b/yarrowspindle/fronts/quic_front.py
@@ -9,13 +9,11 @@
 import asyncio
 from collections import Counter
 from collections.abc import Callable
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 from aioquic.quic.packet import QuicPacketType
 from loguru import logger
 
-from yarrowspindle.daemon.operator_config import QuicConfig
-from yarrowspindle.daemon.relay_service import RelayService
 from yarrowspindle.decisions.events import EndpointState
 from yarrowspindle.fronts.quic_flow import NO_ATTEMPT, Flow, FlowTable
 from yarrowspindle.protocol import quic
@@ -38,6 +36,10 @@
 from yarrowspindle.routing.termination import TerminationReason
 from yarrowspindle.transport.datagrams import Front, Path
 
+if TYPE_CHECKING:
+    from yarrowspindle.daemon.operator_config import QuicConfig
+    from yarrowspindle.daemon.relay_service import RelayService
+
 MAX_FIRST_FLIGHT = 8  # datagrams of the client kept until the connection is established
 MAX_PENDING = 16  # datagrams of the backend kept until its handshake has answered
 MIN_ID_BYTES = 8  # of a client's first destination connection id (RFC 9000, section 7.2)
@@ -184,7 +186,7 @@
         now = self.loop.time()
         flow.last_received_at = now
         flow.client = client
-        if header.destination != flow.original_id or flow.link is not None and header.short:
+        if header.destination != flow.original_id or (flow.link is not None and header.short):
             flow.last_id = header.destination
             flow.last_size = len(data)
         if not flow.unanswered:
--- a/yarrowspindle/lab/model/__init__.py
+++ b/yarrowspindle/lab/model/__init__.py
@@ -4,4 +4,4 @@
 from yarrowspindle.lab.model.fleet import Fleet, FleetSpec, ModelClass
 from yarrowspindle.lab.model.rules import BrokenRule
 
-__all__ = ["BrokenRule", "Fleet", "FleetSpec", "ModelClass", "ModelBackend"]
+__all__ = ["BrokenRule", "Fleet", "FleetSpec", "ModelBackend", "ModelClass"]
--- a/yarrowspindle/lab/model/controlling.py
+++ b/yarrowspindle/lab/model/controlling.py
@@ -509,7 +509,7 @@
 
     def send(self, source: Host, to: Address, data: bytes) -> None:
         target = self.at.get(to)
-        if target is None or self.cut and source.region != target.region:
+        if target is None or (self.cut and source.region != target.region):
             return
         if self.loss and self.wires.random() < self.loss:
             return
--- a/yarrowspindle/lab/model/exhaustive.py
+++ b/yarrowspindle/lab/model/exhaustive.py
@@ -97,7 +97,9 @@
 
 def made(parts: Parts, name: str, kept: AcceptorState[MaintenanceState], key: str = "first") -> Loaded:
     voter = parts.voter(kept, _forget if parts.forgets else _store, float)
-    core = parts.turns(name, key, parts.state({n: FIRST for n in NAMES}), FIRST, kept.state, 1, FAR_MS, parts.proposer)
+    core = parts.turns(
+        name, key, parts.state(dict.fromkeys(NAMES, FIRST)), FIRST, kept.state, 1, FAR_MS, parts.proposer
+    )
     core.random = core.proposer.random = Still()  # type: ignore[assignment]
     core.take_effects()
     return core, voter
@@ -211,7 +213,7 @@
                 yield step(state, index, f"{name}!done {machine}", partial(ordered, order))
         if state.crashes:
             voter: Acceptor[MaintenanceState] = pickle.loads(one.core)[1]
-            first = parts.state({n: FIRST for n in NAMES})
+            first = parts.state(dict.fromkeys(NAMES, FIRST))
             kept = AcceptorState(FIRST, NO_BALLOT, NO_BALLOT, first) if voter.store is _forget else voter.stored
             again = packed(made(parts, name, kept, "second"), frozenset())
             relays = tuple(again if n == index else r for n, r in enumerate(state.relays))
@@ -225,7 +227,7 @@
     """A start of the search, nothing on the way. granted: all have registered, both machines are asked for, each relay
     holds a connection at the first, whose turn all have taken up; last: but for one relay all have confirmed; free: all
     have; back: the work is done, and the second machine's turn is granted."""
-    first = parts.state({n: FIRST for n in NAMES})
+    first = parts.state(dict.fromkeys(NAMES, FIRST))
     relays = tuple(
         packed(made(parts, name, AcceptorState(FIRST, NO_BALLOT, NO_BALLOT, first)), frozenset()) for name in NAMES
     )
--- a/yarrowspindle/lab/model/fleet.py
+++ b/yarrowspindle/lab/model/fleet.py
@@ -167,7 +167,7 @@
         if self.talk is not None:
             self.talk.join(
                 relay.index,
-                lambda: relay.reducer.balancer.backends.values(),
+                relay.reducer.balancer.backends.values,
                 lambda others: relay.post(PeerLoadsUpdated(others)),
             )
 
--- a/yarrowspindle/lab/model/turning.py
+++ b/yarrowspindle/lab/model/turning.py
@@ -285,7 +285,7 @@
         if self.plan.clash:
             self.wishes.append(structs.replace(self.wish, backends=self.wish.backends[::2], order="fewest"))
         self.names = relay_names(relays)
-        self.first = self.parts.state({name: FIRST for name in self.names})
+        self.first = self.parts.state(dict.fromkeys(self.names, FIRST))
         self.files: dict[str, AcceptorState[MaintenanceState]] = {
             name: AcceptorState(FIRST, NO_BALLOT, NO_BALLOT, self.first) for name in self.names
         }
--- a/yarrowspindle/maintenance/state.py
+++ b/yarrowspindle/maintenance/state.py
@@ -33,8 +33,11 @@
 
 @dataclass(slots=True, frozen=True)
 class BackendObservation:
-    """A backend as the proposer sees it. ready: takes connections and is warmed up. capacity: in the units of the
-    endpoint list. connections: as far as the proposer knows."""
+    """A backend as the proposer sees it.
+
+    ready: takes connections and is warmed up. capacity: in the units of the endpoint list. connections: as far as the
+    proposer knows.
+    """
 
     zone: int
     capacity: float
--- a/yarrowspindle/membership/core.py
+++ b/yarrowspindle/membership/core.py
@@ -153,21 +153,26 @@
         context.counts["came"] += 1
         context.counts["came_bytes"] += len(event.data)
         if not self._source_limiter.accept(event.source, context.now):
-            return self._drop(DropReason.FLOOD, event)
+            self._drop(DropReason.FLOOD, event)
+            return
         try:
             datagram = context.codec.decode(event.data)
         except DroppedDatagramError as error:
-            return self._drop(str(error), event)
+            self._drop(str(error), event)
+            return
         reason = self._apply_updates(datagram)
         if reason is not None:
-            return self._drop(reason, event)
+            self._drop(reason, event)
+            return
         member = context.members.table.get(datagram.name)
         if member is None or member.incarnation != datagram.incarnation:
-            return self._drop(DropReason.TABLE_FULL, event)
+            self._drop(DropReason.TABLE_FULL, event)
+            return
         if member.state != MemberState.ALIVE:
             self._send_state(member, datagram)
             if member.state == MemberState.LEFT:
-                return self._drop(DropReason.HAS_LEFT, event)
+                self._drop(DropReason.HAS_LEFT, event)
+                return
         member.last_heard = context.now
         self.message_handlers[type(datagram.body)](member, datagram, datagram.body)
 
--- a/yarrowspindle/membership/members.py
+++ b/yarrowspindle/membership/members.py
@@ -235,7 +235,8 @@
         if not self.updates:
             return []
         max_transmissions = ceil(RETRANSMIT_MULTIPLE * log2(self.size + 2))
-        order = sorted(reversed(self.updates.items()), key=lambda item: (item[0] != first, item[1][1]))
+        # Reversed before a stable sort: of equals the newest goes first.
+        order = sorted(reversed(self.updates.items()), key=lambda item: (item[0] != first, item[1][1]))  # noqa: C414  # stable
         taken = list[MembershipUpdate]()
         for name, (update, transmissions) in order:
             max_bytes -= max_update_bytes(update)
--- a/yarrowspindle/membership/settings.py
+++ b/yarrowspindle/membership/settings.py
@@ -12,6 +12,9 @@
 
 MAX_NAME_BYTES = 64
 MAX_SEEDS = 64
+IPV4_PARTS = 4
+MAX_IPV4_PART = 255
+MAX_PORT = 65_535
 
 
 class PeerError(ValueError):
@@ -81,7 +84,8 @@
             raise ListError("no text")
         host, port = parse_address(value)
         parts = [int(part) for part in host.split(".") if part.isdecimal()]
-        if len(parts) != 4 or host.count(".") != 3 or max(parts) > 255 or not 0 < port < 65_536:
+        is_ipv4 = len(parts) == IPV4_PARTS and host.count(".") == IPV4_PARTS - 1 and max(parts) <= MAX_IPV4_PART
+        if not is_ipv4 or not 0 < port <= MAX_PORT:
             raise ListError("no IPv4 address with a port")
     except ListError:
         raise PeerError(f'peers.{key} is {value!r}: an address like "10.0.0.1:7946" is wanted') from None
--- a/yarrowspindle/middleware/asgi.py
+++ b/yarrowspindle/middleware/asgi.py
@@ -75,6 +75,7 @@
         self.lifespan = lifespan
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
+        """Serves one scope."""
         if scope["type"] == "lifespan" and self.lifespan:
             await Lifespan(self.placer, receive, send).run(self.app, scope)
         elif scope["type"] in ("http", "websocket") and self.long_lived(scope):
@@ -106,7 +107,9 @@
         finally:
             placement.finish(clean)
 
-    async def _run(self, scope: Scope, receive: Receive, answers: Answers) -> None:
+    async def _run(  # noqa: C901  # one branch for each way in which an application may fail
+        self, scope: Scope, receive: Receive, answers: Answers
+    ) -> None:
         """Runs the application at one backend after the other until one is reached or none is left."""
         placement = answers.placement
         while True:
@@ -160,7 +163,7 @@
                 self.error = BackendUnreachable(self.placement.backend)
             if self.error is not None:
                 return  # an error page of the framework, for an attempt that has another after it
-            if kind == "websocket.accept" or kind == "http.response.start" and message["status"] < FIRST_ERROR_STATUS:
+            if kind == "websocket.accept" or (kind == "http.response.start" and message["status"] < FIRST_ERROR_STATUS):
                 try:
                     self.placement.up()
                 except PlacementError as error:
@@ -170,7 +173,7 @@
             elif kind in ("http.response.start", "websocket.close", "websocket.http.response.start"):
                 self.placement.leave()  # the application rejects its client itself
                 self.started = True
-        if kind == "websocket.close" or kind == "http.response.body" and not message.get("more_body", False):
+        if kind == "websocket.close" or (kind == "http.response.body" and not message.get("more_body", False)):
             self.ended = True
         await self.outer(message)
 
--- a/yarrowspindle/middleware/streams.py
+++ b/yarrowspindle/middleware/streams.py
@@ -87,7 +87,9 @@
         return link
 
 
-async def relay_websocket(websocket: Any, placement: Placement, open_link: OpenLink = open_line_link) -> None:
+async def relay_websocket(  # noqa: C901  # both directions share the link and the websocket
+    websocket: Any, placement: Placement, open_link: OpenLink = open_line_link
+) -> None:
     """Passes messages both ways until one side closes or the connection is migrated.
 
     A migration closes the websocket with 1012, the backend's close with 1000, a reset of the backend with 1011.
--- a/yarrowspindle/rebalancing/settings.py
+++ b/yarrowspindle/rebalancing/settings.py
@@ -9,6 +9,8 @@
 from typing import Any
 
 MINUTE_MS = 60_000.0
+MINUTES_PER_HOUR = 60
+HOURS_PER_DAY = 24
 MINUTES_PER_DAY = 1440
 
 
@@ -119,10 +121,10 @@
         (first_hour, first_minute), (last_hour, last_minute) = first, last
     except ValueError:
         raise RebalanceError(f'rebalance.quiet holds {text!r}: hours like "22:00-06:00" are wanted') from None
-    hours_fit = 0 <= first_hour < 24 and 0 <= last_hour <= 24
-    if not hours_fit or not (0 <= first_minute < 60 and 0 <= last_minute < 60):
+    hours_fit = 0 <= first_hour < HOURS_PER_DAY and 0 <= last_hour <= HOURS_PER_DAY
+    if not hours_fit or max(first_minute, last_minute) >= MINUTES_PER_HOUR or min(first_minute, last_minute) < 0:
         raise RebalanceError(f"rebalance.quiet holds {text!r}: no such hours")
-    return first_hour * 60 + first_minute, last_hour * 60 + last_minute
+    return first_hour * MINUTES_PER_HOUR + first_minute, last_hour * MINUTES_PER_HOUR + last_minute
 
 
 def read_rebalance(section: Mapping[str, Any]) -> RebalanceSettings:
--- a/yarrowspindle/replay/sequence.py
+++ b/yarrowspindle/replay/sequence.py
@@ -25,8 +25,10 @@
 
 
 class Header(msgspec.Struct, frozen=True):
+    """The first line of a sequence. `started`: Unix milliseconds."""
+
     seed: int
-    started: float  # Unix milliseconds
+    started: float
     settings: Settings
     form: str = FORM
     version: int = VERSION
@@ -39,12 +41,14 @@
     """Writes a sequence; give `event` to `Runtime.seen`, or call it with each event and its time."""
 
     def __init__(self, out: BinaryIO, settings: Settings, seed: int, started: float) -> None:
-        self.out, self.events = out, 0
+        self.out = out
+        self.events = 0
         self.encoder = msgspec.json.Encoder()
         header = msgspec.structs.asdict(Header(seed, started, settings)) | {"settings": to_recorded(settings)}
         out.write(self.encoder.encode(header) + b"\n")
 
     def event(self, now: float, event: Event) -> None:
+        """Writes an event with its time in milliseconds."""
         name = EVENT_NAMES[type(event)]
         self.out.write(self.encoder.encode((now, name, to_recorded(event))) + b"\n")
         self.events += 1
--- a/yarrowspindle/runtime/endpoint_watch.py
+++ b/yarrowspindle/runtime/endpoint_watch.py
@@ -39,7 +39,7 @@
         A watch that is renewed tells on until the new one has told something; so one that has gone silent is found. A
         call that has told nothing yet goes on beside those after it: a service that answers each later than the next is
         made is heard all the same."""
-        if self.closed or self.watch is not None and self.watch_at == address and not renew:
+        if self.closed or (self.watch is not None and self.watch_at == address and not renew):
             return
         if self.watch is not None:
             self._replace(self.watch, address)
--- a/yarrowspindle/runtime/health_checker.py
+++ b/yarrowspindle/runtime/health_checker.py
@@ -63,7 +63,7 @@
         if asked is not None and asked.side.asked:  # the last question is still out, and has its own end
             self.backends[effect.backend] = asked
             return
-        if self.closed or asked is None and not self._room():
+        if self.closed or (asked is None and not self._room()):
             self._tell(effect.backend, TerminationReason.NOT_SENT, 0.0)
             return
         if asked is None:
--- a/yarrowspindle/runtime/runtime.py
+++ b/yarrowspindle/runtime/runtime.py
@@ -69,9 +69,9 @@
         self.handlers: dict[type, Callable[[Any], None]] = {
             SetTimer: lambda effect: self.timers.set(effect.delay_ms, effect.timer),
             CancelTimer: lambda effect: self.timers.cancel(effect.timer),
-            WatchEndpoints: lambda effect: self.watch(effect),
-            CheckHealth: lambda effect: self.probe(effect),
-            CancelHealthCheck: lambda effect: self.unprobe(effect),
+            WatchEndpoints: lambda effect: self.watch(effect),  # noqa: PLW0108  # set after this table is made
+            CheckHealth: lambda effect: self.probe(effect),  # noqa: PLW0108  # set after this table is made
+            CancelHealthCheck: lambda effect: self.unprobe(effect),  # noqa: PLW0108  # set after this table is made
             LogMessage: lambda effect: self.log("info", effect.text),
             BackendRemoved: self._backend_gone,
         }
--- a/yarrowspindle/simulator/adapter.py
+++ b/yarrowspindle/simulator/adapter.py
@@ -69,7 +69,7 @@
 NO_INSTANCE = -1
 
 
-def encode(action: Action) -> bytes:
+def encode(action: Action) -> bytes:  # noqa: PLR0911  # one return for each action
     """Returns an action as a record of the wire."""
     if isinstance(action, StartAttempt):
         return wire.ROUTE.pack(wire.ROUTE_CODE, 16, action.request, action.backend, action.timeout_ms)
--- a/yarrowspindle/storage/durable_file.py
+++ b/yarrowspindle/storage/durable_file.py
@@ -90,7 +90,7 @@
         data = self.codec.encode(value, self.owner, self.cluster)
         temporary_path = self.path.with_name(f"{self.path.name}{TEMPORARY_SUFFIX}")
         _write_synced(temporary_path, data)
-        os.replace(temporary_path, self.path)
+        temporary_path.replace(self.path)
         _sync_directory(self.directory)
 
 
--- a/yarrowspindle/storage/voter_file.py
+++ b/yarrowspindle/storage/voter_file.py
@@ -49,6 +49,6 @@
         """
         created = AcceptorState(new_identity(), NO_BALLOT, NO_BALLOT, initial)
         if self.path.exists():
-            os.replace(self.path, self.path.with_suffix(INVALID_SUFFIX))
+            self.path.replace(self.path.with_suffix(INVALID_SUFFIX))
         self.store(created)
         return created
--- a/yarrowspindle/telemetry/guard.py
+++ b/yarrowspindle/telemetry/guard.py
@@ -185,8 +185,7 @@
     def _on_event_loop_stalled(self, event: EventLoopStalled) -> None:
         """Deadlines that passed during a stall are counted from its end."""
         for request in self._pending.values():
-            if request.deadline < self.now:
-                request.deadline = self.now
+            request.deadline = max(request.deadline, self.now)
 
     def _on_timer_fired(self, event: TimerFired) -> None:
         if self.now < self._last_check_at + UNANSWERED_CHECK_INTERVAL_MS:
