--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -37,7 +37,7 @@
         settings = Settings(
             classes=(RequestClass(800.0, 4800.0, message_latency_objective_ms=150.0),),
             max_attempts=3,
-            retry_after=True,
+            clients_heed_retry_after=True,
             max_retry_after_ms=2000.0,
             initial_capacity_fraction=0.31,
             warmup_ms=9000.0,
--- a/benchmarks/rebalance.py
+++ b/benchmarks/rebalance.py
@@ -76,7 +76,7 @@
 
 
 def wrap(run: Run, rebalancer: Rebalancer) -> None:
-    beat = rebalancer.beat
+    beat = rebalancer.plan_round
 
     def measured(now: float, drawn: Sequence[int], sharers: float = 0.0) -> list[int]:
         begun = time.perf_counter()
@@ -88,7 +88,7 @@
             run.cost.append((len(rebalancer.view.by_name), len(moves), took * 1e6))
         return moves
 
-    rebalancer.beat = measured  # type: ignore[method-assign]
+    rebalancer.plan_round = measured  # type: ignore[method-assign]
 
 
 def play(scenario: str, spec: FleetSpec, seed: int, on: bool) -> Run:
--- a/benchmarks/soak/planted.py
+++ b/benchmarks/soak/planted.py
@@ -74,7 +74,7 @@
         if opened.key % 50:
             real(self, side, opened)
         else:
-            self.door.known(side)
+            self.door.on_request(side)
             side.request = self.hub.new_request(self)
 
     line_front.LineFront.request_came = came  # type: ignore[method-assign]
@@ -125,7 +125,7 @@
     line_front.LineFront.end = lambda self, within_s: asyncio.sleep(0)  # type: ignore[method-assign]
     from yarrowspindle.daemon.relay_service import RelayService
 
-    RelayService.stop = lambda self: 50.0  # type: ignore[method-assign]
+    RelayService.begin_shutdown = lambda self: 50.0  # type: ignore[method-assign]
 
 
 def answer_late() -> None:
--- a/tests/daemon/test_background_store.py
+++ b/tests/daemon/test_background_store.py
@@ -30,7 +30,9 @@
         settings = read_operator(world.relay("r0")).control
         assert settings is not None
         metrics = SimpleNamespace(sources={}, more_gauges=[])
-        service: Any = SimpleNamespace(config=SimpleNamespace(name="r0"), take=lambda entries: None, metrics=metrics)
+        service: Any = SimpleNamespace(
+            config=SimpleNamespace(name="r0"), apply_shared_settings=lambda entries: None, metrics=metrics
+        )
         endpoint = RelayEndpoint(service, settings)
         assert endpoint.file is not None
         store, failing = endpoint.file.store, True
--- a/tests/daemon/test_failing_steps.py
+++ b/tests/daemon/test_failing_steps.py
@@ -26,8 +26,8 @@
 )
 from yarrowspindle.routing.termination import TerminationReason
 from yarrowspindle.runtime import SystemClock
-from yarrowspindle.runtime.endpoint_watch import ListWatch
-from yarrowspindle.runtime.health_checker import Prober
+from yarrowspindle.runtime.endpoint_watch import EndpointWatch
+from yarrowspindle.runtime.health_checker import HealthChecker
 from yarrowspindle.telemetry.log import log_to
 
 DEADLINE_S = 0.9
@@ -122,7 +122,7 @@
 
 async def watch_ends() -> None:
     told: list[EndpointsUpdated] = []
-    watch = ListWatch(Names(), told.append, lambda why: None)
+    watch = EndpointWatch(Names(), told.append, lambda why: None)
     watch.ask(0, NOWHERE)
     await asyncio.sleep(0.3)
     assert [list_told.kind for list_told in told] == [ListKind.FAILED]
@@ -131,7 +131,7 @@
 
 async def probe_ends() -> None:
     over: list[HealthCheckCompleted] = []
-    prober = Prober(("x0",), 10.0, over.append, lambda text: None)
+    prober = HealthChecker(("x0",), 10.0, over.append, lambda text: None)
     prober.probe(CheckHealth("s-1", NOWHERE, 500.0))
     await asyncio.sleep(0.2)
     assert len(over) == 1 and over[0].reason in (TerminationReason.NOT_SENT, TerminationReason.CONNECT_FAILED)
--- a/tests/daemon/test_relay_configuration.py
+++ b/tests/daemon/test_relay_configuration.py
@@ -36,7 +36,7 @@
         settings = read_operator(world.relay("r0")).control
         assert settings is not None
         metrics = SimpleNamespace(sources={}, more_gauges=[])
-        service: Any = SimpleNamespace(config=SimpleNamespace(name="r0"), take=take, metrics=metrics)
+        service: Any = SimpleNamespace(config=SimpleNamespace(name="r0"), apply_shared_settings=take, metrics=metrics)
         endpoint = RelayEndpoint(service, settings)
         sent: list[Any] = []
         endpoint._send = lambda send: sent.append(send.message)  # type: ignore[method-assign]
--- a/tests/daemon/test_shared_settings.py
+++ b/tests/daemon/test_shared_settings.py
@@ -42,7 +42,7 @@
         for n in range(2000):
             name = ("chat", "chat", "video")[n % 3]
             changed = [CHAT | {"name": name, "deadline_ms": 3000.0 + n}, CHAT | {"name": "call"}]
-            service.take(ENTRIES | {"categories": entry_value(changed)})
+            service.apply_shared_settings(ENTRIES | {"categories": entry_value(changed)})
             classes, current = service.config.settings.classes, service.config.current_classes
             assert len(classes) <= 6 and service.reducer.balancer.settings.classes == classes
             assert len(set(current.values())) == 2 and classes[current[name]].deadline_ms == 3000.0 + n
@@ -64,7 +64,7 @@
         assert estimates is not None
         estimates.class_loads[0] = 3.0
         for name in ("b", "c", "d", "chat"):  # one entry under other names: only the name differs
-            service.take(
+            service.apply_shared_settings(
                 ENTRIES | {"categories": entry_value([CHAT | {"name": name}]), "stats": entry_value(probed["stats"])}
             )
             assert len(estimates.class_loads) == len(estimates.class_connections) == len(service.config.classes) <= 2
--- a/tests/decisions/reporting_relay.py
+++ b/tests/decisions/reporting_relay.py
@@ -30,7 +30,7 @@
     "cross_zone_price": 0.16,
     "capacity_excludes_load": True,
     "groups_share_work": True,
-    "retry_after": True,
+    "clients_heed_retry_after": True,
     "max_retry_after_ms": 2000.0,
 }
 
--- a/tests/decisions/test_admission.py
+++ b/tests/decisions/test_admission.py
@@ -25,7 +25,7 @@
 
 
 def test_a_request_that_would_miss_its_objective_everywhere_is_rejected_at_once_with_spread_waits() -> None:
-    b = balancer(1, classes=WITH_MESSAGE_OBJECTIVE, retry_after=True, max_retry_after_ms=1000.0)
+    b = balancer(1, classes=WITH_MESSAGE_OBJECTIVE, clients_heed_retry_after=True, max_retry_after_ms=1000.0)
     backend = open_one(b, 0.0, 1)
     b.handle(1.0, SlowMessageObserved(1, backend, 500.0))
     answers = [a for n in range(2, 12) for a in b.handle(2.0, RequestReceived(n, left_ms=2000.0))]
@@ -84,6 +84,6 @@
 
 
 def test_retry_after_is_spread_over_the_second_half_of_the_longest_wait() -> None:
-    heeded = settings(retry_after=True, max_retry_after_ms=1000.0)
+    heeded = settings(clients_heed_retry_after=True, max_retry_after_ms=1000.0)
     assert [retry_after_ms(heeded, draw) for draw in (0.0, 0.5, 1.0)] == [500.0, 750.0, 1000.0]
     assert retry_after_ms(settings(max_retry_after_ms=1000.0), 0.5) == 0.0
--- a/tests/decisions/test_backend_registry.py
+++ b/tests/decisions/test_backend_registry.py
@@ -73,7 +73,7 @@
         warmup_ms=500.0,
         initial_capacity_fraction=0.5,
         backend_reports_latency=False,
-        retry_after=True,
+        clients_heed_retry_after=True,
     )
     at: dict[int, int] = {}
     for step in range(2000):
--- a/tests/decisions/test_fleet.py
+++ b/tests/decisions/test_fleet.py
@@ -24,7 +24,7 @@
         "overload_multiple": 3.0,
         "overload_window_ms": 1500.0,
         "uses_own_load": True,
-        "retry_after": True,
+        "clients_heed_retry_after": True,
         "max_retry_after_ms": 2000.0,
     }
     return Balancer(settings(**(values | changes)), number + 1, 0.0)
--- a/tests/decisions/test_rules.py
+++ b/tests/decisions/test_rules.py
@@ -56,7 +56,7 @@
         "warmup_ms": 5000.0,
         "initial_capacity_fraction": 0.2,
         "overload_multiple": 3.0,
-        "retry_after": True,
+        "clients_heed_retry_after": True,
         "max_retry_after_ms": 1000.0,
     }
     values.update(changes)
--- a/tests/forms/published.py
+++ b/tests/forms/published.py
@@ -24,7 +24,7 @@
 from yarrowspindle.routing.reducer import Reducer
 from yarrowspindle.routing.state import Phase, Request
 from yarrowspindle.routing.termination import TerminationReason
-from yarrowspindle.runtime.health_checker import Prober
+from yarrowspindle.runtime.health_checker import HealthChecker
 from yarrowspindle.telemetry import Telemetry
 from yarrowspindle.telemetry.guard import Rule
 from yarrowspindle.telemetry.published_names import reason_name
@@ -59,7 +59,7 @@
 
 def probe_counters() -> list[str]:
     async def ended() -> list[str]:
-        prober = Prober(SETTINGS.load_report_fields, 1.0, lambda event: None, lambda text: None)
+        prober = HealthChecker(SETTINGS.load_report_fields, 1.0, lambda event: None, lambda text: None)
         for ending in TerminationReason:
             prober._tell("s-1", ending, 0.0)
         return sorted(prober.counts)
--- a/tests/fronts/test_quic_front.py
+++ b/tests/fronts/test_quic_front.py
@@ -67,7 +67,7 @@
             classes=(RequestClass(800.0, class_ms),),
             max_attempts=3,
             may_cancel=True,
-            retry_after=True,
+            clients_heed_retry_after=True,
             max_retry_after_ms=2000.0,
             **changes,
         )
--- a/tests/middleware/test_middleware.py
+++ b/tests/middleware/test_middleware.py
@@ -58,7 +58,7 @@
 def run(body: Callable[[Any, Placer, dict[str, Any]], Awaitable[None]], *states: EndpointState, **options: Any) -> None:
     async def inside() -> None:
         placer = Placer(
-            settings(classes=(RequestClass(100.0, 400.0),), retry_after=True, max_retry_after_ms=2000.0),
+            settings(classes=(RequestClass(100.0, 400.0),), clients_heed_retry_after=True, max_retry_after_ms=2000.0),
             StaticList(machines(*states)),
             seed=3,
         )
--- a/tests/rebalancing/test_rebalancing.py
+++ b/tests/rebalancing/test_rebalancing.py
@@ -58,7 +58,7 @@
     def beat(self, seconds: float = 1.0) -> list[int]:
         """The moves of one beat, carried out: the jobs are over here."""
         self.now += seconds * 1000.0
-        moves = self.rebalancer.beat(self.now, list(range(1, 50)))
+        moves = self.rebalancer.plan_round(self.now, list(range(1, 50)))
         for request in moves:
             self.rebalancer.over(self.now, request, False)
         return moves
--- a/tests/routing/test_reducer_model.py
+++ b/tests/routing/test_reducer_model.py
@@ -94,7 +94,7 @@
             helpers.settings(
                 classes=(RequestClass(800.0, DEADLINE_MS, message_latency_objective_ms=150.0),),
                 max_attempts=3,
-                retry_after=True,
+                clients_heed_retry_after=True,
                 max_retry_after_ms=2000.0,
                 polls_discovery=True,
             ),
--- a/tests/transport/test_line_connections.py
+++ b/tests/transport/test_line_connections.py
@@ -7,7 +7,7 @@
 from typing import Any, cast
 
 from yarrowspindle.routing.termination import TerminationReason
-from yarrowspindle.transport.backend import BackendSide
+from yarrowspindle.transport.backend import BackendConnection
 from yarrowspindle.transport.client import ClientConnection
 
 
@@ -65,9 +65,9 @@
         side.request = 7
 
 
-def pair() -> tuple[Sink, ClientConnection, Wire, BackendSide, Wire]:
+def pair() -> tuple[Sink, ClientConnection, Wire, BackendConnection, Wire]:
     sink, near, far = Sink(), Wire(), Wire()
-    client, backend = ClientConnection(cast(Any, sink)), BackendSide(cast(Any, sink), 7, 0)
+    client, backend = ClientConnection(cast(Any, sink)), BackendConnection(cast(Any, sink), 7, 0)
     client.connection_made(cast(asyncio.BaseTransport, near))
     backend.connection_made(cast(asyncio.BaseTransport, far))
     client.data_received(b"OPEN 000000000000000a 00000000000000ff c=x,d=5\r\n")
@@ -75,7 +75,7 @@
     return sink, client, near, backend, far
 
 
-def joined() -> tuple[Sink, ClientConnection, Wire, BackendSide, Wire]:
+def joined() -> tuple[Sink, ClientConnection, Wire, BackendConnection, Wire]:
     made = pair()
     made[3].data_received(b"UP r\r\n")
     made[1].join(made[3], made[3].first)
@@ -192,7 +192,7 @@
 def test_a_connection_that_comes_up_after_it_was_given_up_is_closed() -> None:
     def body() -> None:
         sink, wire = Sink(), Wire()
-        backend = BackendSide(cast(Any, sink), 7, 0)
+        backend = BackendConnection(cast(Any, sink), 7, 0)
         backend.drop()
         backend.connection_made(cast(asyncio.BaseTransport, wire))
         assert wire.closed and not sink.told
--- a/yarrowspindle/consensus/acceptor.py
+++ b/yarrowspindle/consensus/acceptor.py
@@ -9,16 +9,16 @@
 from yarrowspindle.consensus.messages import Accept, Accepted, Ballot, Prepare, Promise, Rejected
 from yarrowspindle.consensus.replicated_state import StateT
 
-PROMISE_VALIDITY_MS = 1000.0
+PROMISE_VALIDITY_MS = 1000.0  # an accept that comes later than this after its promise is rejected
 
 
 @dataclass(slots=True, frozen=True)
 class AcceptorState(Generic[StateT]):
     """What an acceptor must not forget: its promise and the state that it accepted last. Stored by field name."""
 
-    identity: str
+    identity: str  # of the file that it is stored in; a new file has a new one
     promised: Ballot
-    accepted: Ballot
+    accepted: Ballot  # the ballot that `state` was accepted under
     state: StateT
 
 
--- a/yarrowspindle/daemon/main.py
+++ b/yarrowspindle/daemon/main.py
@@ -132,7 +132,7 @@
         if self.operator.quic is not None:
             descriptors -= self.operator.quic.max_connections
         if self.config.settings.may_probe and self.config.settings.load_report_fields:
-            descriptors -= self.service.prober.most
+            descriptors -= self.service.health_checker.most
         if self.config.operator is not None:
             from yarrowspindle.operator_api import MAX_CALLS
 
@@ -171,7 +171,7 @@
         """Migrates or answers everybody, then closes the parts, those that others rest on last."""
         service = self.service
         logger.info("shutting down: {} requests and connections are open", len(service.reducer.requests))
-        await asyncio.sleep(service.stop() / 1000.0)
+        await asyncio.sleep(service.begin_shutdown() / 1000.0)
         if self.front is not None:
             await self.front.end(CLOSE_S)
         for task in self.reports:
@@ -179,7 +179,7 @@
         for endpoint in (self.configuration, self.maintenance, self.membership):
             if endpoint is not None:
                 await endpoint.close()
-        service.prober.close()
+        service.health_checker.close()
         if self.api is not None:
             self.api.close()
         logger.info("stopped: {} requests and connections are left", len(service.reducer.requests))
--- a/yarrowspindle/daemon/maintenance_endpoint.py
+++ b/yarrowspindle/daemon/maintenance_endpoint.py
@@ -94,7 +94,7 @@
         self.closed = False
         service.metrics.sources["turns"] = self.counts
         service.metrics.more_gauges.append(self._gauges)
-        service.reloaded.append(self._on_reloaded)
+        service.reload_listeners.append(self._on_reloaded)
         membership.driver.on_payload = self._on_datagram
 
     async def start(self) -> None:
@@ -120,7 +120,7 @@
 
         One that still has some stays registered, until the next process of its name or an operator declares it ended.
         """
-        has_connections = any(connected() for connected in self.service.connected)
+        has_connections = any(connected() for connected in self.service.connected_backends)
         if self.core.registered and not has_connections:
             self._post(RemoveRelay(self.name, self.core.incarnation))
             give_up_at = self.loop.time() + SHUTDOWN_TIMEOUT_S
@@ -296,7 +296,7 @@
             self._recreate_voter_file()
         self.plan = self._plan(state)
         self.service.post(MaintenanceUpdated(self.plan))
-        self.service.prober.leave(frozenset(self.plan.deadlines_s or ()))
+        self.service.health_checker.leave(frozenset(self.plan.deadlines_s or ()))
 
     def _plan(self, state: MaintenanceState) -> MaintenancePlan:
         deadlines_s: dict[str, float] = {}
@@ -367,7 +367,7 @@
     def _used_backends(self) -> set[str]:
         backends = self.service.reducer.backends
         used = {name for name in self.core.adopted.evacuations if name in backends and backends[name].requests}
-        for connected in self.service.connected:  # these include connections that are being closed
+        for connected in self.service.connected_backends:  # these include connections that are being closed
             used |= connected()
         return used
 
--- a/yarrowspindle/daemon/operator_routes.py
+++ b/yarrowspindle/daemon/operator_routes.py
@@ -20,11 +20,11 @@
         return HTTPStatus.OK, service.telemetry.text()
 
     def evacuate() -> tuple[int, str]:
-        service.evacuate()
+        service.drain()
         return HTTPStatus.OK, "evacuating\n"
 
     def rejoin() -> tuple[int, str]:
-        service.rejoin()
+        service.cancel_drain()
         return HTTPStatus.OK, "serving\n" if service.ready() else "stopping\n"
 
     return {
--- a/yarrowspindle/daemon/relay_configuration.py
+++ b/yarrowspindle/daemon/relay_configuration.py
@@ -83,7 +83,7 @@
     def _apply(self, apply: ApplySettings) -> str:
         """Returns why the service keeps its settings; empty where it applies this version."""
         try:
-            self.service.take(apply.entries)
+            self.service.apply_shared_settings(apply.entries)
         except Exception as error:
             if not isinstance(error, ConfigError):
                 logger.exception("control: version {} cannot be applied", apply.version)
--- a/yarrowspindle/daemon/relay_service.py
+++ b/yarrowspindle/daemon/relay_service.py
@@ -26,8 +26,8 @@
 )
 from yarrowspindle.routing.reducer import Reducer
 from yarrowspindle.runtime import Clock, Runtime, SystemClock, Timers
-from yarrowspindle.runtime.endpoint_watch import ListWatch
-from yarrowspindle.runtime.health_checker import Prober
+from yarrowspindle.runtime.endpoint_watch import EndpointWatch
+from yarrowspindle.runtime.health_checker import HealthChecker
 from yarrowspindle.telemetry import Telemetry
 from yarrowspindle.telemetry.guard import Guard
 from yarrowspindle.telemetry.log import RateLimitedLog
@@ -72,9 +72,9 @@
         self.post = self.runtime.post
         self.forget = self.runtime.forget
         self.new_request = self.runtime.new_request
-        self.connected: list[Callable[[], set[str]]] = []  # the backends that each front has connections to
-        self.shared: Mapping[str, str] = {}  # settings from the controllers, in place of the file's
-        self.reloaded: list[Callable[[Operator], None]] = []  # called with the operator's file after SIGHUP
+        self.connected_backends: list[Callable[[], set[str]]] = []  # the backends that each front has connections to
+        self.shared_settings: Mapping[str, str] = {}  # settings from the controllers, in place of the file's
+        self.reload_listeners: list[Callable[[Operator], None]] = []  # called with the operator's file after SIGHUP
         self.serving = False  # whether the fronts accept connections
         self._observe()
         self._watch_discovery()
@@ -97,7 +97,7 @@
         self.runtime.effect = self._observe_effect
 
     def _watch_discovery(self) -> None:
-        self.watch = ListWatch(
+        self.endpoint_watch = EndpointWatch(
             self.config.names,
             self.post,
             lambda reason: logger.warning("the watch on the endpoint list ended: {}", reason),
@@ -106,15 +106,17 @@
 
     def _check_health(self) -> None:
         settings = self.config.settings
-        self.bad_probes = RateLimitedLog(time.monotonic)
+        self.invalid_reports_log = RateLimitedLog(time.monotonic)
         idle_timeout_s = IDLE_TIMEOUT_FRACTION * settings.conn_idle_ms / 1000.0
-        self.prober = Prober(settings.load_report_fields, idle_timeout_s, self.post, self.bad_probes.warn)
-        self.metrics.sources["probes"] = self.prober.counts
-        self.runtime.probe = self.prober.probe
+        self.health_checker = HealthChecker(
+            settings.load_report_fields, idle_timeout_s, self.post, self.invalid_reports_log.warn
+        )
+        self.metrics.sources["probes"] = self.health_checker.counts
+        self.runtime.probe = self.health_checker.probe
         self.runtime.unprobe = self._cancel_health_check
 
     def _cancel_health_check(self, effect: CancelHealthCheck) -> None:
-        self.prober.leave({effect.backend})
+        self.health_checker.leave({effect.backend})
 
     def start(self) -> None:
         """Starts the runtime with the endpoint list that the configuration has."""
@@ -145,19 +147,19 @@
         """Returns whether this process accepts new connections: it serves, and neither drains nor shuts down."""
         return self.serving and not self.reducer.draining
 
-    def evacuate(self) -> None:
+    def drain(self) -> None:
         """Drains the relay as SIGTERM does, but the process goes on; a second call changes nothing."""
         if not self.reducer.draining:
             logger.info("draining: {} requests and connections are migrated", len(self.reducer.requests))
             self.post(ShutdownRequested(DRAIN_MS, process_exits=False))
 
-    def rejoin(self) -> None:
+    def cancel_drain(self) -> None:
         """Ends a drain of the operators; without one, or after SIGTERM, it changes nothing."""
         if self.reducer.draining and not self.reducer.process_exits:
             logger.info("the drain is cancelled: new connections are accepted")
             self.post(DrainCancelled())
 
-    def stop(self) -> float:
+    def begin_shutdown(self) -> float:
         """Begins the shutdown, also during a drain.
 
         Returns the milliseconds within which everybody gets an answer or is migrated.
@@ -174,13 +176,13 @@
         """Reads both configuration files again (SIGHUP). Where either is invalid nothing changes."""
         try:
             operator = load_operator()
-            reloaded = reload_config(self.config, used=self.reducer.classes, shared=self.shared)
+            reloaded = reload_config(self.config, used=self.reducer.classes, shared=self.shared_settings)
         except (ConfigError, ValueError) as error:
             self.telemetry.on_configuration_reloaded(False)
             logger.error("the configuration is rejected, the old one stays in force: {}", error)
             return
         self._replace_config(reloaded.config)
-        if self.shared:
+        if self.shared_settings:
             logger.info("the settings stay those of the controllers; the file's apply once the controllers have none")
         if reloaded.needs_restart:
             logger.warning("changes of {} need a restart", ", ".join(reloaded.needs_restart))
@@ -197,12 +199,12 @@
         if self.operator.turns is not None and operator.turns is not None:
             turns = replace(self.operator.turns, requests=operator.turns.requests)
             self.operator = replace(self.operator, turns=turns)
-        for listener in self.reloaded:
+        for listener in self.reload_listeners:
             listener(operator)
         if operator != self.operator:
             logger.warning("changes of the operator's file outside [rebalance] and [[turns.request]] need a restart")
 
-    def take(self, shared: Mapping[str, str]) -> None:
+    def apply_shared_settings(self, shared: Mapping[str, str]) -> None:
         """Applies the controllers' settings in place of the file's; an empty mapping: the file's.
 
         Raises:
@@ -213,7 +215,7 @@
         except ConfigError:
             self.telemetry.on_configuration_reloaded(False)
             raise
-        self.shared = shared
+        self.shared_settings = shared
         self._replace_config(config)
 
     def _replace_config(self, config: Config) -> None:
@@ -222,7 +224,7 @@
         reassigned = _reassigned_classes(old, config)
         if reassigned or config.settings != old.settings:
             logger.info("new settings are in force: classes {}", ", ".join(sorted(config.current_classes)))
-            self.prober.fields = config.settings.load_report_fields
+            self.health_checker.fields = config.settings.load_report_fields
             self.post(SettingsChanged(config.settings, reassigned))
 
     def _configure_rebalancing(self) -> None:
@@ -231,7 +233,7 @@
             self.metrics.rebalance(self.reducer.rebalancer)
 
     def _watch(self, effect: WatchEndpoints) -> None:
-        self.watch.ask(effect.version, effect.address or self.config.discovery, effect.renew)
+        self.endpoint_watch.ask(effect.version, effect.address or self.config.discovery, effect.renew)
 
 
 def _reassigned_classes(old: Config, new: Config) -> frozenset[int]:
--- a/yarrowspindle/decisions/actions.py
+++ b/yarrowspindle/decisions/actions.py
@@ -29,7 +29,7 @@
 
 @dataclass(slots=True)
 class FailRequest:
-    """Final answer: not served, and it may have run."""
+    """Final answer: not served, without the promise that nothing ran."""
 
     request: int
     reason: RejectionReason | None = None
--- a/yarrowspindle/decisions/admission.py
+++ b/yarrowspindle/decisions/admission.py
@@ -79,7 +79,7 @@
 
     Spread by the draw (in 0 to 1) over the second half of the longest wait, so that they don't come again together.
     """
-    return settings.max_retry_after_ms * (0.5 + 0.5 * draw) * settings.retry_after
+    return settings.max_retry_after_ms * (0.5 + 0.5 * draw) * settings.clients_heed_retry_after
 
 
 class Admission:
@@ -115,7 +115,7 @@
         Retry-After, since a rejected client would come again at once.
         """
         state = self.state
-        if backend.connections and not state.settings.retry_after:
+        if backend.connections and not state.settings.clients_heed_retry_after:
             return False
         slow = self.slow_fraction(backend.zone)
         return slow > 0.0 and state.random() < slow ** (2 if backend.connections else 1)
--- a/yarrowspindle/decisions/events.py
+++ b/yarrowspindle/decisions/events.py
@@ -77,8 +77,8 @@
     left_ms: float = 0.0
     load: float = 0.0  # 0: no hint
     group: int = 0
-    repeated: bool = False
-    mid_flow: bool = False
+    repeated: bool = False  # for the record of events; no decision uses it
+    mid_flow: bool = False  # as above
     returned: bool = False
 
 
--- a/yarrowspindle/decisions/migration.py
+++ b/yarrowspindle/decisions/migration.py
@@ -74,7 +74,9 @@
             return
         slow_fraction = admission.slow_fraction(backend.zone)
         setup_fraction = admission.setup_latency.fraction
-        if state.random() < slow_message_probability(slow_fraction, setup_fraction, state.settings.retry_after):
+        if state.random() < slow_message_probability(
+            slow_fraction, setup_fraction, state.settings.clients_heed_retry_after
+        ):
             self.migrate(self._heaviest(backend, request))
 
     def _heaviest(self, backend: Backend, request: Request) -> Request:
--- a/yarrowspindle/decisions/peer_loads.py
+++ b/yarrowspindle/decisions/peer_loads.py
@@ -1,4 +1,4 @@
-"""What the other balancers reported of their connections. It decides nothing.
+"""What the other balancers reported of their connections.
 
 Of n balancers h have reported, with a weight w that falls from 1 to 0 as their report grows old. The n - 1 - w * h
 others are assumed to have what this balancer has, as all of them are where none reports: then every comparison is
--- a/yarrowspindle/decisions/rejection.py
+++ b/yarrowspindle/decisions/rejection.py
@@ -21,7 +21,7 @@
     BACKEND_REMOVED = "server_gone"
     DEADLINE_EXCEEDED = "deadline"  # of the client, or too little of its time remains
     ATTEMPTS_EXHAUSTED = "attempts_used"  # as many attempts were made as the settings allow
-    MAY_HAVE_RUN = "may_have_run"  # an attempt may have run, and the class is not idempotent
+    MAY_HAVE_RUN = "may_have_run"  # an attempt may have run, and the class is NON_IDEMPOTENT
     IDEMPOTENCY_WINDOW_EXPIRED = "window_over"  # backends would no longer recognise a repeat
     NO_USABLE_BACKEND = "no_server"
     OVERLOADED = "overloaded"  # it would miss its objective where it could go, and slow others down
--- a/yarrowspindle/decisions/request_gate.py
+++ b/yarrowspindle/decisions/request_gate.py
@@ -1,8 +1,9 @@
 """Whether a request may be admitted, sent, retried, migrated or answered now, and why not.
 
 Every path asks here: new requests, attempts, retries, the first byte on a new connection, migrations, final answers,
-slow start. Each function returns None where it is allowed, else the `RejectionReason` that logs and metrics carry.
-All are pure; times are milliseconds of one clock that never goes back.
+slow start. A function named `may_...` returns the `RejectionReason` against it, which logs and metrics carry, or None
+where it is allowed; `repeat_within` and `may_promise_no_effect` return what their own docstrings say. All are pure;
+times are milliseconds of one clock that never goes back.
 """
 
 from __future__ import annotations
--- a/yarrowspindle/decisions/requests.py
+++ b/yarrowspindle/decisions/requests.py
@@ -36,7 +36,7 @@
         self.backend: Backend | None = None  # of the newest attempt
         self.in_flight = self.established = False
         self.answer_pending = True
-        self.returned = False  # its client was migrated or rejected before and comes again
+        self.returned = False  # the client's former connection was migrated or reset
         self.group = 0  # 0: none
         self.max_attempts = 1  # as the settings allowed when it was received
         self.may_have_run_at = -1.0  # start of the first attempt that may have run
--- a/yarrowspindle/decisions/retries.py
+++ b/yarrowspindle/decisions/retries.py
@@ -61,7 +61,7 @@
 ) -> WeightedRing[Backend] | None:
     """Return the backends that recognise another attempt as a repeat; None where it may go to any.
 
-    The ring is empty where the idempotency window has ended or the class is not idempotent.
+    The ring is empty where the idempotency window has ended or the class is `NON_IDEMPOTENT`.
     """
     cls, ran_on = settings.classes[request.cls], request.may_have_run_on
     if ran_on is None or cls.idempotency is Idempotency.IDEMPOTENT:
--- a/yarrowspindle/decisions/settings.py
+++ b/yarrowspindle/decisions/settings.py
@@ -95,7 +95,7 @@
     tick_ms: float = 1.0  # precision of timers
     max_attempts: int = 1
     max_retry_after_ms: float = 0.0  # the longest wait that rejected clients heed
-    retry_after: bool = False  # rejected clients heed a Retry-After
+    clients_heed_retry_after: bool = False  # rejected clients heed a Retry-After
     may_cancel: bool = False  # attempts may be cancelled
     may_probe: bool = False  # backends answer health checks
     can_gossip: bool = False
--- a/yarrowspindle/decisions/weighted_ring.py
+++ b/yarrowspindle/decisions/weighted_ring.py
@@ -1,4 +1,4 @@
-"""Backends to draw from at random in proportion to capacity, from an arc of a ring. It decides nothing.
+"""Backends to draw from at random in proportion to capacity, from an arc of a ring.
 
 They are ordered by id, each with a part of the ring in proportion to its capacity. They are kept in blocks with
 running sums of their own: an update costs one block and the sums over blocks, not a sum over the fleet. Up to
--- a/yarrowspindle/fronts/connection_limiter.py
+++ b/yarrowspindle/fronts/connection_limiter.py
@@ -14,10 +14,10 @@
 
 from yarrowspindle.transport.line_connection import LineConnection
 
-SPARE = 24  # for what comes and goes: watches, the configuration's file, sockets that are about to close
+SPARE_DESCRIPTORS = 24  # for what comes and goes: watches, the configuration's file, sockets that are about to close
 STRANGERS_FRACTION = 0.2
 MIN_STRANGERS = 8
-YOUNG_S = 0.03  # a usual submitter's line comes with its connection; nobody is sent away sooner than this
+MIN_AGE_S = 0.03  # a usual submitter's line comes with its connection; nobody is sent away sooner than this
 
 
 def descriptors_left(told: int = 0) -> int:
@@ -32,35 +32,35 @@
     return max(0, min(most, told or most) - used)
 
 
-class Door:
+class ConnectionLimiter:
     def __init__(self, most: int, clock: Callable[[], float]) -> None:
-        self.most, self.clock = most - SPARE, clock
-        self.strangers_most = max(MIN_STRANGERS, int(self.most * STRANGERS_FRACTION))
-        self.held: set[LineConnection] = set()  # all sides that have a descriptor, or are about to
-        self.strangers: dict[LineConnection, float] = {}  # since when; oldest first
-        self.leaving: dict[LineConnection, float] = {}
+        self.max_connections, self.clock = most - SPARE_DESCRIPTORS, clock
+        self.max_without_request = max(MIN_STRANGERS, int(self.max_connections * STRANGERS_FRACTION))
+        self.connections: set[LineConnection] = set()  # all sides that have a descriptor, or are about to
+        self.without_request: dict[LineConnection, float] = {}  # since when; oldest first
+        self.answered: dict[LineConnection, float] = {}
 
-    def came(self, side: LineConnection) -> None:
-        self.held.add(side)
-        self.strangers[side] = self.clock()
+    def on_accepted(self, side: LineConnection) -> None:
+        self.connections.add(side)
+        self.without_request[side] = self.clock()
 
-    def reached_for(self, side: LineConnection) -> None:
-        self.held.add(side)
+    def on_backend_connecting(self, side: LineConnection) -> None:
+        self.connections.add(side)
 
-    def known(self, side: LineConnection) -> None:
-        self.strangers.pop(side, None)
+    def on_request(self, side: LineConnection) -> None:
+        self.without_request.pop(side, None)
 
-    def answered(self, side: LineConnection) -> None:
-        self.strangers.pop(side, None)
-        if side in self.held:
-            self.leaving[side] = self.clock()
+    def on_answered(self, side: LineConnection) -> None:
+        self.without_request.pop(side, None)
+        if side in self.connections:
+            self.answered[side] = self.clock()
 
-    def lost(self, side: LineConnection) -> None:
-        self.held.discard(side)
-        self.strangers.pop(side, None)
-        self.leaving.pop(side, None)
+    def on_closed(self, side: LineConnection) -> None:
+        self.connections.discard(side)
+        self.without_request.pop(side, None)
+        self.answered.pop(side, None)
 
-    def room(self) -> bool:
+    def make_room(self) -> bool:
         """Whether one more may come in; makes room where that is needed and somebody can be sent away."""
         while self._full():
             if not self._send_away():
@@ -68,15 +68,18 @@
         return True
 
     def _full(self) -> bool:
-        strangers = len(self.strangers)  # each takes one more, for its node, once its job has come
-        return len(self.held) + strangers >= self.most or strangers + len(self.leaving) >= self.strangers_most
+        strangers = len(self.without_request)  # each takes one more, for its node, once its job has come
+        return (
+            len(self.connections) + strangers >= self.max_connections
+            or strangers + len(self.answered) >= self.max_without_request
+        )
 
     def _send_away(self) -> bool:
-        old = self.clock() - YOUNG_S
-        for sides in (self.leaving, self.strangers):
+        old = self.clock() - MIN_AGE_S
+        for sides in (self.answered, self.without_request):
             for side, since in islice(sides.items(), 1):
                 if since <= old:
-                    self.lost(side)
+                    self.on_closed(side)
                     side.abort()
                     return True
         return False
--- a/yarrowspindle/fronts/line_front.py
+++ b/yarrowspindle/fronts/line_front.py
@@ -8,7 +8,7 @@
 
 from loguru import logger
 
-from yarrowspindle.fronts.connection_limiter import Door
+from yarrowspindle.fronts.connection_limiter import ConnectionLimiter
 from yarrowspindle.protocol import lines
 from yarrowspindle.protocol.lines import LineError, Open
 from yarrowspindle.routing.effects import (
@@ -35,7 +35,7 @@
 )
 from yarrowspindle.routing.termination import TerminationReason
 from yarrowspindle.telemetry.log import RateLimitedLog
-from yarrowspindle.transport.backend import BackendSide
+from yarrowspindle.transport.backend import BackendConnection
 from yarrowspindle.transport.client import ClientConnection
 from yarrowspindle.transport.connecting import ConnectFailure, Connecting, OwnNetwork
 from yarrowspindle.transport.listener import Listener
@@ -52,12 +52,14 @@
     def __init__(self, hub: RelayService, descriptors: int) -> None:
         self.hub, self.config = hub, hub.config
         self.loop = asyncio.get_running_loop()
-        self.door = Door(descriptors, self.loop.time)
+        self.door = ConnectionLimiter(descriptors, self.loop.time)
         self.log = RateLimitedLog(self.loop.time)
         self.network = OwnNetwork()
         self.clients: dict[int, ClientConnection] = {}
         self.opened: dict[int, Open] = {}  # lines of jobs that may still be sent on
-        self.backends: dict[int, BackendSide] = {}  # of each job's attempt that is out, or its standing connection
+        self.backends: dict[
+            int, BackendConnection
+        ] = {}  # of each job's attempt that is out, or its standing connection
         self.reaching: dict[int, Connecting] = {}
         self.effects: dict[type, Callable[[Any], None]] = {
             OpenBackendConnection: self._reach,
@@ -72,10 +74,10 @@
 
     def start(self) -> LineFront:
         self.listener = Listener(
-            self.config.listen, BACKLOG, lambda: ClientConnection(self), self.door.room, self.bad_line
+            self.config.listen, BACKLOG, lambda: ClientConnection(self), self.door.make_room, self.bad_line
         )
         self.hub.fronts.append(self)
-        self.hub.connected.append(self.connected)
+        self.hub.connected_backends.append(self.connected)
         logger.info("{} serves at {}:{}", self.config.name, *self.config.listen)
         return self
 
@@ -87,12 +89,12 @@
         until = self.loop.time() + within_s
         await self.listener.close(within_s / 3.0)
         await asyncio.sleep(READ_S)  # what lies in the sockets is read, and answered
-        for stranger in [side for side in self.door.strangers if isinstance(side, ClientConnection)]:
+        for stranger in [side for side in self.door.without_request if isinstance(side, ClientConnection)]:
             stranger.rest_over()
-        while self.loop.time() < until and any(isinstance(side, ClientConnection) for side in self.door.held):
+        while self.loop.time() < until and any(isinstance(side, ClientConnection) for side in self.door.connections):
             await asyncio.sleep(READ_S)
             if self.loop.time() > until - within_s / 3.0:
-                for backend in [side for side in self.door.held if isinstance(side, BackendSide)]:
+                for backend in [side for side in self.door.connections if isinstance(side, BackendConnection)]:
                     backend.move_now()
 
     def carry_out(self, effect: Effect) -> None:
@@ -106,7 +108,7 @@
         return self.hub.ready()
 
     def client_came(self, side: ClientConnection) -> None:
-        self.door.came(side)
+        self.door.on_accepted(side)
 
     def request_came(self, side: ClientConnection, opened: Open) -> None:
         config = self.config
@@ -128,7 +130,7 @@
             opened.get("at"),
             opened.id,
         )
-        self.door.known(side)
+        self.door.on_request(side)
         side.request = arrived.request = self.hub.new_request(self)
         self.clients[side.request], self.opened[side.request] = side, opened
         self.hub.post(arrived)
@@ -144,16 +146,16 @@
         self.hub.post(ClientDisconnected(request))
 
     def client_lost(self, side: ClientConnection) -> None:
-        self.door.lost(side)
+        self.door.on_closed(side)
         if self.clients.get(side.request) is side:
             self._forget(side.request)
 
     def client_refused(self, side: ClientConnection, why: str) -> None:
-        self.door.answered(side)
+        self.door.on_answered(side)
         self.bad_line(why)
 
     def client_ended(self, side: ClientConnection) -> None:
-        self.door.answered(side)
+        self.door.on_answered(side)
 
     def bad_line(self, text: str) -> None:
         self.log.warn(text)
@@ -162,14 +164,14 @@
 
     def connected(self) -> set[str]:
         """Execute nodes to which a connection stands or is under way, those that are only being closed included."""
-        return {side.backend for side in self.door.held if isinstance(side, BackendSide)}
+        return {side.backend for side in self.door.connections if isinstance(side, BackendConnection)}
 
-    def backend_reached(self, side: BackendSide) -> None:
+    def backend_reached(self, side: BackendConnection) -> None:
         self.reaching.pop(side.request, None)
         self.network.works()
         self.hub.post(BackendConnected(side.request, side.attempt))
 
-    def backend_up(self, side: BackendSide) -> None:
+    def backend_up(self, side: BackendConnection) -> None:
         self.hub.post(BackendAccepted(side.request, side.attempt))
 
     def backend_answered(self, request: int, lines: int) -> None:
@@ -178,10 +180,10 @@
     def backend_load(self, request: int, load: float) -> None:
         self.hub.post(UnclassifiedReport(request, load))
 
-    def backend_lost(self, side: BackendSide) -> None:
-        self.door.lost(side)
+    def backend_lost(self, side: BackendConnection) -> None:
+        self.door.on_closed(side)
 
-    def backend_over(self, side: BackendSide, ending: TerminationReason) -> None:
+    def backend_over(self, side: BackendConnection, ending: TerminationReason) -> None:
         if self.backends.get(side.request) is side:
             del self.backends[side.request]
         self.hub.post(AttemptEnded(side.request, side.attempt, ending))
@@ -189,17 +191,17 @@
     # --- effects on execute nodes ---------------------------------------------------------------
 
     def _reach(self, effect: OpenBackendConnection) -> None:
-        side = BackendSide(self, effect.request, effect.attempt, effect.backend)
+        side = BackendConnection(self, effect.request, effect.attempt, effect.backend)
         self.backends[effect.request] = side
-        self.door.reached_for(side)
+        self.door.on_backend_connecting(side)
         connecting = Connecting(side, effect.address, lambda failure: self._unreached(side, failure))
         self.reaching[effect.request] = connecting
         connecting.start(effect.timeout_ms / 1000.0)
 
-    def _unreached(self, side: BackendSide, failure: ConnectFailure) -> None:
+    def _unreached(self, side: BackendConnection, failure: ConnectFailure) -> None:
         """The attempt's connection did not come up, and never will: nothing was written on it."""
         self.reaching.pop(side.request, None)
-        self.door.lost(side)
+        self.door.on_closed(side)
         if failure.unexpected:
             self.bad_line(f"a connection to execute node {side.backend} failed: {failure.error!r}")
         side.unreached(
@@ -219,7 +221,7 @@
             side.drop()
         connecting = self.reaching.pop(effect.request, None)
         if connecting is not None and side is not None and connecting.cancel():
-            self.door.lost(side)
+            self.door.on_closed(side)
 
     # --- effects on submitters ------------------------------------------------------------------
 
@@ -235,7 +237,7 @@
         self._forget(request)
         if client is not None:
             client.finish(line)
-            self.door.answered(client)
+            self.door.on_answered(client)
 
     def _forget(self, request: int) -> None:
         self.clients.pop(request, None)
@@ -263,4 +265,4 @@
         self._forget(effect.request)
         if client is not None:
             client.finish()  # in order, however the node ended: its last lines may still wait to be written
-            self.door.answered(client)
+            self.door.on_answered(client)
--- a/yarrowspindle/lab/model/fleet.py
+++ b/yarrowspindle/lab/model/fleet.py
@@ -123,7 +123,7 @@
             balancers=spec.relays,
             max_attempts=3,
             max_retry_after_ms=2000.0,
-            retry_after=spec.retry_after,
+            clients_heed_retry_after=spec.retry_after,
             may_cancel=True,
             initial_capacity_fraction=spec.cold_share,
             warmup_ms=spec.cold_ms,
--- a/yarrowspindle/library/settings.py
+++ b/yarrowspindle/library/settings.py
@@ -135,7 +135,7 @@
             connect_timeout_ms=self.connect_s * 1000.0,
             max_attempts=self.attempts,
             max_retry_after_ms=self.retry_after_s * 1000.0,
-            retry_after=self.retry_after_s > 0.0,
+            clients_heed_retry_after=self.retry_after_s > 0.0,
             may_cancel=True,
         )
 
--- a/yarrowspindle/library/sources.py
+++ b/yarrowspindle/library/sources.py
@@ -77,9 +77,9 @@
 
     def open(self, told: OnUpdate, failed: OnFailure) -> None:
         """Opens the watch."""
-        from yarrowspindle.runtime.endpoint_watch import ListWatch  # needs httptools
+        from yarrowspindle.runtime.endpoint_watch import EndpointWatch  # needs httptools
 
-        self.watch = ListWatch(self.names, told, failed)
+        self.watch = EndpointWatch(self.names, told, failed)
         self.watch.ask(0, self.address)
 
     def ask(self, version: int) -> None:
--- a/yarrowspindle/protocol/platform_settings.py
+++ b/yarrowspindle/protocol/platform_settings.py
@@ -119,7 +119,7 @@
         tick_ms=p.number("step_ms", 1.0),
         max_attempts=p.whole("limits.max_attempts"),
         max_retry_after_ms=p.number("limits.max_retry_after_ms", 0.0),
-        retry_after=p.flag("limits.retry_after"),
+        clients_heed_retry_after=p.flag("limits.retry_after"),
         may_cancel=p.flag("limits.cancel"),
         may_probe=p.flag("limits.probing"),
         can_gossip=p.flag("limits.may_tell"),
--- a/yarrowspindle/rebalancing/planner.py
+++ b/yarrowspindle/rebalancing/planner.py
@@ -18,7 +18,7 @@
 from yarrowspindle.rebalancing.settings import Order, RebalanceSettings
 
 MAX_SCANNED = 64
-GAIN = 0.5  # of the excess and of the room, closed in one round; the design note says why this is stable
+GAIN = 0.5  # of the excess and of the room, closed in one round; docs/design/rebalance.md says why this is stable
 MAX_HOT_MIGRATIONS = 1  # in a round, where no backend has joined
 UNLIMITED = 1 << 30
 
--- a/yarrowspindle/rebalancing/rebalancer.py
+++ b/yarrowspindle/rebalancing/rebalancer.py
@@ -60,12 +60,12 @@
         self.stopped = False
         self.idle = IDLE_EVEN
 
-    def first_beat_ms(self) -> float:
+    def first_round_delay_ms(self) -> float:
         """Returns when the first round is due: spread, so that relays which start together do not plan together."""
         return self.settings.beat_s * 1000.0 * self.random()
 
     @property
-    def beat_ms(self) -> float:
+    def round_interval_ms(self) -> float:
         """The interval of the rounds."""
         return self.settings.beat_s * 1000.0
 
@@ -128,7 +128,7 @@
 
     # --- rounds -----------------------------------------------------------------------------------
 
-    def beat(self, now: float, drawn: Sequence[int], sharers: float = 0.0) -> list[int]:
+    def plan_round(self, now: float, drawn: Sequence[int], sharers: float = 0.0) -> list[int]:
         """Plans a round. Returns the request ids of the connections to be migrated now.
 
         Args:
--- a/yarrowspindle/replay/recorded_form.py
+++ b/yarrowspindle/replay/recorded_form.py
@@ -58,6 +58,7 @@
         "backend_reports_load": "tells_load",
         "can_gossip": "may_tell",
         "capacity_excludes_load": "live_weights",
+        "clients_heed_retry_after": "retry_after",
         "groups_share_work": "groups",
         "initial_capacity_fraction": "cold_share",
         "load_report_fields": "report",
--- a/yarrowspindle/routing/attempts.py
+++ b/yarrowspindle/routing/attempts.py
@@ -1,7 +1,8 @@
 """Attempts, final answers and migrations: what the balancer decides for requests, carried out on their state.
 
 Held here, whatever the balancer or the network does: exactly one final answer for each request, one attempt in flight
-at a time, numbered as the balancer counts, and no attempt at a backend that is listed as draining or removed.
+at a time, numbered as the balancer counts, and no attempt at a backend that is listed as draining or removed (except
+where an existing connection returns to its backend).
 """
 
 from __future__ import annotations
--- a/yarrowspindle/routing/effects.py
+++ b/yarrowspindle/routing/effects.py
@@ -56,7 +56,7 @@
 
 @dataclass(slots=True)
 class FailRequest:
-    """Final answer: failed."""
+    """Final answer: not served, without the promise that nothing ran."""
 
     request: int
     reason: RejectionReason | None = None
--- a/yarrowspindle/routing/rebalancing.py
+++ b/yarrowspindle/routing/rebalancing.py
@@ -53,7 +53,7 @@
         self._fill_view(context.rebalancer)
         if context.shutdown_deadline:
             context.rebalancer.stop()
-        context.effects.append(SetTimer(context.rebalancer.first_beat_ms(), REBALANCING_TIMER))
+        context.effects.append(SetTimer(context.rebalancer.first_round_delay_ms(), REBALANCING_TIMER))
 
     def _fill_view(self, rebalancer: Rebalancer) -> None:
         """Give the rebalancer the present backends and established connections."""
@@ -82,8 +82,8 @@
         context, rebalancer = self._context, self._context.rebalancer
         if rebalancer is None:
             return
-        context.effects.append(SetTimer(rebalancer.beat_ms, REBALANCING_TIMER))
-        migrations = rebalancer.beat(context.now, *context.balancer.subset())
+        context.effects.append(SetTimer(rebalancer.round_interval_ms, REBALANCING_TIMER))
+        migrations = rebalancer.plan_round(context.now, *context.balancer.subset())
         self._set_target(rebalancer.level)
         for number in migrations:
             self._attempts.migrate(context.requests.get(number))
--- a/yarrowspindle/runtime/endpoint_watch.py
+++ b/yarrowspindle/runtime/endpoint_watch.py
@@ -17,7 +17,7 @@
 MAX_SLOW = 12  # calls under way beside the newest; each ends by itself after its time
 
 
-class ListWatch:
+class EndpointWatch:
     """`told` is given each list; `failed` is told why a watch is over. Whoever asks for another is the module."""
 
     def __init__(self, names: Names, told: Callable[[EndpointsUpdated], None], failed: Callable[[str], None]) -> None:
--- a/yarrowspindle/runtime/health_checker.py
+++ b/yarrowspindle/runtime/health_checker.py
@@ -18,26 +18,26 @@
 from yarrowspindle.routing.termination import TerminationReason
 from yarrowspindle.telemetry.published_names import TERMINATION_REASONS
 from yarrowspindle.transport.connecting import ConnectFailure, Connecting
-from yarrowspindle.transport.probe import ProbeSide
+from yarrowspindle.transport.probe import HealthCheckConnection
 
 MOST = 32  # connections; descriptors are set aside for them
 MAX_MUTE = 1024
 LATE_S = 0.05  # a timer that is so late: the loop stood still
 
 
-class Asked:
+class PendingCheck:
     """One node's connection, and the question that is out on it."""
 
     __slots__ = ("side", "address", "since", "stalled", "late", "opening")
 
-    def __init__(self, side: ProbeSide, address: Address) -> None:
+    def __init__(self, side: HealthCheckConnection, address: Address) -> None:
         self.side, self.address = side, address
         self.since, self.stalled = 0.0, False
         self.late: asyncio.TimerHandle | None = None  # the question's time, then the idle connection's
         self.opening: Connecting | None = None
 
 
-class Prober:
+class HealthChecker:
     """`over` is given each probe's end; `bad` a text on answers that make no sense."""
 
     def __init__(
@@ -49,7 +49,7 @@
         most: int = MOST,
     ) -> None:
         self.fields, self.idle_s, self.over, self.bad, self.most = fields, idle_s, over, bad, most
-        self.backends: dict[str, Asked] = {}  # used longest ago first
+        self.backends: dict[str, PendingCheck] = {}  # used longest ago first
         self.counts: Counter[str] = Counter()
         self.mute: set[str] = set()  # nodes whose last probe was not answered, so that the log says so once
         self.closed = False
@@ -67,7 +67,7 @@
             self._tell(effect.backend, TerminationReason.NOT_SENT, 0.0)
             return
         if asked is None:
-            asked = Asked(ProbeSide(self, effect.backend), effect.address)
+            asked = PendingCheck(HealthCheckConnection(self, effect.backend), effect.address)
             asked.opening = Connecting(asked.side, effect.address, partial(self._unreached, asked.side))
             asked.opening.start()
         self.backends[effect.backend] = asked
@@ -94,7 +94,7 @@
             if asked.side.asked:
                 self._tell(backend, TerminationReason.NOT_SENT, asked.since)
 
-    def _late(self, asked: Asked, within_s: float) -> None:
+    def _late(self, asked: PendingCheck, within_s: float) -> None:
         """Silence is the node's only where this process was awake: after a stall its answer may wait in the socket."""
         loop = asyncio.get_running_loop()
         if loop.time() > asked.since + within_s + LATE_S and not asked.stalled:
@@ -115,10 +115,10 @@
         return False
 
     @staticmethod
-    def _unreached(side: ProbeSide, failure: ConnectFailure) -> None:
+    def _unreached(side: HealthCheckConnection, failure: ConnectFailure) -> None:
         side.end(TerminationReason.NOT_SENT if failure.own else TerminationReason.CONNECT_FAILED, str(failure))
 
-    def _close(self, asked: Asked) -> None:
+    def _close(self, asked: PendingCheck) -> None:
         asked.side.over = True  # nothing more is told of it
         if asked.side.transport is not None:
             asked.side.transport.abort()
@@ -133,7 +133,7 @@
 
     # --- reports of the transport ---------------------------------------------------------------
 
-    def probe_answered(self, side: ProbeSide, line: bytes) -> None:
+    def probe_answered(self, side: HealthCheckConnection, line: bytes) -> None:
         asked = self.backends.get(side.backend)
         if asked is None or asked.side is not side:
             return
@@ -146,13 +146,13 @@
             self.bad(f"execute node {side.backend} answers its probes again")
         self._tell(side.backend, TerminationReason.COMPLETED, asked.since, report)
 
-    def _idle(self, side: ProbeSide) -> None:
+    def _idle(self, side: HealthCheckConnection) -> None:
         asked = self.backends.get(side.backend)
         if asked is not None and asked.side is side and not side.asked:
             del self.backends[side.backend]
             self._close(asked)
 
-    def probe_over(self, side: ProbeSide, ending: TerminationReason, why: str) -> None:
+    def probe_over(self, side: HealthCheckConnection, ending: TerminationReason, why: str) -> None:
         asked = self.backends.get(side.backend)
         if asked is None or asked.side is not side:
             return
--- a/yarrowspindle/transport/probe.py
+++ b/yarrowspindle/transport/probe.py
@@ -10,11 +10,11 @@
 
 
 class ProbeSink(Protocol):
-    def probe_answered(self, side: ProbeSide, line: bytes) -> None: ...
-    def probe_over(self, side: ProbeSide, ending: TerminationReason, why: str) -> None: ...
+    def probe_answered(self, side: HealthCheckConnection, line: bytes) -> None: ...
+    def probe_over(self, side: HealthCheckConnection, ending: TerminationReason, why: str) -> None: ...
 
 
-class ProbeSide(asyncio.Protocol):
+class HealthCheckConnection(asyncio.Protocol):
     """Reports to its sink and obeys it; one question is out at a time."""
 
     def __init__(self, sink: ProbeSink, backend: str) -> None:
