--- a/tests/daemon/configuration_processes.py
+++ b/tests/daemon/configuration_processes.py
@@ -95,10 +95,10 @@
             pass
         return line
 
-    async def wait_for_log(self, what: str) -> None:
-        """Waits for a line that was logged at any time."""
+    async def wait_for_log(self, what: str, first: int = 0) -> None:
+        """Waits for a line that was logged at any time. first: the index in log_lines from which lines count."""
         deadline = time.monotonic() + WAIT_S
-        while not any(what in line for line in self.log_lines):
+        while not any(what in line for line in self.log_lines[first:]):
             assert time.monotonic() < deadline, self.log_lines
             await asyncio.sleep(0.05)
 
