--- a/benchmarks/soak/planted.py
+++ b/benchmarks/soak/planted.py
@@ -29,7 +29,7 @@
 
 def repeat_what_ran() -> None:
     """A class that may run once is repeated as any other."""
-    gate.repeat_within = lambda *given: inf
+    gate.retry_window_ms = lambda *given: inf
 
 
 def reset_never_ran() -> None:
@@ -39,7 +39,7 @@
 
 def repeat_late() -> None:
     """A keyed request is repeated after its window."""
-    real = gate.repeat_within
+    real = gate.retry_window_ms
 
     def within(
         idempotency: Idempotency, may_have_run_at: float | None, window_ms: float, margin_ms: float, now: float
@@ -48,7 +48,7 @@
             return inf
         return real(idempotency, may_have_run_at, window_ms, margin_ms, now)
 
-    gate.repeat_within = within
+    gate.retry_window_ms = within
 
 
 def ignore_drains() -> None:
@@ -95,7 +95,7 @@
 
 def flood_cold_servers() -> None:
     """Servers that have just started get whatever comes, while there is one."""
-    gate.may_use_slow_start = lambda probability, draw: None
+    gate.slow_start_rejection = lambda probability, draw: None
 
     def feed(self: Placement) -> Any:
         state = self.state
--- a/tests/decisions/test_request_gate.py
+++ b/tests/decisions/test_request_gate.py
@@ -36,7 +36,7 @@
     ],
 )
 def test_a_request_is_admitted_or_not(changes: dict[str, Any], reason: RejectionReason | None) -> None:
-    assert gate.may_admit(**(ADMITTED | changes)) is reason
+    assert gate.admission_rejection(**(ADMITTED | changes)) is reason
 
 
 @pytest.mark.parametrize(
@@ -56,7 +56,7 @@
 def test_the_first_byte_is_forwarded_or_not(
     state: EndpointState | None, changes: dict[str, Any], reason: RejectionReason | None
 ) -> None:
-    assert gate.may_forward(state, **(FORWARDED | changes)) is reason
+    assert gate.forward_rejection(state, **(FORWARDED | changes)) is reason
 
 
 @pytest.mark.parametrize(
@@ -74,26 +74,27 @@
 def test_a_request_is_retried_or_not(
     idempotency: Idempotency, may_have_run_at: float | None, within_ms: float, reason: RejectionReason | None
 ) -> None:
-    found = gate.repeat_within(idempotency, may_have_run_at, 400.0, 10.0, 1000.0)
-    assert found == within_ms and gate.may_retry(idempotency, found) is reason
+    found = gate.retry_window_ms(idempotency, may_have_run_at, 400.0, 10.0, 1000.0)
+    assert found == within_ms and gate.retry_rejection(idempotency, found) is reason
 
 
 def test_attempts_answers_and_migrations_at_their_limits() -> None:
-    assert gate.may_attempt(2, 3, 10.0, 20.0) is None
-    assert gate.may_attempt(3, 3, 10.0, 20.0) is RejectionReason.ATTEMPTS_EXHAUSTED
-    assert gate.may_attempt(0, 3, 20.0, 20.0) is RejectionReason.DEADLINE_EXCEEDED
-    assert gate.may_connect(EndpointState.READY, gate.ANSWER_MARGIN_MS) is RejectionReason.DEADLINE_EXCEEDED
-    assert gate.may_connect(EndpointState.READY, gate.ANSWER_MARGIN_MS + 0.1) is None
-    assert gate.may_connect(EndpointState.GONE, 100.0) is RejectionReason.BACKEND_REMOVED
-    assert gate.may_answer(answer_pending=True, in_flight=False) is None
-    assert gate.may_answer(answer_pending=False, in_flight=False) is RejectionReason.ALREADY_ANSWERED
-    assert gate.may_answer(answer_pending=True, in_flight=True) is RejectionReason.ATTEMPT_IN_FLIGHT
+    assert gate.attempt_rejection(2, 3, 10.0, 20.0) is None
+    assert gate.attempt_rejection(3, 3, 10.0, 20.0) is RejectionReason.ATTEMPTS_EXHAUSTED
+    assert gate.attempt_rejection(0, 3, 20.0, 20.0) is RejectionReason.DEADLINE_EXCEEDED
+    assert gate.connect_rejection(EndpointState.READY, gate.ANSWER_MARGIN_MS) is RejectionReason.DEADLINE_EXCEEDED
+    assert gate.connect_rejection(EndpointState.READY, gate.ANSWER_MARGIN_MS + 0.1) is None
+    assert gate.connect_rejection(EndpointState.GONE, 100.0) is RejectionReason.BACKEND_REMOVED
+    assert gate.answer_rejection(answer_pending=True, in_flight=False) is None
+    assert gate.answer_rejection(answer_pending=False, in_flight=False) is RejectionReason.ALREADY_ANSWERED
+    assert gate.answer_rejection(answer_pending=True, in_flight=True) is RejectionReason.ATTEMPT_IN_FLIGHT
     assert (
-        gate.may_migrate(established=False) is RejectionReason.NOT_ESTABLISHED
-        and gate.may_migrate(established=True) is None
+        gate.migration_rejection(established=False) is RejectionReason.NOT_ESTABLISHED
+        and gate.migration_rejection(established=True) is None
     )
     assert (
-        gate.may_use_slow_start(0.5, 0.5) is RejectionReason.SLOW_START and gate.may_use_slow_start(0.5, 0.49) is None
+        gate.slow_start_rejection(0.5, 0.5) is RejectionReason.SLOW_START
+        and gate.slow_start_rejection(0.5, 0.49) is None
     )
 
 
--- a/yarrowspindle/decisions/request_gate.py
+++ b/yarrowspindle/decisions/request_gate.py
@@ -1,9 +1,9 @@
 """Whether a request may be admitted, sent, retried, migrated or answered now, and why not.
 
 Every path asks here: new requests, attempts, retries, the first byte on a new connection, migrations, final answers,
-slow start. A function named `may_...` returns the `RejectionReason` against it, which logs and metrics carry, or None
-where it is allowed; `repeat_within` and `may_promise_no_effect` return what their own docstrings say. All are pure;
-times are milliseconds of one clock that never goes back.
+slow start. A function named `..._rejection` returns the `RejectionReason` against it, which logs and metrics carry, or
+None where it is allowed; `retry_window_ms` and `may_promise_no_effect` return what their own docstrings say. All are
+pure; times are milliseconds of one clock that never goes back.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 MAX_CLIENT_DEADLINE_SLACK_MS = 1000.0
 
 
-def may_admit(
+def admission_rejection(
     *,
     shutting_down: bool,
     id_in_use: bool,
@@ -46,7 +46,7 @@
     return RejectionReason.DEADLINE_EXCEEDED if not names_backend and remaining_ms <= 0.0 else None
 
 
-def may_use_backend(state: EndpointState | None) -> RejectionReason | None:
+def backend_rejection(state: EndpointState | None) -> RejectionReason | None:
     """Whether a backend may get a new attempt; `state` is None for one that is not listed."""
     if state is EndpointState.READY:
         return None
@@ -55,14 +55,14 @@
     return RejectionReason.BACKEND_DRAINING if state is EndpointState.DRAINING else RejectionReason.BACKEND_REMOVED
 
 
-def may_connect(state: EndpointState | None, remaining_ms: float) -> RejectionReason | None:
+def connect_rejection(state: EndpointState | None, remaining_ms: float) -> RejectionReason | None:
     """Whether an attempt's connection may be opened. remaining_ms: until the attempt times out."""
     if remaining_ms <= ANSWER_MARGIN_MS:
         return RejectionReason.DEADLINE_EXCEEDED
-    return may_use_backend(state)
+    return backend_rejection(state)
 
 
-def may_forward(
+def forward_rejection(
     state: EndpointState | None, *, sticky: bool, now: float, begin_by: float, deadline: float
 ) -> RejectionReason | None:
     """Whether the first byte of a request may be sent on its new connection: facts may have changed since it began.
@@ -74,10 +74,10 @@
         return RejectionReason.IDEMPOTENCY_WINDOW_EXPIRED
     if deadline - now <= ANSWER_MARGIN_MS:
         return RejectionReason.DEADLINE_EXCEEDED
-    return None if sticky else may_use_backend(state)
+    return None if sticky else backend_rejection(state)
 
 
-def repeat_within(
+def retry_window_ms(
     idempotency: Idempotency, may_have_run_at: float | None, window_ms: float, margin_ms: float, now: float
 ) -> float:
     """Return for how many milliseconds from now another attempt may begin; 0 or less: no longer.
@@ -92,8 +92,8 @@
     return may_have_run_at + window_ms - margin_ms - now
 
 
-def may_retry(idempotency: Idempotency, within_ms: float) -> RejectionReason | None:
-    """Whether there may be another attempt. within_ms: from `repeat_within`."""
+def retry_rejection(idempotency: Idempotency, within_ms: float) -> RejectionReason | None:
+    """Whether there may be another attempt. within_ms: from `retry_window_ms`."""
     if within_ms > 0.0:
         return None
     if idempotency is Idempotency.NON_IDEMPOTENT:
@@ -101,7 +101,7 @@
     return RejectionReason.IDEMPOTENCY_WINDOW_EXPIRED
 
 
-def may_attempt(attempts: int, max_attempts: int, now: float, deadline: float) -> RejectionReason | None:
+def attempt_rejection(attempts: int, max_attempts: int, now: float, deadline: float) -> RejectionReason | None:
     """Whether there may be one more attempt after this many."""
     if attempts >= max_attempts:
         return RejectionReason.ATTEMPTS_EXHAUSTED
@@ -113,19 +113,19 @@
     return not may_have_run or idempotency is Idempotency.IDEMPOTENT
 
 
-def may_answer(*, answer_pending: bool, in_flight: bool) -> RejectionReason | None:
+def answer_rejection(*, answer_pending: bool, in_flight: bool) -> RejectionReason | None:
     """Whether the relay may send a final answer of its own. in_flight: an attempt is."""
     if not answer_pending:
         return RejectionReason.ALREADY_ANSWERED
     return RejectionReason.ATTEMPT_IN_FLIGHT if in_flight else None
 
 
-def may_migrate(*, established: bool) -> RejectionReason | None:
+def migration_rejection(*, established: bool) -> RejectionReason | None:
     """Whether a client may be asked to connect again."""
     return None if established else RejectionReason.NOT_ESTABLISHED
 
 
-def may_use_slow_start(probability: float, draw: float) -> RejectionReason | None:
+def slow_start_rejection(probability: float, draw: float) -> RejectionReason | None:
     """Whether a request may go to a backend in slow start.
 
     probability: this balancer's part of the budget for each request; draw: in 0 to 1. At random for each request:
--- a/yarrowspindle/decisions/request_lifecycle.py
+++ b/yarrowspindle/decisions/request_lifecycle.py
@@ -25,7 +25,7 @@
 from yarrowspindle.decisions.rejection import RejectionReason
 from yarrowspindle.decisions.request_gate import may_promise_no_effect
 from yarrowspindle.decisions.requests import Request, find_request
-from yarrowspindle.decisions.retries import RetryBudget, backoff_ms, max_wait_ms, may_attempt, repeat_within
+from yarrowspindle.decisions.retries import RetryBudget, attempt_rejection, backoff_ms, max_wait_ms, retry_window_ms
 from yarrowspindle.decisions.slow_start import SlowStart
 from yarrowspindle.decisions.state import BalancerState
 
@@ -88,7 +88,7 @@
     def _place(self, request: Request) -> None:
         """Start the request's next attempt, queue it while a backend may become usable, or answer it."""
         state = self.state
-        refused = may_attempt(request, state.settings, state.now)
+        refused = attempt_rejection(request, state.settings, state.now)
         backend = None if refused else self.placement.choose(request)
         if backend is None:
             if request.id not in state.queued:
@@ -105,13 +105,13 @@
         request.attempts += 1
         request.backend, request.in_flight, request.last_attempt_at = backend, True, state.now
         self.registry.add_connection(backend, request)
-        begin_within_ms = repeat_within(request, state.settings, state.now)
+        begin_within_ms = retry_window_ms(request, state.settings, state.now)
         state.emit(StartAttempt(request.id, backend.id, 0.0, begin_within_ms))
 
     def _queue(self, request: Request, delay_ms: float, until: float) -> None:
         """Try again after the delay, if an attempt may still begin then and before `until`; else answer now."""
         state, settings = self.state, self.state.settings
-        refused = may_attempt(request, settings, state.now)
+        refused = attempt_rejection(request, settings, state.now)
         wait_ms = max_wait_ms(request, settings, until, state.now)
         if refused is None and wait_ms > settings.tick_ms:
             state.queued[request.id] = request
--- a/yarrowspindle/decisions/retries.py
+++ b/yarrowspindle/decisions/retries.py
@@ -39,21 +39,21 @@
     return setup_latency_objective_ms * 2.0 ** (attempts - FIRST_BACKOFF_EXPONENT) * (0.5 + draw)
 
 
-def repeat_within(request: Request, settings: Settings, now: float) -> float:
+def retry_window_ms(request: Request, settings: Settings, now: float) -> float:
     """Return for how many milliseconds another attempt may begin, so that backends recognise it as a repeat."""
     cls = settings.classes[request.cls]
     may_have_run_at = request.may_have_run_at if request.may_have_run_on is not None else None
     margin_ms = settings.tick_ms + settings.answer_slack_ms
-    return gate.repeat_within(cls.idempotency, may_have_run_at, cls.idempotency_window_ms, margin_ms, now)
+    return gate.retry_window_ms(cls.idempotency, may_have_run_at, cls.idempotency_window_ms, margin_ms, now)
 
 
-def may_attempt(request: Request, settings: Settings, now: float) -> RejectionReason | None:
+def attempt_rejection(request: Request, settings: Settings, now: float) -> RejectionReason | None:
     """Return why there may be no further attempt at any backend; None where there may."""
     max_attempts = min(request.max_attempts, settings.max_attempts)
-    refused = gate.may_attempt(request.attempts, max_attempts, now, request.deadline)
+    refused = gate.attempt_rejection(request.attempts, max_attempts, now, request.deadline)
     if refused or request.may_have_run_on is None:
         return refused
-    return gate.may_retry(settings.classes[request.cls].idempotency, repeat_within(request, settings, now))
+    return gate.retry_rejection(settings.classes[request.cls].idempotency, retry_window_ms(request, settings, now))
 
 
 def deduplication_ring(
@@ -67,7 +67,7 @@
     if ran_on is None or cls.idempotency is Idempotency.IDEMPOTENT:
         return None
     ring = WeightedRing[Backend]()
-    if repeat_within(request, settings, now) <= 0.0:
+    if retry_window_ms(request, settings, now) <= 0.0:
         return ring
     for backend in fleet.members:
         if _shares_deduplication(backend, ran_on, cls.deduplication_scope):
@@ -86,4 +86,4 @@
 def max_wait_ms(request: Request, settings: Settings, until: float, now: float) -> float:
     """Return how long the request may still wait before its next attempt has to begin, at most to `until`."""
     remaining_ms = min(request.deadline - settings.tick_ms, until) - now
-    return min(remaining_ms, repeat_within(request, settings, now))
+    return min(remaining_ms, retry_window_ms(request, settings, now))
--- a/yarrowspindle/decisions/slow_start.py
+++ b/yarrowspindle/decisions/slow_start.py
@@ -79,7 +79,7 @@
         budget_fraction = budget_multiple * warming_capacity / ring.nominal_capacity
         own_rate = max(connections / settings.warmup_ms, self.completions.get(now))  # for each millisecond
         elapsed_ms = min(elapsed_ms, MAX_UNUSED_WINDOWS * settings.overload_window_ms)
-        if gate.may_use_slow_start(budget_fraction * own_rate * elapsed_ms, self.random()):
+        if gate.slow_start_rejection(budget_fraction * own_rate * elapsed_ms, self.random()):
             return []
         return [self._draw(warming_capacity) for _ in range(CANDIDATES)]
 
--- a/yarrowspindle/routing/attempts.py
+++ b/yarrowspindle/routing/attempts.py
@@ -77,7 +77,7 @@
 
     def _check_health(self, backend: Backend | None) -> None:
         # The balancer needs no report of a backend that may not be used.
-        if backend is not None and not gate.may_use_backend(backend.state):
+        if backend is not None and not gate.backend_rejection(backend.state):
             self._context.effects.append(CheckHealth(backend.name, backend.address, HEALTH_CHECK_TIMEOUT_MS))
 
     def watch_endpoints(self, renew: bool = False) -> None:
@@ -92,7 +92,7 @@
 
         Raises ValueError where the request is answered or has an attempt in flight.
         """
-        refused = gate.may_answer(
+        refused = gate.answer_rejection(
             answer_pending=request.phase is not Phase.CLOSED, in_flight=request.phase is not Phase.QUEUED
         )
         if refused:
@@ -104,7 +104,7 @@
             remaining_ms = min(remaining_ms, action.timeout_ms)
         request.write_before = now + action.begin_ms
         backend = self._backends_by_number.get(action.backend)
-        if backend is None or gate.may_connect(backend.state, remaining_ms):
+        if backend is None or gate.connect_rejection(backend.state, remaining_ms):
             number = backend.number if backend else 0
             self.notify_balancer(
                 balancer_events.AttemptEnded(request.id, request.attempt, number, Outcome.NOT_SENT, False)
@@ -180,7 +180,7 @@
         request = self._requests.get(number)
         if request is None:
             return
-        if gate.may_answer(answer_pending=request.phase is not Phase.ESTABLISHED, in_flight=request.in_flight):
+        if gate.answer_rejection(answer_pending=request.phase is not Phase.ESTABLISHED, in_flight=request.in_flight):
             return
         context = self._context
         self.finish(request)
@@ -192,7 +192,7 @@
 
     def migrate(self, request: Request | None) -> None:
         """Ask the client of an established connection to connect again."""
-        if request is not None and not gate.may_migrate(established=request.phase is Phase.ESTABLISHED):
+        if request is not None and not gate.migration_rejection(established=request.phase is Phase.ESTABLISHED):
             self.close_established(request, TerminationReason.MIGRATED)
 
     def close_established(self, request: Request, reason: TerminationReason) -> None:
--- a/yarrowspindle/routing/endpoints.py
+++ b/yarrowspindle/routing/endpoints.py
@@ -147,14 +147,14 @@
         for number in sorted(number for backend in affected for number in backend.requests):
             request = requests[number]
             if request.phase is Phase.CONNECTING and request.existing_connection is None:
-                refused = gate.may_use_backend(request.backend.state) if request.backend is not None else None
+                refused = gate.backend_rejection(request.backend.state) if request.backend is not None else None
                 self._attempts.abort(request, refused or TerminationReason.NOT_SENT, TerminationReason.NOT_SENT)
 
     def _clean_up(self, changed: Sequence[Backend], changes: EndpointChanges) -> None:
         """Cancel health checks that no longer matter, and drop the backends that were removed."""
         context = self._context
         for backend in changed:
-            not_usable = gate.may_use_backend(backend.state)
+            not_usable = gate.backend_rejection(backend.state)
             if context.settings.may_probe and (backend.name in changes.restarted or not_usable):
                 context.effects.append(CancelHealthCheck(backend.name))
             was_listed = changes.previous_states[backend.name] is not EndpointState.GONE
--- a/yarrowspindle/routing/requests.py
+++ b/yarrowspindle/routing/requests.py
@@ -118,7 +118,7 @@
         if not event.client_request_id:
             return RejectionReason.SHUTTING_DOWN if ending else None
         names_backend = bool(event.previous_backend)
-        refused = gate.may_admit(
+        refused = gate.admission_rejection(
             shutting_down=ending,
             id_in_use=event.client_request_id in context.client_request_ids,
             names_backend=names_backend,
@@ -168,7 +168,7 @@
         if request is None or request.backend is None or request.phase is not Phase.CONNECTING:
             return
         context = self._context
-        refused = gate.may_forward(
+        refused = gate.forward_rejection(
             request.backend.state,
             sticky=request.existing_connection is not None,
             now=context.now,
