--- a/yarrowspindle/fronts/line_front.py
+++ b/yarrowspindle/fronts/line_front.py
@@ -122,7 +122,7 @@
         until: a time of the loop. Where the process was held up beyond it, only hearing clients to their end falls
         short: each step before that is over when its work is done, not after a time.
         """
-        while not self.service.reducer.has_ended(self.runtime.clock.now()):
+        while not self.service.reducer.may_exit(self.runtime.clock.now()):
             await asyncio.sleep(TURN_S)
         self.service.finish_shutdown()
         began = self.loop.time()
--- a/yarrowspindle/routing/attempts.py
+++ b/yarrowspindle/routing/attempts.py
@@ -92,22 +92,22 @@
 
         Raises ValueError where the request is answered or has an attempt in flight.
         """
-        refused = gate.may_answer(
+        reason = gate.may_answer(
             answer_pending=request.phase is not Phase.CLOSED, in_flight=request.phase is not Phase.QUEUED
         )
-        if refused:
-            raise ValueError(f"request {request.id} is {request.phase.name}: {refused.value}")
+        if reason:
+            raise ValueError(f"request {request.id} is {request.phase.name}: {reason.value}")
         now = self._context.now
         request.attempt += 1
         remaining_ms = request.deadline - now
         if action.timeout_ms > 0.0:
             remaining_ms = min(remaining_ms, action.timeout_ms)
-        request.write_before = now + action.begin_ms
+        request.write_deadline = now + action.begin_ms
         backend = self._backends_by_number.get(action.backend)
         if backend is None or gate.may_connect(backend.state, remaining_ms):
-            number = backend.number if backend else 0
+            backend_number = backend.number if backend else 0
             self.notify_balancer(
-                balancer_events.AttemptEnded(request.id, request.attempt, number, Outcome.NOT_SENT, False)
+                balancer_events.AttemptEnded(request.id, request.attempt, backend_number, Outcome.NOT_SENT, False)
             )
             return
         self._connect(request, backend, remaining_ms)
@@ -118,7 +118,7 @@
         request.backend = backend
         request.attempt_started_at = context.now
         backend.requests.add(request.id)
-        timeout_ms = min(remaining_ms, context.settings.connect_timeout_ms, request.write_before - context.now)
+        timeout_ms = min(remaining_ms, context.settings.connect_timeout_ms, request.write_deadline - context.now)
         context.effects.append(
             OpenBackendConnection(request.id, request.attempt, backend.name, backend.address, timeout_ms)
         )
@@ -131,10 +131,21 @@
         else:
             self._connect(request, backend, request.deadline - self._context.now)
 
-    def abort(self, request: Request, shown: TerminationReason | RejectionReason, ended: TerminationReason) -> None:
-        """End the attempt in flight from this side; `shown` goes to logs and metrics, `ended` to the balancer."""
-        self._context.effects.append(AbortAttempt(request.id, request.attempt, shown))
-        self.end(request, ended, finished=False)
+    def abort(
+        self,
+        request: Request,
+        reported_reason: TerminationReason | RejectionReason,
+        termination_reason: TerminationReason,
+    ) -> None:
+        """End the attempt in flight from this side.
+
+        Args:
+            request: Its attempt is ended.
+            reported_reason: Goes to logs and metrics.
+            termination_reason: Decides the outcome that the balancer is notified of.
+        """
+        self._context.effects.append(AbortAttempt(request.id, request.attempt, reported_reason))
+        self.end(request, termination_reason, finished=False)
 
     def end(self, request: Request, reason: TerminationReason, finished: bool) -> None:
         """End the newest attempt and report it to the balancer; `finished`: the client is owed no answer.
@@ -150,7 +161,7 @@
         if finished:
             self.finish(request)
         else:
-            self._leave_backend(request)
+            self._release_backend(request)
             request.enter(Phase.QUEUED)
         if request.existing_connection is None:
             duration_ms = self._context.now - request.attempt_started_at
@@ -175,9 +186,9 @@
 
     # --- the end of a request ---------------------------------------------------------------------
 
-    def answer(self, number: int, answer: RejectRequest | FailRequest) -> None:
+    def answer(self, request_id: int, answer: RejectRequest | FailRequest) -> None:
         """Give the final answer, unless the request has one already or an attempt is in flight."""
-        request = self._requests.get(number)
+        request = self._requests.get(request_id)
         if request is None:
             return
         if gate.may_answer(answer_pending=request.phase is not Phase.ESTABLISHED, in_flight=request.in_flight):
@@ -202,14 +213,14 @@
 
     def finish(self, request: Request) -> None:
         """Close the request and drop its state."""
-        self._leave_backend(request)
+        self._release_backend(request)
         if request.phase is not Phase.ESTABLISHED:
             self._context.effects.append(CancelTimer((REQUEST_DEADLINE_TIMER, request.id)))
         request.enter(Phase.CLOSED)
         del self._requests[request.id]
         self._context.client_request_ids.discard(request.client_request_id)
 
-    def _leave_backend(self, request: Request) -> None:
+    def _release_backend(self, request: Request) -> None:
         if request.backend is not None:
             request.backend.requests.discard(request.id)
-            self._context.forget_if_unused(request.backend)
+            self._context.discard_if_unused(request.backend)
--- a/yarrowspindle/routing/context.py
+++ b/yarrowspindle/routing/context.py
@@ -34,7 +34,7 @@
         serving_new_requests: whether a request was received that is no connection from before this process.
         effects: of the current step, in the order in which they are to be carried out.
         endpoint_list_version: of the newest endpoint list; 0 before the first.
-        stalled_at: when the event loop last resumed after a stall.
+        stall_ended_at: when the event loop last resumed after a stall.
         shutdown_deadline: when a shutdown or drain must have completed; 0 where there is none.
         process_exits: whether the process ends after the shutdown; False for a drain.
         rebalancer: None where established connections are not rebalanced.
@@ -54,7 +54,7 @@
         "backends_by_number",
         "endpoint_list_version",
         "start_times",
-        "stalled_at",
+        "stall_ended_at",
         "shutdown_deadline",
         "process_exits",
         "rebalancer",
@@ -75,7 +75,7 @@
         self.backends_by_number: dict[int, Backend] = {}
         self.endpoint_list_version = 0
         self.start_times = StartTimes()
-        self.stalled_at = 0.0
+        self.stall_ended_at = 0.0
         self.shutdown_deadline = 0.0
         self.process_exits = True
         self.rebalancer: Rebalancer | None = None
@@ -83,7 +83,7 @@
         self.evacuator: BackendEvacuator | None = None
         self.effects: list[Effect] = []
 
-    def has_ended(self, now: float) -> bool:
+    def may_exit(self, now: float) -> bool:
         """Whether the process may exit: the shutdown's time has passed, and no request is accepted any more."""
         return self.process_exits and 0.0 < self.shutdown_deadline <= now
 
@@ -96,7 +96,7 @@
         plan = self.maintenance_plan
         return plan is not None and (plan.excluded is None or name in plan.excluded)
 
-    def forget_if_unused(self, backend: Backend) -> None:
+    def discard_if_unused(self, backend: Backend) -> None:
         """Drop the state of a backend that is no longer listed, once it has no request."""
         if backend.state is not EndpointState.GONE or backend.requests:
             return
--- a/yarrowspindle/routing/draining.py
+++ b/yarrowspindle/routing/draining.py
@@ -15,7 +15,7 @@
 MIGRATION_INTERVAL_MS = 50.0
 # No client is migrated sooner after SIGTERM: the front still sends new connections to this relay for 0.4 s, and in a
 # rolling restart the relay before this one accepts connections again only after 1.7 s.
-QUIET_PERIOD_MS = 1500.0
+MIGRATION_START_DELAY_MS = 1500.0
 
 
 class DrainHandlers:
@@ -35,7 +35,7 @@
         context.process_exits = event.process_exits
         if context.rebalancer is not None:
             context.rebalancer.stop()
-        context.effects.append(SetTimer(min(QUIET_PERIOD_MS, event.time_limit_ms / 2.0), SHUTDOWN_TIMER))
+        context.effects.append(SetTimer(min(MIGRATION_START_DELAY_MS, event.time_limit_ms / 2.0), SHUTDOWN_TIMER))
 
     def on_drain_cancelled(self, event: DrainCancelled) -> None:
         """Stop migrating clients."""
@@ -54,11 +54,11 @@
         # Set first: a connection that cannot be migrated must not keep the others here.
         context.effects.append(SetTimer(interval_ms, SHUTDOWN_TIMER))
         if remaining_ms > 0.0:
-            self._migrate_part(remaining_ms)
+            self._migrate_batch(remaining_ms)
         else:
             self._migrate_all()
 
-    def _migrate_part(self, remaining_ms: float) -> None:
+    def _migrate_batch(self, remaining_ms: float) -> None:
         """Migrate as many as leave an equal number for each of the remaining intervals."""
         established = [request for request in self._context.requests.values() if request.phase is Phase.ESTABLISHED]
         intervals = max(1.0, remaining_ms / MIGRATION_INTERVAL_MS - 1.0)
--- a/yarrowspindle/routing/endpoints.py
+++ b/yarrowspindle/routing/endpoints.py
@@ -57,7 +57,7 @@
         changes = EndpointChanges()
         if event.kind is not ListKind.DELTA:
             self._remove_missing(event.endpoints, changes)
-        entries = [self._apply(endpoint, event.since_last_update_ms, changes) for endpoint in event.endpoints]
+        entries = [self._apply_entry(endpoint, event.since_last_update_ms, changes) for endpoint in event.endpoints]
         if context.rebalancer is not None:
             context.rebalancer.view.list_over([context.backends[name] for name in changes.previous_states])
         self._attempts.notify_balancer(balancer_events.EndpointList(event.kind, entries, event.version))
@@ -83,7 +83,9 @@
                 backend.state = EndpointState.GONE
                 backend.endpoint = None
 
-    def _apply(self, endpoint: Endpoint, quiet_ms: float | None, changes: EndpointChanges) -> balancer_events.Endpoint:
+    def _apply_entry(
+        self, endpoint: Endpoint, since_last_update_ms: float | None, changes: EndpointChanges
+    ) -> balancer_events.Endpoint:
         """Update the endpoint's backend; return the entry for the balancer."""
         context, name = self._context, endpoint.name
         backend = context.backends.get(name)
@@ -97,15 +99,15 @@
         if endpoint.state is EndpointState.READY and context.in_maintenance(name):
             backend.state = EndpointState.DRAINING
         backend.start_time = context.start_times.estimate(
-            name, endpoint.started_ms, backend.start_time, context.now, quiet_ms
+            name, endpoint.started_ms, backend.start_time, context.now, since_last_update_ms
         )
-        started_at = max(backend.start_time.local_ms, backend.readmitted_at)
-        if started_at != backend.started_at:
-            backend.started_at = started_at
+        warmup_started_at = max(backend.start_time.local_ms, backend.readmitted_at)
+        if warmup_started_at != backend.warmup_started_at:
+            backend.warmup_started_at = warmup_started_at
             changes.restarted.add(name)
         if context.rebalancer is not None:
             context.rebalancer.view.backend(
-                context.now, name, backend.number, backend.state, backend.capacity, started_at
+                context.now, name, backend.number, backend.state, backend.capacity, warmup_started_at
             )
         return balancer_events.Endpoint(
             backend.number,
@@ -113,7 +115,7 @@
             endpoint.cell,
             backend.state,
             endpoint.capacity,
-            started_at,
+            warmup_started_at,
             endpoint.kind,
         )
 
@@ -128,13 +130,15 @@
 
     def _log_state_changes(self, version: int, changed: Sequence[Backend], changes: EndpointChanges) -> None:
         """Operators ask which states were reported, and when."""
-        moved = [backend for backend in changed if backend.state is not changes.previous_states[backend.name]]
-        if not moved:
+        transitioned = [backend for backend in changed if backend.state is not changes.previous_states[backend.name]]
+        if not transitioned:
             return
-        named = ", ".join(f"{backend.name} {backend.state.name.lower()}" for backend in moved[:MAX_LOGGED_BACKENDS])
-        unnamed = len(moved) - MAX_LOGGED_BACKENDS
-        more = f" and {unnamed} more" if unnamed > 0 else ""
-        self._context.effects.append(LogMessage(f"machine list {version}: {named}{more}"))
+        states = ", ".join(
+            f"{backend.name} {backend.state.name.lower()}" for backend in transitioned[:MAX_LOGGED_BACKENDS]
+        )
+        omitted = len(transitioned) - MAX_LOGGED_BACKENDS
+        suffix = f" and {omitted} more" if omitted > 0 else ""
+        self._context.effects.append(LogMessage(f"machine list {version}: {states}{suffix}"))
 
     def _abort_unsent_attempts(self, changed: Sequence[Backend], changes: EndpointChanges) -> None:
         """End the attempts that nothing was sent for, at backends that drain, are removed or have started anew."""
@@ -144,23 +148,23 @@
             if backend.state is not EndpointState.READY or backend.name in changes.restarted
         ]
         requests = self._context.requests
-        for number in sorted(number for backend in affected for number in backend.requests):
-            request = requests[number]
+        for request_id in sorted(request_id for backend in affected for request_id in backend.requests):
+            request = requests[request_id]
             if request.phase is Phase.CONNECTING and request.existing_connection is None:
-                refused = gate.may_use_backend(request.backend.state) if request.backend is not None else None
-                self._attempts.abort(request, refused or TerminationReason.NOT_SENT, TerminationReason.NOT_SENT)
+                reason = gate.may_use_backend(request.backend.state) if request.backend is not None else None
+                self._attempts.abort(request, reason or TerminationReason.NOT_SENT, TerminationReason.NOT_SENT)
 
     def _clean_up(self, changed: Sequence[Backend], changes: EndpointChanges) -> None:
         """Cancel health checks that no longer matter, and drop the backends that were removed."""
         context = self._context
         for backend in changed:
-            not_usable = gate.may_use_backend(backend.state)
-            if context.settings.may_probe and (backend.name in changes.restarted or not_usable):
+            unusable_reason = gate.may_use_backend(backend.state)
+            if context.settings.may_probe and (backend.name in changes.restarted or unusable_reason):
                 context.effects.append(CancelHealthCheck(backend.name))
             was_listed = changes.previous_states[backend.name] is not EndpointState.GONE
             if backend.state is EndpointState.GONE and was_listed:
                 context.effects.append(BackendRemoved(backend.name))
-            context.forget_if_unused(backend)
+            context.discard_if_unused(backend)
 
     def watch_if_pushed(self, renew: bool) -> None:
         """Watch the list where it is pushed; where it is polled, the balancer asks for it when it needs it."""
--- a/yarrowspindle/routing/evacuation.py
+++ b/yarrowspindle/routing/evacuation.py
@@ -27,15 +27,15 @@
         from yarrowspindle.maintenance.evacuation import TICK_MS, BackendEvacuator  # the platform does without it
 
         context = self._context
-        before = {name for name in context.backends if context.in_maintenance(name)}
-        previous, context.maintenance_plan = context.maintenance_plan, event.plan
-        for name in event.plan.warming - (previous.warming if previous is not None else frozenset()):
+        previously_in_maintenance = {name for name in context.backends if context.in_maintenance(name)}
+        previous_plan, context.maintenance_plan = context.maintenance_plan, event.plan
+        for name in event.plan.warming - (previous_plan.warming if previous_plan is not None else frozenset()):
             if name in context.backends:
                 context.backends[name].readmitted_at = context.now
         changed = [
             backend.endpoint
             for name, backend in context.backends.items()
-            if backend.endpoint is not None and (name in before) != context.in_maintenance(name)
+            if backend.endpoint is not None and (name in previously_in_maintenance) != context.in_maintenance(name)
         ]
         if changed:
             update = EndpointsUpdated(ListKind.DELTA, changed, context.endpoint_list_version)
@@ -54,12 +54,12 @@
         if context.evacuator is None or context.maintenance_plan is None:
             return
         established = {
-            name: self._established_at(name) for name in context.evacuator.deadlines if name in context.backends
+            name: self._established_requests(name) for name in context.evacuator.deadlines if name in context.backends
         }
-        for number in context.evacuator.next_migrations(context.now, context.maintenance_plan, established):
-            self._attempts.migrate(context.requests.get(number))
+        for request_id in context.evacuator.next_migrations(context.now, context.maintenance_plan, established):
+            self._attempts.migrate(context.requests.get(request_id))
 
-    def _established_at(self, name: str) -> list[int]:
+    def _established_requests(self, name: str) -> list[int]:
         requests = self._context.requests
-        numbers = sorted(self._context.backends[name].requests)
-        return [number for number in numbers if requests[number].phase is Phase.ESTABLISHED]
+        request_ids = sorted(self._context.backends[name].requests)
+        return [request_id for request_id in request_ids if requests[request_id].phase is Phase.ESTABLISHED]
--- a/yarrowspindle/routing/health.py
+++ b/yarrowspindle/routing/health.py
@@ -22,7 +22,7 @@
 
 LIVENESS_INTERVAL_MS = 250.0
 MAX_RESPONSE_DELAY_MS = 2500.0  # a connection without an answer for longer is migrated; the protocol allows 7 s
-MAX_SETUP_AT_UNRESPONSIVE_MS = 1000.0  # an attempt at an unresponsive backend is aborted after this
+UNRESPONSIVE_SETUP_TIMEOUT_MS = 1000.0  # an attempt at an unresponsive backend is aborted after this
 LATENCY_REPORT_INTERVAL_MS = 1000.0  # for each backend, towards the balancer
 MICROSECONDS_PER_MS = 1000.0
 
@@ -94,10 +94,10 @@
         request, context = self._requests.get(event.request), self._context
         if request is None:
             return
-        if request.in_flight and request.attempt_started_at > context.stalled_at:
+        if request.in_flight and request.attempt_started_at > context.stall_ended_at:
             request.attempt_started_at = min(context.now, request.attempt_started_at + event.delay_ms)
         for entry in request.unanswered:
-            if entry[0] > context.stalled_at:
+            if entry[0] > context.stall_ended_at:
                 entry[0] = min(context.now, entry[0] + event.delay_ms)
 
     def on_backend_data_forwarded(self, event: BackendDataForwarded) -> None:
@@ -132,12 +132,12 @@
         in_use = dict.fromkeys(request.backend for request in self._requests.values() if request.backend is not None)
         for backend in in_use:
             self._report_resolved_load(backend)
-        latest = self._context.now - MAX_RESPONSE_DELAY_MS
+        response_cutoff = self._context.now - MAX_RESPONSE_DELAY_MS
         overdue = self._overdue_requests()
         unresponsive = {
             request.backend
             for request in overdue
-            if request.backend is not None and request.backend.last_data_at < latest
+            if request.backend is not None and request.backend.last_data_at < response_cutoff
         }
         for request in overdue:
             if request.phase is Phase.ESTABLISHED:
@@ -159,14 +159,14 @@
             if request.phase is Phase.AWAITING_RESPONSE and request.backend in backends
         ]
         for request in waiting:
-            if request.attempt_started_at < self._context.now - MAX_SETUP_AT_UNRESPONSIVE_MS:
+            if request.attempt_started_at < self._context.now - UNRESPONSIVE_SETUP_TIMEOUT_MS:
                 reason = TerminationReason.UNRESPONSIVE
                 self._attempts.abort(request, reason, reason)
 
     def on_event_loop_stalled(self, event: EventLoopStalled) -> None:
         """Count delays from the end of the stall: answers may have waited in this process's own sockets."""
         now = self._context.now
-        self._context.stalled_at = now
+        self._context.stall_ended_at = now
         for request in self._requests.values():
             if request.in_flight:
                 request.attempt_started_at = min(now, request.attempt_started_at + event.duration_ms)
--- a/yarrowspindle/routing/load_reports.py
+++ b/yarrowspindle/routing/load_reports.py
@@ -40,48 +40,48 @@
     slow_message_ms: a figure above this is a long latency; the series of latencies ends with one below it.
     """
 
-    __slots__ = ("slow_message_ms", "_request", "_last_at", "_in_series", "_undecided")
+    __slots__ = ("slow_message_ms", "_series_request", "_last_report_at", "_in_series", "_undecided")
 
     def __init__(self, slow_message_ms: float) -> None:
         self.slow_message_ms = slow_message_ms
-        self._request = 0  # on whose connection the last figure came that is, or may be, a latency
-        self._last_at = -1e18
+        self._series_request = 0  # on whose connection the last figure came that is, or may be, a latency
+        self._last_report_at = -1e18
         self._in_series = False  # latencies are being reported
         self._undecided: ReportedLoad | None = None
 
-    def classify(self, now: float, request: int, figure: float, is_open: Callable[[int], bool]) -> ReportKind:
+    def classify(self, now: float, request: int, value: float, is_open: Callable[[int], bool]) -> ReportKind:
         """What the figure stands for.
 
         is_open: whether a request's connection is still open; a series of latencies continues on another connection
         only after its own has ended.
         """
-        if self.slow_message_ms <= 0.0 or figure > MAX_MESSAGE_LATENCY_MS:
+        if self.slow_message_ms <= 0.0 or value > MAX_MESSAGE_LATENCY_MS:
             return ReportKind.LOAD
-        late_ms = now - self._last_at - LATENCY_REPORT_INTERVAL_MS
-        if abs(late_ms) <= MAX_INTERVAL_ERROR_MS and self._continues_series(request, is_open):
-            self._request, self._last_at, self._undecided = request, now, None
-            self._in_series = figure > self.slow_message_ms
+        interval_error_ms = now - self._last_report_at - LATENCY_REPORT_INTERVAL_MS
+        if abs(interval_error_ms) <= MAX_INTERVAL_ERROR_MS and self._continues_series(request, is_open):
+            self._series_request, self._last_report_at, self._undecided = request, now, None
+            self._in_series = value > self.slow_message_ms
             return ReportKind.LATENCY
-        if self._in_series and late_ms < MAX_INTERVAL_ERROR_MS:
+        if self._in_series and interval_error_ms < MAX_INTERVAL_ERROR_MS:
             return ReportKind.LOAD  # a small load between two reports of the series
-        if figure <= self.slow_message_ms:
+        if value <= self.slow_message_ms:
             return ReportKind.LOAD  # no series starts with a short latency
         self._in_series = False
-        self._request, self._last_at, self._undecided = request, now, ReportedLoad(request, figure)
+        self._series_request, self._last_report_at, self._undecided = request, now, ReportedLoad(request, value)
         return ReportKind.UNDECIDED
 
     def _continues_series(self, request: int, is_open: Callable[[int], bool]) -> bool:
         """Whether a figure at the expected time, on this request's connection, belongs to a series of latencies."""
-        if request == self._request:
+        if request == self._series_request:
             return self._in_series or self._undecided is not None
-        return self._in_series and not is_open(self._request)
+        return self._in_series and not is_open(self._series_request)
 
     def take_resolved_load(self, now: float) -> ReportedLoad | None:
         """The undecided figure, once no report followed it in time and it is known as a load; else None.
 
         To be called before each figure is classified, and periodically.
         """
-        if self._undecided is None or now <= self._last_at + LATENCY_REPORT_INTERVAL_MS + MAX_INTERVAL_ERROR_MS:
+        if self._undecided is None or now <= self._last_report_at + LATENCY_REPORT_INTERVAL_MS + MAX_INTERVAL_ERROR_MS:
             return None
         resolved, self._undecided = self._undecided, None
         return resolved
--- a/yarrowspindle/routing/rebalancing.py
+++ b/yarrowspindle/routing/rebalancing.py
@@ -60,7 +60,7 @@
         context = self._context
         for backend in context.backends.values():
             rebalancer.view.backend(
-                context.now, backend.name, backend.number, backend.state, backend.capacity, backend.started_at
+                context.now, backend.name, backend.number, backend.state, backend.capacity, backend.warmup_started_at
             )
         if context.backends:
             rebalancer.view.list_over(())
@@ -85,8 +85,8 @@
         context.effects.append(SetTimer(rebalancer.round_interval_ms, REBALANCING_TIMER))
         migrations = rebalancer.plan_round(context.now, *context.balancer.subset())
         self._set_target(rebalancer.level)
-        for number in migrations:
-            self._attempts.migrate(context.requests.get(number))
+        for request_id in migrations:
+            self._attempts.migrate(context.requests.get(request_id))
         context.effects += [LogMessage(text) for text in rebalancer.take_notes()]
 
     def _set_target(self, target: float) -> None:
--- a/yarrowspindle/routing/reducer.py
+++ b/yarrowspindle/routing/reducer.py
@@ -215,6 +215,6 @@
         """Whether the process ends after the shutdown; False after a drain."""
         return self.context.process_exits
 
-    def has_ended(self, now: float) -> bool:
+    def may_exit(self, now: float) -> bool:
         """Whether the process may exit: the shutdown's time has passed, and no request is accepted any more."""
-        return self.context.has_ended(now)
+        return self.context.may_exit(now)
--- a/yarrowspindle/routing/requests.py
+++ b/yarrowspindle/routing/requests.py
@@ -52,9 +52,9 @@
     def on_request_received(self, event: RequestReceived) -> None:
         """Accept the request and pass it to the balancer, or refuse it at once."""
         context = self._context
-        refused = self._reason_to_refuse(event)
-        if refused is not None:
-            self._refuse(event.request, refused)
+        reason = self._rejection_reason(event)
+        if reason is not None:
+            self._reject(event.request, reason)
             return
         request = self._requests[event.request] = Request(event, context.now)
         if context.rebalancer is not None:
@@ -84,12 +84,12 @@
             )
         )
 
-    def _refuse(self, request: int, reason: RejectionReason) -> None:
+    def _reject(self, request_id: int, reason: RejectionReason) -> None:
         # Only for these is it harmless for the client to try again elsewhere.
         if reason in (RejectionReason.SHUTTING_DOWN, RejectionReason.DEADLINE_EXCEEDED):
-            self._context.effects.append(RejectRequest(request, 0.0, reason))
+            self._context.effects.append(RejectRequest(request_id, 0.0, reason))
         else:
-            self._context.effects.append(FailRequest(request, reason))
+            self._context.effects.append(FailRequest(request_id, reason))
 
     def _bind_to_previous_backend(self, request: Request, event: RequestReceived) -> None:
         """A connection from before this process goes to the backend that had it, and to no other."""
@@ -106,7 +106,7 @@
         request.attempt = 0
         request.deadline = self._context.now + EXISTING_CONNECTION_DEADLINE_MS
 
-    def _reason_to_refuse(self, event: RequestReceived) -> RejectionReason | None:
+    def _rejection_reason(self, event: RequestReceived) -> RejectionReason | None:
         """Why the request may not be accepted; None where it may.
 
         Protects backends and other requests from a client that uses another's id, that would wait without limit, or
@@ -114,21 +114,21 @@
         id was made by the front itself.
         """
         context = self._context
-        ending = context.has_ended(context.now)
+        shutting_down = context.may_exit(context.now)
         if not event.client_request_id:
-            return RejectionReason.SHUTTING_DOWN if ending else None
+            return RejectionReason.SHUTTING_DOWN if shutting_down else None
         names_backend = bool(event.previous_backend)
-        refused = gate.may_admit(
-            shutting_down=ending,
+        reason = gate.may_admit(
+            shutting_down=shutting_down,
             id_in_use=event.client_request_id in context.client_request_ids,
             names_backend=names_backend,
             started=context.serving_new_requests,
             remaining_ms=event.remaining_ms,
             class_deadline_ms=context.settings.classes[event.request_class].deadline_ms,
         )
-        if not names_backend and (refused is None or refused is RejectionReason.SHUTTING_DOWN):
+        if not names_backend and (reason is None or reason is RejectionReason.SHUTTING_DOWN):
             context.serving_new_requests = True
-        return refused
+        return reason
 
     # --- the client -------------------------------------------------------------------------------
 
@@ -155,35 +155,35 @@
 
     # --- the attempt ------------------------------------------------------------------------------
 
-    def _with_current_attempt(self, number: int, attempt: int) -> Request | None:
+    def _request_for_attempt(self, request_id: int, attempt: int) -> Request | None:
         """The request, where this attempt is its newest and has not ended; else None."""
-        request = self._requests.get(number)
+        request = self._requests.get(request_id)
         if request is None or request.attempt != attempt or request.phase is Phase.QUEUED:
             return None
         return request
 
     def on_backend_connected(self, event: BackendConnected) -> None:
         """Forward the request, unless its backend or the time left forbid it by now."""
-        request = self._with_current_attempt(event.request, event.attempt)
+        request = self._request_for_attempt(event.request, event.attempt)
         if request is None or request.backend is None or request.phase is not Phase.CONNECTING:
             return
         context = self._context
-        refused = gate.may_forward(
+        reason = gate.may_forward(
             request.backend.state,
             sticky=request.existing_connection is not None,
             now=context.now,
-            begin_by=request.write_before,
+            begin_by=request.write_deadline,
             deadline=request.deadline,
         )
-        if refused:
-            self._attempts.abort(request, refused, TerminationReason.NOT_SENT)
+        if reason:
+            self._attempts.abort(request, reason, TerminationReason.NOT_SENT)
             return
         request.enter(Phase.AWAITING_RESPONSE)
         context.effects.append(ForwardRequest(request.id, request.attempt, request.deadline - context.now))
 
     def on_backend_accepted(self, event: BackendAccepted) -> None:
         """Establish the connection."""
-        request = self._with_current_attempt(event.request, event.attempt)
+        request = self._request_for_attempt(event.request, event.attempt)
         if request is None or request.backend is None or request.phase is not Phase.AWAITING_RESPONSE:
             return
         context, backend = self._context, request.backend
@@ -206,7 +206,7 @@
 
     def on_attempt_ended(self, event: AttemptEnded) -> None:
         """End the attempt, or the established connection with its client's side."""
-        request = self._with_current_attempt(event.request, event.attempt)
+        request = self._request_for_attempt(event.request, event.attempt)
         if request is None:
             return
         established = request.phase is Phase.ESTABLISHED
@@ -216,9 +216,9 @@
 
     # --- timers -----------------------------------------------------------------------------------
 
-    def on_request_timer(self, name: str, number: int) -> None:
+    def on_request_timer(self, name: str, request_id: int) -> None:
         """The timer of a request fired; ignored where the request is closed."""
-        request = self._requests.get(number)
+        request = self._requests.get(request_id)
         if request is None:
             return
         if name == REQUEST_DEADLINE_TIMER:
@@ -237,10 +237,10 @@
             self._attempts.answer(request.id, RejectRequest(request.id, 0.0, RejectionReason.DEADLINE_EXCEEDED))
 
     def _abort_expired(self, request: Request) -> None:
-        stalled = request.deadline - ANSWER_MARGIN_MS <= self._context.stalled_at
-        ended = TerminationReason.EVENT_LOOP_STALLED if stalled else TerminationReason.DEADLINE_EXCEEDED
+        stalled = request.deadline - ANSWER_MARGIN_MS <= self._context.stall_ended_at
+        reason = TerminationReason.EVENT_LOOP_STALLED if stalled else TerminationReason.DEADLINE_EXCEEDED
         request.deadline = self._context.now
-        self._attempts.abort(request, RejectionReason.DEADLINE_EXCEEDED, ended)
+        self._attempts.abort(request, RejectionReason.DEADLINE_EXCEEDED, reason)
 
     # --- internal errors --------------------------------------------------------------------------
 
@@ -269,10 +269,10 @@
             effects.append(AbortAttempt(request.id, request.attempt, RejectionReason.INTERNAL_ERROR))
         effects.append(FailRequest(request.id, RejectionReason.INTERNAL_ERROR))
 
-    def _cancel_at_balancer(self, number: int, attempt: int, phase: Phase, backend: Backend | None) -> None:
+    def _cancel_at_balancer(self, request_id: int, attempt: int, phase: Phase, backend: Backend | None) -> None:
         if phase is not Phase.ESTABLISHED:
-            self._attempts.notify_balancer(balancer_events.ClientDisconnected(number))
+            self._attempts.notify_balancer(balancer_events.ClientDisconnected(request_id))
         if backend is not None and phase is not Phase.QUEUED:
             self._attempts.notify_balancer(
-                balancer_events.AttemptEnded(number, attempt, backend.number, Outcome.CANCELLED, True)
+                balancer_events.AttemptEnded(request_id, attempt, backend.number, Outcome.CANCELLED, True)
             )
--- a/yarrowspindle/routing/start_times.py
+++ b/yarrowspindle/routing/start_times.py
@@ -12,7 +12,7 @@
 from math import inf
 
 MAX_CLOCK_SKEW_MS = 50.0  # a start reported further in the future means that the clocks do not agree
-MAX_REMEMBERED = 4096  # backends that were removed and may return under a new start
+MAX_REMEMBERED_REMOVALS = 4096  # backends that were removed and may return under a new start
 
 
 @dataclass(slots=True, frozen=True)
@@ -28,7 +28,7 @@
     """The start under which a backend was last listed, and when it was removed from the list."""
 
     start_time: StartTime
-    at_ms: float
+    removed_at_ms: float
 
 
 class StartTimes:
@@ -42,37 +42,42 @@
         self._removals: OrderedDict[str, Removal] = OrderedDict()
 
     def estimate(
-        self, backend: str, reported_ms: float, known: StartTime | None, now: float, quiet_ms: float | None
+        self,
+        backend: str,
+        reported_ms: float,
+        previous: StartTime | None,
+        now: float,
+        since_last_update_ms: float | None,
     ) -> StartTime:
         """The start of a listed backend.
 
-        known: its start so far, None where it is not listed. quiet_ms: how long ago the update before this one was
-        received from discovery, None where there was none.
+        previous: its start so far, None where it is not listed. since_last_update_ms: how long ago the update before
+        this one was received from discovery, None where there was none.
         """
-        earliest = -inf if quiet_ms is None else now - quiet_ms
-        if known is None and (removal := self._removals.pop(backend, None)) is not None:
-            known, earliest = removal.start_time, removal.at_ms
-        if known is not None and reported_ms == known.reported_ms:
-            return known
+        earliest_start_ms = -inf if since_last_update_ms is None else now - since_last_update_ms
+        if previous is None and (removal := self._removals.pop(backend, None)) is not None:
+            previous, earliest_start_ms = removal.start_time, removal.removed_at_ms
+        if previous is not None and reported_ms == previous.reported_ms:
+            return previous
         if reported_ms <= 0.0:
             return StartTime(reported_ms, 0.0)
         if reported_ms > now + MAX_CLOCK_SKEW_MS:
             self.clocks_agree = False
-        if known is None:
-            return StartTime(reported_ms, self._date_first_seen(reported_ms, now, quiet_ms))
-        plausible = self.clocks_agree and earliest <= reported_ms <= now
-        return StartTime(reported_ms, reported_ms if plausible else now)
+        if previous is None:
+            return StartTime(reported_ms, self._estimate_first_listed(reported_ms, now, since_last_update_ms))
+        trusted = self.clocks_agree and earliest_start_ms <= reported_ms <= now
+        return StartTime(reported_ms, reported_ms if trusted else now)
 
-    def _date_first_seen(self, reported_ms: float, now: float, quiet_ms: float | None) -> float:
+    def _estimate_first_listed(self, reported_ms: float, now: float, since_last_update_ms: float | None) -> float:
         """On the relay's clock, the start of a backend that was not listed before."""
-        believed = self.clocks_agree or quiet_ms is None
-        return min(reported_ms, now) if believed else now
+        trusted = self.clocks_agree or since_last_update_ms is None
+        return min(reported_ms, now) if trusted else now
 
     def on_removed(self, backend: str, start_time: StartTime, now: float) -> None:
         """Remember the start of a backend that is no longer listed."""
         self._removals[backend] = Removal(start_time, now)
         self._removals.move_to_end(backend)
-        while len(self._removals) > MAX_REMEMBERED:
+        while len(self._removals) > MAX_REMEMBERED_REMOVALS:
             self._removals.popitem(last=False)
 
     def on_clock_stepped(self) -> None:
--- a/yarrowspindle/routing/state.py
+++ b/yarrowspindle/routing/state.py
@@ -43,7 +43,7 @@
         backend: of the newest attempt.
         deadline: when the client stops waiting for its answer.
         attempt_started_at: when the newest attempt started.
-        write_before: when the newest attempt's request must have been written.
+        write_deadline: when the newest attempt's request must have been written.
         existing_connection: set while a connection from before this process is not established again.
         unanswered: when client lines were forwarded that have no answer yet, and how many.
         client_request_id: the client's id for the request; empty where the front made the request itself.
@@ -64,7 +64,7 @@
         "received",
         "load",
         "established_at",
-        "write_before",
+        "write_deadline",
     )
 
     def __init__(self, received: RequestReceived, now: float) -> None:
@@ -80,7 +80,7 @@
         self.existing_connection: ExistingConnection | None = None
         self.unanswered: deque[list[float]] = deque()
         self.client_request_id = ""
-        self.write_before = inf
+        self.write_deadline = inf
 
     @property
     def in_flight(self) -> bool:
@@ -123,7 +123,7 @@
         endpoint: its entry in the endpoint list, whatever the maintenance plan says; None where it is not listed.
         start_time: when its process started, as last listed.
         readmitted_at: when it returned from maintenance; 0 where it was in none.
-        started_at: when its warmup started: the later of the start and the readmission.
+        warmup_started_at: when its warmup started: the later of the start and the readmission.
         last_data_at: when any of its connections last delivered data.
         message_latencies_ms: latencies since the last report to the balancer, made at `latencies_reported_at`.
         reported_slow: whether the last report to the balancer was that messages take long.
@@ -140,7 +140,7 @@
         "last_data_at",
         "requests",
         "capacity",
-        "started_at",
+        "warmup_started_at",
         "load_reports",
         "endpoint",
         "readmitted_at",
@@ -153,7 +153,7 @@
         self.address = ("", 0)
         self.state = EndpointState.GONE
         self.capacity = 1.0
-        self.started_at = 0.0
+        self.warmup_started_at = 0.0
         self.requests: set[int] = set()
         self.endpoint: Endpoint | None = None
         self.start_time: StartTime | None = None
