--- a/tests/maintenance/test_codec.py
+++ b/tests/maintenance/test_codec.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from tests.maintenance.sample_state import a_state
+from tests.maintenance.sample_state import sample_state
 from yarrowspindle.consensus.messages import Accept, Prepare, Rejected
 from yarrowspindle.maintenance import codec
 from yarrowspindle.maintenance.messages import LatestVersion, RegisterRelay, ReleaseConfirmation, StateUpdate
@@ -17,17 +17,17 @@
 
 def test_messages_are_decoded_unchanged_and_invalid_bytes_are_rejected() -> None:
     for message in (
-        StateUpdate(a_state()),
+        StateUpdate(sample_state()),
         Prepare((3, "r1"), 2, "x"),
-        Accept((1, "r0"), 0, "i", a_state()),
+        Accept((1, "r0"), 0, "i", sample_state()),
         ReleaseConfirmation(7, {"a": 1}),
         RegisterRelay("k"),
         LatestVersion(3),
-        Rejected((1, "a"), (2, "b"), a_state()),
+        Rejected((1, "a"), (2, "b"), sample_state()),
         Rejected((1, "a"), (2, "b"), not_voter=True),
     ):
         assert codec.decode(codec.encode(message)) == message
-    encoded = codec.encode(StateUpdate(a_state()))
+    encoded = codec.encode(StateUpdate(sample_state()))
     bomb = bytes((codec.VERSION, 6)) + zlib.compress(b"\0" * (8 << 20))
     for invalid in (
         b"",
--- a/tests/maintenance/test_fleet_health.py
+++ b/tests/maintenance/test_fleet_health.py
@@ -23,25 +23,25 @@
     return samples()[::2]
 
 
-def test_a_fault_is_a_backend_that_dies_or_fails_or_pressure_and_it_ends() -> None:
+def test_dead_or_failing_backends_and_many_rejections_are_faults_until_they_end() -> None:
     health, state = FleetHealth(3000.0, 0.1), MaintenanceState()
-    found = health.assess(0.0, samples(), state)
-    assert not found.fault
-    assert all(backend.ready for backend in found.backends.values()), "backends of the first assessment are warm"
+    assessment = health.assess(0.0, samples(), state)
+    assert not assessment.fault
+    assert all(backend.ready for backend in assessment.backends.values()), "backends of the first assessment are warm"
     assert health.assess(500.0, samples(failing=True), state).fault == "m1 fails"
     assert not health.assess(1000.0, samples(), state).fault
-    found = health.assess(1500.0, samples_without_m1(), state)
-    assert found.fault == "m1 died" and "m1" not in found.backends
+    assessment = health.assess(1500.0, samples_without_m1(), state)
+    assert assessment.fault == "m1 died" and "m1" not in assessment.backends
     assert not health.assess(1500.0 + FAULT_PERIOD_MS, samples_without_m1(), state).fault, "the fault is over"
-    found = health.assess(20_000.0, samples(), state)
-    assert not found.backends["m1"].ready, "it has returned, and warms up"
+    assessment = health.assess(20_000.0, samples(), state)
+    assert not assessment.backends["m1"].ready, "it has returned, and warms up"
     assert health.assess(23_000.0, samples(), state).backends["m1"].ready
     health.assess(30_000.0, samples(), state, 100, 3)
     assert "12% of the jobs" in health.assess(31_000.0, samples(), state, 200, 15).fault
     assert not health.assess(40_000.0, samples(), state, 210, 25).fault, "too few requests"
 
 
-def test_a_backend_out_of_service_may_disappear_and_warms_up_when_it_returns() -> None:
+def test_a_backend_out_of_service_may_disappear_and_warms_up_after_its_return() -> None:
     started = MaintenanceState({"r0": INITIAL_IDENTITY}).with_request(MaintenanceRequest(("m1",)))
     assert started is not None
     started = started.advanced({"m1": BackendObservation(0, 1.0, True)})
--- a/tests/maintenance/test_maintenance_days.py
+++ b/tests/maintenance/test_maintenance_simulation.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from benchmarks.turns import day_of as day
+from benchmarks.turns import day_of as simulate
 from benchmarks.turns import dies
 from yarrowspindle.lab.faults import Fault
 from yarrowspindle.lab.model.exhaustive import STAGES, explore
@@ -13,18 +13,22 @@
 
 
 @pytest.mark.parametrize("first", range(0, 48, 12))
-def test_all_backends_go_out_of_service_and_return_whatever_messages_are_lost(first: int) -> None:
+def test_all_backends_are_evacuated_and_return_despite_message_loss(first: int) -> None:
     for seed in range(first, first + 12):
-        found = day(seed)
-        assert not found.violations and not found.stuck, f"seed {seed}: {found.violations or found.stuck}"
+        result = simulate(seed)
+        assert not result.violations and not result.stuck, f"seed {seed}: {result.violations or result.stuck}"
         plan = Plan.of(seed)
-        least = 0 if plan.cancel_s >= 0.0 else 3 if plan.clash else 6
-        assert found.turns >= least and found.most_out <= 2
+        min_evacuations = 0 if plan.cancel_s >= 0.0 else 3 if plan.clash else 6
+        assert result.turns >= min_evacuations and result.most_out <= 2
 
 
 def test_a_failing_seed_replays_exactly() -> None:
-    one, other = day(9), day(9)
-    assert (one.took_s, one.turns, one.faults) == (other.took_s, other.turns, other.faults)
+    first_run, second_run = simulate(9), simulate(9)
+    assert (first_run.took_s, first_run.turns, first_run.faults) == (
+        second_run.took_s,
+        second_run.turns,
+        second_run.faults,
+    )
 
 
 def test_seeds_that_found_defects_before() -> None:
@@ -35,15 +39,15 @@
     started by an observation from before a stall.
     """
     for seed in (79, 630, 1463):
-        found = day(seed)
-        assert not found.violations and not found.stuck
+        result = simulate(seed)
+        assert not result.violations and not result.stuck
 
 
 @pytest.mark.parametrize("kind", STEPS)
-def test_a_relay_may_die_at_each_step(kind: str) -> None:
+def test_maintenance_survives_the_death_of_a_relay_at_each_step(kind: str) -> None:
     for number in (1, 2, 5, 13):
-        case, violation = dies((kind, number, 3 + number))
-        assert not violation, f"{case}: {violation}"
+        scenario, violation = dies((kind, number, 3 + number))
+        assert not violation, f"{scenario}: {violation}"
 
 
 @pytest.mark.parametrize(
@@ -59,20 +63,20 @@
 )
 def test_partitions_and_stalls(faults: list[Fault], relays: int) -> None:
     for seed in (1, 2):
-        found = play_turns(relays, 6, seed, (), faults=faults, plan=Plan())
-        assert not found.violations and not found.stuck and found.turns >= 6
+        result = play_turns(relays, 6, seed, (), faults=faults, plan=Plan())
+        assert not result.violations and not result.stuck and result.turns >= 6
 
 
 def test_every_interleaving_of_a_small_case_to_depth_three() -> None:
     for stage in STAGES:
-        found = explore(3, 100_000, None, stage)
-        assert found.whole and found.states > 300, found
+        result = explore(3, 100_000, None, stage)
+        assert result.whole and result.states > 300, result
     assert explore(3, 100_000, DEFECTS["majority off by one"], "granted").broken
     assert explore(3, 100_000, DEFECTS["places before it has read"], "free").broken
 
 
 # The first seed that found each defect; six more of DEFECTS need more seeds than fit here (docs/design/turns.md).
-FOUND = {
+SEED_BY_DEFECT = {
     "forgets to sync its file": 9,
     "accepts below its promise": 13,
     "does not tell what it accepted": 6,
@@ -91,6 +95,6 @@
 }
 
 
-@pytest.mark.parametrize("defect", FOUND)
+@pytest.mark.parametrize("defect", SEED_BY_DEFECT)
 def test_each_planted_defect_is_found(defect: str) -> None:
-    assert day(FOUND[defect], parts=DEFECTS[defect], within_s=60.0).violations
+    assert simulate(SEED_BY_DEFECT[defect], parts=DEFECTS[defect], within_s=60.0).violations
--- a/tests/maintenance/test_settings.py
+++ b/tests/maintenance/test_settings.py
@@ -38,15 +38,15 @@
 
 
 def test_the_example_file_is_read() -> None:
-    turns = read_operator((Path(__file__).parents[2] / "deploy/turns.toml").read_text()).turns
-    assert turns is not None and turns.voters == ("n0", "n1", "n2")
+    settings = read_operator((Path(__file__).parents[2] / "deploy/turns.toml").read_text()).turns
+    assert settings is not None and settings.voters == ("n0", "n1", "n2")
 
 
 def test_zone_by_zone_sorts_and_invalid_values_are_rejected() -> None:
-    wish = RequestSettings(("b1", "a1", "b2", "a2"), order="zones").request(
+    request = RequestSettings(("b1", "a1", "b2", "a2"), order="zones").request(
         ("b1", "a1", "b2", "a2"), {"b1": 1, "b2": 1}
     )
-    assert wish.backends == ("a1", "a2", "b1", "b2")
+    assert request.backends == ("a1", "a2", "b1", "b2")
     for invalid in (
         {"machines": ["a"], "most": 0},
         {"machines": "a"},
--- a/tests/storage/test_durable_file.py
+++ b/tests/storage/test_durable_file.py
@@ -12,7 +12,7 @@
 
 from tests.daemon.test_maintenance_daemon import COLD, operator
 from tests.maintenance.sample_state import VOTERS as SAMPLE_VOTERS
-from tests.maintenance.sample_state import a_state
+from tests.maintenance.sample_state import sample_state
 from tests.ports import free_port
 from tests.stand_ins import relay
 from yarrowspindle.consensus.acceptor import AcceptorState
@@ -35,27 +35,27 @@
     path.with_suffix(".aside").rename(path)
 
 
-def test_a_file_that_is_unreadable_for_a_while_does_not_count_as_lost(tmp_path: Path) -> None:
+def test_a_temporarily_unreadable_file_does_not_count_as_lost(tmp_path: Path) -> None:
     """A voter that forgot its promises would break them; one that waits for its disk is only silent."""
 
-    async def body() -> None:
+    async def scenario() -> None:
         file = MaintenanceVoterFile(f"{tmp_path}/turns", "n0", "default")
         file.initialize(VOTERS)
         make_unreadable(file.path)
         with pytest.raises(OSError):
             file.load()
-        async with relay(tmp_path, operator(tmp_path, free_port()), **COLD) as world:
-            await world.logged("cannot be read")
-            assert (await (await world.request(wait_ms=500)).hear()).startswith("BUSY")
+        async with relay(tmp_path, operator(tmp_path, free_port()), **COLD) as service:
+            await service.logged("cannot be read")
+            assert (await (await service.request(wait_ms=500)).hear()).startswith("BUSY")
             make_readable(file.path)
-            await world.logged("has its voter's file")
-            await world.standing()
+            await service.logged("has its voter's file")
+            await service.standing()
         assert not list(file.directory.glob("*.bad"))
 
-    asyncio.run(body())
+    asyncio.run(scenario())
 
 
-def test_where_syncing_the_directory_fails_the_old_or_the_new_content_is_found_complete(
+def test_after_a_failed_directory_sync_the_old_or_the_new_content_is_complete(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """`store` failed, so nothing was promised, whichever of the two is found."""
@@ -65,13 +65,13 @@
     new = AcceptorState(INITIAL_IDENTITY, (9, "n0"), NO_BALLOT, initial_state(VOTERS))
     sync, calls = os.fsync, []
 
-    def second_fails(descriptor: int) -> Any:
+    def fail_second_call(descriptor: int) -> Any:
         calls.append(descriptor)
         if len(calls) == 2:
             raise OSError(errno.EIO, "Input/output error")
         return sync(descriptor)
 
-    monkeypatch.setattr(os, "fsync", second_fails)
+    monkeypatch.setattr(os, "fsync", fail_second_call)
     with pytest.raises(OSError):
         file.store(new)
     monkeypatch.undo()
@@ -104,7 +104,7 @@
         file.initialize(SAMPLE_VOTERS)
     with pytest.raises(FileUnavailableError, match="none of the voters"):
         MaintenanceVoterFile(str(tmp_path / "r9"), "r9", "lab").initialize(SAMPLE_VOTERS)
-    stored = AcceptorState(INITIAL_IDENTITY, (7, "r2"), (6, "r1"), a_state())
+    stored = AcceptorState(INITIAL_IDENTITY, (7, "r2"), (6, "r1"), sample_state())
     file.store(stored)
     assert file.load() == stored and not list(tmp_path.glob("r0/*.new"))
     complete = file.path.read_bytes()
--- a/yarrowspindle/lab/model/exhaustive.py
+++ b/yarrowspindle/lab/model/exhaustive.py
@@ -108,7 +108,7 @@
 def packed(loaded: Loaded, holds: frozenset[str]) -> One:
     """Times are folded away, so that states which differ by them alone are one."""
     core = loaded[0]
-    core.now = core.round_started_at = core.majority_heard_at = core.reminded_at = 0.0
+    core.now = core.round_started_at = core.majority_reached_at = core.reminded_at = 0.0
     core.retry_at = core.confirmable_since = 0.0
     core.version_confirmed_at = core.started_at = 0.0
     core.last_fault_at = core.observed_at = core.observations_valid_from = 0.0
--- a/yarrowspindle/maintenance/change_log.py
+++ b/yarrowspindle/maintenance/change_log.py
@@ -8,14 +8,14 @@
 def describe_changes(old: MaintenanceState, new: MaintenanceState) -> list[str]:
     """Return a line for each evacuation, pause and request that differs."""
     return [
-        *_ended_evacuations(old, new),
-        *_evacuation_stages(old, new),
-        *_pause(old, new),
-        *_request_states(old, new),
+        *_ended_evacuation_lines(old, new),
+        *_evacuation_stage_lines(old, new),
+        *_pause_lines(old, new),
+        *_request_state_lines(old, new),
     ]
 
 
-def _ended_evacuations(old: MaintenanceState, new: MaintenanceState) -> list[str]:
+def _ended_evacuation_lines(old: MaintenanceState, new: MaintenanceState) -> list[str]:
     lines = []
     for backend, evacuation in old.evacuations.items():
         current = new.evacuations.get(backend)
@@ -29,28 +29,28 @@
     return lines
 
 
-def _evacuation_stages(old: MaintenanceState, new: MaintenanceState) -> list[str]:
+def _evacuation_stage_lines(old: MaintenanceState, new: MaintenanceState) -> list[str]:
     lines = []
     for backend, evacuation in new.evacuations.items():
-        former = old.evacuations.get(backend)
-        if former is None or former.number != evacuation.number or former.stage != evacuation.stage:
+        previous = old.evacuations.get(backend)
+        if previous is None or previous.number != evacuation.number or previous.stage != evacuation.stage:
             lines.append(
                 f"turn {evacuation.number}: {backend} is {evacuation.stage}, by request {evacuation.request_id}"
             )
     return lines
 
 
-def _pause(old: MaintenanceState, new: MaintenanceState) -> list[str]:
+def _pause_lines(old: MaintenanceState, new: MaintenanceState) -> list[str]:
     if new.pause_reason == old.pause_reason:
         return []
     return [f"turns are paused: {new.pause_reason}" if new.pause_reason else "turns go on"]
 
 
-def _request_states(old: MaintenanceState, new: MaintenanceState) -> list[str]:
+def _request_state_lines(old: MaintenanceState, new: MaintenanceState) -> list[str]:
     lines = []
     for request_id, status in new.requests.items():
-        former = old.requests.get(request_id)
-        if former is not None and former.state == status.state:
+        previous = old.requests.get(request_id)
+        if previous is not None and previous.state == status.state:
             continue
         reason = f": {status.reason}" if status.reason else ""
         lines.append(f"request {request_id} for {len(status.request.backends)} machines is {status.state}{reason}")
--- a/yarrowspindle/maintenance/coordinator.py
+++ b/yarrowspindle/maintenance/coordinator.py
@@ -39,7 +39,7 @@
 ROUND_TIMEOUT_MS = 400.0
 MAX_RETRY_DELAY_MS = 1200.0
 MAX_COUNTED_FAILURES = 6  # of rounds; the delay of a retry doubles with each
-READ_INTERVAL_BUSY_MS = 1500.0  # while something is out; the state is read where no majority was heard for so long
+READ_INTERVAL_ACTIVE_MS = 1500.0  # while something is out; the state is read where no majority was heard for so long
 READ_INTERVAL_IDLE_MS = 10_000.0
 LATEST_VERSION_INTERVAL_MS = 2000.0
 REMINDER_INTERVAL_MS = 500.0  # of relays that have not confirmed
@@ -82,7 +82,7 @@
         self.fleet = FleetObserved(frozenset(), {}, (name,))
         self.commands: list[OperatorCommand] = []
         self.peer_requests = PeerRequests(OWN_REGISTRATION_DELAY_MS)
-        self.majority_heard_at = 0.0  # by this relay; 0: never
+        self.majority_reached_at = 0.0  # by this relay; 0: never
         self.version_confirmed_at = 0.0  # by a relay that heard a majority; 0: never
         self.confirmable_since = 0.0  # 0: there is nothing to confirm
         self.round_started_at = 0.0
@@ -135,14 +135,14 @@
     @property
     def majority_known_at(self) -> float:
         """When a majority of the voters was last heard, by this relay or one that reported it; 0 if never."""
-        return max(self.majority_heard_at, self.version_confirmed_at)
+        return max(self.majority_reached_at, self.version_confirmed_at)
 
     def may_place(self, backend: str) -> bool:
         """Whether this relay may place connections on the backend."""
         return self.registered and not self.adopted.excludes(backend)
 
     @property
-    def _leads(self) -> bool:
+    def _is_leader(self) -> bool:
         return self.name == self._leader
 
     @property
@@ -214,7 +214,7 @@
     def _on_committed(self, effect: Committed[MaintenanceState]) -> None:
         self.failed_rounds = 0
         self.failure_reason = ""
-        self.majority_heard_at = self.now
+        self.majority_reached_at = self.now
         if effect.changed:
             state = effect.state
             recipients = {*state.relays, *state.voters, *self.fleet.members} - {self.name}
@@ -238,11 +238,11 @@
             return
         for line in describe_changes(self.adopted, self.state):
             self._log(line)
-        former_incarnation = self.incarnation
+        previous_incarnation = self.incarnation
         self.adopted = self.state
         self.observed_since_adoption = False
         self.effects.append(StateCommitted(self.state))
-        if self.incarnation != former_incarnation:
+        if self.incarnation != previous_incarnation:
             self._log_registration()
 
     def _log_registration(self) -> None:
@@ -261,7 +261,7 @@
         if self.proposer.round is None and self.now >= self.retry_at:
             self._start_round_if_due()
         reminder_interval_ms = REMINDER_INTERVAL_MS if self.state.evacuations else LATEST_VERSION_INTERVAL_MS
-        if self._leads and self.now >= self.reminded_at + reminder_interval_ms:
+        if self._is_leader and self.now >= self.reminded_at + reminder_interval_ms:
             self._send_reminders()
         self.effects.append(SetTimer(TICK_MS * self.random.uniform(0.8, 1.2), TICK))
 
@@ -271,9 +271,9 @@
             self.confirmable_since = 0.0
         else:
             self.confirmable_since = self.confirmable_since or self.now
-            if not self._leads:
+            if not self._is_leader:
                 self._send(self._leader, ReleaseConfirmation(self.incarnation, releases))
-        if not self.registered and not self._leads:
+        if not self.registered and not self._is_leader:
             self._send(self._leader, RegisterRelay(self.key))
 
     def _start_round_if_due(self) -> None:
@@ -287,14 +287,14 @@
 
     def _read_interval_ms(self) -> float:
         if not self.registered or self.state.evacuations or self.commands:
-            return READ_INTERVAL_BUSY_MS
-        return LATEST_VERSION_INTERVAL_MS if self._leads else READ_INTERVAL_IDLE_MS
+            return READ_INTERVAL_ACTIVE_MS
+        return LATEST_VERSION_INTERVAL_MS if self._is_leader else READ_INTERVAL_IDLE_MS
 
     def _send_reminders(self) -> None:
         """Tell the members the latest version, so that they need not read, and unconfirmed relays the state."""
         self.reminded_at = self.now
         state = self.state
-        if self.now <= self.majority_heard_at + 3.0 * LATEST_VERSION_INTERVAL_MS:
+        if self.now <= self.majority_reached_at + 3.0 * LATEST_VERSION_INTERVAL_MS:
             for name in self.fleet.members:
                 if name != self.name:
                     self._send(name, LatestVersion(state.version))
@@ -316,12 +316,12 @@
 
     def _proposed_changes(self) -> list[StateChange]:
         changes: list[StateChange] = []
-        if not self.registered and (self._leads or self.now >= self.started_at + OWN_REGISTRATION_DELAY_MS):
+        if not self.registered and (self._is_leader or self.now >= self.started_at + OWN_REGISTRATION_DELAY_MS):
             changes.append(self._register)
         changes.append(self._revert_outdated_evacuations)
         changes += [command.apply for command in self.commands]
         changes += [self._confirm_own_releases, self._replace_own_voter_file]
-        if self._leads:
+        if self._is_leader:
             changes += self.peer_requests.changes()
             changes += [self._pause_or_resume, self._advance]
         return changes
@@ -375,7 +375,7 @@
 
     def _confirm_own_releases(self, state: MaintenanceState) -> MaintenanceState | None:
         releases = self._releases()
-        due = self._leads or self.now >= self.confirmable_since + OWN_CONFIRMATION_DELAY_MS
+        due = self._is_leader or self.now >= self.confirmable_since + OWN_CONFIRMATION_DELAY_MS
         return state.with_confirmations(self.name, self.incarnation, releases) if releases and due else None
 
     def _replace_own_voter_file(self, state: MaintenanceState) -> MaintenanceState | None:
--- a/yarrowspindle/maintenance/fleet_health.py
+++ b/yarrowspindle/maintenance/fleet_health.py
@@ -40,7 +40,7 @@
 
 
 @dataclass(slots=True)
-class KnownBackend:
+class BackendRecord:
     """A backend as it was last seen. warm_at: when it has warmed up, in milliseconds."""
 
     state: EndpointState
@@ -67,7 +67,7 @@
     def __init__(self, warmup_ms: float, max_rejected_fraction: float) -> None:
         self.warmup_ms = warmup_ms
         self.max_rejected_fraction = max_rejected_fraction
-        self.backends: dict[str, KnownBackend] = {}
+        self.backends: dict[str, BackendRecord] = {}
         self.died_at: dict[str, float] = {}
         self.counts: list[RequestCounts] = []  # of the window
         self.assessed = False
@@ -84,73 +84,73 @@
         observations: dict[str, BackendObservation] = {}
         failing: list[str] = []
         for sample in samples:
-            known = self._known(now, sample)
-            self._update(now, known, sample, state)
-            available = sample.state is EndpointState.READY
-            if sample.failing and available and sample.name not in state.evacuations:
+            record = self._record(now, sample)
+            self._update_record(now, record, sample, state)
+            listed_ready = sample.state is EndpointState.READY
+            if sample.failing and listed_ready and sample.name not in state.evacuations:
                 failing.append(sample.name)
             if sample.state is not EndpointState.GONE:
-                ready = available and now >= known.warm_at and not sample.failing
+                ready = listed_ready and now >= record.warm_at and not sample.failing
                 observations[sample.name] = BackendObservation(sample.zone, sample.capacity, ready, sample.connections)
-        self._update_unlisted(now, observations.keys(), state)
+        self._mark_unlisted_gone(now, observations.keys(), state)
         self.assessed = bool(self.backends)
-        self._forget_old_deaths(now)
-        pressure = self._pressure(now, received, rejected)
-        return FleetAssessment(observations, self._fault(failing, pressure))
+        self._expire_deaths(now)
+        rejection_fault = self._rejection_fault(now, received, rejected)
+        return FleetAssessment(observations, self._fault(failing, rejection_fault))
 
-    def _known(self, now: float, sample: BackendSample) -> KnownBackend:
+    def _record(self, now: float, sample: BackendSample) -> BackendRecord:
         """Return the record of the backend, a new one where its process is new."""
-        known = self.backends.get(sample.name)
-        if known is None or known.started != sample.started or known.state is EndpointState.GONE:
+        record = self.backends.get(sample.name)
+        if record is None or record.started != sample.started or record.state is EndpointState.GONE:
             warms_up = self.assessed and sample.state is EndpointState.READY
-            known = KnownBackend(sample.state, sample.started, now + self.warmup_ms if warms_up else now)
-            self.backends[sample.name] = known
-        return known
+            record = BackendRecord(sample.state, sample.started, now + self.warmup_ms if warms_up else now)
+            self.backends[sample.name] = record
+        return record
 
-    def _update(self, now: float, known: KnownBackend, sample: BackendSample, state: MaintenanceState) -> None:
+    def _update_record(self, now: float, record: BackendRecord, sample: BackendSample, state: MaintenanceState) -> None:
         evacuation = state.evacuations.get(sample.name)
-        out = evacuation is not None and evacuation.stage != WARMING
-        if out:
-            known.warm_at = now + self.warmup_ms  # it warms up when it returns, whatever the list has
-        in_use = not out or (evacuation is not None and evacuation.stage == EMPTYING)
-        if in_use and known.state is EndpointState.READY and sample.state is EndpointState.GONE:
+        out_of_service = evacuation is not None and evacuation.stage != WARMING
+        if out_of_service:
+            record.warm_at = now + self.warmup_ms  # it warms up when it returns, whatever the list has
+        in_use = not out_of_service or (evacuation is not None and evacuation.stage == EMPTYING)
+        if in_use and record.state is EndpointState.READY and sample.state is EndpointState.GONE:
             self.died_at[sample.name] = now
-        known.state = sample.state
+        record.state = sample.state
 
-    def _update_unlisted(self, now: float, listed: Collection[str], state: MaintenanceState) -> None:
+    def _mark_unlisted_gone(self, now: float, listed: Collection[str], state: MaintenanceState) -> None:
         for name in self.backends.keys() - set(listed):
-            known = self.backends[name]
+            record = self.backends[name]
             evacuation = state.evacuations.get(name)
             in_use = evacuation is None or evacuation.stage == EMPTYING
-            if in_use and known.state is EndpointState.READY:
+            if in_use and record.state is EndpointState.READY:
                 self.died_at[name] = now
-            known.state = EndpointState.GONE
+            record.state = EndpointState.GONE
 
-    def _forget_old_deaths(self, now: float) -> None:
+    def _expire_deaths(self, now: float) -> None:
         expired = [name for name, died_at in self.died_at.items() if now >= died_at + FAULT_PERIOD_MS]
         for name in expired:
             del self.died_at[name]
             if self.backends[name].state is EndpointState.GONE:
                 del self.backends[name]
 
-    def _pressure(self, now: float, received: int, rejected: int) -> str:
+    def _rejection_fault(self, now: float, received: int, rejected: int) -> str:
         """Return the text of a fault where too many of the window's requests were rejected, else an empty string."""
         self.counts.append(RequestCounts(now, received, rejected))
         while self.counts[0].at < now - REJECTION_WINDOW_MS:
             self.counts.pop(0)
-        first = self.counts[0]
-        recent = received - first.received
-        recently_rejected = rejected - first.rejected
-        if recent < MIN_REQUESTS or recently_rejected <= self.max_rejected_fraction * recent:
+        oldest = self.counts[0]
+        recent_requests = received - oldest.received
+        recent_rejections = rejected - oldest.rejected
+        if recent_requests < MIN_REQUESTS or recent_rejections <= self.max_rejected_fraction * recent_requests:
             return ""
-        return f"the fleet is under pressure: {recently_rejected / recent:.0%} of the jobs were refused"
+        return f"the fleet is under pressure: {recent_rejections / recent_requests:.0%} of the jobs were refused"
 
-    def _fault(self, failing: Collection[str], pressure: str) -> str:
+    def _fault(self, failing: Collection[str], rejection_fault: str) -> str:
         if self.died_at:
             return f"{_list_names(self.died_at)} died"
         if failing:
             return f"{_list_names(failing)} {'fails' if len(failing) == 1 else 'fail'}"
-        return pressure
+        return rejection_fault
 
 
 def _list_names(names: Collection[str]) -> str:
--- a/yarrowspindle/maintenance/state.py
+++ b/yarrowspindle/maintenance/state.py
@@ -118,12 +118,12 @@
 
     def meets_capacity_floors(self, backends: Mapping[str, BackendObservation]) -> bool:
         """Whether the ready capacity meets the minimum of each request with an emptying backend."""
-        floors = [
+        minimums = [
             self.requests[evacuation.request_id].request.min_ready_capacity
             for evacuation in self.evacuations.values()
             if evacuation.stage == EMPTYING
         ]
-        return self.ready_capacity(backends) >= max(floors, default=0.0)
+        return self.ready_capacity(backends) >= max(minimums, default=0.0)
 
     def blocking_reason(
         self,
@@ -144,8 +144,8 @@
             return f"{len(self.evacuations)} out, at most {request.max_unavailable} at once"
         if observed is None:
             return "not in the machine list"
-        out_of_zone = sum(evacuation.zone == observed.zone for evacuation in self.evacuations.values())
-        if out_of_zone >= request.max_unavailable_per_zone:
+        unavailable_in_zone = sum(evacuation.zone == observed.zone for evacuation in self.evacuations.values())
+        if unavailable_in_zone >= request.max_unavailable_per_zone:
             return f"at most {request.max_unavailable_per_zone} out of its zone at once"
         remaining = ready_capacity - (observed.capacity if observed.ready else 0.0)
         if remaining < request.min_ready_capacity:
@@ -172,7 +172,7 @@
         if self.relays.get(name) != incarnation:
             return None
         return self.successor(
-            relays={other: number for other, number in self.relays.items() if other != name},
+            relays={other: value for other, value in self.relays.items() if other != name},
             process_keys={other: key for other, key in self.process_keys.items() if other != name},
         )._with_released_backends()
 
@@ -209,28 +209,28 @@
         existing = self.requests.get(request_id)
         if existing is not None and (existing.state == QUEUED or existing.changed_at_version > known_version):
             return None
-        requests = {number: status for number, status in self.requests.items() if number != request_id}
+        requests = {other_id: status for other_id, status in self.requests.items() if other_id != request_id}
         version = self.version + 1
         refusal = self._refusal(request, requests)
         if refusal:
             requests[request_id] = RequestStatus(request, (), REFUSED, refusal, version)
         else:
             requests[request_id] = RequestStatus(request, request.backends, changed_at_version=version)
-        ended = [number for number, status in requests.items() if status.state != QUEUED]
-        for number in ended[: max(0, len(ended) - MAX_ENDED_REQUESTS)]:
-            del requests[number]
+        ended = [ended_id for ended_id, status in requests.items() if status.state != QUEUED]
+        for ended_id in ended[: max(0, len(ended) - MAX_ENDED_REQUESTS)]:
+            del requests[ended_id]
         return self.successor(requests=requests)
 
     def _refusal(self, request: MaintenanceRequest, other_requests: Mapping[str, RequestStatus]) -> str:
         """Return why the request is refused beside the other requests; empty where it is not."""
-        owners: dict[str, str] = {}
-        for number, status in self.requests.items():
+        request_ids: dict[str, str] = {}
+        for request_id, status in self.requests.items():
             if status.state == QUEUED:
-                owners |= dict.fromkeys(status.request.backends, number)
-        owners |= {backend: evacuation.request_id for backend, evacuation in self.evacuations.items()}
+                request_ids |= dict.fromkeys(status.request.backends, request_id)
+        request_ids |= {backend: evacuation.request_id for backend, evacuation in self.evacuations.items()}
         for backend in request.backends:
-            if backend in owners:
-                return f"{backend} is in request {owners[backend]} already"
+            if backend in request_ids:
+                return f"{backend} is in request {request_ids[backend]} already"
         if sum(status.state == QUEUED for status in other_requests.values()) >= MAX_REQUESTS:
             return f"{MAX_REQUESTS} requests are open already"
         return ""
@@ -282,8 +282,8 @@
         """End a pause. `reason` is that of the pause which an operator ends; without it, one by an operator stays."""
         if not self.pause_reason:
             return None
-        ends = self.pause_reason == reason if reason else not self.paused_by_operator
-        return self.successor(pause_reason="", paused_by_operator=False) if ends else None
+        may_end = self.pause_reason == reason if reason else not self.paused_by_operator
+        return self.successor(pause_reason="", paused_by_operator=False) if may_end else None
 
     # Progress
 
@@ -306,7 +306,7 @@
         for request_id, status in self.requests.items():
             if status.state != QUEUED or len(self.evacuations) >= status.request.max_unavailable:
                 continue
-            for backend in _in_order(status, backends):
+            for backend in _waiting_in_order(status, backends):
                 if not self.blocking_reason(status, backend, backends, ready_capacity):
                     return self._with_evacuation(request_id, backend, backends[backend].zone)
         return None
@@ -357,7 +357,7 @@
         return self.successor(voters=voters, epoch=self.epoch + 1)
 
 
-def _in_order(status: RequestStatus, backends: Mapping[str, BackendObservation]) -> tuple[str, ...]:
+def _waiting_in_order(status: RequestStatus, backends: Mapping[str, BackendObservation]) -> tuple[str, ...]:
     """Return the waiting backends in the order that the request wants."""
     if status.request.order != ORDER_FEWEST:
         return status.waiting
--- a/yarrowspindle/maintenance/status_report.py
+++ b/yarrowspindle/maintenance/status_report.py
@@ -52,8 +52,8 @@
     `adopted_at` is when this relay adopted each evacuation, by number. Times are in milliseconds.
     """
     state = coordinator.adopted
-    silent_ms = now - coordinator.majority_known_at
-    heard = coordinator.majority_known_at > 0.0
+    since_majority_ms = now - coordinator.majority_known_at
+    majority_known = coordinator.majority_known_at > 0.0
     return {
         "relay": coordinator.name,
         "registered": coordinator.registered,
@@ -63,8 +63,8 @@
         "turn": state.last_evacuation_number,
         "paused": state.pause_reason,
         "by_hand": state.paused_by_operator,
-        "majority": heard and silent_ms < MAJORITY_TIMEOUT_MS,
-        "heard_s": round(silent_ms / 1000.0, 1) if heard else None,
+        "majority": majority_known and since_majority_ms < MAJORITY_TIMEOUT_MS,
+        "heard_s": round(since_majority_ms / 1000.0, 1) if majority_known else None,
         "why": coordinator.failure_reason,
         "voters": sorted(state.voters),
         "votes": coordinator.identity != "" and state.voters.get(coordinator.name) == coordinator.identity,
@@ -144,7 +144,7 @@
 
 def format_table(status: Mapping[str, Any]) -> str:
     """Return the object of `report` as text for a terminal."""
-    lines = [*_heading(status), "", f"{'machine':20} {'turn':>5} {'stage':9} {'since':>8}  waits for"]
+    lines = [*_header_lines(status), "", f"{'machine':20} {'turn':>5} {'stage':9} {'since':>8}  waits for"]
     for entry in status["out"]:
         lines.append(
             f"{entry['machine']:20} {entry['turn']:>5} {entry['stage']:9} {entry['since_s']:>6.1f} s  "
@@ -159,11 +159,11 @@
     return "\n".join(lines)
 
 
-def _heading(status: Mapping[str, Any]) -> list[str]:
-    first = f"relay {status['relay']}, state {status['version']}, last turn {status['turn']}"
+def _header_lines(status: Mapping[str, Any]) -> list[str]:
+    summary = f"relay {status['relay']}, state {status['version']}, last turn {status['turn']}"
     if not status["registered"]:
-        first += "; NOT REGISTERED: nothing is placed here"
-    lines = [first]
+        summary += "; NOT REGISTERED: nothing is placed here"
+    lines = [summary]
     if not status["majority"]:
         reason = status["why"] or "starting"
         lines.append(f"NO MAJORITY of {', '.join(status['voters'])} heard: nothing new starts ({reason})")
--- a/yarrowspindle/storage/durable_file.py
+++ b/yarrowspindle/storage/durable_file.py
@@ -18,7 +18,7 @@
 LOCK_NAME = "lock"
 TEMPORARY_SUFFIX = ".new"
 MAX_FILE_BYTES = 4 << 20
-OWNER_ONLY = 0o600  # permissions of files
+FILE_MODE = 0o600  # permissions of files
 NOT_LOCKED = -1  # in place of a file descriptor
 
 
@@ -44,7 +44,7 @@
         if self.lock_descriptor != NOT_LOCKED:
             return True
         self.directory.mkdir(parents=True, exist_ok=True)
-        descriptor = os.open(self.lock_path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, OWNER_ONLY)
+        descriptor = os.open(self.lock_path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, FILE_MODE)
         try:
             fcntl.flock(descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except OSError:
@@ -95,7 +95,7 @@
 
 
 def _write_synced(path: Path, data: bytes) -> None:
-    descriptor = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC, OWNER_ONLY)
+    descriptor = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC, FILE_MODE)
     try:
         written = 0
         while written < len(data):
--- a/yarrowspindle/storage/file_codec.py
+++ b/yarrowspindle/storage/file_codec.py
@@ -29,8 +29,8 @@
 
     def encode(self, value: StoredValue, owner: str, cluster: str) -> bytes:
         """Return the bytes of the file of this owner in this cluster."""
-        body = _encode(value)
-        return _encode((self.version, zlib.crc32(body), owner, cluster, msgspec.Raw(body)))
+        payload = _encode(value)
+        return _encode((self.version, zlib.crc32(payload), owner, cluster, msgspec.Raw(payload)))
 
     def decode(self, data: bytes, owner: str, cluster: str) -> StoredValue:
         """Return the stored value.
@@ -38,18 +38,18 @@
         Raises InvalidMessageError where the file is cut off, corrupt, or of another owner or cluster.
         """
         try:
-            version, checksum, found_owner, found_cluster, raw = self.file_decoder.decode(data)
+            version, checksum, stored_owner, stored_cluster, raw_payload = self.file_decoder.decode(data)
         except DECODE_ERRORS:
             raise InvalidMessageError("it is cut off, or no such file") from None
-        body = bytes(raw)
+        payload = bytes(raw_payload)
         if version != self.version:
             raise InvalidMessageError(f"its version is {version}, not {self.version}")
-        if zlib.crc32(body) != checksum:
+        if zlib.crc32(payload) != checksum:
             raise InvalidMessageError("its checksum is wrong")
-        if (found_owner, found_cluster) != (owner, cluster):
-            raise InvalidMessageError(f"it is {found_owner}'s of cluster {found_cluster}")
+        if (stored_owner, stored_cluster) != (owner, cluster):
+            raise InvalidMessageError(f"it is {stored_owner}'s of cluster {stored_cluster}")
         try:
-            value = self.value_decoder.decode(body)
+            value = self.value_decoder.decode(payload)
         except DECODE_ERRORS:
             raise InvalidMessageError("nonsense") from None
         self.check_bounds(value)
--- a/yarrowspindle/subsets/leases.py
+++ b/yarrowspindle/subsets/leases.py
@@ -30,13 +30,13 @@
     Attributes:
         incarnation: of the holder's process.
         number: grows with each request.
-        holding: the number of the newest lease that the holder has of this pool; 0: none.
+        held_lease_number: the number of the newest lease that the holder has of this pool; 0: none.
         need: as much as it could spend.
     """
 
     incarnation: int
     number: int
-    holding: int
+    held_lease_number: int
     need: float
 
 
@@ -64,30 +64,30 @@
     Attributes:
         leases: by the number of their requests.
         need: as last requested.
-        requested_at: when the holder last requested a lease.
-        newest: the highest number of its requests.
+        last_requested_at: when the holder last requested a lease.
+        newest_request_number: the highest number of its requests.
     """
 
     leases: dict[int, GrantedLease] = field(default_factory=dict)
     need: float = 0.0
-    requested_at: float = 0.0
-    newest: int = 0
+    last_requested_at: float = 0.0
+    newest_request_number: int = 0
 
     def outstanding(self, now: float) -> float:
         """Returns the most that may be in use: the holder uses one of its leases, the pool cannot know which."""
         return max((lease.amount for lease in self.leases.values() if now < lease.until), default=0.0)
 
 
-def divide(total: float, needs: Mapping[HolderId, float]) -> dict[HolderId, float]:
+def max_min_fair_shares(total: float, needs: Mapping[HolderId, float]) -> dict[HolderId, float]:
     """Divides a total by need: to nobody more than needed, the same to all that need more. What is over is left."""
-    found: dict[HolderId, float] = {}
-    left = total
-    waiting = len(needs)
+    shares: dict[HolderId, float] = {}
+    remaining = total
+    unserved = len(needs)
     for holder, need in sorted(needs.items(), key=lambda item: (item[1], item[0])):
-        found[holder] = min(need, left / waiting)
-        left -= found[holder]
-        waiting -= 1
-    return found
+        shares[holder] = min(need, remaining / unserved)
+        remaining -= shares[holder]
+        unserved -= 1
+    return shares
 
 
 class QuotaPool:
@@ -114,14 +114,16 @@
         """Grants a lease to the relay of this name; None: the request is a duplicate, too early, or one too many."""
         holder = (name, request.incarnation)
         account = self._account(now, holder)
-        if account is None or request.number <= account.newest:
+        if account is None or request.number <= account.newest_request_number:
             return None
-        account.newest = request.number
+        account.newest_request_number = request.number
         account.need = max(request.need, 0.0)
-        account.requested_at = now
+        account.last_requested_at = now
         # Leases older than the one that it holds are no longer used.
         account.leases = {
-            number: lease for number, lease in account.leases.items() if number >= request.holding and now < lease.until
+            number: lease
+            for number, lease in account.leases.items()
+            if number >= request.held_lease_number and now < lease.until
         }
         if now < self.grants_from:
             return None
@@ -135,7 +137,7 @@
         if account is not None:
             return account
         if len(self.accounts) >= MAX_HOLDERS:
-            self._forget_idle(now)
+            self._remove_idle_accounts(now)
         if len(self.accounts) >= MAX_HOLDERS:
             return None
         account = self.accounts[holder] = Account()
@@ -146,19 +148,19 @@
         active = {
             other: account.need
             for other, account in self.accounts.items()
-            if now < account.requested_at + self.retention_ms
+            if now < account.last_requested_at + self.retention_ms
         }
-        least = MIN_NEED_FRACTION * self.quota / len(active)
-        return divide(self.quota, {other: max(need, least) for other, need in active.items()})[holder]
+        min_need = MIN_NEED_FRACTION * self.quota / len(active)
+        return max_min_fair_shares(self.quota, {other: max(need, min_need) for other, need in active.items()})[holder]
 
     def _free(self, now: float, holder: HolderId) -> float:
         """Returns what the other holders certainly do not use."""
         used = sum(account.outstanding(now) for other, account in self.accounts.items() if other != holder)
         return max(0.0, self.quota - used)
 
-    def _forget_idle(self, now: float) -> None:
+    def _remove_idle_accounts(self, now: float) -> None:
         for holder, account in list(self.accounts.items()):
-            if now >= account.requested_at + self.retention_ms and not account.outstanding(now):
+            if now >= account.last_requested_at + self.retention_ms and not account.outstanding(now):
                 del self.accounts[holder]
 
     def outstanding(self, now: float) -> float:
@@ -212,14 +214,14 @@
         self.pending = {
             number: request for number, request in self.pending.items() if now < request.sent_at + self.term_ms
         }
-        wanted = max(need - self.reserve, 0.0) / max(len(self.pools), 1)
-        found = []
+        need_per_pool = max(need - self.reserve, 0.0) / max(len(self.pools), 1)
+        requests = []
         for pool in self.pools:
             self.last_number += 1
             self.pending[self.last_number] = PendingRequest(pool, now)
-            request = LeaseRequest(self.incarnation, self.last_number, self.leases[pool].number, wanted)
-            found.append((pool, request))
-        return found
+            request = LeaseRequest(self.incarnation, self.last_number, self.leases[pool].number, need_per_pool)
+            requests.append((pool, request))
+        return requests
 
     def on_grant(self, now: float, pool: str, grant: LeaseGrant) -> None:
         """Takes a lease, unless it is another process's, a duplicate, or older than the one that is held."""
--- a/yarrowspindle/subsets/subset_ring.py
+++ b/yarrowspindle/subsets/subset_ring.py
@@ -12,15 +12,17 @@
 from math import ceil, sqrt
 
 HASH_BYTES = 8
-POINTS = 64  # of a relay with the mean traffic
+POINTS_PER_RELAY = 64  # of a relay with the mean traffic
 MAX_POINTS_FACTOR = 8  # times that, of a relay with more traffic
 TRAFFIC_STEPS = 4  # a mean traffic is counted in quarters, so that small changes change nothing
-EVENNESS = 24.0  # the fullest backend has about 1 + 2.7 / EVENNESS times the mean
+EVENNESS_FACTOR = 24.0  # the fullest backend has about 1 + 2.7 / EVENNESS_FACTOR times the mean
 MIN_BACKENDS = 12  # of a relay, so that two draws are left when a quarter of them is lost
-MIN_COVER = 16  # relays over each backend, so that chance evens out; up to twice as many draw from all backends
+MIN_POINTS_PER_BACKEND = (
+    16  # relays over each backend, so that chance evens out; up to twice as many draw from all backends
+)
 
 
-def place_of(text: str) -> int:
+def ring_position(text: str) -> int:
     """Returns the place of a name on the ring, of 64 bits."""
     return int.from_bytes(blake2b(text.encode(), digest_size=HASH_BYTES).digest(), "big")
 
@@ -35,10 +37,10 @@
         return len(self.weights)
 
 
-def points_of(traffic: float) -> int:
+def point_count(traffic: float) -> int:
     """Returns how many points a relay has on the ring. `traffic`: its own, over that of a mean relay."""
-    points = round(TRAFFIC_STEPS * traffic) * POINTS // TRAFFIC_STEPS
-    return max(POINTS // TRAFFIC_STEPS, min(POINTS * MAX_POINTS_FACTOR, points))
+    points = round(TRAFFIC_STEPS * traffic) * POINTS_PER_RELAY // TRAFFIC_STEPS
+    return max(POINTS_PER_RELAY // TRAFFIC_STEPS, min(POINTS_PER_RELAY * MAX_POINTS_FACTOR, points))
 
 
 class SubsetRing:
@@ -50,54 +52,54 @@
     Attributes:
         relays: name -> its number of points.
         backends: name -> its place.
-        points: places of the relays' points, sorted.
-        places: places of the backends, sorted.
+        relay_points: places of the relays' points, sorted.
+        backend_positions: places of the backends, sorted.
     """
 
     def __init__(self, subset_fraction: float = 0.1) -> None:
         self.subset_fraction = subset_fraction
         self.relays: dict[str, int] = {}
         self.backends: dict[str, int] = {}
-        self.points: list[tuple[int, str]] = []
-        self.places: list[tuple[int, str]] = []
-        self._point_places: dict[str, list[int]] = {}  # of each relay, as far as they were worked out
+        self.relay_points: list[tuple[int, str]] = []
+        self.backend_positions: list[tuple[int, str]] = []
+        self._point_positions: dict[str, list[int]] = {}  # of each relay, as far as they were worked out
 
-    def _places_of(self, name: str, count: int) -> list[int]:
+    def _positions_of_points(self, name: str, count: int) -> list[int]:
         """Returns the places of the relay's first points."""
-        known = self._point_places.setdefault(name, [])
-        known += [place_of(f"{name}/{number}") for number in range(len(known), count)]
+        known = self._point_positions.setdefault(name, [])
+        known += [ring_position(f"{name}/{number}") for number in range(len(known), count)]
         return known[:count]
 
     def set_relay(self, name: str, traffic: float = 1.0) -> None:
         """Adds a relay, or changes its traffic (over that of a mean relay)."""
-        count = points_of(traffic)
-        before = self.relays.get(name, 0)
-        if count == before:
+        count = point_count(traffic)
+        former_count = self.relays.get(name, 0)
+        if count == former_count:
             return
         self.relays[name] = count
-        places = self._places_of(name, max(count, before))
-        for place in places[before:count]:
-            insort(self.points, (place, name))
-        for place in places[count:before]:
-            del self.points[bisect_left(self.points, (place, name))]
+        positions = self._positions_of_points(name, max(count, former_count))
+        for position in positions[former_count:count]:
+            insort(self.relay_points, (position, name))
+        for position in positions[count:former_count]:
+            del self.relay_points[bisect_left(self.relay_points, (position, name))]
 
     def remove_relay(self, name: str) -> None:
         """Removes a relay; one that is not there changes nothing."""
-        for place in self._places_of(name, self.relays.pop(name, 0)):
-            del self.points[bisect_left(self.points, (place, name))]
-        self._point_places.pop(name, None)
+        for position in self._positions_of_points(name, self.relays.pop(name, 0)):
+            del self.relay_points[bisect_left(self.relay_points, (position, name))]
+        self._point_positions.pop(name, None)
 
     def add_backend(self, name: str) -> None:
         """Adds a backend; one that is there already changes nothing."""
         if name not in self.backends:
-            self.backends[name] = place_of(name)
-            insort(self.places, (self.backends[name], name))
+            self.backends[name] = ring_position(name)
+            insort(self.backend_positions, (self.backends[name], name))
 
     def remove_backend(self, name: str) -> None:
         """Removes a backend; one that is not there changes nothing."""
-        place = self.backends.pop(name, None)
-        if place is not None:
-            del self.places[bisect_left(self.places, (place, name))]
+        position = self.backends.pop(name, None)
+        if position is not None:
+            del self.backend_positions[bisect_left(self.backend_positions, (position, name))]
 
     def set_view(self, relays: Mapping[str, float], backends: Iterable[str]) -> None:
         """Takes in a whole view: what is not in it is removed. `relays`: name -> traffic."""
@@ -105,32 +107,36 @@
             self.remove_relay(name)
         for name, traffic in relays.items():
             self.set_relay(name, traffic)
-        wanted = set(backends)
-        for name in [name for name in self.backends if name not in wanted]:
+        listed = set(backends)
+        for name in [name for name in self.backends if name not in listed]:
             self.remove_backend(name)
-        for name in wanted:
+        for name in listed:
             self.add_backend(name)
 
     @property
-    def cover(self) -> int:
+    def points_per_backend(self) -> int:
         """How many points lie over each backend: a power of two, so that it seldom changes."""
-        if not self.points or not self.places:
+        if not self.relay_points or not self.backend_positions:
             return 0
-        relays = len(self.points) / POINTS
-        backends = len(self.places)
+        relays = len(self.relay_points) / POINTS_PER_RELAY
+        backends = len(self.backend_positions)
         fraction = max(self.subset_fraction, 2 * MIN_BACKENDS / backends)
         # By chance a relay has more or fewer backends than its part; over a backend that evens out among so many.
-        wanted = ceil(max(MIN_COVER, fraction * relays, EVENNESS * sqrt(relays / backends)))
-        return min(len(self.points), 1 << (wanted - 1).bit_length())
+        required = ceil(max(MIN_POINTS_PER_BACKEND, fraction * relays, EVENNESS_FACTOR * sqrt(relays / backends)))
+        return min(len(self.relay_points), 1 << (required - 1).bit_length())
 
     def subset(self, name: str) -> Subset:
         """Returns the subset of this relay: all backends, each once, where arcs would be no smaller."""
-        cover = self.cover
-        if name not in self.relays or 2 * POINTS * cover > len(self.points) or not self.places:
+        points_per_backend = self.points_per_backend
+        if (
+            name not in self.relays
+            or 2 * POINTS_PER_RELAY * points_per_backend > len(self.relay_points)
+            or not self.backend_positions
+        ):
             return self._all_backends()
         weights: dict[str, int] = {}
-        for place in self._places_of(name, self.relays[name]):
-            for backend in self._within_arc(place, name, cover):
+        for position in self._positions_of_points(name, self.relays[name]):
+            for backend in self._backends_in_arc(position, name, points_per_backend):
                 weights[backend] = weights.get(backend, 0) + 1
         if len(weights) < min(MIN_BACKENDS, len(self.backends)):
             return self._all_backends()
@@ -139,11 +145,15 @@
     def _all_backends(self) -> Subset:
         return Subset(dict.fromkeys(self.backends, 1))
 
-    def _within_arc(self, start: int, name: str, cover: int) -> list[str]:
-        """Returns the backends between a point of this relay and the `cover`-th point after it, round the ring."""
-        first = bisect_left(self.points, (start, name))
-        end = self.points[(first + cover) % len(self.points)][0]
-        low = bisect_left(self.places, (start, ""))
-        high = bisect_left(self.places, (end, ""))
-        inside = self.places[low:high] if start < end else self.places[low:] + self.places[:high]
+    def _backends_in_arc(self, start: int, name: str, points_per_backend: int) -> list[str]:
+        """Return the backends from a point of this relay up to the `points_per_backend`-th point after it."""
+        first = bisect_left(self.relay_points, (start, name))
+        end = self.relay_points[(first + points_per_backend) % len(self.relay_points)][0]
+        low = bisect_left(self.backend_positions, (start, ""))
+        high = bisect_left(self.backend_positions, (end, ""))
+        inside = (
+            self.backend_positions[low:high]
+            if start < end
+            else self.backend_positions[low:] + self.backend_positions[:high]
+        )
         return [backend for _, backend in inside]
