--- a/tests/rebalancing/test_rebalancing.py
+++ b/tests/rebalancing/test_rebalancing.py
@@ -40,19 +40,19 @@
         self.requests = count(1)
         for number in range(1, backends + 1):
             self.backend(number, told=False)
-        self.rebalancer.view.list_over(())
+        self.rebalancer.view.finish_list(())
 
     def backend(
         self, number: int, state: EndpointState = EndpointState.READY, started: float = 0.0, told: bool = True
     ) -> None:
-        self.rebalancer.view.backend(self.now, f"n{number}", number, state, 1.0, started)
+        self.rebalancer.view.update_backend(self.now, f"n{number}", number, state, 1.0, started)
         if told:
-            self.rebalancer.view.list_over((self.rebalancer.view.by_name[f"n{number}"],))
+            self.rebalancer.view.finish_list((self.rebalancer.view.by_name[f"n{number}"],))
 
     def hold(self, number: int, *loads: float, group: int = 0, returned: bool = False) -> list[int]:
         requests = [next(self.requests) for _ in loads]
         for request, load in zip(requests, loads, strict=True):
-            self.rebalancer.opened(self.now, request, f"n{number}", load, request, group, returned)
+            self.rebalancer.on_connection_established(self.now, request, f"n{number}", load, request, group, returned)
         return requests
 
     def beat(self, seconds: float = 1.0) -> list[int]:
@@ -60,7 +60,7 @@
         self.now += seconds * 1000.0
         moves = self.rebalancer.plan_round(self.now, list(range(1, 50)))
         for request in moves:
-            self.rebalancer.over(self.now, request, False)
+            self.rebalancer.on_connection_ended(self.now, request, False)
         return moves
 
     def load(self, number: int) -> float:
@@ -140,7 +140,7 @@
     moved = []
     for _ in range(400):
         moved.append(len(bench.beat()))
-    notes = [n for n in bench.rebalancer.take_notes() if "pauses: lost" in n]
+    notes = [n for n in bench.rebalancer.take_log_lines() if "pauses: lost" in n]
     assert "goes on after 30 s" in notes[0] and "goes on after 60 s" in notes[1] and len(notes) < 8
     assert sum(moved) < 0.6 * 400 and bench.rebalancer.rate.factor < 0.3
     # It goes on, and comes back to its full pace, once those who are moved come again.
@@ -195,15 +195,15 @@
         bench = newcomer(pause_s=5.0)
         for second in range(20):
             for _ in range(12 if second < 10 else 0):
-                bench.rebalancer.arrived(bench.now)
+                bench.rebalancer.on_request_received(bench.now)
                 if cause == "refusals":
-                    bench.rebalancer.refused(bench.now)
+                    bench.rebalancer.on_request_rejected(bench.now)
                 else:
-                    bench.rebalancer.over(bench.now, bench.hold(2, 1.0)[0], True)
+                    bench.rebalancer.on_connection_ended(bench.now, bench.hold(2, 1.0)[0], True)
             # The last came at 9 s and counts for 5 s; the pause of 5 s begins anew until then.
             assert second > 18 or (bench.beat() != []) == (second == 18), f"{cause} at {second}"
             if second == 9:
-                assert bench.rebalancer.level == 0.0 and bench.rebalancer.counts[f"paused.{cause}"] == 1
+                assert bench.rebalancer.target_utilization == 0.0 and bench.rebalancer.counts[f"paused.{cause}"] == 1
 
 
 def test_moves_without_effect_pause_the_plan() -> None:
@@ -218,11 +218,11 @@
 def test_a_target_that_turns_returning_clients_away_is_left_alone() -> None:
     bench = newcomer()
     for _ in range(3):
-        bench.rebalancer.attempt_failed(bench.now, "n3", True)
+        bench.rebalancer.on_attempt_failed(bench.now, "n3", True)
     assert bench.beat() == [] and bench.beat(31.0) != []
     bench = newcomer()
     for _ in range(4):  # now and then one fails and others come up: that is no reason
-        bench.rebalancer.attempt_failed(bench.now, "n3", True)
+        bench.rebalancer.on_attempt_failed(bench.now, "n3", True)
         bench.hold(3, 0.1, returned=True)
     assert bench.beat() != []
 
@@ -233,7 +233,7 @@
     bench = newcomer(moves_per_s=1.0)
     assert bench.beat()
     bench.rebalancer.stop()
-    assert bench.beat() == [] and bench.rebalancer.level == 0.0
+    assert bench.beat() == [] and bench.rebalancer.target_utilization == 0.0
 
 
 @pytest.mark.parametrize(
@@ -290,7 +290,7 @@
     @rule(draw=st.integers(0, 50), load=st.sampled_from((0.2, 2.0, 6.0)))
     def load_changes(self, draw: int, load: float) -> None:
         if self.at:
-            self.bench.rebalancer.view.load(list(self.at)[draw % len(self.at)], load)
+            self.bench.rebalancer.view.update_load(list(self.at)[draw % len(self.at)], load)
 
     @rule(seconds=st.sampled_from((0.2, 1.0, 10.0)))
     def beat(self, seconds: float) -> None:
--- a/yarrowspindle/rebalancing/fleet_view.py
+++ b/yarrowspindle/rebalancing/fleet_view.py
@@ -123,7 +123,7 @@
 
     # --- backends ---------------------------------------------------------------------------------
 
-    def backend(
+    def update_backend(
         self, now: float, name: str, number: int, state: EndpointState, capacity: float, started: float
     ) -> None:
         """Takes in what an endpoint list says of one backend.
@@ -159,7 +159,7 @@
             record.flaps = min(record.flaps + 1, MAX_FLAPS)
             record.flapped_at = now
 
-    def list_over(self, touched: Iterable[ListedBackend]) -> None:
+    def finish_list(self, touched: Iterable[ListedBackend]) -> None:
         """Ends an endpoint list. A backend that is gone and holds nothing is forgotten.
 
         One that flapped is remembered for longer than its absence, within MAX_RECORDS.
@@ -193,7 +193,9 @@
 
     # --- connections ------------------------------------------------------------------------------
 
-    def opened(self, now: float, request: int, name: str, load: float, key: int, group: int, returned: bool) -> None:
+    def add_connection(
+        self, now: float, request: int, name: str, load: float, key: int, group: int, returned: bool
+    ) -> None:
         """Adds an established connection. One at a backend that the list no longer names is left out."""
         record = self.by_name.get(name)
         if record is None:
@@ -206,7 +208,7 @@
         if group:
             record.groups.setdefault(group, set()).add(request)
 
-    def load(self, request: int, load: float) -> None:
+    def update_load(self, request: int, load: float) -> None:
         """Takes in a new load of a connection; 0 says nothing."""
         connection = self.connections.get(request)
         if connection is not None and load > 0.0:
@@ -218,7 +220,7 @@
         if load > 0.0:
             self.mean_load += (load - self.mean_load) * (MEAN_LOAD_WEIGHT if self.mean_load else 1.0)
 
-    def over(self, request: int) -> EstablishedConnection | None:
+    def remove_connection(self, request: int) -> EstablishedConnection | None:
         """Removes a connection that has ended. Returns it, or None where it was not known."""
         connection = self.connections.pop(request, None)
         if connection is None:
--- a/yarrowspindle/rebalancing/rebalancer.py
+++ b/yarrowspindle/rebalancing/rebalancer.py
@@ -80,22 +80,24 @@
         self.planner.pending.clear()
 
     @property
-    def level(self) -> float:
+    def target_utilization(self) -> float:
         """The load over capacity with which the balancer places returning clients in mind; 0: none."""
         is_active = not self.idle and self.monitor.pause_cause is None
         return self.assessment.level if is_active else 0.0
 
     # --- what the reducer reports -----------------------------------------------------------------
 
-    def arrived(self, now: float) -> None:
+    def on_request_received(self, now: float) -> None:
         """A request was received."""
         self.monitor.requests.add(now)
 
-    def refused(self, now: float) -> None:
+    def on_request_rejected(self, now: float) -> None:
         """A request was rejected."""
         self.monitor.rejections.add(now)
 
-    def opened(self, now: float, request: int, backend: str, load: float, key: int, group: int, returned: bool) -> None:
+    def on_connection_established(
+        self, now: float, request: int, backend: str, load: float, key: int, group: int, returned: bool
+    ) -> None:
         """A connection was established.
 
         Args:
@@ -107,12 +109,12 @@
             group: of the client; 0: none.
             returned: whether the client had been migrated or cut off before.
         """
-        self.view.opened(now, request, backend, load, key, group, returned)
+        self.view.add_connection(now, request, backend, load, key, group, returned)
         if returned:
             self.counts["returned"] += 1
             self.monitor.on_return(now, backend)
 
-    def attempt_failed(self, now: float, backend: str, returned: bool) -> None:
+    def on_attempt_failed(self, now: float, backend: str, returned: bool) -> None:
         """An attempt at this backend failed; only those of returning clients count."""
         if not returned or not self.monitor.on_target_failure(backend):
             return
@@ -121,9 +123,9 @@
             record.excluded_until = now + TARGET_EXCLUSION_MS
             self.counts["spoilt"] += 1
 
-    def over(self, now: float, request: int, broken: bool) -> None:
+    def on_connection_ended(self, now: float, request: int, broken: bool) -> None:
         """A connection ended; broken: it was reset."""
-        if self.view.over(request) is not None and broken:
+        if self.view.remove_connection(request) is not None and broken:
             self.monitor.resets.add(now)
 
     # --- rounds -----------------------------------------------------------------------------------
@@ -229,7 +231,7 @@
 
     # --- what operators see -----------------------------------------------------------------------
 
-    def take_notes(self) -> list[str]:
+    def take_log_lines(self) -> list[str]:
         """Returns the log lines since the last call."""
         notes, self.notes = self.notes, []
         return notes
--- a/yarrowspindle/routing/attempts.py
+++ b/yarrowspindle/routing/attempts.py
@@ -169,9 +169,9 @@
         self, rebalancer: Rebalancer, request: Request, backend: Backend, reason: TerminationReason, finished: bool
     ) -> None:
         if finished:
-            rebalancer.over(self._context.now, request.id, OUTCOMES[reason] is Outcome.RESET)
+            rebalancer.on_connection_ended(self._context.now, request.id, OUTCOMES[reason] is Outcome.RESET)
         elif reason not in (TerminationReason.NOT_SENT, TerminationReason.CONNECT_FAILED):
-            rebalancer.attempt_failed(self._context.now, backend.name, request.received.returned)
+            rebalancer.on_attempt_failed(self._context.now, backend.name, request.received.returned)
 
     # --- the end of a request ---------------------------------------------------------------------
 
@@ -186,7 +186,7 @@
         self.finish(request)
         context.effects.append(answer)
         if context.rebalancer is not None and isinstance(answer, RejectRequest):
-            context.rebalancer.refused(context.now)
+            context.rebalancer.on_request_rejected(context.now)
         if context.evacuator is not None:
             context.evacuator.requests_rejected = True
 
--- a/yarrowspindle/routing/endpoints.py
+++ b/yarrowspindle/routing/endpoints.py
@@ -59,7 +59,7 @@
             self._remove_missing(event.endpoints, changes)
         entries = [self._apply(endpoint, event.since_last_update_ms, changes) for endpoint in event.endpoints]
         if context.rebalancer is not None:
-            context.rebalancer.view.list_over([context.backends[name] for name in changes.previous_states])
+            context.rebalancer.view.finish_list([context.backends[name] for name in changes.previous_states])
         self._attempts.notify_balancer(balancer_events.EndpointList(event.kind, entries, event.version))
         changed = [context.backends[name] for name in sorted(changes.previous_states)]
         if log_changes and event.kind is not ListKind.CACHED:
@@ -104,7 +104,7 @@
             backend.started_at = started_at
             changes.restarted.add(name)
         if context.rebalancer is not None:
-            context.rebalancer.view.backend(
+            context.rebalancer.view.update_backend(
                 context.now, name, backend.number, backend.state, backend.capacity, started_at
             )
         return balancer_events.Endpoint(
--- a/yarrowspindle/routing/health.py
+++ b/yarrowspindle/routing/health.py
@@ -46,7 +46,7 @@
             return
         request.load = event.load
         if self._context.rebalancer is not None:
-            self._context.rebalancer.view.load(request.id, event.load)
+            self._context.rebalancer.view.update_load(request.id, event.load)
         self._attempts.notify_balancer(balancer_events.LoadChanged(request.id, request.backend.number, event.load))
 
     def on_unclassified_report(self, event: UnclassifiedReport) -> None:
--- a/yarrowspindle/routing/rebalancing.py
+++ b/yarrowspindle/routing/rebalancing.py
@@ -59,15 +59,15 @@
         """Give the rebalancer the present backends and established connections."""
         context = self._context
         for backend in context.backends.values():
-            rebalancer.view.backend(
+            rebalancer.view.update_backend(
                 context.now, backend.name, backend.number, backend.state, backend.capacity, backend.started_at
             )
         if context.backends:
-            rebalancer.view.list_over(())
+            rebalancer.view.finish_list(())
         for request in context.requests.values():
             if request.phase is Phase.ESTABLISHED and request.backend is not None:
                 received = request.received
-                rebalancer.opened(
+                rebalancer.on_connection_established(
                     request.established_at,
                     request.id,
                     request.backend.name,
@@ -84,10 +84,10 @@
             return
         context.effects.append(SetTimer(rebalancer.round_interval_ms, REBALANCING_TIMER))
         migrations = rebalancer.plan_round(context.now, *context.balancer.subset())
-        self._set_target(rebalancer.level)
+        self._set_target(rebalancer.target_utilization)
         for number in migrations:
             self._attempts.migrate(context.requests.get(number))
-        context.effects += [LogMessage(text) for text in rebalancer.take_notes()]
+        context.effects += [LogMessage(text) for text in rebalancer.take_log_lines()]
 
     def _set_target(self, target: float) -> None:
         """Notify the balancer of the target where it changed."""
--- a/yarrowspindle/routing/requests.py
+++ b/yarrowspindle/routing/requests.py
@@ -58,7 +58,7 @@
             return
         request = self._requests[event.request] = Request(event, context.now)
         if context.rebalancer is not None:
-            context.rebalancer.arrived(context.now)
+            context.rebalancer.on_request_received(context.now)
         if event.client_request_id:
             request.client_request_id = event.client_request_id
             context.client_request_ids.add(event.client_request_id)
@@ -191,7 +191,7 @@
         backend.last_data_at = request.established_at = context.now
         if context.rebalancer is not None:
             received = request.received
-            context.rebalancer.opened(
+            context.rebalancer.on_connection_established(
                 context.now, request.id, backend.name, request.load, received.key, received.group, received.returned
             )
         context.effects += (CancelTimer((REQUEST_DEADLINE_TIMER, request.id)), StartRelaying(request.id))
