--- a/benchmarks/capacity/slopes.py
+++ b/benchmarks/capacity/slopes.py
@@ -322,7 +322,7 @@
         teller, hearer = LocalLoadLog(), LoadSignals()
         teller.next_signal(LocalLoad({key: (1 + key % 9, 100.0 + key % 500) for key in keys}), 0.0)
         words = teller.full_signals()
-        hearer.peer("r1", 1).observe_clock(0.0, 0.0)
+        hearer.peer_view("r1", 1).observe_clock(0.0, 0.0)
         for at, word in enumerate(words):
             hearer.receive("r1", 1, at, word, float(at))
         hearer.take_peer_loads(float(len(words)), 2, 0)
--- a/benchmarks/rebalance.py
+++ b/benchmarks/rebalance.py
@@ -78,9 +78,9 @@
 def wrap(run: Run, rebalancer: Rebalancer) -> None:
     beat = rebalancer.plan_round
 
-    def measured(now: float, drawn: Sequence[int], sharers: float = 0.0) -> list[int]:
+    def measured(now: float, candidate_ids: Sequence[int], relays_per_backend: float = 0.0) -> list[int]:
         begun = time.perf_counter()
-        moves = beat(now, drawn, sharers)
+        moves = beat(now, candidate_ids, relays_per_backend)
         took = time.perf_counter() - begun
         run.plan_s += took
         run.plans += 1
--- a/tests/membership/test_core.py
+++ b/tests/membership/test_core.py
@@ -11,7 +11,7 @@
 from yarrowspindle.membership.core import Membership
 from yarrowspindle.membership.effects import SendDatagram
 from yarrowspindle.membership.events import DatagramReceived, LocalLoad
-from yarrowspindle.membership.local_load_log import MAX_FIGURE
+from yarrowspindle.membership.local_load_log import MAX_UINT32
 from yarrowspindle.membership.messages import MAX_DATAGRAM_BYTES, Datagram, MembershipUpdate, MemberState, Ping
 from yarrowspindle.membership.settings import PeerSettings
 
@@ -24,7 +24,7 @@
     core.take_effects()
     for n in range(300):
         core.members.apply(MembershipUpdate(f"{n:064d}", "100.100.100.100", 65_535, 1 << 52, 7, MemberState.ALIVE), 0.0)
-    large = MAX_FIGURE - 1
+    large = MAX_UINT32 - 1
     local_load = LocalLoad(
         {large - 17 * n: (large, float(large)) for n in range(2000)},
         {large - n: 1e9 for n in range(500)},
--- a/tests/membership/test_load_signals.py
+++ b/tests/membership/test_load_signals.py
@@ -12,7 +12,7 @@
 from yarrowspindle.decisions.peer_loads import PeerLoadTable
 from yarrowspindle.membership.events import LocalLoad
 from yarrowspindle.membership.load_signals import LoadSignals
-from yarrowspindle.membership.local_load_log import MAX_FIGURE, LocalLoadLog
+from yarrowspindle.membership.local_load_log import MAX_UINT32, LocalLoadLog
 from yarrowspindle.membership.messages import LoadSignal
 
 
@@ -25,7 +25,7 @@
         self.now = 0
         self.loads = dict[int, tuple[int, float]]()
         self.waiting: list[tuple[int, LoadSignal]] = []
-        self.receiver.peer("b", 1).observe_clock(0.0, 0.0)
+        self.receiver.peer_view("b", 1).observe_clock(0.0, 0.0)
 
     def send_signal(self, rng: random.Random, loss: float) -> None:
         self.now += 1
@@ -53,7 +53,7 @@
     rng, channel = random.Random(seed), LossyChannel()
     for _ in range(60):
         for _ in range(rng.randrange(1 + keys // 4)):
-            key = rng.randrange(1, keys + 1) * 7919 % MAX_FIGURE
+            key = rng.randrange(1, keys + 1) * 7919 % MAX_UINT32
             channel.loads[key] = (rng.randrange(1, 60), float(rng.randrange(1000)))
             if rng.random() < 0.3:
                 del channel.loads[key]
@@ -71,18 +71,18 @@
 
 def test_the_load_of_a_removed_peer_is_removed_and_a_new_incarnation_starts_without_it() -> None:
     signals = LoadSignals()
-    signals.peer("b", 1).observe_clock(0.0, 0.0)
+    signals.peer_view("b", 1).observe_clock(0.0, 0.0)
     signals.receive("b", 1, 10, LoadSignal(0, 1, [5, 2, 100]), 10.0)
     assert signals.take_peer_loads(20.0, 2, 0).loads == {5: (2, 100.0)}
     signals.remove("b")
     assert signals.take_peer_loads(30.0, 1, 0).loads == {5: (0, 0.0)} and not signals.totals
-    signals.peer("b", 2).observe_clock(0.0, 0.0)
+    signals.peer_view("b", 2).observe_clock(0.0, 0.0)
     assert signals.take_peer_loads(40.0, 2, 0).loads == {}
 
 
 def test_a_delayed_signal_counts_as_old_and_its_weight_falls_to_that_of_none() -> None:
     signals = LoadSignals()
-    peer = signals.peer("b", 1)
+    peer = signals.peer_view("b", 1)
     peer.observe_clock(1000.0, 0.0)  # the peer's clock showed 1,000 when ours showed 0 or more
     signals.receive("b", 1, 1000, LoadSignal(0, 1, [5, 2, 100]), 5000.0)  # delayed by 5 s
     peer_loads = signals.take_peer_loads(5000.0, 2, 0)
--- a/tests/membership/test_members.py
+++ b/tests/membership/test_members.py
@@ -36,12 +36,12 @@
         members = Members("a", LOCAL_ADDRESS, 1, 0.0)
         for name in "bc":  # both are known from the start: the end of an unknown member is ignored
             members.apply(update(MemberState.ALIVE, 1, 0, name), 0.0)
-        for one in order:
-            members.apply(one, 1.0)
+        for membership_update in order:
+            members.apply(membership_update, 1.0)
         return [state_of(members, name) for name in "bc"]
 
     # An incarnation that left ignores further refutations, so the order may matter only after it has left.
-    updates = [one for one in updates if one.state != MemberState.LEFT]
+    updates = [membership_update for membership_update in updates if membership_update.state != MemberState.LEFT]
     shuffled = updates + updates[: len(updates) // 2]
     rng.shuffle(shuffled)
     assert table(updates) == table(shuffled)
@@ -68,15 +68,15 @@
     assert (members.local.incarnation, members.local.refutations) == (5, 1)
     # An earlier process whose clock was ahead.
     members.apply(MembershipUpdate("a", *LOCAL_ADDRESS, 9, 3, MemberState.DEAD, "b"), 0.0)
-    assert (members.local.incarnation, members.local.refutations) == (10, 0) and not members.displaced
+    assert (members.local.incarnation, members.local.refutations) == (10, 0) and not members.superseded
 
 
 def test_a_name_used_twice_belongs_to_the_later_process_until_that_has_ended() -> None:
     members = Members("a", LOCAL_ADDRESS, 5, 0.0)
     members.apply(MembershipUpdate("a", *PEER_ADDRESS, 6, 0, MemberState.ALIVE), 0.0)
-    assert members.displaced and members.local.incarnation == 5
+    assert members.superseded and members.local.incarnation == 5
     members.apply(MembershipUpdate("a", *PEER_ADDRESS, 6, 0, MemberState.DEAD), 1.0)
-    assert not members.displaced and members.local.incarnation == 7
+    assert not members.superseded and members.local.incarnation == 7
 
 
 def test_the_table_and_its_updates_are_bounded() -> None:
@@ -92,5 +92,5 @@
         members.apply(update(MemberState.DEAD, name=f"s{n}"), 1.0)
     members.apply(update(MemberState.ALIVE, name="new"), 2.0)
     assert "new" in members.table and len(members.table) == 4096, "a dead member is removed to make room"
-    members.forget(5.0)
+    members.remove_ended(5.0)
     assert set(members.table) == {"a", "new"} and set(members.updates) <= {"a", "new"}
--- a/tests/rebalancing/test_rebalancing.py
+++ b/tests/rebalancing/test_rebalancing.py
@@ -19,7 +19,7 @@
 from yarrowspindle.rebalancing.settings import read_rebalance
 from yarrowspindle.routing.events import RebalancingConfigured, ShutdownRequested
 
-T0 = 1_700_000_000_000.0
+START_MS = 1_700_000_000_000.0
 QUICK = RebalanceSettings(
     dwell_s=0.0,
     settle_s=0.0,
@@ -31,31 +31,31 @@
 )
 
 
-class Bench:
+class RebalancerHarness:
     """A rebalancer with nodes of capacity 1, numbered from 1; time moves by beats."""
 
-    def __init__(self, changes: dict[str, Any] | None = None, backends: int = 3, cold_ms: float = 9000.0) -> None:
-        self.now = T0
-        self.rebalancer = Rebalancer(replace(QUICK, **(changes or {})), 1, self.now, 1, cold_ms, 0.31)
+    def __init__(self, changes: dict[str, Any] | None = None, backends: int = 3, warmup_ms: float = 9000.0) -> None:
+        self.now = START_MS
+        self.rebalancer = Rebalancer(replace(QUICK, **(changes or {})), 1, self.now, 1, warmup_ms, 0.31)
         self.requests = count(1)
         for number in range(1, backends + 1):
-            self.backend(number, told=False)
+            self.backend(number, finishes_list=False)
         self.rebalancer.view.finish_list(())
 
     def backend(
-        self, number: int, state: EndpointState = EndpointState.READY, started: float = 0.0, told: bool = True
+        self, number: int, state: EndpointState = EndpointState.READY, started: float = 0.0, finishes_list: bool = True
     ) -> None:
         self.rebalancer.view.update_backend(self.now, f"n{number}", number, state, 1.0, started)
-        if told:
+        if finishes_list:
             self.rebalancer.view.finish_list((self.rebalancer.view.by_name[f"n{number}"],))
 
-    def hold(self, number: int, *loads: float, group: int = 0, returned: bool = False) -> list[int]:
+    def establish(self, number: int, *loads: float, group: int = 0, returned: bool = False) -> list[int]:
         requests = [next(self.requests) for _ in loads]
         for request, load in zip(requests, loads, strict=True):
             self.rebalancer.on_connection_established(self.now, request, f"n{number}", load, request, group, returned)
         return requests
 
-    def beat(self, seconds: float = 1.0) -> list[int]:
+    def advance_round(self, seconds: float = 1.0) -> list[int]:
         """The moves of one beat, carried out: the jobs are over here."""
         self.now += seconds * 1000.0
         moves = self.rebalancer.plan_round(self.now, list(range(1, 50)))
@@ -67,177 +67,183 @@
         return self.rebalancer.view.by_name[f"n{number}"].load
 
 
-def newcomer(**changes: Any) -> Bench:
+def harness_with_newcomer(**changes: Any) -> RebalancerHarness:
     """Two nodes that hold ten jobs each, and a third that has just come."""
-    bench = Bench(changes, backends=2)
-    bench.hold(1, *[1.0] * 10)
-    bench.hold(2, *[1.0] * 10)
-    bench.backend(3)
-    return bench
+    harness = RebalancerHarness(changes, backends=2)
+    harness.establish(1, *[1.0] * 10)
+    harness.establish(2, *[1.0] * 10)
+    harness.backend(3)
+    return harness
 
 
 def test_a_newcomer_draws_requests_from_both_others_down_to_the_level_and_no_further() -> None:
-    bench = newcomer()
+    harness = harness_with_newcomer()
     for _ in range(10):
-        for _ in bench.beat():
-            bench.hold(3, 1.0, returned=True)
-    assert [bench.load(n) for n in (1, 2, 3)] == [7.0, 7.0, 6.0]
-    assert bench.rebalancer.counts["moves.joined"] == 6 and bench.beat() == []
+        for _ in harness.advance_round():
+            harness.establish(3, 1.0, returned=True)
+    assert [harness.load(n) for n in (1, 2, 3)] == [7.0, 7.0, 6.0]
+    assert harness.rebalancer.counts["moves.joined"] == 6 and harness.advance_round() == []
 
 
 def test_nothing_moves_while_no_backend_came_though_loads_differ_by_chance() -> None:
-    bench = Bench(backends=3)
-    bench.hold(1, *[1.0] * 14)
-    bench.hold(2, *[1.0] * 9)
-    bench.hold(3, *[1.0] * 8)
-    assert all(bench.beat() == [] for _ in range(100))
+    harness = RebalancerHarness(backends=3)
+    harness.establish(1, *[1.0] * 14)
+    harness.establish(2, *[1.0] * 9)
+    harness.establish(3, *[1.0] * 8)
+    assert all(harness.advance_round() == [] for _ in range(100))
 
 
 def test_a_backend_far_beyond_chance_is_relieved_one_request_a_beat_once_it_has_lasted() -> None:
-    bench = Bench({"hot_s": 5.0}, backends=3)
-    bench.hold(1, *[1.0] * 60)
-    bench.hold(2, *[1.0] * 9)
-    bench.hold(3, *[1.0] * 8)
-    assert all(bench.beat() == [] for _ in range(5))
-    assert [len(bench.beat()) for _ in range(3)] == [1, 1, 1] and bench.rebalancer.counts["moves.hot"] == 3
+    harness = RebalancerHarness({"hot_s": 5.0}, backends=3)
+    harness.establish(1, *[1.0] * 60)
+    harness.establish(2, *[1.0] * 9)
+    harness.establish(3, *[1.0] * 8)
+    assert all(harness.advance_round() == [] for _ in range(5))
+    assert [len(harness.advance_round()) for _ in range(3)] == [1, 1, 1] and harness.rebalancer.counts["moves.hot"] == 3
 
 
 def test_a_backend_that_returns_cold_in_mid_plan_takes_part_only_once_it_is_warm() -> None:
-    bench = newcomer()
-    bench.backend(4, started=bench.now)
-    bench.beat()
-    assert [b.number for b in bench.rebalancer.assessment.participants] == [1, 2, 3]
-    bench.beat(9.0)
-    assert [b.number for b in bench.rebalancer.assessment.participants] == [1, 2, 3, 4]
+    harness = harness_with_newcomer()
+    harness.backend(4, started=harness.now)
+    harness.advance_round()
+    assert [b.backend_id for b in harness.rebalancer.assessment.participants] == [1, 2, 3]
+    harness.advance_round(9.0)
+    assert [b.backend_id for b in harness.rebalancer.assessment.participants] == [1, 2, 3, 4]
 
 
 def test_a_flapping_backend_has_to_stay_ready_for_longer_each_time() -> None:
-    bench = Bench({"settle_s": 1.0}, backends=2)
-    bench.hold(1, *[1.0] * 10)
+    harness = RebalancerHarness({"settle_s": 1.0}, backends=2)
+    harness.establish(1, *[1.0] * 10)
     for _ in range(4):
-        bench.backend(2, EndpointState.DRAINING)
-        bench.now += 100.0
-        bench.backend(2)
-    assert bench.beat(4.0) == [] and bench.beat(3.9) == []  # 8 s after the fourth flap
-    assert bench.beat(0.2) != []
+        harness.backend(2, EndpointState.DRAINING)
+        harness.now += 100.0
+        harness.backend(2)
+    assert harness.advance_round(4.0) == [] and harness.advance_round(3.9) == []  # 8 s after the fourth flap
+    assert harness.advance_round(0.2) != []
 
 
 @pytest.mark.parametrize("state", [EndpointState.DRAINING, EndpointState.GONE])
 def test_a_source_that_drains_or_dies_in_mid_plan_is_left_alone_at_once(state: EndpointState) -> None:
-    bench = newcomer(moves_per_s=1.0, order=Order.GROUP)
-    held = bench.hold(1, 0.5, 0.5, 0.5, group=9)
-    assert len(bench.beat()) == 1 and bench.rebalancer.planner.pending  # the rest of the group is to follow
-    bench.backend(1, state)
-    rest = {request for _ in range(10) for request in bench.beat()}
+    harness = harness_with_newcomer(moves_per_s=1.0, order=Order.GROUP)
+    held = harness.establish(1, 0.5, 0.5, 0.5, group=9)
+    assert (
+        len(harness.advance_round()) == 1 and harness.rebalancer.planner.pending
+    )  # the rest of the group is to follow
+    harness.backend(1, state)
+    rest = {request for _ in range(10) for request in harness.advance_round()}
     assert not rest & set(held) and all(request > 10 for request in rest), "nothing leaves the first node any more"
 
 
 def test_clients_that_do_not_come_back_slow_the_pace_and_pause_the_plan_for_longer_each_time() -> None:
-    bench = Bench({"share_per_s": 0.02}, backends=2)
-    bench.hold(1, *[1.0] * 400)
-    bench.hold(2, *[1.0] * 400)
-    bench.backend(3)
+    harness = RebalancerHarness({"share_per_s": 0.02}, backends=2)
+    harness.establish(1, *[1.0] * 400)
+    harness.establish(2, *[1.0] * 400)
+    harness.backend(3)
     moved = []
     for _ in range(400):
-        moved.append(len(bench.beat()))
-    notes = [n for n in bench.rebalancer.take_log_lines() if "pauses: lost" in n]
+        moved.append(len(harness.advance_round()))
+    notes = [n for n in harness.rebalancer.take_log_lines() if "pauses: lost" in n]
     assert "goes on after 30 s" in notes[0] and "goes on after 60 s" in notes[1] and len(notes) < 8
-    assert sum(moved) < 0.6 * 400 and bench.rebalancer.rate.factor < 0.3
+    assert sum(moved) < 0.6 * 400 and harness.rebalancer.rate.factor < 0.3
     # It goes on, and comes back to its full pace, once those who are moved come again.
     for _ in range(500):
-        for _ in bench.beat():
-            bench.hold(3, 1.0, returned=True)
-    assert bench.rebalancer.rate.factor > 0.5 and bench.load(3) > 150.0
+        for _ in harness.advance_round():
+            harness.establish(3, 1.0, returned=True)
+    assert harness.rebalancer.rate.factor > 0.5 and harness.load(3) > 150.0
 
 
 def test_a_giant_heavier_than_the_gap_stays_and_is_not_played_to_and_fro() -> None:
-    bench = Bench(backends=2)
-    bench.hold(2, *[1.0] * 20)
-    (giant,) = bench.hold(1, 40.0)
-    bench.backend(3)
-    moves = [request for _ in range(60) for request in bench.beat()]
-    assert giant not in moves and bench.rebalancer.counts["held.giant"] > 0
+    harness = RebalancerHarness(backends=2)
+    harness.establish(2, *[1.0] * 20)
+    (giant,) = harness.establish(1, 40.0)
+    harness.backend(3)
+    moves = [request for _ in range(60) for request in harness.advance_round()]
+    assert giant not in moves and harness.rebalancer.counts["held.giant"] > 0
 
 
 def test_a_group_goes_as_a_whole_or_stays_where_it_is_larger_than_the_gap() -> None:
-    bench = Bench({"order": Order.GROUP}, backends=2)
-    large, small = bench.hold(1, *[2.0] * 6, group=1), bench.hold(1, *[1.0] * 3, group=2)
-    bench.hold(2, *[1.0] * 10)
-    bench.backend(3)  # the level is 25 / 3: the first may lose 6.7
-    moved = set(bench.beat()) | set(bench.beat())
+    harness = RebalancerHarness({"order": Order.GROUP}, backends=2)
+    large, small = harness.establish(1, *[2.0] * 6, group=1), harness.establish(1, *[1.0] * 3, group=2)
+    harness.establish(2, *[1.0] * 10)
+    harness.backend(3)  # the level is 25 / 3: the first may lose 6.7
+    moved = set(harness.advance_round()) | set(harness.advance_round())
     assert set(small) <= moved and not moved & set(large)
-    assert bench.rebalancer.counts["held.group"] > 0
+    assert harness.rebalancer.counts["held.group"] > 0
 
 
 @pytest.mark.parametrize("order, first", [(Order.HEAVIEST, 3.0), (Order.LIGHTEST, 1.0)])
 def test_the_order_says_who_goes_first(order: Order, first: float) -> None:
-    bench = Bench({"order": order, "moves_per_s": 1.0}, backends=1)
-    loads = dict(zip(bench.hold(1, 2.0, 1.0, 3.0, 2.0, 2.0, 2.0), (2.0, 1.0, 3.0, 2.0, 2.0, 2.0), strict=True))
-    bench.backend(2)
-    assert [loads[request] for request in bench.beat()] == [first]
+    harness = RebalancerHarness({"order": order, "moves_per_s": 1.0}, backends=1)
+    loads = dict(zip(harness.establish(1, 2.0, 1.0, 3.0, 2.0, 2.0, 2.0), (2.0, 1.0, 3.0, 2.0, 2.0, 2.0), strict=True))
+    harness.backend(2)
+    assert [loads[request] for request in harness.advance_round()] == [first]
 
 
 def test_dwell_the_least_gain_and_the_bound_for_one_client_hold_requests_back() -> None:
-    bench = newcomer(dwell_s=3.0)
-    assert bench.beat() == [] and bench.beat() == [] and bench.rebalancer.counts["held.dwell"] > 0
-    assert bench.beat() != []
-    bench = newcomer(least_gain=1.5)
-    assert bench.beat() == [] and bench.rebalancer.counts["held.light"] > 0
-    bench = Bench(backends=1)
-    bench.hold(1, *[1.0] * 10, returned=True)  # others may have moved them already
-    bench.backend(2)
-    assert bench.beat() == [] and bench.rebalancer.counts["held.submitter"] > 0
-    assert bench.beat(600.0) != []
+    harness = harness_with_newcomer(dwell_s=3.0)
+    assert (
+        harness.advance_round() == [] and harness.advance_round() == [] and harness.rebalancer.counts["held.dwell"] > 0
+    )
+    assert harness.advance_round() != []
+    harness = harness_with_newcomer(least_gain=1.5)
+    assert harness.advance_round() == [] and harness.rebalancer.counts["held.light"] > 0
+    harness = RebalancerHarness(backends=1)
+    harness.establish(1, *[1.0] * 10, returned=True)  # others may have moved them already
+    harness.backend(2)
+    assert harness.advance_round() == [] and harness.rebalancer.counts["held.submitter"] > 0
+    assert harness.advance_round(600.0) != []
 
 
 def test_refusals_and_storms_pause_the_plan_until_they_have_ended() -> None:
     for cause in ("refusals", "storm"):
-        bench = newcomer(pause_s=5.0)
+        harness = harness_with_newcomer(pause_s=5.0)
         for second in range(20):
             for _ in range(12 if second < 10 else 0):
-                bench.rebalancer.on_request_received(bench.now)
+                harness.rebalancer.on_request_received(harness.now)
                 if cause == "refusals":
-                    bench.rebalancer.on_request_rejected(bench.now)
+                    harness.rebalancer.on_request_rejected(harness.now)
                 else:
-                    bench.rebalancer.on_connection_ended(bench.now, bench.hold(2, 1.0)[0], True)
+                    harness.rebalancer.on_connection_ended(harness.now, harness.establish(2, 1.0)[0], True)
             # The last came at 9 s and counts for 5 s; the pause of 5 s begins anew until then.
-            assert second > 18 or (bench.beat() != []) == (second == 18), f"{cause} at {second}"
+            assert second > 18 or (harness.advance_round() != []) == (second == 18), f"{cause} at {second}"
             if second == 9:
-                assert bench.rebalancer.target_utilization == 0.0 and bench.rebalancer.counts[f"paused.{cause}"] == 1
+                assert (
+                    harness.rebalancer.target_utilization == 0.0 and harness.rebalancer.counts[f"paused.{cause}"] == 1
+                )
 
 
 def test_moves_without_effect_pause_the_plan() -> None:
-    bench = newcomer(moves_per_s=1.0)
+    harness = harness_with_newcomer(moves_per_s=1.0)
     for _ in range(100):
-        for _ in bench.beat():  # whoever is moved is back where it was
-            bench.hold(1 if bench.load(1) < bench.load(2) else 2, 1.0, returned=False)
-            bench.rebalancer.monitor.on_return(bench.now, "n1")
-    assert bench.rebalancer.counts["paused.no-effect"] >= 1
+        for _ in harness.advance_round():  # whoever is moved is back where it was
+            harness.establish(1 if harness.load(1) < harness.load(2) else 2, 1.0, returned=False)
+            harness.rebalancer.monitor.on_return(harness.now, "n1")
+    assert harness.rebalancer.counts["paused.no-effect"] >= 1
 
 
 def test_a_target_that_turns_returning_clients_away_is_left_alone() -> None:
-    bench = newcomer()
+    harness = harness_with_newcomer()
     for _ in range(3):
-        bench.rebalancer.on_attempt_failed(bench.now, "n3", True)
-    assert bench.beat() == [] and bench.beat(31.0) != []
-    bench = newcomer()
+        harness.rebalancer.on_attempt_failed(harness.now, "n3", True)
+    assert harness.advance_round() == [] and harness.advance_round(31.0) != []
+    harness = harness_with_newcomer()
     for _ in range(4):  # now and then one fails and others come up: that is no reason
-        bench.rebalancer.on_attempt_failed(bench.now, "n3", True)
-        bench.hold(3, 0.1, returned=True)
-    assert bench.beat() != []
+        harness.rebalancer.on_attempt_failed(harness.now, "n3", True)
+        harness.establish(3, 0.1, returned=True)
+    assert harness.advance_round() != []
 
 
 def test_quiet_hours_and_a_planned_restart_end_the_plan_at_once() -> None:
-    bench = newcomer(quiet=((0, 1440),))
-    assert bench.beat() == [] and bench.rebalancer.idle == "quiet"
-    bench = newcomer(moves_per_s=1.0)
-    assert bench.beat()
-    bench.rebalancer.stop()
-    assert bench.beat() == [] and bench.rebalancer.target_utilization == 0.0
+    harness = harness_with_newcomer(quiet=((0, 1440),))
+    assert harness.advance_round() == [] and harness.rebalancer.idle_reason == "quiet"
+    harness = harness_with_newcomer(moves_per_s=1.0)
+    assert harness.advance_round()
+    harness.rebalancer.stop()
+    assert harness.advance_round() == [] and harness.rebalancer.target_utilization == 0.0
 
 
 @pytest.mark.parametrize(
-    "section, words",
+    "section, message",
     [
         ({"sprad": 0.1}, "sprad is not known; spread is"),
         ({"spread": 0}, "spread is 0: a number from 0.01"),
@@ -247,8 +253,8 @@
         ({"quiet": ["25:00-06:00"]}, "no such hours"),
     ],
 )
-def test_a_wrong_key_is_named_with_what_is_allowed(section: dict[str, Any], words: str) -> None:
-    with pytest.raises(RebalanceError, match=words):
+def test_a_wrong_key_is_named_with_what_is_allowed(section: dict[str, Any], message: str) -> None:
+    with pytest.raises(RebalanceError, match=message):
         read_rebalance(section)
 
 
@@ -257,19 +263,19 @@
     assert [night.is_quiet(h * 3_600_000.0) for h in (0, 5, 6, 21, 22)] == [True, True, False, False, True]
 
 
-class Balanced(RuleBasedStateMachine):
+class RebalancerMachine(RuleBasedStateMachine):
     """Random steps; each move must be of a job that stands at a ready node, above the level before and after, within
     the rates, and of a submitter that was not moved too often."""
 
     @initialize(order=st.sampled_from(list(Order)), rate=st.sampled_from((1.0, 3.0)))
     def start(self, order: Order, rate: float) -> None:
-        self.bench = Bench({"order": order, "moves_per_s": rate, "source_moves_per_s": 2.0}, backends=3)
+        self.harness = RebalancerHarness({"order": order, "moves_per_s": rate, "source_moves_per_s": 2.0}, backends=3)
         self.rate = rate
-        self.at: dict[int, tuple[int, float]] = {}
+        self.placements: dict[int, tuple[int, float]] = {}
         self.states: dict[int, EndpointState] = dict.fromkeys((1, 2, 3), EndpointState.READY)
         self.moved: deque[float] = deque()
-        self.off: dict[int, deque[float]] = {}
-        self.times: Counter[int] = Counter()
+        self.source_move_times: dict[int, deque[float]] = {}
+        self.moves_by_request: Counter[int] = Counter()
 
     @rule(
         number=st.integers(1, 6),
@@ -277,50 +283,50 @@
         group=st.integers(0, 3),
         returned=st.booleans(),
     )
-    def hold(self, number: int, loads: list[float], group: int, returned: bool) -> None:
+    def establish(self, number: int, loads: list[float], group: int, returned: bool) -> None:
         if self.states.get(number) is EndpointState.READY:
-            for request in self.bench.hold(number, *loads, group=group, returned=returned):
-                self.at[request] = (number, 0.0)
+            for request in self.harness.establish(number, *loads, group=group, returned=returned):
+                self.placements[request] = (number, 0.0)
 
     @rule(number=st.integers(1, 6), state=st.sampled_from(list(EndpointState)), cold=st.booleans())
     def list_changes(self, number: int, state: EndpointState, cold: bool) -> None:
         self.states[number] = state
-        self.bench.backend(number, state, self.bench.now if cold else 0.0)
+        self.harness.backend(number, state, self.harness.now if cold else 0.0)
 
     @rule(draw=st.integers(0, 50), load=st.sampled_from((0.2, 2.0, 6.0)))
     def load_changes(self, draw: int, load: float) -> None:
-        if self.at:
-            self.bench.rebalancer.view.update_load(list(self.at)[draw % len(self.at)], load)
+        if self.placements:
+            self.harness.rebalancer.view.update_load(list(self.placements)[draw % len(self.placements)], load)
 
     @rule(seconds=st.sampled_from((0.2, 1.0, 10.0)))
-    def beat(self, seconds: float) -> None:
-        view = self.bench.rebalancer.view
+    def advance_round(self, seconds: float) -> None:
+        view = self.harness.rebalancer.view
         loads = {request: held.load for request, held in view.connections.items()}
-        before = {b.number: b.load for b in view.by_name.values()}
-        moves = self.bench.beat(seconds)
-        level, now = self.bench.rebalancer.assessment.level, self.bench.now
+        before = {b.backend_id: b.load for b in view.by_name.values()}
+        moves = self.harness.advance_round(seconds)
+        level, now = self.harness.rebalancer.assessment.mean_utilization, self.harness.now
         assert len(moves) == len(set(moves))
         for request in moves:
-            number, _ = self.at.pop(request)
+            number, _ = self.placements.pop(request)
             assert self.states[number] is EndpointState.READY and before[number] > level
             before[number] -= loads[request]
             assert before[number] >= level - 1e-6, "a source never falls below the level by a move"
-            self.times[request] += 1
+            self.moves_by_request[request] += 1
             self.moved.append(now)
-            self.off.setdefault(number, deque()).append(now)
-        for stamps, rate in ((self.moved, self.rate), *((s, 2.0) for s in self.off.values())):
+            self.source_move_times.setdefault(number, deque()).append(now)
+        for stamps, rate in ((self.moved, self.rate), *((s, 2.0) for s in self.source_move_times.values())):
             while stamps and stamps[0] <= now - 1000.0:
                 stamps.popleft()
             assert len(stamps) <= rate + max(1.0, rate), "no more in a second than the rate and the burst"
-        assert max(self.times.values(), default=0) <= 1
-        books = view.by_name.values()
-        assert all(abs(b.load - sum(h.load for h in b.connections.values())) < 1e-6 for b in books)
+        assert max(self.moves_by_request.values(), default=0) <= 1
+        records = view.by_name.values()
+        assert all(abs(b.load - sum(h.load for h in b.connections.values())) < 1e-6 for b in records)
 
 
-Balanced.TestCase.settings = settings(
+RebalancerMachine.TestCase.settings = settings(
     max_examples=60, stateful_step_count=40, derandomize=True, deadline=None, suppress_health_check=list(HealthCheck)
 )
-TestBalanced = Balanced.TestCase
+TestRebalancerMachine = RebalancerMachine.TestCase
 
 
 # --- whole fleets on virtual time ---------------------------------------------------------------
@@ -341,34 +347,37 @@
     assert measure(scenario, "small", 20261201)[1] == []
 
 
-def planned(spec: FleetSpec, seed: int, newcomers: int) -> tuple[Fleet, list[ModelBackend]]:
+def fleet_with_newcomers(spec: FleetSpec, seed: int, newcomers: int) -> tuple[Fleet, list[ModelBackend]]:
     """A settled fleet to which as many nodes come now, cold."""
     fleet = Fleet(spec, seed)
-    later = list(fleet.backends.values())[:newcomers]
-    fleet.kill(*later)
+    returning = list(fleet.backends.values())[:newcomers]
+    fleet.kill(*returning)
     fleet.fill(8.0)
     fleet.run(20.0)
-    fleet.bring_back(*later)
-    return fleet, later
+    fleet.bring_back(*returning)
+    return fleet, returning
 
 
 def test_a_hundred_relays_that_plan_in_the_same_instant_do_not_bury_the_one_newcomer() -> None:
     spec = FleetSpec(
         relays=100, backends=40, connections=4000, alike=True, lifetime_s=3600.0, rebalance=RebalanceSettings()
     )
-    fleet, (backend,) = planned(spec, 3, 1)
-    peak, last, most_came = 0.0, 0, 0
+    fleet, (backend,) = fleet_with_newcomers(spec, 3, 1)
+    peak, previous_count, max_new_connections = 0.0, 0, 0
     for _ in range(60):
         fleet.run(1.0)
-        most_came, last = max(most_came, len(backend.held) - last), len(backend.held)
+        max_new_connections, previous_count = (
+            max(max_new_connections, len(backend.held) - previous_count),
+            len(backend.held),
+        )
         peak = max(peak, backend.filled())
     mean = sum(n.load for n in fleet.backends.values()) / sum(n.size for n in fleet.backends.values()) / 1000.0
     fleet.rules.check()
-    assert peak <= 1.25 * mean and most_came <= 2 * RebalanceSettings().target_moves_per_s
+    assert peak <= 1.25 * mean and max_new_connections <= 2 * RebalanceSettings().target_moves_per_s
 
 
 def test_a_restart_and_a_reload_in_mid_plan() -> None:
-    fleet, _ = planned(FleetSpec(backends=8, connections=800, rebalance=RebalanceSettings()), 4, 2)
+    fleet, _ = fleet_with_newcomers(FleetSpec(backends=8, connections=800, rebalance=RebalanceSettings()), 4, 2)
     fleet.run(14.0)
     moves = fleet.counts["moves"]
     assert moves > 0
@@ -383,31 +392,31 @@
     )
     fleet.run(15.0)
     assert fleet.counts["moves"] > moves
-    planned_so_far = rebalance.counts["moves.joined"]
+    moves_at_shutdown = rebalance.counts["moves.joined"]
     relay.post(ShutdownRequested(3000.0))
     fleet.run(4.0)
-    assert rebalance.counts["moves.joined"] == planned_so_far
+    assert rebalance.counts["moves.joined"] == moves_at_shutdown
     relay.post(RebalancingConfigured(RebalanceSettings()))
     fleet.rules.check()
 
 
 def test_while_all_backends_are_full_nothing_is_moved() -> None:
     spec = FleetSpec(backends=8, connections=1200, filled=1.1, backend_most=130, rebalance=RebalanceSettings())
-    fleet, _ = planned(spec, 2, 2)
+    fleet, _ = fleet_with_newcomers(spec, 2, 2)
     fleet.run(40.0)
     assert fleet.counts["refused"] > 100 and fleet.relay_counts("paused.refusals") > 0 and fleet.counts["moves"] <= 12
 
 
 def test_a_draining_source_in_mid_plan_keeps_what_it_holds() -> None:
-    fleet, _ = planned(FleetSpec(backends=8, connections=800, rebalance=RebalanceSettings()), 6, 2)
+    fleet, _ = fleet_with_newcomers(FleetSpec(backends=8, connections=800, rebalance=RebalanceSettings()), 6, 2)
     fleet.run(14.0)
     source = max(fleet.backends.values(), key=ModelBackend.filled)
     fleet.tell(EndpointState.DRAINING, source)
     fleet.run(2.0)  # each relay has heard of it by now
     keys = set(source.held)
-    ended = fleet.counts["up"]
+    up_before = fleet.counts["up"]
     fleet.run(10.0)
-    gone = {(r.index, j) for r in fleet.relays for j in r.clients}
-    assert ended < fleet.counts["up"] and not (keys - set(source.held)) & gone
+    migrated_keys = {(r.index, j) for r in fleet.relays for j in r.clients}
+    assert up_before < fleet.counts["up"] and not (keys - set(source.held)) & migrated_keys
     assert len(keys - set(source.held)) <= 12, "only those whose time was over have left it"
     fleet.rules.check()
--- a/yarrowspindle/membership/context.py
+++ b/yarrowspindle/membership/context.py
@@ -56,24 +56,24 @@
         local = self.members.local
         return [member for member in self.members if member.present and member is not local]
 
-    def encode(self, body: Body, updates: list[MembershipUpdate] | None = None, first: str = "") -> bytes:
+    def encode(self, body: Body, updates: list[MembershipUpdate] | None = None, priority_member: str = "") -> bytes:
         """Returns a datagram with these updates, or without any given, with as many queued ones as fit.
 
         An update on the member named `first` goes before the other queued ones.
         """
         datagram = self._datagram(body, updates or [])
         data = self.codec.encode(datagram)
-        if updates is None and not self.members.displaced:
-            queued = self.members.take_updates(MAX_DATAGRAM_BYTES - len(data) - UPDATE_LIST_BYTES, first)
+        if updates is None and not self.members.superseded:
+            queued = self.members.take_updates(MAX_DATAGRAM_BYTES - len(data) - UPDATE_LIST_BYTES, priority_member)
             if queued:
                 data = self.codec.encode(self._datagram(body, queued, datagram.sent_at))
         return data
 
     def send(
-        self, address: Address, body: Body, updates: list[MembershipUpdate] | None = None, first: str = ""
+        self, address: Address, body: Body, updates: list[MembershipUpdate] | None = None, priority_member: str = ""
     ) -> None:
         """Encodes and sends a datagram; see `encode`."""
-        self.send_encoded(address, self.encode(body, updates, first))
+        self.send_encoded(address, self.encode(body, updates, priority_member))
 
     def send_encoded(self, address: Address, data: bytes) -> None:
         """Sends an encoded datagram."""
--- a/yarrowspindle/membership/core.py
+++ b/yarrowspindle/membership/core.py
@@ -143,7 +143,7 @@
             "heard": float(sum(view.counted for view in context.signals.peers.values())),
             "oldest_signal_ms": context.signals.oldest_age_ms(context.now),
             "nodes_told_of": float(len(context.signals.totals)),
-            "displaced": float(context.members.displaced),
+            "displaced": float(context.members.superseded),
         }
 
     # --- datagrams ------------------------------------------------------------------------------
@@ -202,7 +202,7 @@
         if datagram.address == local.address and datagram.incarnation == local.incarnation:
             return  # a datagram of this process that came back
         self._updates.apply(datagram.sender_update)
-        if not self.members.displaced:
+        if not self.members.superseded:
             self._context.send(datagram.address, SyncRequest(), [local.to_update()])
 
     def _send_state(self, member: Member, datagram: Datagram) -> None:
@@ -214,7 +214,7 @@
     def _on_send_payload(self, event: SendPayload) -> None:
         """Sends a payload, also to a member that is held dead: it may still receive it."""
         member = self.members.table.get(event.recipient)
-        if member is not None and not self.members.displaced:
+        if member is not None and not self.members.superseded:
             self._context.send(member.address, Payload(event.data))
 
     def _on_payload(self, member: Member, datagram: Datagram, payload: Payload) -> None:
--- a/yarrowspindle/membership/failure_detector.py
+++ b/yarrowspindle/membership/failure_detector.py
@@ -56,7 +56,7 @@
         self.probe_order: list[str] = []
         self.probe: Probe | None = None
         self.suspicions: dict[str, Suspicion] = {}
-        self.no_suspicions_until = 0.0
+        self.suspicion_suspended_until = 0.0
 
     # --- local health ---------------------------------------------------------------------------
 
@@ -83,7 +83,7 @@
             return False
         self.adjust_health(STALL_PENALTY)
         self.probe = None
-        self.no_suspicions_until = now + GRACE_INTERVALS * self.probe_ms
+        self.suspicion_suspended_until = now + GRACE_INTERVALS * self.probe_ms
         for suspicion in self.suspicions.values():
             suspicion.started_at = min(now, suspicion.started_at + delay_ms)
         return True
@@ -112,7 +112,7 @@
         # Helpers that sent no nack may be unreachable: this relay itself may be at fault.
         missing_nacks = max(0, probe.helpers - probe.nacks)
         self.adjust_health(missing_nacks if probe.helpers else 1)
-        return probe.target if now >= self.no_suspicions_until else None
+        return probe.target if now >= self.suspicion_suspended_until else None
 
     # --- suspicions -----------------------------------------------------------------------------
 
@@ -147,7 +147,7 @@
 
     def expired_suspicions(self, cluster_size: int, now: float) -> list[str]:
         """Returns the members whose suspicion ended without a refutation."""
-        if now < self.no_suspicions_until:
+        if now < self.suspicion_suspended_until:
             return []
         return [
             name
--- a/yarrowspindle/membership/full_sync.py
+++ b/yarrowspindle/membership/full_sync.py
@@ -20,7 +20,7 @@
 JOIN_JITTER = (0.75, 1.25)  # times the interval
 RECONNECT_INTERVAL_MS = 2000.0
 MAX_HEADER_BYTES = 260  # of a datagram of a full sync, without its updates
-TABLE = "table"  # kind of the full sync, for the limiter
+TABLE_SYNC = "table"  # kind of the full sync, for the limiter
 
 
 class FullSync:
@@ -55,7 +55,7 @@
         members = context.members
         if members.size == 1 and self._join_interval_ms == MIN_JOIN_INTERVAL_MS:
             self.join()
-        if members.displaced:
+        if members.superseded:
             # Any peer may know what became of the process that took this relay's name.
             candidates = [member.address for member in context.present_peers()]
         else:
@@ -79,7 +79,7 @@
     def send_table(self, member: Member, wants_table: bool) -> None:
         """Sends the whole table, within the limits on full syncs."""
         context = self._context
-        if not self._limiter.accept(TABLE, member.name, context.now):
+        if not self._limiter.accept(TABLE_SYNC, member.name, context.now):
             return
         context.counts["tables_sent"] += 1
         room = MAX_DATAGRAM_BYTES - MAX_HEADER_BYTES
--- a/yarrowspindle/membership/load_dissemination.py
+++ b/yarrowspindle/membership/load_dissemination.py
@@ -18,8 +18,8 @@
 MIN_SIGNALS_PER_S = 50.0
 MAX_SIGNALS_PER_S = 125.0
 MAX_SIGNALS_PER_S_TO_ALL = 5000.0
-MAX_INTERVAL_TO_REPEAT_S = 0.5  # with a longer interval each change is sent once, and lost ones are requested
-SIGNALS = "signals"  # kind of the full sync, for the limiter
+MAX_RETRANSMIT_INTERVAL_S = 0.5  # with a longer interval each change is sent once, and lost ones are requested
+LOAD_SYNC = "signals"  # kind of the full sync, for the limiter
 
 
 class LoadDissemination:
@@ -37,7 +37,7 @@
     def on_signal_timer(self) -> None:
         """Asks for the local load, if there are peers to send it to."""
         members = self._context.members
-        if members.size > 1 and not members.displaced:
+        if members.size > 1 and not members.superseded:
             self._context.emit(SampleLocalLoad())
         else:
             self._context.set_timer(self._signal_interval_ms, PeriodicTimer.LOAD_SIGNAL)
@@ -47,14 +47,14 @@
         context = self._context
         peers = context.present_peers()
         interval_s = self._min_interval_s(len(peers))
-        transmissions = TRANSMISSIONS if interval_s < MAX_INTERVAL_TO_REPEAT_S else 1
+        transmissions = TRANSMISSIONS if interval_s < MAX_RETRANSMIT_INTERVAL_S else 1
         data = context.encode(context.signals.local.next_signal(local_load, context.now, transmissions))
         for member in peers:
             context.send_encoded(member.address, data)
         sent_bytes = len(data) * len(peers)
         context.counts["signal_bytes"] += sent_bytes
-        next_s = max(interval_s, sent_bytes / context.settings.bytes_per_s)
-        context.set_timer(1000.0 * next_s, PeriodicTimer.LOAD_SIGNAL)
+        next_interval_s = max(interval_s, sent_bytes / context.settings.bytes_per_s)
+        context.set_timer(1000.0 * next_interval_s, PeriodicTimer.LOAD_SIGNAL)
 
     def on_load_signal(self, member: Member, datagram: Datagram, signal: LoadSignal) -> None:
         """Takes over a peer's load, and requests all of it if signals were lost."""
@@ -67,7 +67,7 @@
     def on_full_load_request(self, member: Member, datagram: Datagram, request: FullLoadRequest) -> None:
         """Sends all of this relay's load, within the limits on full syncs."""
         context = self._context
-        if not self._limiter.accept(SIGNALS, member.name, context.now):
+        if not self._limiter.accept(LOAD_SYNC, member.name, context.now):
             return
         context.counts["wholes_sent"] += 1
         for signal in context.signals.local.full_signals():
@@ -84,8 +84,10 @@
         if reported != self._last_reported or peer_loads.reporting_relays or peer_loads.loads:
             self._last_reported = reported
             context.emit(PeerLoadsUpdated(peer_loads))
-        by_size_ms = min(MAX_PEER_LOADS_INTERVAL_MS, MIN_PEER_LOADS_INTERVAL_MS_PER_RELAY * context.members.size)
-        context.set_timer(max(self._signal_interval_ms, by_size_ms), PeriodicTimer.PEER_LOADS)
+        size_based_interval_ms = min(
+            MAX_PEER_LOADS_INTERVAL_MS, MIN_PEER_LOADS_INTERVAL_MS_PER_RELAY * context.members.size
+        )
+        context.set_timer(max(self._signal_interval_ms, size_based_interval_ms), PeriodicTimer.PEER_LOADS)
 
     def _min_interval_s(self, peers: int) -> float:
         """Returns the shortest time between two signals: the configured one, or longer with many peers."""
--- a/yarrowspindle/membership/load_signals.py
+++ b/yarrowspindle/membership/load_signals.py
@@ -11,7 +11,7 @@
 from math import inf
 
 from yarrowspindle.decisions.events import PeerLoads
-from yarrowspindle.membership.local_load_log import MAX_FIGURE, MAX_KEYS, MAX_REPORT_AGE_MS, NO_LOAD, LocalLoadLog
+from yarrowspindle.membership.local_load_log import MAX_KEYS, MAX_REPORT_AGE_MS, MAX_UINT32, NO_LOAD, LocalLoadLog
 from yarrowspindle.membership.messages import LoadSignal
 
 MAX_SIGNAL_AGE_MS = 4500.0  # the load of a peer whose newest signal is older does not count
@@ -70,7 +70,7 @@
     def record_version(self, sent_at: int, signal: LoadSignal) -> bool:
         """Takes over the signal's version; returns whether signals before it were lost."""
         is_gap = False
-        if signal.range_first == 0 and signal.range_last == MAX_FIGURE:
+        if signal.range_first == 0 and signal.range_last == MAX_UINT32:
             self.missing_signals = False
         elif signal.base_version > self.version:
             self.missing_signals = True
@@ -107,7 +107,7 @@
 
     # --- signals received -----------------------------------------------------------------------
 
-    def peer(self, name: str, incarnation: int) -> PeerView:
+    def peer_view(self, name: str, incarnation: int) -> PeerView:
         """Returns the view of a peer; a new one where its process is another."""
         view = self.peers.get(name)
         if view is None or view.incarnation != incarnation:
@@ -123,7 +123,7 @@
 
     def receive(self, name: str, incarnation: int, sent_at: int, signal: LoadSignal, now: float) -> bool:
         """Takes over a peer's signal; returns whether all of its load should be requested."""
-        view = self.peer(name, incarnation)
+        view = self.peer_view(name, incarnation)
         if sent_at <= view.sent_at:
             self.counts["signals_old"] += 1
             return False
@@ -136,7 +136,7 @@
         self._apply(view, signal.changed)
         ejected = zip(signal.ejected[::2], signal.ejected[1::2], strict=True)
         view.ejected_until = {key: now + remaining_ms for key, remaining_ms in ejected}
-        self._take_reports(view, signal, now)
+        self._merge_reports(view, signal, now)
         return view.should_request_full_load(now)
 
     def _clear_unlisted(self, view: PeerView, signal: LoadSignal) -> None:
@@ -144,20 +144,20 @@
         first, last = signal.range_first, signal.range_last
         listed = set(signal.range_loads[::3])
         unlisted = [key for key in view.loads if first <= key <= last and key not in listed]
-        self._apply(view, [figure for key in unlisted for figure in (key, *NO_LOAD)])
+        self._apply(view, [value for key in unlisted for value in (key, *NO_LOAD)])
 
-    def _take_reports(self, view: PeerView, signal: LoadSignal, now: float) -> None:
+    def _merge_reports(self, view: PeerView, signal: LoadSignal, now: float) -> None:
         for key, utilization, connections, age_ms in zip(*(iter(signal.reports),) * 4, strict=True):
-            made_at = now - view.age_ms(now) - age_ms
-            known_made_at = self.reports.get(key, (0.0, 0.0, -inf))[2]
-            if made_at > now - MAX_REPORT_AGE_MS and made_at > known_made_at:
-                self.reports[key] = (utilization / 1000.0, float(connections), made_at)
+            reported_at = now - view.age_ms(now) - age_ms
+            known_reported_at = self.reports.get(key, (0.0, 0.0, -inf))[2]
+            if reported_at > now - MAX_REPORT_AGE_MS and reported_at > known_reported_at:
+                self.reports[key] = (utilization / 1000.0, float(connections), reported_at)
 
-    def _apply(self, view: PeerView, figures: list[int]) -> None:
+    def _apply(self, view: PeerView, values: list[int]) -> None:
         """Takes over entries of three figures. One loop without calls: most of the package's time is spent here."""
         loads, counted, totals = view.loads, view.counted, self.totals
         connection_changes = self.connection_changes
-        for key, connections, load in zip(figures[::3], figures[1::3], figures[2::3], strict=True):
+        for key, connections, load in zip(values[::3], values[1::3], values[2::3], strict=True):
             old_connections, old_load = old = loads.get(key, NO_LOAD)
             if old_connections == connections and old_load == load:
                 continue
@@ -221,8 +221,8 @@
             sum(ages) / len(ages) if ages else 0.0,
             self._ejected_by_majority(now, len(ages)),
             {
-                key: (utilization, connections, now - made_at)
-                for key, (utilization, connections, made_at) in self.reports.items()
+                key: (utilization, connections, now - reported_at)
+                for key, (utilization, connections, reported_at) in self.reports.items()
             },
             rank,
         )
--- a/yarrowspindle/membership/local_load_log.py
+++ b/yarrowspindle/membership/local_load_log.py
@@ -15,7 +15,7 @@
 from yarrowspindle.membership.events import LocalLoad
 from yarrowspindle.membership.messages import LoadSignal
 
-MAX_FIGURE = (1 << 32) - 1
+MAX_UINT32 = (1 << 32) - 1
 MAX_ENTRIES = 50  # of three figures in a signal, so that its datagram stays within MAX_DATAGRAM_BYTES
 MAX_CHANGES_PER_VERSION = MAX_ENTRIES // 2
 MAX_REPORTS = 12  # in a signal; they and the ejections leave room for at least half of the entries
@@ -50,7 +50,7 @@
         self.loads: dict[int, tuple[int, int]] = {}
         self.version = 0
         self.pending: deque[VersionChanges] = deque()
-        self._signals = 0
+        self._signal_count = 0
         self._range_start = 0
         self._reports_sent: dict[int, float] = {}  # by backend key: when the report sent last was made
 
@@ -59,12 +59,12 @@
 
         All of it fits into one datagram, so that no part can overtake another; what does not fit goes with the next.
         """
-        self._signals += 1
-        self._record(self._update_loads(local_load))
+        self._signal_count += 1
+        self._queue_changes(self._update_loads(local_load))
         ejected = [
-            figure
+            value
             for key, remaining_ms in islice(local_load.ejected.items(), MAX_EJECTED)
-            for figure in (key, to_figure(remaining_ms))
+            for value in (key, to_uint32(remaining_ms))
         ]
         reports = self._new_reports(local_load, now)
         max_entries = MAX_ENTRIES - len(ejected) // 3 - len(reports) // 3
@@ -72,7 +72,7 @@
         base_version = self.pending[0].version - 1 if self.pending else self.version
         version, keys = self._select_changes(base_version, max_entries)
         range_first, range_last, range_loads = 0, 0, list[int]()
-        if self._signals % RANGE_INTERVAL == 0:
+        if self._signal_count % RANGE_INTERVAL == 0:
             range_first, range_last, range_loads = self._next_range(max(max_entries - len(keys), MIN_RANGE_ENTRIES))
         changed = self._entries(keys)
         return LoadSignal(base_version, version, changed, range_first, range_last, range_loads, ejected, reports)
@@ -84,7 +84,7 @@
         first = 0
         for start in range(0, max(len(keys), 1), MAX_ENTRIES):
             range_keys = keys[start : start + MAX_ENTRIES]
-            last = range_keys[-1] if start + MAX_ENTRIES < len(keys) else MAX_FIGURE
+            last = range_keys[-1] if start + MAX_ENTRIES < len(keys) else MAX_UINT32
             signals.append(LoadSignal(0, self.version, [], first, last, self._entries(range_keys)))
             first = last + 1
         return signals
@@ -94,9 +94,9 @@
         loads = self.loads
         changed = []
         for key, (connections, load) in islice(local_load.loads.items(), MAX_KEYS):
-            current = (to_figure(connections), to_figure(load))
+            current = (to_uint32(connections), to_uint32(load))
             previous = loads.get(key)
-            if previous is None or _differs(previous, current):
+            if previous is None or _is_significant_change(previous, current):
                 loads[key] = current
                 changed.append(key)
         for key in [key for key in loads if key not in local_load.loads]:
@@ -104,7 +104,7 @@
             changed.append(key)
         return changed
 
-    def _record(self, changed: list[int]) -> None:
+    def _queue_changes(self, changed: list[int]) -> None:
         for start in range(0, len(changed), MAX_CHANGES_PER_VERSION):
             self.version += 1
             self.pending.append(VersionChanges(self.version, changed[start : start + MAX_CHANGES_PER_VERSION]))
@@ -117,7 +117,7 @@
             is_new = age_ms < MAX_REPORT_AGE_MS and now - age_ms > last_sent + REPORT_TOLERANCE_MS
             if is_new and len(entries) < 4 * MAX_REPORTS:
                 self._reports_sent[key] = now - age_ms
-                entries += [key, to_figure(1000.0 * utilization), to_figure(connections), to_figure(age_ms)]
+                entries += [key, to_uint32(1000.0 * utilization), to_uint32(connections), to_uint32(age_ms)]
         if len(self._reports_sent) > MAX_KEYS:
             self._reports_sent.clear()
         return entries
@@ -150,24 +150,24 @@
 
     def _next_range(self, max_entries: int) -> tuple[int, int, list[int]]:
         """Returns the first and last key of the next range of all loads, and its entries."""
-        if self._range_start > MAX_FIGURE:
+        if self._range_start > MAX_UINT32:
             self._range_start = 0
         first = self._range_start
         keys = sorted(key for key in self.loads if key >= first)
-        last = keys[max_entries - 1] if len(keys) > max_entries else MAX_FIGURE
+        last = keys[max_entries - 1] if len(keys) > max_entries else MAX_UINT32
         self._range_start = last + 1
         return first, last, self._entries(keys[:max_entries])
 
     def _entries(self, keys: Iterable[int]) -> list[int]:
-        return [figure for key in keys for figure in (key, *self.loads.get(key, NO_LOAD))]
+        return [value for key in keys for value in (key, *self.loads.get(key, NO_LOAD))]
 
 
-def to_figure(value: float) -> int:
+def to_uint32(value: float) -> int:
     """Returns the value rounded to an integer that the wire format can hold."""
-    return min(max(int(value + 0.5), 0), MAX_FIGURE)
+    return min(max(int(value + 0.5), 0), MAX_UINT32)
 
 
-def _differs(previous: tuple[int, int], current: tuple[int, int]) -> bool:
+def _is_significant_change(previous: tuple[int, int], current: tuple[int, int]) -> bool:
     if previous[0] != current[0]:
         return True
     return abs(previous[1] - current[1]) > MIN_LOAD_CHANGE_FRACTION * max(previous[1], current[1])
--- a/yarrowspindle/membership/members.py
+++ b/yarrowspindle/membership/members.py
@@ -72,7 +72,7 @@
         self.local = Member(name, address, incarnation, 0, MemberState.ALIVE, now, now)
         self.table: dict[str, Member] = {name: self.local}
         self.updates: dict[str, tuple[MembershipUpdate, int]] = {}  # newest last, with the number of transmissions
-        self.displaced = False
+        self.superseded = False
         self._view_digest: int | None = None
         self._size = 1
         self._names: list[str] | None = None
@@ -135,9 +135,9 @@
         known.refutations = update.refutations
         known.state = update.state
         known.state_since = now
-        return self._changed(known, previous_state, update, new_incarnation)
+        return self._record_change(known, previous_state, update, new_incarnation)
 
-    def apply_own_finding(self, name: str, state: MemberState, now: float) -> MemberChange | None:
+    def apply_local_observation(self, name: str, state: MemberState, now: float) -> MemberChange | None:
         """Applies the state that this relay itself found a member to be in."""
         member = self.table.get(name)
         if member is None or member is self.local:
@@ -149,9 +149,9 @@
         """Marks this relay as having left, and spreads that."""
         self.local.state = MemberState.LEFT
         self.local.state_since = now
-        self.spread(self.local.to_update())
+        self.enqueue_update(self.local.to_update())
 
-    def forget(self, before: float) -> None:
+    def remove_ended(self, before: float) -> None:
         """Removes the members that ended before this time."""
         for name in [m.name for m in self.table.values() if not m.present and m.state_since < before]:
             self._remove(name)
@@ -163,20 +163,20 @@
         address = (update.host, update.port)
         member = Member(update.name, address, update.incarnation, update.refutations, update.state, now)
         self.table[update.name] = member
-        return self._changed(member, None, update)
+        return self._record_change(member, None, update)
 
     def _apply_to_local(self, update: MembershipUpdate, now: float) -> MemberChange | None:
         local = self.local
         claims_present = update.state <= MemberState.SUSPECT
         if update.incarnation < local.incarnation:
             return None
-        if self.displaced and (claims_present or update.incarnation == local.incarnation):
+        if self.superseded and (claims_present or update.incarnation == local.incarnation):
             return None
-        self.displaced = False
+        self.superseded = False
         if update.incarnation > local.incarnation:
             if claims_present and (update.host, update.port) != local.address:
                 # A later process at another address has this name; the name is not disputed until it has ended.
-                self.displaced = True
+                self.superseded = True
                 return None
             # An earlier process of this relay, whose clock was ahead: this process is the later one all the same.
             local.incarnation = update.incarnation + 1
@@ -186,7 +186,7 @@
             return None
         else:
             local.refutations = update.refutations + 1
-        self.spread(local.to_update())
+        self.enqueue_update(local.to_update())
         return MemberChange(local, update.state)
 
     def _make_room(self) -> bool:
@@ -204,7 +204,7 @@
         del self.table[name]
         self.updates.pop(name, None)
 
-    def _changed(
+    def _record_change(
         self,
         member: Member,
         previous_state: MemberState | None,
@@ -217,17 +217,17 @@
             self._size += member.present - was_present
             self._view_digest = None
             self._names = None
-        self.spread(update)
+        self.enqueue_update(update)
         return change
 
     # --- gossip ---------------------------------------------------------------------------------
 
-    def spread(self, update: MembershipUpdate) -> None:
+    def enqueue_update(self, update: MembershipUpdate) -> None:
         """Queues an update to be sent with the next datagrams, in place of an earlier one on the same member."""
         self.updates.pop(update.name, None)
         self.updates[update.name] = (update, 0)
 
-    def take_updates(self, max_bytes: int, first: str = "") -> list[MembershipUpdate]:
+    def take_updates(self, max_bytes: int, priority_member: str = "") -> list[MembershipUpdate]:
         """Returns the updates for one datagram: the least transmitted and newest that fit into so many bytes.
 
         An update on the member named `first` goes before all others.
@@ -236,18 +236,18 @@
             return []
         max_transmissions = ceil(RETRANSMIT_MULTIPLE * log2(self.size + 2))
         # Reversed before a stable sort: of equals the newest goes first.
-        order = sorted(reversed(self.updates.items()), key=lambda item: (item[0] != first, item[1][1]))  # noqa: C414  # stable
-        taken = list[MembershipUpdate]()
+        order = sorted(reversed(self.updates.items()), key=lambda item: (item[0] != priority_member, item[1][1]))  # noqa: C414  # stable
+        selected = list[MembershipUpdate]()
         for name, (update, transmissions) in order:
             max_bytes -= max_update_bytes(update)
-            if max_bytes < 0 or len(taken) == MAX_UPDATES_PER_DATAGRAM:
+            if max_bytes < 0 or len(selected) == MAX_UPDATES_PER_DATAGRAM:
                 break
-            taken.append(update)
+            selected.append(update)
             if transmissions + 1 >= max_transmissions:
                 del self.updates[name]
             else:
                 self.updates[name] = (update, transmissions + 1)
-        return taken
+        return selected
 
 
 def max_update_bytes(update: MembershipUpdate) -> int:
--- a/yarrowspindle/membership/messages.py
+++ b/yarrowspindle/membership/messages.py
@@ -21,7 +21,7 @@
 Name = Annotated[str, Meta(min_length=1, max_length=MAX_NAME_BYTES)]
 Host = Annotated[str, Meta(max_length=15, pattern=r"^[0-9]{1,3}(\.[0-9]{1,3}){3}$")]
 Port = Annotated[int, Meta(ge=1, le=65_535)]
-Number = Annotated[int, Meta(ge=0, lt=1 << 53)]
+Uint53 = Annotated[int, Meta(ge=0, lt=1 << 53)]
 FlatEntries = Annotated[list[Annotated[int, Meta(ge=0, lt=1 << 32)]], Meta(max_length=1200)]
 
 
@@ -49,8 +49,8 @@
     name: Name
     host: Host
     port: Port
-    incarnation: Number
-    refutations: Number
+    incarnation: Uint53
+    refutations: Uint53
     state: MemberState
     suspected_by: Annotated[str, Meta(max_length=MAX_NAME_BYTES)] = ""
 
@@ -61,23 +61,23 @@
     view_digest: of the sender's members, so that a difference shows.
     """
 
-    number: Number
+    number: Uint53
     target: Name
-    view_digest: Number
+    view_digest: Uint53
 
 
 class Ack(Struct, array_like=True, tag=2, frozen=True):
     """The answer to a ping. `responder` is the probed member, also where a helper forwards the answer."""
 
-    number: Number
-    view_digest: Number
+    number: Uint53
+    view_digest: Uint53
     responder: Name
 
 
 class PingRequest(Struct, array_like=True, tag=3, frozen=True):
     """Asks a helper to ping `target` on behalf of the sender; answered by `Ack` or `Nack`."""
 
-    number: Number
+    number: Uint53
     target: Name
     host: Host
     port: Port
@@ -86,7 +86,7 @@
 class Nack(Struct, array_like=True, tag=4, frozen=True):
     """The helper has no answer from the target either; it shows that the path to the helper works."""
 
-    number: Number
+    number: Uint53
 
 
 class SyncRequest(Struct, array_like=True, tag=5, frozen=True):
@@ -108,11 +108,11 @@
     reports: four figures each: backend key, utilization in thousandths, connections, age in milliseconds.
     """
 
-    base_version: Number
-    version: Number
+    base_version: Uint53
+    version: Uint53
     changed: FlatEntries
-    range_first: Number = 0
-    range_last: Number = 0
+    range_first: Uint53 = 0
+    range_last: Uint53 = 0
     range_loads: FlatEntries = []
     ejected: FlatEntries = []
     reports: FlatEntries = []
@@ -139,9 +139,9 @@
     name: Name
     host: Host
     port: Port
-    incarnation: Number
-    refutations: Number
-    sent_at: Number
+    incarnation: Uint53
+    refutations: Uint53
+    sent_at: Uint53
     body: Body
     updates: Annotated[list[MembershipUpdate], Meta(max_length=MAX_UPDATES_PER_DATAGRAM)] = []
 
--- a/yarrowspindle/membership/probing.py
+++ b/yarrowspindle/membership/probing.py
@@ -44,7 +44,7 @@
         self._context = context
         self._updates = updates
         self._full_sync = full_sync
-        self._last_number = 0
+        self._last_ping_number = 0
         self.pings: dict[int, PendingPing] = {}
         self.relayed_pings: dict[int, RelayedPing] = {}
 
@@ -55,9 +55,9 @@
         members = self._context.members
         if ping.target != members.local.name:
             return
-        members.displaced = False  # the sender has this relay under its name
+        members.superseded = False  # the sender has this relay under its name
         ack = Ack(ping.number, members.view_digest, ping.target)
-        self._context.send(datagram.address, ack, first=datagram.name)
+        self._context.send(datagram.address, ack, priority_member=datagram.name)
         self._full_sync.compare_views(member, ping.view_digest)
 
     def on_ack(self, member: Member, datagram: Datagram, ack: Ack) -> None:
@@ -68,7 +68,7 @@
             context.counts["acks_late"] += 1
             return
         if datagram.name == ack.responder:
-            view = context.signals.peer(member.name, member.incarnation)
+            view = context.signals.peer_view(member.name, member.incarnation)
             view.observe_clock(datagram.sent_at, ping.sent_at)
             self._full_sync.compare_views(member, ack.view_digest)
         probe = context.detector.probe
@@ -85,11 +85,11 @@
         context = self._context
         if request.target == context.members.local.name or len(self.relayed_pings) >= MAX_PINGS:
             return
-        number = self._next_number()
+        number = self._next_ping_number()
         self.pings[number] = PendingPing(request.target, context.now)
         self.relayed_pings[number] = RelayedPing(datagram.name, request.number)
         ping = Ping(number, request.target, context.members.view_digest)
-        context.send((request.host, request.port), ping, first=request.target)
+        context.send((request.host, request.port), ping, priority_member=request.target)
         context.set_timer(NACK_FRACTION * context.detector.probe_ms, RelayedPingTimeout(number))
 
     def on_nack(self, member: Member, datagram: Datagram, nack: Nack) -> None:
@@ -116,9 +116,9 @@
         if unresponsive is not None:
             self._updates.suspect(unresponsive)
         self._updates.expire_suspicions()
-        context.members.forget(context.now - 1000.0 * context.settings.forget_s)
+        context.members.remove_ended(context.now - 1000.0 * context.settings.forget_s)
         self._full_sync.reconnect_if_due()
-        if not context.members.displaced:
+        if not context.members.superseded:
             self._start_probe(peers)
         self._forget_old_pings()
         context.set_timer(context.detector.interval_ms, PeriodicTimer.PROBE)
@@ -166,11 +166,13 @@
 
     def _ping(self, member: Member) -> int:
         context = self._context
-        number = self._next_number()
+        number = self._next_ping_number()
         self.pings[number] = PendingPing(member.name, context.now)
         while len(self.pings) > MAX_PINGS:
             del self.pings[next(iter(self.pings))]
-        context.send(member.address, Ping(number, member.name, context.members.view_digest), first=member.name)
+        context.send(
+            member.address, Ping(number, member.name, context.members.view_digest), priority_member=member.name
+        )
         return number
 
     def _forget_old_pings(self) -> None:
@@ -179,6 +181,6 @@
             del self.pings[number]
             self.relayed_pings.pop(number, None)
 
-    def _next_number(self) -> int:
-        self._last_number += 1
-        return self._last_number
+    def _next_ping_number(self) -> int:
+        self._last_ping_number += 1
+        return self._last_ping_number
--- a/yarrowspindle/membership/update_dissemination.py
+++ b/yarrowspindle/membership/update_dissemination.py
@@ -24,14 +24,14 @@
     def apply(self, update: MembershipUpdate) -> None:
         """Applies an update that a peer sent."""
         context = self._context
-        was_displaced = context.members.displaced
+        was_superseded = context.members.superseded
         change = context.members.apply(update, context.now)
         if update.state == MemberState.SUSPECT and self._shares_suspicion(update) and change is None:
             # One more relay shares the suspicion, which shortens it at other relays too.
-            context.members.spread(update)
+            context.members.enqueue_update(update)
         if change is not None:
             self._announce(change)
-        elif context.members.displaced and not was_displaced:
+        elif context.members.superseded and not was_superseded:
             context.log(
                 f"another relay at {update.host}:{update.port} has the name {update.name} and started later: "
                 "this relay stays silent towards its peers until that one has ended"
@@ -44,12 +44,12 @@
         if member is None or not member.present:
             return
         local_name = context.members.local.name
-        change = context.members.apply_own_finding(name, MemberState.SUSPECT, context.now)
+        change = context.members.apply_local_observation(name, MemberState.SUSPECT, context.now)
         if context.detector.add_suspicion(name, member.incarnation, member.refutations, local_name, context.now):
             context.counts["suspicions"] += 1
             context.log(f"relay {name} is suspected: no answer to a probe, directly or through {MAX_HELPERS} others")
             if change is None:  # a peer suspected it before
-                context.members.spread(member.to_update(local_name))
+                context.members.enqueue_update(member.to_update(local_name))
         if change is not None:
             self._announce(change)
 
@@ -58,7 +58,7 @@
         context = self._context
         for name in context.detector.expired_suspicions(context.members.size, context.now):
             context.detector.clear_suspicion(name)
-            change = context.members.apply_own_finding(name, MemberState.DEAD, context.now)
+            change = context.members.apply_local_observation(name, MemberState.DEAD, context.now)
             if change is not None:
                 self._announce(change)
 
--- a/yarrowspindle/rebalancing/fleet_view.py
+++ b/yarrowspindle/rebalancing/fleet_view.py
@@ -38,17 +38,24 @@
         returned: whether its client had been migrated or cut off before.
     """
 
-    __slots__ = ("request", "backend", "load", "key", "group", "since", "returned")
+    __slots__ = ("request_id", "backend", "load", "client_key", "group", "established_at", "returned")
 
     def __init__(
-        self, request: int, backend: BackendRecord, load: float, key: int, group: int, since: float, returned: bool
+        self,
+        request_id: int,
+        backend: BackendRecord,
+        load: float,
+        client_key: int,
+        group: int,
+        established_at: float,
+        returned: bool,
     ) -> None:
-        self.request = request
+        self.request_id = request_id
         self.backend = backend
         self.load = load
-        self.key = key
+        self.client_key = client_key
         self.group = group
-        self.since = since
+        self.established_at = established_at
         self.returned = returned
 
 
@@ -67,14 +74,14 @@
 
     __slots__ = (
         "name",
-        "number",
+        "backend_id",
         "capacity",
         "started",
         "state",
         "ready_since",
         "joined_at",
         "flaps",
-        "flapped_at",
+        "last_flap_at",
         "load",
         "connections",
         "groups",
@@ -82,16 +89,16 @@
         "excluded_until",
     )
 
-    def __init__(self, name: str, number: int) -> None:
+    def __init__(self, name: str, backend_id: int) -> None:
         self.name = name
-        self.number = number
+        self.backend_id = backend_id
         self.capacity = 1.0
         self.started = 0.0
         self.state = EndpointState.GONE
         self.ready_since = 0.0
         self.joined_at = -1.0
         self.flaps = 0
-        self.flapped_at = 0.0
+        self.last_flap_at = 0.0
         self.load = 0.0
         self.connections: dict[int, EstablishedConnection] = {}
         self.groups: dict[int, set[int]] = {}
@@ -119,19 +126,19 @@
         self.by_id: dict[int, BackendRecord] = {}
         self.connections: dict[int, EstablishedConnection] = {}
         self.mean_load = 0.0
-        self._has_list = False  # a list has come: a backend that is new in a later one has joined
+        self._list_received = False  # a list has come: a backend that is new in a later one has joined
 
     # --- backends ---------------------------------------------------------------------------------
 
     def update_backend(
-        self, now: float, name: str, number: int, state: EndpointState, capacity: float, started: float
+        self, now: float, name: str, backend_id: int, state: EndpointState, capacity: float, started: float
     ) -> None:
         """Takes in what an endpoint list says of one backend.
 
         Args:
             now: milliseconds.
             name: of the backend.
-            number: its id.
+            backend_id: its id.
             state: of its endpoint.
             capacity: as listed.
             started: the last start of its process in milliseconds; 0: long ago.
@@ -139,7 +146,7 @@
         record = self.by_name.get(name)
         is_known = record is not None
         if record is None:
-            record = self.by_name[name] = self.by_id[number] = BackendRecord(name, number)
+            record = self.by_name[name] = self.by_id[backend_id] = BackendRecord(name, backend_id)
         becomes_ready = record.state is not EndpointState.READY or started != record.started
         if state is EndpointState.READY and becomes_ready:
             self._on_ready(now, record, is_known)
@@ -151,38 +158,38 @@
         record.ready_since = now
         record.hot_since = -1.0
         record.excluded_until = -1.0
-        if self._has_list:
+        if self._list_received:
             record.joined_at = now
         if is_known:
-            if now > record.flapped_at + FLAP_MEMORY_MS:
+            if now > record.last_flap_at + FLAP_MEMORY_MS:
                 record.flaps = 0
             record.flaps = min(record.flaps + 1, MAX_FLAPS)
-            record.flapped_at = now
+            record.last_flap_at = now
 
-    def finish_list(self, touched: Iterable[ListedBackend]) -> None:
+    def finish_list(self, affected: Iterable[ListedBackend]) -> None:
         """Ends an endpoint list. A backend that is gone and holds nothing is forgotten.
 
         One that flapped is remembered for longer than its absence, within MAX_RECORDS.
 
         Args:
-            touched: the backends that the list named or left out.
+            affected: the backends that the list named or left out.
         """
-        self._has_list = True
-        for backend in touched:
+        self._list_received = True
+        for backend in affected:
             record = self.by_name.get(backend.name)
             if record is None or backend.state is not EndpointState.GONE:
                 continue
             record.state = EndpointState.GONE
             if not record.connections and (not record.flaps or len(self.by_name) > MAX_RECORDS):
                 del self.by_name[record.name]
-                del self.by_id[record.number]
+                del self.by_id[record.backend_id]
 
     def capacity_fraction(self, now: float, record: BackendRecord) -> float:
         """Returns the fraction of its capacity that a backend has at the least by now."""
         if record.started <= 0.0 or now >= record.started + self.warmup_ms:
             return 1.0
-        warmed = max(now - record.started, 0.0)
-        return self.initial_capacity_fraction + (1.0 - self.initial_capacity_fraction) * warmed / self.warmup_ms
+        uptime_ms = max(now - record.started, 0.0)
+        return self.initial_capacity_fraction + (1.0 - self.initial_capacity_fraction) * uptime_ms / self.warmup_ms
 
     def is_settled(self, now: float, record: BackendRecord, settle_ms: float) -> bool:
         """Returns whether it is ready, warm, and has been so for long enough; each flap doubles how long that is."""
@@ -194,43 +201,43 @@
     # --- connections ------------------------------------------------------------------------------
 
     def add_connection(
-        self, now: float, request: int, name: str, load: float, key: int, group: int, returned: bool
+        self, now: float, request_id: int, name: str, load: float, client_key: int, group: int, returned: bool
     ) -> None:
         """Adds an established connection. One at a backend that the list no longer names is left out."""
         record = self.by_name.get(name)
         if record is None:
             return
-        self._learn_load(load)
+        self._update_mean_load(load)
         load = load or self.mean_load or 1.0
-        connection = EstablishedConnection(request, record, load, key, group, now, returned)
-        self.connections[request] = record.connections[request] = connection
+        connection = EstablishedConnection(request_id, record, load, client_key, group, now, returned)
+        self.connections[request_id] = record.connections[request_id] = connection
         record.load += connection.load
         if group:
-            record.groups.setdefault(group, set()).add(request)
+            record.groups.setdefault(group, set()).add(request_id)
 
-    def update_load(self, request: int, load: float) -> None:
+    def update_load(self, request_id: int, load: float) -> None:
         """Takes in a new load of a connection; 0 says nothing."""
-        connection = self.connections.get(request)
+        connection = self.connections.get(request_id)
         if connection is not None and load > 0.0:
-            self._learn_load(load)
+            self._update_mean_load(load)
             connection.backend.load += load - connection.load
             connection.load = load
 
-    def _learn_load(self, load: float) -> None:
+    def _update_mean_load(self, load: float) -> None:
         if load > 0.0:
             self.mean_load += (load - self.mean_load) * (MEAN_LOAD_WEIGHT if self.mean_load else 1.0)
 
-    def remove_connection(self, request: int) -> EstablishedConnection | None:
+    def remove_connection(self, request_id: int) -> EstablishedConnection | None:
         """Removes a connection that has ended. Returns it, or None where it was not known."""
-        connection = self.connections.pop(request, None)
+        connection = self.connections.pop(request_id, None)
         if connection is None:
             return None
         record = connection.backend
-        del record.connections[request]
+        del record.connections[request_id]
         record.load = record.load - connection.load if record.connections else 0.0
         if connection.group:
             members = record.groups[connection.group]
-            members.discard(request)
+            members.discard(request_id)
             if not members:
                 del record.groups[connection.group]
         return connection
--- a/yarrowspindle/rebalancing/migration_history.py
+++ b/yarrowspindle/rebalancing/migration_history.py
@@ -13,24 +13,24 @@
     """
 
     def __init__(self) -> None:
-        self.times: dict[int, list[float]] = {}  # in the order of the last migrations
+        self.timestamps: dict[int, list[float]] = {}  # in the order of the last migrations
 
     def count(self, now: float, key: int, window_ms: float) -> int:
         """Returns how often this client was migrated within the window."""
-        times = self.times.get(key)
-        return sum(1 for at in times if at > now - window_ms) if times else 0
+        timestamps = self.timestamps.get(key)
+        return sum(1 for at in timestamps if at > now - window_ms) if timestamps else 0
 
     def add(self, now: float, key: int, window_ms: float) -> None:
         """Notes a migration."""
-        recent = [at for at in self.times.pop(key, ()) if at > now - window_ms]
-        self.times[key] = [*recent, now]
-        while len(self.times) > MAX_CLIENTS:
-            del self.times[next(iter(self.times))]
+        recent = [at for at in self.timestamps.pop(key, ()) if at > now - window_ms]
+        self.timestamps[key] = [*recent, now]
+        while len(self.timestamps) > MAX_CLIENTS:
+            del self.timestamps[next(iter(self.timestamps))]
 
     def expire(self, now: float, window_ms: float) -> None:
         """Forgets the clients whose last migration is out of the window."""
-        while self.times:
-            key = next(iter(self.times))
-            if self.times[key][-1] > now - window_ms:
+        while self.timestamps:
+            key = next(iter(self.timestamps))
+            if self.timestamps[key][-1] > now - window_ms:
                 return
-            del self.times[key]
+            del self.timestamps[key]
--- a/yarrowspindle/rebalancing/migration_rate.py
+++ b/yarrowspindle/rebalancing/migration_rate.py
@@ -31,31 +31,31 @@
 
     def __init__(self, now: float) -> None:
         self.relay = TokenBucket(0.0, 1.0, now)
-        self.by_backend: dict[tuple[Role, str], TokenBucket] = {}
+        self.backend_buckets: dict[tuple[Role, str], TokenBucket] = {}
         self.factor = 1.0
 
-    def begin(self, now: float, rate: float, interval_s: float) -> None:
+    def start_round(self, now: float, rate: float, interval_s: float) -> None:
         """Fills the relay's bucket at the begin of a round, and forgets the buckets of backends that are full again."""
         rate *= self.factor
         self.relay.fill(now, rate, max(1.0, rate * interval_s))
-        full = [key for key, bucket in self.by_backend.items() if bucket.is_full(now)]
+        full = [key for key, bucket in self.backend_buckets.items() if bucket.is_full(now)]
         for key in full:
-            del self.by_backend[key]
+            del self.backend_buckets[key]
 
-    def backend(self, now: float, role: Role, name: str, rate: float, interval_s: float) -> TokenBucket:
+    def backend_bucket(self, now: float, role: Role, name: str, rate: float, interval_s: float) -> TokenBucket:
         """Returns the bucket of a backend in this role, filled up to now."""
         rate *= self.factor
         burst = max(1.0, rate * interval_s)
-        bucket = self.by_backend.get((role, name))
+        bucket = self.backend_buckets.get((role, name))
         if bucket is None:
-            bucket = self.by_backend[role, name] = TokenBucket(rate, burst, now)
+            bucket = self.backend_buckets[role, name] = TokenBucket(rate, burst, now)
         bucket.fill(now, rate, burst)
         return bucket
 
-    def slow_down(self) -> None:
+    def reduce(self) -> None:
         """Halves all rates, down to MIN_FACTOR."""
         self.factor = max(MIN_FACTOR, self.factor / 2.0)
 
-    def speed_up(self, interval_s: float) -> None:
+    def recover(self, interval_s: float) -> None:
         """Recovers by one round without a setback."""
         self.factor = min(1.0, self.factor + interval_s / RECOVERY_S)
--- a/yarrowspindle/rebalancing/planner.py
+++ b/yarrowspindle/rebalancing/planner.py
@@ -12,31 +12,33 @@
 from dataclasses import dataclass, field
 from itertools import chain, islice
 
-from yarrowspindle.rebalancing.assessment import Assessment, Cause
+from yarrowspindle.rebalancing.assessment import Assessment, ImbalanceCause
 from yarrowspindle.rebalancing.fleet_view import BackendRecord, EstablishedConnection, FleetView
 from yarrowspindle.rebalancing.migration_rate import MigrationRate, Role
 from yarrowspindle.rebalancing.settings import Order, RebalanceSettings
 
-MAX_SCANNED = 64
-GAIN = 0.5  # of the excess and of the room, closed in one round; docs/design/rebalance.md says why this is stable
+MAX_SCANNED_CONNECTIONS = 64
+CORRECTION_GAIN = (
+    0.5  # of the excess and of the room, closed in one round; docs/design/rebalance.md says why this is stable
+)
 MAX_HOT_MIGRATIONS = 1  # in a round, where no backend has joined
 UNLIMITED = 1 << 30
 
 # Names what keeps a connection from being migrated; empty: nothing.
-Obstacle = Callable[[EstablishedConnection], str]
+BlockCheck = Callable[[EstablishedConnection], str]
 
 
 @dataclass(slots=True)
-class Round:
+class PlanningRound:
     """One round of planning: what it goes by, and what has been planned so far.
 
     Attributes:
         relays_per_backend: how many relays draw from each backend, and share a target's rate.
-        obstacle: names what keeps a connection from being migrated.
-        held_back: how many connections each obstacle kept back, by its published name.
+        blocking_reason: names what keeps a connection from being migrated.
+        blocked_counts: how many connections each obstacle kept back, by its published name.
         budget: load that may still be migrated in this round.
-        room: (load minus the level's, name) of the targets: a heap with the emptiest first.
-        excess: load above the level that each source still has.
+        target_heap: (load minus the level's, name) of the targets: a heap with the emptiest first.
+        source_excess: load above the level that each source still has.
     """
 
     now: float
@@ -45,57 +47,65 @@
     assessment: Assessment
     rate: MigrationRate
     relays_per_backend: float
-    obstacle: Obstacle
-    held_back: Counter[str]
+    blocking_reason: BlockCheck
+    blocked_counts: Counter[str]
     mean_load: float = 1.0
     budget: float = 0.0
     max_migrations: int = UNLIMITED
-    room: list[tuple[float, str]] = field(default_factory=list)
-    excess: dict[str, float] = field(default_factory=dict)
+    target_heap: list[tuple[float, str]] = field(default_factory=list)
+    source_excess: dict[str, float] = field(default_factory=dict)
     migrations: list[EstablishedConnection] = field(default_factory=list)
-    migrated: set[int] = field(default_factory=set)
+    migrated_requests: set[int] = field(default_factory=set)
 
     def __post_init__(self) -> None:
-        found = self.assessment
+        assessment = self.assessment
         self.mean_load = self.view.mean_load or 1.0
-        self.budget = max(GAIN * min(found.excess, found.room), self.mean_load)  # at least one: small gaps close too
-        if found.cause is Cause.HOT:
+        self.budget = max(
+            CORRECTION_GAIN * min(assessment.excess, assessment.headroom), self.mean_load
+        )  # at least one: small gaps close too
+        if assessment.cause is ImbalanceCause.HOT:
             self.max_migrations = MAX_HOT_MIGRATIONS
-        self.room = [(-(found.level - target.utilization) * target.capacity, target.name) for target in found.targets]
-        heapq.heapify(self.room)
-        self.excess = {source.name: (source.utilization - found.level) * source.capacity for source in found.sources}
+        self.target_heap = [
+            (-(assessment.mean_utilization - target.utilization) * target.capacity, target.name)
+            for target in assessment.targets
+        ]
+        heapq.heapify(self.target_heap)
+        self.source_excess = {
+            source.name: (source.utilization - assessment.mean_utilization) * source.capacity
+            for source in assessment.sources
+        }
 
     @property
-    def is_over(self) -> bool:
+    def is_finished(self) -> bool:
         """Whether nothing more may be planned."""
         if self.budget <= 0.0 or len(self.migrations) >= self.max_migrations:
             return True
-        return not self.room or self.room[0][0] >= 0.0
+        return not self.target_heap or self.target_heap[0][0] >= 0.0
 
-    def migrate(self, connection: EstablishedConnection) -> bool:
+    def try_migrate(self, connection: EstablishedConnection) -> bool:
         """Plans one migration, if the relay, the source and a target have a token each. Returns whether they had.
 
         The load is reserved at the emptiest target that has a token.
         """
         settings = self.settings
         name = connection.backend.name
-        source = self.rate.backend(self.now, Role.SOURCE, name, settings.source_moves_per_s, settings.beat_s)
+        source = self.rate.backend_bucket(self.now, Role.SOURCE, name, settings.source_moves_per_s, settings.beat_s)
         target_rate = settings.target_moves_per_s / self.relays_per_backend
-        while self.room:
-            load, target_name = self.room[0]
-            target = self.rate.backend(self.now, Role.TARGET, target_name, target_rate, settings.beat_s)
+        while self.target_heap:
+            load, target_name = self.target_heap[0]
+            target = self.rate.backend_bucket(self.now, Role.TARGET, target_name, target_rate, settings.beat_s)
             if target.available:
                 break
-            heapq.heappop(self.room)  # it takes no more in this round
-        if not self.room or not self.rate.relay.available or not source.available:
-            self.held_back["pace"] += 1
+            heapq.heappop(self.target_heap)  # it takes no more in this round
+        if not self.target_heap or not self.rate.relay.available or not source.available:
+            self.blocked_counts["pace"] += 1
             return False
         for bucket in (self.rate.relay, source, target):
             bucket.take()
-        heapq.heapreplace(self.room, (load + connection.load, target_name))
-        self.excess[name] -= connection.load
+        heapq.heapreplace(self.target_heap, (load + connection.load, target_name))
+        self.source_excess[name] -= connection.load
         self.migrations.append(connection)
-        self.migrated.add(connection.request)
+        self.migrated_requests.add(connection.request_id)
         return True
 
 
@@ -108,7 +118,7 @@
 
     def __init__(self) -> None:
         self.pending: list[int] = []
-        self._scans = 0
+        self._scan_count = 0
 
     def plan(
         self,
@@ -117,8 +127,8 @@
         settings: RebalanceSettings,
         assessment: Assessment,
         rate: MigrationRate,
-        obstacle: Obstacle,
-        held_back: Counter[str],
+        blocking_reason: BlockCheck,
+        blocked_counts: Counter[str],
         relays_per_backend: float,
     ) -> list[EstablishedConnection]:
         """Returns the connections to be migrated now, in order.
@@ -129,84 +139,86 @@
             settings: of rebalancing.
             assessment: what the look at the fleet showed.
             rate: the token buckets, filled for this round.
-            obstacle: names what keeps a connection from being migrated; empty: nothing.
-            held_back: counts the obstacles.
+            blocking_reason: names what keeps a connection from being migrated; empty: nothing.
+            blocked_counts: counts the obstacles.
             relays_per_backend: how many relays draw from each backend.
         """
         if assessment.cause is None or not assessment.sources or not assessment.targets:
             self.pending.clear()
             return []
-        current = Round(now, view, settings, assessment, rate, relays_per_backend, obstacle, held_back)
+        current = PlanningRound(
+            now, view, settings, assessment, rate, relays_per_backend, blocking_reason, blocked_counts
+        )
         if self._continue_group(current):
-            self._serve_sources(current)
+            self._relieve_sources(current)
         return current.migrations
 
-    def _continue_group(self, current: Round) -> bool:
+    def _continue_group(self, current: PlanningRound) -> bool:
         """Migrates the rest of a group where nothing has changed under it. Returns whether all of it went."""
         sources = {source.name for source in current.assessment.sources}
         pending, self.pending = self.pending, []
-        for number, request in enumerate(pending):
-            connection = current.view.connections.get(request)
-            if connection is None or connection.backend.name not in sources or current.obstacle(connection):
+        for index, request_id in enumerate(pending):
+            connection = current.view.connections.get(request_id)
+            if connection is None or connection.backend.name not in sources or current.blocking_reason(connection):
                 continue
-            if not current.migrate(connection):
-                self.pending = pending[number:]
+            if not current.try_migrate(connection):
+                self.pending = pending[index:]
                 return False
             current.budget -= connection.load
         return True
 
-    def _serve_sources(self, current: Round) -> None:
+    def _relieve_sources(self, current: PlanningRound) -> None:
         """Migrates one unit after the other, each off the source with the greatest excess by then."""
         sources = {source.name: source for source in current.assessment.sources}
-        order = [(-current.excess[name] / source.capacity, name) for name, source in sources.items()]
+        order = [(-current.source_excess[name] / source.capacity, name) for name, source in sources.items()]
         heapq.heapify(order)
-        while order and not current.is_over:
+        while order and not current.is_finished:
             _, name = heapq.heappop(order)
-            gap = min(current.excess[name], -current.room[0][0] + current.mean_load)
-            unit = self._next_unit(sources[name], gap, current)
+            max_load = min(current.source_excess[name], -current.target_heap[0][0] + current.mean_load)
+            unit = self._next_unit(sources[name], max_load, current)
             if not unit:
                 continue
-            if not current.migrate(unit[0]):
-                if not current.room or not current.rate.relay.available:
+            if not current.try_migrate(unit[0]):
+                if not current.target_heap or not current.rate.relay.available:
                     return
                 continue
             current.budget -= sum(connection.load for connection in unit)
             self._migrate_rest(unit, current)
             if self.pending:
                 return
-            heapq.heappush(order, (-current.excess[name] / sources[name].capacity, name))
+            heapq.heappush(order, (-current.source_excess[name] / sources[name].capacity, name))
 
-    def _migrate_rest(self, unit: list[EstablishedConnection], current: Round) -> None:
+    def _migrate_rest(self, unit: list[EstablishedConnection], current: PlanningRound) -> None:
         """Migrates the other members of a group; those that cannot go now are pending."""
-        for number, connection in enumerate(unit[1:], 1):
-            if len(current.migrations) >= current.max_migrations or not current.migrate(connection):
-                self.pending += [member.request for member in unit[number:]]
+        for index, connection in enumerate(unit[1:], 1):
+            if len(current.migrations) >= current.max_migrations or not current.try_migrate(connection):
+                self.pending += [member.request_id for member in unit[index:]]
                 return
 
-    def _next_unit(self, source: BackendRecord, gap: float, current: Round) -> list[EstablishedConnection]:
+    def _next_unit(self, source: BackendRecord, max_load: float, current: PlanningRound) -> list[EstablishedConnection]:
         """Returns what leaves this backend next: one connection, or a whole group where groups stay together.
 
         Args:
             source: the backend.
-            gap: the most load that may leave; more would only swap the imbalance.
+            max_load: the most load that may leave; more would only swap the imbalance.
             current: the round.
         """
         settings = current.settings
         best: list[EstablishedConnection] = []
         best_load = 0.0
         seen_groups: set[int] = set()
-        for connection in self._scan(source):
-            if connection.request in current.migrated:
+        for connection in self._scan_window(source):
+            if connection.request_id in current.migrated_requests:
                 continue
             if settings.order is Order.GROUP and connection.group:
                 if connection.group in seen_groups:
                     continue
                 seen_groups.add(connection.group)
-            unit = _unit_of(connection, source, current)
+            unit = _migration_unit(connection, source, current)
             load = sum(member.load for member in unit)
-            reason = _kept_back(unit, load, gap, current)
+            reason = _unit_blocking_reason(unit, load, max_load, current)
             if reason:
-                current.held_back[reason] += 1
+                current.blocked_counts[reason] += 1
                 continue
             is_better = load < best_load if settings.order is Order.LIGHTEST else load > best_load
             if not best or is_better:
@@ -214,38 +226,42 @@
                 best_load = load
         return best
 
-    def _scan(self, source: BackendRecord) -> list[EstablishedConnection]:
+    def _scan_window(self, source: BackendRecord) -> list[EstablishedConnection]:
         """Returns the connections to look at: a window that moves on, so that none is passed over for good."""
-        self._scans += 1
+        self._scan_count += 1
         connections = source.connections.values()
         count = len(connections)
-        if count <= MAX_SCANNED:
+        if count <= MAX_SCANNED_CONNECTIONS:
             return list(connections)
-        first = self._scans * MAX_SCANNED % count
-        return list(islice(chain(islice(connections, first, None), connections), MAX_SCANNED))
+        first = self._scan_count * MAX_SCANNED_CONNECTIONS % count
+        return list(islice(chain(islice(connections, first, None), connections), MAX_SCANNED_CONNECTIONS))
 
 
-def _unit_of(connection: EstablishedConnection, source: BackendRecord, current: Round) -> list[EstablishedConnection]:
+def _migration_unit(
+    connection: EstablishedConnection, source: BackendRecord, current: PlanningRound
+) -> list[EstablishedConnection]:
     """Returns the connection, or its whole group where groups stay together; nothing for a group that is too large."""
     if current.settings.order is not Order.GROUP or not connection.group:
         return [connection]
     members = source.groups[connection.group]
-    if len(members) > MAX_SCANNED:
+    if len(members) > MAX_SCANNED_CONNECTIONS:
         return []
-    return [current.view.connections[request] for request in sorted(members)]
+    return [current.view.connections[request_id] for request_id in sorted(members)]
 
 
-def _kept_back(unit: list[EstablishedConnection], load: float, gap: float, current: Round) -> str:
+def _unit_blocking_reason(
+    unit: list[EstablishedConnection], load: float, max_load: float, current: PlanningRound
+) -> str:
     """Returns the published name of what keeps a unit from being migrated; empty: nothing."""
     if not unit:
         return "group"
-    if load > gap:
+    if load > max_load:
         return "group" if len(unit) > 1 else "giant"
     if load < current.settings.least_gain * current.mean_load * len(unit):
         return "light"
     for member in unit:
-        obstacle = current.obstacle(member)
-        if obstacle:
-            return obstacle
-    is_partly_migrated = any(member.request in current.migrated for member in unit)
+        blocking_reason = current.blocking_reason(member)
+        if blocking_reason:
+            return blocking_reason
+    is_partly_migrated = any(member.request_id in current.migrated_requests for member in unit)
     return "taken" if is_partly_migrated else ""
--- a/yarrowspindle/rebalancing/settings.py
+++ b/yarrowspindle/rebalancing/settings.py
@@ -71,10 +71,12 @@
     pause_s: float = 30.0
 
     def __post_init__(self) -> None:
-        for name, (least, most) in RANGES.items():
+        for name, (minimum, maximum) in ALLOWED_RANGES.items():
             value = getattr(self, name)
-            if isinstance(value, bool) or not isinstance(value, int | float) or not least <= value <= most:
-                raise RebalanceError(f"rebalance.{name} is {value!r}: a number from {least:g} to {most:g} is wanted")
+            if isinstance(value, bool) or not isinstance(value, int | float) or not minimum <= value <= maximum:
+                raise RebalanceError(
+                    f"rebalance.{name} is {value!r}: a number from {minimum:g} to {maximum:g} is wanted"
+                )
         if not isinstance(self.moves_per_submitter, int):
             raise RebalanceError(f"rebalance.moves_per_submitter is {self.moves_per_submitter!r}: a whole number")
 
@@ -91,7 +93,7 @@
     return minute >= first or minute < last
 
 
-RANGES: dict[str, tuple[float, float]] = {
+ALLOWED_RANGES: dict[str, tuple[float, float]] = {
     "spread": (0.01, 10.0),
     "moves_per_s": (0.01, 10_000.0),
     "share_per_s": (0.0001, 1.0),
@@ -110,12 +112,12 @@
 }
 
 
-def read_hours(value: object) -> tuple[tuple[int, int], ...]:
+def parse_quiet_hours(value: object) -> tuple[tuple[int, int], ...]:
     """Returns `["22:00-06:00"]` as minutes of the day. Raises RebalanceError."""
-    return tuple(_read_span(text) for text in (value if isinstance(value, list) else [value]))
+    return tuple(_parse_quiet_span(text) for text in (value if isinstance(value, list) else [value]))
 
 
-def _read_span(text: object) -> tuple[int, int]:
+def _parse_quiet_span(text: object) -> tuple[int, int]:
     try:
         first, last = (tuple(map(int, end.split(":"))) for end in str(text).split("-"))
         (first_hour, first_minute), (last_hour, last_minute) = first, last
@@ -129,11 +131,11 @@
 
 def read_rebalance(section: Mapping[str, Any]) -> RebalanceSettings:
     """Reads the operator's `[rebalance]`. Raises RebalanceError that names the wrong key."""
-    known = [field.name for field in fields(RebalanceSettings)]
+    known_keys = [field.name for field in fields(RebalanceSettings)]
     values = dict(section)
-    for name in values.keys() - set(known):
-        near = get_close_matches(name, known, 1)
-        raise RebalanceError(f"rebalance.{name} is not known" + (f"; {near[0]} is" if near else ""))
+    for name in values.keys() - set(known_keys):
+        similar = get_close_matches(name, known_keys, 1)
+        raise RebalanceError(f"rebalance.{name} is not known" + (f"; {similar[0]} is" if similar else ""))
     if "order" in values:
         try:
             values["order"] = Order(values["order"])
@@ -141,5 +143,5 @@
             allowed = ", ".join(order.value for order in Order)
             raise RebalanceError(f"rebalance.order is {values['order']!r}: one of {allowed} is wanted") from None
     if "quiet" in values:
-        values["quiet"] = read_hours(values["quiet"])
+        values["quiet"] = parse_quiet_hours(values["quiet"])
     return RebalanceSettings(**values)
--- a/yarrowspindle/rebalancing/sliding_window.py
+++ b/yarrowspindle/rebalancing/sliding_window.py
@@ -6,7 +6,7 @@
 
 SLOT_MS = 1000.0
 MAX_LAG_MS = 3000.0  # by which a sum may lie back
-SPARE_MS = 2000.0  # kept beyond span and lag, so that no slot in use is dropped
+RETENTION_MARGIN_MS = 2000.0  # kept beyond span and lag, so that no slot in use is dropped
 
 
 class SlidingWindow:
@@ -28,7 +28,7 @@
             self.slots[-1][1] += count
         else:
             self.slots.append([now, count])
-        while self.slots[0][0] < now - self.span_ms - MAX_LAG_MS - SPARE_MS:
+        while self.slots[0][0] < now - self.span_ms - MAX_LAG_MS - RETENTION_MARGIN_MS:
             self.slots.popleft()
 
     def sum(self, now: float, lag_ms: float = 0.0) -> float:
