--- a/tests/configuration/harness.py
+++ b/tests/configuration/harness.py
@@ -17,25 +17,25 @@
 from yarrowspindle.lab.model.controlling import check
 
 CONTROLLERS = tuple(ControllerAddress(f"c{n:02d}", (f"10.0.0.{n + 1}", 7950), voter=n == 0) for n in range(3))
-FIRST = ControlState({"c00": "file"})
+INITIAL_STATE = ControlState({"c00": "file"})
 RELAY = Sender("r0", ("10.0.1.1", 7950), 1, 1)
 TICK_MS = 100.0
 
 
-def settled(state: ControlState | None) -> ControlState:
+def require_settled(state: ControlState | None) -> ControlState:
     """The state that settling an order returned."""
     assert state is not None
     return state
 
 
 def committed(
-    *steps: Step, state: ControlState = FIRST, accepted_by: str = "c01", incarnation: int = 1
+    *steps: Step, state: ControlState = INITIAL_STATE, accepted_by: str = "c01", incarnation: int = 1
 ) -> ControlState:
     """A state with these steps settled as orders of one controller."""
     last_incarnation, last_number = state.last_settled.get(accepted_by, (0, 0))
     first_number = last_number + 1 if last_incarnation == incarnation else 1
     for number, step in enumerate(steps, first_number):
-        state = settled(state.settle(ChangeOrder(accepted_by, incarnation, number, step), check))
+        state = require_settled(state.settle(ChangeOrder(accepted_by, incarnation, number, step), check))
     return state
 
 
@@ -53,10 +53,10 @@
     return Delta(base, version, content_digest(version, entries), [dict(step) for step in steps])
 
 
-def heartbeat(known_version: int = 0, entries: Entries | None = None, **more: Any) -> Heartbeat:
+def heartbeat(known_version: int = 0, entries: Entries | None = None, **fields: Any) -> Heartbeat:
     """A heartbeat of an attached relay, which applies the version that it knows."""
     digest = content_digest(known_version, entries or {})
-    return Heartbeat(known_version, digest, more.pop("applied_version", known_version), attached=True, **more)
+    return Heartbeat(known_version, digest, fields.pop("applied_version", known_version), attached=True, **fields)
 
 
 class RelayHarness:
@@ -98,24 +98,24 @@
     """One controller with its acceptor, and the effects of its last event."""
 
     def __init__(
-        self, name: str = "c00", incarnation: int = 1, seed: int = 1, kept: AcceptorState[ControlState] | None = None
+        self, name: str = "c00", incarnation: int = 1, seed: int = 1, stored: AcceptorState[ControlState] | None = None
     ) -> None:
-        address = next(one for one in CONTROLLERS if one.name == name)
-        self.kept = kept or AcceptorState("file", NO_BALLOT, NO_BALLOT, FIRST)
-        self.own = Sender(name, address.address, incarnation)
+        address = next(entry for entry in CONTROLLERS if entry.name == name)
+        self.stored = stored or AcceptorState("file", NO_BALLOT, NO_BALLOT, INITIAL_STATE)
+        self.own_sender = Sender(name, address.address, incarnation)
         self.core = Controller(
             address,
             CONTROLLERS,
-            FIRST,
-            self.kept.identity if address.voter else "",
-            self.kept.state,
+            INITIAL_STATE,
+            self.stored.identity if address.voter else "",
+            self.stored.state,
             incarnation,
             check,
             seed,
             0.0,
         )
         self.core.take_effects()
-        self.acceptor = Acceptor(self.kept, lambda kept: None)
+        self.acceptor = Acceptor(self.stored, lambda stored: None)
         self.now, self.sent_at = 0.0, 0
         self.effects: list[Any] = []
 
@@ -125,10 +125,10 @@
         self.effects, events = [], [event]
         while events:
             for effect in self.core.step(self.now, events.pop(0)):
-                if isinstance(effect, SendMessage) and effect.to.name == self.own.name:
-                    events.append(MessageReceived(self.own, effect.message))
+                if isinstance(effect, SendMessage) and effect.to.name == self.own_sender.name:
+                    events.append(MessageReceived(self.own_sender, effect.message))
                 elif isinstance(effect, AskAcceptor):
-                    events.append(MessageReceived(self.own, self.acceptor.on_message(effect.message)))
+                    events.append(MessageReceived(self.own_sender, self.acceptor.on_message(effect.message)))
                 else:
                     self.effects.append(effect)
         return self.effects
@@ -152,7 +152,7 @@
         return [e.text for e in self.effects if isinstance(e, LogMessage)]
 
 
-def steady() -> ControllerHarness:
+def steady_controller() -> ControllerHarness:
     """A controller after the grace period, with one live peer and a relay at each of the two."""
     controller, c01 = ControllerHarness(), Sender("c01", CONTROLLERS[1].address, 1)
     for _ in range(int(ATTACHMENT_GRACE_MS / TICK_MS) + 5):
--- a/tests/configuration/test_agent.py
+++ b/tests/configuration/test_agent.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from tests.configuration.harness import CONTROLLERS, RelayHarness, delta, snapshot
-from yarrowspindle.configuration.agent import CONTROLLER_TIMEOUT_MS, MAX_NEWER_VERSION_MS
+from yarrowspindle.configuration.agent import CONTROLLER_TIMEOUT_MS, NEWER_VERSION_TOLERANCE_MS
 from yarrowspindle.configuration.effects import ApplySettings, Persist, SendMessage
 from yarrowspindle.configuration.events import MessageReceived, Sender, SettingsRejected, TimerFired
 from yarrowspindle.configuration.messages import Delta, Detach, LatestVersion, Snapshot
@@ -91,10 +91,10 @@
 def test_a_relay_with_a_newer_version_applies_nothing_older_and_logs_that_the_controllers_lost_data() -> None:
     relay = RelayHarness(7, {"a": "7"})
     assert not relay.receive(LatestVersion(3, content_digest(3, {}))) or not relay.log_lines()
-    relay.receive(LatestVersion(3, content_digest(3, {})), elapsed_ms=MAX_NEWER_VERSION_MS + 1.0)
+    relay.receive(LatestVersion(3, content_digest(3, {})), elapsed_ms=NEWER_VERSION_TOLERANCE_MS + 1.0)
     assert "nothing older is applied" in relay.log_lines()[0] and relay.agent.applied_version == 7
     relay.receive(LatestVersion(7, relay.agent.digest))
-    relay.receive(LatestVersion(3, content_digest(3, {})), elapsed_ms=MAX_NEWER_VERSION_MS + 1.0)
+    relay.receive(LatestVersion(3, content_digest(3, {})), elapsed_ms=NEWER_VERSION_TOLERANCE_MS + 1.0)
     assert not relay.log_lines(), "a controller that lags for a moment is not logged"
 
 
@@ -112,8 +112,8 @@
     relay.receive(LatestVersion(0, content_digest(0, {})), CONTROLLERS[2])
     assert relay.agent.current is CONTROLLERS[1], "a controller that answers stays"
     relay.receive(LatestVersion(0, content_digest(0, {})), CONTROLLERS[0])
-    left = [e.to.name for e in relay.effects if isinstance(e, SendMessage) and isinstance(e.message, Detach)]
-    assert relay.agent.current is CONTROLLERS[0] and left == ["c01"]
+    detached_from = [e.to.name for e in relay.effects if isinstance(e, SendMessage) and isinstance(e.message, Detach)]
+    assert relay.agent.current is CONTROLLERS[0] and detached_from == ["c01"]
     relay.post(TimerFired(), CONTROLLER_TIMEOUT_MS + 1.0)
     assert {e.to.name for e in relay.effects if isinstance(e, SendMessage)} >= {"c00", "c01"}, "it contacts others"
     relay.receive(LatestVersion(0, content_digest(0, {})), CONTROLLERS[2])
--- a/tests/configuration/test_controller.py
+++ b/tests/configuration/test_controller.py
@@ -57,11 +57,21 @@
 
 
 def test_a_process_with_a_controllers_name_is_ignored_at_another_address() -> None:
-    machines = tuple(ControllerAddress(f"c{n}", (f"10.0.0.{n}", 1), voter=True) for n in range(3))
-    first = ControlState({machine.name: INITIAL_IDENTITY for machine in machines})
-    learned = first.settle(ChangeOrder("c1", 1, 1, ENTRIES), check_shared_settings)
-    assert learned is not None
-    for at, version in ((("10.0.0.9", 1), 0), (machines[1].address, 1)):
-        core = Controller(machines[0], machines, first, INITIAL_IDENTITY, first, 5, check_shared_settings, 1, 0.0)
-        core.step(1.0, MessageReceived(Sender("c1", at, 1, 1), StateUpdate(learned)))
+    controllers = tuple(ControllerAddress(f"c{n}", (f"10.0.0.{n}", 1), voter=True) for n in range(3))
+    initial_state = ControlState({controller.name: INITIAL_IDENTITY for controller in controllers})
+    settled_state = initial_state.settle(ChangeOrder("c1", 1, 1, ENTRIES), check_shared_settings)
+    assert settled_state is not None
+    for address, version in ((("10.0.0.9", 1), 0), (controllers[1].address, 1)):
+        core = Controller(
+            controllers[0],
+            controllers,
+            initial_state,
+            INITIAL_IDENTITY,
+            initial_state,
+            5,
+            check_shared_settings,
+            1,
+            0.0,
+        )
+        core.step(1.0, MessageReceived(Sender("c1", address, 1, 1), StateUpdate(settled_state)))
         assert core.state.version == version and core.counts["strangers"] == 1 - version
--- a/tests/configuration/test_disk_faults.py
+++ b/tests/configuration/test_disk_faults.py
@@ -32,15 +32,15 @@
 
     def environment(self, machines: str, cluster: str) -> dict[str, str]:
         self.page = Page(self.folder / f"{self.name}.page")
-        more = {
+        variables = {
             "LD_PRELOAD": str(self.library),
             "SOAK_SHIM_PAGE": str(self.page.path),
             "SOAK_SHIM_FOLDER": str(self.directory),
         }
-        return super().environment(machines, cluster) | more
+        return super().environment(machines, cluster) | variables
 
 
-def value_of(shown: dict[str, Any]) -> int:
+def committed_step_ms(shown: dict[str, Any]) -> int:
     entries = shown["entries"]
     return int(json.loads(entries["step_ms"]))
 
@@ -56,36 +56,41 @@
     platform.write_text(json.dumps({"name": "n9", "settings": SETTINGS}))
 
     async def body() -> None:
-        world = ControllerCluster(tmp_path, [])
-        world.controllers = [ControllerOnFailingDisk(name, tmp_path) for name in ("c0", "c1", "c2")]
-        for one in world.controllers:
-            assert isinstance(one, ControllerOnFailingDisk)
-            one.library = library
-        async with cluster(tmp_path, [], found=world):
-            assert await world.run_command(0, "load", str(platform)) == 0
-            acknowledged = tried = 0
+        fleet = ControllerCluster(tmp_path, [])
+        fleet.controllers = [ControllerOnFailingDisk(name, tmp_path) for name in ("c0", "c1", "c2")]
+        for controller in fleet.controllers:
+            assert isinstance(controller, ControllerOnFailingDisk)
+            controller.library = library
+        async with cluster(tmp_path, [], found=fleet):
+            assert await fleet.run_command(0, "load", str(platform)) == 0
+            acknowledged = attempted = 0
             for number in range(1, ROUNDS + 1):
-                victim = random.choice(world.controllers)
-                for one in world.controllers:
-                    assert isinstance(one, ControllerOnFailingDisk) and one.page is not None
+                victim = random.choice(fleet.controllers)
+                for controller in fleet.controllers:
+                    assert isinstance(controller, ControllerOnFailingDisk) and controller.page is not None
                     share, error = random.choice(FAULTS_PER_THOUSAND), random.choice(shim.DISK_ERRORS)
-                    one.page.fail(Field.DISK_ERRNO, Field.DISK_PERMILLE, error, share)
-                    one.page.set(Field.DISK_KILL, int(one is victim and number in KILL_ROUNDS))
-                tried = number
-                asking = random.randrange(3)
-                if await world.run_command(asking, "set", f"step_ms={number}") == 0:
+                    controller.page.fail(Field.DISK_ERRNO, Field.DISK_PERMILLE, error, share)
+                    controller.page.set(Field.DISK_KILL, int(controller is victim and number in KILL_ROUNDS))
+                attempted = number
+                requester = random.randrange(3)
+                if await fleet.run_command(requester, "set", f"step_ms={number}") == 0:
                     acknowledged = number
-                for one in world.controllers:
-                    assert isinstance(one, ControllerOnFailingDisk) and one.page is not None
-                    one.page.calm()
-                    if one.process.returncode is not None:
-                        await one.end()
-                        await one.start(one.environment(world.machines, world.name))
-            for one in world.controllers:
-                await one.end()
-            await asyncio.gather(*(one.start(one.environment(world.machines, world.name)) for one in world.controllers))
-            assert await world.run_command(0, "set", "over_share_worth=0.5") == 0
-            shown = await world.show(0, capsys)
-            assert acknowledged <= value_of(shown) <= tried and acknowledged > 0, (acknowledged, shown)
+                for controller in fleet.controllers:
+                    assert isinstance(controller, ControllerOnFailingDisk) and controller.page is not None
+                    controller.page.calm()
+                    if controller.process.returncode is not None:
+                        await controller.end()
+                        await controller.start(controller.environment(fleet.machines, fleet.name))
+            for controller in fleet.controllers:
+                await controller.end()
+            await asyncio.gather(
+                *(
+                    controller.start(controller.environment(fleet.machines, fleet.name))
+                    for controller in fleet.controllers
+                )
+            )
+            assert await fleet.run_command(0, "set", "over_share_worth=0.5") == 0
+            shown = await fleet.show(0, capsys)
+            assert acknowledged <= committed_step_ms(shown) <= attempted and acknowledged > 0, (acknowledged, shown)
 
     asyncio.run(asyncio.wait_for(body(), 90.0))
--- a/tests/configuration/test_model_days.py
+++ b/tests/configuration/test_fault_simulation.py
@@ -11,30 +11,30 @@
 from yarrowspindle.lab.model.planted_control import DEFECTS
 
 
-@pytest.mark.parametrize("first", range(0, 32, 8))
-def test_no_rule_is_violated_under_faults_and_all_relays_converge_afterwards(first: int) -> None:
-    played = seeds(first, 8)
-    assert not played.violations and not played.stuck, played
-    assert played.days == 8 and played.counts["versions"] > 80 and played.counts["claims"] > 150
+@pytest.mark.parametrize("first_seed", range(0, 32, 8))
+def test_no_rule_is_violated_under_faults_and_all_relays_converge_afterwards(first_seed: int) -> None:
+    result = seeds(first_seed, 8)
+    assert not result.violations and not result.stuck, result
+    assert result.days == 8 and result.counts["versions"] > 80 and result.counts["claims"] > 150
 
 
-def test_a_day_replays_exactly() -> None:
-    one, other = play_control(11), play_control(11)
-    assert (one.counts, one.faults, one.took_s) == (other.counts, other.faults, other.took_s)
+def test_a_simulation_with_the_same_seed_gives_the_same_result() -> None:
+    first, second = play_control(11), play_control(11)
+    assert (first.counts, first.faults, first.took_s) == (second.counts, second.faults, second.took_s)
 
 
 @pytest.mark.parametrize("kind", KINDS)
 def test_a_controller_may_fail_at_each_message(kind: str) -> None:
     for number in (1, 4):
         faults = [Fault("dies", 1.0, 5.0, parties=(kind, f"{number}")), Fault("loss", 1.0, 5.0, 0.1)]
-        found = play_control(number, faults=faults, fleet=(3, 3, 6))
-        assert not found.violations and not found.stuck, (kind, number, found)
+        result = play_control(number, faults=faults, fleet=(3, 3, 6))
+        assert not result.violations and not result.stuck, (kind, number, result)
 
 
 def test_without_a_majority_nothing_changes_and_changes_resume_with_it() -> None:
     faults = [Fault("kill", 2.0, 5.0, parties=(name,)) for name in ("c00", "c01")]
-    found = play_control(3, faults=faults, fleet=(3, 3, 6), together=False)
-    assert not found.violations and not found.stuck and found.counts["versions"] > 3
+    result = play_control(3, faults=faults, fleet=(3, 3, 6), together=False)
+    assert not result.violations and not result.stuck and result.counts["versions"] > 3
 
 
 ALL_RELAYS = tuple(f"r{n:04d}" for n in range(6))
@@ -65,7 +65,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class DefectDay:
+class DefectScenario:
     """The day that finds a defect: its seed, and fleet (controllers, voters, relays) and faults if not the seed's."""
 
     seed: int
@@ -73,34 +73,34 @@
     faults: list[Fault] | None = None
 
 
-DAYS: dict[str, DefectDay] = {
-    "unkept": DefectDay(0),
-    "digest": DefectDay(2),
-    "unchecked": DefectDay(8),
-    "not checked again": DefectDay(8),
-    "forgets": DefectDay(1, SMALL, KILLS),
-    "twice": DefectDay(0, SMALL, SPLITS),
-    "out of turn": DefectDay(0, SMALL, SPLITS),
-    "uncommitted": DefectDay(0, SMALL, DISORDER),
-    "believes one voter": DefectDay(1, SMALL, DISORDER),
-    "believes proposals": DefectDay(0, SMALL, STALLS),
-    "not adopted": DefectDay(0, SMALL, KILLS),
-    "oldest promise": DefectDay(0, SMALL, KILLS),
-    "half": DefectDay(0, SMALL, SPLITS),
-    "breaks promises": DefectDay(3, SMALL, DISORDER),
-    "promises nothing": DefectDay(24, SMALL, SPLITS),
-    "hides": DefectDay(0, SMALL, SPLITS),
-    "any ballot": DefectDay(5, SMALL, DISORDER),
-    "older": DefectDay(
+SCENARIOS: dict[str, DefectScenario] = {
+    "unkept": DefectScenario(0),
+    "digest": DefectScenario(2),
+    "unchecked": DefectScenario(8),
+    "not checked again": DefectScenario(8),
+    "forgets": DefectScenario(1, SMALL, KILLS),
+    "twice": DefectScenario(0, SMALL, SPLITS),
+    "out of turn": DefectScenario(0, SMALL, SPLITS),
+    "uncommitted": DefectScenario(0, SMALL, DISORDER),
+    "believes one voter": DefectScenario(1, SMALL, DISORDER),
+    "believes proposals": DefectScenario(0, SMALL, STALLS),
+    "not adopted": DefectScenario(0, SMALL, KILLS),
+    "oldest promise": DefectScenario(0, SMALL, KILLS),
+    "half": DefectScenario(0, SMALL, SPLITS),
+    "breaks promises": DefectScenario(3, SMALL, DISORDER),
+    "promises nothing": DefectScenario(24, SMALL, SPLITS),
+    "hides": DefectScenario(0, SMALL, SPLITS),
+    "any ballot": DefectScenario(5, SMALL, DISORDER),
+    "older": DefectScenario(
         0,
         SMALL,
         [Fault("split", 1.5, 7.0, parties=("c01",), others=("c00", "c02")), Fault("kill", 4.0, 2.0, parties=("c00",))],
     ),
-    "in force too early": DefectDay(
+    "in force too early": DefectScenario(
         0, SMALL, [Fault("kill", 3.2 + n * 2.0, 1.3, parties=(f"c{n % 3:02d}",)) for n in range(4)]
     ),
-    "forgets who leaves": DefectDay(99),
-    "lies": DefectDay(
+    "forgets who leaves": DefectScenario(99),
+    "lies": DefectScenario(
         0,
         SMALL,
         [
@@ -109,9 +109,9 @@
             Fault("stall", 4.1, 4.0, parties=("c00",)),
         ],
     ),
-    "serves on": DefectDay(0, SMALL, [Fault("old program", 1.0, 8.0, parties=ALL_RELAYS[:3])]),
-    "log over a gap": DefectDay(2, SMALL, [Fault("kill", 1.2, 8.0, parties=("r0003",))]),
-    "gap": DefectDay(
+    "serves on": DefectScenario(0, SMALL, [Fault("old program", 1.0, 8.0, parties=ALL_RELAYS[:3])]),
+    "log over a gap": DefectScenario(2, SMALL, [Fault("kill", 1.2, 8.0, parties=("r0003",))]),
+    "gap": DefectScenario(
         26,
         SMALL,
         [
@@ -120,7 +120,7 @@
             *(Fault("kill", 1.5 + 0.7 * n, 0.3, parties=(ALL_RELAYS[n % 6],)) for n in range(11)),
         ],
     ),
-    "numbers anew": DefectDay(
+    "numbers anew": DefectScenario(
         2,
         SMALL,
         [
@@ -131,7 +131,7 @@
             Fault("double", 1.0, 9.0, 0.5, 2000.0),
         ],
     ),
-    "counts twice": DefectDay(
+    "counts twice": DefectScenario(
         7,
         LARGER,
         [
@@ -142,15 +142,15 @@
 }
 
 
-def test_every_planted_defect_has_a_day() -> None:
-    assert DAYS.keys() == DEFECTS.keys()
+def test_every_planted_defect_has_a_scenario() -> None:
+    assert SCENARIOS.keys() == DEFECTS.keys()
 
 
-@pytest.mark.parametrize("defect", DAYS)
-def test_each_planted_defect_is_found_and_the_day_passes_without_it(defect: str) -> None:
-    day = DAYS[defect]
-    together = None if day.faults is None else False
-    found = play_control(day.seed, DEFECTS[defect], day.faults, day.fleet, together)
-    assert found.violations or found.stuck
-    sound = play_control(day.seed, None, day.faults, day.fleet, together)
-    assert not sound.violations and not sound.stuck, sound
+@pytest.mark.parametrize("defect", SCENARIOS)
+def test_each_planted_defect_is_found_and_its_scenario_passes_without_it(defect: str) -> None:
+    scenario = SCENARIOS[defect]
+    together = None if scenario.faults is None else False
+    result = play_control(scenario.seed, DEFECTS[defect], scenario.faults, scenario.fleet, together)
+    assert result.violations or result.stuck
+    without_defect = play_control(scenario.seed, None, scenario.faults, scenario.fleet, together)
+    assert not without_defect.violations and not without_defect.stuck, without_defect
--- a/tests/configuration/test_link.py
+++ b/tests/configuration/test_link.py
@@ -15,50 +15,55 @@
 
 
 def test_other_clusters_and_changed_bytes_are_dropped_and_counted() -> None:
-    here, there = link(), link("r0", host="10.0.1.1")
-    (data,) = there.encode(1.0, here.address, Detach())
-    received = here.receive(1.0, data, there.address)
+    local, remote = link(), link("r0", host="10.0.1.1")
+    (data,) = remote.encode(1.0, local.address, Detach())
+    received = local.receive(1.0, data, remote.address)
     sender = received.sender
     assert (sender.name, sender.incarnation, received.message, received.replies) == ("r0", 5, Detach(), [])
-    (strange,) = link("r0", cluster="other", host="10.0.1.1").encode(1.0, here.address, Detach())
-    for bad in (strange, data[:-1], bytes((data[0] ^ 1,)) + data[1:], b"", b"junk"):
+    (foreign,) = link("r0", cluster="other", host="10.0.1.1").encode(1.0, local.address, Detach())
+    for bad in (foreign, data[:-1], bytes((data[0] ^ 1,)) + data[1:], b"", b"junk"):
         with pytest.raises(DroppedDatagramError):
-            here.receive(1.0, bad, there.address)
+            local.receive(1.0, bad, remote.address)
     with pytest.raises(DroppedDatagramError):
-        there.receive(1.0, data, there.address)  # its own, back
-    assert sum(n for why, n in here.counts.items() if why.startswith("dropped")) == 5
+        remote.receive(1.0, data, remote.address)  # its own, back
+    assert sum(n for counter, n in local.counts.items() if counter.startswith("dropped")) == 5
 
 
 def test_a_source_above_its_rate_is_dropped_and_others_are_received() -> None:
-    here, there, third = link(), link("r0", host="10.0.1.1"), link("r1", host="10.0.1.2")
+    local, remote, other = link(), link("r0", host="10.0.1.1"), link("r1", host="10.0.1.2")
     for _ in range(MAX_DATAGRAMS_PER_SOURCE_PER_S):
-        here.receive(1.0, there.encode(1.0, here.address, Detach())[0], there.address)
+        local.receive(1.0, remote.encode(1.0, local.address, Detach())[0], remote.address)
     with pytest.raises(DroppedDatagramError, match="flood"):
-        here.receive(1.0, there.encode(1.0, here.address, Detach())[0], there.address)
-    assert here.receive(1.0, third.encode(1.0, here.address, Detach())[0], third.address).message == Detach()
-    assert here.receive(1002.0, there.encode(1.0, here.address, Detach())[0], there.address).message == Detach()
+        local.receive(1.0, remote.encode(1.0, local.address, Detach())[0], remote.address)
+    assert local.receive(1.0, other.encode(1.0, local.address, Detach())[0], other.address).message == Detach()
+    assert local.receive(1002.0, remote.encode(1.0, local.address, Detach())[0], remote.address).message == Detach()
 
 
 def test_a_process_whose_clock_went_back_uses_a_higher_incarnation_and_is_received() -> None:
-    here, before, now = link(), link("r0", 900, host="10.0.1.1"), link("r0", 3, host="10.0.1.1")
-    here.receive(1.0, before.encode(1.0, here.address, Detach())[0], before.address)
-    received = here.receive(2.0, now.encode(2.0, here.address, Detach())[0], now.address)
-    (later,) = received.replies
-    assert received.message is None and now.receive(2.0, later, here.address).message is None and now.incarnation == 901
-    assert here.receive(3.0, now.encode(3.0, here.address, Detach())[0], now.address).message == Detach()
+    local, earlier, restarted = link(), link("r0", 900, host="10.0.1.1"), link("r0", 3, host="10.0.1.1")
+    local.receive(1.0, earlier.encode(1.0, local.address, Detach())[0], earlier.address)
+    received = local.receive(2.0, restarted.encode(2.0, local.address, Detach())[0], restarted.address)
+    (reply,) = received.replies
     assert (
-        now.receive(4.0, here.encode(4.0, now.address, NewerIncarnation(7))[0], here.address).message is None
-        and now.incarnation == 901
+        received.message is None
+        and restarted.receive(2.0, reply, local.address).message is None
+        and restarted.incarnation == 901
+    )
+    assert local.receive(3.0, restarted.encode(3.0, local.address, Detach())[0], restarted.address).message == Detach()
+    assert (
+        restarted.receive(4.0, local.encode(4.0, restarted.address, NewerIncarnation(7))[0], local.address).message
+        is None
+        and restarted.incarnation == 901
     )
 
 
 def test_the_tables_of_a_link_are_bounded() -> None:
-    here = link()
+    local = link()
     for n in range(MAX_INCARNATIONS + 9):
-        there = link("r", host=f"10.{n >> 8}.{n & 255}.9")
-        here.datagrams_by_source.clear()
-        here.receive(1.0, there.encode(1.0, here.address, Detach())[0], there.address)
-    assert len(here.newest_incarnations) == MAX_INCARNATIONS
+        remote = link("r", host=f"10.{n >> 8}.{n & 255}.9")
+        local.datagrams_by_source.clear()
+        local.receive(1.0, remote.encode(1.0, local.address, Detach())[0], remote.address)
+    assert len(local.newest_incarnations) == MAX_INCARNATIONS
     for _ in range(600):
-        here.encode(1.0, RELAY.address, Snapshot(1, b"x" * 8, {f"{n}": f"{hash((n, 7))}" * 9 for n in range(40)}))
-    assert len(here.fragmenter.sent) <= 256
+        local.encode(1.0, RELAY.address, Snapshot(1, b"x" * 8, {f"{n}": f"{hash((n, 7))}" * 9 for n in range(40)}))
+    assert len(local.fragmenter.sent) <= 256
--- a/tests/configuration/test_relay_sessions.py
+++ b/tests/configuration/test_relay_sessions.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from tests.configuration.harness import CONTROLLERS, RELAY, ControllerHarness, heartbeat, steady
+from tests.configuration.harness import CONTROLLERS, RELAY, ControllerHarness, heartbeat, steady_controller
 from yarrowspindle.configuration.controller_context import ATTACHMENT_GRACE_MS
 from yarrowspindle.configuration.events import ChangeRequested, MessageReceived, Sender, TimerFired
 from yarrowspindle.configuration.messages import Delta, Detach, LatestVersion, RelayReattached, RelaySummary, Snapshot
@@ -14,8 +14,8 @@
 def test_two_relays_of_one_name_are_both_served_and_logged_once() -> None:
     controller = ControllerHarness()
     controller.receive(RELAY, heartbeat())
-    twin = Sender("r0", ("10.0.1.2", 7950), 1)
-    controller.receive(twin, heartbeat())
+    namesake = Sender("r0", ("10.0.1.2", 7950), 1)
+    controller.receive(namesake, heartbeat())
     assert ["two relays are called r0" in line for line in controller.log_lines()] == [True]
     controller.receive(Sender("r0", ("10.0.1.3", 7950), 1), heartbeat())
     assert not controller.log_lines() and len(controller.core.sessions.relays) == 3
@@ -54,7 +54,7 @@
 
 @pytest.mark.parametrize("reported", [True, False])
 def test_a_detached_relay_counts_until_its_next_controller_reports_it(reported: bool) -> None:
-    controller, c01 = steady(), Sender("c01", CONTROLLERS[1].address, 1)
+    controller, c01 = steady_controller(), Sender("c01", CONTROLLERS[1].address, 1)
     controller.receive(c01, RelaySummary(0, 0, [], []))
     controller.post(MessageReceived(Sender("r0", RELAY.address, 1, 10_000), Detach()))
     controller.post(ChangeRequested(1, {"a": "1"}))
--- a/tests/configuration/test_state.py
+++ b/tests/configuration/test_state.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from tests.configuration.harness import FIRST, committed, settled
+from tests.configuration.harness import INITIAL_STATE, committed, require_settled
 from yarrowspindle.configuration.state import (
     MAX_ENTRIES,
     MAX_ENTRIES_CHARACTERS,
@@ -21,30 +21,35 @@
 
 def test_an_order_is_settled_once_and_in_its_turn() -> None:
     order, next_order = ChangeOrder("c01", 5, 1, {"a": "1"}), ChangeOrder("c01", 5, 2, {"a": "2"})
-    assert FIRST.settle(next_order, check) is None, "the first is not settled"
-    first = settled(FIRST.settle(order, check))
+    assert INITIAL_STATE.settle(next_order, check) is None, "the first is not settled"
+    first = require_settled(INITIAL_STATE.settle(order, check))
     assert first.settle(order, check) is None and first.is_settled(order) and not first.is_settled(next_order)
-    second = settled(first.settle(next_order, check))
+    second = require_settled(first.settle(next_order, check))
     assert second.entries == {"a": "2"} and second.settle(order, check) is None
     assert second.settle(ChangeOrder("c01", 4, 1, {"a": "0"}), check) is None, "of an earlier process, delivered late"
     assert second.settle(ChangeOrder("c01", 6, 2, {"a": "0"}), check) is None
-    third = settled(second.settle(ChangeOrder("c01", 6, 1, {"a": None}), check))
+    third = require_settled(second.settle(ChangeOrder("c01", 6, 1, {"a": None}), check))
     assert third.entries == {} and third.settle(ChangeOrder("c01", 5, 3, {"a": "0"}), check) is None
-    assert settled(third.settle(ChangeOrder("c02", 1, 1, {"b": "1"}), check)).version == 4, (
+    assert require_settled(third.settle(ChangeOrder("c02", 1, 1, {"b": "1"}), check)).version == 4, (
         "each controller has its own turns"
     )
 
 
 def test_an_order_that_the_check_rejects_is_committed_as_a_rejected_step() -> None:
     state = committed({"left": "1"})
-    rejected = settled(state.settle(ChangeOrder("c02", 1, 1, {"right": "1"}), check))
+    rejected = require_settled(state.settle(ChangeOrder("c02", 1, 1, {"right": "1"}), check))
     assert rejected.version == 2 and rejected.entries == {"left": "1"}
     assert rejected.recent_steps[-1] == CommittedStep(2, {}, "left and right are not both possible", "c02", 1, 1)
-    assert settled(rejected.settle(ChangeOrder("c02", 1, 2, {"left": None, "right": "1"}), check)).entries == {
+    assert require_settled(rejected.settle(ChangeOrder("c02", 1, 2, {"left": None, "right": "1"}), check)).entries == {
         "right": "1"
     }
     many = {f"k{n}": "x" * (MAX_ENTRIES_CHARACTERS // 8) for n in range(9)}
-    assert "at most" in settled(FIRST.settle(ChangeOrder("c02", 1, 1, many), check)).recent_steps[-1].rejection_reason
+    assert (
+        "at most"
+        in require_settled(INITIAL_STATE.settle(ChangeOrder("c02", 1, 1, many), check))
+        .recent_steps[-1]
+        .rejection_reason
+    )
 
 
 @pytest.mark.parametrize(
@@ -82,5 +87,5 @@
 def test_a_voter_with_another_file_is_a_new_version_and_epoch() -> None:
     state = committed({"a": "1"})
     assert state.with_voter("c00", "file") is None
-    changed = settled(state.with_voter("c00", "new"))
+    changed = require_settled(state.with_voter("c00", "new"))
     assert (changed.version, changed.epoch, changed.voters, changed.entries) == (2, 1, {"c00": "new"}, {"a": "1"})
--- a/tests/configuration/test_status.py
+++ b/tests/configuration/test_status.py
@@ -4,14 +4,14 @@
 
 import pytest
 
-from tests.configuration.harness import CONTROLLERS, RELAY, ControllerHarness, heartbeat, steady
+from tests.configuration.harness import CONTROLLERS, RELAY, ControllerHarness, heartbeat, steady_controller
 from yarrowspindle.configuration.controller_context import ATTACHMENT_GRACE_MS
 from yarrowspindle.configuration.events import ChangeRequested, Sender, TimerFired
 from yarrowspindle.configuration.messages import RelaySummary
 
 
 def test_applied_everywhere_is_what_all_relays_of_all_controllers_apply() -> None:
-    controller, c01 = steady(), Sender("c01", CONTROLLERS[1].address, 1)
+    controller, c01 = steady_controller(), Sender("c01", CONTROLLERS[1].address, 1)
     controller.post(ChangeRequested(1, {"a": "1"}))
     assert controller.core.status().applied_everywhere == 0
     controller.receive(RELAY, heartbeat(1, {"a": "1"}))
@@ -22,27 +22,27 @@
     assert ["version 1 is applied by all 2 relays" in line for line in lines] == [True], "logged once"
 
 
-@pytest.mark.parametrize("what", ["silent", "new incarnation", "stood still", "just started"])
-def test_applied_everywhere_does_not_grow_while_attachments_may_be_incomplete(what: str) -> None:
-    controller = steady() if what != "just started" else ControllerHarness()
+@pytest.mark.parametrize("cause", ["silent", "new incarnation", "stood still", "just started"])
+def test_applied_everywhere_does_not_grow_while_attachments_may_be_incomplete(cause: str) -> None:
+    controller = steady_controller() if cause != "just started" else ControllerHarness()
     c01 = Sender("c01", CONTROLLERS[1].address, 1)
-    if what == "silent":
+    if cause == "silent":
         for _ in range(12):
             controller.post(TimerFired(), 100.0)
-    elif what == "new incarnation":
+    elif cause == "new incarnation":
         controller.receive(Sender("c01", CONTROLLERS[1].address, 2), RelaySummary(0, 0, [], []))
-    elif what == "stood still":
+    elif cause == "stood still":
         controller.receive(c01, RelaySummary(0, 0, [], []), 1500.0)
     controller.receive(RELAY, heartbeat())
     controller.post(ChangeRequested(1, {"a": "1"}))
     controller.receive(RELAY, heartbeat(1, {"a": "1"}))
-    incarnation = 2 if what == "new incarnation" else 1
-    if what != "silent":
+    incarnation = 2 if cause == "new incarnation" else 1
+    if cause != "silent":
         controller.receive(Sender("c01", CONTROLLERS[1].address, incarnation), RelaySummary(1, 0, [], []))
     assert controller.core.status().applied_everywhere == 0, "a relay may be between two controllers"
     for _ in range(int(ATTACHMENT_GRACE_MS / 100.0) + 2):
         controller.receive(RELAY, heartbeat(1, {"a": "1"}), 0.0)
-        if what != "silent":
+        if cause != "silent":
             controller.receive(Sender("c01", CONTROLLERS[1].address, incarnation), RelaySummary(1, 0, [], []), 0.0)
         controller.post(TimerFired(), 100.0)
     assert controller.core.status().applied_everywhere == 1
--- a/tests/consensus/test_proposer.py
+++ b/tests/consensus/test_proposer.py
@@ -15,12 +15,12 @@
 def test_a_promise_to_an_earlier_process_of_the_relay_does_not_count() -> None:
     """A delayed promise was given before the earlier process wrote its state. Counted by the later process, under the
     same ballot, it would let that one overwrite a committed state."""
-    first = initial_state(VOTERS)
+    initial = initial_state(VOTERS)
     earlier, later = (
-        MaintenanceCoordinator("r0", key, first, "", first, 1, 0.0).proposer for key in ("key-1", "key-2")
+        MaintenanceCoordinator("r0", key, initial, "", initial, 1, 0.0).proposer for key in ("key-1", "key-2")
     )
     voters = {
-        name: Acceptor(AcceptorState(INITIAL_IDENTITY, NO_BALLOT, NO_BALLOT, first), lambda state: None)
+        name: Acceptor(AcceptorState(INITIAL_IDENTITY, NO_BALLOT, NO_BALLOT, initial), lambda state: None)
         for name in VOTERS
     }
     delayed = {}
--- a/yarrowspindle/configuration/agent.py
+++ b/yarrowspindle/configuration/agent.py
@@ -35,7 +35,7 @@
 PARALLEL_CANDIDATES = 2  # controllers that a relay without one contacts at a time
 PREFERRED_CHECK_INTERVAL_MS = 10_000.0  # between two heartbeats to controllers that are preferred to the current one
 REATTACHMENT_HEARTBEATS = 3  # heartbeats that name the previous controller
-MAX_NEWER_VERSION_MS = 10_000.0  # controllers that have an older version for this long have lost data
+NEWER_VERSION_TOLERANCE_MS = 10_000.0  # controllers that have an older version for this long have lost data
 NOT_SET_MS = -1.0
 
 
@@ -73,11 +73,11 @@
         self.last_received_at = now  # from the current controller
         self.next_heartbeat_at = now
         self.unanswered_since = NOT_SET_MS
-        self.next_candidate = 0
+        self.next_candidate_index = 0
         self.next_preferred_check_at = self._preferred_check_at()
         self.needs_snapshot = False
         self.previous_controller, self.reattachment_heartbeats_left = "", 0
-        self.newer_since = NOT_SET_MS  # than the controllers' version
+        self.controllers_behind_since = NOT_SET_MS  # than the controllers' version
         self.counts: Counter[str] = Counter()
         self.effects: list[Effect] = []
         if self.known_version:
@@ -133,8 +133,8 @@
     def _contact_candidates(self) -> None:
         self._send_heartbeat_to_current()
         for _ in range(min(PARALLEL_CANDIDATES, len(self.controllers))):
-            self._send_heartbeat(self.controllers[self.next_candidate])
-            self.next_candidate = (self.next_candidate + 1) % len(self.controllers)
+            self._send_heartbeat(self.controllers[self.next_candidate_index])
+            self.next_candidate_index = (self.next_candidate_index + 1) % len(self.controllers)
 
     def _contact_preferred(self) -> None:
         if self.current is not None:
@@ -214,11 +214,11 @@
         if message.version == self.known_version and message.digest != self.digest:
             self._on_digest_mismatch()
         if message.version >= self.known_version:
-            self.newer_since = NOT_SET_MS
-        elif self.newer_since < 0.0:
-            self.newer_since = self.now
-        elif self.now >= self.newer_since + MAX_NEWER_VERSION_MS:
-            self.newer_since = self.now
+            self.controllers_behind_since = NOT_SET_MS
+        elif self.controllers_behind_since < 0.0:
+            self.controllers_behind_since = self.now
+        elif self.now >= self.controllers_behind_since + NEWER_VERSION_TOLERANCE_MS:
+            self.controllers_behind_since = self.now
             self._log(
                 f"the controllers have version {message.version}, this relay has {self.known_version}: "
                 "they lost committed versions, or belong to another fleet; nothing older is applied",
@@ -259,7 +259,7 @@
                 self.needs_snapshot = True
                 self._send_heartbeat_to_current()
             return
-        self.needs_snapshot, self.newer_since = False, NOT_SET_MS
+        self.needs_snapshot, self.controllers_behind_since = False, NOT_SET_MS
         self.known_version, self.entries, self.digest = version, dict(entries), digest
         self._apply()
         self._send_heartbeat_to_current()
--- a/yarrowspindle/configuration/change_proposals.py
+++ b/yarrowspindle/configuration/change_proposals.py
@@ -27,7 +27,7 @@
 OUT_OF_TURN_READ_INTERVAL_MS = 1000.0  # and this often for an order whose predecessor is not known here
 MIN_BACKOFF_MS = 30.0  # doubled with each failure of a leader's round
 MAX_BACKOFF_MS = 800.0
-MAX_COUNTED_FAILURES = 5
+MAX_BACKOFF_DOUBLINGS = 5
 
 OrderKey = tuple[str, int, int]  # accepting controller, incarnation, number
 
@@ -55,7 +55,7 @@
     ) -> None:
         self.context, self.peers, self.proposer, self.on_committed = context, peers, proposer, on_committed
         self.queue: dict[OrderKey, QueuedOrder] = {}
-        self.round_began_at = 0.0
+        self.round_started_at = 0.0
         self.retry_at = 0.0
         self.failures = 0
         self.last_read_at = NEVER_MS
@@ -107,7 +107,7 @@
         self._remove_finished_orders()
         now = self.context.now
         if self.proposer.round is not None:
-            if now >= self.round_began_at + ROUND_TIMEOUT_MS:
+            if now >= self.round_started_at + ROUND_TIMEOUT_MS:
                 self._carry_out(self.proposer.give_up("no majority of the voters in time"))
             return
         if now < self.retry_at:
@@ -115,7 +115,7 @@
         # Only a leader reads at intervals: if all did, each would keep the others from a majority.
         must_read = is_leader and (not was_leader or now >= self.last_read_at + READ_INTERVAL_MS)
         if must_read or self._has_new_identity() or self._has_orders_to_propose():
-            self.round_began_at = now
+            self.round_started_at = now
             self._carry_out(self.proposer.start(self._change))
 
     def _remove_finished_orders(self) -> None:
@@ -137,14 +137,14 @@
 
     def _change(self, state: ControlState) -> ControlState | None:
         """The state with the queued orders settled and with this voter's new file; None where nothing changes."""
-        found = state
+        successor = state
         for order in self.orders_in_turn()[:MAX_QUEUED_ORDERS]:
-            found = found.settle(order, self.context.check) or found
-            if found.version >= state.version + MAX_VERSIONS_PER_ROUND:
+            successor = successor.settle(order, self.context.check) or successor
+            if successor.version >= state.version + MAX_VERSIONS_PER_ROUND:
                 break
         if self.context.identity and self.context.name in state.voters:
-            found = found.with_voter(self.context.name, self.context.identity) or found
-        return found if found.version > state.version else None
+            successor = successor.with_voter(self.context.name, self.context.identity) or successor
+        return successor if successor.version > state.version else None
 
     def _carry_out(self, effects: Sequence[ProposerEffect[ControlState]]) -> None:
         for effect in effects:
@@ -167,9 +167,9 @@
 
     def _on_round_failed(self, failed: RoundFailed) -> None:
         self.last_failure = failed.reason
-        self.failures = min(self.failures + 1, MAX_COUNTED_FAILURES)
+        self.failures = min(self.failures + 1, MAX_BACKOFF_DOUBLINGS)
         if self.peers.is_leader:
-            max_wait_ms = min(MAX_BACKOFF_MS, MIN_BACKOFF_MS * 2.0**self.failures)
+            max_backoff_ms = min(MAX_BACKOFF_MS, MIN_BACKOFF_MS * 2.0**self.failures)
         else:  # longer than a leader, so that the leader's round succeeds
-            max_wait_ms = 2.0 * MAX_BACKOFF_MS
-        self.retry_at = self.context.now + self.context.random.uniform(0.0, max_wait_ms)
+            max_backoff_ms = 2.0 * MAX_BACKOFF_MS
+        self.retry_at = self.context.now + self.context.random.uniform(0.0, max_backoff_ms)
--- a/yarrowspindle/configuration/change_queue.py
+++ b/yarrowspindle/configuration/change_queue.py
@@ -18,8 +18,8 @@
     step_bounds_error,
 )
 
-ORDER_RESEND_MS = 250.0
-OWN_PROPOSAL_AFTER_MS = 1600.0  # without a result from the leader, the accepting controller proposes an order itself
+ORDER_RESEND_INTERVAL_MS = 250.0
+OWN_PROPOSAL_DELAY_MS = 1600.0  # without a result from the leader, the accepting controller proposes an order itself
 UNKNOWN_VERSION = -1
 
 
@@ -48,7 +48,7 @@
         self, context: ControllerContext, peers: PeerControllers, proposals: ChangeProposals, incarnation: int
     ) -> None:
         self.context, self.peers, self.proposals = context, peers, proposals
-        self.incarnation, self.number = incarnation, 0
+        self.incarnation, self.last_number = incarnation, 0
         self.pending: list[PendingChange] = []
 
     def on_change_requested(self, event: ChangeRequested) -> None:
@@ -57,20 +57,20 @@
         if reason:
             self._answer(event.ticket, 0, reason)
             return
-        if self._settled_incarnation() == self.incarnation and not self.number:
+        if self._settled_incarnation() == self.incarnation and not self.last_number:
             self._renumber(self.incarnation + 1)
-        self.number += 1
-        order = ChangeOrder(self.context.name, self.incarnation, self.number, event.step)
+        self.last_number += 1
+        order = ChangeOrder(self.context.name, self.incarnation, self.last_number, event.step)
         self.pending.append(PendingChange(event.ticket, order, self.context.now))
-        self.pass_on()
+        self.forward_pending()
 
-    def pass_on(self) -> None:
+    def forward_pending(self) -> None:
         """Sends the pending orders to the leader, and proposes those that it does not get settled."""
         self._expire()
         if not self.context.committed.version and self.peers.knows_committed_version:
             return  # it has not yet read which orders of its earlier incarnations are settled
         for pending in self.pending:
-            self._pass_on(pending)
+            self._forward(pending)
         if self.pending:
             self.proposals.propose()
 
@@ -91,15 +91,15 @@
             return f"{MAX_QUEUED_ORDERS} changes wait already"
         return reason
 
-    def _pass_on(self, pending: PendingChange) -> None:
+    def _forward(self, pending: PendingChange) -> None:
         now = self.context.now
         if pending.known_version == UNKNOWN_VERSION:
             pending.known_version = self.context.committed.version
         is_leader = self.peers.is_leader
-        if is_leader or now > pending.accepted_at + OWN_PROPOSAL_AFTER_MS:
+        if is_leader or now > pending.accepted_at + OWN_PROPOSAL_DELAY_MS:
             self.proposals.enqueue(pending.order)
         leader = self.peers.leader
-        if not is_leader and (now >= pending.sent_at + ORDER_RESEND_MS or pending.sent_to != leader):
+        if not is_leader and (now >= pending.sent_at + ORDER_RESEND_INTERVAL_MS or pending.sent_to != leader):
             pending.sent_at, pending.sent_to = now, leader
             self.context.send(leader, pending.order)
 
@@ -121,10 +121,10 @@
         self._renumber(self.incarnation + 1)
 
     def _renumber(self, incarnation: int) -> None:
-        self.incarnation, self.number = incarnation, 0
+        self.incarnation, self.last_number = incarnation, 0
         for pending in self.pending:
-            self.number += 1
-            pending.order = ChangeOrder(self.context.name, incarnation, self.number, pending.order.step)
+            self.last_number += 1
+            pending.order = ChangeOrder(self.context.name, incarnation, self.last_number, pending.order.step)
             pending.sent_at = NEVER_MS
 
     # --- answers --------------------------------------------------------------------------------
@@ -150,7 +150,7 @@
             if step is None and self._is_overtaken(pending):
                 continue
             self.pending.remove(pending)
-            self._answer_with(pending, step)
+            self._answer_from_step(pending, step)
 
     def _is_overtaken(self, pending: PendingChange) -> bool:
         """Whether an order of a later incarnation is settled in place of this one, which is not settled itself."""
@@ -160,7 +160,7 @@
         oldest_version = state.recent_steps[0].version if state.recent_steps else state.version + 1
         return pending.known_version == UNKNOWN_VERSION or oldest_version <= pending.known_version + 1
 
-    def _answer_with(self, pending: PendingChange, step: CommittedStep | None) -> None:
+    def _answer_from_step(self, pending: PendingChange, step: CommittedStep | None) -> None:
         if step is None:
             self._answer(pending.ticket, 0, "nobody knows any more whether it stands: see `show`")
         else:
--- a/yarrowspindle/configuration/committed_log.py
+++ b/yarrowspindle/configuration/committed_log.py
@@ -16,11 +16,11 @@
     `committed_at` is the time at which this controller received the state, in milliseconds of its clock.
     """
 
-    def __init__(self, first: ControlState, now: float) -> None:
-        self.state = first
-        self.digest = first.digest
+    def __init__(self, initial_state: ControlState, now: float) -> None:
+        self.state = initial_state
+        self.digest = initial_state.digest
         self.committed_at = now
-        self.steps: dict[int, Step] = {recent.version: recent.step for recent in first.recent_steps}
+        self.steps: dict[int, Step] = {recent.version: recent.step for recent in initial_state.recent_steps}
 
     @property
     def version(self) -> int:
--- a/yarrowspindle/configuration/controller.py
+++ b/yarrowspindle/configuration/controller.py
@@ -63,9 +63,9 @@
         self,
         address: ControllerAddress,
         addresses: tuple[ControllerAddress, ...],
-        first: ControlState,
+        initial_state: ControlState,
         identity: str,
-        accepted: ControlState,
+        accepted_state: ControlState,
         incarnation: int,
         check: EntriesCheck,
         seed: int,
@@ -73,13 +73,13 @@
         proposer: type[Proposer[ControlState]] = Proposer,
     ) -> None:
         self.random = Random(seed)
-        by_name = {one.name: one for one in addresses}
-        committed = self.committed_log_type(first, now)
+        by_name = {entry.name: entry for entry in addresses}
+        committed = self.committed_log_type(initial_state, now)
         self.context = ControllerContext(address, by_name, check, identity, self.random, committed, now, now)
         # No two processes use one ballot: messages of an earlier process may still be delivered.
         proposer_name = f"{address.name} {incarnation} {self.random.getrandbits(32):x}"
-        new_proposer = proposer(proposer_name, first, self.random)
-        new_proposer.membership_hint = max(first, accepted, key=lambda state: state.epoch)
+        new_proposer = proposer(proposer_name, initial_state, self.random)
+        new_proposer.membership_hint = max(initial_state, accepted_state, key=lambda state: state.epoch)
         self.peers = PeerControllers(self.context)
         self.sessions = self.sessions_type(self.context, self.peers)
         self.proposals = self.proposals_type(self.context, self.peers, new_proposer, self._adopt_committed_state)
@@ -130,9 +130,9 @@
         """A file of the acceptor was created: the next round adds it to the voters."""
         self.context.identity = identity
 
-    def status(self, own: RelaySummary | None = None) -> ControllerStatus:
+    def status(self, own_summary: RelaySummary | None = None) -> ControllerStatus:
         """What operators are shown."""
-        return self.reporter.status(own)
+        return self.reporter.status(own_summary)
 
     def take_effects(self) -> list[Effect]:
         """The effects since the last call."""
@@ -191,7 +191,7 @@
 
     def _on_timer(self) -> None:
         self.peers.refresh()
-        self.changes.pass_on()
+        self.changes.forward_pending()
         self.proposals.propose()
         self.sessions.push_due()
         if self.context.now >= self.next_summary_at:
--- a/yarrowspindle/configuration/link.py
+++ b/yarrowspindle/configuration/link.py
@@ -26,7 +26,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Reception:
+class ReceivedDatagram:
     """What a datagram leads to: the message that it completes, if any, and datagrams to send back to the sender."""
 
     sender: Sender
@@ -64,7 +64,7 @@
         self.started_at, self.last_sent_at = now, -1
         self.newest_incarnations: OrderedDict[Address, int] = OrderedDict()
         self.datagrams_by_source: Counter[Address] = Counter()
-        self.source_window_began_at = now
+        self.source_window_started_at = now
         self.counts: Counter[str] = Counter()
         self.last_encoded: tuple[object, bytes] = (None, b"")
 
@@ -72,10 +72,10 @@
         """Returns the datagrams that carry a message to an address."""
         if message is not self.last_encoded[0]:  # one message often goes to many addresses
             self.last_encoded = message, codec.encode(message)
-        fragments = self.fragmenter.split(self._place(to), self.last_encoded[1])
-        return [self._seal(now, fragment) for fragment in fragments]
+        fragments = self.fragmenter.split(self._host_and_port(to), self.last_encoded[1])
+        return [self._encode_datagram(now, fragment) for fragment in fragments]
 
-    def receive(self, now: float, data: bytes, source: Address) -> Reception:
+    def receive(self, now: float, data: bytes, source: Address) -> ReceivedDatagram:
         """Handles a datagram. Raises DroppedDatagramError where it is not accepted."""
         self.counts[published_counters.DATAGRAMS_RECEIVED] += 1
         self.counts[published_counters.BYTES_RECEIVED] += len(data)
@@ -85,71 +85,73 @@
         newest_incarnation = self._newest_incarnation(sender)
         if sender.incarnation < newest_incarnation:
             self.counts[published_counters.EARLIER_INCARNATIONS] += 1
-            return Reception(sender, None, self.encode(now, sender.address, NewerIncarnation(newest_incarnation)))
-        complete, fragment_replies = self.fragmenter.on_datagram(now, self._place(sender.address), fragment)
-        replies = [self._seal(now, reply) for reply in fragment_replies]
+            return ReceivedDatagram(
+                sender, None, self.encode(now, sender.address, NewerIncarnation(newest_incarnation))
+            )
+        complete, fragment_replies = self.fragmenter.on_datagram(now, self._host_and_port(sender.address), fragment)
+        replies = [self._encode_datagram(now, reply) for reply in fragment_replies]
         message = None if complete is None else self._decode_message(complete)
         if isinstance(message, NewerIncarnation):
             if message.incarnation >= self.incarnation:
                 self.incarnation = message.incarnation + 1
             message = None
-        return Reception(sender, message, replies)
+        return ReceivedDatagram(sender, message, replies)
 
     def missing_fragment_requests(self, now: float) -> list[OutgoingDatagram]:
         """Returns datagrams that request missing fragments; to be called at intervals."""
-        found = []
-        for place, data in self.fragmenter.requests_due(now):
-            host, _, port = place.rpartition(":")
-            found.append(OutgoingDatagram((host, int(port)), self._seal(now, data)))
-        return found
+        requests = []
+        for destination, data in self.fragmenter.requests_due(now):
+            host, _, port = destination.rpartition(":")
+            requests.append(OutgoingDatagram((host, int(port)), self._encode_datagram(now, data)))
+        return requests
 
     @staticmethod
-    def _place(address: Address) -> str:
+    def _host_and_port(address: Address) -> str:
         return f"{address[0]}:{address[1]}"
 
-    def _seal(self, now: float, data: bytes) -> bytes:
+    def _encode_datagram(self, now: float, data: bytes) -> bytes:
         self.last_sent_at = max(int(now - self.started_at), self.last_sent_at + 1)
         datagram = Datagram(
             VERSION, self.cluster, self.name, *self.address, self.incarnation, 0, self.last_sent_at, Payload(data)
         )
-        sealed = self.codec.encode(datagram)
+        encoded = self.codec.encode(datagram)
         self.counts[published_counters.DATAGRAMS_SENT] += 1
-        self.counts[published_counters.BYTES_SENT] += len(sealed)
-        return sealed
+        self.counts[published_counters.BYTES_SENT] += len(encoded)
+        return encoded
 
     def _limit_source(self, now: float, source: Address) -> None:
-        if now >= self.source_window_began_at + SOURCE_WINDOW_MS:
-            self.source_window_began_at = now
+        if now >= self.source_window_started_at + SOURCE_WINDOW_MS:
+            self.source_window_started_at = now
             self.datagrams_by_source.clear()
         is_above_rate = self.datagrams_by_source[source] >= MAX_DATAGRAMS_PER_SOURCE_PER_S
         if is_above_rate or len(self.datagrams_by_source) > MAX_SOURCES:
-            raise self._dropped(published_counters.SOURCE_RATE_EXCEEDED)
+            raise self._drop_error(published_counters.SOURCE_RATE_EXCEEDED)
         self.datagrams_by_source[source] += 1
 
     def _decode(self, data: bytes) -> tuple[Datagram, bytes]:
         try:
             datagram = self.codec.decode(data)
         except DroppedDatagramError as error:
-            raise self._dropped(str(error)) from None
+            raise self._drop_error(str(error)) from None
         if datagram.address == self.address or not isinstance(datagram.body, Payload):
-            raise self._dropped(published_counters.UNEXPECTED_BODY)
+            raise self._drop_error(published_counters.UNEXPECTED_BODY)
         return datagram, datagram.body.data
 
     def _newest_incarnation(self, sender: Sender) -> int:
         """The newest incarnation of the sender's address that was known before this datagram."""
-        known = self.newest_incarnations.pop(sender.address, 0)
-        self.newest_incarnations[sender.address] = max(known, sender.incarnation)
+        previous = self.newest_incarnations.pop(sender.address, 0)
+        self.newest_incarnations[sender.address] = max(previous, sender.incarnation)
         while len(self.newest_incarnations) > MAX_INCARNATIONS:
             self.newest_incarnations.popitem(last=False)
-        return known
+        return previous
 
     def _decode_message(self, data: bytes) -> object:
         try:
             return codec.decode(data)
         except InvalidMessageError as error:
-            raise self._dropped(str(error)) from None
+            raise self._drop_error(str(error)) from None
 
-    def _dropped(self, cause: str) -> DroppedDatagramError:
+    def _drop_error(self, cause: str) -> DroppedDatagramError:
         """Counts a dropped datagram and returns the error to raise."""
         self.counts[published_counters.DROPPED_PREFIX + cause.replace(" ", "_")] += 1
         return DroppedDatagramError(cause)
--- a/yarrowspindle/configuration/relay_sessions.py
+++ b/yarrowspindle/configuration/relay_sessions.py
@@ -24,7 +24,7 @@
 RELAY_RETENTION_MS = 60_000.0  # a relay that is silent for this long is no longer reported
 UPDATE_INTERVAL_MS = 200.0  # least time between two updates to one relay
 # A relay with a newer version for this long has not just received it by way of another controller.
-MAX_NEWER_VERSION_MS = 5000.0
+NEWER_VERSION_TOLERANCE_MS = 5000.0
 
 
 @dataclass(slots=True)
@@ -193,7 +193,7 @@
     def _report_newer_version(self, relay: AttachedRelay) -> None:
         committed = self.context.committed
         known_since = max(committed.committed_at, self.context.started_at)
-        if relay.known_version > committed.version and self.context.now > known_since + MAX_NEWER_VERSION_MS:
+        if relay.known_version > committed.version and self.context.now > known_since + NEWER_VERSION_TOLERANCE_MS:
             self.context.counts[published_counters.NEWER_RELAYS] += 1
             self.context.log(
                 f"relay {relay.sender.name} has version {relay.known_version}, newer than the committed version "
--- a/yarrowspindle/configuration/settings.py
+++ b/yarrowspindle/configuration/settings.py
@@ -85,16 +85,16 @@
         count = len(self.controllers)
         if not 0 < count <= MAX_CONTROLLERS:
             raise ControlError(f"control.machine is there {count} times: 1 to {MAX_CONTROLLERS} are wanted")
-        self._check_unique("name", [one.name for one in self.controllers])
+        self._check_unique("name", [controller.name for controller in self.controllers])
         self._check_unique("address", [f"{host}:{port}" for host, port in self._addresses])
-        if not 0 < sum(one.voter for one in self.controllers) <= MAX_VOTERS:
+        if not 0 < sum(controller.voter for controller in self.controllers) <= MAX_VOTERS:
             raise ControlError(f"1 to {MAX_VOTERS} of control.machine are voters")
 
     @staticmethod
-    def _check_unique(what: str, values: Sequence[str]) -> None:
+    def _check_unique(attribute: str, values: Sequence[str]) -> None:
         repeated = [value for value in values if values.count(value) > 1]
         if repeated:
-            raise ControlError(f"two of control.machine have the {what} {repeated[0]}")
+            raise ControlError(f"two of control.machine have the {attribute} {repeated[0]}")
 
     def _check_own_controller(self) -> None:
         if not self.directory:
@@ -107,7 +107,7 @@
 
     @property
     def _addresses(self) -> list[Address]:
-        return [one.address for one in self.controllers]
+        return [controller.address for controller in self.controllers]
 
     @property
     def advertised_address(self) -> Address:
@@ -117,12 +117,12 @@
     @property
     def own_address(self) -> ControllerAddress:
         """The entry of this process, which is a controller, found by its address."""
-        return next(one for one in self.controllers if one.address == self.advertised_address)
+        return next(controller for controller in self.controllers if controller.address == self.advertised_address)
 
     @property
     def voters(self) -> tuple[str, ...]:
         """The sorted names of the voters."""
-        return tuple(sorted(one.name for one in self.controllers if one.voter))
+        return tuple(sorted(controller.name for controller in self.controllers if controller.voter))
 
 
 def controllers_by_preference(
@@ -133,8 +133,8 @@
     Those of its zone come first, then those of its region. Among equals the order is by hash, so that the relays of a
     zone spread over them.
     """
-    by_hash = sorted(controllers, key=lambda one: _hash(f"{name} {one.name}"))
-    return sorted(by_hash, key=lambda one: (one.zone != zone, one.region != region))
+    by_hash = sorted(controllers, key=lambda controller: _hash(f"{name} {controller.name}"))
+    return sorted(by_hash, key=lambda controller: (controller.zone != zone, controller.region != region))
 
 
 def _hash(text: str) -> bytes:
@@ -145,8 +145,8 @@
     """Returns the settings of an operator's `[control]`. Raises ControlError where they are not valid."""
     values = dict(section)
     raw_controllers = values.pop("machine", [])
-    known = [field.name for field in fields(ControlSettings) if field.name != "controllers"]
-    _check_known("control", values, known, [*known, "machine"])
+    known_keys = [field.name for field in fields(ControlSettings) if field.name != "controllers"]
+    _check_known("control", values, known_keys, [*known_keys, "machine"])
     for key in ("role", "listen"):
         if key not in values:
             raise ControlError(f"control.{key} is missing")
@@ -170,11 +170,11 @@
 
 
 def _read_controller(table: Mapping[str, Any]) -> ControllerAddress:
-    known = [field.name for field in fields(ControllerAddress)]
-    _check_known("control.machine", table, known, known)
-    for key in known:
-        wanted = bool if key == "voter" else str
-        if key in table and not isinstance(table[key], wanted):
+    known_keys = [field.name for field in fields(ControllerAddress)]
+    _check_known("control.machine", table, known_keys, known_keys)
+    for key in known_keys:
+        expected_type = bool if key == "voter" else str
+        if key in table and not isinstance(table[key], expected_type):
             raise ControlError(f"control.machine.{key} is {table[key]!r}, of another kind than is wanted")
     name = table.get("name", "")
     if not 0 < len(name.encode()) <= MAX_NAME_CHARACTERS or "address" not in table:
@@ -182,7 +182,7 @@
     return ControllerAddress(**{**table, "address": read_address("machine.address", table["address"])})
 
 
-def _check_known(section: str, values: Mapping[str, Any], known: list[str], suggested: list[str]) -> None:
-    for key in values.keys() - set(known):
+def _check_known(section: str, values: Mapping[str, Any], known_keys: list[str], suggested: list[str]) -> None:
+    for key in values.keys() - set(known_keys):
         similar = get_close_matches(key, suggested, 1)
         raise ControlError(f"{section}.{key} is not known" + (f"; {similar[0]} is" if similar else ""))
--- a/yarrowspindle/configuration/state.py
+++ b/yarrowspindle/configuration/state.py
@@ -64,8 +64,8 @@
 
 def apply_step(entries: Entries, step: Step) -> dict[str, str]:
     """Returns the entries after a step."""
-    kept = {key: value for key, value in entries.items() if key not in step}
-    return kept | {key: value for key, value in step.items() if value is not None}
+    remaining = {key: value for key, value in entries.items() if key not in step}
+    return remaining | {key: value for key, value in step.items() if value is not None}
 
 
 class ChangeOrder(Struct, frozen=True, rename={"incarnation": "life", "accepted_by": "taker"}):
@@ -166,4 +166,4 @@
 
     @staticmethod
     def _step_characters(steps: Sequence[CommittedStep]) -> int:
-        return sum(character_count(one.step) for one in steps)
+        return sum(character_count(committed.step) for committed in steps)
--- a/yarrowspindle/configuration/status.py
+++ b/yarrowspindle/configuration/status.py
@@ -174,7 +174,7 @@
             elif relay.applied_version < self.context.committed.version:
                 reason = relay.rejection_reason[:MAX_REASON_CHARACTERS] or BEHIND
                 lagging.append((relay, relay.lagging_since, reason))
-        lagging.sort(key=lambda one: one[1])
+        lagging.sort(key=lambda entry: entry[1])
         now = self.context.now
         return [
             LaggingRelay(relay.sender.name, relay.applied_version, max(0, int(now - since)), reason)
@@ -183,12 +183,12 @@
 
     # --- status for operators -----------------------------------------------------------------------
 
-    def status(self, own: RelaySummary | None = None) -> ControllerStatus:
+    def status(self, own_summary: RelaySummary | None = None) -> ControllerStatus:
         """The status with this controller's summary, which is made anew where it is not given."""
         context, state = self.context, self.context.committed.state
-        own = own or self.summary()
-        summaries = {context.name: own}
-        controllers = {context.name: ControllerHealth(0.0, own.relays, state.version)}
+        own_summary = own_summary or self.summary()
+        summaries = {context.name: own_summary}
+        controllers = {context.name: ControllerHealth(0.0, own_summary.relays, state.version)}
         for name, peer in self.peers.by_name.items():
             controllers[name] = self._peer_health(peer)
             if peer.summary is not None and name in self.peers.live_incarnations:
@@ -227,15 +227,15 @@
             return min(lowest, self.applied_everywhere)
         return lowest
 
-    def announce(self, own: RelaySummary) -> None:
+    def announce(self, own_summary: RelaySummary) -> None:
         """Logs each version once, when all live relays apply it; only the leader logs it."""
-        status = self.status(own)
+        status = self.status(own_summary)
         self.applied_everywhere = max(self.applied_everywhere, status.applied_everywhere)
         if not status.is_leader or self.applied_everywhere <= self.announced_version:
             return
         self.announced_version = self.applied_everywhere
-        took_s = (self.context.now - self.context.committed.committed_at) / 1000.0
+        duration_s = (self.context.now - self.context.committed.committed_at) / 1000.0
         self.context.log(
-            f"version {self.applied_everywhere} is applied by all {status.relays} relays, {took_s:.1f} s after it was "
-            f"committed; {len(status.lagging_relays)} relays are lagging or silent"
+            f"version {self.applied_everywhere} is applied by all {status.relays} relays, {duration_s:.1f} s after it "
+            f"was committed; {len(status.lagging_relays)} relays are lagging or silent"
         )
--- a/yarrowspindle/consensus/proposer.py
+++ b/yarrowspindle/consensus/proposer.py
@@ -77,7 +77,7 @@
 Effect = SendToAcceptor[StateT] | Committed[StateT] | RoundFailed
 
 
-def unchanged(state: StateT) -> StateT | None:
+def no_change(state: StateT) -> StateT | None:
     """The change that only reads."""
     return None
 
@@ -99,7 +99,7 @@
         self.random = random
         self.highest_number = 0
         self.round: ProposalRound[StateT] | None = None
-        self.change: Callable[[StateT], StateT | None] = unchanged
+        self.change: Callable[[StateT], StateT | None] = no_change
 
     def start(self, change: Callable[[StateT], StateT | None]) -> list[Effect[StateT]]:
         """Start a round that reads the state and writes what the change makes of it; abandon any current round."""
