--- a/tests/configuration/test_agent.py
+++ b/tests/configuration/test_agent.py
@@ -47,7 +47,7 @@
     assert relay.applied() == [(2, {"a": "2"})] and not relay.heartbeats()[-1].wants_snapshot
 
 
-def test_another_content_of_its_version_is_logged_and_a_snapshot_is_requested() -> None:
+def test_different_content_under_the_known_version_is_logged_and_a_snapshot_is_requested() -> None:
     relay = RelayHarness()
     relay.receive(snapshot(1, {"a": "1"}))
     relay.receive(LatestVersion(1, content_digest(1, {"a": "2"})))
@@ -65,7 +65,7 @@
     assert relay.applied() == [(3, {"a": "3"})] and relay.heartbeats()[-1].rejection_reason == ""
 
 
-def test_a_version_that_the_process_cannot_apply_leaves_the_one_before() -> None:
+def test_a_version_that_the_process_cannot_apply_is_rolled_back_to_the_previous_one() -> None:
     relay = RelayHarness()
     relay.receive(snapshot(1, {"a": "1"}))
     relay.receive(snapshot(2, {"a": "2"}))
@@ -105,7 +105,7 @@
         assert not relay.applied() and "is no controller of the settings" in relay.log_lines()[0]
 
 
-def test_a_silent_controller_is_replaced_and_a_preferred_one_is_attached_to_again() -> None:
+def test_a_silent_controller_is_replaced_and_a_preferred_one_is_reattached_when_it_answers() -> None:
     relay = RelayHarness()
     relay.receive(LatestVersion(0, content_digest(0, {})), CONTROLLERS[1])
     assert relay.agent.current is CONTROLLERS[1]
--- a/tests/configuration/test_change_proposals.py
+++ b/tests/configuration/test_change_proposals.py
@@ -19,7 +19,7 @@
     assert controller.core.state.entries == {"a": "2"} and controller.core.state.version == 2
 
 
-def test_of_two_conflicting_orders_the_later_is_rejected_with_the_reason() -> None:
+def test_the_later_of_two_conflicting_orders_is_rejected_with_a_reason() -> None:
     controller = ControllerHarness()
     controller.receive(Sender("c01", CONTROLLERS[1].address, 4), ChangeOrder("c01", 4, 1, {"left": "1"}))
     controller.post(
@@ -31,7 +31,7 @@
     ]
 
 
-def test_a_controller_without_a_file_does_not_vote() -> None:
+def test_a_controller_without_an_acceptor_file_does_not_vote() -> None:
     controller = ControllerHarness("c01")
     controller.receive(Sender("c00", CONTROLLERS[0].address, 1), Prepare((1, "x"), 0, "file"))
     (rejected,) = controller.sent(Rejected)
--- a/tests/configuration/test_change_queue.py
+++ b/tests/configuration/test_change_queue.py
@@ -12,7 +12,7 @@
 from yarrowspindle.configuration.state import MAX_RECENT_STEPS, MAX_VALUE_CHARACTERS, ChangeOrder, Step
 
 
-def test_a_change_is_committed_answered_and_sent_to_relays_at_once() -> None:
+def test_a_change_is_committed_answered_and_sent_to_relays_immediately() -> None:
     controller = ControllerHarness()
     controller.receive(RELAY, heartbeat())
     controller.post(ChangeRequested(7, {"a": "1"}))
@@ -69,7 +69,7 @@
     assert [p.order for p in controller.core.changes.pending] == [ChangeOrder("c01", 1001, 1, {"a": "3"})]
 
 
-def test_orders_whose_result_is_no_longer_known_are_answered_so() -> None:
+def test_orders_whose_result_is_no_longer_known_are_answered_as_unknown() -> None:
     controller, c00 = ControllerHarness("c01", incarnation=502), Sender("c00", CONTROLLERS[0].address, 1)
     controller.post(ChangeRequested(1, {"a": "1"}))
     state = committed(
--- a/tests/configuration/test_codec.py
+++ b/tests/configuration/test_codec.py
@@ -72,6 +72,6 @@
         ControlState({"c": "f"}, last_settled={f"t{n}": (1, 1) for n in range(65)}),
     ],
 )
-def test_a_state_out_of_bounds_is_rejected(invalid: ControlState) -> None:
+def test_a_state_that_exceeds_its_bounds_is_rejected(invalid: ControlState) -> None:
     with pytest.raises(InvalidMessageError):
         codec.decode(codec.encode(StateUpdate(invalid)))
--- a/tests/configuration/test_controller.py
+++ b/tests/configuration/test_controller.py
@@ -44,7 +44,7 @@
     assert controller.core.state == newer and not [e for e in controller.effects if isinstance(e, StateCommitted)]
 
 
-def test_no_two_processes_of_a_controller_use_one_ballot() -> None:
+def test_two_processes_of_a_controller_never_use_the_same_ballot() -> None:
     ballots = set()
     for seed in (1, 2):
         controller = ControllerHarness(seed=seed)
@@ -56,7 +56,7 @@
     assert len(ballots) == 2 and len({number for number, _ in ballots}) == 1
 
 
-def test_a_process_with_a_controllers_name_is_ignored_at_another_address() -> None:
+def test_a_controllers_name_is_accepted_only_from_its_configured_address() -> None:
     controllers = tuple(ControllerAddress(f"c{n}", (f"10.0.0.{n}", 1), voter=True) for n in range(3))
     initial_state = ControlState({controller.name: INITIAL_IDENTITY for controller in controllers})
     settled_state = initial_state.settle(ChangeOrder("c1", 1, 1, ENTRIES), check_shared_settings)
--- a/tests/configuration/test_fault_simulation.py
+++ b/tests/configuration/test_fault_simulation.py
@@ -31,7 +31,7 @@
         assert not result.violations and not result.stuck, (kind, number, result)
 
 
-def test_without_a_majority_nothing_changes_and_changes_resume_with_it() -> None:
+def test_changes_stop_without_a_majority_and_resume_when_it_is_back() -> None:
     faults = [Fault("kill", 2.0, 5.0, parties=(name,)) for name in ("c00", "c01")]
     result = play_control(3, faults=faults, fleet=(3, 3, 6), together=False)
     assert not result.violations and not result.stuck and result.counts["versions"] > 3
--- a/tests/configuration/test_link.py
+++ b/tests/configuration/test_link.py
@@ -14,7 +14,7 @@
     return Link(name, (host, 7950), cluster, incarnation, 1, 0.0)
 
 
-def test_other_clusters_and_changed_bytes_are_dropped_and_counted() -> None:
+def test_datagrams_of_other_clusters_and_corrupt_datagrams_are_dropped_and_counted() -> None:
     local, remote = link(), link("r0", host="10.0.1.1")
     (data,) = remote.encode(1.0, local.address, Detach())
     received = local.receive(1.0, data, remote.address)
@@ -39,7 +39,7 @@
     assert local.receive(1002.0, remote.encode(1.0, local.address, Detach())[0], remote.address).message == Detach()
 
 
-def test_a_process_whose_clock_went_back_uses_a_higher_incarnation_and_is_received() -> None:
+def test_a_process_whose_clock_was_set_back_raises_its_incarnation_and_is_accepted() -> None:
     local, earlier, restarted = link(), link("r0", 900, host="10.0.1.1"), link("r0", 3, host="10.0.1.1")
     local.receive(1.0, earlier.encode(1.0, local.address, Detach())[0], earlier.address)
     received = local.receive(2.0, restarted.encode(2.0, local.address, Detach())[0], restarted.address)
--- a/tests/configuration/test_relay_sessions.py
+++ b/tests/configuration/test_relay_sessions.py
@@ -11,7 +11,7 @@
 from yarrowspindle.configuration.relay_sessions import MAX_RELAYS
 
 
-def test_two_relays_of_one_name_are_both_served_and_logged_once() -> None:
+def test_two_relays_with_the_same_name_are_both_served_and_logged_once() -> None:
     controller = ControllerHarness()
     controller.receive(RELAY, heartbeat())
     namesake = Sender("r0", ("10.0.1.2", 7950), 1)
@@ -28,7 +28,7 @@
     assert controller.sent(LatestVersion) and not controller.sent(Snapshot) and not controller.sent(Delta)
 
 
-def test_overtaken_messages_change_nothing() -> None:
+def test_messages_delivered_out_of_order_change_nothing() -> None:
     controller = ControllerHarness()
     controller.post(MessageReceived(Sender("r0", RELAY.address, 2, 50), heartbeat(applied_version=0)))
     for sender in (Sender("r0", RELAY.address, 2, 49), Sender("r0", RELAY.address, 1, 99)):
@@ -43,7 +43,7 @@
     assert controller.core.status().controllers["c01"].relays == 7
 
 
-def test_the_table_of_relays_is_bounded_and_the_longest_silent_is_evicted() -> None:
+def test_the_relay_table_is_bounded_and_the_longest_silent_relay_is_evicted() -> None:
     controller = ControllerHarness()
     for n in range(MAX_RELAYS + 1):
         controller.receive(Sender(f"r{n}", (f"10.1.{n >> 8}.{n & 255}", 1), 1), heartbeat(), 0.0)
--- a/tests/configuration/test_state.py
+++ b/tests/configuration/test_state.py
@@ -65,7 +65,7 @@
     assert entries_bounds_error(entries) and not entries_bounds_error({"k": "x" * MAX_VALUE_CHARACTERS})
 
 
-def test_recent_steps_are_bounded_and_without_a_gap() -> None:
+def test_recent_steps_are_bounded_and_contiguous() -> None:
     state = committed(*({"k": f"{n}"} for n in range(MAX_RECENT_STEPS + 9)))
     assert [d.version for d in state.recent_steps] == list(range(10, MAX_RECENT_STEPS + 10))
     state = committed(*({"k": f"{n}" * 8000} for n in range(9)))
@@ -84,7 +84,7 @@
     assert content_digest(1, {"a": "1"}) != content_digest(1, {"a": "2"})
 
 
-def test_a_voter_with_another_file_is_a_new_version_and_epoch() -> None:
+def test_a_new_identity_of_a_voter_creates_a_version_and_an_epoch() -> None:
     state = committed({"a": "1"})
     assert state.with_voter("c00", "file") is None
     changed = require_settled(state.with_voter("c00", "new"))
--- a/tests/configuration/test_status.py
+++ b/tests/configuration/test_status.py
@@ -10,7 +10,7 @@
 from yarrowspindle.configuration.messages import RelaySummary
 
 
-def test_applied_everywhere_is_what_all_relays_of_all_controllers_apply() -> None:
+def test_applied_everywhere_is_the_version_that_all_relays_of_all_controllers_apply() -> None:
     controller, c01 = steady_controller(), Sender("c01", CONTROLLERS[1].address, 1)
     controller.post(ChangeRequested(1, {"a": "1"}))
     assert controller.core.status().applied_everywhere == 0
--- a/tests/consensus/test_acceptor.py
+++ b/tests/consensus/test_acceptor.py
@@ -12,7 +12,7 @@
 INITIAL = AcceptorState(INITIAL_IDENTITY, NO_BALLOT, NO_BALLOT, MaintenanceState({"r0": INITIAL_IDENTITY}))
 
 
-def test_nothing_is_promised_where_storing_fails() -> None:
+def test_nothing_is_promised_if_storing_fails() -> None:
     def fail(state: AcceptorState[MaintenanceState]) -> None:
         raise OSError("no space left")
 
@@ -22,7 +22,7 @@
     assert acceptor.stored is INITIAL
 
 
-def test_answers_rest_on_what_was_stored_and_other_identities_are_rejected() -> None:
+def test_answers_follow_the_stored_state_and_other_identities_are_rejected() -> None:
     written: list[AcceptorState[MaintenanceState]] = []
     acceptor = Acceptor(INITIAL, written.append)
     promise = acceptor.on_message(Prepare((3, "r0"), 0, INITIAL_IDENTITY))
--- a/tests/consensus/test_proposer.py
+++ b/tests/consensus/test_proposer.py
@@ -12,7 +12,7 @@
 VOTERS = ("r0", "r1", "r2")
 
 
-def test_a_promise_to_an_earlier_process_of_the_relay_does_not_count() -> None:
+def test_a_promise_to_an_earlier_process_of_the_proposer_does_not_count() -> None:
     """A delayed promise was given before the earlier process wrote its state. Counted by the later process, under the
     same ballot, it would let that one overwrite a committed state."""
     initial = initial_state(VOTERS)
--- a/yarrowspindle/configuration/peer_controllers.py
+++ b/yarrowspindle/configuration/peer_controllers.py
@@ -35,7 +35,7 @@
     state_sent_at: float = NEVER_MS
     lagging_summaries: int = 0
 
-    def is_newer(self, sender: Sender) -> bool:
+    def is_older_than(self, sender: Sender) -> bool:
         """Whether a message was sent after the summary that is known."""
         return (sender.incarnation, sender.sent_at) > (self.incarnation, self.summary_sent_at)
 
@@ -91,7 +91,7 @@
     def on_summary(self, sender: Sender, summary: RelaySummary) -> None:
         """Stores a peer's summary, and sends it the state where it lags."""
         peer = self.by_name.get(sender.name)
-        if peer is None or not peer.is_newer(sender):
+        if peer is None or not peer.is_older_than(sender):
             return
         if sender.incarnation != peer.incarnation:
             self.restart_attachment_grace(self.context.now)
