--- a/tests/decisions/reporting_relay.py
+++ b/tests/decisions/reporting_relay.py
@@ -54,11 +54,11 @@
                 self.timers.append((self.now + action.delay_ms, action.token))
             elif isinstance(action, CheckHealth):
                 self.checks.append(action.backend)
-                reported = self.utilization[action.backend]
-                outcome = Outcome.OK if reported is not None else Outcome.TIMEOUT
+                utilization = self.utilization[action.backend]
+                outcome = Outcome.OK if utilization is not None else Outcome.TIMEOUT
                 self.handle(
                     HealthCheckCompleted(
-                        action.backend, outcome, 1.0, () if reported is None else (reported * 33.0, reported)
+                        action.backend, outcome, 1.0, () if utilization is None else (utilization * 33.0, utilization)
                     )
                 )
             elif isinstance(action, MigrateConnection):
@@ -66,12 +66,12 @@
         return actions
 
     def run(self, ms: float) -> None:
-        goal = self.now + ms
-        while due := sorted(t for t in self.timers if t[0] <= goal):
+        end = self.now + ms
+        while due := sorted(t for t in self.timers if t[0] <= end):
             self.timers.remove(due[0])
             self.now = due[0][0]
             self.handle(TimerFired(due[0][1]))
-        self.now = goal
+        self.now = end
 
     def place(self, cls: int = 0, group: int = 0) -> int:
         """Place a request; returns its backend, or 0 where it is rejected."""
--- a/tests/decisions/test_backend_registry.py
+++ b/tests/decisions/test_backend_registry.py
@@ -35,13 +35,13 @@
 
 def test_an_endpoint_update_costs_the_same_in_a_large_fleet() -> None:
     """Guards against sums over the whole fleet: only the rings' binary searches may depend on its size."""
-    looked = 0
+    capacity_reads = 0
 
-    class Counted(Backend):
+    class CountingBackend(Backend):
         @property
         def capacity(self) -> float:
-            nonlocal looked
-            looked += 1
+            nonlocal capacity_reads
+            capacity_reads += 1
             return 1.0
 
         @capacity.setter
@@ -50,14 +50,14 @@
 
     b = balancer(0)
     for number in range(1, 1001):
-        b.backends[number] = Counted(number)
+        b.backends[number] = CountingBackend(number)
         b.registry.set_ready(b.backends[number], True)
     open_one(b, 0.0, 1)
     for state in (EndpointState.DRAINING, EndpointState.READY, EndpointState.GONE):
-        looked = 0
+        capacity_reads = 0
         b.handle(1.0, EndpointList(ListKind.DELTA, [Endpoint(77, state=state)]))
         open_one(b, 1.0, 10 + state)
-        assert looked <= 160, "one block is counted anew, not the fleet"
+        assert capacity_reads <= 160, "one block is counted anew, not the fleet"
     assert 77 not in b.backends and b.state.fleet_ring.total_capacity == 999.0
 
 
@@ -75,26 +75,26 @@
         backend_reports_latency=False,
         clients_heed_retry_after=True,
     )
-    at: dict[int, int] = {}
+    backend_by_request: dict[int, int] = {}
     for step in range(2000):
-        now, what = float(step), rng.random()
-        if what < 0.3:
+        now, draw = float(step), rng.random()
+        if draw < 0.3:
             state = rng.choice((EndpointState.READY, EndpointState.READY, EndpointState.DRAINING, EndpointState.GONE))
             started = rng.choice((0.0, now))
             entry = Endpoint(rng.randrange(20), rng.randrange(2), 0, state, rng.choice((1.0, 2.0)), started)
             b.handle(now, EndpointList(rng.choice((ListKind.DELTA, ListKind.DELTA, ListKind.FULL)), [entry]))
-        elif what < 0.7:
+        elif draw < 0.7:
             for send in sends(b.handle(now, RequestReceived(step, left_ms=2000.0, load=rng.uniform(1.0, 9.0)))):
                 b.handle(now, ConnectionEstablished(step, 0, send.backend))
-                at[step] = send.backend
-        elif at:
-            request = rng.choice(list(at))
-            if what < 0.8:
-                b.handle(now, LoadChanged(request, at[request], rng.uniform(1.0, 9.0)))
+                backend_by_request[step] = send.backend
+        elif backend_by_request:
+            request = rng.choice(list(backend_by_request))
+            if draw < 0.8:
+                b.handle(now, LoadChanged(request, backend_by_request[request], rng.uniform(1.0, 9.0)))
             else:
-                end(b, now, request, at.pop(request), rng.choice((Outcome.OK, Outcome.RESET)))
+                end(b, now, request, backend_by_request.pop(request), rng.choice((Outcome.OK, Outcome.RESET)))
         ready = sorted((s for s in b.backends.values() if s.ready), key=lambda s: s.id)
-        assert b.state.fleet_ring.members == ready and b.state.home_ring.members == [s for s in ready if s.zone == 0]
+        assert b.state.fleet_ring.members == ready and b.state.local_ring.members == [s for s in ready if s.zone == 0]
         assert abs(b.state.fleet_ring.total_capacity - sum(s.capacity for s in ready)) < 1e-6
         assert {s.id for s in b.backends.values() if s.connections} <= b.state.observed_backends.keys() | set()
         assert all(s.ready or s.connections for s in b.backends.values())
--- a/tests/decisions/test_health_checks.py
+++ b/tests/decisions/test_health_checks.py
@@ -23,15 +23,15 @@
     assert len(r.checks) == 6 and set(r.checks) == set(r.utilization)
     r.run(20_000.0)
     assert len(r.checks) == 6
-    silent = Relay(load_report_fields=())
-    silent.place()
-    silent.run(5000.0)
-    assert silent.checks == [], "where health checks have no report none is sent"
+    without_reports = Relay(load_report_fields=())
+    without_reports.place()
+    without_reports.run(5000.0)
+    assert without_reports.checks == [], "where health checks have no report none is sent"
 
 
 # --- on sockets -----------------------------------------------------------------------------------
 
-PROBED: dict[str, Any] = {
+WITH_HEALTH_CHECKS: dict[str, Any] = {
     "stats": {"columns": ["rif", "x0"], "source": "probe"},
     "limits": SETTINGS["limits"] | {"conn_idle_ms": 5000.0},
 }
@@ -41,7 +41,7 @@
     """Both stand-in backends answer each `STATS` with their line, where they have one; the test does the rest."""
 
     async def inside() -> None:
-        async with relay(tmp, **(PROBED | changes)) as world:
+        async with relay(tmp, **(WITH_HEALTH_CHECKS | changes)) as world:
             for name, backend in world.backends.items():
                 backend.stats = answers.get(name)
             await body(world)
@@ -49,7 +49,7 @@
     asyncio.run(inside())
 
 
-async def probed(w: World, name: str, times: int) -> None:
+async def wait_for_health_checks(w: World, name: str, times: int) -> None:
     while w.backends[name].probed < times:
         client, _, backend = await w.standing()
         backend.say("BYE")
@@ -61,7 +61,7 @@
 def test_health_checks_use_connections_of_their_own_and_a_full_backend_gets_nothing(tmp_path: Path) -> None:
     async def body(w: World) -> None:
         for name in w.backends:
-            await probed(w, name, 2)
+            await wait_for_health_checks(w, name, 2)
         assert {(await w.standing())[1] for _ in range(8)} == {"s-2"}
         assert max(backend.probe_connections for backend in w.backends.values()) == 1, (
             "one connection serves all health checks"
@@ -72,7 +72,7 @@
 
 def test_a_backend_that_never_answers_its_health_check_is_ejected(tmp_path: Path) -> None:
     async def body(w: World) -> None:
-        await probed(w, "s-2", 3)
+        await wait_for_health_checks(w, "s-2", 3)
         await w.logged("execute node s-1 does not answer its probe: no answer in time")
         assert {(await w.standing())[1] for _ in range(8)} == {"s-2"}
         w.backends["s-1"].stats = "PONG rif=0,x0=0.0"
@@ -88,8 +88,8 @@
     async def body(w: World) -> None:
         client, _, backend = await w.standing()
         assert "WARNING" in await w.logged("execute node s-")
-        stand = [await w.standing() for _ in range(6)]
-        assert {name for _, name, _ in stand} == {"s-1", "s-2"}, "it does not count against the backend"
+        established = [await w.standing() for _ in range(6)]
+        assert {name for _, name, _ in established} == {"s-1", "s-2"}, "it does not count against the backend"
         backend.say("still here")
         assert await client.hear() == "still here"
 
@@ -103,4 +103,4 @@
         await asyncio.sleep(1.2)  # two beats
         assert not any(backend.probed for backend in w.backends.values())
 
-    run(tmp_path, {}, body, limits=PROBED["limits"] | {"probing": False})
+    run(tmp_path, {}, body, limits=WITH_HEALTH_CHECKS["limits"] | {"probing": False})
--- a/tests/decisions/test_rules.py
+++ b/tests/decisions/test_invariants.py
@@ -36,14 +36,14 @@
 
 def entries(pick: int, now: float) -> list[Endpoint]:
     """Return a few backends in states, zones and ages that follow from one number."""
-    out = []
+    endpoints = []
     for i in range(6):
         state = (EndpointState.READY, EndpointState.READY, EndpointState.DRAINING, EndpointState.GONE)[
             pick >> (2 * i) & 3
         ]
         started = now if (pick + i) % 5 == 0 else 0.0
-        out.append(Endpoint(i + 1, i % 2, i % 3, state, 1.0 + i % 3, started))
-    return out
+        endpoints.append(Endpoint(i + 1, i % 2, i % 3, state, 1.0 + i % 3, started))
+    return endpoints
 
 
 def run(steps: list[tuple[str, int]], **changes: object) -> list[Action]:
@@ -62,26 +62,26 @@
     values.update(changes)
     d = Driver(settings(**values), seed=7)
     d.list(EndpointList(ListKind.CACHED, entries(0, d.now)))
-    for what, pick in steps:
+    for step_kind, pick in steps:
         waiting = [n for n, b in d.records.items() if b.in_flight and not b.established and not b.disconnected]
         running = [n for n, b in d.records.items() if b.in_flight and b.established]
-        if what == "request":
+        if step_kind == "request":
             d.request(pick % len(CLASSES), (40.0, 400.0, 1200.0)[pick % 3], load=float(pick % 7))
-        elif what == "establish" and waiting:
+        elif step_kind == "establish" and waiting:
             d.establish(waiting[pick % len(waiting)])
-        elif what == "end" and running:
+        elif step_kind == "end" and running:
             d.end(running[pick % len(running)], (Outcome.OK, Outcome.RESET, Outcome.CANCELLED)[pick % 3])
-        elif what == "fail" and waiting:
+        elif step_kind == "fail" and waiting:
             d.end(waiting[pick % len(waiting)], FAILURES[pick % len(FAILURES)])
-        elif what == "leave" and waiting:
+        elif step_kind == "leave" and waiting:
             d.leave(waiting[pick % len(waiting)])
-        elif what == "slow" and running:
+        elif step_kind == "slow" and running:
             number = running[pick % len(running)]
             d.handle(SlowMessageObserved(number, d.records[number].attempts[-1].backend, float(pick % 500)))
-        elif what == "list":
+        elif step_kind == "list":
             kind = (ListKind.DELTA, ListKind.FULL, ListKind.FAILED)[pick % 3]
             d.list(EndpointList(kind, entries(pick, d.now) if kind is not ListKind.FAILED else []))
-        elif what == "wait":
+        elif step_kind == "wait":
             d.advance(float(pick % 400))
     d.advance(20_000.0)
     assert all(not record.answer_pending for record in d.records.values()), "every request has its answer"
--- a/tests/decisions/test_fleet.py
+++ b/tests/decisions/test_large_fleet.py
@@ -7,15 +7,15 @@
 from yarrowspindle.decisions.events import Endpoint, EndpointList, ListKind, RequestReceived
 from yarrowspindle.decisions.settings import RequestClass
 
-RELAYS = 40
-STATUS = (RequestClass(setup_latency_objective_ms=800.0, deadline_ms=4800.0, message_latency_objective_ms=150.0),)
+BALANCERS = 40
+CLASSES = (RequestClass(setup_latency_objective_ms=800.0, deadline_ms=4800.0, message_latency_objective_ms=150.0),)
 
 
-def by_own_load(number: int = 0, **changes: object) -> Balancer:
+def own_load_balancer(number: int = 0, **changes: object) -> Balancer:
     values: dict[str, object] = {
-        "classes": STATUS,
+        "classes": CLASSES,
         "number": number,
-        "balancers": RELAYS,
+        "balancers": BALANCERS,
         "zones": 3,
         "zone": number % 3,
         "cross_zone_price": 0.1,
@@ -34,10 +34,10 @@
     """With more than eight balancers a warming backend must still be drawn, outside of a balancer's subset too."""
     old = [Endpoint(n, zone=n % 3, capacity=4.0) for n in range(1, 25)]
     new = [Endpoint(n, zone=n % 3, capacity=4.0, started_ms=30_000.0) for n in range(25, 61)]
-    fed = 0
-    in_window = dict.fromkeys(range(25, 61), 0)
-    for number in range(RELAYS):
-        b = by_own_load(number)
+    placed_on_new = 0
+    connections_by_backend = dict.fromkeys(range(25, 61), 0)
+    for number in range(BALANCERS):
+        b = own_load_balancer(number)
         b.handle(0.0, EndpointList(ListKind.CACHED, old))
         for n in range(1, 30):  # one a second comes and ends
             end(b, 1000.0 * n, n, open_one(b, 1000.0 * n, n, load=40.0))
@@ -45,8 +45,8 @@
         for n in range(100, 104):
             for send in sends(b.handle(30_000.0 + 300.0 * (n - 100), RequestReceived(n, left_ms=4800.0, load=40.0))):
                 if send.backend > 24:
-                    fed += 1
-                    in_window[send.backend] += 1
-    assert fed >= 40  # of 160; two with a budget for each server, in whole connections
+                    placed_on_new += 1
+                    connections_by_backend[send.backend] += 1
+    assert placed_on_new >= 40  # of 160; two with a budget for each server, in whole connections
     # 160 connections in 1.5 s are the fair share of 60 servers of 100 connections each, filled over 9 s.
-    assert max(in_window.values()) <= 3.0 * 0.31 * 100.0 * 1.5 / 9.0
+    assert max(connections_by_backend.values()) <= 3.0 * 0.31 * 100.0 * 1.5 / 9.0
--- a/tests/decisions/test_load_estimates.py
+++ b/tests/decisions/test_load_estimates.py
@@ -50,8 +50,8 @@
 
 
 def test_the_draws_of_a_group_are_the_same_at_every_relay() -> None:
-    one, other = warmed(seed=5), warmed(seed=9)
-    assert [one.place(group=g) for g in range(1, 20)] == [other.place(group=g) for g in range(1, 20)]
+    first, second = warmed(seed=5), warmed(seed=9)
+    assert [first.place(group=g) for g in range(1, 20)] == [second.place(group=g) for g in range(1, 20)]
 
 
 def test_a_full_own_zone_is_left_and_the_class_of_lower_priority_is_rejected_first() -> None:
@@ -69,16 +69,18 @@
 @pytest.mark.parametrize("reported", [9.0, None, 1.3])
 def test_a_backend_that_hangs_vanishes_or_is_slow_is_ejected_and_emptied(reported: float | None) -> None:
     r = warmed()
-    on = {}
+    backend_by_request = {}
     for _ in range(20):
         backend = r.place(group=7)
-        on[r.requests] = backend
+        backend_by_request[r.requests] = backend
         r.handle(established(r.requests, backend))
-    unresponsive = next(iter(on.values()))
+    unresponsive = next(iter(backend_by_request.values()))
     r.utilization[unresponsive] = reported
     r.run(2500.0)
-    there = [n for n, backend in on.items() if backend == unresponsive]
-    assert len(set(r.migrations) & set(there)) >= len(there) // 3 and unresponsive not in {r.place() for _ in range(20)}
+    affected = [n for n, backend in backend_by_request.items() if backend == unresponsive]
+    assert len(set(r.migrations) & set(affected)) >= len(affected) // 3 and unresponsive not in {
+        r.place() for _ in range(20)
+    }
     assert (unresponsive in r.balancer.ejected(r.now)) == (reported is None or reported >= 9.0)
 
 
@@ -107,14 +109,14 @@
 
 
 def test_existing_connections_are_migrated_to_the_own_zone_one_by_one_where_crossing_has_a_price() -> None:
-    def moved(price: float) -> list[int]:
+    def migrations(price: float) -> list[int]:
         r = Relay(cross_zone_price=price)
         for n in range(1, 11):
             r.handle(ExistingConnection(1000 + n, 1, group=n % 2 + 1))
         r.run(4000.0)
         return r.migrations
 
-    assert 4 <= len(moved(0.16)) <= 8 and len(moved(0.0)) <= 2
+    assert 4 <= len(migrations(0.16)) <= 8 and len(migrations(0.0)) <= 2
 
 
 def test_a_capacity_that_excludes_load_is_not_the_size_of_a_backend() -> None:
@@ -132,20 +134,20 @@
     """Two classes, one with four times the load of the other."""
     estimates, rng = LoadEstimates(settings(**REPORTING)), random.Random(3)
     backends = [Backend(n) for n in range(8)]
-    true = (0.5, 2.0)
+    true_loads = (0.5, 2.0)
     for backend in backends:
         backend.capacity, backend.ready = 2.0, True
     for step in range(1500):
         backend = rng.choice(backends)
         request = Request(step, rng.randrange(2), 1.0, 0.0, 1.0)
-        by = (
+        change = (
             1
             if (backend.connections < 20 and rng.random() < 0.6) or not backend.connections_by_class.get(request.cls)
             else -1
         )
-        backend.connections += by
-        estimates.on_connection_change(backend, request, by, 0.0)
-        load = sum(true[c] * n for c, n in backend.connections_by_class.items())
+        backend.connections += change
+        estimates.on_connection_change(backend, request, change, 0.0)
+        load = sum(true_loads[c] * n for c, n in backend.connections_by_class.items())
         estimates.on_health_check(backend, float(step), (backend.connections, 0.05 * load / backend.capacity))
     assert 2.5 < estimates.class_loads[1] / estimates.class_loads[0] < 6.0
     assert sum(estimates.class_connections) == sum(s.connections for s in backends) and not estimates.backends_by_group
--- a/tests/decisions/test_migration.py
+++ b/tests/decisions/test_migration.py
@@ -15,20 +15,20 @@
 
 def test_a_slow_backend_gets_nothing_new_and_loses_its_heaviest_connection() -> None:
     b = balancer(2, seed=4, classes=WITH_MESSAGE_OBJECTIVE)
-    on: dict[int, list[int]] = {1: [], 2: []}
+    requests_by_backend: dict[int, list[int]] = {1: [], 2: []}
     for n in range(1, 30):
-        on[open_one(b, 0.0, n, load=float(n))].append(n)
-    moved = b.handle(1.0, SlowMessageObserved(on[1][0], 1, 500.0))
-    moved += b.handle(2.0, SlowMessageObserved(on[1][0], 1, 500.0))
-    assert MigrateConnection(on[1][-1]) in moved
+        requests_by_backend[open_one(b, 0.0, n, load=float(n))].append(n)
+    actions = b.handle(1.0, SlowMessageObserved(requests_by_backend[1][0], 1, 500.0))
+    actions += b.handle(2.0, SlowMessageObserved(requests_by_backend[1][0], 1, 500.0))
+    assert MigrateConnection(requests_by_backend[1][-1]) in actions
     assert {place(b, 3.0, n) for n in range(100, 110)} <= {2, None}
 
 
 def test_a_migrated_connection_is_not_migrated_or_answered_again() -> None:
     b = balancer(1, seed=1, classes=WITH_MESSAGE_OBJECTIVE)
     backend = open_one(b, 0.0, 1)
-    moves = [a for t in range(1, 200) for a in b.handle(float(t), SlowMessageObserved(1, backend, 500.0))]
-    assert moves.count(MigrateConnection(1)) <= 1
+    actions = [a for t in range(1, 200) for a in b.handle(float(t), SlowMessageObserved(1, backend, 500.0))]
+    assert actions.count(MigrateConnection(1)) <= 1
     assert end(b, 300.0, 1, backend, Outcome.CANCELLED) == []
 
 
--- a/tests/decisions/test_outlier_detection.py
+++ b/tests/decisions/test_outlier_detection.py
@@ -39,9 +39,9 @@
         backend = place(b, 0.0, n)
         assert backend is not None
         for attempt in (0, 1):
-            again = sends(end(b, 0.0, n, backend, Outcome.CONNECT_FAILED, attempt, finished=False))
-            if again:
-                backend = again[0].backend
+            retry = sends(end(b, 0.0, n, backend, Outcome.CONNECT_FAILED, attempt, finished=False))
+            if retry:
+                backend = retry[0].backend
     assert place(b, 1.0, 99) is not None
 
 
@@ -80,9 +80,9 @@
     b = balancer(1, max_attempts=2)
     backend = place(b, 0.0, 1)
     assert backend is not None
-    (again,) = sends(end(b, 1.0, 1, backend, Outcome.CONNECT_FAILED, finished=False))
+    (retry,) = sends(end(b, 1.0, 1, backend, Outcome.CONNECT_FAILED, finished=False))
     assert b.backends[backend].ejected_until > 1.0
-    b.handle(2.0, ConnectionEstablished(1, 1, again.backend))
+    b.handle(2.0, ConnectionEstablished(1, 1, retry.backend))
     assert b.backends[backend].ejected_until < 2.0
 
 
@@ -114,8 +114,8 @@
     failed = outcome not in (Outcome.OK, Outcome.CANCELLED, Outcome.NOT_SENT)
     assert outlier_detection.is_failure(outcome, established_reset=False, overload_reset=False) is failed
     for overloaded in (False, True):
-        found = outlier_detection.is_failure(Outcome.RESET, established_reset=True, overload_reset=overloaded)
-        assert found is overloaded
+        failure = outlier_detection.is_failure(Outcome.RESET, established_reset=True, overload_reset=overloaded)
+        assert failure is overloaded
 
 
 def test_resets_count_together_only_within_their_window() -> None:
--- a/tests/decisions/test_peer_loads.py
+++ b/tests/decisions/test_peer_loads.py
@@ -14,22 +14,22 @@
 from yarrowspindle.runtime.membership_driver import local_load
 
 
-def placed(b: Any, now: float, times: int) -> list[int]:
-    found = []
+def place_and_end(b: Any, now: float, times: int) -> list[int]:
+    backends = []
     for n in range(times):
         backend = open_one(b, now, 1000 + n, load=1.0)
         end(b, now, 1000 + n, backend)
-        found.append(backend)
-    return found
+        backends.append(backend)
+    return backends
 
 
 def test_two_choices_count_the_load_of_peers() -> None:
     b = balancer(2, balancers=4)
     b.handle(0.0, PeerLoads({1: (9, 9.0), 2: (2, 2.0)}, reporting_relays=3, relays=4))
     # 2 is taken whenever it is drawn; both draws fall on 1 in a quarter.
-    assert placed(b, 0.0, 200).count(1) < 80
+    assert place_and_end(b, 0.0, 200).count(1) < 80
     b.handle(1.0, PeerLoads({1: (0, 0.0)}, reporting_relays=3, relays=4))
-    assert placed(b, 1.0, 200).count(2) < 80, "changes are reported, the rest stays"
+    assert place_and_end(b, 1.0, 200).count(2) < 80, "changes are reported, the rest stays"
 
 
 def test_own_placements_count_at_once_beside_reported_loads() -> None:
@@ -51,7 +51,7 @@
 def test_a_backend_ejected_by_most_peers_is_used_only_where_no_other_is_drawn() -> None:
     b = balancer(4, balancers=4)
     b.handle(0.0, PeerLoads(reporting_relays=3, relays=4, ejected_by_peers=frozenset((1,))))
-    assert placed(b, 0.0, 300).count(1) < 50, "both draws fall on it once in sixteen, then both of the fleet"
+    assert place_and_end(b, 0.0, 300).count(1) < 50, "both draws fall on it once in sixteen, then both of the fleet"
 
 
 def test_one_relay_checks_a_backend_for_all_and_another_takes_over_where_it_does_not() -> None:
--- a/tests/decisions/test_placement.py
+++ b/tests/decisions/test_placement.py
@@ -54,21 +54,21 @@
 def test_a_group_meets_at_the_same_backend_at_all_balancers_and_a_retry_does_not() -> None:
     """Each backend that serves any of a group pays for it once; other draws would spread it over nearly all."""
 
-    def taken(groups: bool) -> set[int]:
-        found = set()
+    def chosen_backends(groups: bool) -> set[int]:
+        backends = set()
         for number in range(40):
             b = balancer(30, seed=number, number=number, balancers=40, groups_share_work=groups, max_attempts=2)
             (send,) = sends(b.handle(1.0, RequestReceived(1, left_ms=2000.0, group=77)))
-            found.add(send.backend)
-        return found
+            backends.add(send.backend)
+        return backends
 
-    assert len(taken(True)) == 1 and len(taken(False)) > 10
-    b, again = balancer(30, groups_share_work=True, max_attempts=2), set()
+    assert len(chosen_backends(True)) == 1 and len(chosen_backends(False)) > 10
+    b, retried_at = balancer(30, groups_share_work=True, max_attempts=2), set()
     for number in range(20):
         (send,) = sends(b.handle(float(number), RequestReceived(number, left_ms=2000.0, group=77)))
         (other,) = sends(end(b, float(number), number, send.backend, Outcome.CONNECT_FAILED, finished=False))
-        again.add(other.backend)
-    assert len(again) > 4
+        retried_at.add(other.backend)
+    assert len(retried_at) > 4
 
 
 def test_each_backend_is_in_about_as_many_subsets() -> None:
@@ -102,12 +102,12 @@
 
 def test_where_no_message_latency_is_reported_own_load_opens_other_zones() -> None:
     """Without reported latency no backend is ever slow: only own load shows that the own zone is full."""
-    for tells, crossed in ((True, False), (False, True)):
+    for reported, crossed in ((True, False), (False, True)):
         b = Balancer(
-            settings(classes=WITH_MESSAGE_OBJECTIVE, zones=2, cross_zone_price=0.1, backend_reports_latency=tells),
+            settings(classes=WITH_MESSAGE_OBJECTIVE, zones=2, cross_zone_price=0.1, backend_reports_latency=reported),
             1,
             0.0,
         )
         b.handle(0.0, full_list(Endpoint(2), Endpoint(3, zone=1), Endpoint(4)))
-        homes = [(place(b, 0.0, n, load=20.0) or 0) != 3 for n in range(60)]
-        assert all(homes[:4]) and all(homes) != crossed
+        in_local_zone = [(place(b, 0.0, n, load=20.0) or 0) != 3 for n in range(60)]
+        assert all(in_local_zone[:4]) and all(in_local_zone) != crossed
--- a/tests/decisions/test_request_gate.py
+++ b/tests/decisions/test_request_gate.py
@@ -74,8 +74,8 @@
 def test_a_request_is_retried_or_not(
     idempotency: Idempotency, may_have_run_at: float | None, within_ms: float, reason: RejectionReason | None
 ) -> None:
-    found = gate.retry_window_ms(idempotency, may_have_run_at, 400.0, 10.0, 1000.0)
-    assert found == within_ms and gate.retry_rejection(idempotency, found) is reason
+    window_ms = gate.retry_window_ms(idempotency, may_have_run_at, 400.0, 10.0, 1000.0)
+    assert window_ms == within_ms and gate.retry_rejection(idempotency, window_ms) is reason
 
 
 def test_attempts_answers_and_migrations_at_their_limits() -> None:
--- a/tests/decisions/test_retries.py
+++ b/tests/decisions/test_retries.py
@@ -65,10 +65,10 @@
     b = balancer(2, classes=(keyed,), answer_slack_ms=8.0, tick_ms=2.0)
     (first,) = sends(b.handle(10.0, RequestReceived(1, left_ms=2000.0)))
     assert first.begin_ms == inf
-    (again,) = sends(end(b, 110.0, 1, first.backend, Outcome.RESET, finished=False))
-    assert again.begin_ms == 400.0 - 100.0 - 10.0
+    (retry,) = sends(end(b, 110.0, 1, first.backend, Outcome.RESET, finished=False))
+    assert retry.begin_ms == 400.0 - 100.0 - 10.0
     b.lifecycle.retries.available = 0.0
-    assert sends(end(b, 120.0, 1, again.backend, Outcome.RESET, attempt=1, finished=False)) == []
+    assert sends(end(b, 120.0, 1, retry.backend, Outcome.RESET, attempt=1, finished=False)) == []
     assert (
         b.handle(130.0, DeadlineReached(1)) == [FailRequest(1, RejectionReason.DEADLINE_EXCEEDED)]
         and b.handle(131.0, DeadlineReached(1)) == []
--- a/tests/decisions/test_slow_start.py
+++ b/tests/decisions/test_slow_start.py
@@ -41,9 +41,9 @@
 @pytest.mark.parametrize("balancers", [1, 10, 20, 30, 200])
 def test_a_warming_backend_gets_no_more_than_its_budget_even_alone_and_in_a_burst(balancers: int) -> None:
     """Guards the slow-start budget: all other backends busy, no connections yet, many returning clients."""
-    warmup_ms, share, multiple, window = 20_000.0, 0.2, 3.0, 2_000.0
+    warmup_ms, initial, multiple, window = 20_000.0, 0.2, 3.0, 2_000.0
     sent: list[tuple[float, float]] = []
-    ordinary = 1.0 / 40.0  # connections a millisecond that the fleet of 8 backends completes
+    steady_rate = 1.0 / 40.0  # connections a millisecond that the fleet of 8 backends completes
     for number in range(balancers):
         b = balancer(
             8,
@@ -51,12 +51,12 @@
             balancers=balancers,
             number=number,
             warmup_ms=warmup_ms,
-            initial_capacity_fraction=share,
+            initial_capacity_fraction=initial,
             overload_multiple=multiple,
             overload_window_ms=window,
             max_attempts=3,
         )
-        gap, request, now = balancers / ordinary, 0, 0.0
+        gap, request, now = balancers / steady_rate, 0, 0.0
         while now < 3 * warmup_ms:  # learn the ordinary traffic
             request, now = request + 1, now + gap
             (send,) = sends(b.handle(now, RequestReceived(request, left_ms=2000.0, load=1.0)))
@@ -71,11 +71,15 @@
                     sent.append((now - start, 1.0))
                 b.handle(now, ConnectionEstablished(request, 0, send.backend))
                 end(b, now, request, send.backend, Outcome.RESET)
-    for k in range(10):
-        low, high = k * window / 2, k * window / 2 + window
-        able = (share + (1 - share) * low / warmup_ms) * ordinary / 8 * window
-        got = sum(load for at, load in sent if low <= at < high)
-        assert got <= multiple * able + 2.0 * (multiple * able) ** 0.5 + 2.0, (low, got, multiple * able)
+    for step in range(10):
+        low, high = step * window / 2, step * window / 2 + window
+        capacity = (initial + (1 - initial) * low / warmup_ms) * steady_rate / 8 * window
+        count = sum(load for at, load in sent if low <= at < high)
+        assert count <= multiple * capacity + 2.0 * (multiple * capacity) ** 0.5 + 2.0, (
+            low,
+            count,
+            multiple * capacity,
+        )
 
 
 def test_a_fleet_of_warming_backends_only_stays_within_its_budget() -> None:
@@ -88,7 +92,7 @@
 
 def test_the_first_backend_to_return_in_a_failed_zone_is_not_overloaded_by_its_balancers() -> None:
     """Incident i6f1d78: after a zone failed, each of its balancers sent to the first backend that returned."""
-    got = 0
+    count = 0
     for number in range(40):
         b = balancer(
             0,
@@ -110,6 +114,8 @@
         b.handle(60_000.0, EndpointList(ListKind.FULL, [e for e in fleet if e.zone == 1]))
         b.handle(70_000.0, EndpointList(ListKind.DELTA, [Endpoint(1, zone=0, started_ms=70_000.0)]))
         for n in range(100, 110):
-            got += sum(s.backend == 1 for s in sends(b.handle(70_100.0, RequestReceived(n, left_ms=2000.0, load=1.0))))
+            count += sum(
+                s.backend == 1 for s in sends(b.handle(70_100.0, RequestReceived(n, left_ms=2000.0, load=1.0)))
+            )
     # The fleet completes 40 connections a second on 20 backends: 2 a second at a warm one, 0.6 at the start.
-    assert got <= 3 * 0.6 + 3 * (3 * 0.6) ** 0.5
+    assert count <= 3 * 0.6 + 3 * (3 * 0.6) ** 0.5
--- a/yarrowspindle/decisions/admission.py
+++ b/yarrowspindle/decisions/admission.py
@@ -38,13 +38,13 @@
 
     def record(self, latency_ms: float, objective_ms: float) -> None:
         """Count a setup that was established after this latency."""
-        self._average_in(min(1.0, latency_ms / objective_ms))
+        self._add_sample(min(1.0, latency_ms / objective_ms))
 
     def record_failure(self) -> None:
         """Count a setup that failed."""
-        self._average_in(1.0)
+        self._add_sample(1.0)
 
-    def _average_in(self, fraction: float) -> None:
+    def _add_sample(self, fraction: float) -> None:
         self.fraction += (fraction - self.fraction) / SETUP_SAMPLES
 
 
@@ -125,8 +125,8 @@
         state, settings = self.state, self.state.settings
         cls = settings.classes[request.cls]
         if self.cost_placement is not None:
-            too_dear = self.cost_placement.cost(backend, request, settings) > cls.priority_weight
-            return OverloadRule.COST if too_dear else None
+            too_expensive = self.cost_placement.cost(backend, request, settings) > cls.priority_weight
+            return OverloadRule.COST if too_expensive else None
         if misses_message_objective(backend, cls, state.now):
             return OverloadRule.MESSAGE_LATENCY
         shedding = shedding_probability(self.setup_latency.fraction)
--- a/yarrowspindle/decisions/backend_registry.py
+++ b/yarrowspindle/decisions/backend_registry.py
@@ -24,7 +24,7 @@
                 self.set_ready(backend, False)
         for entry in sorted(event.entries, key=lambda e: e.backend):  # the order of a list must not matter
             self._apply_entry(entry)
-        for ring in (state.home_ring, state.fleet_ring):
+        for ring in (state.local_ring, state.fleet_ring):
             ring.nominal_capacity = max(ring.nominal_capacity, ring.total_capacity)
 
     def _apply_entry(self, entry: Endpoint) -> None:
@@ -38,14 +38,14 @@
         backend.zone, backend.cell, backend.capacity = entry.zone, entry.cell, capacity
         if backend.started_ms != entry.started_ms:
             backend.started_ms = entry.started_ms
-            backend.forget_process()
+            backend.reset_process_state()
         self.set_ready(backend, entry.state is EndpointState.READY)
 
     def set_ready(self, backend: Backend, ready: bool) -> None:
         """Put a backend on its rings or take it off; one that is neither ready nor in use is forgotten."""
         state = self.state
         backend.ready = ready
-        for ring in (state.home_ring, state.fleet_ring):
+        for ring in (state.local_ring, state.fleet_ring):
             if not ready:
                 ring.remove(backend)
             elif ring is state.fleet_ring or backend.zone == state.settings.zone:
@@ -53,7 +53,7 @@
         state.backends[backend.id] = backend
         self.slow_start.on_backend_listed(backend)
         if not ready and not backend.connections:
-            self.slow_start.forget(backend.id)
+            self.slow_start.remove_backend(backend.id)
             state.backends.pop(backend.id, None)
             state.observed_backends.pop(backend.id, None)
 
--- a/yarrowspindle/decisions/backends.py
+++ b/yarrowspindle/decisions/backends.py
@@ -25,7 +25,7 @@
         "ejected_until",
         "slow_until",
         "message_latency_ms",
-        "resets_since",
+        "reset_window_start",
         "recent_resets",
         "connections_by_group",
         "connections_by_class",
@@ -45,7 +45,7 @@
         self.consecutive_failures = 0  # each established connection halves it
         self.ejected_until = self.slow_until = -1.0
         self.message_latency_ms = 0.0  # as last observed
-        self.resets_since, self.recent_resets = -1.0, 0
+        self.reset_window_start, self.recent_resets = -1.0, 0
         self.connections_by_group: dict[int, int] = {}  # this balancer's own
         self.connections_by_class: dict[int, int] = {}
         self.utilization = -1.0  # load over capacity by the last load report; below 0: there was none
@@ -61,18 +61,18 @@
         initial = settings.initial_capacity_fraction
         return initial + (1.0 - initial) * max(now - self.started_ms, 0.0) / settings.warmup_ms
 
-    def usable(self, now: float, settings: Settings) -> bool:
+    def is_usable(self, now: float, settings: Settings) -> bool:
         """Return whether it is ready, warmed up and not ejected."""
         return self.ready and now >= self.ejected_until and self.capacity_fraction(now, settings) >= 1.0
 
     def count_reset(self, now: float, window_ms: float) -> int:
         """Record a connection reset and return how many there were in this window, the new one included."""
-        if now > self.resets_since + window_ms:
-            self.resets_since, self.recent_resets = now, 0
+        if now > self.reset_window_start + window_ms:
+            self.reset_window_start, self.recent_resets = now, 0
         self.recent_resets += 1
         return self.recent_resets
 
-    def forget_process(self) -> None:
+    def reset_process_state(self) -> None:
         """Drop what was learned of a process that another one has replaced."""
         self.consecutive_failures = 0
         self.ejected_until = self.slow_until = -1.0
--- a/yarrowspindle/decisions/balancer.py
+++ b/yarrowspindle/decisions/balancer.py
@@ -64,7 +64,7 @@
         self.discovery = DiscoveryPolling(state)
         costs = None
         if state.estimates is not None:
-            costs = CostPlacement(state.estimates, (state.home_ring, state.fleet_ring), state.random)
+            costs = CostPlacement(state.estimates, (state.local_ring, state.fleet_ring), state.random)
         self.admission = Admission(state, costs)
         self.migration = Migration(state, self.registry, self.admission, costs)
         self.health_checks = HealthChecks(state, self.migration)
@@ -172,7 +172,7 @@
 
     def subset(self) -> Subset:
         """Return the backends of the ordinary draw; between these own loads are comparable."""
-        ring = self.state.home_ring
+        ring = self.state.local_ring
         fraction = ring.subset_fraction
-        members = ring.within(self.state.subset_start, fraction)
+        members = ring.members_in_arc(self.state.subset_start, fraction)
         return Subset([backend.id for backend in members], max(1.0, ring.balancers * fraction))
--- a/yarrowspindle/decisions/cost_placement.py
+++ b/yarrowspindle/decisions/cost_placement.py
@@ -47,13 +47,13 @@
         estimates, rings = self.estimates, rings or self.rings
         shared_seed = estimates.groups_share_work and request.group
         random = Random(request.group).random if shared_seed else self.random
-        found = list[Backend]()
+        candidates = list[Backend]()
         if rings[1] is self.rings[1]:
-            found += estimates.backends_by_group.get(request.group, {}).values()
+            candidates += estimates.backends_by_group.get(request.group, {}).values()
         choice = Choice(None, inf)
         for _ in range(MAX_ROUNDS):
-            found += [ring.draw(random, 0.0, 1.0) for ring in rings if ring.size for _ in range(DRAWS_PER_RING)]
-            choice = self._cheapest_of(found, request, settings, now)
+            candidates += [ring.draw(random, 0.0, 1.0) for ring in rings if ring.size for _ in range(DRAWS_PER_RING)]
+            choice = self._cheapest_of(candidates, request, settings, now)
             responsive = choice.backend is not None and choice.backend.utilization < UNRESPONSIVE_UTILIZATION
             if responsive and choice.cost <= settings.classes[request.cls].priority_weight:
                 break
@@ -61,40 +61,40 @@
 
     def _cheapest_of(self, backends: list[Backend], request: Request, settings: Settings, now: float) -> Choice:
         """The first of the cheapest usable backends, other than that of the request's last attempt."""
-        best, least = None, inf
+        best, least_cost = None, inf
         for backend in backends:
-            if backend is request.backend or not backend.usable(now, settings):
+            if backend is request.backend or not backend.is_usable(now, settings):
                 continue
             cost = self.cost(backend, request, settings)
-            if cost < least:
-                best, least = backend, cost
-        return Choice(best, least)
+            if cost < least_cost:
+                best, least_cost = backend, cost
+        return Choice(best, least_cost)
 
-    def best(self, request: Request, settings: Settings, now: float, rings: Rings) -> Backend | None:
+    def choose(self, request: Request, settings: Settings, now: float, rings: Rings) -> Backend | None:
         """Return where the request goes: the cheapest drawn, or of all that respond where that one does not."""
-        found = self.cheapest(request, settings, now, rings).backend
-        if found is not None and found.utilization < UNRESPONSIVE_UTILIZATION:
-            return found
+        cheapest = self.cheapest(request, settings, now, rings).backend
+        if cheapest is not None and cheapest.utilization < UNRESPONSIVE_UTILIZATION:
+            return cheapest
         responsive: Iterable[Backend] = (
             backend
             for backend in rings[1].members
             if backend.utilization < UNRESPONSIVE_UTILIZATION
             and backend is not request.backend
-            and backend.usable(now, settings)
+            and backend.is_usable(now, settings)
         )
-        return min(responsive, key=lambda backend: self.cost(backend, request, settings), default=found)
+        return min(responsive, key=lambda backend: self.cost(backend, request, settings), default=cheapest)
 
-    def cost(self, backend: Backend, request: Request, settings: Settings, already_there: bool = False) -> float:
+    def cost(self, backend: Backend, request: Request, settings: Settings, already_counted: bool = False) -> float:
         """Return what the connection costs at this backend, in priority weight; `already_there`: it is counted."""
         estimates = self.estimates
-        added = estimates.added_utilization(backend, request, already_there)
-        utilization = estimates.utilization(backend) + (0.0 if already_there else added)
+        added = estimates.added_utilization(backend, request, already_counted)
+        utilization = estimates.utilization(backend) + (0.0 if already_counted else added)
         own_weight = settings.classes[request.cls].priority_weight
         crossing = settings.cross_zone_price if backend.zone != settings.zone else 0.0
         connections = max(backend.reported_connections, backend.connections)
-        lost_by_others = connections * estimates.on_time_decline(utilization) * added
+        loss_of_others = connections * estimates.on_time_decline(utilization) * added
         own_loss = own_weight * (1.0 - estimates.on_time_fraction(utilization))
-        return own_loss + estimates.mean_priority_weight * (lost_by_others + crossing)
+        return own_loss + estimates.mean_priority_weight * (loss_of_others + crossing)
 
     @property
     def min_migration_gain(self) -> float:
@@ -113,13 +113,13 @@
         present_cost = self.cost(backend, request, settings, True)
         if present_cost <= self.min_migration_gain:
             return 0.0
-        best, least = self.cheapest(request, settings, now)
+        best, least_cost = self.cheapest(request, settings, now)
         if best is None:
             return 0.0
         crossings_saved = (backend.zone != settings.zone) - (best.zone != settings.zone)
-        certain = crossings_saved * settings.cross_zone_price * estimates.mean_priority_weight
-        estimated = present_cost - least - certain
-        gain = certain + estimated * (ESTIMATED_GAIN_FRACTION if estimated > 0.0 else 1.0)
+        certain_gain = crossings_saved * settings.cross_zone_price * estimates.mean_priority_weight
+        estimated_gain = present_cost - least_cost - certain_gain
+        gain = certain_gain + estimated_gain * (ESTIMATED_GAIN_FRACTION if estimated_gain > 0.0 else 1.0)
         if gain > reserve_above:
             estimates.reserve(best, request, now)
         return gain
--- a/yarrowspindle/decisions/discovery_polling.py
+++ b/yarrowspindle/decisions/discovery_polling.py
@@ -33,8 +33,8 @@
         if kind is not ListKind.CACHED:
             self.failures = 0
             return
-        all_polls_ms = min(DISCOVERY_CALL_MS * max(1, self.state.settings.balancers), MAX_LIST_AGE_MS)
-        self._schedule(0.0, min(MAX_FIRST_POLL_FRACTION, FIRST_POLL_MS / all_polls_ms))
+        polling_round_ms = min(DISCOVERY_CALL_MS * max(1, self.state.settings.balancers), MAX_LIST_AGE_MS)
+        self._schedule(0.0, min(MAX_FIRST_POLL_FRACTION, FIRST_POLL_MS / polling_round_ms))
 
     def _schedule(self, min_fraction: float, max_fraction: float) -> None:
         """Poll between these fractions of the time in which every balancer can poll in turn."""
@@ -43,8 +43,8 @@
             return
         self.poll_scheduled = True
         fraction = min_fraction + (max_fraction - min_fraction) * state.random()
-        all_polls_ms = DISCOVERY_CALL_MS * (settings.balancers + 2 * self.failures)
-        state.set_timer(fraction * min(all_polls_ms, settings.poll_interval_ms, MAX_LIST_AGE_MS), self._poll)
+        polling_round_ms = DISCOVERY_CALL_MS * (settings.balancers + 2 * self.failures)
+        state.set_timer(fraction * min(polling_round_ms, settings.poll_interval_ms, MAX_LIST_AGE_MS), self._poll)
 
     def _poll(self) -> None:
         self.poll_scheduled = False
--- a/yarrowspindle/decisions/health_checks.py
+++ b/yarrowspindle/decisions/health_checks.py
@@ -12,7 +12,7 @@
 MAX_SAVED_CHECKS = 200.0
 MIN_INTERVALS_BETWEEN_CHECKS = 1.9  # of one backend
 
-SILENT_OUTCOMES = frozenset((Outcome.TIMEOUT, Outcome.RESET, Outcome.CONNECT_FAILED))
+NO_ANSWER_OUTCOMES = frozenset((Outcome.TIMEOUT, Outcome.RESET, Outcome.CONNECT_FAILED))
 
 
 class HealthChecks:
@@ -23,7 +23,7 @@
         self.credit = 0.0
         self.started = False
 
-    def earn(self) -> None:
+    def add_credit(self) -> None:
         """Count a new connection: checks cost backends work, so they are in proportion to the traffic."""
         self.credit = min(self.credit + CHECKS_PER_CONNECTION, MAX_SAVED_CHECKS)
 
@@ -55,8 +55,8 @@
         state = self.state
         backend = state.backends.get(event.backend)
         if backend is not None and state.estimates is not None:
-            silent = event.outcome in SILENT_OUTCOMES
-            state.estimates.on_health_check(backend, state.now, event.report, silent)
+            no_answer = event.outcome in NO_ANSWER_OUTCOMES
+            state.estimates.on_health_check(backend, state.now, event.report, no_answer)
 
     def on_peer_loads(self, event: PeerLoads) -> None:
         """Apply what peers have at the backends, and the load reports that they received."""
--- a/yarrowspindle/decisions/load_estimates.py
+++ b/yarrowspindle/decisions/load_estimates.py
@@ -81,18 +81,18 @@
         counts = zip(self.classes, self.class_connections, strict=True)
         self.mean_priority_weight = sum(cls.priority_weight * (count + 1.0) for cls, count in counts) / total
 
-    def added_utilization(self, backend: Backend, request: Request, already_there: bool = False) -> float:
+    def added_utilization(self, backend: Backend, request: Request, already_counted: bool = False) -> float:
         """Return what the connection adds to a backend's utilization, or takes off where it is `already_there`.
 
         The first connection of a group at a backend costs GROUP_COST more, where groups share work.
         """
-        only_one_of_group = (
+        only_connection_of_group = (
             self.groups_share_work
             and request.group
-            and backend.connections_by_group.get(request.group, 0) <= already_there
+            and backend.connections_by_group.get(request.group, 0) <= already_counted
             and not self.peer_loads.group_connections(backend, request.group)
         )
-        load = self.class_loads[request.cls] + (GROUP_COST if only_one_of_group else 0.0)
+        load = self.class_loads[request.cls] + (GROUP_COST if only_connection_of_group else 0.0)
         return load * self.capacity_per_connection / backend.capacity
 
     def reserve(self, backend: Backend, request: Request, now: float) -> None:
@@ -131,9 +131,9 @@
                 backend.changes_since_report = [(now, sum(added for _, added in backend.changes_since_report))]
             backend.changes_since_report.append((now, change * self.capacity_per_connection / backend.capacity))
 
-    def on_health_check(self, backend: Backend, now: float, report: tuple[float, ...], silent: bool = False) -> None:
+    def on_health_check(self, backend: Backend, now: float, report: tuple[float, ...], no_answer: bool = False) -> None:
         """Apply a health check's result. report: values of the settings' report fields, or empty; silent: no answer."""
-        if silent:
+        if no_answer:
             backend.utilization = max(backend.utilization, UNRESPONSIVE_UTILIZATION)
         if not report:
             return
--- a/yarrowspindle/decisions/migration.py
+++ b/yarrowspindle/decisions/migration.py
@@ -16,8 +16,8 @@
 
 SLOW_MESSAGE_MIGRATION_PROBABILITY = 0.8  # where the backend is the only slow one
 MIN_OVERLOAD_MIGRATION_FRACTION = 0.3  # of it, in a widespread overload where clients heed a Retry-After
-FULL_UTILIZATION = 1.1  # above it a backend is emptied step by step
-MAX_EMPTIED_FRACTION = 0.25  # of a full backend's own connections, for each interval
+OVERLOADED_UTILIZATION = 1.1  # above it a backend is emptied step by step
+MAX_MIGRATED_FRACTION = 0.25  # of a full backend's own connections, for each interval
 OTHER_BACKENDS = -1  # key of the common quota of backends that are not full
 
 
@@ -77,9 +77,9 @@
         if state.random() < slow_message_probability(
             slow_fraction, setup_fraction, state.settings.clients_heed_retry_after
         ):
-            self.migrate(self._heaviest(backend, request))
+            self.migrate(self._heaviest_connection(backend, request))
 
-    def _heaviest(self, backend: Backend, request: Request) -> Request:
+    def _heaviest_connection(self, backend: Backend, request: Request) -> Request:
         """The connection with the most load there: each migration costs the same, and this one relieves the most."""
         if backend.connections <= 1:
             return request
@@ -100,17 +100,17 @@
         if costs is None:
             return
         min_gain = costs.min_migration_gain
-        remaining = {OTHER_BACKENDS: state.peer_loads.allowed_migrations(state.now)}
-        for _, request, backend in self._by_gain(costs, min_gain):
-            quota = backend.id if backend.utilization > FULL_UTILIZATION else OTHER_BACKENDS
-            if remaining.setdefault(quota, 1 + int(MAX_EMPTIED_FRACTION * backend.connections)) <= 0:
+        quotas = {OTHER_BACKENDS: state.peer_loads.allowed_migrations(state.now)}
+        for _, request, backend in self._candidates_by_gain(costs, min_gain):
+            quota_key = backend.id if backend.utilization > OVERLOADED_UTILIZATION else OTHER_BACKENDS
+            if quotas.setdefault(quota_key, 1 + int(MAX_MIGRATED_FRACTION * backend.connections)) <= 0:
                 continue
             # Computed anew: connections that were migrated before this one are counted at their new backends.
             if costs.gain(request, backend, state.settings, state.now, min_gain) > min_gain:
-                remaining[quota] -= 1
+                quotas[quota_key] -= 1
                 self.migrate(request)
 
-    def _by_gain(self, costs: CostPlacement, min_gain: float) -> list[_Candidate]:
+    def _candidates_by_gain(self, costs: CostPlacement, min_gain: float) -> list[_Candidate]:
         """The connections that gain more than `min_gain`, the highest gain first."""
         state = self.state
         candidates = [
--- a/yarrowspindle/decisions/outlier_detection.py
+++ b/yarrowspindle/decisions/outlier_detection.py
@@ -17,7 +17,7 @@
 RESET_WINDOW_MS = 1000.0
 OBSERVATION_TTL_MS = 5000.0  # slow messages are reported once a second: after five are missing nothing is known
 
-NOT_FAILURES = frozenset((Outcome.OK, Outcome.CANCELLED, Outcome.NOT_SENT))
+NON_FAILURE_OUTCOMES = frozenset((Outcome.OK, Outcome.CANCELLED, Outcome.NOT_SENT))
 
 
 def is_overload_reset(backend: Backend, now: float, uses_own_load_only: bool) -> bool:
@@ -37,7 +37,7 @@
     """
     if established_reset:
         return overload_reset
-    return outcome not in NOT_FAILURES
+    return outcome not in NON_FAILURE_OUTCOMES
 
 
 def eject(backend: Backend, now: float, longest_deadline_ms: float, draw: float) -> None:
--- a/yarrowspindle/decisions/peer_loads.py
+++ b/yarrowspindle/decisions/peer_loads.py
@@ -68,7 +68,7 @@
             else:
                 self.loads[key] = load
 
-    def _freshness(self, now: float) -> float:
+    def _report_weight(self, now: float) -> float:
         """The weight of the peers' report by its age, from 1 to 0."""
         remaining_ms = MAX_REPORT_AGE_MS - self.age_at_update_ms - (now - self.updated_at)
         return min(max(remaining_ms / (MAX_REPORT_AGE_MS - FULL_WEIGHT_AGE_MS), 0.0), 1.0)
@@ -77,13 +77,13 @@
         """Return how many balancers, this one included, are assumed to have the connections that this one has."""
         if not self.reporting_peers:
             return self.balancers
-        return max(1.0, self.balancers - self._freshness(now) * self.reporting_peers)
+        return max(1.0, self.balancers - self._report_weight(now) * self.reporting_peers)
 
     def load_weight(self, now: float) -> float:
         """Return by how much a load that peers reported counts, relative to own load."""
         if not self.reporting_peers:  # asked for each backend drawn: nothing is computed where no peers report
             return 0.0
-        return self._freshness(now) / self.similar_balancers(now)
+        return self._report_weight(now) / self.similar_balancers(now)
 
     def load(self, backend: Backend) -> float:
         """Return the load that peers have at this backend, in milliseconds of standard-core work for each second."""
--- a/yarrowspindle/decisions/placement.py
+++ b/yarrowspindle/decisions/placement.py
@@ -41,28 +41,28 @@
         choices, from the own zone or, as far as that is short of capacity, from the fleet.
         """
         state, settings = self.state, self.state.settings
-        home, fleet = state.home_ring, state.fleet_ring
+        local, fleet = state.local_ring, state.fleet_ring
         repeat_ring = deduplication_ring(request, settings, state.now, fleet)
         if repeat_ring is not None:
-            home = fleet = repeat_ring
+            local = fleet = repeat_ring
         elif (warming_up := self._warming_up_backend()) is not None:
             return warming_up
         if self.cost_placement is not None:
-            return self.cost_placement.best(request, settings, state.now, (home, fleet))
-        if self._overflows(home):
-            home = fleet
-        return self._two_choices(request, home, fleet)
+            return self.cost_placement.choose(request, settings, state.now, (local, fleet))
+        if self._spills_over(local):
+            local = fleet
+        return self._two_choices(request, local, fleet)
 
-    def _overflows(self, home: WeightedRing[Backend]) -> bool:
+    def _spills_over(self, local: WeightedRing[Backend]) -> bool:
         """Whether the request is part of the load that the own zone has lost the capacity for.
 
         That load goes to all zones: else the first backends to return at home would get all of it.
         """
-        nominal, present = home.nominal_capacity, home.total_capacity
+        nominal, present = local.nominal_capacity, local.total_capacity
         return present < nominal and self.state.random() * nominal >= present
 
     def _two_choices(
-        self, request: Request, home: WeightedRing[Backend], fleet: WeightedRing[Backend]
+        self, request: Request, local: WeightedRing[Backend], fleet: WeightedRing[Backend]
     ) -> Backend | None:
         """Draw from the own subset, then from the fleet while no healthy backend was found; the least rank wins.
 
@@ -76,8 +76,8 @@
         random = Random(request.group).random if shared_seed else state.random
         start = 0.0 if shared_seed else state.subset_start
         target = target if request.group else 0.0
-        fraction = 1.0 if shared_seed else home.subset_fraction
-        best = self._draw(home, random, draws, start, fraction, target, None)
+        fraction = 1.0 if shared_seed else local.subset_fraction
+        best = self._draw(local, random, draws, start, fraction, target, None)
         # Without reported latency own load has to show which backend is slow: the fleet is always drawn from.
         if best is not None and not state.uses_own_load_only and self._rank(best)[0] == HEALTHY:
             return best
@@ -127,7 +127,7 @@
         state, peer_loads, now = self.state, self.state.peer_loads, self.state.now
         load = backend.load + peer_loads.load_weight(now) * peer_loads.load(backend) + state.connection_loads.mean
         penalty = 0.0
-        has_zones = state.uses_own_load_only and state.home_ring is not state.fleet_ring
+        has_zones = state.uses_own_load_only and state.local_ring is not state.fleet_ring
         if has_zones and backend.zone != state.settings.zone:
             penalty = CROSS_ZONE_LOAD_PENALTY / peer_loads.similar_balancers(now)
         if now < backend.ejected_until:
@@ -142,14 +142,14 @@
         The budget is an upper bound: a backend above its share of the connections does not get more.
         """
         state, slow_start = self.state, self.slow_start
-        ring = state.fleet_ring if state.uses_own_load_only else state.home_ring
-        home_only = ring is not state.fleet_ring
-        candidates = slow_start.draw_candidates(state.now, state.settings, ring, home_only, state.connections)
+        ring = state.fleet_ring if state.uses_own_load_only else state.local_ring
+        local_only = ring is not state.fleet_ring
+        candidates = slow_start.draw_candidates(state.now, state.settings, ring, local_only, state.connections)
         if not candidates:
             return None
         backend = min(candidates, key=self._rank)
-        over_its_share = backend.connections * ring.nominal_capacity > state.connections * backend.capacity
-        if over_its_share and slow_start.connections_are_short(state.now, state.settings, state.connections):
+        above_share = backend.connections * ring.nominal_capacity > state.connections * backend.capacity
+        if above_share and slow_start.connections_are_short_lived(state.now, state.settings, state.connections):
             return None
         responsive = state.now >= backend.ejected_until and backend.utilization < UNRESPONSIVE_UTILIZATION
         return backend if backend.ready and responsive else None
--- a/yarrowspindle/decisions/request_lifecycle.py
+++ b/yarrowspindle/decisions/request_lifecycle.py
@@ -29,8 +29,8 @@
 from yarrowspindle.decisions.slow_start import SlowStart
 from yarrowspindle.decisions.state import BalancerState
 
-NEVER_SENT = frozenset((Outcome.CONNECT_FAILED, Outcome.NOT_SENT))  # a retry after these costs backends nothing
-FAILED_SETUP = frozenset((Outcome.ERROR, Outcome.TIMEOUT))
+NEVER_SENT_OUTCOMES = frozenset((Outcome.CONNECT_FAILED, Outcome.NOT_SENT))  # retries after these cost backends nothing
+FAILED_SETUP_OUTCOMES = frozenset((Outcome.ERROR, Outcome.TIMEOUT))
 
 
 class RequestLifecycle:
@@ -52,31 +52,31 @@
     def on_request(self, event: RequestReceived) -> None:
         """Place a new request; raises ValueError where its id is in use or its class unknown."""
         state, settings = self.state, self.state.settings
-        self._check_new(event.request)
+        self._check_id_unused(event.request)
         if not 0 <= event.cls < len(settings.classes):
             raise ValueError(f"request {event.request} has an unknown class: {event.cls}")
         load = state.connection_loads.estimate(event.load)
         request = Request(event.request, event.cls, load, state.now, event.left_ms)
         request.returned, request.group = event.returned, event.group
         request.max_attempts = settings.max_attempts
-        self.health_checks.earn()
+        self.health_checks.add_credit()
         state.requests[request.id] = request
         self._place(request)
 
     def on_existing_connection(self, event: ExistingConnection) -> None:
         """Count a connection that was open at the start; raises ValueError where its id is in use."""
         state = self.state
-        self._check_new(event.request)
+        self._check_id_unused(event.request)
         load = state.connection_loads.estimate(event.load)
         request = Request(event.request, event.cls, load, state.now, 0.0)
         request.backend = state.backends.setdefault(event.backend, Backend(event.backend))
         request.attempts, request.group = 1, event.group
         request.in_flight = request.established = True
-        self.health_checks.earn()
+        self.health_checks.add_credit()
         state.requests[request.id] = request
         self.registry.add_connection(request.backend, request)
 
-    def _check_new(self, request_id: int) -> None:
+    def _check_id_unused(self, request_id: int) -> None:
         if request_id in self.state.requests:
             raise ValueError(f"request {request_id} is already known")
 
@@ -88,8 +88,8 @@
     def _place(self, request: Request) -> None:
         """Start the request's next attempt, queue it while a backend may become usable, or answer it."""
         state = self.state
-        refused = attempt_rejection(request, state.settings, state.now)
-        backend = None if refused else self.placement.choose(request)
+        rejection = attempt_rejection(request, state.settings, state.now)
+        backend = None if rejection else self.placement.choose(request)
         if backend is None:
             if request.id not in state.queued:
                 objective_ms = state.settings.classes[request.cls].setup_latency_objective_ms
@@ -111,13 +111,13 @@
     def _queue(self, request: Request, delay_ms: float, until: float) -> None:
         """Try again after the delay, if an attempt may still begin then and before `until`; else answer now."""
         state, settings = self.state, self.state.settings
-        refused = attempt_rejection(request, settings, state.now)
+        rejection = attempt_rejection(request, settings, state.now)
         wait_ms = max_wait_ms(request, settings, until, state.now)
-        if refused is None and wait_ms > settings.tick_ms:
+        if rejection is None and wait_ms > settings.tick_ms:
             state.queued[request.id] = request
             state.set_timer(min(wait_ms, delay_ms), partial(self._place_if_queued, request))
         else:
-            self._reject(request, refused or RejectionReason.NO_USABLE_BACKEND)
+            self._reject(request, rejection or RejectionReason.NO_USABLE_BACKEND)
 
     def _place_if_queued(self, request: Request) -> None:
         if self.state.queued.pop(request.id, None) is not None:
@@ -127,10 +127,10 @@
         """Send the final answer of a request that is not served: rejected where a retry is harmless, else failed."""
         state, settings = self.state, self.state.settings
         idempotency = settings.classes[request.cls].idempotency
-        harmless = may_promise_no_effect(idempotency, request.may_have_run_on is not None)
+        retry_is_safe = may_promise_no_effect(idempotency, request.may_have_run_on is not None)
         self._close(request)
         wait_ms = retry_after_ms(settings, state.random())
-        if harmless:
+        if retry_is_safe:
             state.emit(RejectRequest(request.id, wait_ms, reason))
         else:
             state.emit(FailRequest(request.id, reason))
@@ -165,18 +165,18 @@
             raise ValueError(f"attempt {event.attempt} of request {event.request} is not in flight")
         request.in_flight = False
         self.registry.remove_connection(backend, request)
-        self._learn_from_end(request, backend, event.outcome)
+        self._record_outcome(request, backend, event.outcome)
         if event.outcome not in NEVER_RAN and request.may_have_run_on is None:
             request.may_have_run_on, request.may_have_run_at = backend, request.last_attempt_at
         if event.finished or not request.answer_pending:
             self._close(request)
-        elif self.retries.spend(free=event.outcome in NEVER_SENT):
+        elif self.retries.spend(free=event.outcome in NEVER_SENT_OUTCOMES):
             self._place(request)
         else:
             objective_ms = state.settings.classes[request.cls].setup_latency_objective_ms
             self._queue(request, backoff_ms(objective_ms, request.attempts, state.random()), request.deadline)
 
-    def _learn_from_end(self, request: Request, backend: Backend, outcome: Outcome) -> None:
+    def _record_outcome(self, request: Request, backend: Backend, outcome: Outcome) -> None:
         """Record what the end of an attempt says of its backend and of setups."""
         state = self.state
         established_reset = request.established and outcome is Outcome.RESET
@@ -187,13 +187,13 @@
             longest_deadline_ms = max(cls.deadline_ms for cls in state.settings.classes)
             outlier_detection.eject(backend, state.now, longest_deadline_ms, state.random())
             self.registry.observe(backend)
-        if not request.established and outcome in FAILED_SETUP:
+        if not request.established and outcome in FAILED_SETUP_OUTCOMES:
             self.admission.setup_latency.record_failure()
         if overload_reset:
             outlier_detection.mark_overloaded(backend, state.now)
             self.registry.observe(backend)
         if outcome is Outcome.OK:
-            self.slow_start.completions.count(state.now)
+            self.slow_start.completion_rate.count(state.now)
 
     def on_client_disconnected(self, event: ClientDisconnected) -> None:
         """Forget the request and cancel its attempt; one that was answered meanwhile is ignored."""
--- a/yarrowspindle/decisions/retries.py
+++ b/yarrowspindle/decisions/retries.py
@@ -50,9 +50,9 @@
 def attempt_rejection(request: Request, settings: Settings, now: float) -> RejectionReason | None:
     """Return why there may be no further attempt at any backend; None where there may."""
     max_attempts = min(request.max_attempts, settings.max_attempts)
-    refused = gate.attempt_rejection(request.attempts, max_attempts, now, request.deadline)
-    if refused or request.may_have_run_on is None:
-        return refused
+    rejection = gate.attempt_rejection(request.attempts, max_attempts, now, request.deadline)
+    if rejection or request.may_have_run_on is None:
+        return rejection
     return gate.retry_rejection(settings.classes[request.cls].idempotency, retry_window_ms(request, settings, now))
 
 
--- a/yarrowspindle/decisions/settings.py
+++ b/yarrowspindle/decisions/settings.py
@@ -50,7 +50,7 @@
 
 
 # Settings that must be finite and not negative.
-_NOT_NEGATIVE = (
+_NON_NEGATIVE = (
     "warmup_ms",
     "overload_window_ms",
     "drain_grace_ms",
@@ -125,7 +125,7 @@
         _require(0.0 < self.initial_capacity_fraction <= 1.0, "initial_capacity_fraction must be above 0 and at most 1")
         _require(self.overload_multiple > 0.0, "overload_multiple must be above 0")
         _require(self.tick_ms > 0.0, "tick_ms must be above 0")
-        for name in _NOT_NEGATIVE:
+        for name in _NON_NEGATIVE:
             _require(0.0 <= getattr(self, name) < float("inf"), f"{name} is out of range")
         for cls in self.classes:
             _require(0.0 < cls.deadline_ms < float("inf"), "a class's deadline must be above 0")
@@ -135,6 +135,6 @@
             _require(0.0 <= cls.idempotency_window_ms < float("inf"), "a class's idempotency window is out of range")
 
 
-def _require(satisfied: bool, message: str) -> None:
-    if not satisfied:
+def _require(condition: bool, message: str) -> None:
+    if not condition:
         raise ValueError(f"settings: {message}")
--- a/yarrowspindle/decisions/slow_start.py
+++ b/yarrowspindle/decisions/slow_start.py
@@ -27,18 +27,18 @@
 class DecayingRate:
     """Events for each millisecond, averaged with exponential decay over about `average_over_ms`."""
 
-    def __init__(self, average_over_ms: float, now: float) -> None:
-        self.average_over_ms = max(average_over_ms, 1e-3)
+    def __init__(self, time_constant_ms: float, now: float) -> None:
+        self.time_constant_ms = max(time_constant_ms, 1e-3)
         self.updated_at, self.decayed_count = now, 0.0
 
     def count(self, now: float) -> None:
         """Count one event."""
-        self.decayed_count, self.updated_at = 1.0 + self.get(now) * self.average_over_ms, now
+        self.decayed_count, self.updated_at = 1.0 + self.per_ms(now) * self.time_constant_ms, now
 
-    def get(self, now: float) -> float:
+    def per_ms(self, now: float) -> float:
         """Return the events for each millisecond as of now."""
-        decay = exp((self.updated_at - now) / self.average_over_ms)
-        return self.decayed_count * decay / self.average_over_ms
+        decay = exp((self.updated_at - now) / self.time_constant_ms)
+        return self.decayed_count * decay / self.time_constant_ms
 
 
 class SlowStart:
@@ -51,18 +51,18 @@
         self.cumulative_capacity: list[float] = []  # running sums of what `eligible` can carry now
         self.refreshed_at, self.budget_used_at = -inf, now
         # Completions count what clients want in the long run: clients that come again don't raise it.
-        self.completions = DecayingRate(settings.warmup_ms, now)
+        self.completion_rate = DecayingRate(settings.warmup_ms, now)
 
     def on_backend_listed(self, backend: Backend) -> None:
         """Take note of a backend that was listed or appeared: it may have started a moment ago."""
         self.warming_up[backend.id] = backend
 
-    def forget(self, backend: int) -> None:
+    def remove_backend(self, backend: int) -> None:
         """Drop a backend that is neither ready nor in use."""
         self.warming_up.pop(backend, None)
 
     def draw_candidates(
-        self, now: float, settings: Settings, ring: WeightedRing[Backend], home_only: bool, connections: int
+        self, now: float, settings: Settings, ring: WeightedRing[Backend], local_only: bool, connections: int
     ) -> list[Backend]:
         """Return the warming backends of which one gets the present request; none where the budget is used up.
 
@@ -70,14 +70,14 @@
         connections: own connections, over all backends.
         """
         if now >= self.refreshed_at + settings.overload_window_ms / REFRESHES_PER_WINDOW:
-            self._refresh(now, settings, home_only)
+            self._refresh(now, settings, local_only)
         elapsed_ms, self.budget_used_at = now - self.budget_used_at, now
         if not self.eligible:
             return []
         warming_capacity = self.cumulative_capacity[-1]
         budget_multiple = BUDGET_FRACTION * FILL_HEADROOM * settings.overload_multiple
         budget_fraction = budget_multiple * warming_capacity / ring.nominal_capacity
-        own_rate = max(connections / settings.warmup_ms, self.completions.get(now))  # for each millisecond
+        own_rate = max(connections / settings.warmup_ms, self.completion_rate.per_ms(now))  # for each millisecond
         elapsed_ms = min(elapsed_ms, MAX_UNUSED_WINDOWS * settings.overload_window_ms)
         if gate.slow_start_rejection(budget_fraction * own_rate * elapsed_ms, self.random()):
             return []
@@ -86,20 +86,20 @@
     def _draw(self, warming_capacity: float) -> Backend:
         return self.eligible[bisect(self.cumulative_capacity, self.random() * warming_capacity)]
 
-    def connections_are_short(self, now: float, settings: Settings, connections: int) -> bool:
+    def connections_are_short_lived(self, now: float, settings: Settings, connections: int) -> bool:
         """Return whether connections last less than a warm-up on average.
 
         Then a backend's own connections show its share of the traffic, and the share is enforced too.
         """
-        return self.completions.get(now) > connections / settings.warmup_ms
+        return self.completion_rate.per_ms(now) > connections / settings.warmup_ms
 
-    def _refresh(self, now: float, settings: Settings, home_only: bool) -> None:
+    def _refresh(self, now: float, settings: Settings, local_only: bool) -> None:
         self.refreshed_at = now
         self.warming_up = {
             number: backend
             for number, backend in self.warming_up.items()
             if backend.ready and backend.capacity_fraction(now, settings) < 1.0
         }
-        self.eligible = [b for b in self.warming_up.values() if not home_only or b.zone == settings.zone]
+        self.eligible = [b for b in self.warming_up.values() if not local_only or b.zone == settings.zone]
         capacities = (b.capacity * b.capacity_fraction(now, settings) for b in self.eligible)
         self.cumulative_capacity = list(accumulate(capacities))
--- a/yarrowspindle/decisions/state.py
+++ b/yarrowspindle/decisions/state.py
@@ -17,7 +17,7 @@
 # Multiples of the golden ratio's fraction spread evenly over a ring, whichever numbers are in use.
 GOLDEN_RATIO_FRACTION = (5**0.5 - 1) / 2
 # Fraction of a request's priority weight: where crossing zones costs more, the own zone is preferred.
-MIN_PREFERENCE_CROSS_ZONE_PRICE = 0.05
+MIN_CROSS_ZONE_PRICE_FOR_LOCAL_RING = 0.05
 
 
 class BalancerState:
@@ -40,9 +40,9 @@
         self.uses_own_load_only = settings.uses_own_load or not settings.backend_reports_latency
         self.subset_start = settings.number * GOLDEN_RATIO_FRACTION % 1.0
         self.fleet_ring = WeightedRing[Backend](1.0 if self.uses_own_load_only else settings.balancers)
-        self.home_ring = self.fleet_ring
-        if settings.cross_zone_price > MIN_PREFERENCE_CROSS_ZONE_PRICE:
-            self.home_ring = WeightedRing(settings.balancers / settings.zones)
+        self.local_ring = self.fleet_ring
+        if settings.cross_zone_price > MIN_CROSS_ZONE_PRICE_FOR_LOCAL_RING:
+            self.local_ring = WeightedRing(settings.balancers / settings.zones)
         self.peer_loads = PeerLoadTable(settings.balancers)
         self.estimates: LoadEstimates | None = None
         if settings.may_probe and settings.load_report_fields:
--- a/yarrowspindle/decisions/weighted_ring.py
+++ b/yarrowspindle/decisions/weighted_ring.py
@@ -47,7 +47,7 @@
 
     block: int
     offset: int
-    found: bool
+    present: bool
 
 
 class WeightedRing(Generic[T]):
@@ -73,46 +73,46 @@
         return [member for block in self.blocks for member in block.members]
 
     def _position(self, member: T) -> Position:
-        number = max(0, bisect(self.first_ids, member.id) - 1)
-        if number == len(self.blocks):
-            return Position(number, 0, False)
-        ids = self.blocks[number].ids
+        block_index = max(0, bisect(self.first_ids, member.id) - 1)
+        if block_index == len(self.blocks):
+            return Position(block_index, 0, False)
+        ids = self.blocks[block_index].ids
         offset = bisect_left(ids, member.id)
-        return Position(number, offset, offset < len(ids) and ids[offset] == member.id)
+        return Position(block_index, offset, offset < len(ids) and ids[offset] == member.id)
 
     def add(self, member: T) -> None:
         """Add a member; nothing where it is one already."""
-        number, offset, found = self._position(member)
-        if found:
+        block_index, offset, present = self._position(member)
+        if present:
             return
-        if number == len(self.blocks):
+        if block_index == len(self.blocks):
             self.blocks.append(Block([member]))
         else:
-            self._insert(number, offset, member)
+            self._insert(block_index, offset, member)
         self.size += 1
         self._update_sums()
 
-    def _insert(self, number: int, offset: int, member: T) -> None:
-        block = self.blocks[number]
+    def _insert(self, block_index: int, offset: int, member: T) -> None:
+        block = self.blocks[block_index]
         block.members.insert(offset, member)
         block.ids.insert(offset, member.id)
         if len(block.members) > MAX_BLOCK_SIZE:
             half = len(block.members) // 2
-            self.blocks[number : number + 1] = [Block(block.members[:half]), Block(block.members[half:])]
+            self.blocks[block_index : block_index + 1] = [Block(block.members[:half]), Block(block.members[half:])]
         else:
             block.update_sums()
 
     def remove(self, member: T) -> None:
         """Remove a member; nothing where it is not one."""
-        number, offset, found = self._position(member)
-        if not found:
+        block_index, offset, present = self._position(member)
+        if not present:
             return
-        block = self.blocks[number]
+        block = self.blocks[block_index]
         del block.members[offset], block.ids[offset]
         if block.members:
             block.update_sums()
         else:
-            del self.blocks[number]
+            del self.blocks[block_index]
         self.size -= 1
         self._update_sums()
 
@@ -131,21 +131,21 @@
         """
         point = (start + fraction * random()) % 1.0 * self.total_capacity
         sums = self.cumulative_capacity
-        number = bisect(sums, point, 0, len(sums) - 1)
-        block = self.blocks[number]
-        if number:
-            point -= sums[number - 1]
+        block_index = bisect(sums, point, 0, len(sums) - 1)
+        block = self.blocks[block_index]
+        if block_index:
+            point -= sums[block_index - 1]
         return block.members[bisect(block.cumulative_capacity, point, 0, len(block.members) - 1)]
 
-    def within(self, start: float, fraction: float) -> list[T]:
+    def members_in_arc(self, start: float, fraction: float) -> list[T]:
         """Return the members that are completely in the arc."""
         if fraction >= 1.0:
             return self.members
-        found = []
+        contained = []
         end = 0.0
         first, length = start * self.total_capacity, fraction * self.total_capacity
         for member in self.members:
             if (end - first) % self.total_capacity + member.capacity <= length + ROUNDING_TOLERANCE:
-                found.append(member)
+                contained.append(member)
             end += member.capacity
-        return found
+        return contained
