--- a/yarrowspindle/decisions/admission.py
+++ b/yarrowspindle/decisions/admission.py
@@ -1,6 +1,6 @@
-"""Whether a request that has a backend is rejected all the same, since it would miss its class's latency objective.
+"""Admission: rejects a request for which placement found a backend if it would miss its class's latency objective.
 
-Such a request would earn nothing and slow the connections beside it down.
+Serving such a request has no value, and it would slow down the other connections of its backend.
 """
 
 from __future__ import annotations
@@ -14,15 +14,15 @@
 from yarrowspindle.decisions.settings import RequestClass, Settings
 from yarrowspindle.decisions.state import BalancerState
 
-MIN_SHEDDING_SETUP_FRACTION = 0.5  # of the setup latency objective, above which requests are shed
+MIN_SHEDDING_SETUP_FRACTION = 0.5  # fraction of the setup latency objective above which requests are shed
 MAX_SHEDDING_PROBABILITY = 0.9
-SETUP_SAMPLES = 8.0  # over which setup latency is averaged
-REFRESHES_PER_WINDOW = 8.0  # of the slow fractions, in one overload window
+SETUP_SAMPLES = 8.0  # setups that the average of setup latency extends over
+REFRESHES_PER_WINDOW = 8.0  # updates of the slow fractions per overload window
 
 
 @unique
 class OverloadRule(Enum):
-    """Which rule rejected a request as overloaded; the value is its published name."""
+    """The rule that rejected a request as overloaded; the value is its published name."""
 
     COST = "cost"
     MESSAGE_LATENCY = "message_latency"
@@ -31,17 +31,17 @@
 
 
 class SetupLatencyAverage:
-    """Mean fraction of their latency objective that the last setups took, in 0 to 1; a failed one took all of it."""
+    """Moving average of setup latency as a fraction of its objective, in 0 to 1; a failed setup counts as 1."""
 
     def __init__(self) -> None:
         self.fraction = 0.0
 
     def record(self, latency_ms: float, objective_ms: float) -> None:
-        """Count a setup that was established after this latency."""
+        """Record a connection that was established after this latency."""
         self._add_sample(min(1.0, latency_ms / objective_ms))
 
     def record_failure(self) -> None:
-        """Count a setup that failed."""
+        """Record a setup that failed."""
         self._add_sample(1.0)
 
     def _add_sample(self, fraction: float) -> None:
@@ -49,7 +49,7 @@
 
 
 class SlowBackendFractions:
-    """The fraction of each zone's observed backends that are slow, refreshed every `refresh_ms`."""
+    """The fraction of slow backends among the observed ones of each zone, updated every `refresh_ms`."""
 
     def __init__(self, refresh_ms: float, now: float) -> None:
         self.refresh_ms = refresh_ms
@@ -57,7 +57,7 @@
         self.fractions: dict[int, float] = {}
 
     def in_zone(self, zone: int, observed: dict[int, Backend], now: float) -> float:
-        """Return the fraction in this zone; of `observed` those are dropped that are neither slow nor in use."""
+        """Return the fraction in this zone; remove backends from `observed` that are neither slow nor in use."""
         if now >= self.refreshed_at + self.refresh_ms:
             self.refreshed_at = now
             slow_by_zone: dict[int, list[bool]] = {}
@@ -72,15 +72,15 @@
 
 
 def misses_message_objective(backend: Backend, cls: RequestClass, now: float) -> bool:
-    """Return whether messages at this backend take longer than the class's objective; 0: the class states none."""
+    """Return whether message latency at this backend exceeds the class's objective; never for a class without one."""
     return now < backend.slow_until and 0.0 < cls.message_latency_objective_ms < backend.message_latency_ms
 
 
 def shedding_probability(setup_fraction: float) -> float:
     """Return the probability of shedding a request for slow setups.
 
-    0 up to half of the objective, then rising to MAX_SHEDDING_PROBABILITY: what the setups share has a queue, and
-    with fewer in it more of them succeed in time.
+    The probability is 0 up to half of the objective, then rises to MAX_SHEDDING_PROBABILITY: setups queue at a shared
+    dependency, and with fewer of them in that queue more succeed in time.
     """
     if setup_fraction <= MIN_SHEDDING_SETUP_FRACTION:
         return 0.0
@@ -88,19 +88,20 @@
 
 
 def retry_after_ms(settings: Settings, draw: float) -> float:
-    """Return the wait that a rejected client is asked for; 0 where clients don't heed one.
+    """Return the Retry-After of a rejected client in milliseconds; 0 if clients do not heed it.
 
-    Spread by the draw (in 0 to 1) over the second half of the longest wait, so that they don't come again together.
+    `draw` (in 0 to 1) spreads it over the second half of the longest wait, so that rejected clients do not all
+    reconnect at the same time.
     """
     return settings.max_retry_after_ms * (0.5 + 0.5 * draw) * settings.clients_heed_retry_after
 
 
 class Admission:
-    """Decides on rejection at once.
+    """Decides whether a new request is rejected immediately.
 
     Attributes:
-        cost_placement: where backends report their load.
-        rejections: how many requests each rule has rejected, by its published name.
+        cost_placement: the cost model if backends report their load, else None.
+        rejections: the number of rejected requests by the published name of the rule.
     """
 
     def __init__(self, state: BalancerState, cost_placement: CostPlacement | None) -> None:
@@ -110,17 +111,18 @@
         self.rejections: Counter[str] = Counter()
 
     def is_overloaded(self, backend: Backend, request: Request) -> bool:
-        """Return whether the request is rejected although placement chose this backend."""
+        """Return whether to reject the request although placement chose this backend, and count the rejection."""
         rule = self._overload_rule(backend, request)
         if rule is not None:
             self.rejections[rule.value] += 1
         return rule is not None
 
     def _overload_rule(self, backend: Backend, request: Request) -> OverloadRule | None:
-        """Return the rule that rejects the request, if any.
+        """Return the rule that rejects the request, or None if it is admitted.
 
-        Where backends report their load: if its cost there exceeds its priority weight. Else if messages there miss
-        the objective, by chance while setups are slow, and by chance as more of the zone's backends are slow.
+        If backends report their load, a request is rejected if its cost at the backend exceeds its priority weight.
+        Otherwise it is rejected if messages at the backend miss their objective; with some probability while setups
+        are slow; and with a probability that rises with the fraction of slow backends in the zone.
         """
         state, settings = self.state, self.state.settings
         cls = settings.classes[request.cls]
@@ -135,11 +137,11 @@
         return OverloadRule.SLOW_ZONE if self._sheds_for_slow_zone(backend) else None
 
     def _sheds_for_slow_zone(self, backend: Backend) -> bool:
-        """Whether the request is shed for other slow backends of the zone, by chance.
+        """Return whether to shed the request because other backends of the zone are slow; decides at random.
 
-        A backend without own connections is assumed to be as those that have some. One with own connections and no
-        slow message is probably fine: it is spared only in a widespread overload, and only where clients heed a
-        Retry-After, since a rejected client would come again at once.
+        A backend without own connections is assumed to be slow as often as those that have some. A backend with own
+        connections and no slow message is probably fine: requests for it are shed only in a widespread overload, and
+        only if clients heed a Retry-After, since otherwise a rejected client would reconnect at once.
         """
         state = self.state
         if backend.connections and not state.settings.clients_heed_retry_after:
--- a/yarrowspindle/decisions/balancer.py
+++ b/yarrowspindle/decisions/balancer.py
@@ -1,6 +1,6 @@
-"""The balancer: dispatches each event to the rule that handles it.
+"""The balancer: dispatches each event to the module that handles it.
 
-Its interface is `settings`, `events` and `actions`; each rule is in a module of its own (docs/decisions.md).
+Its interface consists of `settings`, `events` and `actions`; each rule has a module of its own (docs/decisions.md).
 """
 
 from __future__ import annotations
@@ -48,14 +48,25 @@
 
 
 class Subset(NamedTuple):
-    """The backends that one balancer draws from as a rule, and how many balancers draw each of them."""
+    """The subset of backends that one balancer normally draws from.
+
+    Attributes:
+        backends: ids of the backends in the subset.
+        balancers: mean number of balancers that draw each of these backends.
+    """
 
     backends: list[int]
     balancers: float
 
 
 class Balancer:
-    """Event in, actions out. One instance is one balancer; instances share nothing."""
+    """One balancer: takes events and returns actions. Instances share no state.
+
+    Args:
+        settings: the settings in use at the start.
+        seed: seed of the random source.
+        now: the balancer's clock at the start, in milliseconds.
+    """
 
     def __init__(self, settings: Settings, seed: int, now: float) -> None:
         self.state = state = BalancerState(settings, seed, now)
@@ -94,10 +105,15 @@
         }
 
     def handle(self, now: float, event: Event) -> list[Action]:
-        """Return the actions that an event at `now` (milliseconds) causes, to be carried out in order.
+        """Handle an event and return the resulting actions, to be carried out in order.
+
+        Args:
+            now: time of the event in milliseconds; must not be earlier than that of the previous event.
+            event: the event to handle.
 
-        Raises ValueError where the clock went back or the event names an unknown request, class or attempt, and
-        TypeError where it is no event.
+        Raises:
+            ValueError: the clock went back, or the event names an unknown request, class or attempt.
+            TypeError: `event` is not an event.
         """
         state = self.state
         if now < state.now:
@@ -132,9 +148,9 @@
         self.state.rebalancing_target = event.level
 
     def _ignore(self, event: PeerMessage) -> None:
-        """Peers' messages reach the balancer as `PeerLoads`."""
+        """Ignore a raw peer message: peers' loads are received as `PeerLoads`."""
 
-    # --- figures for operators and for the layers above ---------------------------------------------
+    # --- state for metrics and for the layers above -------------------------------------------------
 
     @property
     def settings(self) -> Settings:
@@ -143,27 +159,27 @@
 
     @property
     def backends(self) -> dict[int, Backend]:
-        """All backends that are ready or in use, by id."""
+        """All backends that are ready or have own connections, by id."""
         return self.state.backends
 
     @property
     def requests(self) -> dict[int, Request]:
-        """All requests that are not over, by id."""
+        """All requests that await an answer or have an attempt in flight, by id."""
         return self.state.requests
 
     @property
     def peer_loads(self) -> PeerLoadTable:
-        """What the peers reported."""
+        """The connections and loads that peers reported."""
         return self.state.peer_loads
 
     @property
     def estimates(self) -> LoadEstimates | None:
-        """Estimated utilization; None where backends don't report their load."""
+        """The utilization estimates, or None if backends do not report their load."""
         return self.state.estimates
 
     @property
     def overload_rejections(self) -> Counter[str]:
-        """How many requests each rule of admission has rejected as overloaded, by its published name."""
+        """The number of requests rejected as overloaded, by the published name of the admission rule."""
         return self.admission.rejections
 
     def ejected(self, now: float) -> set[int]:
@@ -171,7 +187,10 @@
         return {backend.id for backend in self.backends.values() if is_ejected(backend, now)}
 
     def subset(self) -> Subset:
-        """Return the backends of the ordinary draw; between these own loads are comparable."""
+        """Return the subset of backends that this balancer normally draws from.
+
+        Own loads are comparable only between backends of this subset: others receive requests as a fallback.
+        """
         ring = self.state.local_ring
         fraction = ring.subset_fraction
         members = ring.members_in_arc(self.state.subset_start, fraction)
--- a/yarrowspindle/decisions/cost_placement.py
+++ b/yarrowspindle/decisions/cost_placement.py
@@ -1,7 +1,8 @@
-"""Placement where backends report their load to health checks: a connection goes where it costs least.
+"""Placement by cost, used if backends report their load to health checks.
 
-The cost of a connection at a backend is what it and the connections beside it lose by late messages, and the stated
-price of crossing zones. Costs are in priority weight. Utilization comes from `load_estimates`.
+The cost of a connection at a backend is the priority weight that it and the backend's other connections lose through
+late messages, plus the configured price of crossing zones. Costs are in units of priority weight. Utilization is
+estimated by `load_estimates`.
 """
 
 from __future__ import annotations
@@ -17,32 +18,38 @@
 from yarrowspindle.decisions.settings import Settings
 from yarrowspindle.decisions.weighted_ring import WeightedRing
 
-MAX_ROUNDS = 3  # of draws, while all that were drawn cost more than the connection's priority weight
+MAX_ROUNDS = 3  # of draws; another round follows if every backend drawn costs more than the request's priority weight
 DRAWS_PER_RING = 2  # backends drawn from each ring in a round
-MIN_MIGRATION_GAIN = 0.05  # in mean priority weight
-ESTIMATED_GAIN_FRACTION = 0.33  # of a gain that is only estimated this fraction counts: estimates are noisy
+MIN_MIGRATION_GAIN = 0.05  # fraction of the mean priority weight
+ESTIMATED_GAIN_FRACTION = 0.33  # fraction of an estimated gain that counts, since estimates are noisy
 
 Rings = tuple[WeightedRing[Backend], WeightedRing[Backend]]
 
 
 class Choice(NamedTuple):
-    """The cheapest backend that was found (None: none is usable) and its cost in priority weight."""
+    """The cheapest usable backend (None if there is none) and its cost in priority weight."""
 
     backend: Backend | None
     cost: float
 
 
 class CostPlacement:
-    """Chooses by cost. rings: backends of the own zone and of the fleet, perhaps the same; random: draws in 0 to 1."""
+    """Chooses the backend at which a connection costs least.
+
+    Args:
+        estimates: the estimated utilization of backends.
+        rings: the backends of the balancer's own zone and those of the fleet; both may be the same ring.
+        random: source of draws in 0 to 1.
+    """
 
     def __init__(self, estimates: LoadEstimates, rings: Rings, random: Callable[[], float]) -> None:
         self.estimates, self.rings, self.random = estimates, rings, random
 
     def cheapest(self, request: Request, settings: Settings, now: float, rings: Rings | None = None) -> Choice:
-        """Return the cheapest of two backends drawn from each ring and those that serve the request's group.
+        """Return the cheapest of the backends that are drawn and those that already serve the request's group.
 
-        All balancers draw the same backends for a group, since each backend that serves any of it pays GROUP_COST.
-        rings: given where the request may go to some backends only.
+        DRAWS_PER_RING backends are drawn from each ring. All balancers draw the same backends for a group, since each
+        backend that serves a connection of the group incurs GROUP_COST. `rings` restricts the draw to some backends.
         """
         estimates, rings = self.estimates, rings or self.rings
         shared_seed = estimates.groups_share_work and request.group
@@ -60,7 +67,7 @@
         return choice
 
     def _cheapest_of(self, backends: list[Backend], request: Request, settings: Settings, now: float) -> Choice:
-        """The first of the cheapest usable backends, other than that of the request's last attempt."""
+        """Return the first of the cheapest usable backends, excluding that of the request's last attempt."""
         best, least_cost = None, inf
         for backend in backends:
             if backend is request.backend or not backend.is_usable(now, settings):
@@ -71,7 +78,10 @@
         return Choice(best, least_cost)
 
     def choose(self, request: Request, settings: Settings, now: float, rings: Rings) -> Backend | None:
-        """Return where the request goes: the cheapest drawn, or of all that respond where that one does not."""
+        """Return the backend for the request: the cheapest of those drawn, if it answers its health checks.
+
+        Otherwise return the cheapest responsive backend of the whole fleet ring.
+        """
         cheapest = self.cheapest(request, settings, now, rings).backend
         if cheapest is not None and cheapest.utilization < UNRESPONSIVE_UTILIZATION:
             return cheapest
@@ -85,7 +95,10 @@
         return min(responsive, key=lambda backend: self.cost(backend, request, settings), default=cheapest)
 
     def cost(self, backend: Backend, request: Request, settings: Settings, already_counted: bool = False) -> float:
-        """Return what the connection costs at this backend, in priority weight; `already_there`: it is counted."""
+        """Return the cost of the request's connection at this backend, in priority weight.
+
+        already_counted: the backend's utilization includes the connection.
+        """
         estimates = self.estimates
         added = estimates.added_utilization(backend, request, already_counted)
         utilization = estimates.utilization(backend) + (0.0 if already_counted else added)
@@ -98,16 +111,16 @@
 
     @property
     def min_migration_gain(self) -> float:
-        """The gain above which a connection is migrated, in priority weight."""
+        """The gain in priority weight above which a connection is migrated."""
         return MIN_MIGRATION_GAIN * self.estimates.mean_priority_weight
 
     def gain(
         self, request: Request, backend: Backend, settings: Settings, now: float, reserve_above: float = inf
     ) -> float:
-        """Return what a migration off `backend` would save, in priority weight.
+        """Return the priority weight that migrating the request's connection off `backend` would save.
 
-        The price of crossing zones counts in full, a difference of estimated load by ESTIMATED_GAIN_FRACTION. Where
-        the gain exceeds `reserve_above` the connection is counted at its new backend at once.
+        A saved price of crossing zones counts in full, a gain from estimated load only by ESTIMATED_GAIN_FRACTION. If
+        the gain exceeds `reserve_above`, the connection is counted at its new backend at once.
         """
         estimates = self.estimates
         present_cost = self.cost(backend, request, settings, True)
--- a/yarrowspindle/decisions/load_estimates.py
+++ b/yarrowspindle/decisions/load_estimates.py
@@ -1,7 +1,7 @@
-"""Estimated utilization of backends, from load reports and message latency, updated by what was placed since.
+"""Estimates the utilization of backends from load reports, message latency and the placements since the last report.
 
-Load is counted in mean connections; `capacity_per_connection` converts it to capacity. Both it and the load of each
-class are learned from reports. Nothing here decides anything.
+Load is measured in mean connections; `capacity_per_connection` converts it to capacity. This factor and the load of
+each class are learned from reports. The module makes no decisions.
 """
 
 from __future__ import annotations
@@ -14,43 +14,45 @@
 from yarrowspindle.decisions.requests import Request
 from yarrowspindle.decisions.settings import Settings
 
-UTILIZATION_FIELD = "x0"  # of a load report: load over capacity
-CONNECTIONS_FIELD = "rif"  # of a load report: connections in flight
-HALF_LATE_UTILIZATION = 0.96  # at which half of the messages miss their latency objective
-LATENESS_EXPONENT = 11.0  # how steeply late messages increase with utilization
-GROUP_COST = 1.0  # mean connections that a backend spends on a group that it serves
+UTILIZATION_FIELD = "x0"  # load report field: load divided by capacity
+CONNECTIONS_FIELD = "rif"  # load report field: connections in flight
+HALF_LATE_UTILIZATION = 0.96  # utilization at which half of the messages miss their latency objective
+LATENESS_EXPONENT = 11.0  # steepness of the rise of late messages with utilization
+GROUP_COST = 1.0  # work that a backend does once per group that it serves, in mean connections
 INITIAL_CAPACITY_PER_CONNECTION = 0.06  # until reports are received
-UNREPORTED_UTILIZATION = 0.5  # of a backend that has not reported
-REPORT_LAG_MS = 1000.0  # a report may describe a time this long ago: what was placed since is not in it
-UNRESPONSIVE_UTILIZATION = 9.0  # of a backend that does not answer its health check
-MAX_CHANGES_SINCE_REPORT = 256  # kept one by one
+UNREPORTED_UTILIZATION = 0.5  # assumed for a backend that has not reported
+REPORT_LAG_MS = 1000.0  # maximum age of the state that a report describes: later placements are not included in it
+UNRESPONSIVE_UTILIZATION = 9.0  # assumed for a backend that does not answer its health check
+MAX_CHANGES_SINCE_REPORT = 256  # stored per backend before they are merged into one
 CLASS_LOAD_LEARNING_RATE = 0.05
 CAPACITY_LEARNING_RATE = 0.05
 MIN_CLASS_LOAD, MAX_CLASS_LOAD = 0.1, 4.0  # in mean connections
-MAX_LEARNING_UTILIZATION = 1.5  # above it a report shows a faulty backend, not the load of its connections
+MAX_LEARNING_UTILIZATION = 1.5  # a report above it indicates a faulty backend and says nothing of connection load
 MEAN_LOAD_LEARNING_RATE = 0.05
 
 
 class MeanConnectionLoad:
-    """The load of a connection: as reported, else the recent mean, so that deployments without hints compare alike.
+    """Moving average of the reported load of connections, used for connections without a load hint.
 
-    Loads are milliseconds of standard-core work for each second.
+    Loads are in milliseconds of standard-core work per second. In a deployment without hints all connections count
+    the same.
     """
 
     def __init__(self) -> None:
         self.mean = 0.0
 
     def estimate(self, load: float) -> float:
-        """Return the load to count for a connection; 0 as the reported `load` means that there is no hint."""
+        """Return the load to count for a connection: `load` as reported, or the mean if it is 0 (no hint)."""
         if load > 0.0:
             self.mean += (load - self.mean) * (MEAN_LOAD_LEARNING_RATE if self.mean else 1.0)
         return load or self.mean or 1.0
 
 
 class LoadEstimates:
-    """The utilization of all backends, as one balancer estimates it.
+    """One balancer's estimates of the utilization of all backends.
 
-    mean_priority_weight: of a mean connection, over all backends.
+    Attributes:
+        mean_priority_weight: mean priority weight of the balancer's own connections.
     """
 
     def __init__(self, settings: Settings, peer_loads: PeerLoadTable | None = None) -> None:
@@ -58,11 +60,11 @@
         self.capacity_per_connection = INITIAL_CAPACITY_PER_CONNECTION
         self.class_loads: list[float] = []  # by class, in mean connections
         self.class_connections: list[float] = []  # own connections, by class
-        self.backends_by_group: dict[int, dict[int, Backend]] = {}  # with own connections of the group
+        self.backends_by_group: dict[int, dict[int, Backend]] = {}  # those with own connections of the group
         self.on_settings_changed(settings)
 
     def on_settings_changed(self, settings: Settings, reassigned_classes: Iterable[int] = ()) -> None:
-        """Take new settings over. Classes keep their numbers; what was learned of reassigned ones is dropped."""
+        """Apply new settings. Classes keep their numbers; the learned load of reassigned classes is reset."""
         self.classes = settings.classes
         self.report_fields = settings.load_report_fields
         self.groups_share_work = settings.groups_share_work
@@ -76,15 +78,20 @@
         self._update_mean_priority_weight()
 
     def _update_mean_priority_weight(self) -> None:
-        """Each class counts one connection more than there are, so that a class without any counts too."""
+        """Recompute the mean; each class counts one extra connection, so that classes without connections count."""
         total = sum(self.class_connections) + len(self.class_connections)
         counts = zip(self.classes, self.class_connections, strict=True)
         self.mean_priority_weight = sum(cls.priority_weight * (count + 1.0) for cls, count in counts) / total
 
     def added_utilization(self, backend: Backend, request: Request, already_counted: bool = False) -> float:
-        """Return what the connection adds to a backend's utilization, or takes off where it is `already_there`.
+        """Return the utilization that the connection adds to a backend.
 
-        The first connection of a group at a backend costs GROUP_COST more, where groups share work.
+        If groups share work, the only connection of a group at a backend costs GROUP_COST in addition.
+
+        Args:
+            backend: the backend.
+            request: the request of the connection.
+            already_counted: the backend's counts include the connection.
         """
         only_connection_of_group = (
             self.groups_share_work
@@ -96,11 +103,11 @@
         return load * self.capacity_per_connection / backend.capacity
 
     def reserve(self, backend: Backend, request: Request, now: float) -> None:
-        """Count a connection that is about to be migrated to this backend."""
+        """Count in advance a connection that is about to migrate to this backend."""
         backend.changes_since_report.append((now, self.added_utilization(backend, request)))
 
     def on_connection_change(self, backend: Backend, request: Request, change: int, now: float) -> None:
-        """Count an own connection that was added (1) or has ended (-1)."""
+        """Update the estimates for an own connection that was added (`change` 1) or has ended (-1)."""
         added = self.added_utilization(backend, request, change < 0)
         backend.changes_since_report.append((now, change * added))
         self.class_connections[request.cls] += change
@@ -116,23 +123,34 @@
                 del self.backends_by_group[request.group]
 
     def on_peer_update(self, backend: Backend, change: int, report: LoadReport | None, now: float) -> None:
-        """Apply what peers observed of a backend.
-
-        change: how many connections of peers were added there (or ended), each taken for a mean one. report: the
-        newest load report that a peer received.
+        """Update the estimates from the peers' observations of a backend.
+
+        Args:
+            backend: the backend.
+            change: number of peers' connections that were added there, or ended if negative; each counts as a mean
+                connection.
+            report: the newest load report that a peer received, if it is newer than the known one.
+            now: the present time in milliseconds.
         """
         if report is not None:
             fields = {UTILIZATION_FIELD: report.utilization, CONNECTIONS_FIELD: report.connections}
             values = tuple(fields.get(name, 0.0) for name in self.report_fields)
             self.on_health_check(backend, report.received_at, values)
-            backend.last_report_at = -inf  # it was reported to a peer, who distributes it
+            backend.last_report_at = -inf  # the peer that received the report distributes it
         if change and backend.utilization >= 0.0:
-            if len(backend.changes_since_report) > MAX_CHANGES_SINCE_REPORT:  # reports have stopped
+            if len(backend.changes_since_report) > MAX_CHANGES_SINCE_REPORT:  # reports are missing
                 backend.changes_since_report = [(now, sum(added for _, added in backend.changes_since_report))]
             backend.changes_since_report.append((now, change * self.capacity_per_connection / backend.capacity))
 
     def on_health_check(self, backend: Backend, now: float, report: tuple[float, ...], no_answer: bool = False) -> None:
-        """Apply a health check's result. report: values of the settings' report fields, or empty; silent: no answer."""
+        """Apply the result of a health check.
+
+        Args:
+            backend: the backend that was checked.
+            now: when the report was received, in milliseconds.
+            report: values of the settings' report fields, or empty if there is no report.
+            no_answer: the backend did not answer the check.
+        """
         if no_answer:
             backend.utilization = max(backend.utilization, UNRESPONSIVE_UTILIZATION)
         if not report:
@@ -147,9 +165,9 @@
             self._learn(backend)
 
     def _learn(self, backend: Backend) -> None:
-        """Move the load of a mean connection and of each class one step towards what this report explains.
+        """Adjust the load of a mean connection and that of each class by one step towards the backend's report.
 
-        Peers' connections there are assumed to have the same mix of classes as this balancer's own.
+        Peers' connections at the backend are assumed to have the same mix of classes as this balancer's own.
         """
         used_capacity = backend.utilization * backend.capacity
         observed = used_capacity / backend.reported_connections
@@ -170,7 +188,7 @@
         ]
 
     def on_slow_message(self, backend: Backend, message_ms: float, now: float) -> None:
-        """Raise the utilization to what this message latency shows, before a report does."""
+        """Raise the utilization to the value that this message latency implies, without waiting for a report."""
         late = exp(-self.message_latency_objective_ms / max(message_ms, 1.0))
         utilization = HALF_LATE_UTILIZATION * (late / max(1.0 - late, 1e-9)) ** (1.0 / LATENESS_EXPONENT)
         if utilization > backend.utilization:
@@ -178,7 +196,7 @@
             _drop_reported_changes(backend, now)
 
     def utilization(self, backend: Backend) -> float:
-        """Return the estimated load over capacity of a backend, with what was placed since its report."""
+        """Return the estimated utilization of a backend, including the changes since its last report."""
         reported = backend.utilization if backend.utilization >= 0.0 else UNREPORTED_UTILIZATION
         return max(0.0, reported + sum(added for _, added in backend.changes_since_report))
 
@@ -188,9 +206,10 @@
         return 1.0 / (1.0 + odds)
 
     def on_time_decline(self, utilization: float) -> float:
-        """Return by how much the on-time fraction declines for one more unit of utilization.
+        """Return the decline of the on-time fraction per unit of added utilization.
 
-        Beyond HALF_LATE_UTILIZATION it stays at its steepest: queued work makes an overload worse with time.
+        Beyond HALF_LATE_UTILIZATION the decline stays at its maximum, since queued work makes an overload worse over
+        time.
         """
         relative = min(utilization / HALF_LATE_UTILIZATION, 1.0)
         odds: float = relative**LATENESS_EXPONENT
@@ -204,6 +223,6 @@
 
 
 def _drop_reported_changes(backend: Backend, now: float) -> None:
-    """Drop the changes that a report of now includes already."""
+    """Remove the changes that a report received at `now` already includes."""
     oldest = now - REPORT_LAG_MS
     backend.changes_since_report = [(at, added) for at, added in backend.changes_since_report if at > oldest]
--- a/yarrowspindle/decisions/migration.py
+++ b/yarrowspindle/decisions/migration.py
@@ -1,4 +1,4 @@
-"""Which established connections are migrated: their clients are asked to connect again, and are placed anew."""
+"""Migration of established connections: selects the clients that are asked to reconnect and are placed anew."""
 
 from __future__ import annotations
 
@@ -14,32 +14,32 @@
 from yarrowspindle.decisions.requests import Request
 from yarrowspindle.decisions.state import BalancerState
 
-SLOW_MESSAGE_MIGRATION_PROBABILITY = 0.8  # where the backend is the only slow one
-MIN_OVERLOAD_MIGRATION_FRACTION = 0.3  # of it, in a widespread overload where clients heed a Retry-After
-OVERLOADED_UTILIZATION = 1.1  # above it a backend is emptied step by step
-MAX_MIGRATED_FRACTION = 0.25  # of a full backend's own connections, for each interval
-OTHER_BACKENDS = -1  # key of the common quota of backends that are not full
+SLOW_MESSAGE_MIGRATION_PROBABILITY = 0.8  # if no other backend of the zone is slow
+MIN_OVERLOAD_MIGRATION_FRACTION = 0.3  # of that probability, in a widespread overload if clients heed a Retry-After
+OVERLOADED_UTILIZATION = 1.1  # above it, connections are migrated off the backend step by step
+MAX_MIGRATED_FRACTION = 0.25  # of an overloaded backend's own connections, per health-check interval
+OTHER_BACKENDS = -1  # key of the quota that all backends share that are not overloaded
 
 
 class _Candidate(NamedTuple):
-    gain: float  # in priority weight
+    gain: float  # priority weight that the migration saves
     request: Request
     backend: Backend
 
 
 def slow_message_probability(slow_fraction: float, setup_fraction: float, retry_after: bool) -> float:
-    """Return the probability of a migration for a slow message.
+    """Return the probability that a slow message causes a migration.
 
-    It falls as more of the zone is slow, since no backend is better then, and as setups take more of their objective,
-    since a migration is one more setup. Where clients heed a Retry-After some migrate even in a widespread overload:
-    one that comes again is admitted only where there is capacity.
+    It falls with the fraction of slow backends in the zone, since fewer backends are better then, and with the fraction
+    of their objective that setups take, since a migration is one more setup. If clients heed a Retry-After, some
+    connections migrate even in a widespread overload: admission accepts them again only if there is capacity.
     """
     minimum = MIN_OVERLOAD_MIGRATION_FRACTION if retry_after else 0.0
     return SLOW_MESSAGE_MIGRATION_PROBABILITY * max(minimum, 1.0 - slow_fraction) * (1.0 - setup_fraction)
 
 
 class Migration:
-    """Decides on migrations. cost_placement: where backends report their load."""
+    """Decides which connections are migrated. cost_placement: the cost model if backends report their load."""
 
     def __init__(
         self,
@@ -52,9 +52,9 @@
         self.cost_placement = cost_placement
 
     def on_slow_message(self, event: SlowMessageObserved) -> None:
-        """Record the latency, and where backends don't report their load migrate the backend's heaviest connection.
+        """Record the message latency; if backends do not report their load, migrate the heaviest connection.
 
-        Received once a second while messages are slow, and once when they no longer are.
+        The event is received once a second while messages are slow, and once when they no longer are.
         """
         state = self.state
         backend, request = state.backends.get(event.backend), state.requests.get(event.request)
@@ -80,7 +80,10 @@
             self.migrate(self._heaviest_connection(backend, request))
 
     def _heaviest_connection(self, backend: Backend, request: Request) -> Request:
-        """The connection with the most load there: each migration costs the same, and this one relieves the most."""
+        """Return the connection with the highest load at the backend.
+
+        Every migration costs the same, and that of the heaviest connection relieves the backend most.
+        """
         if backend.connections <= 1:
             return request
         candidates = (
@@ -91,10 +94,10 @@
         return max(candidates, key=lambda other: other.load, default=request)
 
     def migrate_for_gain(self) -> None:
-        """Migrate the connections that gain the most, where backends report their load.
+        """Migrate the connections with the highest gain, if backends report their load.
 
-        Full backends lose up to MAX_EMPTIED_FRACTION of their own connections, all others together as many as
-        `PeerLoadTable.allowed_migrations` says.
+        An overloaded backend loses up to MAX_MIGRATED_FRACTION of its own connections per call; all other backends
+        together lose up to `PeerLoadTable.allowed_migrations`.
         """
         state, costs = self.state, self.cost_placement
         if costs is None:
@@ -105,13 +108,13 @@
             quota_key = backend.id if backend.utilization > OVERLOADED_UTILIZATION else OTHER_BACKENDS
             if quotas.setdefault(quota_key, 1 + int(MAX_MIGRATED_FRACTION * backend.connections)) <= 0:
                 continue
-            # Computed anew: connections that were migrated before this one are counted at their new backends.
+            # Compute the gain again: connections migrated in this loop already count at their new backends.
             if costs.gain(request, backend, state.settings, state.now, min_gain) > min_gain:
                 quotas[quota_key] -= 1
                 self.migrate(request)
 
     def _candidates_by_gain(self, costs: CostPlacement, min_gain: float) -> list[_Candidate]:
-        """The connections that gain more than `min_gain`, the highest gain first."""
+        """Return the connections that gain more than `min_gain`, in descending order of gain."""
         state = self.state
         candidates = [
             _Candidate(costs.gain(request, request.backend, state.settings, state.now), request, request.backend)
@@ -122,7 +125,7 @@
         return sorted(gaining, key=lambda candidate: (-candidate.gain, candidate.request.id))
 
     def migrate(self, request: Request) -> None:
-        """Ask the client of an established connection to connect again, once."""
+        """Ask the client of an established connection to reconnect, unless it was asked before."""
         if request.migratable:
             request.answer_pending = False
             self.state.emit(MigrateConnection(request.id))
--- a/yarrowspindle/decisions/peer_loads.py
+++ b/yarrowspindle/decisions/peer_loads.py
@@ -1,8 +1,8 @@
-"""What the other balancers reported of their connections.
+"""Connections and loads that the other balancers (peers) reported.
 
-Of n balancers h have reported, with a weight w that falls from 1 to 0 as their report grows old. The n - 1 - w * h
-others are assumed to have what this balancer has, as all of them are where none reports: then every comparison is
-one of own load.
+Of n balancers, h have reported, with a weight w that falls from 1 to 0 as their reports age. The remaining
+n - 1 - w * h balancers are assumed to have the same connections as this one. If no peer reports, this applies to all of
+them, and backends are compared by own load alone.
 """
 
 from __future__ import annotations
@@ -14,17 +14,17 @@
 from yarrowspindle.decisions.backends import Backend
 from yarrowspindle.decisions.events import BACKEND_KEY_MASK, PeerLoads, group_key
 
-FULL_WEIGHT_AGE_MS = 2000.0  # up to this age a report of peers counts in full
-MAX_REPORT_AGE_MS = 4500.0  # from this age on it counts for nothing
-CONCURRENT_MIGRATORS = 2  # balancers that migrate connections in one turn
+FULL_WEIGHT_AGE_MS = 2000.0  # age up to which a peer report has full weight
+MAX_REPORT_AGE_MS = 4500.0  # age from which a peer report is ignored
+CONCURRENT_MIGRATORS = 2  # balancers that migrate connections in the same turn
 MIGRATION_TURN_MS = 500.0
 BACKEND_INDEX_TTL_MS = 1000.0
-MAX_UNCHECKED_MS = 2000.0  # a backend that nobody checked for this long may be checked by any balancer
+MAX_UNCHECKED_MS = 2000.0  # time without a health check after which any balancer may check the backend
 NO_LOAD = (0, 0.0)  # connections, load
 
 
 class LoadReport(NamedTuple):
-    """A backend's load report to a peer: load over capacity, connections, and when the peer received it (ms)."""
+    """A load report that a backend sent to a peer: utilization, connections and time of receipt (milliseconds)."""
 
     utilization: float
     connections: float
@@ -32,7 +32,7 @@
 
 
 class PeerUpdate(NamedTuple):
-    """What peers observed of one backend: connections added (or ended, below 0), and a newer load report."""
+    """The change of peers' connections at one backend (negative: ended), and a newer load report if there is one."""
 
     backend: Backend
     connection_change: int
@@ -40,7 +40,10 @@
 
 
 class PeerLoadTable:
-    """The newest sums of the peers' connections and loads. balancers: as configured, this one included."""
+    """The latest sums of the peers' connections and loads.
+
+    balancers: configured number of balancers, including this one.
+    """
 
     def __init__(self, balancers: int) -> None:
         self.configured_balancers, self.balancers = balancers, float(balancers)
@@ -52,12 +55,12 @@
         self.ejected_by_peers: frozenset[int] = frozenset()
 
     def on_settings_changed(self, balancers: int) -> None:
-        """Take over a changed number of configured balancers."""
+        """Apply a changed number of configured balancers."""
         self.configured_balancers = balancers
         self.balancers = float(max(self.configured_balancers, self.active_balancers))
 
     def on_peer_loads(self, event: PeerLoads, now: float) -> None:
-        """Apply the changes of what peers reported."""
+        """Apply changed sums and ejections that peers reported."""
         self.updated_at, self.age_at_update_ms = now, event.age_ms
         self.reporting_peers, self.rank, self.active_balancers = event.reporting_relays, event.rank, event.relays
         self.ejected_by_peers = event.ejected_by_peers
@@ -69,47 +72,49 @@
                 self.loads[key] = load
 
     def _report_weight(self, now: float) -> float:
-        """The weight of the peers' report by its age, from 1 to 0."""
+        """Return the weight of the peers' reports by their age, from 1 (recent) to 0 (expired)."""
         remaining_ms = MAX_REPORT_AGE_MS - self.age_at_update_ms - (now - self.updated_at)
         return min(max(remaining_ms / (MAX_REPORT_AGE_MS - FULL_WEIGHT_AGE_MS), 0.0), 1.0)
 
     def similar_balancers(self, now: float) -> float:
-        """Return how many balancers, this one included, are assumed to have the connections that this one has."""
+        """Return how many balancers, including this one, are assumed to have the same connections as this one."""
         if not self.reporting_peers:
             return self.balancers
         return max(1.0, self.balancers - self._report_weight(now) * self.reporting_peers)
 
     def load_weight(self, now: float) -> float:
-        """Return by how much a load that peers reported counts, relative to own load."""
-        if not self.reporting_peers:  # asked for each backend drawn: nothing is computed where no peers report
+        """Return the weight of a load reported by peers, relative to own load."""
+        if not self.reporting_peers:  # shortcut: called for each backend that is drawn
             return 0.0
         return self._report_weight(now) / self.similar_balancers(now)
 
     def load(self, backend: Backend) -> float:
-        """Return the load that peers have at this backend, in milliseconds of standard-core work for each second."""
+        """Return the peers' load at this backend, in milliseconds of standard-core work per second."""
         return self.loads.get(backend.id & BACKEND_KEY_MASK, NO_LOAD)[1]
 
     def group_connections(self, backend: Backend, group: int) -> int:
-        """Return how many connections of the group peers have at this backend."""
+        """Return the number of the peers' connections of this group at this backend."""
         return self.loads.get(group_key(backend.id, group), NO_LOAD)[0] if self.reporting_peers else 0
 
     def is_ejected_by_peers(self, backend: Backend) -> bool:
-        """Return whether most of the peers have ejected this backend."""
+        """Return whether more than half of the reporting peers have ejected this backend."""
         return bool(self.ejected_by_peers) and backend.id & BACKEND_KEY_MASK in self.ejected_by_peers
 
     def may_check(self, backend: Backend, now: float) -> bool:
-        """Return whether this balancer checks the backend's health.
+        """Return whether this balancer may check the backend's health.
 
-        One balancer checks a backend for all, by their ranks; any may where that one does not.
+        Each backend is assigned to one balancer by rank. Any balancer may check it once it has gone unchecked for
+        MAX_UNCHECKED_MS.
         """
         assigned_rank = (backend.id & BACKEND_KEY_MASK) % max(self.active_balancers, 1)
         overdue = now >= backend.last_checked_at + MAX_UNCHECKED_MS
         return self.reporting_peers == 0 or assigned_rank == self.rank or overdue
 
     def allowed_migrations(self, now: float) -> int:
-        """Return how many connections this balancer may migrate in this turn, off backends that are not full.
+        """Return how many connections this balancer may migrate off backends that are not overloaded in this turn.
 
-        Balancers that see the same loads and migrate at the same time migrate too many, so they take turns.
+        Balancers take turns: if all of them acted on the same loads at the same time, they would migrate too many
+        connections.
         """
         if not self.reporting_peers:
             return 1
@@ -117,7 +122,7 @@
         return int((turn + self.rank) % max(self.active_balancers, 1) < CONCURRENT_MIGRATORS)
 
     def updated_backends(self, event: PeerLoads, backends: dict[int, Backend], now: float) -> Iterator[PeerUpdate]:
-        """Yield the backends at which peers' connections changed, or of which a peer has a newer load report."""
+        """Yield an update for each backend with changed peer connections or a newer load report from a peer."""
         if not event.connection_changes and not event.reports:
             return
         if now >= self.indexed_at + BACKEND_INDEX_TTL_MS or self.indexed_count != len(backends):
--- a/yarrowspindle/decisions/placement.py
+++ b/yarrowspindle/decisions/placement.py
@@ -1,7 +1,7 @@
-"""Which backend an attempt goes to: the choice between retries, slow start, costs and the rule of two choices.
+"""Chooses the backend of an attempt: by deduplication scope (retries), slow start, cost or two random choices.
 
-The ordinary rule is that of Luczak & McDiarmid, "On the Power of Two Choices: Balls and Bins in Continuous Time":
-draw two ready backends and take the one with less own load.
+The default is the power of two choices (Luczak & McDiarmid, "On the Power of Two Choices: Balls and Bins in Continuous
+Time"): draw two ready backends at random and take the one with less own load.
 """
 
 from __future__ import annotations
@@ -19,26 +19,34 @@
 from yarrowspindle.decisions.weighted_ring import WeightedRing
 
 DRAWS = 2
-# For clients that come again during rebalancing: two draws seldom find a backend below the target.
+# Draws for a client that reconnects during rebalancing: two draws seldom find a backend below the target load.
 REBALANCING_DRAWS = 16
-# Load of all balancers for each unit of capacity that backends of other zones count more, by own load only.
+# Added to the load per unit of capacity (summed over all balancers) of backends in other zones. Applies only if
+# backends are compared by own load alone.
 CROSS_ZONE_LOAD_PENALTY = 90.0
 
-HEALTHY, SLOW, EJECTED = 0, 1, 2  # first part of a rank: a lower one is preferred whatever the load
+HEALTHY, SLOW, EJECTED = 0, 1, 2  # first element of a rank: the lower value wins regardless of load
 
 
 class Placement:
-    """Chooses backends for attempts. cost_placement: where backends report their load; it replaces two choices."""
+    """Chooses backends for attempts.
+
+    Args:
+        state: the state of the balancer.
+        slow_start: the budget of backends that are warming up.
+        cost_placement: replaces two choices if backends report their load; else None.
+    """
 
     def __init__(self, state: BalancerState, slow_start: SlowStart, cost_placement: CostPlacement | None) -> None:
         self.state, self.slow_start, self.cost_placement = state, slow_start, cost_placement
 
     def choose(self, request: Request) -> Backend | None:
-        """Return the backend for the request's next attempt; None where none is usable.
+        """Return the backend for the request's next attempt, or None if no backend is usable.
 
-        A request that may have run goes only to backends that recognise the repeat. Otherwise a backend that warms up
-        gets it while the slow-start budget allows; else costs decide where backends report their load; else two
-        choices, from the own zone or, as far as that is short of capacity, from the fleet.
+        A request that may have run goes only to backends that recognise the repeat. Any other request goes to a
+        backend in slow start if the budget allows. Otherwise the backend with the lowest cost is chosen if backends
+        report their load, else the better of two random choices: from the balancer's own zone, or from the whole
+        fleet for the fraction of requests that the zone lacks capacity for.
         """
         state, settings = self.state, self.state.settings
         local, fleet = state.local_ring, state.fleet_ring
@@ -54,9 +62,10 @@
         return self._two_choices(request, local, fleet)
 
     def _spills_over(self, local: WeightedRing[Backend]) -> bool:
-        """Whether the request is part of the load that the own zone has lost the capacity for.
+        """Return whether to send the request to the whole fleet because the own zone has lost capacity.
 
-        That load goes to all zones: else the first backends to return at home would get all of it.
+        Decides at random, in proportion to the lost capacity. This load is spread over all zones, since otherwise the
+        first backends to return in the own zone would receive all of it.
         """
         nominal, present = local.nominal_capacity, local.total_capacity
         return present < nominal and self.state.random() * nominal >= present
@@ -64,10 +73,11 @@
     def _two_choices(
         self, request: Request, local: WeightedRing[Backend], fleet: WeightedRing[Backend]
     ) -> Backend | None:
-        """Draw from the own subset, then from the fleet while no healthy backend was found; the least rank wins.
+        """Return the backend of lowest rank among those drawn: from the own subset, then from the fleet if necessary.
 
-        During rebalancing clients that come again get more draws, to find a backend below the target. Requests of a
-        group draw from a shared seed, so that all balancers meet at the same backends.
+        The fleet is drawn from if the subset yields no healthy backend. During rebalancing, clients that reconnect get
+        more draws, to find a backend below the target load. Draws for a group use a seed that all balancers share, so
+        that they all choose the same backends.
         """
         state = self.state
         target = state.rebalancing_target if request.returned else 0.0
@@ -78,13 +88,16 @@
         target = target if request.group else 0.0
         fraction = 1.0 if shared_seed else local.subset_fraction
         best = self._draw(local, random, draws, start, fraction, target, None)
-        # Without reported latency own load has to show which backend is slow: the fleet is always drawn from.
+        # Without reported latency only own load shows which backend is slow, so the fleet is always drawn from too.
         if best is not None and not state.uses_own_load_only and self._rank(best)[0] == HEALTHY:
             return best
         return self._draw(fleet, random, draws, start, 1.0, target, best)
 
     def _has_shared_seed(self, request: Request, target: float) -> bool:
-        """Whether all balancers draw the same backends for the request's group; a retry has to go elsewhere."""
+        """Return whether all balancers draw the same backends for the request's group.
+
+        A retry does not use the shared seed, since it has to go to another backend.
+        """
         if not request.group:
             return False
         return bool(target) or (self.state.settings.groups_share_work and not request.attempts)
@@ -99,9 +112,18 @@
         target: float,
         best: Backend | None,
     ) -> Backend | None:
-        """Return the least ranked of `best` and the backends drawn, or the first healthy one below the target load.
-
-        target: own load for each unit of capacity; 0: none. Backends that warm up are left to slow start.
+        """Draw backends and return the one of lowest rank, or the first healthy one below the target load.
+
+        Backends in slow start are skipped: they receive requests only within the slow-start budget.
+
+        Args:
+            ring: the backends to draw from.
+            random: source of draws in 0 to 1.
+            draws: the number of draws.
+            start: where the arc of the ring begins that is drawn from, in 0 to 1.
+            fraction: the length of that arc as a fraction of the ring.
+            target: own load per unit of capacity below which a healthy backend is taken at once; 0 disables it.
+            best: the best backend of previous draws, if any; it competes with those drawn.
         """
         if not ring.size:
             return best
@@ -114,15 +136,16 @@
             rank = self._rank(backend)
             if best is None or best_rank is None or rank < best_rank:
                 best, best_rank = backend, rank
-            # Whoever else draws for the group comes to the same backend, since the seed is shared.
+            # The seed is shared: other balancers that draw for this group stop at the same backend.
             if target and best_rank[0] == HEALTHY and best.load < target * best.capacity:
                 break
         return best
 
     def _rank(self, backend: Backend) -> tuple[int, float]:
-        """Return the order of preference, the lowest first: health, then load for each unit of capacity.
+        """Return the sort key of a backend, lowest preferred: health, then load per unit of capacity.
 
-        Load of peers counts as far as it was reported; the mean load of a connection is that of the request itself.
+        The load includes what peers reported, weighted by the age of their reports, and the mean load of a connection
+        as an estimate for the request to be placed.
         """
         state, peer_loads, now = self.state, self.state.peer_loads, self.state.now
         load = backend.load + peer_loads.load_weight(now) * peer_loads.load(backend) + state.connection_loads.mean
@@ -137,9 +160,10 @@
         return health, load / backend.capacity + penalty
 
     def _warming_up_backend(self) -> Backend | None:
-        """Return a backend in slow start, as often as this balancer's part of the budget allows.
+        """Return a backend in slow start that gets the request, or None.
 
-        The budget is an upper bound: a backend above its share of the connections does not get more.
+        None is returned if this balancer's part of the budget is used up or the backend is not usable. The budget is an
+        upper bound: while connections are short-lived, a backend above its share of the connections gets no more.
         """
         state, slow_start = self.state, self.slow_start
         ring = state.fleet_ring if state.uses_own_load_only else state.local_ring
--- a/yarrowspindle/decisions/request_gate.py
+++ b/yarrowspindle/decisions/request_gate.py
@@ -1,9 +1,8 @@
-"""Whether a request may be admitted, sent, retried, migrated or answered now, and why not.
+"""Preconditions of each step of a request: admission, attempts, forwarding, retries, migration and final answers.
 
-Every path asks here: new requests, attempts, retries, the first byte on a new connection, migrations, final answers,
-slow start. A function named `..._rejection` returns the `RejectionReason` against it, which logs and metrics carry, or
-None where it is allowed; `retry_window_ms` and `may_promise_no_effect` return what their own docstrings say. All are
-pure; times are milliseconds of one clock that never goes back.
+Every code path checks them here. A function named `..._rejection` returns None if the step is allowed, else the
+`RejectionReason`, which appears in logs and metrics. All functions are pure; times are milliseconds of one monotonic
+clock.
 """
 
 from __future__ import annotations
@@ -14,9 +13,9 @@
 from yarrowspindle.decisions.rejection import RejectionReason
 from yarrowspindle.decisions.settings import Idempotency
 
-# The answer at a deadline is sent this long before the client stops waiting; no attempt starts after that.
+# Time before the client's deadline at which the final answer is sent; no attempt starts after that.
 ANSWER_MARGIN_MS = 4.0
-# A client that states a longer wait than its class's deadline and this is rejected: the value is not plausible.
+# A stated wait that exceeds the class's deadline by more than this is implausible, and the request is rejected.
 MAX_CLIENT_DEADLINE_SLACK_MS = 1000.0
 
 
@@ -29,11 +28,16 @@
     remaining_ms: float,
     class_deadline_ms: float,
 ) -> RejectionReason | None:
-    """Whether a new request is admitted.
-
-    names_backend: the client names the backend that had its connection before this process; it may do so until the
-    run has `started`. remaining_ms: how long the client still waits; none is left where the request waited to be read
-    for longer than that. class_deadline_ms: of the request's class.
+    """Return why a new request is rejected, or None if it is admitted.
+
+    Args:
+        shutting_down: this process is shutting down.
+        id_in_use: another request has the client's request id.
+        names_backend: the client names the backend that held its connection before this process started, which is
+            allowed only until it has `started`.
+        started: this process has received its first new request; the named backend may be draining by then.
+        remaining_ms: how long the client still waits; 0 or less if that time passed before the request was read.
+        class_deadline_ms: deadline of the request's class.
     """
     if id_in_use:
         return RejectionReason.ID_IN_USE
@@ -47,7 +51,7 @@
 
 
 def backend_rejection(state: EndpointState | None) -> RejectionReason | None:
-    """Whether a backend may get a new attempt; `state` is None for one that is not listed."""
+    """Return why a backend gets no new attempt, or None if it may. state: None if the backend is not listed."""
     if state is EndpointState.READY:
         return None
     if state is None:
@@ -56,7 +60,10 @@
 
 
 def connect_rejection(state: EndpointState | None, remaining_ms: float) -> RejectionReason | None:
-    """Whether an attempt's connection may be opened. remaining_ms: until the attempt times out."""
+    """Return why the connection of an attempt may not be opened, or None if it may.
+
+    remaining_ms: time until the attempt times out.
+    """
     if remaining_ms <= ANSWER_MARGIN_MS:
         return RejectionReason.DEADLINE_EXCEEDED
     return backend_rejection(state)
@@ -65,10 +72,17 @@
 def forward_rejection(
     state: EndpointState | None, *, sticky: bool, now: float, begin_by: float, deadline: float
 ) -> RejectionReason | None:
-    """Whether the first byte of a request may be sent on its new connection: facts may have changed since it began.
+    """Return why the first byte of a request may not be sent on its new connection, or None if it may.
+
+    This is checked again here because the state may have changed since the attempt started.
 
-    sticky: it goes to the backend that had the connection before this process, whatever that one's state. begin_by:
-    when the backends' idempotency window ends.
+    Args:
+        state: the backend's state in the endpoint list; None if it is not listed.
+        sticky: the request returns to the backend that held its connection before this process started; the state is
+            ignored then.
+        now: the present time.
+        begin_by: end of the backends' idempotency window.
+        deadline: the client's deadline.
     """
     if now >= begin_by:
         return RejectionReason.IDEMPOTENCY_WINDOW_EXPIRED
@@ -80,10 +94,10 @@
 def retry_window_ms(
     idempotency: Idempotency, may_have_run_at: float | None, window_ms: float, margin_ms: float, now: float
 ) -> float:
-    """Return for how many milliseconds from now another attempt may begin; 0 or less: no longer.
+    """Return for how many milliseconds from now another attempt may begin; 0 or less if none may begin any more.
 
-    Without end where no attempt may have run (`may_have_run_at` is None) or the request is idempotent. With an
-    idempotency key until the backends' window ends, less the margin, since a later attempt would run again.
+    The window is infinite if no attempt may have run (`may_have_run_at` is None) or the request is idempotent. With an
+    idempotency key it ends a margin before the backends' window does, since a later attempt would be run again.
     """
     if may_have_run_at is None or idempotency is Idempotency.IDEMPOTENT:
         return inf
@@ -93,7 +107,7 @@
 
 
 def retry_rejection(idempotency: Idempotency, within_ms: float) -> RejectionReason | None:
-    """Whether there may be another attempt. within_ms: from `retry_window_ms`."""
+    """Return why the request may not be retried, or None if it may. within_ms: result of `retry_window_ms`."""
     if within_ms > 0.0:
         return None
     if idempotency is Idempotency.NON_IDEMPOTENT:
@@ -102,33 +116,42 @@
 
 
 def attempt_rejection(attempts: int, max_attempts: int, now: float, deadline: float) -> RejectionReason | None:
-    """Whether there may be one more attempt after this many."""
+    """Return why there may be no further attempt after `attempts` of them, or None if there may."""
     if attempts >= max_attempts:
         return RejectionReason.ATTEMPTS_EXHAUSTED
     return RejectionReason.DEADLINE_EXCEEDED if now >= deadline else None
 
 
 def may_promise_no_effect(idempotency: Idempotency, may_have_run: bool) -> bool:
-    """Whether a final answer may state that a retry by the client is harmless."""
+    """Return whether the final answer may state that the client can retry safely."""
     return not may_have_run or idempotency is Idempotency.IDEMPOTENT
 
 
 def answer_rejection(*, answer_pending: bool, in_flight: bool) -> RejectionReason | None:
-    """Whether the relay may send a final answer of its own. in_flight: an attempt is."""
+    """Return why the relay may not send a final answer of its own, or None if it may.
+
+    Args:
+        answer_pending: the request has had no final answer yet.
+        in_flight: an attempt of the request is in flight.
+    """
     if not answer_pending:
         return RejectionReason.ALREADY_ANSWERED
     return RejectionReason.ATTEMPT_IN_FLIGHT if in_flight else None
 
 
 def migration_rejection(*, established: bool) -> RejectionReason | None:
-    """Whether a client may be asked to connect again."""
+    """Return why the client may not be asked to reconnect, or None if it may."""
     return None if established else RejectionReason.NOT_ESTABLISHED
 
 
 def slow_start_rejection(probability: float, draw: float) -> RejectionReason | None:
-    """Whether a request may go to a backend in slow start.
+    """Return why a request may not be placed on a backend in slow start, or None if it may.
+
+    The decision is random for each request: with a budget in whole connections all balancers would spend theirs at the
+    same moment.
 
-    probability: this balancer's part of the budget for each request; draw: in 0 to 1. At random for each request:
-    with a budget in whole connections all balancers would send theirs at the same moment.
+    Args:
+        probability: this balancer's part of the budget per request.
+        draw: random number in 0 to 1.
     """
     return None if draw < probability else RejectionReason.SLOW_START
--- a/yarrowspindle/decisions/request_lifecycle.py
+++ b/yarrowspindle/decisions/request_lifecycle.py
@@ -1,4 +1,4 @@
-"""A request from its arrival to its end: attempts, waiting for a backend, retries and the final answer."""
+"""Lifecycle of a request: attempts, queueing for a backend, retries and the final answer."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 class RequestLifecycle:
-    """Carries out what placement, admission and retries decide, with the events of requests."""
+    """Handles the events of requests and carries out the decisions of placement, admission and retries."""
 
     def __init__(
         self,
@@ -50,11 +50,17 @@
         self.retries = RetryBudget()
 
     def on_request(self, event: RequestReceived) -> None:
-        """Place a new request; raises ValueError where its id is in use or its class unknown."""
+        """Place a new request.
+
+        Raises:
+            ValueError: the id is in use or the class is unknown.
+        """
         state, settings = self.state, self.state.settings
         self._check_id_unused(event.request)
         if not 0 <= event.cls < len(settings.classes):
-            raise ValueError(f"request {event.request} has an unknown class: {event.cls}")
+            raise ValueError(
+                f"request {event.request} has unknown class {event.cls}: expected 0 to {len(settings.classes) - 1}"
+            )
         load = state.connection_loads.estimate(event.load)
         request = Request(event.request, event.cls, load, state.now, event.left_ms)
         request.returned, request.group = event.returned, event.group
@@ -64,7 +70,11 @@
         self._place(request)
 
     def on_existing_connection(self, event: ExistingConnection) -> None:
-        """Count a connection that was open at the start; raises ValueError where its id is in use."""
+        """Record a connection that was open when the balancer started.
+
+        Raises:
+            ValueError: the id is in use.
+        """
         state = self.state
         self._check_id_unused(event.request)
         load = state.connection_loads.estimate(event.load)
@@ -81,12 +91,12 @@
             raise ValueError(f"request {request_id} is already known")
 
     def place_queued(self) -> None:
-        """Try to place every queued request, after a change of the endpoint list."""
+        """Try to place every queued request after a change of the endpoint list."""
         for request in list(self.state.queued.values()):
             self._place(request)
 
     def _place(self, request: Request) -> None:
-        """Start the request's next attempt, queue it while a backend may become usable, or answer it."""
+        """Start the next attempt, queue the request if a backend may still become usable, or answer it."""
         state = self.state
         rejection = attempt_rejection(request, state.settings, state.now)
         backend = None if rejection else self.placement.choose(request)
@@ -109,7 +119,7 @@
         state.emit(StartAttempt(request.id, backend.id, 0.0, begin_within_ms))
 
     def _queue(self, request: Request, delay_ms: float, until: float) -> None:
-        """Try again after the delay, if an attempt may still begin then and before `until`; else answer now."""
+        """Try again after `delay_ms` if an attempt may still begin then, `until` at the latest; else answer now."""
         state, settings = self.state, self.state.settings
         rejection = attempt_rejection(request, settings, state.now)
         wait_ms = max_wait_ms(request, settings, until, state.now)
@@ -124,7 +134,7 @@
             self._place(request)
 
     def _reject(self, request: Request, reason: RejectionReason) -> None:
-        """Send the final answer of a request that is not served: rejected where a retry is harmless, else failed."""
+        """Send the final answer of a request that is not served: a rejection if a retry is safe, else a failure."""
         state, settings = self.state, self.state.settings
         idempotency = settings.classes[request.cls].idempotency
         retry_is_safe = may_promise_no_effect(idempotency, request.may_have_run_on is not None)
@@ -136,14 +146,18 @@
             state.emit(FailRequest(request.id, reason))
 
     def _close(self, request: Request) -> None:
-        """No answer is pending any more; the request is forgotten once none of its attempts is in flight."""
+        """Mark the request as answered, and remove it if none of its attempts is in flight."""
         request.answer_pending = False
         self.state.queued.pop(request.id, None)
         if not request.in_flight:
             self.state.requests.pop(request.id, None)
 
     def on_established(self, event: ConnectionEstablished) -> None:
-        """Count a connection as established; raises ValueError where its request is unknown."""
+        """Record that the connection of a request is established.
+
+        Raises:
+            ValueError: the request is unknown.
+        """
         state = self.state
         request = find_request(state.requests, event.request)
         request.established = True
@@ -154,9 +168,10 @@
             outlier_detection.on_established(request.backend)
 
     def on_attempt_ended(self, event: AttemptEnded) -> None:
-        """Take the attempt off its backend, and retry where an answer is still pending.
+        """Remove the attempt from its backend, and retry if an answer is still pending.
 
-        Raises ValueError where the request is unknown or this attempt is not in flight.
+        Raises:
+            ValueError: the request is unknown or this attempt is not in flight.
         """
         state = self.state
         request = find_request(state.requests, event.request)
@@ -177,7 +192,7 @@
             self._queue(request, backoff_ms(objective_ms, request.attempts, state.random()), request.deadline)
 
     def _record_outcome(self, request: Request, backend: Backend, outcome: Outcome) -> None:
-        """Record what the end of an attempt says of its backend and of setups."""
+        """Update outlier detection, setup latency and slow start with the outcome of an attempt."""
         state = self.state
         established_reset = request.established and outcome is Outcome.RESET
         overload_reset = established_reset and outlier_detection.is_overload_reset(
@@ -196,7 +211,7 @@
             self.slow_start.completion_rate.count(state.now)
 
     def on_client_disconnected(self, event: ClientDisconnected) -> None:
-        """Forget the request and cancel its attempt; one that was answered meanwhile is ignored."""
+        """Close the request and cancel its attempt; ignore a request that has already been answered."""
         state = self.state
         request = state.requests.get(event.request)
         if request is None:
@@ -206,13 +221,13 @@
         self._close(request)
 
     def on_deadline(self, event: DeadlineReached) -> None:
-        """Answer the request now; one that was answered meanwhile is ignored."""
+        """Answer the request now; ignore one that has already been answered."""
         request = self.state.requests.get(event.request)
         if request is not None:
             self._reject(request, RejectionReason.DEADLINE_EXCEEDED)
 
     def on_load_changed(self, event: LoadChanged) -> None:
-        """Count the changed load of a connection at its backend."""
+        """Update the backend's load with the changed load of a connection."""
         request = self.state.requests.get(event.request)
         if request is not None and request.in_flight and request.backend is not None:
             load = self.state.connection_loads.estimate(event.load)
--- a/yarrowspindle/decisions/slow_start.py
+++ b/yarrowspindle/decisions/slow_start.py
@@ -1,8 +1,9 @@
-"""Slow start: how many requests a backend gets while it warms up, so that all balancers together stay in the budget.
+"""Slow start: limits the requests to backends that are warming up, so that all balancers together stay in a budget.
 
-A backend that is warming up gets new connections no faster than fills it over its warm-up, by the capacity fraction
-that the settings guarantee. Each balancer contributes in proportion to the connections that it has, or that end well
-in such a time: so the fleet keeps the budget however busy the other balancers are, and whichever clients come again.
+A warming backend receives new connections at a rate that fills it by the end of its warm-up, according to the capacity
+fraction that the settings guarantee. Each balancer contributes in proportion to its connections, or to those that
+complete within one warm-up if that is more. The fleet thus stays within the budget regardless of the load of the other
+balancers and of how many clients reconnect.
 """
 
 from __future__ import annotations
@@ -17,15 +18,15 @@
 from yarrowspindle.decisions.settings import Settings
 from yarrowspindle.decisions.weighted_ring import WeightedRing
 
-BUDGET_FRACTION = 0.75  # of the overload multiple: the rest is a margin for the randomness of all balancers' draws
-FILL_HEADROOM = 2.0  # rate that fills a backend, over its share of the connections in steady state
-REFRESHES_PER_WINDOW = 32.0  # how often the warming backends are looked up in one overload window
-MAX_UNUSED_WINDOWS = 2.0  # overload windows of budget that a quiet time may save up
-CANDIDATES = 2  # drawn, of which the less loaded one gets the request
+BUDGET_FRACTION = 0.75  # of the overload multiple; the rest is a margin for the randomness of all balancers' draws
+FILL_HEADROOM = 2.0  # ratio of the rate that fills a backend to its share of new connections in steady state
+REFRESHES_PER_WINDOW = 32.0  # updates of the list of warming backends per overload window
+MAX_UNUSED_WINDOWS = 2.0  # overload windows whose unused budget may be saved
+CANDIDATES = 2  # backends drawn; the less loaded one gets the request
 
 
 class DecayingRate:
-    """Events for each millisecond, averaged with exponential decay over about `average_over_ms`."""
+    """Moving average of an event rate, with exponential decay of time constant `time_constant_ms`."""
 
     def __init__(self, time_constant_ms: float, now: float) -> None:
         self.time_constant_ms = max(time_constant_ms, 1e-3)
@@ -36,38 +37,42 @@
         self.decayed_count, self.updated_at = 1.0 + self.per_ms(now) * self.time_constant_ms, now
 
     def per_ms(self, now: float) -> float:
-        """Return the events for each millisecond as of now."""
+        """Return the rate in events per millisecond at time `now`."""
         decay = exp((self.updated_at - now) / self.time_constant_ms)
         return self.decayed_count * decay / self.time_constant_ms
 
 
 class SlowStart:
-    """One balancer's part of the budget of the backends that warm up. random: draws in 0 to 1."""
+    """One balancer's part of the slow-start budget. random: source of draws in 0 to 1."""
 
     def __init__(self, settings: Settings, random: Callable[[], float], now: float) -> None:
         self.random = random
         self.warming_up: dict[int, Backend] = {}  # backends that may be warming up
-        self.eligible: list[Backend] = []  # those that this balancer may send to, as last refreshed
-        self.cumulative_capacity: list[float] = []  # running sums of what `eligible` can carry now
+        self.eligible: list[Backend] = []  # those that this balancer may send to, at the last update
+        self.cumulative_capacity: list[float] = []  # running sums of the present capacity of `eligible`
         self.refreshed_at, self.budget_used_at = -inf, now
-        # Completions count what clients want in the long run: clients that come again don't raise it.
+        # Successful ends measure the long-term demand of clients: repeated reconnections do not raise it.
         self.completion_rate = DecayingRate(settings.warmup_ms, now)
 
     def on_backend_listed(self, backend: Backend) -> None:
-        """Take note of a backend that was listed or appeared: it may have started a moment ago."""
+        """Record a backend whose entry was added or changed, since its process may have just started."""
         self.warming_up[backend.id] = backend
 
     def remove_backend(self, backend: int) -> None:
-        """Drop a backend that is neither ready nor in use."""
+        """Remove a backend that is neither ready nor in use."""
         self.warming_up.pop(backend, None)
 
     def draw_candidates(
         self, now: float, settings: Settings, ring: WeightedRing[Backend], local_only: bool, connections: int
     ) -> list[Backend]:
-        """Return the warming backends of which one gets the present request; none where the budget is used up.
-
-        ring: the backends among which this balancer feeds the warming ones, of its own zone alone where `home_only`.
-        connections: own connections, over all backends.
+        """Return the warming backends that compete for the present request; empty if the budget is used up.
+
+        Args:
+            now: the present time in milliseconds.
+            settings: the settings in use.
+            ring: the backends over whose capacity the budget is shared out.
+            local_only: consider warming backends of the balancer's own zone only.
+            connections: the balancer's own connections at all backends.
         """
         if now >= self.refreshed_at + settings.overload_window_ms / REFRESHES_PER_WINDOW:
             self._refresh(now, settings, local_only)
@@ -77,7 +82,7 @@
         warming_capacity = self.cumulative_capacity[-1]
         budget_multiple = BUDGET_FRACTION * FILL_HEADROOM * settings.overload_multiple
         budget_fraction = budget_multiple * warming_capacity / ring.nominal_capacity
-        own_rate = max(connections / settings.warmup_ms, self.completion_rate.per_ms(now))  # for each millisecond
+        own_rate = max(connections / settings.warmup_ms, self.completion_rate.per_ms(now))  # per millisecond
         elapsed_ms = min(elapsed_ms, MAX_UNUSED_WINDOWS * settings.overload_window_ms)
         if gate.slow_start_rejection(budget_fraction * own_rate * elapsed_ms, self.random()):
             return []
@@ -89,7 +94,7 @@
     def connections_are_short_lived(self, now: float, settings: Settings, connections: int) -> bool:
         """Return whether connections last less than a warm-up on average.
 
-        Then a backend's own connections show its share of the traffic, and the share is enforced too.
+        If so, the own connections of a backend show its share of the traffic, so that the share can be enforced too.
         """
         return self.completion_rate.per_ms(now) > connections / settings.warmup_ms
 
