--- a/tests/decisions/reporting_relay.py
+++ b/tests/decisions/reporting_relay.py
@@ -36,7 +36,10 @@
 
 
 class Relay:
-    """A balancer, its timers, and backends of two zones that report `utilization` (None: no answer)."""
+    """A balancer with its timers and backends in two zones.
+
+    utilization: reported by each backend to health checks, by id; None: the backend does not answer.
+    """
 
     def __init__(self, backends: int = 6, seed: int = 1, **changes: Any) -> None:
         self.now, self.requests = 0.0, 0
@@ -74,14 +77,14 @@
         self.now = end
 
     def place(self, cls: int = 0, group: int = 0) -> int:
-        """Place a request; returns its backend, or 0 where it is rejected."""
+        """Place a request; return its backend, or 0 if it is rejected."""
         self.requests += 1
         actions = self.handle(RequestReceived(self.requests, cls, left_ms=4800.0, group=group))
         return sends(actions)[0].backend if sends(actions) else 0
 
 
 def warmed(**changes: Any) -> Relay:
-    """Return a relay to which all backends have reported."""
+    """Return a relay that has received a load report from every backend."""
     r = Relay(**changes)
     r.balancer.health_checks.credit = 100.0
     r.run(3000.0)
--- a/tests/decisions/test_admission.py
+++ b/tests/decisions/test_admission.py
@@ -1,4 +1,4 @@
-"""Rejection at once of requests that would miss their objective."""
+"""Admission: immediate rejection of requests that would miss their objective."""
 
 from __future__ import annotations
 
@@ -33,8 +33,8 @@
     assert len(waits) == 10 and len(set(waits)) == 10 and min(waits) >= 500.0 and max(waits) <= 1000.0
 
 
-def test_slow_backends_of_the_own_zone_do_not_count_for_another_zone() -> None:
-    """An overloaded own zone must not cause rejections for another zone."""
+def test_slow_backends_of_the_local_zone_do_not_count_for_another_zone() -> None:
+    """An overloaded local zone must not cause rejections of requests for other zones."""
     b = Balancer(settings(classes=WITH_MESSAGE_OBJECTIVE, zones=2, cross_zone_price=0.1), 3, 0.0)
     b.handle(0.0, full_list(Endpoint(1), Endpoint(2, zone=1), Endpoint(3, zone=1)))
     assert open_one(b, 0.0, 1) == 1
@@ -44,13 +44,13 @@
 
 
 def test_requests_are_shed_while_setups_take_all_of_their_objective() -> None:
-    """Incident i82a5ad: setups must not wait in a slow dependency's queue until their clients disconnect."""
+    """Incident i82a5ad: setups queued at a slow dependency until their clients disconnected."""
     b = balancer(8, max_attempts=1)
     for n in range(1, 40):
         if (backend := place(b, 1.0, n)) is not None:
             end(b, 1.0, n, backend, Outcome.TIMEOUT, finished=False)
     assert 1 <= sum(place(b, 2.0, n) is not None for n in range(100, 200)) <= 30
-    for n in range(200, 300):  # those that get through in time bring the others back
+    for n in range(200, 300):  # setups that succeed in time end the shedding
         if (backend := place(b, 3.0, n)) is not None:
             b.handle(3.0, ConnectionEstablished(n, 0, backend, latency_ms=20.0))
     assert all(place(b, 4.0, n) is not None for n in range(300, 320))
@@ -75,11 +75,11 @@
     for backend in observed.values():
         backend.ready, backend.connections, backend.zone = True, 1, backend.id % 2
     observed[1].slow_until = 500.0
-    observed[2].connections = 0  # neither slow nor in use
+    observed[2].connections = 0  # neither slow nor with connections
     fractions = SlowBackendFractions(50.0, 0.0)
     assert [fractions.in_zone(zone, observed, 100.0) for zone in (0, 1, 2)] == [0.0, 0.5, 0.0]
     assert 2 not in observed
-    assert fractions.in_zone(1, observed, 149.0) == 0.5, "not refreshed yet"
+    assert fractions.in_zone(1, observed, 149.0) == 0.5, "the fractions are not due for an update yet"
     assert fractions.in_zone(1, observed, 600.0) == 0.0
 
 
--- a/tests/decisions/test_backend_registry.py
+++ b/tests/decisions/test_backend_registry.py
@@ -1,4 +1,4 @@
-"""Endpoint lists and own connections: rings and counts stay exact."""
+"""Registry of backends: endpoint lists and own connections keep rings and counts exact."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 def test_an_endpoint_update_costs_the_same_in_a_large_fleet() -> None:
-    """Guards against sums over the whole fleet: only the rings' binary searches may depend on its size."""
+    """Guards against sums over the whole fleet: only the binary searches of the rings may depend on its size."""
     capacity_reads = 0
 
     class CountingBackend(Backend):
@@ -57,12 +57,12 @@
         capacity_reads = 0
         b.handle(1.0, EndpointList(ListKind.DELTA, [Endpoint(77, state=state)]))
         open_one(b, 1.0, 10 + state)
-        assert capacity_reads <= 160, "one block is counted anew, not the fleet"
+        assert capacity_reads <= 160, "only one block is summed again, not the fleet"
     assert 77 not in b.backends and b.state.fleet_ring.total_capacity == 999.0
 
 
 def test_the_state_of_the_rings_and_of_own_load_stays_exact() -> None:
-    """Random lists, requests and loads: incremental updates equal what a walk over all backends finds."""
+    """For random lists, requests and loads, incremental updates equal a full scan of the backends."""
     rng = random.Random(5)
     b = balancer(
         0,
--- a/tests/decisions/test_balancer.py
+++ b/tests/decisions/test_balancer.py
@@ -32,7 +32,7 @@
 
 
 def test_instances_share_nothing() -> None:
-    """The same events give the same actions whatever other instances do in between."""
+    """The same events give the same actions, regardless of what other instances handle in between."""
 
     def run(disturbed: bool) -> list[object]:
         b, other = balancer(6, seed=9), balancer(6, seed=10)
--- a/tests/decisions/test_health_checks.py
+++ b/tests/decisions/test_health_checks.py
@@ -1,4 +1,4 @@
-"""Health checks: when backends are checked; load reports on sockets."""
+"""Health checks: schedule, and load reports received over sockets."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 def test_new_connections_pay_for_health_checks_and_the_longest_unchecked_backend_is_checked_first() -> None:
     r = Relay()
     r.run(5000.0)
-    assert r.checks == [], "there were no connections"
+    assert r.checks == [], "without new connections there is no credit for health checks"
     for _ in range(4):
         r.place()
     r.run(HEALTH_CHECK_INTERVAL_MS)
@@ -26,7 +26,7 @@
     without_reports = Relay(load_report_fields=())
     without_reports.place()
     without_reports.run(5000.0)
-    assert without_reports.checks == [], "where health checks have no report none is sent"
+    assert without_reports.checks == [], "no health check is sent if its answer has no load report"
 
 
 # --- on sockets -----------------------------------------------------------------------------------
@@ -38,7 +38,7 @@
 
 
 def run(tmp: Path, answers: dict[str, str], body: Any, **changes: Any) -> None:
-    """Both stand-in backends answer each `STATS` with their line, where they have one; the test does the rest."""
+    """Run `body` against a relay whose stand-in backends answer `STATS` with their line of `answers`, if any."""
 
     async def inside() -> None:
         async with relay(tmp, **(WITH_HEALTH_CHECKS | changes)) as world:
@@ -89,18 +89,20 @@
         client, _, backend = await w.standing()
         assert "WARNING" in await w.logged("execute node s-")
         established = [await w.standing() for _ in range(6)]
-        assert {name for _, name, _ in established} == {"s-1", "s-2"}, "it does not count against the backend"
+        assert {name for _, name, _ in established} == {"s-1", "s-2"}, (
+            "an invalid report does not count against its backend"
+        )
         backend.say("still here")
         assert await client.hear() == "still here"
 
     run(tmp_path, dict.fromkeys(("s-1", "s-2"), nonsense), body)
 
 
-def test_no_health_check_is_sent_where_settings_do_not_allow_it(tmp_path: Path) -> None:
+def test_no_health_check_is_sent_if_settings_do_not_allow_it(tmp_path: Path) -> None:
     async def body(w: World) -> None:
         for _ in range(4):
             await w.standing()
-        await asyncio.sleep(1.2)  # two beats
+        await asyncio.sleep(1.2)  # two health-check intervals
         assert not any(backend.probed for backend in w.backends.values())
 
     run(tmp_path, {}, body, limits=WITH_HEALTH_CHECKS["limits"] | {"probing": False})
--- a/tests/decisions/test_invariants.py
+++ b/tests/decisions/test_invariants.py
@@ -1,4 +1,7 @@
-"""The four rules, over random legal event sequences (derandomised, so that every run is the same)."""
+"""Invariants of the balancer for random valid event sequences; derandomized, so that every run is the same.
+
+`tests/driver.py` checks them for every action.
+"""
 
 from __future__ import annotations
 
@@ -35,7 +38,7 @@
 
 
 def entries(pick: int, now: float) -> list[Endpoint]:
-    """Return a few backends in states, zones and ages that follow from one number."""
+    """Return entries of six backends whose states, zones and ages are derived from `pick`."""
     endpoints = []
     for i in range(6):
         state = (EndpointState.READY, EndpointState.READY, EndpointState.DRAINING, EndpointState.GONE)[
@@ -84,7 +87,7 @@
         elif step_kind == "wait":
             d.advance(float(pick % 400))
     d.advance(20_000.0)
-    assert all(not record.answer_pending for record in d.records.values()), "every request has its answer"
+    assert all(not record.answer_pending for record in d.records.values()), "every request must have its answer"
     assert all(record.answered <= 1 for record in d.records.values())
     return d.log
 
--- a/tests/decisions/test_large_fleet.py
+++ b/tests/decisions/test_large_fleet.py
@@ -1,4 +1,4 @@
-"""Large fleets: many balancers that each use a backend seldom; classification of loads and latencies."""
+"""Slow start in a large fleet, where each of many balancers seldom sends to a given backend."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 def test_forty_balancers_use_the_slow_start_budget_where_most_backends_are_replaced() -> None:
-    """With more than eight balancers a warming backend must still be drawn, outside of a balancer's subset too."""
+    """With more than eight balancers, warming backends outside of a balancer's subset must be drawn too."""
     old = [Endpoint(n, zone=n % 3, capacity=4.0) for n in range(1, 25)]
     new = [Endpoint(n, zone=n % 3, capacity=4.0, started_ms=30_000.0) for n in range(25, 61)]
     placed_on_new = 0
@@ -39,7 +39,7 @@
     for number in range(BALANCERS):
         b = own_load_balancer(number)
         b.handle(0.0, EndpointList(ListKind.CACHED, old))
-        for n in range(1, 30):  # one a second comes and ends
+        for n in range(1, 30):  # one connection per second is opened and closed
             end(b, 1000.0 * n, n, open_one(b, 1000.0 * n, n, load=40.0))
         b.handle(30_000.0, EndpointList(ListKind.DELTA, new))
         for n in range(100, 104):
@@ -47,6 +47,6 @@
                 if send.backend > 24:
                     placed_on_new += 1
                     connections_by_backend[send.backend] += 1
-    assert placed_on_new >= 40  # of 160; two with a budget for each server, in whole connections
-    # 160 connections in 1.5 s are the fair share of 60 servers of 100 connections each, filled over 9 s.
+    assert placed_on_new >= 40  # of 160; a budget per backend in whole connections placed only two
+    # 160 connections in 1.5 s correspond to 60 backends of 100 connections each that fill within 9 s.
     assert max(connections_by_backend.values()) <= 3.0 * 0.31 * 100.0 * 1.5 / 9.0
--- a/tests/decisions/test_load_estimates.py
+++ b/tests/decisions/test_load_estimates.py
@@ -30,7 +30,7 @@
 from yarrowspindle.routing.reducer import Reducer
 
 
-def test_groups_are_placed_together_and_in_the_own_zone() -> None:
+def test_groups_are_placed_together_and_in_the_local_zone() -> None:
     def backends_paying(**changes: Any) -> float:
         r = warmed(backends=24, **changes)
         r.utilization.update(dict.fromkeys(r.utilization, 0.45))
@@ -41,7 +41,7 @@
         for group in order:
             backends_by_group.setdefault(group, set()).add(r.place(group=group))
         assert sum(backend % 2 for backends in backends_by_group.values() for backend in backends) <= 1, (
-            "crossing has a price, and the own zone has capacity"
+            "crossing zones has a price, and the local zone has capacity"
         )
         return sum(map(len, backends_by_group.values())) / len(backends_by_group)
 
@@ -54,7 +54,7 @@
     assert [first.place(group=g) for g in range(1, 20)] == [second.place(group=g) for g in range(1, 20)]
 
 
-def test_a_full_own_zone_is_left_and_the_class_of_lower_priority_is_rejected_first() -> None:
+def test_a_full_local_zone_is_left_and_the_class_of_lower_priority_is_rejected_first() -> None:
     r = warmed()
     for backend in (2, 4, 6):
         r.utilization[backend] = 0.95
@@ -85,8 +85,8 @@
 
 
 @pytest.mark.parametrize("backends", [2, 6])
-def test_an_unresponsive_backend_gets_nothing_while_another_is_usable_whatever_is_drawn(backends: int) -> None:
-    """Its estimated cost may be below the priority weight of a connection, and all draws may fall on it."""
+def test_an_unresponsive_backend_gets_nothing_while_another_is_usable_for_any_draw(backends: int) -> None:
+    """The estimated cost of such a backend may be below the priority weight, and all draws may fall on it."""
     for seed in range(60):
         r = Relay(backends=backends, seed=seed)
         r.utilization[2] = None  # from the start: it has never reported
@@ -97,7 +97,7 @@
         r.utilization = dict.fromkeys(r.utilization)
         r.balancer.health_checks.credit = 100.0
         r.run(3000.0)
-        assert r.place() in (0, *r.utilization), "where none answers there is no better one"
+        assert r.place() in (0, *r.utilization), "if no backend answers, none is better than another"
 
 
 def test_slow_messages_count_before_the_load_report_does() -> None:
@@ -108,7 +108,7 @@
     assert backend not in {r.place() for _ in range(30)}
 
 
-def test_existing_connections_are_migrated_to_the_own_zone_one_by_one_where_crossing_has_a_price() -> None:
+def test_existing_connections_are_migrated_to_the_local_zone_one_by_one_if_crossing_has_a_price() -> None:
     def migrations(price: float) -> list[int]:
         r = Relay(cross_zone_price=price)
         for n in range(1, 11):
@@ -120,7 +120,7 @@
 
 
 def test_a_capacity_that_excludes_load_is_not_the_size_of_a_backend() -> None:
-    """Else the own zone would seem short of capacity, and connections would cross zones for it."""
+    """Otherwise the local zone would appear short of capacity, and connections would cross zones."""
     r = warmed()
     entries = [Endpoint(n, zone=n % 2, capacity=0.2) for n in r.utilization]
     r.handle(EndpointList(ListKind.DELTA, entries))
@@ -131,7 +131,7 @@
 
 
 def test_the_load_of_a_class_is_learned_from_reports() -> None:
-    """Two classes, one with four times the load of the other."""
+    """One of two classes has four times the load of the other."""
     estimates, rng = LoadEstimates(settings(**REPORTING)), random.Random(3)
     backends = [Backend(n) for n in range(8)]
     true_loads = (0.5, 2.0)
@@ -201,8 +201,8 @@
         report_of(line, ("rif", "x0"))
 
 
-def test_where_backends_report_no_load_each_report_is_a_message_latency() -> None:
-    """It must count at once, and not as a small load."""
+def test_each_report_is_a_message_latency_if_backends_report_no_load() -> None:
+    """Such a report must take effect at once, and must not count as a small load."""
     reducer = Reducer(settings(**(REPORTING | {"backend_reports_load": False})), 1, 0.0)
     reducer.step(0.0, EndpointsUpdated(ListKind.FULL, [routing_events.Endpoint("a", ("10.0.0.1", 1))], 1))
     reducer.step(0.0, routing_events.RequestReceived(1, 4800.0))
--- a/tests/decisions/test_outlier_detection.py
+++ b/tests/decisions/test_outlier_detection.py
@@ -27,13 +27,13 @@
     for n in range(2, 40):
         place(b, 2.0, n)
     while_ejected = b.backends[send.backend].connections
-    assert while_ejected <= 1  # all four draws would have to be of it
+    assert while_ejected <= 1  # only if all four draws hit it
     for n in range(40, 200):
         place(b, 30_000.0, n)
     assert b.backends[send.backend].connections > while_ejected + 20
 
 
-def test_a_backend_is_chosen_even_where_all_are_ejected() -> None:
+def test_a_backend_is_chosen_even_if_all_are_ejected() -> None:
     b = balancer(2, max_attempts=2)
     for n in range(1, 9):
         backend = place(b, 0.0, n)
@@ -46,7 +46,7 @@
 
 
 def test_a_restarted_backend_has_no_consecutive_failures() -> None:
-    """Failures of the old process must not eject the new one during its warm-up."""
+    """Failures of the previous process must not eject the new one during its warm-up."""
     b = balancer(1, max_attempts=1)
     backend = place(b, 0.0, 1)
     assert backend is not None
@@ -56,15 +56,15 @@
     assert b.backends[backend].ejected_until < 2.0 and not b.backends[backend].consecutive_failures
 
 
-@pytest.mark.parametrize(("apart", "full"), [(1.0, True), (1500.0, False)])
-def test_connections_reset_together_show_that_their_backend_is_overloaded(apart: float, full: bool) -> None:
-    """Incident iee6bba: a backend that sheds load resets many connections; networks reset single ones as well."""
+@pytest.mark.parametrize(("interval_ms", "overloaded"), [(1.0, True), (1500.0, False)])
+def test_connections_reset_together_show_that_their_backend_is_overloaded(interval_ms: float, overloaded: bool) -> None:
+    """Incident iee6bba: a backend that sheds load resets many connections, while networks reset single ones."""
     b = balancer(2, seed=1, classes=WITH_MESSAGE_OBJECTIVE, backend_reports_latency=False)
     backends = {n: open_one(b, 0.0, n) for n in range(1, 20)}
     for i, n in enumerate([n for n, s in backends.items() if s == 1][:RESETS_BEFORE_EJECTION]):
-        end(b, 1.0 + i * apart, n, 1, Outcome.RESET)
-    now = 2.0 + RESETS_BEFORE_EJECTION * apart
-    assert (1 in {place(b, now, n) for n in range(20, 40)}) != full
+        end(b, 1.0 + i * interval_ms, n, 1, Outcome.RESET)
+    now = 2.0 + RESETS_BEFORE_EJECTION * interval_ms
+    assert (1 in {place(b, now, n) for n in range(20, 40)}) != overloaded
 
 
 def test_a_restarted_backend_is_not_taken_to_be_overloaded() -> None:
@@ -87,7 +87,7 @@
 
 
 def test_a_single_slow_message_does_not_end_placement_by_own_load() -> None:
-    """Reports of latency may be an exception that the platform's protocol does not guarantee."""
+    """A backend may report latency occasionally although the platform's protocol does not guarantee it."""
     b = balancer(3, seed=1, backend_reports_latency=False, classes=WITH_MESSAGE_OBJECTIVE)
     backends = {n: open_one(b, 0.0, n, load=50.0) for n in range(1, 10)}
     b.handle(1.0, SlowMessageObserved(1, backends[1], 500.0))
@@ -125,4 +125,4 @@
     assert together == [False] * (RESETS_BEFORE_EJECTION - 1) + [True]
     apart = [outlier_detection.is_overload_reset(backend, (n + 2) * (window_ms + 1.0), True) for n in range(5)]
     assert not any(apart)
-    assert outlier_detection.is_overload_reset(Backend(2), 0.0, False), "one is enough where latency is reported"
+    assert outlier_detection.is_overload_reset(Backend(2), 0.0, False), "one reset is enough if latency is reported"
--- a/tests/decisions/test_peer_loads.py
+++ b/tests/decisions/test_peer_loads.py
@@ -1,4 +1,4 @@
-"""Placement with loads of peers: sums are compared, ejections of most peers count, balancers take turns."""
+"""Loads of peers: effect on placement, ejection by most peers, assigned health checks and turns of migration."""
 
 from __future__ import annotations
 
@@ -26,10 +26,10 @@
 def test_two_choices_count_the_load_of_peers() -> None:
     b = balancer(2, balancers=4)
     b.handle(0.0, PeerLoads({1: (9, 9.0), 2: (2, 2.0)}, reporting_relays=3, relays=4))
-    # 2 is taken whenever it is drawn; both draws fall on 1 in a quarter.
+    # Backend 2 is chosen if it is drawn at all: both draws fall on 1 in a quarter of the cases.
     assert place_and_end(b, 0.0, 200).count(1) < 80
     b.handle(1.0, PeerLoads({1: (0, 0.0)}, reporting_relays=3, relays=4))
-    assert place_and_end(b, 1.0, 200).count(2) < 80, "changes are reported, the rest stays"
+    assert place_and_end(b, 1.0, 200).count(2) < 80, "an event contains changes only: the other sums stay in effect"
 
 
 def test_own_placements_count_at_once_beside_reported_loads() -> None:
@@ -48,13 +48,15 @@
         assert open_one(alone, 6000.0, n, 1.0) == open_one(with_peers, 6000.0, n, 1.0)
 
 
-def test_a_backend_ejected_by_most_peers_is_used_only_where_no_other_is_drawn() -> None:
+def test_a_backend_ejected_by_most_peers_is_used_only_if_no_other_is_drawn() -> None:
     b = balancer(4, balancers=4)
     b.handle(0.0, PeerLoads(reporting_relays=3, relays=4, ejected_by_peers=frozenset((1,))))
-    assert place_and_end(b, 0.0, 300).count(1) < 50, "both draws fall on it once in sixteen, then both of the fleet"
+    assert place_and_end(b, 0.0, 300).count(1) < 50, (
+        "both draws from the subset and both from the fleet would have to hit it, 1 in 16 each"
+    )
 
 
-def test_one_relay_checks_a_backend_for_all_and_another_takes_over_where_it_does_not() -> None:
+def test_one_relay_checks_a_backend_for_all_and_another_takes_over_if_it_does_not() -> None:
     r = warmed(backends=6)
     r.checks.clear()
     reports = {n & BACKEND_KEY_MASK: (0.3, 10.0, 1.0) for n in r.utilization}
@@ -63,9 +65,9 @@
         r.balancer.health_checks.credit = 100.0
         r.run(HEALTH_CHECK_INTERVAL_MS)
         r.handle(PeerLoads(reporting_relays=2, relays=3, rank=0, reports=reports))
-    assert set(r.checks) == {3, 6}, "the others are assigned to peers, who reported them"
+    assert set(r.checks) == {3, 6}, "the other backends are assigned to peers, which report them"
     r.balancer.health_checks.credit = 100.0
-    r.run(3000.0)  # peers report them no more
+    r.run(3000.0)  # without reports from peers
     assert set(r.checks) == set(r.utilization)
 
 
@@ -77,11 +79,11 @@
         backend.utilization == 0.9 and backend.reported_connections == 30.0 and backend.last_checked_at == r.now - 100.0
     )
     r.handle(PeerLoads({}, reporting_relays=1, relays=2, reports={2: (0.1, 3.0, 5000.0)}))
-    assert backend.utilization == 0.9, "older than what is known"
+    assert backend.utilization == 0.9, "the report is older than the known one"
     before = r.balancer.estimates.utilization(backend) if r.balancer.estimates else 0.0
     r.handle(PeerLoads({2: (8, 8.0)}, {2: 5}, reporting_relays=1, relays=2))
     assert r.balancer.estimates is not None and r.balancer.estimates.utilization(backend) > before, (
-        "five were added there since"
+        "peers added five connections since the report"
     )
 
 
--- a/tests/decisions/test_placement.py
+++ b/tests/decisions/test_placement.py
@@ -16,7 +16,7 @@
 
 
 def test_two_backends_are_drawn_and_the_one_with_less_own_load_is_chosen() -> None:
-    """With one balancer and equal backends this is the rule of the paper, with the same random numbers."""
+    """With one balancer and equal backends the choices equal those of the power of two choices for the same seed."""
     b, rng = balancer(5, seed=11), random.Random(11)
     load = dict.fromkeys(range(1, 6), 0)
     for n in range(300):
@@ -32,7 +32,7 @@
     for n in range(500):
         place(b, float(n), n)
     counts = [s.connections for s in b.backends.values()]
-    assert max(counts) <= 54  # one choice leaves the fullest of ten near 62
+    assert max(counts) <= 54  # with a single random choice the fullest of ten has about 62
 
 
 def test_unequal_backends_get_in_proportion_to_their_capacity() -> None:
@@ -47,12 +47,12 @@
     b = balancer(2, seed=1)
     heavy = open_one(b, 0.0, 1, load=10.0)
     others = [place(b, 1.0, n, load=1.0) for n in range(2, 10)]
-    # A draw that names the heavy one twice still goes there; all others avoid it.
+    # Requests for which both draws hit the heavy backend still go there; all others avoid it.
     assert others.count(heavy) <= 4
 
 
-def test_a_group_meets_at_the_same_backend_at_all_balancers_and_a_retry_does_not() -> None:
-    """Each backend that serves any of a group pays for it once; other draws would spread it over nearly all."""
+def test_all_balancers_choose_the_same_backend_for_a_group_but_not_for_a_retry() -> None:
+    """Each backend that serves a group does its common work; independent draws would spread it over most backends."""
 
     def chosen_backends(groups: bool) -> set[int]:
         backends = set()
@@ -72,7 +72,7 @@
 
 
 def test_each_backend_is_in_about_as_many_subsets() -> None:
-    """With many balancers all backends are drawn equally often, by the golden-ratio spread of the subsets."""
+    """With many balancers all backends are drawn about equally often, since the golden ratio spreads the subsets."""
     drawn = dict.fromkeys(range(1, 51), 0)
     for number in range(200):
         b = balancer(50, seed=number, balancers=200, number=number)
@@ -80,7 +80,7 @@
             backend = place(b, 0.0, n)
             assert backend is not None
             drawn[backend] += 1
-        assert sum(s.connections > 0 for s in b.backends.values()) <= 4  # its own subset only
+        assert sum(s.connections > 0 for s in b.backends.values()) <= 4  # the balancer's own subset only
     assert min(drawn.values()) > 0.6 * 80 and max(drawn.values()) < 1.4 * 80
 
 
@@ -91,7 +91,7 @@
     assert all(s.connections for s in b.backends.values())
 
 
-def test_the_own_zone_is_preferred_where_crossing_zones_is_expensive_only() -> None:
+def test_the_local_zone_is_preferred_only_if_crossing_zones_is_expensive() -> None:
     entries = [Endpoint(i, zone=i % 2) for i in range(1, 9)]
     for price, crossings in ((0.12, False), (0.01, True)):
         b = Balancer(settings(zones=2, cross_zone_price=price), 1, 0.0)
@@ -100,8 +100,8 @@
         assert (1 in zones) == crossings
 
 
-def test_where_no_message_latency_is_reported_own_load_opens_other_zones() -> None:
-    """Without reported latency no backend is ever slow: only own load shows that the own zone is full."""
+def test_own_load_opens_other_zones_if_no_message_latency_is_reported() -> None:
+    """Without reported latency no backend counts as slow: only own load shows that the local zone is full."""
     for reported, crossed in ((True, False), (False, True)):
         b = Balancer(
             settings(classes=WITH_MESSAGE_OBJECTIVE, zones=2, cross_zone_price=0.1, backend_reports_latency=reported),
--- a/tests/decisions/test_request_gate.py
+++ b/tests/decisions/test_request_gate.py
@@ -1,4 +1,4 @@
-"""The request gate: each rule at its limits."""
+"""The request gate: each precondition at its limits."""
 
 from __future__ import annotations
 
@@ -98,7 +98,7 @@
     )
 
 
-def test_a_retry_is_called_harmless_only_where_nothing_ran_or_the_class_is_idempotent() -> None:
+def test_a_retry_is_called_safe_only_if_nothing_ran_or_the_class_is_idempotent() -> None:
     for idempotency in Idempotency:
         assert gate.may_promise_no_effect(idempotency, may_have_run=False)
         assert gate.may_promise_no_effect(idempotency, may_have_run=True) is (idempotency is Idempotency.IDEMPOTENT)
--- a/tests/decisions/test_retries.py
+++ b/tests/decisions/test_retries.py
@@ -22,7 +22,7 @@
 
 
 def test_retries_have_a_budget_and_then_a_backoff() -> None:
-    """Each attempt calls the dependencies that backends share: with a slow one retries must be limited."""
+    """Each attempt calls dependencies that backends share, so that retries must be limited while one is slow."""
     b = balancer(8, max_attempts=6)
     at_once, waits = 0, []
     for n in range(1, 5):
@@ -36,7 +36,7 @@
     assert sends(b.handle(1.0 + waits[0].delay_ms, TimerFired(waits[0].token)))
 
 
-def test_a_failed_connect_is_retried_at_once_whatever_the_budget() -> None:
+def test_a_failed_connect_is_retried_at_once_regardless_of_the_budget() -> None:
     b = balancer(8, max_attempts=6)
     for n in range(1, 30):
         backend = place(b, 1.0, n)
--- a/tests/decisions/test_slow_start.py
+++ b/tests/decisions/test_slow_start.py
@@ -1,4 +1,4 @@
-"""Slow start: warming backends get their budget and no more."""
+"""Slow start: warming backends receive requests up to their budget."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 )
 
 
-def test_warming_backends_of_other_zones_get_requests_where_no_latency_is_reported() -> None:
-    """Else new processes of a zone without a relay would get nothing until they have warmed up."""
+def test_warming_backends_of_other_zones_get_requests_if_no_latency_is_reported() -> None:
+    """Otherwise new backends in a zone without a relay would get no requests until they have warmed up."""
     b = Balancer(
         settings(
             zones=2,
@@ -40,10 +40,10 @@
 
 @pytest.mark.parametrize("balancers", [1, 10, 20, 30, 200])
 def test_a_warming_backend_gets_no_more_than_its_budget_even_alone_and_in_a_burst(balancers: int) -> None:
-    """Guards the slow-start budget: all other backends busy, no connections yet, many returning clients."""
+    """Guards the budget under stress: all other backends busy, no connections yet, many clients that reconnect."""
     warmup_ms, initial, multiple, window = 20_000.0, 0.2, 3.0, 2_000.0
     sent: list[tuple[float, float]] = []
-    steady_rate = 1.0 / 40.0  # connections a millisecond that the fleet of 8 backends completes
+    steady_rate = 1.0 / 40.0  # connections per millisecond that the fleet of 8 backends completes
     for number in range(balancers):
         b = balancer(
             8,
@@ -57,14 +57,14 @@
             max_attempts=3,
         )
         gap, request, now = balancers / steady_rate, 0, 0.0
-        while now < 3 * warmup_ms:  # learn the ordinary traffic
+        while now < 3 * warmup_ms:  # learns the steady rate
             request, now = request + 1, now + gap
             (send,) = sends(b.handle(now, RequestReceived(request, left_ms=2000.0, load=1.0)))
             b.handle(now, ConnectionEstablished(request, 0, send.backend))
             end(b, now, request, send.backend)
         start = now
         b.handle(now, EndpointList(ListKind.DELTA, [Endpoint(1, started_ms=start)]))
-        while now < start + warmup_ms / 2:  # a burst, twenty times the ordinary, that no backend accepts
+        while now < start + warmup_ms / 2:  # a burst of twenty times the steady rate that no backend accepts
             request, now = request + 1, now + gap / 20.0
             for send in sends(b.handle(now, RequestReceived(request, left_ms=100.0, load=1.0))):
                 if send.backend == 1:
@@ -91,7 +91,7 @@
 
 
 def test_the_first_backend_to_return_in_a_failed_zone_is_not_overloaded_by_its_balancers() -> None:
-    """Incident i6f1d78: after a zone failed, each of its balancers sent to the first backend that returned."""
+    """Incident i6f1d78: after a zone failed, all of its balancers sent to the first backend that returned."""
     count = 0
     for number in range(40):
         b = balancer(
@@ -108,7 +108,7 @@
         )
         fleet = [Endpoint(i + 1, zone=i % 2) for i in range(20)]
         b.handle(0.0, EndpointList(ListKind.FULL, fleet))
-        for n in range(60):  # about one connection a second ends well at each balancer
+        for n in range(60):  # about one connection per second completes at each balancer
             (send,) = sends(b.handle(1000.0 * n, RequestReceived(n, left_ms=2000.0, load=1.0)))
             end(b, 1000.0 * n, n, send.backend)
         b.handle(60_000.0, EndpointList(ListKind.FULL, [e for e in fleet if e.zone == 1]))
@@ -117,5 +117,5 @@
             count += sum(
                 s.backend == 1 for s in sends(b.handle(70_100.0, RequestReceived(n, left_ms=2000.0, load=1.0)))
             )
-    # The fleet completes 40 connections a second on 20 backends: 2 a second at a warm one, 0.6 at the start.
+    # The fleet completes 40 connections per second on 20 backends: 2 at a warm one, 0.6 at a newly started one.
     assert count <= 3 * 0.6 + 3 * (3 * 0.6) ** 0.5
