--- a/tests/decisions/test_request_gate.py
+++ b/tests/decisions/test_request_gate.py
@@ -16,7 +16,7 @@
     "shutting_down": False,
     "id_in_use": False,
     "names_backend": False,
-    "started": True,
+    "serving_new_requests": True,
     "remaining_ms": 900.0,
     "class_deadline_ms": 900.0,
 }
@@ -32,7 +32,7 @@
         ({"remaining_ms": 900.0 + gate.MAX_CLIENT_DEADLINE_SLACK_MS}, None),
         ({"remaining_ms": 901.0 + gate.MAX_CLIENT_DEADLINE_SLACK_MS}, RejectionReason.DEADLINE_TOO_LONG),
         ({"names_backend": True}, RejectionReason.LATE_BACKEND_AFFINITY),
-        ({"names_backend": True, "started": False, "remaining_ms": 1e6}, None),
+        ({"names_backend": True, "serving_new_requests": False, "remaining_ms": 1e6}, None),
     ],
 )
 def test_a_request_is_admitted_or_not(changes: dict[str, Any], reason: RejectionReason | None) -> None:
@@ -100,5 +100,5 @@
 
 def test_a_retry_is_called_safe_only_if_nothing_ran_or_the_class_is_idempotent() -> None:
     for idempotency in Idempotency:
-        assert gate.may_promise_no_effect(idempotency, may_have_run=False)
-        assert gate.may_promise_no_effect(idempotency, may_have_run=True) is (idempotency is Idempotency.IDEMPOTENT)
+        assert gate.is_retry_safe(idempotency, may_have_run=False)
+        assert gate.is_retry_safe(idempotency, may_have_run=True) is (idempotency is Idempotency.IDEMPOTENT)
--- a/yarrowspindle/decisions/request_gate.py
+++ b/yarrowspindle/decisions/request_gate.py
@@ -24,7 +24,7 @@
     shutting_down: bool,
     id_in_use: bool,
     names_backend: bool,
-    started: bool,
+    serving_new_requests: bool,
     remaining_ms: float,
     class_deadline_ms: float,
 ) -> RejectionReason | None:
@@ -34,14 +34,14 @@
         shutting_down: this process is shutting down.
         id_in_use: another request has the client's request id.
         names_backend: the client names the backend that held its connection before this process started, which is
-            allowed only until it has `started`.
-        started: this process has received its first new request; the named backend may be draining by then.
+            allowed only before it is `serving_new_requests`.
+        serving_new_requests: this process has received a new request; the named backend may be draining by then.
         remaining_ms: how long the client still waits; 0 or less if that time passed before the request was read.
         class_deadline_ms: deadline of the request's class.
     """
     if id_in_use:
         return RejectionReason.ID_IN_USE
-    if names_backend and started:
+    if names_backend and serving_new_requests:
         return RejectionReason.LATE_BACKEND_AFFINITY
     if not names_backend and remaining_ms > class_deadline_ms + MAX_CLIENT_DEADLINE_SLACK_MS:
         return RejectionReason.DEADLINE_TOO_LONG
@@ -122,7 +122,7 @@
     return RejectionReason.DEADLINE_EXCEEDED if now >= deadline else None
 
 
-def may_promise_no_effect(idempotency: Idempotency, may_have_run: bool) -> bool:
+def is_retry_safe(idempotency: Idempotency, may_have_run: bool) -> bool:
     """Return whether the final answer may state that the client can retry safely."""
     return not may_have_run or idempotency is Idempotency.IDEMPOTENT
 
--- a/yarrowspindle/decisions/request_lifecycle.py
+++ b/yarrowspindle/decisions/request_lifecycle.py
@@ -23,7 +23,7 @@
 from yarrowspindle.decisions.health_checks import HealthChecks
 from yarrowspindle.decisions.placement import Placement
 from yarrowspindle.decisions.rejection import RejectionReason
-from yarrowspindle.decisions.request_gate import may_promise_no_effect
+from yarrowspindle.decisions.request_gate import is_retry_safe
 from yarrowspindle.decisions.requests import Request, find_request
 from yarrowspindle.decisions.retries import RetryBudget, attempt_rejection, backoff_ms, max_wait_ms, retry_window_ms
 from yarrowspindle.decisions.slow_start import SlowStart
@@ -137,7 +137,7 @@
         """Send the final answer of a request that is not served: a rejection if a retry is safe, else a failure."""
         state, settings = self.state, self.state.settings
         idempotency = settings.classes[request.cls].idempotency
-        retry_is_safe = may_promise_no_effect(idempotency, request.may_have_run_on is not None)
+        retry_is_safe = is_retry_safe(idempotency, request.may_have_run_on is not None)
         self._close(request)
         wait_ms = retry_after_ms(settings, state.random())
         if retry_is_safe:
--- a/yarrowspindle/routing/requests.py
+++ b/yarrowspindle/routing/requests.py
@@ -122,7 +122,7 @@
             shutting_down=shutting_down,
             id_in_use=event.client_request_id in context.client_request_ids,
             names_backend=names_backend,
-            started=context.serving_new_requests,
+            serving_new_requests=context.serving_new_requests,
             remaining_ms=event.remaining_ms,
             class_deadline_ms=context.settings.classes[event.request_class].deadline_ms,
         )
