--- a/tests/decisions/test_health_checks.py
+++ b/tests/decisions/test_health_checks.py
@@ -50,6 +50,7 @@
 
 
 async def wait_for_health_checks(w: World, name: str, times: int) -> None:
+    """Open and close connections, which earn credit, until the backend was checked `times` times."""
     while w.backends[name].probed < times:
         client, _, backend = await w.standing()
         backend.say("BYE")
--- a/tests/decisions/test_outlier_detection.py
+++ b/tests/decisions/test_outlier_detection.py
@@ -27,7 +27,7 @@
     for n in range(2, 40):
         place(b, 2.0, n)
     while_ejected = b.backends[send.backend].connections
-    assert while_ejected <= 1  # only if all four draws hit it
+    assert while_ejected <= 1  # one would take all four draws to hit it
     for n in range(40, 200):
         place(b, 30_000.0, n)
     assert b.backends[send.backend].connections > while_ejected + 20
--- a/yarrowspindle/decisions/admission.py
+++ b/yarrowspindle/decisions/admission.py
@@ -57,7 +57,10 @@
         self.fractions: dict[int, float] = {}
 
     def in_zone(self, zone: int, observed: dict[int, Backend], now: float) -> float:
-        """Return the fraction in this zone; remove backends from `observed` that are neither slow nor in use."""
+        """Return the fraction of slow backends in this zone.
+
+        An update removes backends from `observed` that are neither slow nor in use.
+        """
         if now >= self.refreshed_at + self.refresh_ms:
             self.refreshed_at = now
             slow_by_zone: dict[int, list[bool]] = {}
--- a/yarrowspindle/decisions/cost_placement.py
+++ b/yarrowspindle/decisions/cost_placement.py
@@ -80,7 +80,7 @@
     def choose(self, request: Request, settings: Settings, now: float, rings: Rings) -> Backend | None:
         """Return the backend for the request: the cheapest of those drawn, if it answers its health checks.
 
-        Otherwise return the cheapest responsive backend of the whole fleet ring.
+        Otherwise return the cheapest responsive backend of the fleet ring, or the unresponsive one if there is none.
         """
         cheapest = self.cheapest(request, settings, now, rings).backend
         if cheapest is not None and cheapest.utilization < UNRESPONSIVE_UTILIZATION:
--- a/yarrowspindle/decisions/load_estimates.py
+++ b/yarrowspindle/decisions/load_estimates.py
@@ -84,14 +84,14 @@
         self.mean_priority_weight = sum(cls.priority_weight * (count + 1.0) for cls, count in counts) / total
 
     def added_utilization(self, backend: Backend, request: Request, already_counted: bool = False) -> float:
-        """Return the utilization that the connection adds to a backend.
+        """Return the utilization that the connection adds to a backend, or removes from it when it ends.
 
         If groups share work, the only connection of a group at a backend costs GROUP_COST in addition.
 
         Args:
             backend: the backend.
             request: the request of the connection.
-            already_counted: the backend's counts include the connection.
+            already_counted: the connection is included in the backend's counts.
         """
         only_connection_of_group = (
             self.groups_share_work
--- a/yarrowspindle/decisions/migration.py
+++ b/yarrowspindle/decisions/migration.py
@@ -18,7 +18,7 @@
 MIN_OVERLOAD_MIGRATION_FRACTION = 0.3  # of that probability, in a widespread overload if clients heed a Retry-After
 OVERLOADED_UTILIZATION = 1.1  # above it, connections are migrated off the backend step by step
 MAX_MIGRATED_FRACTION = 0.25  # of an overloaded backend's own connections, per health-check interval
-OTHER_BACKENDS = -1  # key of the quota that all backends share that are not overloaded
+OTHER_BACKENDS = -1  # key of the quota shared by all backends that are not overloaded
 
 
 class _Candidate(NamedTuple):
--- a/yarrowspindle/decisions/placement.py
+++ b/yarrowspindle/decisions/placement.py
@@ -46,7 +46,7 @@
         A request that may have run goes only to backends that recognise the repeat. Any other request goes to a
         backend in slow start if the budget allows. Otherwise the backend with the lowest cost is chosen if backends
         report their load, else the better of two random choices: from the balancer's own zone, or from the whole
-        fleet for the fraction of requests that the zone lacks capacity for.
+        fleet for the fraction of requests that exceeds the remaining capacity of the zone.
         """
         state, settings = self.state, self.state.settings
         local, fleet = state.local_ring, state.fleet_ring
@@ -120,8 +120,8 @@
             ring: the backends to draw from.
             random: source of draws in 0 to 1.
             draws: the number of draws.
-            start: where the arc of the ring begins that is drawn from, in 0 to 1.
-            fraction: the length of that arc as a fraction of the ring.
+            start: beginning of the arc to draw from, as a fraction of the ring in 0 to 1.
+            fraction: length of the arc, as a fraction of the ring.
             target: own load per unit of capacity below which a healthy backend is taken at once; 0 disables it.
             best: the best backend of previous draws, if any; it competes with those drawn.
         """
--- a/yarrowspindle/decisions/settings.py
+++ b/yarrowspindle/decisions/settings.py
@@ -18,7 +18,7 @@
 
 
 class DeduplicationScope(IntEnum):
-    """The backends that drop repeats of a request with an idempotency key, relative to the first attempt's."""
+    """The backends that drop repeats of a request with an idempotency key, relative to that of its first attempt."""
 
     ALL = 0
     ZONE = 1
@@ -33,9 +33,7 @@
     deadline_ms: float  # time for which clients wait for an answer
     idempotency: Idempotency = Idempotency.IDEMPOTENT
     deduplication_scope: DeduplicationScope = DeduplicationScope.ALL
-    idempotency_window_ms: float = (
-        0.0  # with a key: time from the first attempt that may have run for which repeats are dropped
-    )
+    idempotency_window_ms: float = 0.0  # how long repeats are dropped after the first attempt that may have run
     priority_weight: float = 1.0  # value of a connection whose messages meet their objective
     message_latency_objective_ms: float = 0.0  # 0: no objective
 
@@ -98,8 +96,8 @@
     tick_ms: float = 1.0  # resolution of timers
     max_attempts: int = 1
     max_retry_after_ms: float = 0.0  # the longest wait that rejected clients heed
-    clients_heed_retry_after: bool = False  # rejected clients honour a Retry-After
-    may_cancel: bool = False  # attempts may be cancelled
+    clients_heed_retry_after: bool = False  # rejected clients wait for the Retry-After
+    may_cancel: bool = False
     may_probe: bool = False  # backends answer health checks
     can_gossip: bool = False
     cross_zone_price: float = 0.0
