--- a/tests/daemon/test_rebalancing_daemon.py
+++ b/tests/daemon/test_rebalancing_daemon.py
@@ -97,7 +97,7 @@
         # Taken out by SIGHUP, and a file that makes no sense changes nothing.
         (tmp_path / "operator.toml").write_text("[rebalance]\nsprad = 1\n")
         w.reload()
-        await w.logged("sprad is not known; spread is")
+        await w.logged("sprad is not a known key; did you mean spread?")
         (tmp_path / "operator.toml").write_text("")
         w.reload()
         await w.logged("[rebalance] was reloaded: off")
--- a/tests/rebalancing/test_rebalancing.py
+++ b/tests/rebalancing/test_rebalancing.py
@@ -142,8 +142,8 @@
     moved = []
     for _ in range(400):
         moved.append(len(harness.advance_round()))
-    notes = [n for n in harness.rebalancer.take_log_lines() if "pauses: lost" in n]
-    assert "goes on after 30 s" in notes[0] and "goes on after 60 s" in notes[1] and len(notes) < 8
+    pauses = [line for line in harness.rebalancer.take_log_lines() if "paused (cause: lost)" in line]
+    assert "resumes after 30 s" in pauses[0] and "resumes after 60 s" in pauses[1] and len(pauses) < 8
     assert sum(moved) < 0.6 * 400 and harness.rebalancer.rate.factor < 0.3
     # It goes on, and comes back to its full pace, once those who are moved come again.
     for _ in range(500):
@@ -245,12 +245,12 @@
 @pytest.mark.parametrize(
     "section, message",
     [
-        ({"sprad": 0.1}, "sprad is not known; spread is"),
-        ({"spread": 0}, "spread is 0: a number from 0.01"),
+        ({"sprad": 0.1}, r"sprad is not a known key; did you mean spread\?"),
+        ({"spread": 0}, "spread is 0; expected a number from 0.01"),
         ({"order": "first"}, "one of lightest-first"),
-        ({"quiet": ["22-6"]}, "hours like"),
+        ({"quiet": ["22-6"]}, "expected hours such as"),
         ({"moves_per_s": True}, "moves_per_s is True"),
-        ({"quiet": ["25:00-06:00"]}, "no such hours"),
+        ({"quiet": ["25:00-06:00"]}, "expected times of day from 00:00 to 24:00"),
     ],
 )
 def test_a_wrong_key_is_named_with_what_is_allowed(section: dict[str, Any], message: str) -> None:
--- a/yarrowspindle/rebalancing/__init__.py
+++ b/yarrowspindle/rebalancing/__init__.py
@@ -1,7 +1,7 @@
-"""Migrates established connections slowly towards balance: view, assessment, plan, rate, and a monitor of the effect.
+"""Gradually migrates established connections off overloaded backends.
 
-Pure: no wire, no clock and no event loop; the time comes with each call, in milliseconds. The reducer feeds the
-`Rebalancer` and carries out the migrations that it names; where a migrated client goes is the balancer's decision.
+The package does no I/O and reads no clock: each call passes the time in milliseconds. The reducer reports events to the
+`Rebalancer` and carries out the migrations that it selects. The balancer decides where a migrated client goes.
 """
 
 from yarrowspindle.rebalancing.rebalancer import Rebalancer
--- a/yarrowspindle/rebalancing/assessment.py
+++ b/yarrowspindle/rebalancing/assessment.py
@@ -1,4 +1,7 @@
-"""Which imbalance is worth a migration: the level, the sources above it and the targets below it."""
+"""Decides whether an imbalance justifies migrations, and determines the source and target backends.
+
+All loads are those of this relay's own connections. A backend's utilization is that load divided by its capacity.
+"""
 
 from __future__ import annotations
 
@@ -11,31 +14,31 @@
 from yarrowspindle.rebalancing.settings import RebalanceSettings
 
 MIN_BACKENDS = 2
-NOISE_DEVIATIONS = 3.0  # beyond so many standard deviations an own load is no longer chance
-MIN_NEWCOMER_HEADROOM = 0.5  # in mean loads: with less room than this a newcomer is no cause
+NOISE_DEVIATIONS = 3.0  # standard deviations above the mean up to which a load counts as random variation
+MIN_NEWCOMER_HEADROOM = 0.5  # in mean connection loads; newcomers with less headroom do not justify migrations
 
 
 @unique
 class ImbalanceCause(StrEnum):
-    """What makes an imbalance worth a migration; the values are published in metrics."""
+    """Why an imbalance justifies migrations; the values are part of metric names."""
 
-    JOINED = "joined"  # a backend has come that takes its part of the load
-    HOT = "hot"  # a backend has been far above the level for long, beyond what chance explains
+    JOINED = "joined"  # a backend that joined recently has less than its share of the load
+    HOT = "hot"  # a backend's load has exceeded spread and random variation for at least `hot_s`
 
 
 @dataclass(slots=True)
 class Assessment:
-    """What a look at the fleet shows. Loads are as in the view; `level` and `imbalance` are loads over capacity.
+    """The load distribution over the backends in one round.
 
     Attributes:
-        participants: the backends whose loads compare.
-        level: the load over capacity that all would have if they were even.
-        imbalance: of the fullest one, above the level.
-        excess: load above the level at the sources.
-        room: load below the level at the targets.
-        sources: backends that connections may leave.
-        targets: backends that they may go to.
-        cause: None: nothing is worth a migration.
+        participants: Backends whose loads are compared.
+        mean_utilization: Total load over total capacity: the utilization of each backend in perfect balance.
+        imbalance: Highest utilization minus the mean utilization.
+        excess: Total load of the sources above the mean utilization.
+        headroom: Total load of the targets below the mean utilization.
+        sources: Backends that connections may be migrated from.
+        targets: Backends that connections may be migrated to.
+        cause: Why the imbalance justifies migrations; None if it does not.
     """
 
     participants: list[BackendRecord] = field(default_factory=list)
@@ -49,16 +52,16 @@
 
 
 def assess(now: float, view: FleetView, settings: RebalanceSettings, candidate_ids: Sequence[int]) -> Assessment:
-    """Compares the loads of the backends that placement may choose.
+    """Compare the loads of the backends that the balancer may select.
 
-    A backend above the level by more than `settings.spread` is a source; one below it is a target, unless it rejected
-    returning clients of late.
+    A backend whose utilization exceeds the mean by more than `settings.spread` is a source. A backend below the mean is
+    a target, unless returning clients recently failed to connect to it.
 
     Args:
-        now: milliseconds.
-        view: what this relay knows of backends and connections.
-        settings: of rebalancing.
-        candidate_ids: the ids of the backends that the ordinary draw may take; own loads compare among these only.
+        now: Current time in milliseconds.
+        view: Backends and connections known to this relay.
+        settings: Rebalancing settings.
+        candidate_ids: Ids of the backends that this relay's balancer selects from; only their loads are comparable.
     """
     assessment = Assessment()
     settle_ms = settings.settle_s * 1000.0
@@ -85,7 +88,7 @@
 
 
 def _classify(now: float, record: BackendRecord, assessment: Assessment, settings: RebalanceSettings) -> None:
-    """Adds the backend to the targets or the sources."""
+    """Add the backend to the targets if it is below the mean, or to the sources if it is above mean and spread."""
     if record.utilization < assessment.mean_utilization and now >= record.excluded_until:
         assessment.targets.append(record)
         assessment.headroom += (assessment.mean_utilization - record.utilization) * record.capacity
@@ -97,10 +100,10 @@
 def _newcomer_headroom(
     now: float, record: BackendRecord, mean_utilization: float, view: FleetView, settings: RebalanceSettings
 ) -> float:
-    """Returns the load that a target which joined of late lacks; 0 for any other backend."""
+    """Return how much load a recently joined target lacks; 0 for any other backend."""
     if record.utilization >= mean_utilization or now < record.excluded_until:
         return 0.0
-    # The list tells when a process started, also to a relay that has only just begun or was just switched on.
+    # The start time in the endpoint list identifies newcomers even if this relay started after they joined.
     warm_at = record.started + view.warmup_ms if record.started else 0.0
     if max(record.joined_at, warm_at) <= now - settings.newcomer_s * 1000.0:
         return 0.0
@@ -110,7 +113,7 @@
 def _track_hot(
     now: float, record: BackendRecord, mean_utilization: float, mean_load: float, settings: RebalanceSettings
 ) -> None:
-    """Notes since when the backend has been above the level by more than spread and chance explain."""
+    """Update the time since which the backend's utilization has exceeded both spread and random variation."""
     noise = NOISE_DEVIATIONS * mean_load * sqrt(len(record.connections) + 1.0) / record.capacity
     if record.utilization <= mean_utilization + max(settings.spread * mean_utilization, noise):
         record.hot_since = -1.0
@@ -119,14 +122,14 @@
 
 
 def _attribute_to_newcomers(assessment: Assessment, newcomer_headroom: float, settings: RebalanceSettings) -> None:
-    """Only what the newcomers lack, and a spread for all targets, is worth a migration."""
+    """Limit the headroom to the load that the newcomers lack, plus the tolerated spread of all targets."""
     assessment.cause = ImbalanceCause.JOINED
     tolerance = settings.spread * assessment.mean_utilization * sum(record.capacity for record in assessment.targets)
     assessment.headroom = min(assessment.headroom, newcomer_headroom + tolerance)
 
 
 def _attribute_to_hot_backends(now: float, assessment: Assessment, settings: RebalanceSettings) -> None:
-    """Only backends that have been hot for long enough stay sources."""
+    """Keep as sources only the backends that have been hot for at least `hot_s`."""
     latest_hot_since = now - settings.hot_s * 1000.0
     assessment.sources = [record for record in assessment.sources if 0.0 <= record.hot_since <= latest_hot_since]
     assessment.excess = sum(
--- a/yarrowspindle/rebalancing/fleet_view.py
+++ b/yarrowspindle/rebalancing/fleet_view.py
@@ -1,7 +1,7 @@
-"""What this relay knows of the fleet: own loads and connections by backend, and how warm each backend is by now.
+"""This relay's view of the fleet: its own connections and their load by backend, and the state of each backend.
 
-Kept up to date with each event, so that a plan reads sums and never walks over all connections. What other relays hold
-is neither known nor needed: see `docs/design/rebalance.md`.
+The sums are updated with each event, so that planning never iterates over all connections. The connections of other
+relays are neither known nor needed: see `docs/design/rebalance.md`.
 """
 
 from __future__ import annotations
@@ -11,31 +11,31 @@
 
 from yarrowspindle.decisions.events import EndpointState
 
-MAX_FLAPS = 6  # times that the settling time doubles
+MAX_FLAPS = 6  # bounds the doubling of the settling time
 FLAP_MEMORY_MS = 600_000.0
-MAX_RECORDS = 20_000  # above it, backends that flapped are forgotten as well
-MEAN_LOAD_WEIGHT = 0.05  # of a new load in the running mean
+MAX_RECORDS = 20_000  # with more records, removed backends are dropped even if they flapped
+MEAN_LOAD_WEIGHT = 0.05  # of a new load in the exponential moving average
 MIN_CAPACITY = 1e-6
 
 
 class ListedBackend(Protocol):
-    """What an endpoint list says of a backend."""
+    """A backend as listed in an endpoint list."""
 
     name: str
     state: EndpointState
 
 
 class EstablishedConnection:
-    """One established connection of this relay.
+    """An established connection of this relay.
 
     Attributes:
-        request: its id.
-        backend: where it stands.
-        load: as last reported, or the mean.
-        key: of its client; 0: not given.
-        group: of its client; 0: none.
-        since: when it was established, in milliseconds.
-        returned: whether its client had been migrated or cut off before.
+        request_id: Id of the connection's request.
+        backend: Backend that the connection leads to.
+        load: Last reported load, or the mean load if none was reported.
+        client_key: Key of the client; 0 if not given.
+        group: Group of the client; 0 for none.
+        established_at: Time of establishment in milliseconds.
+        returned: Whether the client reconnected after a migration or a lost connection.
     """
 
     __slots__ = ("request_id", "backend", "load", "client_key", "group", "established_at", "returned")
@@ -60,16 +60,23 @@
 
 
 class BackendRecord:
-    """One backend, with the connections of this relay.
+    """A backend, with the connections of this relay to it. Times are in milliseconds.
 
     Attributes:
-        ready_since: since when it has been ready without a break, in milliseconds.
-        joined_at: when it joined a fleet that was known by then; below 0: it did not.
-        flaps: how often it became ready again within FLAP_MEMORY_MS of the time before.
-        connections: by request id, oldest first.
-        groups: group -> the request ids of its connections.
-        hot_since: since when it has been far above the level; below 0: it is not.
-        excluded_until: it rejected returning clients, and is no target until then.
+        name: Name of the backend.
+        backend_id: Id of the backend.
+        capacity: Capacity as listed.
+        started: Last start of the backend's process; 0 if long ago.
+        state: State of its endpoint.
+        ready_since: Start of the current uninterrupted ready period.
+        joined_at: When it became ready after this relay's first endpoint list; negative if it was in that list.
+        flaps: How often it became ready again, each time within FLAP_MEMORY_MS of the time before.
+        last_flap_at: When it last became ready again.
+        load: Total load of `connections`.
+        connections: Connections by request id, oldest first.
+        groups: Request ids of the connections by group.
+        hot_since: Since when its utilization has been far above the mean; negative if it is not.
+        excluded_until: End of its exclusion as a target, after returning clients failed to connect to it.
     """
 
     __slots__ = (
@@ -107,16 +114,16 @@
 
     @property
     def utilization(self) -> float:
-        """Own load over capacity."""
+        """Load of this relay's connections divided by the backend's capacity."""
         return self.load / self.capacity
 
 
 class FleetView:
-    """All backends and established connections.
+    """All backends, and all established connections of this relay.
 
     Args:
-        warmup_ms: how long a started backend warms up.
-        initial_capacity_fraction: of its capacity, at its start.
+        warmup_ms: Warm-up time of a backend after its start.
+        initial_capacity_fraction: Fraction of its capacity that a backend has at its start.
     """
 
     def __init__(self, warmup_ms: float, initial_capacity_fraction: float) -> None:
@@ -126,22 +133,22 @@
         self.by_id: dict[int, BackendRecord] = {}
         self.connections: dict[int, EstablishedConnection] = {}
         self.mean_load = 0.0
-        self._list_received = False  # a list has come: a backend that is new in a later one has joined
+        self._list_received = False  # backends that become ready after the first list count as newly joined
 
     # --- backends ---------------------------------------------------------------------------------
 
     def update_backend(
         self, now: float, name: str, backend_id: int, state: EndpointState, capacity: float, started: float
     ) -> None:
-        """Takes in what an endpoint list says of one backend.
+        """Add or update a backend from an endpoint list.
 
         Args:
-            now: milliseconds.
-            name: of the backend.
-            backend_id: its id.
-            state: of its endpoint.
-            capacity: as listed.
-            started: the last start of its process in milliseconds; 0: long ago.
+            now: Current time in milliseconds.
+            name: Name of the backend.
+            backend_id: Id of the backend.
+            state: State of its endpoint.
+            capacity: Capacity as listed.
+            started: Last start of its process in milliseconds; 0 if long ago.
         """
         record = self.by_name.get(name)
         is_known = record is not None
@@ -167,12 +174,13 @@
             record.last_flap_at = now
 
     def finish_list(self, affected: Iterable[ListedBackend]) -> None:
-        """Ends an endpoint list. A backend that is gone and holds nothing is forgotten.
+        """Complete the update from an endpoint list, and drop removed backends that have no connections.
 
-        One that flapped is remembered for longer than its absence, within MAX_RECORDS.
+        The record of a removed backend that flapped is kept, unless there are more than MAX_RECORDS records, so that
+        its flaps still count when it returns.
 
         Args:
-            affected: the backends that the list named or left out.
+            affected: Backends whose state the list changed, including those that it no longer contains.
         """
         self._list_received = True
         for backend in affected:
@@ -185,14 +193,14 @@
                 del self.by_id[record.backend_id]
 
     def capacity_fraction(self, now: float, record: BackendRecord) -> float:
-        """Returns the fraction of its capacity that a backend has at the least by now."""
+        """Return the minimum fraction of its capacity that a backend has reached in its warm-up."""
         if record.started <= 0.0 or now >= record.started + self.warmup_ms:
             return 1.0
         uptime_ms = max(now - record.started, 0.0)
         return self.initial_capacity_fraction + (1.0 - self.initial_capacity_fraction) * uptime_ms / self.warmup_ms
 
     def is_settled(self, now: float, record: BackendRecord, settle_ms: float) -> bool:
-        """Returns whether it is ready, warm, and has been so for long enough; each flap doubles how long that is."""
+        """Return whether a backend is warm and has been ready for the settling time, which doubles with each flap."""
         if record.state is not EndpointState.READY or self.capacity_fraction(now, record) < 1.0:
             return False
         wait_ms = settle_ms * 2.0 ** max(0, record.flaps - 1)
@@ -203,7 +211,7 @@
     def add_connection(
         self, now: float, request_id: int, name: str, load: float, client_key: int, group: int, returned: bool
     ) -> None:
-        """Adds an established connection. One at a backend that the list no longer names is left out."""
+        """Add an established connection, unless its backend is no longer known."""
         record = self.by_name.get(name)
         if record is None:
             return
@@ -216,7 +224,7 @@
             record.groups.setdefault(group, set()).add(request_id)
 
     def update_load(self, request_id: int, load: float) -> None:
-        """Takes in a new load of a connection; 0 says nothing."""
+        """Update the load of a connection; a load of 0 means that none was reported."""
         connection = self.connections.get(request_id)
         if connection is not None and load > 0.0:
             self._update_mean_load(load)
@@ -228,7 +236,7 @@
             self.mean_load += (load - self.mean_load) * (MEAN_LOAD_WEIGHT if self.mean_load else 1.0)
 
     def remove_connection(self, request_id: int) -> EstablishedConnection | None:
-        """Removes a connection that has ended. Returns it, or None where it was not known."""
+        """Remove a connection that has ended, and return it; None if it is not known."""
         connection = self.connections.pop(request_id, None)
         if connection is None:
             return None
--- a/yarrowspindle/rebalancing/migration_monitor.py
+++ b/yarrowspindle/rebalancing/migration_monitor.py
@@ -1,8 +1,9 @@
-"""Whether migrations help: do the clients come back, does the imbalance fall, do the targets accept them?
+"""Checks that migrations help: that clients reconnect, that the imbalance falls, and that targets accept clients.
 
-Relays share nothing, and a migrated client usually comes back to another relay. What a relay can see is how many come
-back to it (`again=1`) while it migrates its own away. Where all relays rebalance alike the two are equal in the mean; a
-relay alone sees its share of them. So this is only ever a reason to slow down or to pause.
+Relays share no state for this, and a migrated client usually reconnects to another relay. A relay therefore compares
+the clients that return to it (`again=1`) with those that it migrates away. If all relays rebalance alike, the two are
+equal on average; if only one relay rebalances, it sees only its share of the returns. The comparison is thus used only
+to slow migrations down or to pause them.
 """
 
 from __future__ import annotations
@@ -13,25 +14,25 @@
 from yarrowspindle.rebalancing.sliding_window import MAX_LAG_MS, SlidingWindow
 
 RETURN_WINDOW_MS = 15_000.0
-RETURN_LAG_MS = MAX_LAG_MS  # a client may take half of it to connect again, and its set-up some more
-MIN_MIGRATIONS = 12  # fewer prove nothing
+RETURN_LAG_MS = MAX_LAG_MS  # covers the reconnect delay of a client (up to half of it) and the connection set-up
+MIN_MIGRATIONS = 12  # minimum sample size: fewer migrations are no evidence
 EFFECTIVENESS_PERIOD_MS = 60_000.0
-MIN_EXCESS_REDUCTION = 0.1  # of the migrated load, by which the excess has to fall in that period
-STORM_WINDOW_MS = 5000.0
-STORM_FRACTION = 0.1  # of the established connections, reset within that window
+MIN_EXCESS_REDUCTION = 0.1  # fraction of the migrated load by which the excess must fall in that period
+STORM_WINDOW_MS = 5000.0  # for reset storms and for rejections
+STORM_FRACTION = 0.1  # of the established connections, reset within the window
 MIN_STORM_RESETS = 10
-REJECTED_FRACTION = 0.1  # of the requests received, rejected within that window
+REJECTED_FRACTION = 0.1  # of the received requests, rejected within the window
 MIN_REJECTIONS = 5
-RECOVERY_MARGIN = 1.5  # times the least share of returns: as many clients come back as usual
+RECOVERY_MARGIN = 1.5  # times the minimum fraction of returns, above which the migration rate recovers
 MAX_BACKENDS_WITH_FAILURES = 4096
-MAX_TARGET_FAILURES = 3  # of returning clients, until a target is excluded
+MAX_TARGET_FAILURES = 3  # failed attempts of returning clients after which a target is excluded
 TARGET_EXCLUSION_MS = 30_000.0
 MAX_PAUSE_DOUBLINGS = 5
 
 
 @unique
 class PauseCause(StrEnum):
-    """Why no plan is made; the values are published in logs and metrics."""
+    """Why migrations are paused; the values appear in log lines and metric names."""
 
     RESET_STORM = "storm"
     REJECTIONS = "refusals"
@@ -41,16 +42,24 @@
 
     @property
     def is_ineffective(self) -> bool:
-        """Whether it means that migrations did no good: then the rate falls as well, and pauses grow."""
+        """Whether the cause shows that migrations had no benefit; the rate is then reduced and pauses grow."""
         return self in (PauseCause.CLIENTS_LOST, PauseCause.NO_EFFECT)
 
 
 class MigrationMonitor:
-    """Counts what migrations lead to, and pauses them.
+    """Tracks the outcome of migrations, and pauses them if they are ineffective or harmful.
 
     Attributes:
-        pause_cause: why migrations are paused; None: they are not.
-        futile_pauses: pauses in a row for a futile cause; each lasts twice as long as the one before.
+        migrated: Clients that this relay migrated.
+        returned: Returning clients that connected through this relay.
+        resets: Connections that were reset.
+        rejections: Requests that were rejected.
+        requests: Requests that were received.
+        target_failures: Failed attempts of returning clients since the last success, by backend name.
+        pause_cause: Why migrations are paused; None if they are not.
+        paused_until: End of the pause in milliseconds.
+        ineffective_pauses: Number of consecutive pauses for an ineffective cause; each is twice as long as the last.
+        period_migrations: Migrations in the current effectiveness period.
     """
 
     def __init__(self) -> None:
@@ -69,18 +78,22 @@
         self.period_migrations = 0.0
 
     def on_migration(self, now: float) -> None:
-        """A client of this relay was told to connect again."""
+        """Record that this relay told a client to reconnect."""
         self.migrated.add(now)
         self.period_migrations += 1.0
 
     def on_return(self, now: float, backend: str) -> None:
-        """A returning client is established at this backend, which makes up for failures there."""
+        """Record that a returning client connected to this backend, and reset the backend's failure count."""
         self.returned.add(now)
         self.target_failures.pop(backend, None)
 
     def on_target_failure(self, backend: str) -> bool:
-        """A returning client failed there. Returns whether the backend is to be excluded as a target for a while."""
-        if len(self.target_failures) >= MAX_BACKENDS_WITH_FAILURES:  # most of them are long gone
+        """Record that a returning client failed to connect to this backend.
+
+        Returns:
+            Whether the backend must be excluded as a target for TARGET_EXCLUSION_MS.
+        """
+        if len(self.target_failures) >= MAX_BACKENDS_WITH_FAILURES:  # most of these have left the fleet
             self.target_failures.clear()
         self.target_failures[backend] = self.target_failures.get(backend, 0) + 1
         if self.target_failures[backend] < MAX_TARGET_FAILURES:
@@ -97,17 +110,17 @@
         mean_load: float,
         settings: RebalanceSettings,
     ) -> PauseCause | None:
-        """Returns why the plan must pause from now on; None where it may go on.
+        """Return why migrations must be paused now, or None if they may continue.
 
-        A pause ends only when its time is over and, for a storm or rejections, when these have ended as well.
+        A pause ends when its time has elapsed and, for reset storms and rejections, when these have ended as well.
 
         Args:
-            now: milliseconds.
-            established: connections of this relay.
-            backends: how many take part.
-            excess: load above the level at the sources.
-            mean_load: of a connection.
-            settings: the least share of returns.
+            now: Current time in milliseconds.
+            established: Number of established connections of this relay.
+            backends: Number of backends whose loads are compared.
+            excess: Total load of the sources above the mean utilization.
+            mean_load: Mean load of a connection.
+            settings: Rebalancing settings.
         """
         if self.resets.sum(now) >= max(MIN_STORM_RESETS, STORM_FRACTION * established):
             return PauseCause.RESET_STORM
@@ -121,20 +134,20 @@
         return self._check_effectiveness(now, backends, excess, mean_load)
 
     def has_normal_returns(self, now: float, settings: RebalanceSettings) -> bool | None:
-        """Returns whether as many clients come back as usual; None while too few were migrated to tell."""
+        """Return whether enough migrated clients return; None if too few were migrated to tell."""
         migrated = self.migrated.sum(now, RETURN_LAG_MS)
         if migrated < MIN_MIGRATIONS / 2:
             return None
         return self.returned.sum(now) >= RECOVERY_MARGIN * settings.return_least * migrated
 
     def missing_returns(self, now: float) -> float:
-        """Returns how many more were migrated than came back; about 0 where all relays rebalance alike."""
+        """Return how many more clients were migrated than returned; about 0 if all relays rebalance alike."""
         return max(0.0, self.migrated.sum(now, RETURN_LAG_MS) - self.returned.sum(now))
 
     def _check_effectiveness(self, now: float, backends: int, excess: float, mean_load: float) -> PauseCause | None:
-        """In each period the excess must fall by a part of the load that was migrated.
+        """Check that the excess fell by at least MIN_EXCESS_REDUCTION of the load migrated in the period.
 
-        A period begins with the first migration, and anew whenever other backends take part.
+        A period begins at the first migration, and starts over if the number of compared backends changes.
         """
         if not self.period_migrations or backends != self._period_backends:
             self._period_start = now
@@ -152,7 +165,7 @@
         return None
 
     def pause(self, now: float, cause: PauseCause, settings: RebalanceSettings) -> bool:
-        """Begins a pause, lengthens it, or leaves it as it is. Returns whether its cause is a new one."""
+        """Begin or extend a pause, and return whether its cause differs from the current one."""
         if cause is PauseCause.STILL_PAUSED:
             return False
         is_new = cause is not self.pause_cause
@@ -166,12 +179,12 @@
         return is_new
 
     def pause_length_s(self, cause: PauseCause, settings: RebalanceSettings) -> float:
-        """Returns how long a pause for this cause lasts, in seconds."""
+        """Return the length of a pause for this cause in seconds."""
         if not cause.is_ineffective:
             return settings.pause_s
         return settings.pause_s * 2.0 ** (self.ineffective_pauses - 1)
 
     def resume(self) -> PauseCause | None:
-        """Ends the pause. Returns its cause."""
+        """End the pause, and return its cause."""
         cause, self.pause_cause = self.pause_cause, None
         return cause
--- a/yarrowspindle/rebalancing/migration_rate.py
+++ b/yarrowspindle/rebalancing/migration_rate.py
@@ -1,4 +1,4 @@
-"""How fast connections are migrated: token buckets for the relay, each source and each target, and a common factor."""
+"""Limits the migration rate: token buckets for the relay, each source and each target, scaled by a common factor."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 from yarrowspindle.rebalancing.token_bucket import TokenBucket
 
 MIN_FACTOR = 1.0 / 16.0
-RECOVERY_S = 16.0  # from no rate at all back to the full one, without a setback
+RECOVERY_S = 16.0  # in which the factor would grow linearly from 0 to 1
 
 
 @unique
 class Role(Enum):
-    """What a backend is to a migration."""
+    """The role of a backend in a migration."""
 
     SOURCE = "source"
     TARGET = "target"
@@ -21,12 +21,12 @@
 
 
 class MigrationRate:
-    """The buckets of one relay.
+    """The token buckets of one relay.
 
     Attributes:
-        relay: the bucket of all migrations.
-        by_backend: the buckets of backends that were used of late.
-        factor: multiplies all rates; halved on a setback, and recovering by and by.
+        relay: Bucket for all migrations of the relay.
+        backend_buckets: Buckets of recently used backends, by role and backend name.
+        factor: Multiplier of all rates: halved when migrations are ineffective, and increased gradually otherwise.
     """
 
     def __init__(self, now: float) -> None:
@@ -35,7 +35,7 @@
         self.factor = 1.0
 
     def start_round(self, now: float, rate: float, interval_s: float) -> None:
-        """Fills the relay's bucket at the begin of a round, and forgets the buckets of backends that are full again."""
+        """Refill the relay's bucket at the start of a round, and drop backend buckets that are full again."""
         rate *= self.factor
         self.relay.fill(now, rate, max(1.0, rate * interval_s))
         full = [key for key, bucket in self.backend_buckets.items() if bucket.is_full(now)]
@@ -43,7 +43,7 @@
             del self.backend_buckets[key]
 
     def backend_bucket(self, now: float, role: Role, name: str, rate: float, interval_s: float) -> TokenBucket:
-        """Returns the bucket of a backend in this role, filled up to now."""
+        """Return the bucket of a backend in this role, refilled up to now."""
         rate *= self.factor
         burst = max(1.0, rate * interval_s)
         bucket = self.backend_buckets.get((role, name))
@@ -53,9 +53,9 @@
         return bucket
 
     def reduce(self) -> None:
-        """Halves all rates, down to MIN_FACTOR."""
+        """Halve all rates, down to MIN_FACTOR."""
         self.factor = max(MIN_FACTOR, self.factor / 2.0)
 
     def recover(self, interval_s: float) -> None:
-        """Recovers by one round without a setback."""
+        """Increase all rates by the recovery of one round."""
         self.factor = min(1.0, self.factor + interval_s / RECOVERY_S)
--- a/yarrowspindle/rebalancing/planner.py
+++ b/yarrowspindle/rebalancing/planner.py
@@ -1,7 +1,8 @@
-"""Which connections are migrated in a round, and in which order.
+"""Selects the connections to migrate in a rebalancing round, and their order.
 
-Sources are served in the order of their excess. Only what lies above the level may leave a source, so that it never
-becomes the lowest (no ping-pong). A plan looks at MAX_SCANNED connections of a source at most.
+Sources (overloaded backends) are relieved in descending order of excess load. A source gives up only load above the
+mean utilization, so that it never becomes the least loaded backend and connections do not oscillate. A round examines
+at most MAX_SCANNED_CONNECTIONS connections of a source.
 """
 
 from __future__ import annotations
@@ -18,27 +19,36 @@
 from yarrowspindle.rebalancing.settings import Order, RebalanceSettings
 
 MAX_SCANNED_CONNECTIONS = 64
-CORRECTION_GAIN = (
-    0.5  # of the excess and of the room, closed in one round; docs/design/rebalance.md says why this is stable
-)
-MAX_HOT_MIGRATIONS = 1  # in a round, where no backend has joined
+# Fraction of the excess, or of the headroom if that is smaller, that one round corrects;
+# docs/design/rebalance.md explains why this is stable.
+CORRECTION_GAIN = 0.5
+MAX_HOT_MIGRATIONS = 1  # per round, unless a backend has joined recently
 UNLIMITED = 1 << 30
 
-# Names what keeps a connection from being migrated; empty: nothing.
+# Returns the metric name of the reason why a connection must not be migrated, or an empty string if it may be.
 BlockCheck = Callable[[EstablishedConnection], str]
 
 
 @dataclass(slots=True)
 class PlanningRound:
-    """One round of planning: what it goes by, and what has been planned so far.
+    """The inputs of one planning round, and the migrations planned so far.
 
     Attributes:
-        relays_per_backend: how many relays draw from each backend, and share a target's rate.
-        blocking_reason: names what keeps a connection from being migrated.
-        blocked_counts: how many connections each obstacle kept back, by its published name.
-        budget: load that may still be migrated in this round.
-        target_heap: (load minus the level's, name) of the targets: a heap with the emptiest first.
-        source_excess: load above the level that each source still has.
+        now: Current time in milliseconds.
+        view: Backends and connections known to this relay.
+        settings: Rebalancing settings.
+        assessment: Sources and targets of this round.
+        rate: Token buckets of the relay and of the backends.
+        relays_per_backend: Number of relays that may select each backend; they share a target's migration rate.
+        blocking_reason: Check whether a connection may be migrated.
+        blocked_counts: Number of connections that were not migrated, by the metric name of the reason.
+        mean_load: Mean load of a connection, or 1 if no load has been reported.
+        budget: Load that may still be migrated in this round.
+        max_migrations: Maximum number of migrations in this round.
+        target_heap: Heap of (load minus the load at mean utilization, name) of the targets, least loaded first.
+        source_excess: Remaining load above the mean utilization, by source name.
+        migrations: Connections to migrate, in order.
+        migrated_requests: Request ids of `migrations`.
     """
 
     now: float
@@ -60,9 +70,8 @@
     def __post_init__(self) -> None:
         assessment = self.assessment
         self.mean_load = self.view.mean_load or 1.0
-        self.budget = max(
-            CORRECTION_GAIN * min(assessment.excess, assessment.headroom), self.mean_load
-        )  # at least one: small gaps close too
+        # The budget allows at least one connection of mean load, so that small imbalances are corrected too.
+        self.budget = max(CORRECTION_GAIN * min(assessment.excess, assessment.headroom), self.mean_load)
         if assessment.cause is ImbalanceCause.HOT:
             self.max_migrations = MAX_HOT_MIGRATIONS
         self.target_heap = [
@@ -77,15 +86,18 @@
 
     @property
     def is_finished(self) -> bool:
-        """Whether nothing more may be planned."""
+        """Whether no more migrations may be planned in this round."""
         if self.budget <= 0.0 or len(self.migrations) >= self.max_migrations:
             return True
         return not self.target_heap or self.target_heap[0][0] >= 0.0
 
     def try_migrate(self, connection: EstablishedConnection) -> bool:
-        """Plans one migration, if the relay, the source and a target have a token each. Returns whether they had.
+        """Plan a migration if the token buckets of the relay, the source and a target allow it.
 
-        The load is reserved at the emptiest target that has a token.
+        The connection's load is reserved at the least loaded target that has a token.
+
+        Returns:
+            Whether the migration was planned.
         """
         settings = self.settings
         name = connection.backend.name
@@ -96,7 +108,7 @@
             target = self.rate.backend_bucket(self.now, Role.TARGET, target_name, target_rate, settings.beat_s)
             if target.available:
                 break
-            heapq.heappop(self.target_heap)  # it takes no more in this round
+            heapq.heappop(self.target_heap)  # the target has no token left in this round
         if not self.target_heap or not self.rate.relay.available or not source.available:
             self.blocked_counts["pace"] += 1
             return False
@@ -110,10 +122,10 @@
 
 
 class Planner:
-    """Plans rounds, and remembers the rest of a group that is being migrated.
+    """Plans rounds, and keeps the rest of a partly migrated group for the next round.
 
     Attributes:
-        pending: request ids of a group's members that follow before anything else.
+        pending: Request ids of the remaining members of a partly migrated group; they are migrated first.
     """
 
     def __init__(self) -> None:
@@ -131,17 +143,17 @@
         blocked_counts: Counter[str],
         relays_per_backend: float,
     ) -> list[EstablishedConnection]:
-        """Returns the connections to be migrated now, in order.
+        """Return the connections to migrate now, in order.
 
         Args:
-            now: milliseconds.
-            view: what this relay knows of backends and connections.
-            settings: of rebalancing.
-            assessment: what the look at the fleet showed.
-            rate: the token buckets, filled for this round.
-            blocking_reason: names what keeps a connection from being migrated; empty: nothing.
-            blocked_counts: counts the obstacles.
-            relays_per_backend: how many relays draw from each backend.
+            now: Current time in milliseconds.
+            view: Backends and connections known to this relay.
+            settings: Rebalancing settings.
+            assessment: Sources and targets of this round.
+            rate: Token buckets, refilled for this round.
+            blocking_reason: Returns the reason why a connection must not be migrated, or an empty string.
+            blocked_counts: Incremented for each connection that is not migrated, by reason.
+            relays_per_backend: Number of relays that may select each backend.
         """
         if assessment.cause is None or not assessment.sources or not assessment.targets:
             self.pending.clear()
@@ -154,7 +166,13 @@
         return current.migrations
 
     def _continue_group(self, current: PlanningRound) -> bool:
-        """Migrates the rest of a group where nothing has changed under it. Returns whether all of it went."""
+        """Migrate the rest of a partly migrated group.
+
+        Members that have ended, are no longer on a source, or are blocked now are dropped from the group.
+
+        Returns:
+            Whether no member remains pending.
+        """
         sources = {source.name for source in current.assessment.sources}
         pending, self.pending = self.pending, []
         for index, request_id in enumerate(pending):
@@ -168,7 +186,7 @@
         return True
 
     def _relieve_sources(self, current: PlanningRound) -> None:
-        """Migrates one unit after the other, each off the source with the greatest excess by then."""
+        """Migrate one unit at a time, each from the source that has the greatest excess utilization at that point."""
         sources = {source.name: source for source in current.assessment.sources}
         order = [(-current.source_excess[name] / source.capacity, name) for name, source in sources.items()]
         heapq.heapify(order)
@@ -189,19 +207,22 @@
             heapq.heappush(order, (-current.source_excess[name] / sources[name].capacity, name))
 
     def _migrate_rest(self, unit: list[EstablishedConnection], current: PlanningRound) -> None:
-        """Migrates the other members of a group; those that cannot go now are pending."""
+        """Migrate the members of a unit after its first; those that the rate limits hold back become pending."""
         for index, connection in enumerate(unit[1:], 1):
             if len(current.migrations) >= current.max_migrations or not current.try_migrate(connection):
                 self.pending += [member.request_id for member in unit[index:]]
                 return
 
     def _next_unit(self, source: BackendRecord, max_load: float, current: PlanningRound) -> list[EstablishedConnection]:
-        """Returns what leaves this backend next: one connection, or a whole group where groups stay together.
+        """Return the unit to migrate next: one connection, or a whole group if groups are kept together.
 
         Args:
-            source: the backend.
-            max_load: the most load that may leave; more would only swap the imbalance.
-            current: the round.
+            source: Backend that the unit is migrated from.
+            max_load: Maximum load of the unit; a heavier one would only move the imbalance to the target.
+            current: Planning round.
+
+        Returns:
+            The connections of the unit; empty if no unit of the source may be migrated.
         """
         settings = current.settings
         best: list[EstablishedConnection] = []
@@ -227,7 +248,7 @@
         return best
 
     def _scan_window(self, source: BackendRecord) -> list[EstablishedConnection]:
-        """Returns the connections to look at: a window that moves on, so that none is passed over for good."""
+        """Return the connections to examine: a window that advances with each call, so that each gets its turn."""
         self._scan_count += 1
         connections = source.connections.values()
         count = len(connections)
@@ -240,7 +261,10 @@
 def _migration_unit(
     connection: EstablishedConnection, source: BackendRecord, current: PlanningRound
 ) -> list[EstablishedConnection]:
-    """Returns the connection, or its whole group where groups stay together; nothing for a group that is too large."""
+    """Return the connection, or its whole group if groups are kept together; empty if the group is too large.
+
+    A group is too large if it has more than MAX_SCANNED_CONNECTIONS members.
+    """
     if current.settings.order is not Order.GROUP or not connection.group:
         return [connection]
     members = source.groups[connection.group]
@@ -252,7 +276,7 @@
 def _unit_blocking_reason(
     unit: list[EstablishedConnection], load: float, max_load: float, current: PlanningRound
 ) -> str:
-    """Returns the published name of what keeps a unit from being migrated; empty: nothing."""
+    """Return the metric name of the reason why a unit must not be migrated, or an empty string if it may be."""
     if not unit:
         return "group"
     if load > max_load:
--- a/yarrowspindle/rebalancing/rebalancer.py
+++ b/yarrowspindle/rebalancing/rebalancer.py
@@ -1,4 +1,4 @@
-"""One relay's rebalancing: what the reducer reports goes into the view, and each round names what is migrated."""
+"""The rebalancer of one relay: tracks what the reducer reports, and selects connections to migrate in each round."""
 
 from __future__ import annotations
 
@@ -15,26 +15,26 @@
 from yarrowspindle.rebalancing.planner import Planner
 from yarrowspindle.rebalancing.settings import RebalanceSettings
 
-SEED_MASK = 0x5EED  # so that it draws other numbers than the balancer does
+SEED_MASK = 0x5EED  # gives the rebalancer a random sequence of its own, as it gets the same seed as the balancer
 
-# Why a round migrates nothing, apart from pauses.
+# Why a round migrates nothing although migrations are not paused.
 IDLE_STOPPING = "stopping"
 IDLE_QUIET_HOURS = "quiet"
 IDLE_BALANCED = "even"
 
 
 class Rebalancer:
-    """Names the connections to be migrated, a few in each round. Times are milliseconds.
+    """Selects a limited number of connections to migrate in each round. Times are in milliseconds.
 
-    `beat` is to be called every `beat_ms`; all other methods only take in what has happened.
+    `plan_round` is to be called every `round_interval_ms`; the `on_...` methods only record events.
 
     Args:
-        settings: of rebalancing.
-        seed: of the random source.
-        now: milliseconds.
-        relays: how many relays serve the fleet.
-        warmup_ms: how long a started backend warms up.
-        initial_capacity_fraction: of a backend's capacity, at its start.
+        settings: Rebalancing settings.
+        seed: Seed of the random source.
+        now: Current time in milliseconds.
+        relays: Number of relays that serve the fleet.
+        warmup_ms: Warm-up time of a backend after its start.
+        initial_capacity_fraction: Fraction of its capacity that a backend has at its start.
     """
 
     def __init__(
@@ -61,53 +61,53 @@
         self.idle_reason = IDLE_BALANCED
 
     def first_round_delay_ms(self) -> float:
-        """Returns when the first round is due: spread, so that relays which start together do not plan together."""
+        """Return the delay of the first round: random, so that relays started together do not plan simultaneously."""
         return self.settings.beat_s * 1000.0 * self.random()
 
     @property
     def round_interval_ms(self) -> float:
-        """The interval of the rounds."""
+        """The interval between rounds in milliseconds."""
         return self.settings.beat_s * 1000.0
 
     def configure(self, settings: RebalanceSettings) -> None:
-        """Goes by new settings from now on."""
+        """Apply new settings, and drop the rest of a partly migrated group."""
         self.settings = settings
         self.planner.pending.clear()
 
     def stop(self) -> None:
-        """Plans nothing more: a planned restart migrates everybody in its own way."""
+        """Stop planning migrations: the shutdown of this relay migrates all connections itself."""
         self.stopped = True
         self.planner.pending.clear()
 
     @property
     def target_utilization(self) -> float:
-        """The load over capacity with which the balancer places returning clients in mind; 0: none."""
+        """The utilization that the balancer aims for when it places returning clients; 0 while nothing is migrated."""
         is_active = not self.idle_reason and self.monitor.pause_cause is None
         return self.assessment.mean_utilization if is_active else 0.0
 
-    # --- what the reducer reports -----------------------------------------------------------------
+    # --- events reported by the reducer -----------------------------------------------------------
 
     def on_request_received(self, now: float) -> None:
-        """A request was received."""
+        """Record that a request was received."""
         self.monitor.requests.add(now)
 
     def on_request_rejected(self, now: float) -> None:
-        """A request was rejected."""
+        """Record that a request was rejected."""
         self.monitor.rejections.add(now)
 
     def on_connection_established(
         self, now: float, request_id: int, backend: str, load: float, client_key: int, group: int, returned: bool
     ) -> None:
-        """A connection was established.
+        """Record that a connection was established.
 
         Args:
-            now: milliseconds.
-            request_id: its id.
-            backend: the name of its backend.
-            load: as its client guesses; 0: not given.
-            client_key: of the client; 0: not given.
-            group: of the client; 0: none.
-            returned: whether the client had been migrated or cut off before.
+            now: Current time in milliseconds.
+            request_id: Id of the connection's request.
+            backend: Name of the backend.
+            load: Load estimated by the client; 0 if not given.
+            client_key: Key of the client; 0 if not given.
+            group: Group of the client; 0 for none.
+            returned: Whether the client reconnects after a migration or a lost connection.
         """
         self.view.add_connection(now, request_id, backend, load, client_key, group, returned)
         if returned:
@@ -115,7 +115,7 @@
             self.monitor.on_return(now, backend)
 
     def on_attempt_failed(self, now: float, backend: str, returned: bool) -> None:
-        """An attempt at this backend failed; only those of returning clients count."""
+        """Record that an attempt at this backend failed; only attempts of returning clients are counted."""
         if not returned or not self.monitor.on_target_failure(backend):
             return
         record = self.view.by_name.get(backend)
@@ -124,19 +124,22 @@
             self.counts["spoilt"] += 1
 
     def on_connection_ended(self, now: float, request_id: int, was_reset: bool) -> None:
-        """A connection ended; broken: it was reset."""
+        """Record that a connection ended, normally or by a reset."""
         if self.view.remove_connection(request_id) is not None and was_reset:
             self.monitor.resets.add(now)
 
     # --- rounds -----------------------------------------------------------------------------------
 
     def plan_round(self, now: float, candidate_ids: Sequence[int], relays_per_backend: float = 0.0) -> list[int]:
-        """Plans a round. Returns the request ids of the connections to be migrated now.
+        """Plan a round.
 
         Args:
-            now: milliseconds.
-            candidate_ids: the ids of the backends that the ordinary draw may take.
-            relays_per_backend: how many relays draw from each of them; 0: all.
+            now: Current time in milliseconds.
+            candidate_ids: Ids of the backends that this relay's balancer selects from.
+            relays_per_backend: Number of relays that may select each of these backends; 0 for all relays.
+
+        Returns:
+            The request ids of the connections to migrate now.
         """
         settings = self.settings
         self.assessment = assess(now, self.view, settings, candidate_ids)
@@ -155,7 +158,7 @@
         return self.settings.submitter_window_s * 1000.0
 
     def _find_idle_reason(self, now: float) -> str:
-        """Why this round migrates nothing; empty: it may."""
+        """Return the reason why this round must not migrate anything, or an empty string if it may."""
         if self.stopped:
             return IDLE_STOPPING
         if self.settings.is_quiet(now):
@@ -163,7 +166,7 @@
         return "" if self.assessment.cause is not None else IDLE_BALANCED
 
     def _check_pause(self, now: float) -> bool:
-        """Begins, lengthens or ends a pause. Returns whether migrations are paused."""
+        """Begin, extend or end a pause, and return whether migrations are paused."""
         monitor = self.monitor
         established = len(self.view.connections)
         participants = len(self.assessment.participants)
@@ -171,20 +174,20 @@
         cause = monitor.check(now, established, participants, self.assessment.excess, mean_load, self.settings)
         if cause is None:
             if monitor.pause_cause is not None:
-                self.log_lines.append(f"rebalancing goes on after a pause: {monitor.resume()}")
+                self.log_lines.append(f"rebalancing resumed after a pause (cause: {monitor.resume()})")
             return False
         if monitor.pause(now, cause, self.settings):
             self.counts[f"paused.{cause}"] += 1
             if cause.is_ineffective:
                 self.rate.reduce()
-            self.log_lines.append(f"rebalancing pauses: {cause}; {self._resume_condition(cause)}")
+            self.log_lines.append(f"rebalancing paused (cause: {cause}); {self._resume_condition(cause)}")
         return True
 
     def _resume_condition(self, cause: PauseCause) -> str:
         length_s = self.monitor.pause_length_s(cause, self.settings)
         if not cause.is_ineffective:
-            return f"goes on after {length_s:g} s without more of them"
-        return f"goes on after {length_s:g} s, at {self.rate.factor:.2g} of the rate until migrated clients come back"
+            return f"resumes after {length_s:g} s without further occurrences"
+        return f"resumes after {length_s:g} s, at {self.rate.factor:.2g} of the rate until migrated clients reconnect"
 
     def _adapt_rate(self, now: float) -> None:
         has_normal_returns = self.monitor.has_normal_returns(now, self.settings)
@@ -218,7 +221,7 @@
         return [connection.request_id for connection in migrations]
 
     def _blocking_reason(self, now: float, connection: EstablishedConnection) -> str:
-        """Returns the published name of what keeps this connection from being migrated; empty: nothing."""
+        """Return the metric name of the reason why a connection must not be migrated, or an empty string."""
         settings = self.settings
         if now < connection.established_at + settings.dwell_s * 1000.0:
             return "dwell"
@@ -228,18 +231,18 @@
             self.history.count(now, connection.client_key, self._window_ms) if connection.client_key else 0
         )
         if connection.returned and not migration_count and now < connection.established_at + self._window_ms:
-            return "submitter"  # other relays may have migrated it as often as is allowed; they cannot say
+            return "submitter"  # other relays may already have migrated it as often as allowed; this one cannot know
         return "submitter" if migration_count >= settings.moves_per_submitter else ""
 
-    # --- what operators see -----------------------------------------------------------------------
+    # --- logs and metrics -------------------------------------------------------------------------
 
     def take_log_lines(self) -> list[str]:
-        """Returns the log lines since the last call."""
+        """Return the log lines added since the last call."""
         log_lines, self.log_lines = self.log_lines, []
         return log_lines
 
     def gauges(self, now: float) -> dict[str, float]:
-        """Returns the gauges by their published names."""
+        """Return the gauges by their metric names."""
         assessment = self.assessment
         return {
             "imbalance": assessment.imbalance / assessment.mean_utilization
--- a/yarrowspindle/rebalancing/settings.py
+++ b/yarrowspindle/rebalancing/settings.py
@@ -1,4 +1,4 @@
-"""The operator's settings of rebalancing, with checks that name the wrong key."""
+"""Parses and validates the section `[rebalance]` of the operator's configuration file."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 
 
 class RebalanceError(ValueError):
-    """A key is unknown, or its value is invalid; the text names the key and what is allowed."""
+    """A key of `[rebalance]` is unknown or its value is invalid; the message names the key and the allowed values."""
 
 
 class Order(Enum):
-    """Which connections of a backend that holds too much go first."""
+    """Which connections of an overloaded backend are migrated first."""
 
     LIGHTEST = "lightest-first"
     HEAVIEST = "heaviest-first"
@@ -28,28 +28,31 @@
 
 @dataclass(slots=True, frozen=True)
 class RebalanceSettings:
-    """The operator's [rebalance]; field names are the keys of the file.
+    """The section `[rebalance]` of the operator's file; the field names are the keys of the section.
 
-    Rates are for this relay alone, except `target_moves_per_s`, which is for all relays together.
+    Rates apply to this relay alone, except `target_moves_per_s`, which applies to all relays together.
 
     Attributes:
-        spread: how far own load over capacity may lie above the level, as a fraction of it.
-        moves_per_s: migrations a second.
-        share_per_s: migrations a second, as a fraction of the established connections; the lower of both holds.
-        source_moves_per_s: migrations a second off one backend.
-        target_moves_per_s: migrations a second to one backend, by all relays together.
-        dwell_s: a connection stands at least this long before it may be migrated.
-        moves_per_submitter: how often one client key is migrated at most within the window.
-        submitter_window_s: that window.
-        least_gain: a connection lighter than this many mean loads is not worth its reconnect.
-        order: which connections go first.
-        settle_s: a backend must have been ready and warm for this long; doubled for each time it flapped.
-        newcomer_s: how long a backend that joined counts as the cause of an imbalance.
-        hot_s: how long an imbalance beyond what chance explains must have lasted, where no backend has joined.
-        quiet: hours in UTC in which nothing is migrated, as ("22:00-06:00", ...).
-        beat_s: the interval of the rounds.
-        return_least: while fewer than this fraction of the migrated come back, the rate falls and the plan pauses.
-        pause_s: how long a pause lasts at the least.
+        spread: How far a backend's utilization may exceed the mean, as a fraction of the mean.
+        moves_per_s: Maximum migrations per second.
+        share_per_s: Maximum migrations per second as a fraction of the established connections; the lower of this and
+            `moves_per_s` applies.
+        source_moves_per_s: Maximum migrations per second off one backend.
+        target_moves_per_s: Maximum migrations per second to one backend, by all relays together.
+        dwell_s: Minimum age of a connection before it may be migrated.
+        moves_per_submitter: Maximum migrations of one client key within `submitter_window_s`.
+        submitter_window_s: Window of `moves_per_submitter`.
+        least_gain: Minimum load of a migrated connection in mean connection loads; lighter ones are not worth a
+            reconnect.
+        order: Which connections are migrated first.
+        settle_s: How long a backend must have been ready before it takes part; doubled with each flap.
+        newcomer_s: How long a backend that joined may be the cause of migrations.
+        hot_s: How long an imbalance beyond random variation must last before it causes migrations without a newcomer.
+        quiet: Spans of hours (UTC) without migrations, in minutes of the day; `["22:00-06:00", ...]` in the file.
+        beat_s: Interval between rounds.
+        return_least: Minimum fraction of migrated clients that must return; below it, the rate falls and migrations
+            pause.
+        pause_s: Minimum length of a pause.
     """
 
     spread: float = 0.1
@@ -75,19 +78,21 @@
             value = getattr(self, name)
             if isinstance(value, bool) or not isinstance(value, int | float) or not minimum <= value <= maximum:
                 raise RebalanceError(
-                    f"rebalance.{name} is {value!r}: a number from {minimum:g} to {maximum:g} is wanted"
+                    f"rebalance.{name} is {value!r}; expected a number from {minimum:g} to {maximum:g}"
                 )
         if not isinstance(self.moves_per_submitter, int):
-            raise RebalanceError(f"rebalance.moves_per_submitter is {self.moves_per_submitter!r}: a whole number")
+            raise RebalanceError(
+                f"rebalance.moves_per_submitter is {self.moves_per_submitter!r}; expected a whole number"
+            )
 
     def is_quiet(self, now_ms: float) -> bool:
-        """Returns whether this moment (Unix milliseconds) lies in one of the quiet hours."""
+        """Return whether a time (Unix milliseconds) is within the quiet hours."""
         minute = int(now_ms / MINUTE_MS) % MINUTES_PER_DAY
         return any(_is_within(minute, first, last) for first, last in self.quiet)
 
 
 def _is_within(minute: int, first: int, last: int) -> bool:
-    """Whether a minute of the day lies in a span, which may go past midnight."""
+    """Return whether a minute of the day is within a span, which may cross midnight."""
     if first <= last:
         return first <= minute < last
     return minute >= first or minute < last
@@ -113,7 +118,11 @@
 
 
 def parse_quiet_hours(value: object) -> tuple[tuple[int, int], ...]:
-    """Returns `["22:00-06:00"]` as minutes of the day. Raises RebalanceError."""
+    """Parse spans such as `["22:00-06:00"]` to pairs of minutes of the day.
+
+    Raises:
+        RebalanceError: A span is malformed or out of range.
+    """
     return tuple(_parse_quiet_span(text) for text in (value if isinstance(value, list) else [value]))
 
 
@@ -122,26 +131,32 @@
         first, last = (tuple(map(int, end.split(":"))) for end in str(text).split("-"))
         (first_hour, first_minute), (last_hour, last_minute) = first, last
     except ValueError:
-        raise RebalanceError(f'rebalance.quiet holds {text!r}: hours like "22:00-06:00" are wanted') from None
+        raise RebalanceError(f'rebalance.quiet contains {text!r}; expected hours such as "22:00-06:00"') from None
     hours_fit = 0 <= first_hour < HOURS_PER_DAY and 0 <= last_hour <= HOURS_PER_DAY
     if not hours_fit or max(first_minute, last_minute) >= MINUTES_PER_HOUR or min(first_minute, last_minute) < 0:
-        raise RebalanceError(f"rebalance.quiet holds {text!r}: no such hours")
+        raise RebalanceError(f"rebalance.quiet contains {text!r}; expected times of day from 00:00 to 24:00")
     return first_hour * MINUTES_PER_HOUR + first_minute, last_hour * MINUTES_PER_HOUR + last_minute
 
 
 def read_rebalance(section: Mapping[str, Any]) -> RebalanceSettings:
-    """Reads the operator's `[rebalance]`. Raises RebalanceError that names the wrong key."""
+    """Parse the section `[rebalance]` of the operator's file.
+
+    Raises:
+        RebalanceError: A key is unknown or its value is invalid.
+    """
     known_keys = [field.name for field in fields(RebalanceSettings)]
     values = dict(section)
     for name in values.keys() - set(known_keys):
         similar = get_close_matches(name, known_keys, 1)
-        raise RebalanceError(f"rebalance.{name} is not known" + (f"; {similar[0]} is" if similar else ""))
+        raise RebalanceError(
+            f"rebalance.{name} is not a known key" + (f"; did you mean {similar[0]}?" if similar else "")
+        )
     if "order" in values:
         try:
             values["order"] = Order(values["order"])
         except ValueError:
             allowed = ", ".join(order.value for order in Order)
-            raise RebalanceError(f"rebalance.order is {values['order']!r}: one of {allowed} is wanted") from None
+            raise RebalanceError(f"rebalance.order is {values['order']!r}; expected one of {allowed}") from None
     if "quiet" in values:
         values["quiet"] = parse_quiet_hours(values["quiet"])
     return RebalanceSettings(**values)
--- a/yarrowspindle/rebalancing/token_bucket.py
+++ b/yarrowspindle/rebalancing/token_bucket.py
@@ -1,4 +1,4 @@
-"""A token bucket on explicit time."""
+"""A token bucket whose clock is passed in by the caller."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 
 
 class TokenBucket:
-    """Allows at most `burst` tokens at once and `rate` a second: over any t seconds at most rate * t + burst.
+    """Limits a rate: at most `rate * t + burst` tokens can be taken in any `t` seconds.
 
     Args:
-        rate: tokens a second.
-        burst: the most that it holds; it starts full.
-        now: milliseconds.
+        rate: Tokens added per second.
+        burst: Capacity of the bucket in tokens; the bucket starts full.
+        now: Current time in milliseconds.
     """
 
     __slots__ = ("rate", "burst", "tokens", "filled_at")
@@ -24,7 +24,7 @@
         self.filled_at = now
 
     def fill(self, now: float, rate: float, burst: float) -> float:
-        """Adds what has come since the last call, under a new rate and burst. Returns the tokens."""
+        """Add the tokens accrued since the last call, at a new rate and burst, and return the number of tokens."""
         self.rate = rate
         self.burst = burst
         self.tokens = min(burst, self.tokens + rate * max(now - self.filled_at, 0.0) / 1000.0)
@@ -33,16 +33,16 @@
 
     @property
     def available(self) -> bool:
-        """Whether a whole token is there."""
+        """Whether a whole token is available."""
         return self.tokens >= WHOLE_TOKEN
 
     def take(self) -> bool:
-        """Takes a token. Returns whether there was one."""
+        """Take a token, and return whether one was available."""
         if not self.available:
             return False
         self.tokens -= 1.0
         return True
 
     def is_full(self, now: float) -> bool:
-        """Returns whether it would be full by now, at the rate of its last filling."""
+        """Return whether the bucket would be full by now at its last rate."""
         return self.tokens + self.rate * (now - self.filled_at) / 1000.0 >= self.burst
