--- a/tests/membership/test_core.py
+++ b/tests/membership/test_core.py
@@ -18,7 +18,7 @@
 LOCAL_ADDRESS, PEER_ADDRESS = ("10.0.0.1", 7946), ("10.0.0.2", 7946)
 
 
-def test_datagrams_stay_within_their_size_limit_whatever_the_load() -> None:
+def test_datagrams_stay_within_the_size_limit_at_maximum_load() -> None:
     name = "n" * 64
     core = Membership(PeerSettings(LOCAL_ADDRESS, cluster="c" * 64), name, (1 << 52), 1, 0.0)
     core.take_effects()
--- a/tests/membership/test_load_signals.py
+++ b/tests/membership/test_load_signals.py
@@ -34,13 +34,13 @@
         )
         if rng.random() < 0.2 and len(self.waiting) < 3:
             return  # the next signal overtakes it
-        requests_all = False
+        full_load_requested = False
         for sent_at, signal in reversed(self.waiting):
             for _ in range(2 if rng.random() < 0.2 else 1):
                 if rng.random() >= loss:
-                    requests_all |= self.receiver.receive("b", 1, sent_at, signal, float(self.now))
+                    full_load_requested |= self.receiver.receive("b", 1, sent_at, signal, float(self.now))
         self.waiting.clear()
-        if requests_all and rng.random() >= loss:
+        if full_load_requested and rng.random() >= loss:
             for signal in self.sender.full_signals():
                 self.now += 1
                 self.receiver.receive("b", 1, self.now, signal, float(self.now))
@@ -49,7 +49,7 @@
 
 @settings(derandomize=True, max_examples=40, deadline=None)
 @given(st.integers(0, 1 << 30), st.sampled_from([0.0, 0.2, 0.5]), st.integers(1, 300))
-def test_totals_are_right_soon_after_signals_were_lost(seed: int, loss: float, keys: int) -> None:
+def test_totals_converge_after_signals_are_lost(seed: int, loss: float, keys: int) -> None:
     rng, channel = random.Random(seed), LossyChannel()
     for _ in range(60):
         for _ in range(rng.randrange(1 + keys // 4)):
@@ -80,7 +80,7 @@
     assert signals.take_peer_loads(40.0, 2, 0).loads == {}
 
 
-def test_a_delayed_signal_counts_as_old_and_its_weight_falls_to_that_of_none() -> None:
+def test_the_age_of_a_signal_includes_its_delay_and_old_load_loses_its_weight() -> None:
     signals = LoadSignals()
     peer = signals.peer_view("b", 1)
     peer.observe_clock(1000.0, 0.0)  # the peer's clock showed 1,000 when ours showed 0 or more
--- a/tests/membership/test_membership_faults.py
+++ b/tests/membership/test_membership_faults.py
@@ -205,8 +205,8 @@
     assert kill.parties != stall.parties
 
 
-def test_the_fate_of_a_pair_s_datagrams_does_not_depend_on_other_traffic() -> None:
-    def fates(with_noise: bool) -> list[int]:
+def test_the_faults_of_a_link_do_not_depend_on_other_traffic() -> None:
+    def delivery_counts(with_noise: bool) -> list[int]:
         faulty_network = FaultyNetwork(4)
         faulty_network.start(Fault("loss", 0.0, 9.0, 0.4))
         counts = []
@@ -216,7 +216,7 @@
             counts.append(len(faulty_network.deliveries("r0", "r1", b"x")))
         return counts
 
-    assert fates(False) == fates(True) and 10 < sum(fates(False)) < 45
+    assert delivery_counts(False) == delivery_counts(True) and 10 < sum(delivery_counts(False)) < 45
 
 
 def test_a_periodic_timer_whose_handler_fails_is_reported_and_retried() -> None:
@@ -227,10 +227,10 @@
     handlers, timer_handlers = peer.core.event_handlers, peer.core.timer_handlers
     on_probe, on_local_load = timer_handlers[PeriodicTimer.PROBE], handlers[LocalLoad]
 
-    def fails(*_: object) -> None:
+    def fail(*_: object) -> None:
         raise RuntimeError("on purpose")
 
-    timer_handlers[PeriodicTimer.PROBE], handlers[LocalLoad] = fails, fails
+    timer_handlers[PeriodicTimer.PROBE], handlers[LocalLoad] = fail, fail
     cluster.run(2.5)
     assert "TimerFired" in failed and "LocalLoad" in failed
     timer_handlers[PeriodicTimer.PROBE], handlers[LocalLoad] = on_probe, on_local_load
--- a/tests/membership/test_settings.py
+++ b/tests/membership/test_settings.py
@@ -26,7 +26,7 @@
         ({"listen": "10.0.0.1:70000"}, "peers.listen is '10.0.0.1:70000'"),
     ],
 )
-def test_each_wrong_key_is_named(section: dict[str, Any], message: str) -> None:
+def test_an_invalid_setting_is_reported_with_its_key(section: dict[str, Any], message: str) -> None:
     with pytest.raises(PeerError, match=message.replace("(", r"\(")):
         read_peers(section)
 
--- a/tests/rebalancing/test_rebalancing.py
+++ b/tests/rebalancing/test_rebalancing.py
@@ -58,10 +58,10 @@
     def advance_round(self, seconds: float = 1.0) -> list[int]:
         """The moves of one beat, carried out: the jobs are over here."""
         self.now += seconds * 1000.0
-        moves = self.rebalancer.plan_round(self.now, list(range(1, 50)))
-        for request in moves:
+        migrations = self.rebalancer.plan_round(self.now, list(range(1, 50)))
+        for request in migrations:
             self.rebalancer.on_connection_ended(self.now, request, False)
-        return moves
+        return migrations
 
     def load(self, number: int) -> float:
         return self.rebalancer.view.by_name[f"n{number}"].load
@@ -76,7 +76,7 @@
     return harness
 
 
-def test_a_newcomer_draws_requests_from_both_others_down_to_the_level_and_no_further() -> None:
+def test_connections_migrate_to_a_new_backend_until_utilization_is_even() -> None:
     harness = harness_with_newcomer()
     for _ in range(10):
         for _ in harness.advance_round():
@@ -85,7 +85,7 @@
     assert harness.rebalancer.counts["moves.joined"] == 6 and harness.advance_round() == []
 
 
-def test_nothing_moves_while_no_backend_came_though_loads_differ_by_chance() -> None:
+def test_random_load_differences_cause_no_migrations() -> None:
     harness = RebalancerHarness(backends=3)
     harness.establish(1, *[1.0] * 14)
     harness.establish(2, *[1.0] * 9)
@@ -93,7 +93,7 @@
     assert all(harness.advance_round() == [] for _ in range(100))
 
 
-def test_a_backend_far_beyond_chance_is_relieved_one_request_a_beat_once_it_has_lasted() -> None:
+def test_a_hot_backend_is_relieved_of_one_connection_per_round_after_hot_s() -> None:
     harness = RebalancerHarness({"hot_s": 5.0}, backends=3)
     harness.establish(1, *[1.0] * 60)
     harness.establish(2, *[1.0] * 9)
@@ -102,16 +102,16 @@
     assert [len(harness.advance_round()) for _ in range(3)] == [1, 1, 1] and harness.rebalancer.counts["moves.hot"] == 3
 
 
-def test_a_backend_that_returns_cold_in_mid_plan_takes_part_only_once_it_is_warm() -> None:
+def test_a_restarted_backend_takes_part_only_after_its_warmup() -> None:
     harness = harness_with_newcomer()
     harness.backend(4, started=harness.now)
     harness.advance_round()
-    assert [b.backend_id for b in harness.rebalancer.assessment.participants] == [1, 2, 3]
+    assert [record.backend_id for record in harness.rebalancer.assessment.participants] == [1, 2, 3]
     harness.advance_round(9.0)
-    assert [b.backend_id for b in harness.rebalancer.assessment.participants] == [1, 2, 3, 4]
+    assert [record.backend_id for record in harness.rebalancer.assessment.participants] == [1, 2, 3, 4]
 
 
-def test_a_flapping_backend_has_to_stay_ready_for_longer_each_time() -> None:
+def test_each_flap_doubles_the_settling_time_of_a_backend() -> None:
     harness = RebalancerHarness({"settle_s": 1.0}, backends=2)
     harness.establish(1, *[1.0] * 10)
     for _ in range(4):
@@ -123,28 +123,30 @@
 
 
 @pytest.mark.parametrize("state", [EndpointState.DRAINING, EndpointState.GONE])
-def test_a_source_that_drains_or_dies_in_mid_plan_is_left_alone_at_once(state: EndpointState) -> None:
+def test_migrations_off_a_source_stop_at_once_when_it_drains_or_dies(state: EndpointState) -> None:
     harness = harness_with_newcomer(moves_per_s=1.0, order=Order.GROUP)
-    held = harness.establish(1, 0.5, 0.5, 0.5, group=9)
+    connection = harness.establish(1, 0.5, 0.5, 0.5, group=9)
     assert (
         len(harness.advance_round()) == 1 and harness.rebalancer.planner.pending
     )  # the rest of the group is to follow
     harness.backend(1, state)
     rest = {request for _ in range(10) for request in harness.advance_round()}
-    assert not rest & set(held) and all(request > 10 for request in rest), "nothing leaves the first node any more"
+    assert not rest & set(connection) and all(request > 10 for request in rest), (
+        "nothing leaves the first node any more"
+    )
 
 
-def test_clients_that_do_not_come_back_slow_the_pace_and_pause_the_plan_for_longer_each_time() -> None:
+def test_migrations_slow_down_and_pause_for_longer_if_clients_do_not_return() -> None:
     harness = RebalancerHarness({"share_per_s": 0.02}, backends=2)
     harness.establish(1, *[1.0] * 400)
     harness.establish(2, *[1.0] * 400)
     harness.backend(3)
-    moved = []
+    migrated = []
     for _ in range(400):
-        moved.append(len(harness.advance_round()))
+        migrated.append(len(harness.advance_round()))
     pauses = [line for line in harness.rebalancer.take_log_lines() if "paused (cause: lost)" in line]
     assert "resumes after 30 s" in pauses[0] and "resumes after 60 s" in pauses[1] and len(pauses) < 8
-    assert sum(moved) < 0.6 * 400 and harness.rebalancer.rate.factor < 0.3
+    assert sum(migrated) < 0.6 * 400 and harness.rebalancer.rate.factor < 0.3
     # It goes on, and comes back to its full pace, once those who are moved come again.
     for _ in range(500):
         for _ in harness.advance_round():
@@ -152,34 +154,34 @@
     assert harness.rebalancer.rate.factor > 0.5 and harness.load(3) > 150.0
 
 
-def test_a_giant_heavier_than_the_gap_stays_and_is_not_played_to_and_fro() -> None:
+def test_a_connection_heavier_than_the_imbalance_is_not_migrated() -> None:
     harness = RebalancerHarness(backends=2)
     harness.establish(2, *[1.0] * 20)
-    (giant,) = harness.establish(1, 40.0)
+    (heavy_request,) = harness.establish(1, 40.0)
     harness.backend(3)
-    moves = [request for _ in range(60) for request in harness.advance_round()]
-    assert giant not in moves and harness.rebalancer.counts["held.giant"] > 0
+    migrations = [request for _ in range(60) for request in harness.advance_round()]
+    assert heavy_request not in migrations and harness.rebalancer.counts["held.giant"] > 0
 
 
-def test_a_group_goes_as_a_whole_or_stays_where_it_is_larger_than_the_gap() -> None:
+def test_a_group_is_migrated_as_a_whole_or_not_at_all() -> None:
     harness = RebalancerHarness({"order": Order.GROUP}, backends=2)
     large, small = harness.establish(1, *[2.0] * 6, group=1), harness.establish(1, *[1.0] * 3, group=2)
     harness.establish(2, *[1.0] * 10)
     harness.backend(3)  # the level is 25 / 3: the first may lose 6.7
-    moved = set(harness.advance_round()) | set(harness.advance_round())
-    assert set(small) <= moved and not moved & set(large)
+    migrated = set(harness.advance_round()) | set(harness.advance_round())
+    assert set(small) <= migrated and not migrated & set(large)
     assert harness.rebalancer.counts["held.group"] > 0
 
 
 @pytest.mark.parametrize("order, first", [(Order.HEAVIEST, 3.0), (Order.LIGHTEST, 1.0)])
-def test_the_order_says_who_goes_first(order: Order, first: float) -> None:
+def test_connections_are_migrated_in_the_configured_order(order: Order, first: float) -> None:
     harness = RebalancerHarness({"order": order, "moves_per_s": 1.0}, backends=1)
     loads = dict(zip(harness.establish(1, 2.0, 1.0, 3.0, 2.0, 2.0, 2.0), (2.0, 1.0, 3.0, 2.0, 2.0, 2.0), strict=True))
     harness.backend(2)
     assert [loads[request] for request in harness.advance_round()] == [first]
 
 
-def test_dwell_the_least_gain_and_the_bound_for_one_client_hold_requests_back() -> None:
+def test_dwell_time_least_gain_and_moves_per_submitter_block_migrations() -> None:
     harness = harness_with_newcomer(dwell_s=3.0)
     assert (
         harness.advance_round() == [] and harness.advance_round() == [] and harness.rebalancer.counts["held.dwell"] > 0
@@ -194,7 +196,7 @@
     assert harness.advance_round(600.0) != []
 
 
-def test_refusals_and_storms_pause_the_plan_until_they_have_ended() -> None:
+def test_rejections_and_reset_storms_pause_migrations_until_they_end() -> None:
     for cause in ("refusals", "storm"):
         harness = harness_with_newcomer(pause_s=5.0)
         for second in range(20):
@@ -212,7 +214,7 @@
                 )
 
 
-def test_moves_without_effect_pause_the_plan() -> None:
+def test_ineffective_migrations_are_paused() -> None:
     harness = harness_with_newcomer(moves_per_s=1.0)
     for _ in range(100):
         for _ in harness.advance_round():  # whoever is moved is back where it was
@@ -221,7 +223,7 @@
     assert harness.rebalancer.counts["paused.no-effect"] >= 1
 
 
-def test_a_target_that_turns_returning_clients_away_is_left_alone() -> None:
+def test_a_target_that_returning_clients_cannot_reach_is_excluded() -> None:
     harness = harness_with_newcomer()
     for _ in range(3):
         harness.rebalancer.on_attempt_failed(harness.now, "n3", True)
@@ -233,7 +235,7 @@
     assert harness.advance_round() != []
 
 
-def test_quiet_hours_and_a_planned_restart_end_the_plan_at_once() -> None:
+def test_quiet_hours_and_shutdown_stop_migrations_at_once() -> None:
     harness = harness_with_newcomer(quiet=((0, 1440),))
     assert harness.advance_round() == [] and harness.rebalancer.idle_reason == "quiet"
     harness = harness_with_newcomer(moves_per_s=1.0)
@@ -253,14 +255,20 @@
         ({"quiet": ["25:00-06:00"]}, "expected times of day from 00:00 to 24:00"),
     ],
 )
-def test_a_wrong_key_is_named_with_what_is_allowed(section: dict[str, Any], message: str) -> None:
+def test_an_invalid_setting_is_reported_with_its_key_and_allowed_values(section: dict[str, Any], message: str) -> None:
     with pytest.raises(RebalanceError, match=message):
         read_rebalance(section)
 
 
-def test_hours_over_midnight() -> None:
-    night = read_rebalance({"quiet": ["22:00-06:00"]})
-    assert [night.is_quiet(h * 3_600_000.0) for h in (0, 5, 6, 21, 22)] == [True, True, False, False, True]
+def test_quiet_hours_may_cross_midnight() -> None:
+    settings_with_night = read_rebalance({"quiet": ["22:00-06:00"]})
+    assert [settings_with_night.is_quiet(connection * 3_600_000.0) for connection in (0, 5, 6, 21, 22)] == [
+        True,
+        True,
+        False,
+        False,
+        True,
+    ]
 
 
 class RebalancerMachine(RuleBasedStateMachine):
@@ -273,7 +281,7 @@
         self.rate = rate
         self.placements: dict[int, tuple[int, float]] = {}
         self.states: dict[int, EndpointState] = dict.fromkeys((1, 2, 3), EndpointState.READY)
-        self.moved: deque[float] = deque()
+        self.move_times: deque[float] = deque()
         self.source_move_times: dict[int, deque[float]] = {}
         self.moves_by_request: Counter[int] = Counter()
 
@@ -293,34 +301,37 @@
         self.states[number] = state
         self.harness.backend(number, state, self.harness.now if cold else 0.0)
 
-    @rule(draw=st.integers(0, 50), load=st.sampled_from((0.2, 2.0, 6.0)))
-    def load_changes(self, draw: int, load: float) -> None:
+    @rule(index=st.integers(0, 50), load=st.sampled_from((0.2, 2.0, 6.0)))
+    def load_changes(self, index: int, load: float) -> None:
         if self.placements:
-            self.harness.rebalancer.view.update_load(list(self.placements)[draw % len(self.placements)], load)
+            self.harness.rebalancer.view.update_load(list(self.placements)[index % len(self.placements)], load)
 
     @rule(seconds=st.sampled_from((0.2, 1.0, 10.0)))
     def advance_round(self, seconds: float) -> None:
         view = self.harness.rebalancer.view
-        loads = {request: held.load for request, held in view.connections.items()}
-        before = {b.backend_id: b.load for b in view.by_name.values()}
-        moves = self.harness.advance_round(seconds)
-        level, now = self.harness.rebalancer.assessment.mean_utilization, self.harness.now
-        assert len(moves) == len(set(moves))
-        for request in moves:
+        loads = {request: connection.load for request, connection in view.connections.items()}
+        loads_before = {record.backend_id: record.load for record in view.by_name.values()}
+        migrations = self.harness.advance_round(seconds)
+        mean_utilization, now = self.harness.rebalancer.assessment.mean_utilization, self.harness.now
+        assert len(migrations) == len(set(migrations))
+        for request in migrations:
             number, _ = self.placements.pop(request)
-            assert self.states[number] is EndpointState.READY and before[number] > level
-            before[number] -= loads[request]
-            assert before[number] >= level - 1e-6, "a source never falls below the level by a move"
+            assert self.states[number] is EndpointState.READY and loads_before[number] > mean_utilization
+            loads_before[number] -= loads[request]
+            assert loads_before[number] >= mean_utilization - 1e-6, "a source never falls below the level by a move"
             self.moves_by_request[request] += 1
-            self.moved.append(now)
+            self.move_times.append(now)
             self.source_move_times.setdefault(number, deque()).append(now)
-        for stamps, rate in ((self.moved, self.rate), *((s, 2.0) for s in self.source_move_times.values())):
-            while stamps and stamps[0] <= now - 1000.0:
-                stamps.popleft()
-            assert len(stamps) <= rate + max(1.0, rate), "no more in a second than the rate and the burst"
+        for times, rate in ((self.move_times, self.rate), *((s, 2.0) for s in self.source_move_times.values())):
+            while times and times[0] <= now - 1000.0:
+                times.popleft()
+            assert len(times) <= rate + max(1.0, rate), "no more in a second than the rate and the burst"
         assert max(self.moves_by_request.values(), default=0) <= 1
         records = view.by_name.values()
-        assert all(abs(b.load - sum(h.load for h in b.connections.values())) < 1e-6 for b in records)
+        assert all(
+            abs(record.load - sum(connection.load for connection in record.connections.values())) < 1e-6
+            for record in records
+        )
 
 
 RebalancerMachine.TestCase.settings = settings(
@@ -332,7 +343,7 @@
 # --- whole fleets on virtual time ---------------------------------------------------------------
 
 
-def test_one_seed_is_one_run() -> None:
+def test_a_run_is_deterministic_for_a_seed() -> None:
     def counts(seed: int) -> tuple[Counter[str], float]:
         fleet = Fleet(FleetSpec(connections=200, backends=6, rebalance=QUICK), seed)
         fleet.fill(2.0)
@@ -343,7 +354,7 @@
 
 
 @pytest.mark.parametrize("scenario", ["return", "steady", "skewed"])
-def test_the_benchmarks_rules_hold_on_a_seed_nobody_chose(scenario: str) -> None:
+def test_the_benchmark_requirements_hold_for_an_arbitrary_seed(scenario: str) -> None:
     assert measure(scenario, "small", 20261201)[1] == []
 
 
@@ -358,40 +369,45 @@
     return fleet, returning
 
 
-def test_a_hundred_relays_that_plan_in_the_same_instant_do_not_bury_the_one_newcomer() -> None:
+def test_a_hundred_relays_do_not_overload_a_single_new_backend() -> None:
     spec = FleetSpec(
         relays=100, backends=40, connections=4000, alike=True, lifetime_s=3600.0, rebalance=RebalanceSettings()
     )
     fleet, (backend,) = fleet_with_newcomers(spec, 3, 1)
-    peak, previous_count, max_new_connections = 0.0, 0, 0
+    peak_utilization, previous_connections, max_new_connections = 0.0, 0, 0
     for _ in range(60):
         fleet.run(1.0)
-        max_new_connections, previous_count = (
-            max(max_new_connections, len(backend.held) - previous_count),
+        max_new_connections, previous_connections = (
+            max(max_new_connections, len(backend.held) - previous_connections),
             len(backend.held),
         )
-        peak = max(peak, backend.filled())
-    mean = sum(n.load for n in fleet.backends.values()) / sum(n.size for n in fleet.backends.values()) / 1000.0
+        peak_utilization = max(peak_utilization, backend.filled())
+    mean_utilization = (
+        sum(n.load for n in fleet.backends.values()) / sum(n.size for n in fleet.backends.values()) / 1000.0
+    )
     fleet.rules.check()
-    assert peak <= 1.25 * mean and max_new_connections <= 2 * RebalanceSettings().target_moves_per_s
+    assert (
+        peak_utilization <= 1.25 * mean_utilization
+        and max_new_connections <= 2 * RebalanceSettings().target_moves_per_s
+    )
 
 
-def test_a_restart_and_a_reload_in_mid_plan() -> None:
+def test_reload_and_shutdown_during_migrations() -> None:
     fleet, _ = fleet_with_newcomers(FleetSpec(backends=8, connections=800, rebalance=RebalanceSettings()), 4, 2)
     fleet.run(14.0)
-    moves = fleet.counts["moves"]
-    assert moves > 0
+    migrations = fleet.counts["moves"]
+    assert migrations > 0
     fleet.configure(None)  # SIGHUP with the section taken out
     fleet.run(5.0)
-    assert fleet.counts["moves"] == moves
+    assert fleet.counts["moves"] == migrations
     fleet.configure(RebalanceSettings())  # and put in again: the standing jobs are all known
     relay = fleet.relays[0]
     rebalance = relay.reducer.rebalancer
     assert rebalance is not None and len(rebalance.view.connections) == sum(
-        j.phase.name == "ESTABLISHED" for j in relay.reducer.requests.values()
+        request.phase.name == "ESTABLISHED" for request in relay.reducer.requests.values()
     )
     fleet.run(15.0)
-    assert fleet.counts["moves"] > moves
+    assert fleet.counts["moves"] > migrations
     moves_at_shutdown = rebalance.counts["moves.joined"]
     relay.post(ShutdownRequested(3000.0))
     fleet.run(4.0)
@@ -400,14 +416,14 @@
     fleet.rules.check()
 
 
-def test_while_all_backends_are_full_nothing_is_moved() -> None:
+def test_rejections_by_full_backends_pause_migrations() -> None:
     spec = FleetSpec(backends=8, connections=1200, filled=1.1, backend_most=130, rebalance=RebalanceSettings())
     fleet, _ = fleet_with_newcomers(spec, 2, 2)
     fleet.run(40.0)
     assert fleet.counts["refused"] > 100 and fleet.relay_counts("paused.refusals") > 0 and fleet.counts["moves"] <= 12
 
 
-def test_a_draining_source_in_mid_plan_keeps_what_it_holds() -> None:
+def test_connections_of_a_draining_source_are_not_migrated() -> None:
     fleet, _ = fleet_with_newcomers(FleetSpec(backends=8, connections=800, rebalance=RebalanceSettings()), 6, 2)
     fleet.run(14.0)
     source = max(fleet.backends.values(), key=ModelBackend.filled)
@@ -416,7 +432,7 @@
     keys = set(source.held)
     up_before = fleet.counts["up"]
     fleet.run(10.0)
-    migrated_keys = {(r.index, j) for r in fleet.relays for j in r.clients}
-    assert up_before < fleet.counts["up"] and not (keys - set(source.held)) & migrated_keys
+    active_clients = {(r.index, request) for r in fleet.relays for request in r.clients}
+    assert up_before < fleet.counts["up"] and not (keys - set(source.held)) & active_clients
     assert len(keys - set(source.held)) <= 12, "only those whose time was over have left it"
     fleet.rules.check()
