--- a/tests/lab/test_processes.py
+++ b/tests/lab/test_processes.py
@@ -136,7 +136,7 @@
     ("section", "says"),
     [
         ('listen = "nowhere"', "peers.listen is 'nowhere'"),
-        ('listen = "127.0.0.1:1"\nprobes = 1', "peers.probes is not known"),
+        ('listen = "127.0.0.1:1"\nprobes = 1', "peers.probes is not a known key"),
     ],
 )
 def test_a_wrong_section_ends_the_start_with_its_key(section: str, says: str) -> None:
--- a/tests/membership/test_core.py
+++ b/tests/membership/test_core.py
@@ -1,4 +1,4 @@
-"""The core of membership: the size of its datagrams, and the datagrams that it drops."""
+"""The membership core: the size of its datagrams, and the datagrams that it drops."""
 
 from __future__ import annotations
 
--- a/tests/membership/test_failure_detector.py
+++ b/tests/membership/test_failure_detector.py
@@ -1,4 +1,4 @@
-"""The failure detector: the order of probes, suspicions, and local health."""
+"""The failure detector: probe order, suspicions and local health."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     detector.probe = Probe("r1", 1, 0.0)
     assert detector.detect_stall(3000.0, 10_000.0) and detector.finish_probe(10_000.0) is None
     detector.probe = Probe("r1", 2, 10_000.0)
-    assert detector.finish_probe(10_500.0) is None, "answers may still be in this process's socket buffer"
+    assert detector.finish_probe(10_500.0) is None, "after a stall, answers may still be in the socket buffer"
     detector.probe = Probe("r1", 3, 12_000.0)
     assert detector.finish_probe(12_500.0) == "r1" and detector.health_penalty > 2
 
@@ -35,7 +35,7 @@
     detector.detect_stall(10_000.0, 11_000.0)
     assert detector.expired_suspicions(5, 12_500.0) == [] and detector.expired_suspicions(5, 16_000.0) == ["b"]
     assert detector.add_suspicion("b", 1, 1, "c", 0.0) and detector.suspicions["b"].suspected_by == {"c"}, (
-        "a further refutation makes it another suspicion"
+        "a suspicion after a further refutation is a new one"
     )
 
 
@@ -43,7 +43,7 @@
     detector = build_detector()
     detector.probe = Probe("b", 1, 0.0, helpers=3, nacks=3)
     detector.finish_probe(500.0)
-    assert detector.health_penalty == 0, "the helpers are reachable: this relay is not at fault"
+    assert detector.health_penalty == 0, "the helpers are reachable, so this relay is not at fault"
     detector.probe = Probe("b", 2, 0.0, helpers=3)
     detector.finish_probe(500.0)
     assert detector.health_penalty == 3 and detector.interval_ms == 2000.0
--- a/tests/membership/test_load_signals.py
+++ b/tests/membership/test_load_signals.py
@@ -1,4 +1,4 @@
-"""Load signals between two relays, with losses, repetitions and reordering, and the log of the local load."""
+"""Load signals between two relays under loss, duplication and reordering, and the ageing of a peer's load."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class LossyChannel:
-    """A sender and a receiver of load signals; a generator loses, repeats and reorders the signals."""
+    """A sender and a receiver of load signals; a random generator drops, duplicates and reorders the signals."""
 
     def __init__(self) -> None:
         self.sender = LocalLoadLog()
@@ -83,7 +83,7 @@
 def test_the_age_of_a_signal_includes_its_delay_and_old_load_loses_its_weight() -> None:
     signals = LoadSignals()
     peer = signals.peer_view("b", 1)
-    peer.observe_clock(1000.0, 0.0)  # the peer's clock showed 1,000 when ours showed 0 or more
+    peer.observe_clock(1000.0, 0.0)  # the peer's clock showed 1,000 ms when this relay's showed 0 or more
     signals.receive("b", 1, 1000, LoadSignal(0, 1, [5, 2, 100]), 5000.0)  # delayed by 5 s
     peer_loads = signals.take_peer_loads(5000.0, 2, 0)
     assert peer.age_ms(5000.0) == 5000.0 and peer_loads.reporting_relays == 0 and peer_loads.loads == {}
--- a/tests/membership/test_local_load_log.py
+++ b/tests/membership/test_local_load_log.py
@@ -1,4 +1,4 @@
-"""The log of the local load: the changes that are pending stay limited."""
+"""The log of the local load: the number of pending changes is bounded."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 def test_changes_without_room_are_discarded_and_the_receiver_requests_all_loads() -> None:
-    """Where more loads change per signal than a datagram holds, the pending changes must not grow with time."""
+    """Pending changes must not grow without bound if more loads change per signal than fit into a datagram."""
     log, received_version = LocalLoadLog(), 0
     for number in range(200):
         loads = {key: (1, 100.0 + 37.0 * ((number + key) % 2)) for key in range(600)}
--- a/tests/membership/test_members.py
+++ b/tests/membership/test_members.py
@@ -1,4 +1,4 @@
-"""The table of members: the rules of precedence between updates, and its limits."""
+"""The membership table: the rules of precedence between updates, and its size limit."""
 
 from __future__ import annotations
 
@@ -34,13 +34,13 @@
 ) -> None:
     def table(order: list[MembershipUpdate]) -> list[tuple[int, int, int] | None]:
         members = Members("a", LOCAL_ADDRESS, 1, 0.0)
-        for name in "bc":  # both are known from the start: the end of an unknown member is ignored
+        for name in "bc":  # both are known from the start, as a dead or left member that is not known is ignored
             members.apply(update(MemberState.ALIVE, 1, 0, name), 0.0)
         for membership_update in order:
             members.apply(membership_update, 1.0)
         return [state_of(members, name) for name in "bc"]
 
-    # An incarnation that left ignores further refutations, so the order may matter only after it has left.
+    # An incarnation that left ignores further refutations, so the order matters only for updates in state LEFT.
     updates = [membership_update for membership_update in updates if membership_update.state != MemberState.LEFT]
     shuffled = updates + updates[: len(updates) // 2]
     rng.shuffle(shuffled)
@@ -66,7 +66,7 @@
     members = Members("a", LOCAL_ADDRESS, 5, 0.0)
     members.apply(MembershipUpdate("a", *LOCAL_ADDRESS, 5, 0, MemberState.SUSPECT, "b"), 0.0)
     assert (members.local.incarnation, members.local.refutations) == (5, 1)
-    # An earlier process whose clock was ahead.
+    # The update is about an earlier process whose clock was ahead.
     members.apply(MembershipUpdate("a", *LOCAL_ADDRESS, 9, 3, MemberState.DEAD, "b"), 0.0)
     assert (members.local.incarnation, members.local.refutations) == (10, 0) and not members.superseded
 
--- a/tests/membership/test_membership_faults.py
+++ b/tests/membership/test_membership_faults.py
@@ -1,4 +1,4 @@
-"""Membership under faults, on the virtual clock: the same core and driver as in the daemon."""
+"""Membership under network and process faults on a virtual clock, with the same core and driver as in the daemon."""
 
 from __future__ import annotations
 
@@ -51,7 +51,7 @@
 
 
 def test_a_one_way_cut_between_two_relays_makes_no_member_dead() -> None:
-    """The helpers still reach it, and acknowledge that."""
+    """Helpers still reach the relay, and forward its answers."""
     cluster = start_cluster(5)
     inject_fault(cluster, "oneway", 15.0, "r0", "r3")
     assert all(peer.core.counts["dead"] == 0 for peer in cluster.net.peers.values()) and cluster.agree()
@@ -74,14 +74,14 @@
     inject_fault(cluster, "stall", 10.0, "r2")
     cluster.run(1.5)
     assert cluster.net.peers[2].core.counts["stood"] >= 1
-    assert cluster.net.peers[2].core.counts["suspicions"] == before[2], "its local health falls first"
+    assert cluster.net.peers[2].core.counts["suspicions"] == before[2], "a stalled relay lowers its own health first"
     assert cluster.until(lambda: cluster.agree() and cluster.true_sums(), 5.0) >= 0.0
 
 
 def test_the_load_of_a_killed_relay_is_removed_within_five_seconds() -> None:
     for seed in range(20):
         cluster = start_cluster(5, seed)
-        for backend in range(1, 13):  # half of all load
+        for backend in range(1, 13):  # half of the total load
             cluster.holds[1][backend] = (20, 2000.0)
         cluster.run(1.0)
         cluster.kill(1)
@@ -142,7 +142,7 @@
 
 
 def test_load_signals_that_are_too_old_do_not_count() -> None:
-    """Each datagram is delayed by 5 s; an age counted from the arrival alone would not show that."""
+    """Each datagram is delayed by 5 s, which an age measured from the time of arrival would not include."""
     cluster = start_cluster(3)
     cluster.net.faulty_network.start(Fault("old", 0.0, 60.0, 1.0, 5000.0))
     cluster.run(12.0)
@@ -157,7 +157,7 @@
     cluster.run(60.0)
     peer = cluster.net.peers[0]
     assert peer.core.members.size == 1 and 10 < peer.core.counts["sent"] < 60
-    assert 0 not in cluster.others, "no update without peers"
+    assert 0 not in cluster.others, "the balancer gets no peer loads without peers"
 
 
 def test_a_name_used_twice_belongs_to_the_later_relay_and_returns_to_the_first() -> None:
--- a/tests/membership/test_settings.py
+++ b/tests/membership/test_settings.py
@@ -1,4 +1,4 @@
-"""The settings of membership: wrong keys are named, and the example file is read."""
+"""The membership settings: errors name the invalid key, and the example file is valid."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
     [
         ({}, "peers.listen is missing"),
         ({"listen": "here"}, "peers.listen is 'here'"),
-        ({"listen": "10.0.0.1:1", "sedes": []}, "peers.sedes is not known; seeds is"),
+        ({"listen": "10.0.0.1:1", "sedes": []}, r"peers.sedes is not a known key; did you mean seeds\?"),
         ({"listen": "10.0.0.1:1", "seeds": ["::1:5"]}, "peers.seeds is '::1:5'"),
         ({"listen": "10.0.0.1:1", "seeds": "10.0.0.2:1"}, "a list of addresses"),
-        ({"listen": "10.0.0.1:1", "probe_s": 0}, "peers.probe_s is 0: a number from 0.05 to 60"),
+        ({"listen": "10.0.0.1:1", "probe_s": 0}, "peers.probe_s is 0; expected a number from 0.05 to 60"),
         ({"listen": "10.0.0.1:1", "signal_s": True}, "peers.signal_s is True"),
         ({"listen": "10.0.0.1:1", "cluster": ""}, "peers.cluster is ''"),
         ({"listen": "10.0.0.1:1", "forget_s": 2.0}, "peers.forget_s must be at least four times"),
--- a/tests/rebalancing/test_rebalancing.py
+++ b/tests/rebalancing/test_rebalancing.py
@@ -1,4 +1,4 @@
-"""Rebalancing: its rules under random steps, and the hard cases, each of which fails without its remedy."""
+"""Rebalancing: its invariants under random steps, and edge cases, each of which a specific safeguard covers."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 class RebalancerHarness:
-    """A rebalancer with nodes of capacity 1, numbered from 1; time moves by beats."""
+    """A rebalancer with backends of capacity 1, numbered from 1; time advances round by round."""
 
     def __init__(self, changes: dict[str, Any] | None = None, backends: int = 3, warmup_ms: float = 9000.0) -> None:
         self.now = START_MS
@@ -56,7 +56,7 @@
         return requests
 
     def advance_round(self, seconds: float = 1.0) -> list[int]:
-        """The moves of one beat, carried out: the jobs are over here."""
+        """Plan a round, end the connections that it migrates, and return their request ids."""
         self.now += seconds * 1000.0
         migrations = self.rebalancer.plan_round(self.now, list(range(1, 50)))
         for request in migrations:
@@ -68,7 +68,7 @@
 
 
 def harness_with_newcomer(**changes: Any) -> RebalancerHarness:
-    """Two nodes that hold ten jobs each, and a third that has just come."""
+    """Return two backends with ten connections each, and a third that has just joined."""
     harness = RebalancerHarness(changes, backends=2)
     harness.establish(1, *[1.0] * 10)
     harness.establish(2, *[1.0] * 10)
@@ -125,14 +125,13 @@
 @pytest.mark.parametrize("state", [EndpointState.DRAINING, EndpointState.GONE])
 def test_migrations_off_a_source_stop_at_once_when_it_drains_or_dies(state: EndpointState) -> None:
     harness = harness_with_newcomer(moves_per_s=1.0, order=Order.GROUP)
-    connection = harness.establish(1, 0.5, 0.5, 0.5, group=9)
-    assert (
-        len(harness.advance_round()) == 1 and harness.rebalancer.planner.pending
-    )  # the rest of the group is to follow
+    group_requests = harness.establish(1, 0.5, 0.5, 0.5, group=9)
+    # The rest of the group is pending after the first round.
+    assert len(harness.advance_round()) == 1 and harness.rebalancer.planner.pending
     harness.backend(1, state)
     rest = {request for _ in range(10) for request in harness.advance_round()}
-    assert not rest & set(connection) and all(request > 10 for request in rest), (
-        "nothing leaves the first node any more"
+    assert not rest & set(group_requests) and all(request > 10 for request in rest), (
+        "no connection is migrated off the first backend any more"
     )
 
 
@@ -147,7 +146,7 @@
     pauses = [line for line in harness.rebalancer.take_log_lines() if "paused (cause: lost)" in line]
     assert "resumes after 30 s" in pauses[0] and "resumes after 60 s" in pauses[1] and len(pauses) < 8
     assert sum(migrated) < 0.6 * 400 and harness.rebalancer.rate.factor < 0.3
-    # It goes on, and comes back to its full pace, once those who are moved come again.
+    # Migrations resume, and recover to the full rate, once migrated clients return.
     for _ in range(500):
         for _ in harness.advance_round():
             harness.establish(3, 1.0, returned=True)
@@ -167,7 +166,7 @@
     harness = RebalancerHarness({"order": Order.GROUP}, backends=2)
     large, small = harness.establish(1, *[2.0] * 6, group=1), harness.establish(1, *[1.0] * 3, group=2)
     harness.establish(2, *[1.0] * 10)
-    harness.backend(3)  # the level is 25 / 3: the first may lose 6.7
+    harness.backend(3)  # the mean utilization is 25 / 3, and the excess of the first backend 6.7
     migrated = set(harness.advance_round()) | set(harness.advance_round())
     assert set(small) <= migrated and not migrated & set(large)
     assert harness.rebalancer.counts["held.group"] > 0
@@ -190,7 +189,7 @@
     harness = harness_with_newcomer(least_gain=1.5)
     assert harness.advance_round() == [] and harness.rebalancer.counts["held.light"] > 0
     harness = RebalancerHarness(backends=1)
-    harness.establish(1, *[1.0] * 10, returned=True)  # others may have moved them already
+    harness.establish(1, *[1.0] * 10, returned=True)  # other relays may already have migrated these clients
     harness.backend(2)
     assert harness.advance_round() == [] and harness.rebalancer.counts["held.submitter"] > 0
     assert harness.advance_round(600.0) != []
@@ -206,7 +205,7 @@
                     harness.rebalancer.on_request_rejected(harness.now)
                 else:
                     harness.rebalancer.on_connection_ended(harness.now, harness.establish(2, 1.0)[0], True)
-            # The last came at 9 s and counts for 5 s; the pause of 5 s begins anew until then.
+            # The last event is at 9 s and counts for 5 s; until then, the pause of 5 s is extended in each round.
             assert second > 18 or (harness.advance_round() != []) == (second == 18), f"{cause} at {second}"
             if second == 9:
                 assert (
@@ -217,7 +216,7 @@
 def test_ineffective_migrations_are_paused() -> None:
     harness = harness_with_newcomer(moves_per_s=1.0)
     for _ in range(100):
-        for _ in harness.advance_round():  # whoever is moved is back where it was
+        for _ in harness.advance_round():  # each migrated client returns to one of the sources
             harness.establish(1 if harness.load(1) < harness.load(2) else 2, 1.0, returned=False)
             harness.rebalancer.monitor.on_return(harness.now, "n1")
     assert harness.rebalancer.counts["paused.no-effect"] >= 1
@@ -229,7 +228,7 @@
         harness.rebalancer.on_attempt_failed(harness.now, "n3", True)
     assert harness.advance_round() == [] and harness.advance_round(31.0) != []
     harness = harness_with_newcomer()
-    for _ in range(4):  # now and then one fails and others come up: that is no reason
+    for _ in range(4):  # occasional failures between successful connections do not exclude the target
         harness.rebalancer.on_attempt_failed(harness.now, "n3", True)
         harness.establish(3, 0.1, returned=True)
     assert harness.advance_round() != []
@@ -261,19 +260,13 @@
 
 
 def test_quiet_hours_may_cross_midnight() -> None:
-    settings_with_night = read_rebalance({"quiet": ["22:00-06:00"]})
-    assert [settings_with_night.is_quiet(connection * 3_600_000.0) for connection in (0, 5, 6, 21, 22)] == [
-        True,
-        True,
-        False,
-        False,
-        True,
-    ]
+    rebalance = read_rebalance({"quiet": ["22:00-06:00"]})
+    assert [rebalance.is_quiet(hour * 3_600_000.0) for hour in (0, 5, 6, 21, 22)] == [True, True, False, False, True]
 
 
 class RebalancerMachine(RuleBasedStateMachine):
-    """Random steps; each move must be of a job that stands at a ready node, above the level before and after, within
-    the rates, and of a submitter that was not moved too often."""
+    """Random steps; each migration must be off a ready backend that is above the mean utilization before and not below
+    it after, within the rates, and of a client that was not migrated too often."""
 
     @initialize(order=st.sampled_from(list(Order)), rate=st.sampled_from((1.0, 3.0)))
     def start(self, order: Order, rate: float) -> None:
@@ -318,14 +311,14 @@
             number, _ = self.placements.pop(request)
             assert self.states[number] is EndpointState.READY and loads_before[number] > mean_utilization
             loads_before[number] -= loads[request]
-            assert loads_before[number] >= mean_utilization - 1e-6, "a source never falls below the level by a move"
+            assert loads_before[number] >= mean_utilization - 1e-6, "a migration never takes a source below the mean"
             self.moves_by_request[request] += 1
             self.move_times.append(now)
             self.source_move_times.setdefault(number, deque()).append(now)
         for times, rate in ((self.move_times, self.rate), *((s, 2.0) for s in self.source_move_times.values())):
             while times and times[0] <= now - 1000.0:
                 times.popleft()
-            assert len(times) <= rate + max(1.0, rate), "no more in a second than the rate and the burst"
+            assert len(times) <= rate + max(1.0, rate), "at most rate plus burst in a second"
         assert max(self.moves_by_request.values(), default=0) <= 1
         records = view.by_name.values()
         assert all(
@@ -340,7 +333,7 @@
 TestRebalancerMachine = RebalancerMachine.TestCase
 
 
-# --- whole fleets on virtual time ---------------------------------------------------------------
+# --- simulated fleets on a virtual clock --------------------------------------------------------
 
 
 def test_a_run_is_deterministic_for_a_seed() -> None:
@@ -359,7 +352,7 @@
 
 
 def fleet_with_newcomers(spec: FleetSpec, seed: int, newcomers: int) -> tuple[Fleet, list[ModelBackend]]:
-    """A settled fleet to which as many nodes come now, cold."""
+    """Return a fleet in steady state, and the given number of backends that have just started cold."""
     fleet = Fleet(spec, seed)
     returning = list(fleet.backends.values())[:newcomers]
     fleet.kill(*returning)
@@ -397,10 +390,10 @@
     fleet.run(14.0)
     migrations = fleet.counts["moves"]
     assert migrations > 0
-    fleet.configure(None)  # SIGHUP with the section taken out
+    fleet.configure(None)  # reload of the file without the section
     fleet.run(5.0)
     assert fleet.counts["moves"] == migrations
-    fleet.configure(RebalanceSettings())  # and put in again: the standing jobs are all known
+    fleet.configure(RebalanceSettings())  # reload with the section: the view contains all established connections
     relay = fleet.relays[0]
     rebalance = relay.reducer.rebalancer
     assert rebalance is not None and len(rebalance.view.connections) == sum(
@@ -428,11 +421,11 @@
     fleet.run(14.0)
     source = max(fleet.backends.values(), key=ModelBackend.filled)
     fleet.tell(EndpointState.DRAINING, source)
-    fleet.run(2.0)  # each relay has heard of it by now
+    fleet.run(2.0)  # until each relay has received the new state
     keys = set(source.held)
     up_before = fleet.counts["up"]
     fleet.run(10.0)
     active_clients = {(r.index, request) for r in fleet.relays for request in r.clients}
     assert up_before < fleet.counts["up"] and not (keys - set(source.held)) & active_clients
-    assert len(keys - set(source.held)) <= 12, "only those whose time was over have left it"
+    assert len(keys - set(source.held)) <= 12, "only connections that ended have left the source"
     fleet.rules.check()
--- a/yarrowspindle/membership/__init__.py
+++ b/yarrowspindle/membership/__init__.py
@@ -1,7 +1,7 @@
-"""SWIM membership of the relays in a cluster, and the load that each relay reports to its peers.
+"""SWIM membership of the relays in a cluster, and the dissemination of their loads.
 
-The package is a pure core: it opens no sockets, runs no event loop and reads no clock. It needs the extra `peers`
-(msgspec); a relay without peers does not import it.
+The package does no I/O: it opens no sockets, runs no event loop and reads no clock. It requires the optional dependency
+`peers` (msgspec); a relay without peers does not import it.
 """
 
 from yarrowspindle.membership.core import Membership
--- a/yarrowspindle/membership/codec.py
+++ b/yarrowspindle/membership/codec.py
@@ -1,4 +1,4 @@
-"""Encodes and decodes datagrams. A datagram is validated as a whole before any of it is used."""
+"""Encodes and decodes datagrams. A datagram is validated completely before any of it is used."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class DropReason(StrEnum):
-    """Why a datagram is dropped. The values are part of the published metrics' names."""
+    """Why a datagram is dropped. The values are part of metric names."""
 
     TOO_LONG = "too long"
     MALFORMED = "nonsense"
@@ -35,7 +35,7 @@
 
 
 class DroppedDatagramError(Exception):
-    """A datagram is not accepted; the text is one of a few reasons."""
+    """A datagram is dropped; the message is the value of a `DropReason`."""
 
 
 class Codec:
@@ -49,12 +49,16 @@
         self._decode_prefix = msgspec.msgpack.Decoder(DatagramPrefix).decode
 
     def encode(self, datagram: Datagram) -> bytes:
-        """Returns the datagram's bytes, with their checksum."""
+        """Return the encoded datagram with its checksum."""
         inner = self._encode(datagram)
         return self._encode(ChecksummedDatagram(crc32(inner), msgspec.Raw(inner)))
 
     def decode(self, data: bytes) -> Datagram:
-        """Returns the datagram; raises DroppedDatagramError where it is not valid or not of this cluster."""
+        """Decode and validate a datagram.
+
+        Raises:
+            DroppedDatagramError: The datagram is invalid, or of another version or cluster.
+        """
         if len(data) > MAX_DATAGRAM_BYTES:
             raise DroppedDatagramError(DropReason.TOO_LONG)
         inner = self._verified(data)
@@ -71,7 +75,11 @@
         return datagram
 
     def _verified(self, data: bytes) -> bytes:
-        """Returns the encoded datagram whose checksum holds; raises DroppedDatagramError where it does not."""
+        """Return the encoded datagram without its checksum.
+
+        Raises:
+            DroppedDatagramError: The data is malformed or does not match the checksum.
+        """
         try:
             checksummed = self._decode_checksummed(data)
         except DECODE_ERRORS:
@@ -90,7 +98,7 @@
 
 
 def _is_consistent(signal: LoadSignal) -> bool:
-    """Whether the lists hold complete entries and the ranges are not reversed."""
+    """Return whether the lists contain complete entries and the ranges are not reversed."""
     return not (
         len(signal.changed) % 3
         or len(signal.range_loads) % 3
--- a/yarrowspindle/membership/context.py
+++ b/yarrowspindle/membership/context.py
@@ -1,4 +1,4 @@
-"""The state that the parts of the membership core share, and how they emit datagrams and other effects."""
+"""The state shared by the components of the membership core, and the methods to emit datagrams and other effects."""
 
 from __future__ import annotations
 
@@ -15,11 +15,23 @@
 from yarrowspindle.membership.timers import MembershipTimer
 from yarrowspindle.routing.address import Address
 
-UPDATE_LIST_BYTES = 2  # that the list of updates takes beside the updates
+UPDATE_LIST_BYTES = 2  # encoding overhead of the list of updates
 
 
 class MembershipContext:
-    """The state shared by the parts of the core. `now` is set by the core before each event; `counts` are metrics."""
+    """The state shared by the components of the core.
+
+    Args:
+        settings: The settings in the section `[peers]`.
+        name: This relay's name in the cluster.
+        incarnation: Incarnation of this process.
+        seed: Seed of all random choices.
+        now: Current time in milliseconds of a monotonic clock.
+
+    Attributes:
+        now: Time of the current event; set by the core before each event.
+        counts: Counters by their metric names.
+    """
 
     def __init__(self, settings: PeerSettings, name: str, incarnation: int, seed: int, now: float) -> None:
         self.settings = settings
@@ -35,31 +47,34 @@
         self._last_sent_at = -1
 
     def take_effects(self) -> list[Effect]:
-        """Returns the effects emitted since the last call, in order."""
+        """Return the effects emitted since the last call, in order."""
         effects, self._effects = self._effects, []
         return effects
 
     def emit(self, effect: Effect) -> None:
-        """Adds an effect to those of the current event."""
+        """Add an effect to those of the current event."""
         self._effects.append(effect)
 
     def set_timer(self, delay_ms: float, timer: MembershipTimer) -> None:
-        """Emits the effect that sets a timer."""
+        """Emit the effect that sets a timer."""
         self.emit(SetTimer(delay_ms, timer))
 
     def log(self, text: str, rate_limited: bool = False) -> None:
-        """Emits a line for the log."""
+        """Emit a log line; `rate_limited` as for `LogMessage`."""
         self.emit(LogMessage(text, rate_limited))
 
     def present_peers(self) -> list[Member]:
-        """Returns the members that are present, without this relay."""
+        """Return the present members except this relay."""
         local = self.members.local
         return [member for member in self.members if member.present and member is not local]
 
     def encode(self, body: Body, updates: list[MembershipUpdate] | None = None, priority_member: str = "") -> bytes:
-        """Returns a datagram with these updates, or without any given, with as many queued ones as fit.
+        """Encode a datagram.
 
-        An update on the member named `first` goes before the other queued ones.
+        Args:
+            body: Message to send.
+            updates: Membership updates to include; if None, as many queued updates as fit.
+            priority_member: Name of a member whose queued update is included before all others.
         """
         datagram = self._datagram(body, updates or [])
         data = self.codec.encode(datagram)
@@ -72,11 +87,11 @@
     def send(
         self, address: Address, body: Body, updates: list[MembershipUpdate] | None = None, priority_member: str = ""
     ) -> None:
-        """Encodes and sends a datagram; see `encode`."""
+        """Encode and send a datagram; the arguments are those of `encode`."""
         self.send_encoded(address, self.encode(body, updates, priority_member))
 
     def send_encoded(self, address: Address, data: bytes) -> None:
-        """Sends an encoded datagram."""
+        """Send an encoded datagram."""
         self.counts["sent"] += 1
         self.counts["sent_bytes"] += len(data)
         self.emit(SendDatagram(address, data))
@@ -98,6 +113,6 @@
         )
 
     def _next_sent_at(self) -> int:
-        """Returns the time since the start in milliseconds, later than at each datagram before."""
+        """Return the time since the start in milliseconds, strictly greater than for any earlier datagram."""
         self._last_sent_at = max(int(self.now - self._started_at), self._last_sent_at + 1)
         return self._last_sent_at
--- a/yarrowspindle/membership/core.py
+++ b/yarrowspindle/membership/core.py
@@ -1,7 +1,7 @@
-"""The core of membership, `(state, event) -> effects`: dispatches events to the parts that handle them.
+"""The membership core, `(state, event) -> effects`: dispatches events to the components that handle them.
 
-It runs unchanged on sockets and on the model's virtual clock. Every datagram may be lost: requests are placed without
-peers too, whose load only refines the choice of a backend.
+It runs unchanged on sockets and on the simulation model's virtual clock. Any datagram may be lost: a relay also places
+requests without its peers, whose reported load only refines the choice of a backend.
 """
 
 from __future__ import annotations
@@ -48,11 +48,15 @@
 
 
 class Membership:
-    """The membership of one relay.
-
-    incarnation: a number that grows from one process of a name to the next, such as the start in Unix milliseconds.
-    Where that clock went back, the peers' updates correct it. seed: of all random choices. now: milliseconds of a
-    monotonic clock.
+    """The cluster membership of one relay.
+
+    Args:
+        settings: The settings in the section `[peers]`.
+        name: This relay's name in the cluster.
+        incarnation: A number that increases from one process of this name to the next, such as the start time in Unix
+            milliseconds. If that clock was set back, the updates of peers correct the number.
+        seed: Seed of all random choices.
+        now: Current time in milliseconds of a monotonic clock.
     """
 
     def __init__(self, settings: PeerSettings, name: str, incarnation: int, seed: int, now: float) -> None:
@@ -100,7 +104,7 @@
         }
 
     def _set_first_timers(self) -> None:
-        """Sets the periodic timers; relays that start together probe and report at different times."""
+        """Set the periodic timers, with random delays so that relays started together do not act simultaneously."""
         context = self._context
         signal_interval_ms = 1000.0 * context.settings.signal_s
         context.set_timer(0.0, PeriodicTimer.JOIN)
@@ -115,27 +119,27 @@
 
     @property
     def signals(self) -> LoadSignals:
-        """The load of this relay and of its peers."""
+        """The load signals of this relay and of its peers."""
         return self._context.signals
 
     @property
     def counts(self) -> Counter[str]:
-        """The counters, by their published names."""
+        """The counters by their metric names."""
         return self._context.counts
 
     def step(self, now: float, event: Event) -> list[Effect]:
-        """Handles one event and returns its effects in order."""
+        """Handle an event, and return its effects in order."""
         self._context.now = max(self._context.now, now)
         if not self._has_left or isinstance(event, DatagramReceived):
             self.event_handlers[type(event)](event)
         return self.take_effects()
 
     def take_effects(self) -> list[Effect]:
-        """Returns the effects emitted since the last call, such as those of the start."""
+        """Return the effects emitted since the last call, such as those of the initialization."""
         return self._context.take_effects()
 
     def gauges(self) -> dict[str, float]:
-        """Returns the current values for the metrics, by their published names."""
+        """Return the gauges by their metric names."""
         context = self._context
         states = Counter(member.state for member in context.members)
         return {f"members_{state.label}": float(states[state]) for state in MemberState} | {
@@ -177,7 +181,7 @@
         self.message_handlers[type(datagram.body)](member, datagram, datagram.body)
 
     def _apply_updates(self, datagram: Datagram) -> DropReason | None:
-        """Applies the datagram's updates; returns why it is dropped instead, if it is."""
+        """Apply the datagram's updates, or return the reason why the datagram is dropped instead."""
         if datagram.name == self.members.local.name:
             self._on_name_conflict(datagram)
             return DropReason.OWN_NAME
@@ -197,22 +201,25 @@
             self._context.log(f"dropped a datagram from {host}:{port}: {reason}", rate_limited=True)
 
     def _on_name_conflict(self, datagram: Datagram) -> None:
-        """Another process claims this relay's name: the later incarnation has it, and the other one is notified."""
+        """Handle a datagram of another process that uses this relay's name.
+
+        The name belongs to the later incarnation. If that is this process, it notifies the sender.
+        """
         local = self.members.local
         if datagram.address == local.address and datagram.incarnation == local.incarnation:
-            return  # a datagram of this process that came back
+            return  # this process received its own datagram
         self._updates.apply(datagram.sender_update)
         if not self.members.superseded:
             self._context.send(datagram.address, SyncRequest(), [local.to_update()])
 
     def _send_state(self, member: Member, datagram: Datagram) -> None:
-        """Sends the sender its own state in this relay's table, so that it can refute it."""
+        """Send the datagram's sender its own state in this relay's table, so that it can refute it."""
         self._context.send(datagram.address, SyncRequest(), [member.to_update()])
 
     # --- payloads -------------------------------------------------------------------------------
 
     def _on_send_payload(self, event: SendPayload) -> None:
-        """Sends a payload, also to a member that is held dead: it may still receive it."""
+        """Send a payload, even to a member in state `DEAD`, which may still receive it."""
         member = self.members.table.get(event.recipient)
         if member is not None and not self.members.superseded:
             self._context.send(member.address, Payload(event.data))
@@ -220,7 +227,7 @@
     def _on_payload(self, member: Member, datagram: Datagram, payload: Payload) -> None:
         self._context.emit(PayloadReceived(member.name, payload.data))
 
-    # --- timers and the end ---------------------------------------------------------------------
+    # --- timers and leaving ---------------------------------------------------------------------
 
     def _on_timer(self, event: TimerFired) -> None:
         timer = event.timer
@@ -234,7 +241,7 @@
             self.probing.on_relayed_timeout(timer.number)
 
     def _on_leave(self, event: LeaveCluster) -> None:
-        """Notifies all peers that this relay leaves."""
+        """Notify all peers that this relay leaves the cluster."""
         context = self._context
         context.members.leave(context.now)
         self._has_left = True
--- a/yarrowspindle/membership/effects.py
+++ b/yarrowspindle/membership/effects.py
@@ -11,7 +11,7 @@
 
 @dataclass(slots=True)
 class SendDatagram:
-    """Send a datagram to this address; it may be lost."""
+    """Send a datagram to an address. The datagram may be lost."""
 
     address: Address
     data: bytes
@@ -27,19 +27,19 @@
 
 @dataclass(slots=True)
 class SampleLocalLoad:
-    """Post a `LocalLoad` with the current load at once."""
+    """Immediately post a `LocalLoad` with the current load."""
 
 
 @dataclass(slots=True)
 class PeerLoadsUpdated:
-    """Pass the peers' load, as far as it changed since the last update, to the balancer."""
+    """Pass the changes of the peers' load since the last such effect to the balancer."""
 
     peer_loads: PeerLoads
 
 
 @dataclass(slots=True)
 class PayloadReceived:
-    """Deliver the payload that the relay of this name sent."""
+    """Deliver a payload that another relay sent; `sender` is that relay's name."""
 
     sender: str
     data: bytes
@@ -47,7 +47,12 @@
 
 @dataclass(slots=True)
 class LogMessage:
-    """Write a line to the log. `rate_limited`: hosts outside the cluster can cause it, so it must not flood the log."""
+    """Write a log line.
+
+    Attributes:
+        text: The message.
+        rate_limited: Whether to limit the rate of such lines, as hosts outside the cluster can cause them.
+    """
 
     text: str
     rate_limited: bool = False
--- a/yarrowspindle/membership/events.py
+++ b/yarrowspindle/membership/events.py
@@ -10,7 +10,7 @@
 
 @dataclass(slots=True)
 class DatagramReceived:
-    """A datagram arrived. `source` may be forged, so it only limits floods."""
+    """A datagram was received. `source` may be forged, so it is used only to limit floods."""
 
     data: bytes
     source: Address
@@ -18,7 +18,7 @@
 
 @dataclass(slots=True)
 class TimerFired:
-    """A timer fired. `deadline` is when it should have: a large delay shows that this process was stalled."""
+    """A timer fired. `deadline` is when it was due: a long delay shows that this process was stalled."""
 
     timer: MembershipTimer
     deadline: float
@@ -26,11 +26,13 @@
 
 @dataclass(slots=True)
 class LocalLoad:
-    """The load that this relay places on the backends now, by backend key. Backends without load are left out.
+    """The load that this relay currently places on the backends. Backends without load are omitted.
 
-    loads: connections and load.
-    ejected: milliseconds for which this relay still ejects the backend as an outlier.
-    reports: the newest load reports that this relay received itself: utilization, connections, age in milliseconds.
+    Attributes:
+        loads: Connections and load by backend key.
+        ejected: Remaining time in milliseconds of this relay's outlier ejections, by backend key.
+        reports: The newest load reports that this relay received from backends itself, by backend key: utilization,
+            connections and age in milliseconds.
     """
 
     loads: dict[int, tuple[int, float]]
@@ -40,12 +42,12 @@
 
 @dataclass(slots=True)
 class LeaveCluster:
-    """This relay shuts down gracefully."""
+    """This relay shuts down gracefully and leaves the cluster."""
 
 
 @dataclass(slots=True)
 class SendPayload:
-    """Send the data in one datagram to the relay of this name, if its address is known."""
+    """Another subsystem wants to send data in one datagram to a relay; dropped if the recipient's name is unknown."""
 
     recipient: str
     data: bytes
--- a/yarrowspindle/membership/full_sync.py
+++ b/yarrowspindle/membership/full_sync.py
@@ -1,4 +1,4 @@
-"""Joining the cluster, and full syncs of the membership table where two relays' views differ."""
+"""Joins the cluster, and synchronizes the whole membership table of two relays if their views differ."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 
 MIN_JOIN_INTERVAL_MS = 500.0
 MAX_JOIN_INTERVAL_MS = 5000.0
-JOIN_JITTER = (0.75, 1.25)  # times the interval
+JOIN_JITTER = (0.75, 1.25)  # range of the random factor of the interval
 RECONNECT_INTERVAL_MS = 2000.0
-MAX_HEADER_BYTES = 260  # of a datagram of a full sync, without its updates
-TABLE_SYNC = "table"  # kind of the full sync, for the limiter
+MAX_HEADER_BYTES = 260  # size of a full-sync datagram without its updates
+TABLE_SYNC = "table"  # the kind of full sync for the limiter
 
 
 class FullSync:
-    """Joins by the seeds, and exchanges whole tables with peers."""
+    """Joins the cluster through the seeds, and exchanges whole membership tables with peers."""
 
     def __init__(self, context: MembershipContext, limiter: FullSyncLimiter) -> None:
         self._context = context
@@ -33,7 +33,7 @@
         self._reconnect_at = context.now + RECONNECT_INTERVAL_MS
 
     def join(self) -> None:
-        """Contacts all seeds, with backoff until a peer is known."""
+        """Contact all seeds, and again with backoff until a peer is known."""
         context = self._context
         local = context.members.local
         if context.members.size > 1:
@@ -47,7 +47,7 @@
         self._join_interval_ms = min(2.0 * self._join_interval_ms, MAX_JOIN_INTERVAL_MS)
 
     def reconnect_if_due(self) -> None:
-        """Contacts a dead member or a seed that is no member, so that a healed partition is found."""
+        """Contact a random dead member or a seed that is not a member, so that a healed partition is detected."""
         context = self._context
         if context.now < self._reconnect_at:
             return
@@ -56,7 +56,7 @@
         if members.size == 1 and self._join_interval_ms == MIN_JOIN_INTERVAL_MS:
             self.join()
         if members.superseded:
-            # Any peer may know what became of the process that took this relay's name.
+            # Any peer may know whether the process that took this relay's name has ended.
             candidates = [member.address for member in context.present_peers()]
         else:
             present = {member.address for member in members if member.present}
@@ -67,17 +67,17 @@
             context.send(context.random.choice(candidates), SyncRequest(), [members.local.to_update()])
 
     def compare_views(self, member: Member, view_digest: int) -> None:
-        """Starts a full sync with the member if its view of the cluster differs."""
+        """Start a full sync with a member if its view of the cluster differs."""
         if view_digest != self._context.members.view_digest:
             self.send_table(member, wants_table=True)
 
     def on_sync_request(self, member: Member, datagram: Datagram, request: SyncRequest) -> None:
-        """Answers a full sync."""
+        """Answer a full sync if the sender asks for this relay's table."""
         if request.wants_table:
             self.send_table(member, wants_table=False)
 
     def send_table(self, member: Member, wants_table: bool) -> None:
-        """Sends the whole table, within the limits on full syncs."""
+        """Send the whole table to a member, unless the limiter rejects the full sync."""
         context = self._context
         if not self._limiter.accept(TABLE_SYNC, member.name, context.now):
             return
--- a/yarrowspindle/membership/load_dissemination.py
+++ b/yarrowspindle/membership/load_dissemination.py
@@ -11,19 +11,20 @@
 from yarrowspindle.membership.rate_limits import FullSyncLimiter
 from yarrowspindle.membership.timers import PeriodicTimer
 
-MIN_PEER_LOADS_INTERVAL_MS_PER_RELAY = 5.0  # the balancer is updated less often in a large cluster
+MIN_PEER_LOADS_INTERVAL_MS_PER_RELAY = 5.0  # the larger the cluster, the less often the balancer is updated
 MAX_PEER_LOADS_INTERVAL_MS = 1000.0
-# Signals are sent to all peers at most 5000 times a second in all, within 50 to 125 a second: older loads would lead
-# several relays to choose the same backend.
+# A relay sends at most 5000 / peers datagrams with load signals per second, limited to the range from 50 to 125, so
+# that a cluster of up to 100 relays sends about 5000 in total. If loads were older, several relays would choose the
+# same backend.
 MIN_SIGNALS_PER_S = 50.0
 MAX_SIGNALS_PER_S = 125.0
 MAX_SIGNALS_PER_S_TO_ALL = 5000.0
-MAX_RETRANSMIT_INTERVAL_S = 0.5  # with a longer interval each change is sent once, and lost ones are requested
-LOAD_SYNC = "signals"  # kind of the full sync, for the limiter
+MAX_RETRANSMIT_INTERVAL_S = 0.5  # at longer signal intervals each change is sent once, and lost changes are requested
+LOAD_SYNC = "signals"  # the kind of full sync for the limiter
 
 
 class LoadDissemination:
-    """Exchanges load signals with the peers."""
+    """Exchanges load signals with the peers, and passes the peers' load to the balancer."""
 
     def __init__(self, context: MembershipContext, limiter: FullSyncLimiter) -> None:
         self._context = context
@@ -35,7 +36,7 @@
         return 1000.0 * self._context.settings.signal_s
 
     def on_signal_timer(self) -> None:
-        """Asks for the local load, if there are peers to send it to."""
+        """Request the local load if there are peers to send it to."""
         members = self._context.members
         if members.size > 1 and not members.superseded:
             self._context.emit(SampleLocalLoad())
@@ -43,7 +44,7 @@
             self._context.set_timer(self._signal_interval_ms, PeriodicTimer.LOAD_SIGNAL)
 
     def on_local_load(self, local_load: LocalLoad) -> None:
-        """Sends the load to all peers, and sets the time of the next signal by the bytes that this took."""
+        """Send the load to all peers, and schedule the next signal so that `bytes_per_s` is not exceeded."""
         context = self._context
         peers = context.present_peers()
         interval_s = self._min_interval_s(len(peers))
@@ -57,7 +58,7 @@
         context.set_timer(1000.0 * next_interval_s, PeriodicTimer.LOAD_SIGNAL)
 
     def on_load_signal(self, member: Member, datagram: Datagram, signal: LoadSignal) -> None:
-        """Takes over a peer's load, and requests all of it if signals were lost."""
+        """Apply a peer's load signal, and request all of its load if signals were lost."""
         context = self._context
         if not member.present:
             return
@@ -65,7 +66,7 @@
             context.send(member.address, FullLoadRequest())
 
     def on_full_load_request(self, member: Member, datagram: Datagram, request: FullLoadRequest) -> None:
-        """Sends all of this relay's load, within the limits on full syncs."""
+        """Send all of this relay's load, unless the limiter rejects the full sync."""
         context = self._context
         if not self._limiter.accept(LOAD_SYNC, member.name, context.now):
             return
@@ -74,7 +75,7 @@
             context.send_encoded(member.address, context.encode(signal))
 
     def on_peer_loads_timer(self) -> None:
-        """Reports the peers' load to the balancer, unless there is nothing to report."""
+        """Pass the peers' load to the balancer, unless there is nothing to report."""
         context = self._context
         names = context.members.names
         local_name = context.members.local.name
@@ -90,7 +91,7 @@
         context.set_timer(max(self._signal_interval_ms, size_based_interval_ms), PeriodicTimer.PEER_LOADS)
 
     def _min_interval_s(self, peers: int) -> float:
-        """Returns the shortest time between two signals: the configured one, or longer with many peers."""
+        """Return the minimum time between two signals: the configured one, or longer if there are many peers."""
         recipients = max(peers, 1)
         signals_per_s = max(MIN_SIGNALS_PER_S, min(MAX_SIGNALS_PER_S, MAX_SIGNALS_PER_S_TO_ALL / recipients))
         return max(self._context.settings.signal_s, recipients / signals_per_s)
--- a/yarrowspindle/membership/load_signals.py
+++ b/yarrowspindle/membership/load_signals.py
@@ -1,7 +1,7 @@
-"""The peers' load as they report it, and its totals by backend, which are updated with each change.
+"""The load that the peers report, and its totals by backend, which are updated incrementally.
 
-All figures are absolute, so that a signal that arrives twice or out of order does no harm. A peer whose signals were
-lost is asked for all of its load. Times are milliseconds of a monotonic clock.
+All values are absolute, so that signals may arrive twice or out of order. If signals of a peer were lost, all of its
+load is requested. Times are milliseconds of a monotonic clock.
 """
 
 from __future__ import annotations
@@ -14,18 +14,25 @@
 from yarrowspindle.membership.local_load_log import MAX_KEYS, MAX_REPORT_AGE_MS, MAX_UINT32, NO_LOAD, LocalLoadLog
 from yarrowspindle.membership.messages import LoadSignal
 
-MAX_SIGNAL_AGE_MS = 4500.0  # the load of a peer whose newest signal is older does not count
-CLOCK_WINDOW_MS = 60_000.0  # the offset of a peer's clock is taken from the last two windows
+MAX_SIGNAL_AGE_MS = 4500.0  # the load of a peer whose newest signal is older is excluded from the totals
+CLOCK_WINDOW_MS = 60_000.0  # the clock offset of a peer is the minimum over the last two windows
 FULL_REQUEST_INTERVAL_MS = 1000.0
 
 
 class PeerView:
-    """What one peer reported.
-
-    sent_at, version: of its newest signal. loads: connections and load by backend key. ejected_until: by backend key.
-    clock_windows: their start, and the smallest difference seen between the peer's clock and ours.
-    min_clock_offset: the smallest difference of these windows. counted: whether its load is in the totals.
-    full_requested_at: when all of its load was last requested. missing_signals: whether it should be requested.
+    """The load reported by one peer.
+
+    Attributes:
+        incarnation: Incarnation of the peer's process.
+        sent_at: When the newest signal was sent, by the peer's clock; -1 before the first signal.
+        version: Version of the newest signal.
+        loads: Connections and load by backend key.
+        ejected_until: End of the peer's outlier ejections, by backend key and this relay's clock.
+        clock_windows: Start of each window, and the smallest difference of the peer's clock to this relay's in it.
+        min_clock_offset: The smallest difference of all windows.
+        counted: Whether the load is included in the totals.
+        full_requested_at: When all of the load was last requested.
+        missing_signals: Whether signals were lost, so that all of the load must be requested.
     """
 
     __slots__ = (
@@ -54,7 +61,12 @@
         self.missing_signals = False
 
     def observe_clock(self, peer_time: float, pinged_at: float) -> None:
-        """Takes over that the peer's clock showed a time no earlier than ours showed `pinged_at`."""
+        """Update the clock offset from an answered ping.
+
+        Args:
+            peer_time: The peer's clock when it sent the answer.
+            pinged_at: This relay's clock when it sent the ping, which was no later than the answer.
+        """
         offset = peer_time - pinged_at
         if not self.clock_windows or pinged_at >= self.clock_windows[-1][0] + CLOCK_WINDOW_MS:
             self.clock_windows = [*self.clock_windows[-1:], (pinged_at, offset)]
@@ -64,11 +76,11 @@
         self.min_clock_offset = min(min_offset for _, min_offset in self.clock_windows)
 
     def age_ms(self, now: float) -> float:
-        """Returns the most that the newest signal can be old; infinite before the peer's clock is known."""
+        """Return an upper bound of the newest signal's age; infinite if the peer's clock offset is not known yet."""
         return max(0.0, now - self.sent_at + self.min_clock_offset) if self.sent_at >= 0 else inf
 
     def record_version(self, sent_at: int, signal: LoadSignal) -> bool:
-        """Takes over the signal's version; returns whether signals before it were lost."""
+        """Record the time and version of a signal, and return whether signals before it were lost."""
         is_gap = False
         if signal.range_first == 0 and signal.range_last == MAX_UINT32:
             self.missing_signals = False
@@ -80,7 +92,7 @@
         return is_gap
 
     def should_request_full_load(self, now: float) -> bool:
-        """Whether all of the peer's load should be requested now; notes the request."""
+        """Return whether all of the peer's load must be requested now, and if so record the request."""
         if not self.missing_signals or now < self.full_requested_at + FULL_REQUEST_INTERVAL_MS:
             return False
         self.full_requested_at = now
@@ -91,9 +103,14 @@
 class LoadSignals:
     """The load of this relay and of its peers.
 
-    totals: connections and load by backend key, of all peers that count. changed, connection_changes: since the
-    balancer's last update. reports: utilization, connections and when the report was made, by backend key.
-    counts: for the metrics.
+    Attributes:
+        local: The load that this relay reports.
+        peers: Views of the peers by name.
+        totals: Total connections and load of the peers with recent signals, by backend key.
+        changed: Backend keys whose totals changed since the last report to the balancer.
+        connection_changes: Change of the total connections since that report, by backend key.
+        reports: Utilization, connections and time of the newest load report from a backend, by backend key.
+        counts: Counters by their metric names.
     """
 
     def __init__(self) -> None:
@@ -108,7 +125,7 @@
     # --- signals received -----------------------------------------------------------------------
 
     def peer_view(self, name: str, incarnation: int) -> PeerView:
-        """Returns the view of a peer; a new one where its process is another."""
+        """Return the view of a peer; a new one if this incarnation of the peer is not known."""
         view = self.peers.get(name)
         if view is None or view.incarnation != incarnation:
             self.remove(name)
@@ -116,13 +133,13 @@
         return view
 
     def remove(self, name: str) -> None:
-        """Removes a peer that left, died or restarted, and its load from the totals."""
+        """Remove a peer that left, died or restarted, and subtract its load from the totals."""
         view = self.peers.pop(name, None)
         if view is not None:
             self._set_counted(view, False)
 
     def receive(self, name: str, incarnation: int, sent_at: int, signal: LoadSignal, now: float) -> bool:
-        """Takes over a peer's signal; returns whether all of its load should be requested."""
+        """Apply a peer's load signal, and return whether all of the peer's load must be requested."""
         view = self.peer_view(name, incarnation)
         if sent_at <= view.sent_at:
             self.counts["signals_old"] += 1
@@ -140,7 +157,7 @@
         return view.should_request_full_load(now)
 
     def _clear_unlisted(self, view: PeerView, signal: LoadSignal) -> None:
-        """Removes the peer's load on backends within the signal's range that the range does not list."""
+        """Remove the peer's load on backends that are within the signal's key range but not listed in it."""
         first, last = signal.range_first, signal.range_last
         listed = set(signal.range_loads[::3])
         unlisted = [key for key in view.loads if first <= key <= last and key not in listed]
@@ -154,7 +171,10 @@
                 self.reports[key] = (utilization / 1000.0, float(connections), reported_at)
 
     def _apply(self, view: PeerView, values: list[int]) -> None:
-        """Takes over entries of three figures. One loop without calls: most of the package's time is spent here."""
+        """Apply load entries of three values each to the view and the totals.
+
+        This is a single loop without function calls, as most of the package's CPU time is spent here.
+        """
         loads, counted, totals = view.loads, view.counted, self.totals
         connection_changes = self.connection_changes
         for key, connections, load in zip(values[::3], values[1::3], values[2::3], strict=True):
@@ -191,7 +211,7 @@
         self.changed.add(key)
 
     def _set_counted(self, view: PeerView, counted: bool) -> None:
-        """Adds the peer's load to the totals, or takes it out of them."""
+        """Add the peer's load to the totals, or subtract it."""
         if view.counted == counted:
             return
         view.counted = counted
@@ -199,10 +219,16 @@
         for key, (connections, load) in view.loads.items():
             self._add_to_total(key, sign * connections, sign * load)
 
-    # --- for the balancer -----------------------------------------------------------------------
+    # --- reports to the balancer ----------------------------------------------------------------
 
     def take_peer_loads(self, now: float, relays: int, rank: int) -> PeerLoads:
-        """Returns what changed since the last call. `relays` are present; `rank` is this one's place among them."""
+        """Return the changes of the peers' load since the last call.
+
+        Args:
+            now: Current time in milliseconds.
+            relays: Number of relays present in the cluster.
+            rank: Index of this relay among their sorted names.
+        """
         ages = []
         for view in self.peers.values():
             age_ms = view.age_ms(now)
@@ -242,9 +268,9 @@
         return frozenset(key for key, peers in ejections.items() if 2 * peers > counted_peers)
 
     def oldest_age_ms(self, now: float) -> float:
-        """Returns the age of the oldest signal that counts."""
+        """Return the greatest signal age among the peers that are included in the totals, in milliseconds."""
         return max((view.age_ms(now) for view in self.peers.values() if view.counted), default=0.0)
 
     def peers_without_clock(self, names: list[str]) -> Iterator[str]:
-        """Yields the peers among these whose clock is not known yet."""
+        """Return an iterator over those of the named peers whose clock offset is not known yet."""
         return (name for name in names if (view := self.peers.get(name)) is None or not view.clock_windows)
--- a/yarrowspindle/membership/local_load_log.py
+++ b/yarrowspindle/membership/local_load_log.py
@@ -1,7 +1,7 @@
-"""The load that this relay reports to its peers: what changed, in which signals, and all of it on request.
+"""The load that this relay reports to its peers: incremental changes, and all loads on request.
 
-A change is sent in several consecutive signals, as some may be lost. Every few signals a range of all loads goes
-along, so that the peers' views become right again in any case.
+A change is repeated in several consecutive signals, as some may be lost. Every few signals also carry the loads of a
+range of backend keys, so that the peers' views converge in any case.
 """
 
 from __future__ import annotations
@@ -16,24 +16,24 @@
 from yarrowspindle.membership.messages import LoadSignal
 
 MAX_UINT32 = (1 << 32) - 1
-MAX_ENTRIES = 50  # of three figures in a signal, so that its datagram stays within MAX_DATAGRAM_BYTES
+MAX_ENTRIES = 50  # entries of three values per signal, so that the datagram stays within MAX_DATAGRAM_BYTES
 MAX_CHANGES_PER_VERSION = MAX_ENTRIES // 2
-MAX_REPORTS = 12  # in a signal; they and the ejections leave room for at least half of the entries
-MAX_EJECTED = 12  # in a signal
-TRANSMISSIONS = 3  # of a change
+MAX_REPORTS = 12  # per signal; together with the ejections they leave room for at least half of the entries
+MAX_EJECTED = 12  # per signal
+TRANSMISSIONS = 3  # consecutive signals that carry a change
 MAX_PENDING_VERSIONS = 400
-RANGE_INTERVAL = 4  # signals between two ranges of all loads
+RANGE_INTERVAL = 4  # each fourth signal carries a range of all loads
 MIN_RANGE_ENTRIES = 8
 MAX_KEYS = 8192  # backends on which one relay may report load
-MIN_LOAD_CHANGE_FRACTION = 0.05  # a smaller change of the load alone is not sent
+MIN_LOAD_CHANGE_FRACTION = 0.05  # smaller changes are not sent unless the number of connections changed
 MAX_REPORT_AGE_MS = 5000.0
-REPORT_TOLERANCE_MS = 1.0  # a report is newer only if it was made later by more than this
+REPORT_TOLERANCE_MS = 1.0  # a report counts as new if it was made later by more than this
 NO_LOAD = (0, 0)
 
 
 @dataclass(slots=True)
 class VersionChanges:
-    """The backends whose load changed with a version, and how often that was sent."""
+    """The keys of the backends whose load changed with a version, and the number of transmissions of the changes."""
 
     version: int
     keys: list[int]
@@ -43,7 +43,10 @@
 class LocalLoadLog:
     """This relay's load as last reported, and the changes that are still to be sent.
 
-    loads: connections and load by backend key. pending: the changes to be sent, oldest first.
+    Attributes:
+        loads: Connections and load by backend key.
+        version: Version of the newest change.
+        pending: Changes that are still to be sent, oldest first.
     """
 
     def __init__(self) -> None:
@@ -55,9 +58,12 @@
         self._reports_sent: dict[int, float] = {}  # by backend key: when the report sent last was made
 
     def next_signal(self, local_load: LocalLoad, now: float, transmissions: int = TRANSMISSIONS) -> LoadSignal:
-        """Returns the next signal, with each change sent so many times as long as newer ones leave room.
+        """Return the next signal, which fits into one datagram; changes without room are left for the next signal.
 
-        All of it fits into one datagram, so that no part can overtake another; what does not fit goes with the next.
+        Args:
+            local_load: Current load of this relay.
+            now: Current time in milliseconds.
+            transmissions: Number of signals that carry each change, unless newer changes need the room.
         """
         self._signal_count += 1
         self._queue_changes(self._update_loads(local_load))
@@ -78,7 +84,7 @@
         return LoadSignal(base_version, version, changed, range_first, range_last, range_loads, ejected, reports)
 
     def full_signals(self) -> list[LoadSignal]:
-        """Returns all loads, in signals that each cover a range of backend keys."""
+        """Return all loads, in signals that each cover a range of backend keys."""
         keys = sorted(self.loads)
         signals = list[LoadSignal]()
         first = 0
@@ -90,7 +96,7 @@
         return signals
 
     def _update_loads(self, local_load: LocalLoad) -> list[int]:
-        """Takes over the current load; returns the backends where it changed noticeably."""
+        """Store the current load, and return the keys of the backends whose load changed significantly."""
         loads = self.loads
         changed = []
         for key, (connections, load) in islice(local_load.loads.items(), MAX_KEYS):
@@ -110,7 +116,7 @@
             self.pending.append(VersionChanges(self.version, changed[start : start + MAX_CHANGES_PER_VERSION]))
 
     def _new_reports(self, local_load: LocalLoad, now: float) -> list[int]:
-        """Returns the recent load reports that were not sent yet, as entries of four figures."""
+        """Return the recent load reports of backends that were not sent yet, as entries of four values."""
         entries = list[int]()
         for key, (utilization, connections, age_ms) in local_load.reports.items():
             last_sent = self._reports_sent.get(key, -inf)
@@ -123,9 +129,9 @@
         return entries
 
     def _discard_pending(self, transmissions: int, max_entries: int) -> None:
-        """Removes what was sent often enough, and the oldest where there is no room.
+        """Discard changes that were sent often enough, and the oldest ones if there is no room for all.
 
-        A peer that misses a version discarded unsent requests all loads.
+        A peer that misses a version notices the gap and requests all loads.
         """
         pending = self.pending
         while len(pending) > MAX_PENDING_VERSIONS:
@@ -136,7 +142,7 @@
             pending.popleft()
 
     def _select_changes(self, base_version: int, max_entries: int) -> tuple[int, dict[int, None]]:
-        """Returns the version up to which the changes fit, and their backend keys in order."""
+        """Return the version up to which the changes fit into the signal, and their backend keys in order."""
         version = base_version
         keys = dict[int, None]()
         for changes in self.pending:
@@ -149,7 +155,7 @@
         return version, keys
 
     def _next_range(self, max_entries: int) -> tuple[int, int, list[int]]:
-        """Returns the first and last key of the next range of all loads, and its entries."""
+        """Return the first and last key of the next range, and the entries of all loads within it."""
         if self._range_start > MAX_UINT32:
             self._range_start = 0
         first = self._range_start
@@ -163,7 +169,7 @@
 
 
 def to_uint32(value: float) -> int:
-    """Returns the value rounded to an integer that the wire format can hold."""
+    """Return the value rounded and clamped to an unsigned 32-bit integer, as the wire format requires."""
     return min(max(int(value + 0.5), 0), MAX_UINT32)
 
 
--- a/yarrowspindle/membership/members.py
+++ b/yarrowspindle/membership/members.py
@@ -1,10 +1,10 @@
-"""The table of members, by SWIM's rules of precedence, and the updates that spread it by gossip.
+"""The membership table, with SWIM's rules of precedence, and the queue of updates to gossip.
 
-The rules, each held by a test in tests/membership/test_members.py:
-1. Of two updates on one member, the one with the later (incarnation, refutations, state) wins.
-2. Only the member itself raises its refutations, so that an old update cannot bring it back.
-3. An incarnation that left never returns. A dead one returns only by a further refutation.
-4. No wall clock decides: a process whose incarnation turns out to be too low takes a higher one.
+The rules, each covered by a test in tests/membership/test_members.py:
+1. Of two updates about a member, the one with the greater (incarnation, refutations, state) wins.
+2. Only the member itself increases its refutations, so that an old update cannot revive it.
+3. An incarnation that left never returns. An incarnation declared dead returns only by a further refutation.
+4. Correctness does not depend on wall clocks: a process whose incarnation proves too low takes a higher one.
 """
 
 from __future__ import annotations
@@ -17,17 +17,24 @@
 from yarrowspindle.membership.messages import MAX_UPDATES_PER_DATAGRAM, MembershipUpdate, MemberState
 from yarrowspindle.routing.address import Address
 
-MAX_MEMBERS = 4096  # names remembered, those of dead members included
-RETRANSMIT_MULTIPLE = 3.0  # times log2 of the cluster's size that an update is sent
+MAX_MEMBERS = 4096  # table size, including members that are dead or left
+RETRANSMIT_MULTIPLE = 3.0  # transmissions of an update per log2 of the cluster size
 VIEW_DIGEST_BYTES = 6
-MAX_UPDATE_OVERHEAD_BYTES = 36  # of an encoded update, beside its texts
+MAX_UPDATE_OVERHEAD_BYTES = 36  # encoded size of an update without its strings
 
 
 @dataclass(slots=True)
 class Member:
-    """What this relay knows of a member. Times are in milliseconds of this relay's clock.
-
-    state_since: when the state was set. last_heard: when the member itself last sent a datagram, -1 for never.
+    """An entry of the membership table. Times are in milliseconds of this relay's clock.
+
+    Attributes:
+        name: Name of the member.
+        address: Address that the member advertises.
+        incarnation: Incarnation of the member's process.
+        refutations: Number of refutations by the member within this incarnation.
+        state: State of the member.
+        state_since: When the state was set.
+        last_heard: When the member itself last sent a datagram; -1 for never.
     """
 
     name: str
@@ -40,17 +47,17 @@
 
     @property
     def present(self) -> bool:
-        """Whether the member is in the cluster; a suspected one still is."""
+        """Whether the member is in the cluster, that is alive or suspected."""
         return self.state <= MemberState.SUSPECT
 
     def to_update(self, suspected_by: str = "") -> MembershipUpdate:
-        """Returns the member's entry as an update to send."""
+        """Return the member's entry as an update to send."""
         return MembershipUpdate(self.name, *self.address, self.incarnation, self.refutations, self.state, suspected_by)
 
 
 @dataclass(slots=True, frozen=True)
 class MemberChange:
-    """A member after an update changed it. `previous_state` is None where the member was not known."""
+    """A member after an update changed it; `previous_state` is None for a member that was not known before."""
 
     member: Member
     previous_state: MemberState | None
@@ -63,15 +70,19 @@
 
 
 class Members:
-    """The members by name, this relay included, and the updates still to be spread.
+    """The members by name, including this relay, and the updates that are still to be gossiped.
 
-    displaced: a later process at another address has this relay's name.
+    Attributes:
+        local: The entry of this relay.
+        table: Entries by member name.
+        updates: Queued updates and the number of their transmissions, by member name, the newest last.
+        superseded: Whether a later process at another address has taken this relay's name.
     """
 
     def __init__(self, name: str, address: Address, incarnation: int, now: float) -> None:
         self.local = Member(name, address, incarnation, 0, MemberState.ALIVE, now, now)
         self.table: dict[str, Member] = {name: self.local}
-        self.updates: dict[str, tuple[MembershipUpdate, int]] = {}  # newest last, with the number of transmissions
+        self.updates: dict[str, tuple[MembershipUpdate, int]] = {}
         self.superseded = False
         self._view_digest: int | None = None
         self._size = 1
@@ -84,19 +95,19 @@
 
     @property
     def size(self) -> int:
-        """The number of members that are present, this relay included."""
+        """The number of present members, including this relay."""
         return self._size
 
     @property
     def names(self) -> list[str]:
-        """The sorted names of the members that are present."""
+        """The sorted names of the present members."""
         if self._names is None:
             self._names = sorted(member.name for member in self.table.values() if member.present)
         return self._names
 
     @property
     def view_digest(self) -> int:
-        """A digest of the members that are present and their incarnations; equal at relays that agree."""
+        """A digest of the present members and their incarnations; equal on relays whose views agree."""
         if self._view_digest is None:
             members = sorted(self.table.values(), key=lambda member: member.name)
             text = ";".join(f"{member.name},{member.incarnation}" for member in members if member.present)
@@ -105,7 +116,7 @@
         return self._view_digest
 
     def describe(self) -> str:
-        """Returns the number of members in each state, for the log."""
+        """Return the number of members in each state as text for log lines."""
         counts = dict.fromkeys(MemberState, 0)
         for member in self.table.values():
             counts[member.state] += 1
@@ -114,7 +125,11 @@
     # --- updates --------------------------------------------------------------------------------
 
     def apply(self, update: MembershipUpdate, now: float) -> MemberChange | None:
-        """Applies an update from any relay; returns the change it made, if any. What changed is spread further."""
+        """Apply an update from any relay, and gossip it further if it changed anything.
+
+        Returns:
+            The change, or None if the update is obsolete.
+        """
         if update.name == self.local.name:
             return self._apply_to_local(update, now)
         known = self.table.get(update.name)
@@ -138,7 +153,7 @@
         return self._record_change(known, previous_state, update, new_incarnation)
 
     def apply_local_observation(self, name: str, state: MemberState, now: float) -> MemberChange | None:
-        """Applies the state that this relay itself found a member to be in."""
+        """Apply a member's state as this relay itself observed it."""
         member = self.table.get(name)
         if member is None or member is self.local:
             return None
@@ -146,18 +161,18 @@
         return self.apply(update, now)
 
     def leave(self, now: float) -> None:
-        """Marks this relay as having left, and spreads that."""
+        """Mark this relay as having left, and queue the update."""
         self.local.state = MemberState.LEFT
         self.local.state_since = now
         self.enqueue_update(self.local.to_update())
 
     def remove_ended(self, before: float) -> None:
-        """Removes the members that ended before this time."""
+        """Remove the members that have been dead or left since before this time."""
         for name in [m.name for m in self.table.values() if not m.present and m.state_since < before]:
             self._remove(name)
 
     def _add(self, update: MembershipUpdate, now: float) -> MemberChange | None:
-        # An update on the end of an unknown member is not spread: it would circulate for ever.
+        # A dead or left member that is not known is ignored: relays would gossip its update to each other forever.
         if update.state in (MemberState.DEAD, MemberState.LEFT) or not self._make_room():
             return None
         address = (update.host, update.port)
@@ -175,10 +190,10 @@
         self.superseded = False
         if update.incarnation > local.incarnation:
             if claims_present and (update.host, update.port) != local.address:
-                # A later process at another address has this name; the name is not disputed until it has ended.
+                # A later process at another address has this name and keeps it until that process ends.
                 self.superseded = True
                 return None
-            # An earlier process of this relay, whose clock was ahead: this process is the later one all the same.
+            # The update is about an earlier process of this relay whose clock was ahead: take a higher incarnation.
             local.incarnation = update.incarnation + 1
             local.refutations = 0
             self._view_digest = None
@@ -190,7 +205,11 @@
         return MemberChange(local, update.state)
 
     def _make_room(self) -> bool:
-        """Removes the member that ended first where the table is full; returns whether one more member fits."""
+        """If the table is full, evict the member that has been dead or left the longest.
+
+        Returns:
+            Whether one more member fits.
+        """
         if len(self.table) < MAX_MEMBERS:
             return True
         ended = (member for member in self.table.values() if not member.present)
@@ -223,19 +242,21 @@
     # --- gossip ---------------------------------------------------------------------------------
 
     def enqueue_update(self, update: MembershipUpdate) -> None:
-        """Queues an update to be sent with the next datagrams, in place of an earlier one on the same member."""
+        """Queue an update for the next datagrams; it replaces a queued update about the same member."""
         self.updates.pop(update.name, None)
         self.updates[update.name] = (update, 0)
 
     def take_updates(self, max_bytes: int, priority_member: str = "") -> list[MembershipUpdate]:
-        """Returns the updates for one datagram: the least transmitted and newest that fit into so many bytes.
+        """Return the updates to include in a datagram: the least transmitted ones first, of these the newest.
 
-        An update on the member named `first` goes before all others.
+        Args:
+            max_bytes: Maximum encoded size of the updates.
+            priority_member: Name of a member whose update is included before all others.
         """
         if not self.updates:
             return []
         max_transmissions = ceil(RETRANSMIT_MULTIPLE * log2(self.size + 2))
-        # Reversed before a stable sort: of equals the newest goes first.
+        # The sort is stable, so reversing the items first puts the newest of equally often sent updates first.
         order = sorted(reversed(self.updates.items()), key=lambda item: (item[0] != priority_member, item[1][1]))  # noqa: C414  # stable
         selected = list[MembershipUpdate]()
         for name, (update, transmissions) in order:
@@ -251,7 +272,7 @@
 
 
 def max_update_bytes(update: MembershipUpdate) -> int:
-    """Returns the most bytes that the update takes in MessagePack."""
+    """Return the maximum encoded size of an update in MessagePack."""
     name_bytes = len(update.name.encode())
     suspected_by_bytes = len(update.suspected_by.encode())
     return MAX_UPDATE_OVERHEAD_BYTES + name_bytes + len(update.host) + suspected_by_bytes
--- a/yarrowspindle/membership/messages.py
+++ b/yarrowspindle/membership/messages.py
@@ -1,6 +1,6 @@
-"""The messages between relays: plain structs, encoded as MessagePack arrays.
+"""The messages between relays: structs that are encoded as MessagePack arrays.
 
-The order of the fields is the wire format; their names are not sent.
+The order of the fields is part of the wire format; their names are not sent.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 
 class MemberState(IntEnum):
-    """The state of a member. Of two updates with the same incarnation and refutations the greater state wins."""
+    """The state of a member. Of two updates with equal incarnation and refutations, the one of greater state wins."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -42,8 +42,14 @@
 class MembershipUpdate(Struct, array_like=True, frozen=True):
     """One relay's view of a member, spread by gossip.
 
-    incarnation: of the member's process. refutations: how often the member has refuted within this incarnation; only
-    the member itself raises it. suspected_by: the relay that suspects it, of a suspicion.
+    Attributes:
+        name: Name of the member.
+        host: IPv4 address that the member advertises.
+        port: UDP port that the member advertises.
+        incarnation: Incarnation of the member's process.
+        refutations: Number of refutations by the member within this incarnation; only the member itself increases it.
+        state: State of the member.
+        suspected_by: Name of the relay that suspects the member; empty unless the state is `SUSPECT`.
     """
 
     name: Name
@@ -56,9 +62,12 @@
 
 
 class Ping(Struct, array_like=True, tag=1, frozen=True):
-    """A probe of `target`. A relay of another name that listens at its address must not acknowledge it.
+    """A probe of the member `target`. A relay of another name at the same address must not acknowledge it.
 
-    view_digest: of the sender's members, so that a difference shows.
+    Attributes:
+        number: Number of the ping; repeated in the answer.
+        target: Name of the probed member.
+        view_digest: Digest of the sender's members, by which the receiver detects that its own view differs.
     """
 
     number: Uint53
@@ -67,7 +76,7 @@
 
 
 class Ack(Struct, array_like=True, tag=2, frozen=True):
-    """The answer to a ping. `responder` is the probed member, also where a helper forwards the answer."""
+    """The answer to a ping. `responder` is the probed member, even if a helper forwards the answer."""
 
     number: Uint53
     view_digest: Uint53
@@ -75,7 +84,7 @@
 
 
 class PingRequest(Struct, array_like=True, tag=3, frozen=True):
-    """Asks a helper to ping `target` on behalf of the sender; answered by `Ack` or `Nack`."""
+    """A request to a helper to ping `target` on behalf of the sender; answered by `Ack` or `Nack`."""
 
     number: Uint53
     target: Name
@@ -84,28 +93,34 @@
 
 
 class Nack(Struct, array_like=True, tag=4, frozen=True):
-    """The helper has no answer from the target either; it shows that the path to the helper works."""
+    """A helper's report that the target has not answered it either; it shows that the path to the helper works."""
 
     number: Uint53
 
 
 class SyncRequest(Struct, array_like=True, tag=5, frozen=True):
-    """Carries membership updates only.
+    """A message that only carries membership updates.
 
-    wants_table: the sender's whole table is in this datagram and those that follow, and it asks for the receiver's.
+    Attributes:
+        wants_table: Whether the sender, which sends its whole table in this and the following datagrams, asks for the
+            receiver's table.
     """
 
     wants_table: bool = False
 
 
 class LoadSignal(Struct, array_like=True, tag=6, frozen=True):
-    """The load that the sender places on the backends, in absolute figures.
-
-    base_version, version: `changed` holds every backend whose load changed after the first, up to the second.
-    changed, range_loads: three figures each: backend key, connections, load.
-    range_first, range_last: `range_loads` is all the load on backends with keys in this inclusive range.
-    ejected: two figures each: backend key, milliseconds for which the sender still ejects it.
-    reports: four figures each: backend key, utilization in thousandths, connections, age in milliseconds.
+    """The load that the sender places on the backends, in absolute values.
+
+    Attributes:
+        base_version: Version after which `changed` begins.
+        version: Version up to which `changed` is complete: it contains each backend whose load changed in between.
+        changed: Entries of three values: backend key, connections, load.
+        range_first: First backend key of the range that `range_loads` covers.
+        range_last: Last backend key of that range, inclusive.
+        range_loads: All loads in the range, as entries of three values like `changed`.
+        ejected: Entries of two values: backend key, remaining milliseconds of the sender's outlier ejection.
+        reports: Entries of four values: backend key, utilization in thousandths, connections, age in milliseconds.
     """
 
     base_version: Uint53
@@ -119,11 +134,11 @@
 
 
 class FullLoadRequest(Struct, array_like=True, tag=7, frozen=True):
-    """Some load signals were lost: asks for all of the receiver's load."""
+    """A request for all of the receiver's load, sent after load signals were lost."""
 
 
 class Payload(Struct, array_like=True, tag=8, frozen=True):
-    """Data of another subsystem, sent from one relay to another; limited by the size of a datagram."""
+    """Data of another subsystem, sent from one relay to another and limited by the datagram size."""
 
     data: bytes
 
@@ -132,7 +147,7 @@
 
 
 class Datagram(Struct, array_like=True, frozen=True):
-    """A message with its sender. `sent_at` is in milliseconds of the sender's monotonic clock."""
+    """A message and its sender. `sent_at` is in milliseconds of the sender's monotonic clock."""
 
     version: int
     cluster: Annotated[str, Meta(max_length=MAX_NAME_BYTES)]
@@ -152,12 +167,12 @@
 
     @property
     def sender_update(self) -> MembershipUpdate:
-        """The sender's claim that it is alive."""
+        """The sender as an update in state `ALIVE`."""
         return MembershipUpdate(self.name, self.host, self.port, self.incarnation, self.refutations, MemberState.ALIVE)
 
 
 class ChecksummedDatagram(Struct, array_like=True, frozen=True):
-    """An encoded datagram with its CRC-32: UDP's own checksum does not catch all corruption on the way."""
+    """An encoded datagram with its CRC-32, as UDP's own checksum does not detect all corruption in transit."""
 
     checksum: Annotated[int, Meta(ge=0, lt=1 << 32)]
     datagram: msgspec.Raw
--- a/yarrowspindle/membership/probing.py
+++ b/yarrowspindle/membership/probing.py
@@ -1,4 +1,4 @@
-"""SWIM's probes: a ping to one member per interval, pings through helpers where it does not answer, suspicion after."""
+"""SWIM's probing: pings one member per interval, asks helpers for indirect pings on a timeout, and then suspects it."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 from yarrowspindle.membership.timers import DirectProbeTimeout, PeriodicTimer, RelayedPingTimeout
 from yarrowspindle.membership.update_dissemination import UpdateDissemination
 
-MAX_PINGS = 1024  # awaiting an answer
-MAX_CLOCK_PINGS = 10  # in a probe interval, to peers whose clock is not known
-PING_LIFETIME_INTERVALS = 8.0  # probe intervals after which an unanswered ping is forgotten
+MAX_PINGS = 1024  # that await an answer
+MAX_CLOCK_PINGS = 10  # additional pings per probe interval to peers whose clock offset is unknown
+PING_LIFETIME_INTERVALS = 8.0  # probe intervals after which an unanswered ping is dropped
 
 
 @dataclass(slots=True, frozen=True)
@@ -28,16 +28,18 @@
 
 @dataclass(slots=True, frozen=True)
 class RelayedPing:
-    """The relay that asked for a ping, and the number under which it expects the answer."""
+    """The relay that asked for an indirect ping, and the ping number that it expects in the answer."""
 
     requester: str
     number: int
 
 
 class Probing:
-    """Pings peers, and answers their pings and requests for pings.
+    """Pings peers, and answers their pings and ping requests.
 
-    pings: those that await their answer, by number. relayed_pings: those of them sent on behalf of a peer.
+    Attributes:
+        pings: Pings that await an answer, by number.
+        relayed_pings: Those of them that were sent on behalf of a peer, by number.
     """
 
     def __init__(self, context: MembershipContext, updates: UpdateDissemination, full_sync: FullSync) -> None:
@@ -51,17 +53,17 @@
     # --- messages -------------------------------------------------------------------------------
 
     def on_ping(self, member: Member, datagram: Datagram, ping: Ping) -> None:
-        """Answers a ping to this relay."""
+        """Answer a ping that is addressed to this relay's name."""
         members = self._context.members
         if ping.target != members.local.name:
             return
-        members.superseded = False  # the sender has this relay under its name
+        members.superseded = False  # the sender's table has this relay's address under this name
         ack = Ack(ping.number, members.view_digest, ping.target)
         self._context.send(datagram.address, ack, priority_member=datagram.name)
         self._full_sync.compare_views(member, ping.view_digest)
 
     def on_ack(self, member: Member, datagram: Datagram, ack: Ack) -> None:
-        """Takes an answer for the probe in progress, and forwards it where a peer asked for the ping."""
+        """Record the answer to a ping, and forward it if a peer had asked for the ping."""
         context = self._context
         ping = self.pings.pop(ack.number, None)
         if ping is None or ping.target != ack.responder:
@@ -81,7 +83,7 @@
                 context.send(requester.address, Ack(relayed.number, ack.view_digest, ack.responder))
 
     def on_ping_request(self, member: Member, datagram: Datagram, request: PingRequest) -> None:
-        """Pings a member on behalf of the sender."""
+        """Ping a member on behalf of the sender."""
         context = self._context
         if request.target == context.members.local.name or len(self.relayed_pings) >= MAX_PINGS:
             return
@@ -93,7 +95,7 @@
         context.set_timer(NACK_FRACTION * context.detector.probe_ms, RelayedPingTimeout(number))
 
     def on_nack(self, member: Member, datagram: Datagram, nack: Nack) -> None:
-        """Counts a helper that has no answer for the probe in progress."""
+        """Count a helper that has no answer from the target of the probe in progress."""
         probe = self._context.detector.probe
         if probe is not None and probe.number == nack.number:
             probe.nacks += 1
@@ -101,15 +103,18 @@
     # --- timers ---------------------------------------------------------------------------------
 
     def check_stall(self, deadline: float) -> None:
-        """Notices by a late probe timer that this process was stalled."""
+        """Detect a stall of this process by a late probe timer."""
         context = self._context
         delay_ms = context.now - deadline
         if context.detector.detect_stall(delay_ms, context.now):
             context.counts["stood"] += 1
-            context.log(f"this relay was stalled for {delay_ms:.0f} ms: it suspects no member for a while")
+            context.log(
+                f"this relay was stalled: its probe timer fired {delay_ms:.0f} ms late; "
+                "it suspects no member until it has had time to read pending answers"
+            )
 
     def on_interval(self) -> None:
-        """Ends the probe in progress and starts the next."""
+        """End the probe in progress, and start the next one."""
         context = self._context
         peers = [member.name for member in context.present_peers()]
         unresponsive = context.detector.finish_probe(context.now)
@@ -124,7 +129,7 @@
         context.set_timer(context.detector.interval_ms, PeriodicTimer.PROBE)
 
     def on_direct_timeout(self, number: int) -> None:
-        """Asks helpers to ping the target of the probe in progress if it has not answered."""
+        """Ask helpers for indirect pings if the target of the probe in progress has not answered."""
         context = self._context
         probe = context.detector.probe
         if probe is None or probe.number != number or probe.answered:
@@ -142,7 +147,7 @@
             context.send(helper.address, PingRequest(number, target.name, *target.address))
 
     def on_relayed_timeout(self, number: int) -> None:
-        """Reports to the relay that asked for a ping that there is no answer yet."""
+        """Send a nack to the relay that asked for an indirect ping if there is no answer yet."""
         relayed = self.relayed_pings.get(number)
         if relayed is None:
             return
--- a/yarrowspindle/membership/rate_limits.py
+++ b/yarrowspindle/membership/rate_limits.py
@@ -1,4 +1,4 @@
-"""Limits on what one source may cost this relay. Times are milliseconds of a monotonic clock."""
+"""Rate limits on received datagrams and on full syncs. Times are milliseconds of a monotonic clock."""
 
 from __future__ import annotations
 
@@ -7,22 +7,22 @@
 from yarrowspindle.routing.address import Address
 
 SOURCE_WINDOW_MS = 1000.0
-MAX_DATAGRAMS_PER_SOURCE = 1000  # in a window
-MAX_SOURCES = 1024  # in a window
+MAX_DATAGRAMS_PER_SOURCE = 1000  # per window
+MAX_SOURCES = 1024  # per window
 MAX_FULL_SYNCS_PER_S = 8.0
-FULL_SYNC_INTERVAL_MS = 1000.0  # at least, between two to the same peer
+FULL_SYNC_INTERVAL_MS = 1000.0  # minimum between two full syncs of one kind to the same peer
 MAX_TRACKED_SYNCS = 1024
 
 
 class SourceLimiter:
-    """Limits the datagrams accepted in one second, by source address."""
+    """Limits the datagrams accepted per second from each source address, and the number of source addresses."""
 
     def __init__(self, now: float) -> None:
         self._window_start = now
         self._datagrams: Counter[Address] = Counter()
 
     def accept(self, source: Address, now: float) -> bool:
-        """Whether one more datagram of this source may be processed."""
+        """Return whether one more datagram of this source may be processed, and if so count it."""
         if now >= self._window_start + SOURCE_WINDOW_MS:
             self._window_start = now
             self._datagrams.clear()
@@ -33,7 +33,7 @@
 
 
 class FullSyncLimiter:
-    """A token bucket for full syncs, with a pause between two syncs of one kind to one peer."""
+    """A token bucket for full syncs, with a minimum interval between two syncs of one kind to one peer."""
 
     def __init__(self, now: float) -> None:
         self._tokens = MAX_FULL_SYNCS_PER_S
@@ -41,7 +41,7 @@
         self._last_sent: dict[tuple[str, str], float] = {}
 
     def accept(self, kind: str, peer: str, now: float) -> bool:
-        """Whether a full sync of this kind may be sent to the peer; counts it if so."""
+        """Return whether a full sync of this kind may be sent to the peer, and if so take a token."""
         refill = (now - self._refilled_at) * MAX_FULL_SYNCS_PER_S / 1000.0
         self._tokens = min(MAX_FULL_SYNCS_PER_S, self._tokens + refill)
         self._refilled_at = now
--- a/yarrowspindle/membership/timers.py
+++ b/yarrowspindle/membership/timers.py
@@ -17,14 +17,14 @@
 
 @dataclass(slots=True, frozen=True)
 class DirectProbeTimeout:
-    """The direct ping of the current probe has had its time; `number` is the ping's."""
+    """The timeout of the direct ping of the current probe; `number` is the ping's number."""
 
     number: int
 
 
 @dataclass(slots=True, frozen=True)
 class RelayedPingTimeout:
-    """A ping sent on behalf of a peer has had its time; `number` is the ping's."""
+    """The timeout of a ping that was sent on behalf of a peer; `number` is the ping's number."""
 
     number: int
 
--- a/yarrowspindle/membership/update_dissemination.py
+++ b/yarrowspindle/membership/update_dissemination.py
@@ -1,4 +1,4 @@
-"""Applies membership updates and findings of this relay, and announces the changes they make."""
+"""Applies membership updates and this relay's own observations, and logs, counts and gossips the resulting changes."""
 
 from __future__ import annotations
 
@@ -22,23 +22,24 @@
         self._context = context
 
     def apply(self, update: MembershipUpdate) -> None:
-        """Applies an update that a peer sent."""
+        """Apply an update that a peer sent."""
         context = self._context
         was_superseded = context.members.superseded
         change = context.members.apply(update, context.now)
         if update.state == MemberState.SUSPECT and self._shares_suspicion(update) and change is None:
-            # One more relay shares the suspicion, which shortens it at other relays too.
+            # One more relay shares the suspicion; gossiping this shortens the suspicion at other relays too.
             context.members.enqueue_update(update)
         if change is not None:
             self._announce(change)
         elif context.members.superseded and not was_superseded:
             context.log(
                 f"another relay at {update.host}:{update.port} has the name {update.name} and started later: "
-                "this relay stays silent towards its peers until that one has ended"
+                "this relay neither probes its peers nor reports its load to them until that relay has ended; "
+                "give each relay a unique name"
             )
 
     def suspect(self, name: str) -> None:
-        """Records that this relay suspects a member that did not answer a probe."""
+        """Suspect a member that did not answer a probe of this relay."""
         context = self._context
         member = context.members.table.get(name)
         if member is None or not member.present:
@@ -47,14 +48,16 @@
         change = context.members.apply_local_observation(name, MemberState.SUSPECT, context.now)
         if context.detector.add_suspicion(name, member.incarnation, member.refutations, local_name, context.now):
             context.counts["suspicions"] += 1
-            context.log(f"relay {name} is suspected: no answer to a probe, directly or through {MAX_HELPERS} others")
+            context.log(
+                f"relay {name} is suspected: no answer to a probe, directly or through up to {MAX_HELPERS} peers"
+            )
             if change is None:  # a peer suspected it before
                 context.members.enqueue_update(member.to_update(local_name))
         if change is not None:
             self._announce(change)
 
     def expire_suspicions(self) -> None:
-        """Declares the members dead whose suspicion was not refuted in time."""
+        """Declare members dead whose suspicion was not refuted in time."""
         context = self._context
         for name in context.detector.expired_suspicions(context.members.size, context.now):
             context.detector.clear_suspicion(name)
@@ -63,7 +66,7 @@
                 self._announce(change)
 
     def _shares_suspicion(self, update: MembershipUpdate) -> bool:
-        """Records the relay that suspects a member; returns whether that is new."""
+        """Record the relay that shares a suspicion of a member, and return whether this relay did not know that yet."""
         context = self._context
         member = context.members.table.get(update.name)
         if member is None or member.state != MemberState.SUSPECT or not update.suspected_by:
@@ -93,6 +96,6 @@
 
     def _announce_refutation(self, change: MemberChange) -> None:
         if change.previous_state in (MemberState.SUSPECT, MemberState.DEAD):
-            # Peers did not receive our answers in time: this relay itself may be slow.
+            # Peers did not receive this relay's answers in time: it may itself be slow.
             self._context.detector.adjust_health(1)
             self._context.counts["refuted"] += 1
