--- a/yarrowspindle/membership/update_dissemination.py
+++ b/yarrowspindle/membership/update_dissemination.py
@@ -26,7 +26,7 @@
         context = self._context
         was_superseded = context.members.superseded
         change = context.members.apply(update, context.now)
-        if update.state == MemberState.SUSPECT and self._shares_suspicion(update) and change is None:
+        if update.state == MemberState.SUSPECT and self._record_shared_suspicion(update) and change is None:
             # One more relay shares the suspicion; gossiping this shortens the suspicion at other relays too.
             context.members.enqueue_update(update)
         if change is not None:
@@ -65,7 +65,7 @@
             if change is not None:
                 self._announce(change)
 
-    def _shares_suspicion(self, update: MembershipUpdate) -> bool:
+    def _record_shared_suspicion(self, update: MembershipUpdate) -> bool:
         """Record the relay that shares a suspicion of a member, and return whether this relay did not know that yet."""
         context = self._context
         member = context.members.table.get(update.name)
--- a/yarrowspindle/rebalancing/assessment.py
+++ b/yarrowspindle/rebalancing/assessment.py
@@ -78,7 +78,7 @@
     newcomer_headroom = 0.0
     for record in assessment.participants:
         _classify(now, record, assessment, settings)
-        _track_hot(now, record, assessment.mean_utilization, mean_load, settings)
+        _update_hot_since(now, record, assessment.mean_utilization, mean_load, settings)
         newcomer_headroom += _newcomer_headroom(now, record, assessment.mean_utilization, view, settings)
     if newcomer_headroom > max(0.0, mean_load * MIN_NEWCOMER_HEADROOM):
         _attribute_to_newcomers(assessment, newcomer_headroom, settings)
@@ -110,7 +110,7 @@
     return (mean_utilization * (1.0 - settings.spread) - record.utilization) * record.capacity
 
 
-def _track_hot(
+def _update_hot_since(
     now: float, record: BackendRecord, mean_utilization: float, mean_load: float, settings: RebalanceSettings
 ) -> None:
     """Update the time since which the backend's utilization has exceeded both spread and random variation."""
