--- a/yarrowspindle/membership/full_sync.py
+++ b/yarrowspindle/membership/full_sync.py
@@ -90,7 +90,7 @@
                 context.send(member.address, SyncRequest(wants_table), updates)
                 room = MAX_DATAGRAM_BYTES - MAX_HEADER_BYTES
                 updates = []
-                wants_table = False  # only the first datagram asks
+                wants_table = False  # only the first datagram asks for the receiver's table
             updates.append(update)
             room -= max_update_bytes(update)
         context.send(member.address, SyncRequest(wants_table), updates)
--- a/yarrowspindle/membership/local_load_log.py
+++ b/yarrowspindle/membership/local_load_log.py
@@ -1,7 +1,7 @@
 """The load that this relay reports to its peers: incremental changes, and all loads on request.
 
 A change is repeated in several consecutive signals, as some may be lost. Every few signals also carry the loads of a
-range of backend keys, so that the peers' views converge in any case.
+range of backend keys, so that the peers' views converge even if a loss goes unnoticed.
 """
 
 from __future__ import annotations
@@ -55,7 +55,7 @@
         self.pending: deque[VersionChanges] = deque()
         self._signal_count = 0
         self._range_start = 0
-        self._reports_sent: dict[int, float] = {}  # by backend key: when the report sent last was made
+        self._reports_sent: dict[int, float] = {}  # when the last sent report was made, by backend key
 
     def next_signal(self, local_load: LocalLoad, now: float, transmissions: int = TRANSMISSIONS) -> LoadSignal:
         """Return the next signal, which fits into one datagram; changes without room are left for the next signal.
--- a/yarrowspindle/rebalancing/migration_monitor.py
+++ b/yarrowspindle/rebalancing/migration_monitor.py
@@ -34,11 +34,11 @@
 class PauseCause(StrEnum):
     """Why migrations are paused; the values appear in log lines and metric names."""
 
-    RESET_STORM = "storm"
-    REJECTIONS = "refusals"
-    STILL_PAUSED = "pausing"
-    CLIENTS_LOST = "lost"
-    NO_EFFECT = "no-effect"
+    RESET_STORM = "storm"  # many connections were reset within a short time
+    REJECTIONS = "refusals"  # many requests were rejected within a short time
+    STILL_PAUSED = "pausing"  # the current pause has not elapsed
+    CLIENTS_LOST = "lost"  # too few of the migrated clients returned
+    NO_EFFECT = "no-effect"  # the excess did not fall although connections were migrated
 
     @property
     def is_ineffective(self) -> bool:
@@ -58,7 +58,8 @@
         target_failures: Failed attempts of returning clients since the last success, by backend name.
         pause_cause: Why migrations are paused; None if they are not.
         paused_until: End of the pause in milliseconds.
-        ineffective_pauses: Number of consecutive pauses for an ineffective cause; each is twice as long as the last.
+        ineffective_pauses: Number of consecutive pauses for an ineffective cause, at most MAX_PAUSE_DOUBLINGS; each is
+            twice as long as the one before.
         period_migrations: Migrations in the current effectiveness period.
     """
 
