--- a/yarrowspindle/consensus/__init__.py
+++ b/yarrowspindle/consensus/__init__.py
@@ -1,6 +1,7 @@
 """A replicated register: one state, replaced as a whole, on which a majority of acceptors agrees (single-decree Paxos).
 
-Each change of the register is one round that reads the state and writes its successor. `messages` holds what
-proposers and acceptors exchange, `acceptor` what an acceptor promises and stores, `proposer` how a round is run, and
-`replicated_state` what the register requires of a state. All modules are pure: the caller sends, stores and keeps time.
+Each change of the register is one round that reads the state and writes its successor. `messages` defines the messages
+between proposers and acceptors, `acceptor` the promises and the state that an acceptor stores, `proposer` the rounds,
+and `replicated_state` the interface that a state must have. All modules are free of I/O: the caller sends messages,
+writes files and provides the clock.
 """
--- a/yarrowspindle/consensus/acceptor.py
+++ b/yarrowspindle/consensus/acceptor.py
@@ -1,4 +1,4 @@
-"""An acceptor: it promises ballots and accepts states, and stores both before it answers."""
+"""The acceptor: promises ballots and accepts states, and stores both before it responds."""
 
 from __future__ import annotations
 
@@ -9,24 +9,33 @@
 from yarrowspindle.consensus.messages import Accept, Accepted, Ballot, Prepare, Promise, Rejected
 from yarrowspindle.consensus.replicated_state import StateT
 
-PROMISE_VALIDITY_MS = 1000.0  # an accept that comes later than this after its promise is rejected
+PROMISE_VALIDITY_MS = 1000.0  # an `Accept` that arrives later than this after its promise is rejected
 
 
 @dataclass(slots=True, frozen=True)
 class AcceptorState(Generic[StateT]):
-    """What an acceptor must not forget: its promise and the state that it accepted last. Stored by field name."""
+    """The durable state of an acceptor: its promise and the state that it accepted last. Fields are stored by name.
 
-    identity: str  # of the file that it is stored in; a new file has a new one
+    Attributes:
+        identity: Identifies the file of this acceptor; each newly created file has a new identity.
+        promised: The highest ballot that was promised.
+        accepted: The ballot under which `state` was accepted.
+        state: The state that was accepted last.
+    """
+
+    identity: str
     promised: Ballot
-    accepted: Ballot  # the ballot that `state` was accepted under
+    accepted: Ballot
     state: StateT
 
 
 class Acceptor(Generic[StateT]):
-    """Answers the proposers.
+    """Responds to proposers' requests.
 
-    `store` writes and syncs a state. Where it raises, nothing was promised or accepted, and nothing is answered.
-    `now_ms` is the acceptor's own clock in milliseconds.
+    Args:
+        stored: The state that was read from the file.
+        store: Writes and syncs a state. If it raises, nothing has been promised or accepted, and no response is sent.
+        now_ms: Return the time of the acceptor's own clock in milliseconds.
     """
 
     def __init__(
@@ -41,7 +50,10 @@
         self.promised_at_ms = -PROMISE_VALIDITY_MS
 
     def on_message(self, message: Prepare | Accept[StateT]) -> Promise[StateT] | Accepted | Rejected[StateT]:
-        """Return the answer to a proposer. Raises what `store` raises; then there is no answer."""
+        """Return the response to a proposer's request.
+
+        An exception of `store` is propagated; the request then gets no response.
+        """
         stored = self.stored
         if message.identity != stored.identity:
             return Rejected(message.ballot, stored.promised, not_voter=True)
@@ -52,9 +64,9 @@
         return self._on_accept(message)
 
     def _on_prepare(self, message: Prepare) -> Promise[StateT] | Rejected[StateT]:
-        """Promise to accept nothing below this ballot, unless this ballot or a higher one was promised already.
+        """Promise to accept nothing below this ballot, unless this ballot or a higher one was already promised.
 
-        The promise is stored before it is answered: an acceptor that restarts must still keep it.
+        The promise is stored before the response is sent, because it binds the acceptor also after a restart.
         """
         stored = self.stored
         if message.ballot <= stored.promised:
@@ -72,9 +84,10 @@
         return Accepted(message.ballot, stored.identity)
 
     def _promise_expired(self, ballot: Ballot) -> bool:
-        """Whether this ballot was promised so long ago that its proposer has given up the round.
+        """Whether this ballot was promised more than PROMISE_VALIDITY_MS ago and nothing was accepted under it.
 
-        Not needed for safety: the change was computed for an earlier situation, and a rejected proposer retries.
+        Its proposer has then abandoned the round. This is not needed for safety, but the delayed proposal was computed
+        from outdated conditions; a proposer that is rejected retries with current ones.
         """
         awaiting_accept = ballot == self.stored.promised > self.stored.accepted
         return awaiting_accept and self.now_ms() > self.promised_at_ms + PROMISE_VALIDITY_MS
--- a/yarrowspindle/consensus/messages.py
+++ b/yarrowspindle/consensus/messages.py
@@ -1,4 +1,4 @@
-"""The messages between proposers and acceptors. Their field names are on the wire."""
+"""The messages between proposers and acceptors. Field names are part of the wire format."""
 
 from __future__ import annotations
 
@@ -7,15 +7,18 @@
 
 from yarrowspindle.consensus.replicated_state import StateT
 
-Ballot = tuple[int, str]  # the number of the round and the name of its proposer
+Ballot = tuple[int, str]  # round number and proposer name, compared in this order
 NO_BALLOT: Ballot = (0, "")  # lower than the ballot of any round
 
 
 @dataclass(slots=True, frozen=True)
 class Prepare:
-    """A proposer asks for a promise.
+    """Phase 1 request: a proposer asks an acceptor for a promise.
 
-    `identity` is the file that it expects the acceptor to have; `epoch` is that of the voter set it uses.
+    Attributes:
+        ballot: The ballot of the round.
+        epoch: The epoch of the voter set that the proposer uses.
+        identity: The identity that the proposer expects the acceptor's file to have.
     """
 
     ballot: Ballot
@@ -25,7 +28,10 @@
 
 @dataclass(slots=True, frozen=True)
 class Promise(Generic[StateT]):
-    """The acceptor will accept no lower ballot; `state` is what it last accepted, under the ballot `accepted`."""
+    """Phase 1 response: the acceptor will accept no lower ballot.
+
+    `state` is the state that it accepted last, under the ballot `accepted`.
+    """
 
     ballot: Ballot
     identity: str
@@ -35,7 +41,10 @@
 
 @dataclass(slots=True, frozen=True)
 class Accept(Generic[StateT]):
-    """A proposer asks the acceptor to accept a state. `identity` and `epoch` are as in `Prepare`."""
+    """Phase 2 request: a proposer asks an acceptor to accept a state.
+
+    `ballot` and `identity` are as in `Prepare`; `epoch` is the epoch of `state`.
+    """
 
     ballot: Ballot
     epoch: int
@@ -45,7 +54,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Accepted:
-    """The acceptor has stored the state of the `Accept` with this ballot."""
+    """Phase 2 response: the acceptor has stored the state of the `Accept` with this ballot."""
 
     ballot: Ballot
     identity: str
@@ -53,11 +62,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Rejected(Generic[StateT]):
-    """The acceptor did not promise or accept.
-
-    It has promised a higher ballot, or the proposer's epoch is old: `newer` is then the acceptor's state. That state
-    may not be committed, but its voters are the ones to ask. `not_voter`: the message was meant for a file of another
-    identity.
+    """Response of either phase: the acceptor did not promise or accept.
+
+    Attributes:
+        ballot: The ballot of the rejected request.
+        promised: The highest ballot that the acceptor has promised.
+        newer: The acceptor's state if the epoch of the request is older than that of this state. The state may not be
+            committed, but the next round has to use its voters.
+        not_voter: The receiver has no acceptor file, or a file of another identity than the request expects.
     """
 
     ballot: Ballot
--- a/yarrowspindle/consensus/proposer.py
+++ b/yarrowspindle/consensus/proposer.py
@@ -1,4 +1,4 @@
-"""A proposer: it runs one round at a time, which reads the register and writes what a change makes of the state."""
+"""The proposer: runs one round at a time, which reads the register and writes the state that a change returns."""
 
 from __future__ import annotations
 
@@ -10,6 +10,7 @@
 from yarrowspindle.consensus.messages import Accept, Accepted, Ballot, Prepare, Promise, Rejected
 from yarrowspindle.consensus.replicated_state import StateT, majority_size
 
+# Reasons of `RoundFailed`, which the status for operators reports.
 ANOTHER_PROPOSER = "another proposer"
 ANOTHER_VOTER_SET = "another voter set"
 TOO_FEW_VOTERS = "too few voters"
@@ -19,9 +20,15 @@
 class ProposalRound(Generic[StateT]):
     """A round in progress.
 
-    base: the state whose voters the round uses. newer_state: one of a later epoch that some acceptor has accepted,
-    committed or not. accepted_by: acceptors that have accepted `proposed`. required: acceptors without which a change
-    of the voter set cannot be committed.
+    Attributes:
+        ballot: The ballot of the round.
+        base: The state whose voters the round uses.
+        newer_state: A state of a later epoch that an acceptor has accepted, whether it is committed or not.
+        promises: The promises received so far, by the name of the acceptor.
+        proposed: The state that the acceptors were asked to accept; None in the first phase.
+        accepted_by: The acceptors that have accepted `proposed`.
+        required: If the voter set changes, the acceptors that all must accept `proposed`.
+        rejections: The number of rejections received so far.
     """
 
     ballot: Ballot
@@ -35,14 +42,14 @@
 
     @property
     def acceptors(self) -> dict[str, str]:
-        """The identities of all acceptors of the round by name: voters of the base and of the proposed state."""
+        """The identities, by name, of all acceptors of the round: the voters of the base and of the proposed state."""
         acceptors = dict(self.base.voters)
         if self.proposed is not None:
             acceptors |= self.proposed.voters
         return acceptors
 
     def has_majority(self) -> bool:
-        """Whether majorities of both voter sets, and all required acceptors, have accepted the proposed state."""
+        """Whether a majority of each voter set, and all required acceptors, have accepted the proposed state."""
         if self.proposed is None:
             return False
         for voters in (self.base.voters, self.proposed.voters):
@@ -53,7 +60,7 @@
 
 @dataclass(slots=True)
 class SendToAcceptor(Generic[StateT]):
-    """Effect: the message is to be sent to the acceptor of this name."""
+    """Effect: send the message to the acceptor with this name."""
 
     acceptor: str
     message: Prepare | Accept[StateT]
@@ -61,7 +68,7 @@
 
 @dataclass(slots=True)
 class Committed(Generic[StateT]):
-    """Effect: a state was read or written through a majority. changed: this round wrote it."""
+    """Effect: a majority has confirmed the state. `changed` is true if this round wrote it."""
 
     state: StateT
     changed: bool
@@ -69,7 +76,7 @@
 
 @dataclass(slots=True)
 class RoundFailed:
-    """Effect: the round was given up. What it proposed may have been committed, or may yet be."""
+    """Effect: the round was abandoned. The state that it proposed may be committed already, or may be later."""
 
     reason: str
 
@@ -78,18 +85,21 @@
 
 
 def no_change(state: StateT) -> StateT | None:
-    """The change that only reads."""
+    """Leave the state unchanged: the change of a round that only reads."""
     return None
 
 
 class Proposer(Generic[StateT]):
-    """Proposes changes of the register under ballots of its own name.
+    """Proposes changes of the register, under ballots with its own name.
 
-    `newest_committed` is the newest state known to be committed. `membership_hint` is the state whose voters the next
-    round uses. It may never have been committed; where one was, every majority has an acceptor that reports it.
+    A change is a function that receives the state that was read and returns its successor, or None to leave the state
+    unchanged. It may be called again with another state, and an earlier result of it may already be committed.
 
-    A change is a function of the state that was read, and returns its successor, or None to leave it. It may be called
-    again on another state, and an earlier result of it may have been committed already.
+    Attributes:
+        newest_committed: The newest state that is known to be committed.
+        membership_hint: The state whose voters the next round uses. It may never have been committed: this is only a
+            hint, since every majority includes an acceptor that reports a newer voter set, if one was committed.
+        highest_number: The highest round number that was seen; a new round uses the next one.
     """
 
     def __init__(self, name: str, initial: StateT, random: Random) -> None:
@@ -102,7 +112,7 @@
         self.change: Callable[[StateT], StateT | None] = no_change
 
     def start(self, change: Callable[[StateT], StateT | None]) -> list[Effect[StateT]]:
-        """Start a round that reads the state and writes what the change makes of it; abandon any current round."""
+        """Start a round that reads the state and writes the change's result; abandon the current round, if any."""
         self.change = change
         self.highest_number += 1
         base = self.membership_hint
@@ -111,21 +121,24 @@
         return [SendToAcceptor(name, Prepare(ballot, base.epoch, identity)) for name, identity in base.voters.items()]
 
     def give_up(self, reason: str) -> list[Effect[StateT]]:
-        """Abandon the round; the next one uses the voters of the newer state that this one found, if any."""
+        """Abandon the round. If it saw a state of a later epoch, the next round uses the voters of that state."""
         if self.round is not None and self.round.newer_state is not None:
             self.membership_hint = self.round.newer_state
         self.round = None
         return [RoundFailed(reason)]
 
     def on_committed(self, state: StateT) -> None:
-        """Record a state that is known to be committed, from any source."""
+        """Record a state that is known to be committed, whether from a round or from another process."""
         if state.version > self.newest_committed.version:
             self.newest_committed = state
         if state.epoch >= self.membership_hint.epoch:
             self.membership_hint = state
 
     def on_message(self, source: str, message: Promise[StateT] | Accepted | Rejected[StateT]) -> list[Effect[StateT]]:
-        """Handle an acceptor's answer. Answers to earlier rounds, and of unexpected identities, have no effect."""
+        """Handle an acceptor's response; one to an earlier round or of an unexpected identity does not count.
+
+        The round number of a rejection is recorded in any case, so that the next ballot is higher.
+        """
         current = self.round
         if isinstance(message, Rejected):
             promised_number, _ = message.promised
@@ -141,8 +154,8 @@
         return self._on_accepted(current, source)
 
     def _on_rejected(self, current: ProposalRound[StateT], message: Rejected[StateT]) -> list[Effect[StateT]]:
-        # One rejection for an old epoch proves nothing: a failed change of the voters may have left it behind. Where
-        # the change was committed, too few acceptors remain to promise.
+        # A single rejection because of an old epoch is not conclusive: the later epoch may stem from a failed change of
+        # the voters. If that change was committed, so many acceptors reject that the rest are not a majority.
         current.rejections += 1
         newer = message.newer
         if newer is not None and (current.newer_state is None or newer.epoch > current.newer_state.epoch):
@@ -170,7 +183,7 @@
             return self.give_up(ANOTHER_VOTER_SET)
         committed = current.newer_state is None and all(p.accepted == newest.accepted for p in promises)
         if committed:
-            # Before the change is computed, since it may depend on what is committed.
+            # Record the state before the change is computed, because the change may use the newest committed state.
             self.on_committed(state)
         successor = self.change(state)
         if successor is not None:
@@ -178,14 +191,14 @@
         if committed:
             self.round = None
             return [Committed(state, False)]
-        # A state that only a minority may have accepted must be written again before it counts as committed.
+        # Possibly only a minority has accepted this state: it must be written again before it counts as committed.
         return self._propose(current, state)
 
     @staticmethod
     def _propose(current: ProposalRound[StateT], proposed: StateT) -> list[Effect[StateT]]:
         newer = current.newer_state
         if newer is not None and newer.epoch >= proposed.epoch:
-            # An acceptor that a failed change of the voters left at a later epoch must be able to accept this one.
+            # A failed change of the voters may have left an acceptor at a later epoch; it accepts no earlier epoch.
             proposed = proposed.at_epoch(newer.epoch + 1)
         current.proposed = proposed
         if dict(current.base.voters) != dict(proposed.voters):
--- a/yarrowspindle/consensus/replicated_state.py
+++ b/yarrowspindle/consensus/replicated_state.py
@@ -1,4 +1,4 @@
-"""What the register requires of the state that it replicates."""
+"""The interface of a state that the register can replicate."""
 
 from __future__ import annotations
 
@@ -7,25 +7,25 @@
 
 
 class ReplicatedState(Protocol):
-    """A state with a version, an epoch of its voter set, and the voters: name -> identity of the voter's file."""
+    """A state with a version, a voter set and the epoch of the voter set."""
 
     @property
     def version(self) -> int:
-        """Number of the state; each change increments it."""
+        """The number of the state, incremented with each change."""
         ...
 
     @property
     def epoch(self) -> int:
-        """Number of the voter set; each change of the voters increments it."""
+        """The number of the voter set, incremented with each change of the voters."""
         ...
 
     @property
     def voters(self) -> Mapping[str, str]:
-        """The identity of each voter's file, by the voter's name."""
+        """The identities of the voters' acceptor files, by the voters' names."""
         ...
 
     def at_epoch(self: StateT, epoch: int) -> StateT:
-        """Return the successor of this state with another epoch."""
+        """Return a copy of this state with another epoch."""
         ...
 
 
@@ -33,5 +33,5 @@
 
 
 def majority_size(voters: Mapping[str, str]) -> int:
-    """Return how many of these voters are a majority."""
+    """Return the number of these voters that is a majority."""
     return len(voters) // 2 + 1
