--- a/tests/configuration/test_agent.py
+++ b/tests/configuration/test_agent.py
@@ -51,7 +51,7 @@
     relay = RelayHarness()
     relay.receive(snapshot(1, {"a": "1"}))
     relay.receive(LatestVersion(1, content_digest(1, {"a": "2"})))
-    assert "another content" in relay.log_lines()[0] and relay.agent.needs_snapshot and not relay.applied()
+    assert "different content" in relay.log_lines()[0] and relay.agent.needs_snapshot and not relay.applied()
 
 
 def test_a_version_that_the_check_rejects_is_not_applied_and_the_next_valid_one_is() -> None:
@@ -92,7 +92,7 @@
     relay = RelayHarness(7, {"a": "7"})
     assert not relay.receive(LatestVersion(3, content_digest(3, {}))) or not relay.log_lines()
     relay.receive(LatestVersion(3, content_digest(3, {})), elapsed_ms=NEWER_VERSION_TOLERANCE_MS + 1.0)
-    assert "nothing older is applied" in relay.log_lines()[0] and relay.agent.applied_version == 7
+    assert "until it receives a version above 7" in relay.log_lines()[0] and relay.agent.applied_version == 7
     relay.receive(LatestVersion(7, relay.agent.digest))
     relay.receive(LatestVersion(3, content_digest(3, {})), elapsed_ms=NEWER_VERSION_TOLERANCE_MS + 1.0)
     assert not relay.log_lines(), "a controller that lags for a moment is not logged"
@@ -102,7 +102,7 @@
     relay = RelayHarness()
     for sender in (Sender("c99", ("10.0.0.9", 1)), Sender("c00", ("10.0.0.99", 7950))):
         relay.post(MessageReceived(sender, snapshot(9, {"a": "9"})))
-        assert not relay.applied() and "is no controller of the settings" in relay.log_lines()[0]
+        assert not relay.applied() and "no [[control.machine]] has this name and address" in relay.log_lines()[0]
 
 
 def test_a_silent_controller_is_replaced_and_a_preferred_one_is_reattached_when_it_answers() -> None:
--- a/tests/configuration/test_change_queue.py
+++ b/tests/configuration/test_change_queue.py
@@ -43,7 +43,7 @@
     controller.post(ChangeRequested(1, {"a": "1"}))
     controller.post(TimerFired(), ORDER_EXPIRY_MS + 100.0)
     ((ticket, version, reason),) = controller.answers()
-    assert (ticket, version) == (1, 0) and "may still come" in reason and not controller.core.changes.pending
+    assert (ticket, version) == (1, 0) and "may still be committed" in reason and not controller.core.changes.pending
     controller.post(ChangeRequested(2, {"a": "2"}))
     assert controller.core.changes.pending[0].order == ChangeOrder("c01", 2, 1, {"a": "2"})
 
@@ -52,7 +52,10 @@
     controller = ControllerHarness("c01")
     for n in range(MAX_QUEUED_ORDERS + 1):
         controller.post(ChangeRequested(n, {"a": f"{n}"}), 0.0)
-    assert "wait already" in controller.answers()[0][2] and len(controller.core.changes.pending) == MAX_QUEUED_ORDERS
+    assert (
+        "are pending already" in controller.answers()[0][2]
+        and len(controller.core.changes.pending) == MAX_QUEUED_ORDERS
+    )
     for n in range(2 * MAX_QUEUED_ORDERS):
         controller.receive(Sender("c02", CONTROLLERS[2].address, 4), ChangeOrder("c02", 4, n + 2, {"a": "1"}), 0.0)
     assert len(controller.core.proposals.queue) <= MAX_QUEUED_ORDERS
--- a/tests/configuration/test_settings.py
+++ b/tests/configuration/test_settings.py
@@ -14,7 +14,7 @@
 
 def test_an_invalid_section_raises_with_its_key(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     machine = '[[control.machine]]\nname = "c0"\naddress = "127.0.0.1:7"\nvoter = true\n'
-    with pytest.raises(ConfigError, match=r"control\.rol is not known; role is"):
+    with pytest.raises(ConfigError, match=r"unknown key control\.rol; did you mean role\?"):
         read_operator(f'[control]\nrol = "relay"\n{machine}')
     (tmp_path / "o.toml").write_text(f'[control]\nrole = "relay"\nlisten = "127.0.0.1:8"\n{machine}')
     operator = load_operator({"YARROWSPINDLE_OPERATOR": str(tmp_path / "o.toml")})
--- a/yarrowspindle/configuration/__init__.py
+++ b/yarrowspindle/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""Distribution of the settings that all relays share: committed by controllers, applied and confirmed by relays."""
+"""Shared settings of all relays: committed by controllers, distributed to relays, and applied and confirmed by them."""
--- a/yarrowspindle/configuration/agent.py
+++ b/yarrowspindle/configuration/agent.py
@@ -1,12 +1,13 @@
-"""A relay's side of the configuration: `(state, event) -> effects`, the same on real sockets and the virtual clock.
+"""The relay's agent: handles events and returns effects, without I/O, for the real process and for the simulation.
 
-Without a controller the relay continues with the settings that it has. It is attached to one controller at a time,
-preferably in its zone, and attaches to another one where that one fails; it never talks to other relays.
+A relay is attached to one controller at a time, preferably in its zone, and attaches to another one if that controller
+fails. Without a controller it continues with the settings that it has. Relays never exchange settings.
 
-Rules
-1. A version is adopted only after all steps up to it, or as a snapshot, and only where its digest is right.
-2. No lower version is adopted after a higher one, also after a restart where the relay has a directory.
-3. Entries that the check rejects are not applied: the last valid ones stay, and the controller gets the reason.
+Invariants:
+1. A version is adopted from a snapshot or with all steps up to it, and only if its digest matches.
+2. Versions never decrease, not even across a restart if the relay has a directory.
+3. Entries that the check rejects are not applied: the last valid ones stay, and the reason is reported to the
+   controller.
 """
 
 from __future__ import annotations
@@ -31,24 +32,24 @@
 
 TICK_INTERVAL_MS = 250.0
 HEARTBEAT_INTERVAL_MS = 500.0
-CONTROLLER_TIMEOUT_MS = 900.0  # a controller that has not answered for this long is replaced
-PARALLEL_CANDIDATES = 2  # controllers that a relay without one contacts at a time
-PREFERRED_CHECK_INTERVAL_MS = 10_000.0  # between two heartbeats to controllers that are preferred to the current one
-REATTACHMENT_HEARTBEATS = 3  # heartbeats that name the previous controller
-NEWER_VERSION_TOLERANCE_MS = 10_000.0  # controllers that have an older version for this long have lost data
+CONTROLLER_TIMEOUT_MS = 900.0  # a controller that has not answered for this long is considered failed
+PARALLEL_CANDIDATES = 2  # controllers that are contacted at a time
+PREFERRED_CHECK_INTERVAL_MS = 10_000.0  # between heartbeats to controllers that are preferred to the current one
+REATTACHMENT_HEARTBEATS = 3  # heartbeats that name the previous controller, since some may be lost
+NEWER_VERSION_TOLERANCE_MS = 10_000.0  # controllers whose version is older for this long have lost committed versions
 NOT_SET_MS = -1.0
 
 
 class Agent:
-    """The configuration of one relay.
+    """Receives the shared settings for one relay.
 
     Args:
-        controllers: In the order in which this relay prefers them.
-        check: Rejects entries that the relay cannot serve by.
-        seed: Of the random source for jitter.
-        now: Milliseconds of a clock that only goes forward.
-        version: The one that was stored before a restart; 0 where the relay serves by its own file.
-        entries: Those of that version.
+        controllers: The controllers, in this relay's order of preference.
+        check: Returns why the relay cannot apply given entries.
+        seed: The seed of the random source for jitter.
+        now: The time of a monotonic clock in milliseconds.
+        version: The version that was stored before a restart; 0 if the relay uses its own configuration file.
+        entries: The entries of that version.
     """
 
     def __init__(
@@ -63,7 +64,7 @@
         self.controllers, self.check, self.now = controllers, check, now
         self.rank = {controller.name: rank for rank, controller in enumerate(controllers)}
         self.random = Random(seed)
-        # The newest version, whether the check accepts it or not.
+        # The newest version received, even if the check rejects it.
         self.known_version, self.entries = version, dict(entries or {})
         self.digest = content_digest(self.known_version, self.entries)
         self.applied_version, self.rejection_reason = 0, ""
@@ -77,7 +78,7 @@
         self.next_preferred_check_at = self._preferred_check_at()
         self.needs_snapshot = False
         self.previous_controller, self.reattachment_heartbeats_left = "", 0
-        self.controllers_behind_since = NOT_SET_MS  # than the controllers' version
+        self.controllers_behind_since = NOT_SET_MS  # since when the controllers' version is older than the relay's
         self.counts: Counter[str] = Counter()
         self.effects: list[Effect] = []
         if self.known_version:
@@ -85,7 +86,7 @@
         self.effects.append(SetTimer(TICK_INTERVAL_MS * self.random.random()))
 
     def step(self, now: float, event: Event) -> list[Effect]:
-        """Handles an event at `now`, in milliseconds of a clock that only goes forward."""
+        """Handle an event and return its effects. `now` is the time of a monotonic clock in milliseconds."""
         self.now = max(self.now, now)
         if isinstance(event, MessageReceived):
             self._on_message(event)
@@ -98,19 +99,19 @@
         return self.take_effects()
 
     def take_effects(self) -> list[Effect]:
-        """The effects since the last call."""
+        """Return the effects since the last call."""
         effects, self.effects = self.effects, []
         return effects
 
     def detach(self) -> list[Effect]:
-        """Leaves the controller, at a graceful shutdown of the relay."""
+        """Detach from the controller at a graceful shutdown, and return the effects."""
         if self.current is not None:
             self.effects.append(SendMessage(self.current.sender, Detach()))
         return self.take_effects()
 
     @property
     def has_no_controller(self) -> bool:
-        """Whether no controller answers."""
+        """Whether the relay is not attached to a controller, or that controller does not answer."""
         return self.current is None or self.now > self.last_received_at + CONTROLLER_TIMEOUT_MS
 
     # --- the controller ---------------------------------------------------------------------------
@@ -174,7 +175,7 @@
         if source is self.current:
             self.last_received_at, self.unanswered_since = self.now, NOT_SET_MS
         elif not isinstance(message, LatestVersion):
-            # That controller counts this relay among its own.
+            # A controller sends updates only to relays that it considers attached.
             self.effects.append(SendMessage(source.sender, Detach()))
         if isinstance(message, LatestVersion):
             self._on_latest_version(message)
@@ -189,7 +190,11 @@
             return self.controllers[rank]
         (host, port) = event.sender.address
         self.counts[published_counters.UNKNOWN_SENDERS] += 1
-        self._log(f"{event.sender.name} at {host}:{port} is no controller of the settings", rate_limited=True)
+        self._log(
+            f"ignored a message of {event.sender.name} at {host}:{port}: no [[control.machine]] has this name and "
+            "address",
+            rate_limited=True,
+        )
         return None
 
     def _should_attach_to(self, source: ControllerAddress) -> bool:
@@ -220,16 +225,17 @@
         elif self.now >= self.controllers_behind_since + NEWER_VERSION_TOLERANCE_MS:
             self.controllers_behind_since = self.now
             self._log(
-                f"the controllers have version {message.version}, this relay has {self.known_version}: "
-                "they lost committed versions, or belong to another fleet; nothing older is applied",
+                f"the controllers have version {message.version}, but this relay has the newer version "
+                f"{self.known_version}: the controllers have lost committed versions or belong to another fleet; "
+                f"this relay keeps its settings until it receives a version above {self.known_version}",
                 is_warning=True,
             )
 
     def _on_digest_mismatch(self) -> None:
         self.counts[published_counters.DIGEST_MISMATCHES] += 1
         self._log(
-            f"version {self.known_version} has another content here than at the controller: the next version is "
-            "requested as a snapshot",
+            f"version {self.known_version} has different content on this relay and on the controller (digests differ); "
+            "the next version is requested as a snapshot",
             rate_limited=True,
             is_warning=True,
         )
@@ -239,7 +245,7 @@
         if message.version <= self.known_version:
             return
         if message.base > self.known_version or message.version - message.base != len(message.steps):
-            self._send_heartbeat_to_current()  # there is a gap: the heartbeat says which version is known
+            self._send_heartbeat_to_current()  # steps are missing: the heartbeat reports the known version
             return
         entries: Entries = self.entries
         for step in message.steps[self.known_version - message.base :]:
@@ -252,10 +258,12 @@
             self._adopt(message.version, message.entries, message.digest)
 
     def _adopt(self, version: int, entries: Entries, digest: bytes) -> None:
-        """Takes over a version where its content has this digest; else requests a snapshot."""
+        """Adopt a version if its content matches the digest; otherwise request a snapshot."""
         if content_digest(version, entries) != digest or entries_bounds_error(entries):
             self.counts[published_counters.INVALID_UPDATES] += 1
-            if not self.needs_snapshot:  # at once only the first time: a sender with a permanent fault would loop
+            # Only the first mismatch causes an immediate request: with a permanently faulty sender, requests and
+            # answers would follow each other without a pause.
+            if not self.needs_snapshot:
                 self.needs_snapshot = True
                 self._send_heartbeat_to_current()
             return
@@ -265,7 +273,7 @@
         self._send_heartbeat_to_current()
 
     def _apply(self) -> None:
-        """Applies the known version, or rejects it."""
+        """Apply the known version, or reject it if the check fails."""
         reason = self.check(self.entries) if self.entries else ""
         if reason:
             self._reject(reason)
@@ -281,7 +289,7 @@
     def _reject(self, reason: str) -> None:
         self.rejection_reason = reason
         self.counts[published_counters.REJECTED_VERSIONS] += 1
-        text = f"version {self.known_version} is rejected, version {self.applied_version} stays: {reason}"
+        text = f"version {self.known_version} is rejected, version {self.applied_version} remains applied: {reason}"
         self._log(text, is_warning=True)
 
     def _log(self, text: str, *, rate_limited: bool = False, is_warning: bool = False) -> None:
--- a/yarrowspindle/configuration/change_proposals.py
+++ b/yarrowspindle/configuration/change_proposals.py
@@ -1,7 +1,7 @@
-"""Rounds of the consensus that commit changes: which orders are proposed, when a round starts, and when it is retried.
+"""Consensus rounds that commit changes: which orders are proposed, when a round starts and when it is retried.
 
-The proposer (`consensus/proposer.py`) reads the newest state through a majority of the voters before it writes, so no
-round depends on a clock or on who leads.
+The proposer (`consensus/proposer.py`) reads the newest state from a majority of the voters before it writes, so the
+correctness of a round depends neither on a clock nor on which controller leads.
 """
 
 from __future__ import annotations
@@ -23,9 +23,9 @@
 MAX_VERSIONS_PER_ROUND = 16
 ORDER_EXPIRY_MS = 10_000.0
 ROUND_TIMEOUT_MS = 500.0
-READ_INTERVAL_MS = 10_000.0  # a leader reads this often, to learn what it may have missed
-OUT_OF_TURN_READ_INTERVAL_MS = 1000.0  # and this often for an order whose predecessor is not known here
-MIN_BACKOFF_MS = 30.0  # doubled with each failure of a leader's round
+READ_INTERVAL_MS = 10_000.0  # between a leader's reads, which find commits that it has missed
+OUT_OF_TURN_READ_INTERVAL_MS = 1000.0  # between reads for an order whose predecessor is not known to be settled
+MIN_BACKOFF_MS = 30.0  # doubled with each consecutive failure of a leader's rounds
 MAX_BACKOFF_MS = 800.0
 MAX_BACKOFF_DOUBLINGS = 5
 
@@ -34,16 +34,20 @@
 
 @dataclass(slots=True, frozen=True)
 class QueuedOrder:
-    """An order that waits for a round. queued_at: milliseconds of the controller's clock."""
+    """An order to be proposed in a round. `queued_at` is in milliseconds of the controller's clock."""
 
     order: ChangeOrder
     queued_at: float
 
 
 class ChangeProposals:
-    """The proposer of one controller, and the orders that wait for it.
+    """The proposer of one controller, and the queue of orders to be proposed.
 
-    `on_committed` is called where the proposer may know of a newer committed state.
+    Args:
+        context: The shared state of the controller.
+        peers: The other controllers.
+        proposer: The proposer of the consensus.
+        on_committed: Called when the proposer may know a newer committed state.
     """
 
     def __init__(
@@ -65,13 +69,13 @@
     # --- messages -------------------------------------------------------------------------------
 
     def on_change_order(self, sender: Sender, order: ChangeOrder) -> None:
-        """Queues an order that another controller accepted."""
+        """Queue an order that another controller accepted from an operator, and propose it."""
         if sender.name in self.peers and order.accepted_by == sender.name:
             self.enqueue(order)
             self.propose()
 
     def on_acceptor_request(self, sender: Sender, message: Prepare | Accept[ControlState]) -> None:
-        """Passes a proposer's request to the acceptor of this controller, where it has one."""
+        """Pass a proposer's request to the acceptor of this controller; reject the request if it has none."""
         if sender.name not in self.context.controllers:
             return
         if self.context.identity:
@@ -80,14 +84,14 @@
             self.context.reply(sender, Rejected(message.ballot, NO_BALLOT, not_voter=True))
 
     def on_acceptor_response(self, sender: Sender, message: Promise[ControlState] | Accepted | Rejected[Any]) -> None:
-        """Passes an acceptor's response to the proposer."""
+        """Pass an acceptor's response to the proposer."""
         if sender.name in self.context.controllers:
             self._carry_out(self.proposer.on_message(sender.name, message))
 
     # --- queue ----------------------------------------------------------------------------------
 
     def enqueue(self, order: ChangeOrder) -> None:
-        """Queues an order that is not settled; drops it where the queue is full."""
+        """Queue an order unless it is settled; drop it if the queue is full, since its sender repeats it."""
         key = (order.accepted_by, order.incarnation, order.number)
         if self.context.committed.state.is_settled(order):
             return
@@ -95,13 +99,13 @@
             self.queue.setdefault(key, QueuedOrder(order, self.context.now))
 
     def orders_in_turn(self) -> list[ChangeOrder]:
-        """The queued orders, those of each controller in their turn."""
+        """Return the queued orders, sorted by controller, incarnation and number."""
         return [queued.order for _, queued in sorted(self.queue.items(), key=lambda item: item[0])]
 
     # --- rounds ---------------------------------------------------------------------------------
 
     def propose(self) -> None:
-        """Starts a round where there is a reason for one, and gives up one that takes too long."""
+        """Start a round if a read or a write is due, or abandon the current round if it takes too long."""
         is_leader, was_leader = self.peers.is_leader, self.was_leader
         self.was_leader = is_leader
         self._remove_finished_orders()
@@ -112,7 +116,7 @@
             return
         if now < self.retry_at:
             return
-        # Only a leader reads at intervals: if all did, each would keep the others from a majority.
+        # Only a leader reads at intervals: if all controllers did, their competing ballots would prevent a majority.
         must_read = is_leader and (not was_leader or now >= self.last_read_at + READ_INTERVAL_MS)
         if must_read or self._has_new_identity() or self._has_orders_to_propose():
             self.round_started_at = now
@@ -130,13 +134,20 @@
         return bool(context.identity) and committed_identity != context.identity
 
     def _has_orders_to_propose(self) -> bool:
-        """An order whose predecessor is not settled, as far as is known here, causes a read at intervals only."""
+        """Whether a queued order justifies a round now.
+
+        An order that is not the next of its controller, according to the state known here, starts a round only at
+        intervals: its predecessor may never arrive.
+        """
         if any(self.context.committed.state.is_next(queued.order) for queued in self.queue.values()):
             return True
         return bool(self.queue) and self.context.now >= self.last_read_at + OUT_OF_TURN_READ_INTERVAL_MS
 
     def _change(self, state: ControlState) -> ControlState | None:
-        """The state with the queued orders settled and with this voter's new file; None where nothing changes."""
+        """Return the state with the queued orders settled and this voter's current identity; None if nothing changes.
+
+        One round creates MAX_VERSIONS_PER_ROUND versions at most, plus one for a new identity.
+        """
         successor = state
         for order in self.orders_in_turn()[:MAX_QUEUED_ORDERS]:
             successor = successor.settle(order, self.context.check) or successor
@@ -154,7 +165,7 @@
                 self._on_round_committed(effect)
             elif isinstance(effect, RoundFailed):
                 self._on_round_failed(effect)
-        self.on_committed()  # a round that fails may have read a newer committed state
+        self.on_committed()  # also after a failure: the round may have read a newer committed state
 
     def _on_round_committed(self, committed: Committed[ControlState]) -> None:
         self.failures = 0
@@ -170,6 +181,6 @@
         self.failures = min(self.failures + 1, MAX_BACKOFF_DOUBLINGS)
         if self.peers.is_leader:
             max_backoff_ms = min(MAX_BACKOFF_MS, MIN_BACKOFF_MS * 2.0**self.failures)
-        else:  # longer than a leader, so that the leader's round succeeds
+        else:  # back off longer than a leader, so that the leader's round succeeds
             max_backoff_ms = 2.0 * MAX_BACKOFF_MS
         self.retry_at = self.context.now + self.context.random.uniform(0.0, max_backoff_ms)
--- a/yarrowspindle/configuration/change_queue.py
+++ b/yarrowspindle/configuration/change_queue.py
@@ -1,4 +1,4 @@
-"""Operators' changes that a controller accepted: passed to the leader, and answered once they are settled."""
+"""Operators' changes that a controller has accepted: forwarded to the leader, and answered once they are settled."""
 
 from __future__ import annotations
 
@@ -19,15 +19,21 @@
 )
 
 ORDER_RESEND_INTERVAL_MS = 250.0
-OWN_PROPOSAL_DELAY_MS = 1600.0  # without a result from the leader, the accepting controller proposes an order itself
+OWN_PROPOSAL_DELAY_MS = 1600.0  # an order that is not settled by then is proposed by the accepting controller as well
 UNKNOWN_VERSION = -1
 
 
 @dataclass(slots=True)
 class PendingChange:
-    """An operator's change without an answer. Times are milliseconds of the controller's clock.
-
-    `known_version` is the newest version that was known when the order was first passed on.
+    """An operator's change that is not answered yet. Times are in milliseconds of the controller's clock.
+
+    Attributes:
+        ticket: Identifies the change in the answer.
+        order: The order for the change.
+        accepted_at: When the operator requested the change.
+        known_version: The newest version known when the order was first forwarded, UNKNOWN_VERSION before that.
+        sent_at: When the order was last sent to a leader.
+        sent_to: The leader to which it was last sent.
     """
 
     ticket: int
@@ -39,9 +45,9 @@
 
 
 class ChangeQueue:
-    """The pending changes of one controller, in their turn.
+    """The pending changes of one controller, in the order of their numbers.
 
-    Orders are numbered within an incarnation, so that no order is settled twice, whatever is delivered again.
+    Orders are numbered within an incarnation, so that an order that is delivered several times is settled only once.
     """
 
     def __init__(
@@ -52,7 +58,7 @@
         self.pending: list[PendingChange] = []
 
     def on_change_requested(self, event: ChangeRequested) -> None:
-        """Accepts an operator's change, or rejects it with the reason."""
+        """Accept an operator's change, or reject it with the reason."""
         reason = self._rejection_reason(event.step)
         if reason:
             self._answer(event.ticket, 0, reason)
@@ -65,30 +71,30 @@
         self.forward_pending()
 
     def forward_pending(self) -> None:
-        """Sends the pending orders to the leader, and proposes those that it does not get settled."""
+        """Send the pending orders to the leader; propose those that it has not settled in time."""
         self._expire()
         if not self.context.committed.version and self.peers.knows_committed_version:
-            return  # it has not yet read which orders of its earlier incarnations are settled
+            return  # wait until the committed state shows which orders of earlier incarnations are settled
         for pending in self.pending:
             self._forward(pending)
         if self.pending:
             self.proposals.propose()
 
     def on_state_committed(self) -> None:
-        """Answers the changes that a newer state settles."""
+        """Answer the changes that a newer state has settled."""
         self._answer_settled()
         incarnation = self._settled_incarnation()
         if incarnation > self.incarnation:
-            # An earlier process of this controller had a clock that was ahead.
+            # The clock was set back: an earlier process of this controller used a higher incarnation.
             self._renumber(incarnation + 1)
 
-    # --- passing on -----------------------------------------------------------------------------
+    # --- forwarding -----------------------------------------------------------------------------
 
     def _rejection_reason(self, step: Step) -> str:
         entries = apply_step(self.context.committed.state.entries, step)
         reason = step_bounds_error(step) or entries_bounds_error(entries) or self.context.check(entries)
         if not reason and len(self.pending) >= MAX_QUEUED_ORDERS:
-            return f"{MAX_QUEUED_ORDERS} changes wait already"
+            return f"{MAX_QUEUED_ORDERS} changes are pending already, which is the maximum; try again later"
         return reason
 
     def _forward(self, pending: PendingChange) -> None:
@@ -104,16 +110,17 @@
             self.context.send(leader, pending.order)
 
     def _expire(self) -> None:
-        """Gives up all pending changes where the first has expired.
+        """Abandon all pending changes if the first has expired.
 
-        None after it can be settled before it, and no order is ever sent under two numbers.
+        Later ones cannot be settled before the first, nor are they renumbered: an order that was sent under two numbers
+        could be settled twice. Further changes use a new incarnation.
         """
         if not self.pending or self.context.now <= self.pending[0].accepted_at + ORDER_EXPIRY_MS:
             return
         failure = self.proposals.last_failure or "no answer"
         reason = (
-            f"no majority of the voters has settled it in {ORDER_EXPIRY_MS / 1000.0:g} s ({failure}): "
-            "it may still come, see `show`"
+            f"no majority of the voters has committed the change within {ORDER_EXPIRY_MS / 1000.0:g} s ({failure}); "
+            "it may still be committed, see `show`"
         )
         for pending in self.pending:
             self._answer(pending.ticket, 0, reason)
@@ -134,10 +141,11 @@
         return incarnation
 
     def _answer_settled(self) -> None:
-        """Answers the changes whose orders are settled.
+        """Answer the changes whose orders are settled.
 
-        An order that one of a later incarnation overtook is settled only where a step proves it; else it stays pending
-        and gets another number.
+        If an order of a later incarnation is settled, those of earlier incarnations count as settled, too, although
+        they may have been skipped. A pending order that was certainly skipped remains pending and is numbered anew. If
+        the recent steps no longer show whether it was skipped, the answer is that the result is not known.
         """
         state = self.context.committed.state
         own_steps = {
@@ -153,7 +161,10 @@
             self._answer_from_step(pending, step)
 
     def _is_overtaken(self, pending: PendingChange) -> bool:
-        """Whether an order of a later incarnation is settled in place of this one, which is not settled itself."""
+        """Whether this order, which has no recent step, was skipped because one of a later incarnation was settled.
+
+        This is certain if the order was never forwarded, or if the recent steps cover all versions since it was.
+        """
         if pending.order.incarnation >= self._settled_incarnation():
             return False
         state = self.context.committed.state
@@ -162,7 +173,11 @@
 
     def _answer_from_step(self, pending: PendingChange, step: CommittedStep | None) -> None:
         if step is None:
-            self._answer(pending.ticket, 0, "nobody knows any more whether it stands: see `show`")
+            self._answer(
+                pending.ticket,
+                0,
+                "the result is no longer known: the change may have been committed or rejected, see `show`",
+            )
         else:
             self._answer(pending.ticket, 0 if step.rejection_reason else step.version, step.rejection_reason)
 
--- a/yarrowspindle/configuration/codec.py
+++ b/yarrowspindle/configuration/codec.py
@@ -1,4 +1,4 @@
-"""Messages of the configuration as bytes, and what is stored in files: MessagePack, compressed, bounded, checked."""
+"""Codecs for messages and stored files: compressed MessagePack whose size and content are checked on decoding."""
 
 from __future__ import annotations
 
@@ -33,7 +33,11 @@
 
 
 def check_state_bounds(state: ControlState | None) -> None:
-    """Raises InvalidMessageError where no controller could have made this state."""
+    """Check that a controller could have created this state.
+
+    Raises:
+        InvalidMessageError: The state is invalid. The text becomes part of the name of a published counter.
+    """
     if state is None:
         return
     versions = [recent.version for recent in state.recent_steps]
@@ -58,10 +62,10 @@
 
 def _check_applied_settings(applied: Persist) -> None:
     if not 0 < applied.version <= MAX_VERSION or entries_bounds_error(applied.entries):
-        raise InvalidMessageError("entries out of bounds")
+        raise InvalidMessageError("its version or its entries are out of bounds")
 
 
-# The position of a type is its number on the wire.
+# The position of a type, counted from 1, is its number on the wire: append new types at the end.
 MESSAGE_TYPES = (
     Heartbeat,
     LatestVersion,
@@ -83,7 +87,7 @@
 ACCEPTOR_FILE: FileCodec[AcceptorState[ControlState]] = FileCodec(
     VERSION, AcceptorState[ControlState], _check_acceptor_state
 )
-# What a relay applied last.
+# The version and entries that a relay applied last.
 APPLIED_SETTINGS_FILE: FileCodec[Persist] = FileCodec(VERSION, Persist, _check_applied_settings)
 # The newest committed state that a controller knows.
 COMMITTED_STATE_FILE: FileCodec[ControlState] = FileCodec(VERSION, ControlState, check_state_bounds)
--- a/yarrowspindle/configuration/committed_log.py
+++ b/yarrowspindle/configuration/committed_log.py
@@ -1,4 +1,4 @@
-"""The newest committed state that a controller knows, and the recent steps that led to it."""
+"""The newest committed state that a controller knows, and the steps that led to it."""
 
 from __future__ import annotations
 
@@ -6,14 +6,18 @@
 from yarrowspindle.configuration.state import MAX_RECENT_STEPS, ControlState, Step, character_count
 
 MAX_LOGGED_STEPS = 512
-SNAPSHOT_OVERHEAD_CHARACTERS = 400  # a delta may be larger than a snapshot by this much
-NO_VERSION = -1  # the base of a relay that asks for a snapshot
+SNAPSHOT_OVERHEAD_CHARACTERS = 400  # a delta is preferred to a snapshot that is smaller by up to this
+NO_VERSION = -1  # the base version of a relay that requests a snapshot
 
 
 class CommittedLog:
-    """The committed state and its newest steps by version, without a gap up to the newest.
+    """The committed state, and the newest steps without a gap up to its version.
 
-    `committed_at` is the time at which this controller received the state, in milliseconds of its clock.
+    Attributes:
+        state: The newest committed state.
+        digest: Its digest.
+        committed_at: When this controller learned that the state is committed, in milliseconds of its clock.
+        steps: The newest steps by version.
     """
 
     def __init__(self, initial_state: ControlState, now: float) -> None:
@@ -28,10 +32,10 @@
         return self.state.version
 
     def advance(self, state: ControlState, now: float) -> None:
-        """Takes over a newer committed state."""
+        """Adopt a newer committed state."""
         steps = {recent.version: recent.step for recent in state.recent_steps}
         if min(steps, default=0) > self.version + 1:
-            self.steps.clear()  # there is a gap: relays that are further behind get a snapshot
+            self.steps.clear()  # steps are missing: relays that need them are sent a snapshot
         self.steps.update(steps)
         excess = max(0, len(self.steps) - MAX_LOGGED_STEPS)
         for version in sorted(self.steps)[:excess]:
@@ -41,14 +45,14 @@
         self.committed_at = now
 
     def update_since(self, base: int) -> Delta | Snapshot:
-        """The steps after version `base`, or all entries where these are not known or the steps are larger."""
+        """Return the steps after version `base`, or a snapshot if steps are missing, too many or larger than that."""
         steps = self._steps_since(base)
         if steps is None or len(steps) > MAX_RECENT_STEPS or self._is_larger_than_snapshot(steps):
             return Snapshot(self.version, self.digest, dict(self.state.entries))
         return Delta(base, self.version, self.digest, [dict(step) for step in steps])
 
     def _steps_since(self, base: int) -> list[Step] | None:
-        """The steps after `base`; None where one of them is not known."""
+        """Return the steps after version `base`; None if one of them is not known."""
         if base == NO_VERSION:
             return None
         versions = range(base + 1, self.version + 1)
--- a/yarrowspindle/configuration/controller.py
+++ b/yarrowspindle/configuration/controller.py
@@ -1,14 +1,14 @@
-"""A controller: `(state, event) -> effects`, the same on real sockets and on the virtual clock.
+"""The controller: handles events and returns effects, without I/O, for the real process and for the simulation.
 
-Controllers commit changes through consensus (`change_proposals.py`); the voters are among them. A committed state goes
-to the other controllers as a whole, and to each attached relay as the steps that it lacks, again until the relay
+Controllers commit changes through consensus (`change_proposals.py`); some or all of them are voters. A committed state
+is sent to the other controllers in full. Each attached relay is sent the steps that it lacks, repeatedly until it
 confirms them (`relay_sessions.py`). Controllers exchange summaries of their relays (`peer_controllers.py`), from which
-operators are shown where a version is applied (`status.py`).
+the status for operators shows which version all relays apply (`status.py`).
 
-Rules
-1. Only committed states go to relays, and their versions only grow.
-2. A proposer reads before it writes; no controller leads by a clock or by its view of the others.
-3. Without a majority of the voters nothing changes, and the committed state is still distributed.
+Invariants:
+1. Only committed states are sent to relays, and the versions sent never decrease.
+2. A proposer reads the register before it writes. Correctness never depends on a clock or on which controller leads.
+3. Without a majority of the voters no change is committed, but the committed state is still distributed.
 """
 
 from __future__ import annotations
@@ -38,18 +38,20 @@
 
 
 class Controller:
-    """Dispatches events to the parts of a controller.
+    """Dispatches events to the components of a controller.
 
     Args:
         address: This controller's own entry of `addresses`.
         addresses: All controllers.
-        first: The newest committed state that this controller stored, else the state that all start from.
-        identity: That of the file of its acceptor; empty where it does not vote.
-        accepted: The state in that file, by whose voters the first round goes.
-        incarnation: Grows from one process of this controller to the next.
-        check: Rejects entries that no relay could serve by.
-        seed: Of the random source for jitter and for the proposer's name.
-        now: Milliseconds of a clock that only goes forward.
+        initial_state: The newest committed state that this controller has stored, or else the state with which all
+            controllers start.
+        identity: The identity of its acceptor's file; empty if it does not vote.
+        accepted_state: The state in that file. The first round uses its voters if its epoch is later than that of
+            `initial_state`.
+        incarnation: A number that is higher for each new process of this controller.
+        check: Returns why relays cannot apply given entries.
+        seed: The seed of the random source for jitter and for the proposer's name.
+        now: The time of a monotonic clock in milliseconds.
         proposer: The class of the proposer.
     """
 
@@ -76,7 +78,7 @@
         by_name = {entry.name: entry for entry in addresses}
         committed = self.committed_log_type(initial_state, now)
         self.context = ControllerContext(address, by_name, check, identity, self.random, committed, now, now)
-        # No two processes use one ballot: messages of an earlier process may still be delivered.
+        # Two processes must never use the same ballot, because messages of the earlier one may still be delivered.
         proposer_name = f"{address.name} {incarnation} {self.random.getrandbits(32):x}"
         new_proposer = proposer(proposer_name, initial_state, self.random)
         new_proposer.membership_hint = max(initial_state, accepted_state, key=lambda state: state.epoch)
@@ -104,11 +106,11 @@
             Rejected: self.proposals.on_acceptor_response,
         }
 
-    # --- what the process uses --------------------------------------------------------------------
+    # --- interface of the process -----------------------------------------------------------------
 
     @property
     def state(self) -> ControlState:
-        """The newest committed state that is known here."""
+        """The newest committed state that this controller knows."""
         return self.context.committed.state
 
     @property
@@ -118,30 +120,30 @@
 
     @property
     def counts(self) -> Counter[str]:
-        """Counters by their published names."""
+        """The counters, by their published names."""
         return self.context.counts
 
     @property
     def identity(self) -> str:
-        """The identity of its acceptor's file; empty where it does not vote."""
+        """The identity of the acceptor's file; empty if this controller does not vote."""
         return self.context.identity
 
     def start_voting(self, identity: str) -> None:
-        """A file of the acceptor was created: the next round adds it to the voters."""
+        """Use a newly created acceptor file of this voter; the next round commits its identity."""
         self.context.identity = identity
 
     def status(self, own_summary: RelaySummary | None = None) -> ControllerStatus:
-        """What operators are shown."""
+        """Return the status for operators, with this summary or a new one."""
         return self.reporter.status(own_summary)
 
     def take_effects(self) -> list[Effect]:
-        """The effects since the last call."""
+        """Return the effects since the last call."""
         effects, self.context.effects = self.context.effects, []
         return effects
 
     def step(self, now: float, event: Event) -> list[Effect]:
-        """Handles an event at `now`, in milliseconds of a clock that only goes forward."""
-        if now > self.context.now + PEER_TIMEOUT_MS:  # it stood still: other controllers may have failed since
+        """Handle an event and return its effects. `now` is the time of a monotonic clock in milliseconds."""
+        if now > self.context.now + PEER_TIMEOUT_MS:  # this process was stalled: other controllers may have failed
             self.peers.restart_attachment_grace(now)
         self.context.now = max(self.context.now, now)
         if isinstance(event, MessageReceived):
@@ -160,9 +162,10 @@
             handler(event.sender, event.message)
 
     def _is_known_sender(self, event: MessageReceived) -> bool:
-        """Whether a message between controllers comes from the address of the controller that it names.
+        """Whether a message between controllers comes from the configured address of the controller that it names.
 
-        Another process may use a controller's name, and would vote under it.
+        Otherwise a process that was given a controller's name by mistake could vote in its place. Relays are not listed
+        in the settings, so their messages are accepted from any address.
         """
         if isinstance(event.message, Heartbeat | Detach):
             return True
@@ -171,7 +174,11 @@
             return True
         (host, port) = event.sender.address
         self.counts[published_counters.UNKNOWN_SENDERS] += 1
-        self.context.log(f"{event.sender.name} at {host}:{port} is no controller of the settings", rate_limited=True)
+        self.context.log(
+            f"ignored a message of {event.sender.name} at {host}:{port}: no [[control.machine]] has this name and "
+            "address",
+            rate_limited=True,
+        )
         return False
 
     def _on_state_update(self, sender: Sender, update: StateUpdate) -> None:
@@ -180,7 +187,7 @@
             self._adopt_committed_state()
 
     def _adopt_committed_state(self) -> None:
-        """Takes over a newer state of the proposer and sends it to the relays."""
+        """Adopt the proposer's newest committed state, if it is newer, and send it to the relays."""
         state = self.proposals.proposer.newest_committed
         if state.version <= self.context.committed.version:
             return
--- a/yarrowspindle/configuration/effects.py
+++ b/yarrowspindle/configuration/effects.py
@@ -1,4 +1,4 @@
-"""Effects that agents and controllers ask their process to carry out, in order."""
+"""Effects that agents and controllers return; their process carries them out in order."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(slots=True)
 class SendMessage:
-    """Send a message; it may be lost."""
+    """Send a message to a process. Delivery is not guaranteed."""
 
     to: Sender
     message: Any
@@ -19,16 +19,16 @@
 
 @dataclass(slots=True)
 class SetTimer:
-    """Report `TimerFired` after this delay."""
+    """Pass `TimerFired` to the agent or controller after this delay."""
 
     delay_ms: float
 
 
 @dataclass(slots=True)
 class ApplySettings:
-    """Serve by these entries from now on; without entries, by the relay's own file.
+    """Apply these entries; if there are none, apply the relay's own configuration file.
 
-    `changed_keys` are those that differ from the entries that were applied before.
+    `changed_keys` are the keys whose values differ from the entries that were applied before.
     """
 
     version: int
@@ -38,7 +38,7 @@
 
 @dataclass(slots=True)
 class Persist:
-    """Store this version for a restart."""
+    """Store this version, to be applied after a restart."""
 
     version: int
     entries: Entries
@@ -46,7 +46,7 @@
 
 @dataclass(slots=True)
 class AskAcceptor:
-    """Pass a message to the acceptor of this controller, and its response to the sender."""
+    """Pass a message to the acceptor of this controller, and send its response to the sender."""
 
     sender: Sender
     message: Any
@@ -54,7 +54,7 @@
 
 @dataclass(slots=True)
 class StateCommitted:
-    """A controller took over a newer committed state."""
+    """A controller has adopted a newer committed state."""
 
     state: ControlState
 
@@ -63,8 +63,10 @@
 class ChangeAnswered:
     """The answer to an operator's change.
 
-    `version` is the one that the change is committed under; it is 0 where the change was rejected or its result is not
-    known, for `reason`.
+    Attributes:
+        ticket: The ticket of the `ChangeRequested`.
+        version: The version that the change created; 0 if it was rejected or its result is not known.
+        reason: Why the change was rejected or its result is not known.
     """
 
     ticket: int
@@ -76,7 +78,8 @@
 class LogMessage:
     """A line for the log.
 
-    `rate_limited` marks lines that unknown senders can cause; `is_warning` those that operators have to act on.
+    `rate_limited` marks lines that remote processes can cause in any number, `is_warning` lines on which an operator
+    has to act.
     """
 
     text: str
--- a/yarrowspindle/configuration/events.py
+++ b/yarrowspindle/configuration/events.py
@@ -11,10 +11,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Sender:
-    """The process that sent a message.
-
-    `incarnation` grows from one process to the next at an address. `sent_at` is the time of the message in
-    milliseconds of the sender's own clock, so that the receiver notices messages that arrive out of order.
+    """The process that sent a message; also used as the destination of a message, with name and address only.
+
+    Attributes:
+        name: The name of the process.
+        address: The address at which others reach the process.
+        incarnation: A number that is higher for each new process at this address.
+        sent_at: When the message was sent, in milliseconds of the sender's clock. Together with `incarnation` it shows
+            which of two messages is the newer one.
     """
 
     name: str
@@ -25,7 +29,7 @@
 
 @dataclass(slots=True)
 class MessageReceived:
-    """A message arrived, complete and checked."""
+    """A complete and valid message was received."""
 
     sender: Sender
     message: Any
@@ -33,7 +37,7 @@
 
 @dataclass(slots=True)
 class TimerFired:
-    """The delay of the last `SetTimer` is over."""
+    """The delay of the last `SetTimer` has elapsed."""
 
 
 @dataclass(slots=True)
@@ -46,7 +50,7 @@
 
 @dataclass(slots=True)
 class SettingsRejected:
-    """The relay could not apply a version and serves by the one before."""
+    """The relay's process could not apply a version, and continues with the version applied before."""
 
     version: int
     reason: str
--- a/yarrowspindle/configuration/link.py
+++ b/yarrowspindle/configuration/link.py
@@ -1,7 +1,7 @@
-"""Messages of the configuration in peers' datagrams: fragmented, authenticated by cluster, bounded; no I/O.
+"""Encoding of configuration messages into UDP datagrams, with fragments, cluster checks and rate limits; no I/O.
 
-Each datagram is a `Datagram` with a `Payload` body. Datagrams of another cluster, another protocol version, an earlier
-incarnation or a sender above its rate are dropped and counted by their cause.
+Each datagram is a `Datagram` of the membership protocol with a `Payload` body. Datagrams of another cluster, another
+protocol version, an earlier incarnation or a source above its rate are dropped and counted by cause.
 """
 
 from __future__ import annotations
@@ -18,16 +18,16 @@
 from yarrowspindle.protocol.message_codec import InvalidMessageError
 from yarrowspindle.routing.address import Address
 
-MAX_INCARNATIONS = 4096  # addresses whose newest incarnation is known
+MAX_INCARNATIONS = 4096  # addresses whose newest incarnation is stored
 MAX_DATAGRAMS_PER_SOURCE_PER_S = 1000
-MAX_SOURCES = 4096  # addresses that are counted in a window
+MAX_SOURCES = 4096  # source addresses that are counted in a window
 SOURCE_WINDOW_MS = 1000.0
-MAX_RETAINED_MESSAGES = 256  # messages of several fragments, kept to send fragments again
+MAX_RETAINED_MESSAGES = 256  # sent messages that are stored to retransmit missing fragments
 
 
 @dataclass(slots=True, frozen=True)
 class ReceivedDatagram:
-    """What a datagram leads to: the message that it completes, if any, and datagrams to send back to the sender."""
+    """An accepted datagram: its sender, the message that it completes, if any, and datagrams to send in response."""
 
     sender: Sender
     message: object | None
@@ -36,23 +36,25 @@
 
 @dataclass(slots=True, frozen=True)
 class OutgoingDatagram:
-    """Bytes to send to an address."""
+    """The bytes of a datagram to send to an address."""
 
     to: Address
     data: bytes
 
 
 class Link:
-    """One process's messages to and from all others. Times are milliseconds of its own clock.
+    """Encodes and decodes the messages between this process and all others.
+
+    All times are in milliseconds of this process's monotonic clock.
 
     Args:
-        name: Of this process.
-        address: Where others reach it.
-        cluster: Datagrams of other clusters are dropped.
-        incarnation: Grows from one process to the next at this address. Where the clock behind it went back, a
-            receiver reports the newest one that it knows.
-        first_number: Of messages; any that an earlier process did not use of late.
-        now: The time.
+        name: The name of this process.
+        address: The address at which other processes reach this one.
+        cluster: The name of the cluster; datagrams of other clusters are dropped.
+        incarnation: A number that is higher for each new process at this address. It is derived from the wall clock; if
+            that clock was set back, receivers report the newest incarnation that they know.
+        first_number: The number of the first message; one that an earlier process at this address did not use recently.
+        now: The current time.
     """
 
     def __init__(
@@ -69,14 +71,18 @@
         self.last_encoded: tuple[object, bytes] = (None, b"")
 
     def encode(self, now: float, to: Address, message: object) -> list[bytes]:
-        """Returns the datagrams that carry a message to an address."""
-        if message is not self.last_encoded[0]:  # one message often goes to many addresses
+        """Return the datagrams that carry a message to an address."""
+        if message is not self.last_encoded[0]:  # the same message is often sent to many addresses in a row
             self.last_encoded = message, codec.encode(message)
         fragments = self.fragmenter.split(self._host_and_port(to), self.last_encoded[1])
         return [self._encode_datagram(now, fragment) for fragment in fragments]
 
     def receive(self, now: float, data: bytes, source: Address) -> ReceivedDatagram:
-        """Handles a datagram. Raises DroppedDatagramError where it is not accepted."""
+        """Handle a received datagram.
+
+        Raises:
+            DroppedDatagramError: The datagram is not accepted; it has been counted by its cause.
+        """
         self.counts[published_counters.DATAGRAMS_RECEIVED] += 1
         self.counts[published_counters.BYTES_RECEIVED] += len(data)
         self._limit_source(now, source)
@@ -98,7 +104,7 @@
         return ReceivedDatagram(sender, message, replies)
 
     def missing_fragment_requests(self, now: float) -> list[OutgoingDatagram]:
-        """Returns datagrams that request missing fragments; to be called at intervals."""
+        """Return datagrams that request missing fragments. Must be called periodically."""
         requests = []
         for destination, data in self.fragmenter.requests_due(now):
             host, _, port = destination.rpartition(":")
@@ -138,7 +144,7 @@
         return datagram, datagram.body.data
 
     def _newest_incarnation(self, sender: Sender) -> int:
-        """The newest incarnation of the sender's address that was known before this datagram."""
+        """Record the sender's incarnation, and return the newest one of its address known before this datagram."""
         previous = self.newest_incarnations.pop(sender.address, 0)
         self.newest_incarnations[sender.address] = max(previous, sender.incarnation)
         while len(self.newest_incarnations) > MAX_INCARNATIONS:
@@ -152,6 +158,6 @@
             raise self._drop_error(str(error)) from None
 
     def _drop_error(self, cause: str) -> DroppedDatagramError:
-        """Counts a dropped datagram and returns the error to raise."""
+        """Count a dropped datagram by its cause, and return the error to raise."""
         self.counts[published_counters.DROPPED_PREFIX + cause.replace(" ", "_")] += 1
         return DroppedDatagramError(cause)
--- a/yarrowspindle/configuration/messages.py
+++ b/yarrowspindle/configuration/messages.py
@@ -1,6 +1,6 @@
 """Messages on the wire between relays and controllers, and between controllers.
 
-Each is encoded as an array, so its fields are known by their position. Times are milliseconds.
+Each message is encoded as an array, so that a field is identified by its position. Times are in milliseconds.
 """
 
 from __future__ import annotations
@@ -17,9 +17,9 @@
     ControlState,
 )
 
-MAX_LAGGING_RELAYS = 12  # named in one summary
-MAX_DISTINCT_VERSIONS = 6  # counted apart in one summary
-MAX_REASON_CHARACTERS = 120  # as senders write it; receivers accept MAX_RECEIVED_REASON_CHARACTERS
+MAX_LAGGING_RELAYS = 12  # listed by name in a summary
+MAX_DISTINCT_VERSIONS = 6  # counted separately in a summary
+MAX_REASON_CHARACTERS = 120  # senders truncate to this; receivers accept up to MAX_RECEIVED_REASON_CHARACTERS
 MAX_RECEIVED_REASON_CHARACTERS = 400
 
 UnsignedInteger = Annotated[int, Meta(ge=0, lt=1 << 53)]
@@ -31,10 +31,14 @@
 class Heartbeat(Struct, array_like=True, frozen=True):
     """From a relay to a controller.
 
-    `known_version` is the newest version that the relay has, with `digest`. `applied_version` is the one that it
-    serves by; it is older only where the relay rejected the newest, for `rejection_reason`. `wants_snapshot` asks for
-    all entries. `attached` is false where the relay only checks whether the controller answers. `previous_controller`
-    names the one that it was attached to until now.
+    Attributes:
+        known_version: The newest version that the relay has.
+        digest: The digest of `known_version`.
+        applied_version: The version that the relay applies; older than `known_version` only if it rejected that one.
+        rejection_reason: Why the relay rejected `known_version`; empty if it did not.
+        wants_snapshot: Whether the relay requests all entries instead of steps.
+        attached: False if the relay only checks whether the controller answers.
+        previous_controller: After a reattachment, the name of the controller to which the relay was attached before.
     """
 
     known_version: UnsignedInteger
@@ -47,7 +51,7 @@
 
 
 class LatestVersion(Struct, array_like=True, frozen=True):
-    """From a controller to a relay: the newest committed version that it knows."""
+    """From a controller to a relay: the newest committed version that the controller knows."""
 
     version: UnsignedInteger
     digest: Digest
@@ -71,11 +75,14 @@
 
 
 class Detach(Struct, array_like=True, frozen=True):
-    """From a relay to a controller: it attached to another one, or ends."""
+    """From a relay to a controller: the relay has attached to another controller, or shuts down."""
 
 
 class RelayReattached(Struct, array_like=True, frozen=True):
-    """Between controllers: this relay is attached to the sender, since `sent_at` of its own clock."""
+    """Between controllers: the relay at this address is attached to the sender.
+
+    `incarnation` and `sent_at` are copied from the relay's heartbeat.
+    """
 
     host: str
     port: int
@@ -84,13 +91,16 @@
 
 
 class NewerIncarnation(Struct, array_like=True, frozen=True):
-    """The sender knows a later incarnation of the receiver's address: the receiver must use a higher one."""
+    """Between any processes: the sender knows this later incarnation of the receiver's address.
+
+    The receiver must use a higher one.
+    """
 
     incarnation: UnsignedInteger
 
 
 class LaggingRelay(Struct, array_like=True, frozen=True):
-    """A relay that lacks the newest version, rejects it or is silent."""
+    """Part of a summary: a relay that lacks the newest version, rejects it or is silent."""
 
     name: Name
     applied_version: UnsignedInteger
@@ -101,8 +111,13 @@
 class RelaySummary(Struct, array_like=True, frozen=True):
     """Between controllers: the sender's newest committed version, and the relays that are attached to it.
 
-    `relays_by_version` has pairs of an applied version and a number of relays, the lowest version first; the last pair
-    covers all higher versions. `omitted_relays` counts lagging relays that are not named.
+    Attributes:
+        version: The newest committed version that the sender knows.
+        relays: The number of live attached relays.
+        relays_by_version: Pairs of an applied version and its number of relays, sorted by version. If the maximum
+            number of pairs is reached, the last one also counts the relays of all higher versions.
+        lagging_relays: The relays that have been lagging the longest.
+        omitted_relays: The number of lagging relays that are not in `lagging_relays`.
     """
 
     version: UnsignedInteger
--- a/yarrowspindle/configuration/peer_controllers.py
+++ b/yarrowspindle/configuration/peer_controllers.py
@@ -1,4 +1,4 @@
-"""The other controllers as this one sees them: which are alive, which one leads, and what they last summarized."""
+"""The other controllers as this one sees them: which are alive, which one leads, and their latest summaries."""
 
 from __future__ import annotations
 
@@ -15,16 +15,23 @@
 from yarrowspindle.configuration.messages import RelaySummary, StateUpdate
 from yarrowspindle.configuration.settings import ControllerAddress
 
-STATE_UPDATE_INTERVAL_MS = 400.0  # between two updates to a controller that lags
-MAX_LAGGING_SUMMARIES = 3  # in a row, until a controller that does not lead sends the state
+STATE_UPDATE_INTERVAL_MS = 400.0  # minimum time between two updates to a controller that lags
+# After this many summaries in a row with an old version, controllers other than the leader send the state as well.
+MAX_LAGGING_SUMMARIES = 3
 
 
 @dataclass(slots=True)
 class PeerController:
     """Another controller.
 
-    `last_received_at` and `state_sent_at` are times of this controller's clock, `summary_sent_at` is one of the
-    peer's, in its `incarnation`. `lagging_summaries` counts summaries in a row with an older version than is committed.
+    Attributes:
+        address: Its name and address.
+        summary: The newest summary received from it.
+        last_received_at: When that summary was received, in milliseconds of this controller's clock.
+        incarnation: The peer's incarnation when it sent the summary.
+        summary_sent_at: When the peer sent the summary, in milliseconds of the peer's clock in that incarnation.
+        state_sent_at: When this controller last sent it the state, in milliseconds of this controller's clock.
+        lagging_summaries: The number of summaries in a row with a version older than the committed one.
     """
 
     address: ControllerAddress
@@ -36,14 +43,15 @@
     lagging_summaries: int = 0
 
     def is_older_than(self, sender: Sender) -> bool:
-        """Whether a message was sent after the summary that is known."""
+        """Whether the sender sent its message after the newest summary received."""
         return (sender.incarnation, sender.sent_at) > (self.incarnation, self.summary_sent_at)
 
 
 class PeerControllers:
     """The other controllers by name.
 
-    From `attachments_complete_at` on, every relay is attached to a controller whose summaries are received.
+    From `attachments_complete_at` on, every live relay is assumed to be counted in a summary of a live controller. In
+    milliseconds of this controller's clock.
     """
 
     def __init__(self, context: ControllerContext) -> None:
@@ -61,35 +69,35 @@
 
     @property
     def is_leader(self) -> bool:
-        """Whether this controller proposes: it is the first by name of those that are alive.
+        """Whether this controller leads, that is, proposes changes: its name sorts first among the live controllers.
 
-        Controllers need not agree on the leader: two that propose only delay each other.
+        Controllers need not agree on the leader: if two of them propose, they only delay each other.
         """
         return all(self.context.name < peer.address.name for peer in self._live())
 
     @property
     def leader(self) -> str:
-        """The first by name of the other controllers that are alive; this one where there is none."""
+        """The other live controller whose name sorts first; this controller if no other is alive."""
         return min((peer.address.name for peer in self._live()), default=self.context.name)
 
     @property
     def knows_committed_version(self) -> bool:
-        """Whether a peer has reported a committed version."""
+        """Whether a peer has reported that a version is committed."""
         return any(peer.summary and peer.summary.version for peer in self.by_name.values())
 
     def restart_attachment_grace(self, now: float) -> None:
-        """A controller joined, failed or stood still: relays may be on their way to another one."""
+        """Restart the grace period: a controller joined, failed or stalled, so relays may be reattaching."""
         self.attachments_complete_at = now + ATTACHMENT_GRACE_MS
 
     def refresh(self) -> None:
-        """Compares the controllers that are alive with those at the last call."""
+        """Update the set of live controllers; restart the grace period if it has changed."""
         live = {peer.address.name: peer.incarnation for peer in self._live()}
         if live != self.live_incarnations:
             self.live_incarnations = live
             self.restart_attachment_grace(self.context.now)
 
     def on_summary(self, sender: Sender, summary: RelaySummary) -> None:
-        """Stores a peer's summary, and sends it the state where it lags."""
+        """Record a peer's summary, and send the peer the committed state if it lags."""
         peer = self.by_name.get(sender.name)
         if peer is None or not peer.is_older_than(sender):
             return
@@ -104,13 +112,13 @@
             self._send_state(peer)
 
     def broadcast_state(self) -> None:
-        """Sends the committed state to all peers at once."""
+        """Send the committed state to all peers immediately, regardless of STATE_UPDATE_INTERVAL_MS."""
         for peer in self.by_name.values():
             peer.state_sent_at = NEVER_MS
             self._send_state(peer)
 
     def broadcast(self, message: object) -> None:
-        """Sends a message to all peers."""
+        """Send a message to all peers."""
         for name in self.by_name:
             self.context.send(name, message)
 
--- a/yarrowspindle/configuration/relay_sessions.py
+++ b/yarrowspindle/configuration/relay_sessions.py
@@ -1,4 +1,4 @@
-"""Relays that are attached to a controller: their heartbeats, and the updates that they still lack."""
+"""The relays that are attached to a controller: their heartbeats and the updates that are sent to them."""
 
 from __future__ import annotations
 
@@ -20,19 +20,29 @@
 from yarrowspindle.routing.address import Address
 
 MAX_RELAYS = 4096
-RELAY_TIMEOUT_MS = 2000.0  # a relay without a heartbeat for this long is silent
-RELAY_RETENTION_MS = 60_000.0  # a relay that is silent for this long is no longer reported
-UPDATE_INTERVAL_MS = 200.0  # least time between two updates to one relay
-# A relay with a newer version for this long has not just received it by way of another controller.
+RELAY_TIMEOUT_MS = 2000.0  # a relay that sends no heartbeat for this long is considered silent
+RELAY_RETENTION_MS = 60_000.0  # a relay that sends no heartbeat for this long is removed
+UPDATE_INTERVAL_MS = 200.0  # minimum time between two updates to a relay
+# A relay may receive a version from another controller before this controller does. If it has a newer version for
+# longer than this, the controllers may have lost committed versions.
 NEWER_VERSION_TOLERANCE_MS = 5000.0
 
 
 @dataclass(slots=True)
 class AttachedRelay:
-    """A relay that sends its heartbeats to this controller. Times are milliseconds of the controller's clock.
-
-    `lagging_since` is 0 where it applies the newest version. `detached_at` is 0 while it is attached; a relay that
-    attaches to another controller is counted here until then, so that no summary lacks it before that one reports it.
+    """A relay that sends its heartbeats to this controller. Times are in milliseconds of the controller's clock.
+
+    Attributes:
+        sender: The sender of the newest message of the relay.
+        known_version: The newest version that the relay has.
+        applied_version: The version that the relay applies.
+        rejection_reason: Why the relay does not apply the newest version; empty if it does not reject it.
+        last_heartbeat_at: When the last heartbeat was received.
+        wants_snapshot: Whether the relay requested a snapshot in its last heartbeat.
+        last_update_at: When an update was last sent to the relay.
+        lagging_since: Since when the relay has not applied the newest version; 0 if it applies it.
+        detached_at: Until when a relay that has detached is still counted here; 0 while it is attached. It is counted
+            during this grace period so that it is always in some summary until its next controller reports it.
     """
 
     sender: Sender
@@ -46,12 +56,12 @@
     detached_at: float = 0.0
 
     def is_older_than(self, incarnation: int, sent_at: int) -> bool:
-        """Whether something was sent after the message by which this relay is known."""
+        """Whether a message with this incarnation and sending time is newer than the last one from this relay."""
         return (incarnation, sent_at) > (self.sender.incarnation, self.sender.sent_at)
 
 
 class RelaySessions:
-    """The relays of one controller, by address."""
+    """The relays of one controller. `relays` holds them by address."""
 
     def __init__(self, context: ControllerContext, peers: PeerControllers) -> None:
         self.context, self.peers = context, peers
@@ -61,7 +71,7 @@
     # --- messages -------------------------------------------------------------------------------
 
     def on_heartbeat(self, sender: Sender, heartbeat: Heartbeat) -> None:
-        """Records an attached relay and sends it what it lacks; any other relay gets the newest version's number."""
+        """Record an attached relay and send it the steps that it lacks; send the newest version number to any other."""
         if not heartbeat.attached:
             self._reply_latest_version(sender)
             return
@@ -77,21 +87,24 @@
         self._answer(relay, previous)
 
     def on_detach(self, sender: Sender, _: Detach) -> None:
-        """Counts a relay that ends or attaches elsewhere for a grace period only."""
+        """Start the grace period of a relay that shuts down or attaches to another controller."""
         relay = self.relays.get(sender.address)
         if relay is not None and relay.is_older_than(sender.incarnation, sender.sent_at):
             relay.sender = sender
             relay.detached_at = self.context.now + ATTACHMENT_GRACE_MS
 
     def on_reattached(self, sender: Sender, reattached: RelayReattached) -> None:
-        """Ends the grace period of a relay once its next controller's summary counts it."""
+        """Shorten the grace period of a relay that another controller reports as attached.
+
+        The relay is counted here until a summary of that controller has counted it.
+        """
         relay = self.relays.get((reattached.host, reattached.port))
         if sender.name not in self.peers or relay is None:
             return
         if not relay.is_older_than(reattached.incarnation, reattached.sent_at):
             return
         now = self.context.now
-        # Where the next controller is alive, its failure would be noticed after this time.
+        # If that controller is alive, it sends its next summary, or is considered failed, within this time.
         is_live = sender.name in self.peers.live_incarnations
         grace_ms = PEER_TIMEOUT_MS + SUMMARY_INTERVAL_MS if is_live else ATTACHMENT_GRACE_MS
         relay.detached_at = min(relay.detached_at or now + ATTACHMENT_GRACE_MS, now + grace_ms)
@@ -99,20 +112,20 @@
     # --- changes of the committed state ---------------------------------------------------------
 
     def on_state_committed(self) -> None:
-        """Sends a newer state to the relays."""
+        """Send a newer state to the relays."""
         for relay in self.relays.values():
             self._update_lagging_since(relay)
         self.push_due()
 
     def push_due(self) -> None:
-        """Sends updates to live relays that lag.
+        """Send updates to live relays that lag, at most one per relay in UPDATE_INTERVAL_MS.
 
-        Changes in quick succession go out together: a relay that was just sent an update waits for the next.
+        Changes in quick succession are thereby sent together.
         """
         self._push([relay for relay in self.relays.values() if self._is_update_due(relay)])
 
     def remove_expired(self) -> None:
-        """Removes relays that detached, or that have been silent for too long."""
+        """Remove relays whose grace period has ended or that have been silent for RELAY_RETENTION_MS."""
         expired = [
             address
             for address, relay in self.relays.items()
@@ -122,13 +135,13 @@
             del self.relays[address]
 
     def is_live(self, relay: AttachedRelay) -> bool:
-        """Whether a heartbeat was received of late."""
+        """Whether a heartbeat of the relay was received within RELAY_TIMEOUT_MS."""
         return self.context.now <= relay.last_heartbeat_at + RELAY_TIMEOUT_MS
 
     # --- one heartbeat --------------------------------------------------------------------------
 
     def _admit(self, sender: Sender, previous: AttachedRelay | None) -> bool:
-        if previous is not None:  # an older heartbeat was overtaken on its way
+        if previous is not None:  # ignore a heartbeat that arrives after a newer message of the relay
             return previous.is_older_than(sender.incarnation, sender.sent_at)
         if len(self.relays) >= MAX_RELAYS and not self._evict_silent_relay():
             self.context.counts[published_counters.RELAY_TABLE_FULL] += 1
@@ -157,7 +170,7 @@
         if is_behind and may_update:
             self._push([relay])
         elif previous is None or relay.known_version <= previous.known_version:
-            # A heartbeat that confirms a new version needs no answer.
+            # A heartbeat that confirms an update needs no answer.
             self._reply_latest_version(relay.sender)
 
     def _reply_latest_version(self, sender: Sender) -> None:
@@ -165,7 +178,7 @@
         self.context.reply(sender, LatestVersion(committed.version, committed.digest))
 
     def _evict_silent_relay(self) -> bool:
-        """Removes the relay that has been silent for the longest; False where none is silent."""
+        """Remove the relay that has been silent for the longest time. Return False if no relay is silent."""
         address, oldest = min(self.relays.items(), key=lambda item: item[1].last_heartbeat_at)
         if self.is_live(oldest):
             return False
@@ -173,7 +186,7 @@
         return True
 
     def _report_name_conflict(self, sender: Sender) -> None:
-        """Logs that two relays have one name: both are served, and operators have to correct it."""
+        """Log a warning if another live relay has the same name: both are served, but an operator has to rename one."""
         for other in self.relays.values():
             if other.sender.name == sender.name and not other.detached_at and self.is_live(other):
                 self._log_name_conflict(sender, other)
@@ -187,7 +200,10 @@
             return
         self.name_conflict_logged_at[name] = now
         (host, port), (other_host, other_port) = sender.address, other.sender.address
-        text = f"two relays are called {name}: {other_host}:{other_port} and {host}:{port}"
+        text = (
+            f"two relays are called {name}: {other_host}:{other_port} and {host}:{port}; "
+            "both receive settings, but the status cannot tell them apart; give one of them another control.name"
+        )
         self.context.log(text, is_warning=True)
 
     def _report_newer_version(self, relay: AttachedRelay) -> None:
@@ -197,7 +213,8 @@
             self.context.counts[published_counters.NEWER_RELAYS] += 1
             self.context.log(
                 f"relay {relay.sender.name} has version {relay.known_version}, newer than the committed version "
-                f"{committed.version}",
+                f"{committed.version}: the controllers may have lost committed versions, or the relay belongs to "
+                "another fleet",
                 rate_limited=True,
             )
 
@@ -218,7 +235,7 @@
         )
 
     def _push(self, relays: Iterable[AttachedRelay]) -> None:
-        """Sends each relay the steps that it lacks, or a snapshot. Relays with the same base share one message."""
+        """Send each relay the steps that it lacks, or a snapshot. Relays with the same version share one message."""
         updates: dict[int, Delta | Snapshot] = {}
         for relay in relays:
             base = NO_VERSION if relay.wants_snapshot else relay.known_version
--- a/yarrowspindle/configuration/state.py
+++ b/yarrowspindle/configuration/state.py
@@ -1,7 +1,8 @@
-"""What the controllers commit: the entries that all relays serve by, under versions that grow by one.
+"""The replicated state of the controllers: the shared settings of all relays, as entries with a version number.
 
-A version has one content: the consensus commits one state under it, and its digest covers version and entries. Each
-change is a step. The newest steps are part of the state, so that a relay that lags receives each of them, in order.
+Each change is a step that increments the version by one. Consensus commits only one state per version, and a digest
+covers version and entries. The newest steps are part of the state, so that a relay that lags can be sent the steps that
+it lacks.
 """
 
 from __future__ import annotations
@@ -13,14 +14,15 @@
 from msgspec.structs import replace
 
 Entries = Mapping[str, str]  # key -> JSON text
-Step = Mapping[str, str | None]  # what one change sets; None removes the key
-# Returns why a relay cannot serve by these entries; empty where it can. The same at all relays and controllers.
+Step = Mapping[str, str | None]  # the entries that a change sets; None removes the key
+# Returns the reason why relays cannot apply these entries, or an empty string if they can. All relays and controllers
+# must get the same result.
 EntriesCheck = Callable[[Entries], str]
 
 MAX_KEY_CHARACTERS = 64
 MAX_VALUE_CHARACTERS = 16_384
 MAX_ENTRIES = 128
-MAX_ENTRIES_CHARACTERS = 65_536  # of all keys and values
+MAX_ENTRIES_CHARACTERS = 65_536  # of all keys and values together
 MAX_RECENT_STEPS = 64
 MAX_RECENT_STEPS_CHARACTERS = 32_768
 MAX_NAME_CHARACTERS = 64
@@ -29,49 +31,60 @@
 
 
 class ControlError(ValueError):
-    """A change or a setting is not valid; the text says why."""
+    """A change or a setting is not valid; the text gives the reason."""
 
 
 def character_count(step: Step) -> int:
-    """The characters of all keys and values."""
+    """Return the number of characters of all keys and values."""
     return sum(len(key) + len(value or "") for key, value in step.items())
 
 
 def entries_bounds_error(entries: Entries) -> str:
-    """Returns which bound the entries exceed; empty where they exceed none."""
+    """Return which bound the entries exceed, or an empty string if they exceed none."""
     for key, value in entries.items():
         if not 0 < len(key) <= MAX_KEY_CHARACTERS or len(value) > MAX_VALUE_CHARACTERS:
             return (
-                f"{key[:MAX_KEY_CHARACTERS]!r}: a key has 1 to {MAX_KEY_CHARACTERS} characters, "
-                f"a value {MAX_VALUE_CHARACTERS} at most"
+                f"key {key[:MAX_KEY_CHARACTERS]!r}: a key must have 1 to {MAX_KEY_CHARACTERS} characters, "
+                f"and its value at most {MAX_VALUE_CHARACTERS}"
             )
     characters = character_count(entries)
     if len(entries) > MAX_ENTRIES or characters > MAX_ENTRIES_CHARACTERS:
-        return f"{len(entries)} entries of {characters} characters: {MAX_ENTRIES} and {MAX_ENTRIES_CHARACTERS} at most"
+        return (
+            f"{len(entries)} entries with {characters} characters in total: at most {MAX_ENTRIES} entries and "
+            f"{MAX_ENTRIES_CHARACTERS} characters are allowed"
+        )
     return ""
 
 
 def step_bounds_error(step: Step) -> str:
-    """Returns which bound a step exceeds, also by the keys that it removes; empty where it exceeds none."""
+    """Return which bound a step exceeds, including the keys that it removes; an empty string if it exceeds none."""
     return entries_bounds_error({key: value or "" for key, value in step.items()})
 
 
 def content_digest(version: int, entries: Entries) -> bytes:
-    """Returns 8 bytes that are equal where version and entries are."""
+    """Return a digest of version and entries, with a length of DIGEST_BYTES (8 bytes)."""
     text = repr((version, sorted(entries.items())))
     return blake2b(text.encode(), digest_size=DIGEST_BYTES).digest()
 
 
 def apply_step(entries: Entries, step: Step) -> dict[str, str]:
-    """Returns the entries after a step."""
+    """Return the entries after a step."""
     remaining = {key: value for key, value in entries.items() if key not in step}
     return remaining | {key: value for key, value in step.items() if value is not None}
 
 
 class ChangeOrder(Struct, frozen=True, rename={"incarnation": "life", "accepted_by": "taker"}):
-    """An operator's change, with the controller that accepted it and its number in that controller's incarnation.
+    """An operator's change, numbered by the controller that accepted it.
+
+    An order is settled when a version is committed for it, whether its step is applied or rejected. Each order is
+    settled only once, and the orders of a controller in the sequence of their numbers, so that an order that is
+    delivered late does not undo a newer one.
 
-    Each order is settled once and in its turn: one that is delivered late does not undo a newer one.
+    Attributes:
+        accepted_by: The name of the controller that accepted the change.
+        incarnation: The incarnation of that controller under which the order is numbered.
+        number: The number of the order in that incarnation, starting with 1.
+        step: The entries to set or remove.
     """
 
     accepted_by: str
@@ -83,9 +96,9 @@
 class CommittedStep(
     Struct, frozen=True, rename={"rejection_reason": "why", "accepted_by": "taker", "incarnation": "life"}
 ):
-    """The step to a version, and the order that caused it.
+    """The step that created a version, and the order that caused it, if any.
 
-    A step with a `rejection_reason` changes nothing.
+    If `rejection_reason` is not empty, the order was rejected and the step is empty.
     """
 
     version: int
@@ -99,9 +112,13 @@
 class ControlState(Struct, frozen=True, rename={"last_settled": "takers", "recent_steps": "done"}):
     """The replicated state.
 
-    `voters` maps names to the identities of their files; `epoch` grows with each change of them. `last_settled` maps
-    controllers to the incarnation and number of their newest settled order. `recent_steps` are the newest steps, the
-    oldest first, without a gap up to `version`.
+    Attributes:
+        voters: The identities of the voters' acceptor files, by the voters' names.
+        version: Incremented with each change.
+        epoch: Incremented with each change of `voters`.
+        entries: The shared settings.
+        last_settled: The incarnation and number of the newest settled order of each controller, by its name.
+        recent_steps: The newest steps, sorted by version and without a gap up to `version`.
     """
 
     voters: Mapping[str, str] = field(default_factory=dict)
@@ -113,26 +130,26 @@
 
     @property
     def digest(self) -> bytes:
-        """The digest of version and entries."""
+        """A digest of version and entries."""
         return content_digest(self.version, self.entries)
 
     def at_epoch(self, epoch: int) -> ControlState:
-        """Returns the same state of another epoch."""
+        """Return a copy of this state with another epoch."""
         return replace(self, epoch=epoch)
 
     def is_settled(self, order: ChangeOrder) -> bool:
-        """Whether this order, or a later one of the same controller, is settled."""
+        """Whether this order, or a later order of the same controller, is settled."""
         return (order.incarnation, order.number) <= self.last_settled.get(order.accepted_by, (0, 0))
 
     def is_next(self, order: ChangeOrder) -> bool:
-        """Whether it is this order's turn among those of its controller."""
+        """Whether this order is the next one of its controller to be settled."""
         incarnation, number = self.last_settled.get(order.accepted_by, (0, 0))
         follows = (order.incarnation, order.number) == (incarnation, number + 1)
         begins_incarnation = order.incarnation > incarnation and order.number == 1
         return follows or begins_incarnation
 
     def settle(self, order: ChangeOrder, check: EntriesCheck) -> ControlState | None:
-        """Returns the next version, with the order's step or its rejection; None where it is not the order's turn."""
+        """Return the next version, with the order's step or its rejection; None if the order is not the next."""
         if not self.is_next(order):
             return None
         entries = apply_step(self.entries, order.step)
@@ -152,7 +169,7 @@
         )
 
     def with_voter(self, name: str, identity: str) -> ControlState | None:
-        """Returns the next version, in which this voter has another file; None where it has it already."""
+        """Return the next version, in which this voter has this identity; None if it has the identity already."""
         if self.voters.get(name) == identity:
             return None
         changed = self._with_step(CommittedStep(self.version + 1, {}))
--- a/yarrowspindle/configuration/status.py
+++ b/yarrowspindle/configuration/status.py
@@ -1,6 +1,6 @@
-"""What a controller reports: the summary for its peers, the status for operators, and the log line of a version.
+"""Reports of a controller: the summary for its peers, the status for operators, and a log line for each version.
 
-The names of the JSON members of a status are part of the operators' interface.
+The names of the JSON members of the status are part of the operators' interface.
 """
 
 from __future__ import annotations
@@ -25,12 +25,18 @@
 from yarrowspindle.configuration.state import CommittedStep, Entries
 
 MAX_REJECTED_VERSIONS = 8
-SILENT, BEHIND = "silent", "behind"  # reasons of lagging relays, as operators read them
+SILENT, BEHIND = "silent", "behind"  # published reasons why a relay lags
 
 
 @dataclass(slots=True, frozen=True)
 class ControllerHealth:
-    """A controller as another one sees it. silent_s: since its last summary."""
+    """The health of a controller as another one sees it.
+
+    Attributes:
+        silent_s: The time since its last summary, in seconds.
+        relays: The number of live relays that it reported as attached.
+        version: The newest committed version that it reported.
+    """
 
     silent_s: float
     relays: int
@@ -39,13 +45,13 @@
 
 @dataclass(slots=True, frozen=True)
 class ReportedRelay:
-    """A lagging relay, with the controller that it is attached to."""
+    """A lagging relay and the name of the controller to which it is attached."""
 
     controller: str
     relay: LaggingRelay
 
     def to_json(self) -> dict[str, Any]:
-        """The relay under its published names."""
+        """Return the relay as JSON members with their published names."""
         return {
             "relay": self.relay.name,
             "version": self.relay.applied_version,
@@ -57,10 +63,21 @@
 
 @dataclass(slots=True, frozen=True)
 class ControllerStatus:
-    """What operators are shown.
-
-    `applied_everywhere` is the newest version that every live relay applies. `summaries` are those of this controller
-    and of its live peers by name, `rejected` the newest steps that were committed without an effect.
+    """The status for operators.
+
+    Attributes:
+        version: The newest committed version that this controller knows.
+        digest: The digest of that version.
+        applied_everywhere: The newest version that every live relay applies.
+        is_leader: Whether this controller proposes changes.
+        voters: The sorted names of the voters.
+        is_voter: Whether this controller has an acceptor.
+        last_failure: Why this controller's last consensus round failed; empty if it succeeded.
+        controllers: The health of all controllers by name.
+        pending_changes: The number of operators' changes accepted here that are not answered yet.
+        summaries: The summaries of this controller and of its live peers by name.
+        rejected: The newest steps that were committed as rejected.
+        entries: The entries of the newest committed version.
     """
 
     version: int
@@ -78,17 +95,17 @@
 
     @property
     def relays(self) -> int:
-        """Live relays of all live controllers."""
+        """The number of live relays of all live controllers."""
         return sum(summary.relays for summary in self.summaries.values())
 
     @property
     def omitted_relays(self) -> int:
-        """Lagging relays that are not named."""
+        """The number of lagging relays that are not listed by name."""
         return sum(summary.omitted_relays for summary in self.summaries.values())
 
     @property
     def lagging_relays(self) -> list[ReportedRelay]:
-        """Lagging relays of all live controllers, by the names of these."""
+        """The listed lagging relays of all live controllers, sorted by the name of the controller."""
         return [
             ReportedRelay(name, relay)
             for name, summary in sorted(self.summaries.items())
@@ -96,7 +113,7 @@
         ]
 
     def to_json(self) -> dict[str, Any]:
-        """The status under its published names."""
+        """Return the status as JSON members with their published names."""
         return {
             "version": self.version,
             "digest": self.digest.hex(),
@@ -119,7 +136,7 @@
 
 
 class StatusReporter:
-    """Derives a controller's reports from its parts."""
+    """Derives a controller's reports from the state of its components."""
 
     def __init__(
         self,
@@ -137,7 +154,7 @@
     # --- summary for the peers --------------------------------------------------------------------
 
     def summary(self) -> RelaySummary:
-        """Summarizes the relays that are attached to this controller."""
+        """Return a summary of the relays that are attached to this controller."""
         now = self.context.now
         counted = [
             relay
@@ -155,7 +172,10 @@
 
     @staticmethod
     def _relays_by_version(relays: list[AttachedRelay]) -> list[tuple[int, int]]:
-        """Applied versions, the lowest first, with the numbers of their relays; the last entry covers the rest."""
+        """Return pairs of an applied version and the number of its relays, sorted by version.
+
+        If there are more than MAX_DISTINCT_VERSIONS versions, the last pair also counts the relays of all higher ones.
+        """
         counts = sorted(Counter(relay.applied_version for relay in relays).items())
         if len(counts) <= MAX_DISTINCT_VERSIONS:
             return counts
@@ -164,7 +184,7 @@
         return [*counts[: MAX_DISTINCT_VERSIONS - 1], (last_version, rest)]
 
     def _lagging_relays(self) -> list[LaggingRelay]:
-        """Relays that are silent, that reject the newest version or that lack it; the longest lagging first."""
+        """Return the relays that are silent or do not apply the newest version, sorted by how long; longest first."""
         lagging = []
         for relay in self.sessions.relays.values():
             if relay.detached_at:
@@ -184,7 +204,7 @@
     # --- status for operators -----------------------------------------------------------------------
 
     def status(self, own_summary: RelaySummary | None = None) -> ControllerStatus:
-        """The status with this controller's summary, which is made anew where it is not given."""
+        """Return the status. `own_summary` is this controller's current summary; by default it is computed."""
         context, state = self.context, self.context.committed.state
         own_summary = own_summary or self.summary()
         summaries = {context.name: own_summary}
@@ -216,9 +236,9 @@
         return ControllerHealth(round(silent_ms / 1000.0, 1), relays, version)
 
     def _applied_everywhere(self, summaries: Mapping[str, RelaySummary]) -> int:
-        """The newest version that all live relays of all live controllers apply.
+        """Return the newest version that all live relays of all live controllers apply.
 
-        It does not grow while relays may be attached to a controller whose summaries are not received.
+        It does not increase while a relay may be attached to a controller whose summaries are not received.
         """
         applied = [version for summary in summaries.values() for version, _ in summary.relays_by_version]
         lowest = min(applied, default=self.context.committed.version)
@@ -228,7 +248,7 @@
         return lowest
 
     def announce(self, own_summary: RelaySummary) -> None:
-        """Logs each version once, when all live relays apply it; only the leader logs it."""
+        """Log, once per version and only as the leader, that all live relays apply the version."""
         status = self.status(own_summary)
         self.applied_everywhere = max(self.applied_everywhere, status.applied_everywhere)
         if not status.is_leader or self.applied_everywhere <= self.announced_version:
