--- a/yarrowspindle/configuration/change_proposals.py
+++ b/yarrowspindle/configuration/change_proposals.py
@@ -120,7 +120,7 @@
         must_read = is_leader and (not was_leader or now >= self.last_read_at + READ_INTERVAL_MS)
         if must_read or self._has_new_identity() or self._has_orders_to_propose():
             self.round_started_at = now
-            self._carry_out(self.proposer.start(self._change))
+            self._carry_out(self.proposer.start(self._settle_queued_orders))
 
     def _remove_finished_orders(self) -> None:
         for key, queued in list(self.queue.items()):
@@ -143,7 +143,7 @@
             return True
         return bool(self.queue) and self.context.now >= self.last_read_at + OUT_OF_TURN_READ_INTERVAL_MS
 
-    def _change(self, state: ControlState) -> ControlState | None:
+    def _settle_queued_orders(self, state: ControlState) -> ControlState | None:
         """Return the state with the queued orders settled and this voter's current identity; None if nothing changes.
 
         One round creates MAX_VERSIONS_PER_ROUND versions at most, plus one for a new identity.
--- a/yarrowspindle/lab/model/planted_control.py
+++ b/yarrowspindle/lab/model/planted_control.py
@@ -80,7 +80,7 @@
 class ProposalsThatSettleTwice(ChangeProposals):
     """An order that is delivered again is settled again."""
 
-    def _change(self, state: ControlState) -> ControlState | None:
+    def _settle_queued_orders(self, state: ControlState) -> ControlState | None:
         found = state
         for order in self.orders_in_turn():
             found = found.settle(order, self.context.check) or self._settle_again(found, order) or found
@@ -104,7 +104,7 @@
 class ProposalsOutOfTurn(ChangeProposals):
     """An order is settled though one before it is not."""
 
-    def _change(self, state: ControlState) -> ControlState | None:
+    def _settle_queued_orders(self, state: ControlState) -> ControlState | None:
         found = state
         for order in reversed(self.orders_in_turn()):
             if not found.is_settled(order):
@@ -122,9 +122,9 @@
 class ProposalsWithoutCheck(ChangeProposals):
     """The state that an order is written into is not checked."""
 
-    def _change(self, state: ControlState) -> ControlState | None:
+    def _settle_queued_orders(self, state: ControlState) -> ControlState | None:
         check, self.context.check = self.context.check, lambda entries: ""
-        found = super()._change(state)
+        found = super()._settle_queued_orders(state)
         self.context.check = check
         return found
 
