--- a/tests/configuration/harness.py
+++ b/tests/configuration/harness.py
@@ -1,4 +1,4 @@
-"""An agent or a controller with its effects, for the tests of their parts."""
+"""Harnesses that run an agent or a controller without I/O and record its effects; builders of states and messages."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 def require_settled(state: ControlState | None) -> ControlState:
-    """The state that settling an order returned."""
+    """Return the state that resulted from settling an order; the order must have been the next."""
     assert state is not None
     return state
 
@@ -31,7 +31,7 @@
 def committed(
     *steps: Step, state: ControlState = INITIAL_STATE, accepted_by: str = "c01", incarnation: int = 1
 ) -> ControlState:
-    """A state with these steps settled as orders of one controller."""
+    """Return the state after these steps, settled as orders of one controller."""
     last_incarnation, last_number = state.last_settled.get(accepted_by, (0, 0))
     first_number = last_number + 1 if last_incarnation == incarnation else 1
     for number, step in enumerate(steps, first_number):
@@ -40,12 +40,12 @@
 
 
 def snapshot(version: int, entries: Entries) -> Snapshot:
-    """All entries of a version."""
+    """Return a snapshot of a version."""
     return Snapshot(version, content_digest(version, entries), dict(entries))
 
 
 def delta(base: int, before: Entries, *steps: Step) -> Delta:
-    """These steps after version `base`, which has the entries `before`."""
+    """Return a delta with these steps after version `base`, which has the entries `before`."""
     entries = before
     for step in steps:
         entries = apply_step(entries, step)
@@ -54,13 +54,13 @@
 
 
 def heartbeat(known_version: int = 0, entries: Entries | None = None, **fields: Any) -> Heartbeat:
-    """A heartbeat of an attached relay, which applies the version that it knows."""
+    """Return a heartbeat of an attached relay, which by default applies the version that it knows."""
     digest = content_digest(known_version, entries or {})
     return Heartbeat(known_version, digest, fields.pop("applied_version", known_version), attached=True, **fields)
 
 
 class RelayHarness:
-    """An agent, the effects of its last event, and the controllers whose messages it receives."""
+    """An agent with its clock, and the effects of its last event."""
 
     def __init__(self, version: int = 0, entries: Entries | None = None, controllers: int = 3) -> None:
         self.agent = Agent(list(CONTROLLERS[:controllers]), check, 1, 0.0, version, entries)
@@ -68,7 +68,7 @@
         self.effects: list[Any] = self.agent.take_effects()
 
     def post(self, event: Event, elapsed_ms: float = 1.0) -> list[Any]:
-        """Passes an event to the agent, this long after the last one."""
+        """Advance the clock, pass an event to the agent, and return the effects."""
         self.now += elapsed_ms
         self.effects = self.agent.step(self.now, event)
         return self.effects
@@ -76,17 +76,17 @@
     def receive(
         self, message: object, controller: ControllerAddress = CONTROLLERS[0], elapsed_ms: float = 1.0
     ) -> list[Any]:
-        """Passes a controller's message to the agent."""
+        """Pass a controller's message to the agent and return the effects."""
         self.sent_at += 1
         sender = Sender(controller.name, controller.address, 1, self.sent_at)
         return self.post(MessageReceived(sender, message), elapsed_ms)
 
     def applied(self) -> list[tuple[int, Entries]]:
-        """Versions and entries that are to be applied."""
+        """Return the versions and entries that are to be applied."""
         return [(e.version, e.entries) for e in self.effects if isinstance(e, ApplySettings)]
 
     def heartbeats(self) -> list[Heartbeat]:
-        """Heartbeats that are sent."""
+        """Return the heartbeats that are sent."""
         return [e.message for e in self.effects if isinstance(e, SendMessage) and isinstance(e.message, Heartbeat)]
 
     def log_lines(self) -> list[str]:
@@ -95,7 +95,7 @@
 
 
 class ControllerHarness:
-    """One controller with its acceptor, and the effects of its last event."""
+    """A controller with its acceptor and its clock, and the effects of its last event."""
 
     def __init__(
         self, name: str = "c00", incarnation: int = 1, seed: int = 1, stored: AcceptorState[ControlState] | None = None
@@ -120,7 +120,10 @@
         self.effects: list[Any] = []
 
     def post(self, event: Event, elapsed_ms: float = 1.0) -> list[Any]:
-        """Passes an event to the controller, and its messages to itself and its acceptor until there are none."""
+        """Advance the clock, pass an event to the controller, and return the effects.
+
+        Messages to the controller itself and requests to its acceptor are delivered until there are none.
+        """
         self.now += elapsed_ms
         self.effects, events = [], [event]
         while events:
@@ -134,17 +137,17 @@
         return self.effects
 
     def receive(self, sender: Sender, message: object, elapsed_ms: float = 1.0) -> list[Any]:
-        """Passes another process's message to the controller."""
+        """Pass a message of another process to the controller and return the effects."""
         self.sent_at += 1
         numbered = Sender(sender.name, sender.address, sender.incarnation, self.sent_at)
         return self.post(MessageReceived(numbered, message), elapsed_ms)
 
     def answers(self) -> list[tuple[int, int, str]]:
-        """Answers to operators: ticket, version and reason."""
+        """Return the ticket, version and reason of each answer to an operator."""
         return [(e.ticket, e.version, e.reason) for e in self.effects if isinstance(e, ChangeAnswered)]
 
     def sent(self, kind: type) -> list[Any]:
-        """Messages of this type that are sent."""
+        """Return the messages of this type that are sent."""
         return [e.message for e in self.effects if isinstance(e, SendMessage) and isinstance(e.message, kind)]
 
     def log_lines(self) -> list[str]:
@@ -153,7 +156,7 @@
 
 
 def steady_controller() -> ControllerHarness:
-    """A controller after the grace period, with one live peer and a relay at each of the two."""
+    """Return a controller whose grace period has ended, with one live peer; each of the two has one attached relay."""
     controller, c01 = ControllerHarness(), Sender("c01", CONTROLLERS[1].address, 1)
     for _ in range(int(ATTACHMENT_GRACE_MS / TICK_MS) + 5):
         controller.receive(RELAY, heartbeat(), 0.0)
--- a/tests/configuration/test_agent.py
+++ b/tests/configuration/test_agent.py
@@ -1,4 +1,4 @@
-"""The agent: which versions it applies, and which controller it attaches to."""
+"""The agent: which versions it applies, and to which controller it attaches."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
     assert relay.applied() == [(2, {"a": "2", "b": "1"})] and Persist(2, {"a": "2", "b": "1"}) in relay.effects
     assert relay.heartbeats()[-1].applied_version == 2
     relay.receive(delta(1, {"a": "1"}, {"a": "2", "b": "1"}, {"a": None}))
-    assert relay.applied() == [(3, {"b": "1"})], "only the steps that it lacks"
+    assert relay.applied() == [(3, {"b": "1"})], "a step that the relay has already is skipped"
     (apply,) = [e for e in relay.effects if isinstance(e, ApplySettings)]
     assert apply.changed_keys == {"a"}
 
@@ -33,7 +33,7 @@
     ):
         relay.receive(message)
         assert not relay.applied() and relay.agent.applied_version == 5, message
-    assert relay.heartbeats()[-1].known_version == 5, "the heartbeat says from which version on"
+    assert relay.heartbeats()[-1].known_version == 5, "a heartbeat requests the steps after version 5"
 
 
 def test_a_wrong_digest_leads_to_one_request_for_a_snapshot() -> None:
@@ -42,7 +42,9 @@
     relay.receive(Delta(1, 2, content_digest(2, {"a": "2"}), [{"a": "3"}]))
     assert not relay.applied() and relay.heartbeats()[-1].wants_snapshot
     relay.receive(Snapshot(2, b"12345678", {"a": "2"}))
-    assert not relay.applied() and not relay.heartbeats(), "a sender with a permanent fault would answer at once"
+    assert not relay.applied() and not relay.heartbeats(), (
+        "a second request would loop with a permanently faulty sender"
+    )
     relay.receive(snapshot(2, {"a": "2"}))
     assert relay.applied() == [(2, {"a": "2"})] and not relay.heartbeats()[-1].wants_snapshot
 
@@ -77,7 +79,7 @@
     assert (latest.known_version, latest.applied_version, latest.rejection_reason) == (2, 1, "no memory")
     relay.receive(delta(2, {"a": "2"}, {"b": "3"}))
     (apply,) = [e for e in relay.effects if isinstance(e, ApplySettings)]
-    assert apply.changed_keys == {"a", "b"}, "from what it applies"
+    assert apply.changed_keys == {"a", "b"}, "compared with the applied version, not with the known one"
 
 
 def test_after_a_restart_the_stored_version_is_applied_without_a_controller() -> None:
@@ -95,7 +97,7 @@
     assert "until it receives a version above 7" in relay.log_lines()[0] and relay.agent.applied_version == 7
     relay.receive(LatestVersion(7, relay.agent.digest))
     relay.receive(LatestVersion(3, content_digest(3, {})), elapsed_ms=NEWER_VERSION_TOLERANCE_MS + 1.0)
-    assert not relay.log_lines(), "a controller that lags for a moment is not logged"
+    assert not relay.log_lines(), "a controller that lags temporarily is not logged"
 
 
 def test_messages_of_unknown_senders_are_ignored() -> None:
@@ -110,12 +112,12 @@
     relay.receive(LatestVersion(0, content_digest(0, {})), CONTROLLERS[1])
     assert relay.agent.current is CONTROLLERS[1]
     relay.receive(LatestVersion(0, content_digest(0, {})), CONTROLLERS[2])
-    assert relay.agent.current is CONTROLLERS[1], "a controller that answers stays"
+    assert relay.agent.current is CONTROLLERS[1], "the relay stays attached to a controller that answers"
     relay.receive(LatestVersion(0, content_digest(0, {})), CONTROLLERS[0])
     detached_from = [e.to.name for e in relay.effects if isinstance(e, SendMessage) and isinstance(e.message, Detach)]
     assert relay.agent.current is CONTROLLERS[0] and detached_from == ["c01"]
     relay.post(TimerFired(), CONTROLLER_TIMEOUT_MS + 1.0)
-    assert {e.to.name for e in relay.effects if isinstance(e, SendMessage)} >= {"c00", "c01"}, "it contacts others"
+    assert {e.to.name for e in relay.effects if isinstance(e, SendMessage)} >= {"c00", "c01"}, "others are contacted"
     relay.receive(LatestVersion(0, content_digest(0, {})), CONTROLLERS[2])
     assert relay.agent.current is CONTROLLERS[2] and relay.heartbeats()[-1].previous_controller == "c00"
     assert [type(e.message) for e in relay.agent.detach() if isinstance(e, SendMessage)] == [Detach]
--- a/tests/configuration/test_change_proposals.py
+++ b/tests/configuration/test_change_proposals.py
@@ -1,4 +1,4 @@
-"""Rounds of the consensus: when they start, and what they commit."""
+"""Consensus rounds of a controller: when they start, and which orders they commit."""
 
 from __future__ import annotations
 
@@ -9,7 +9,10 @@
 
 
 def test_an_order_out_of_turn_does_not_start_a_round_each_tick() -> None:
-    """Its predecessor may never arrive, and a round in each tick would keep others from a majority (seed 77997)."""
+    """The preceding order may never arrive, and a round in each tick would keep other proposers from a majority.
+
+    Found with seed 77997.
+    """
     controller = ControllerHarness()
     controller.receive(Sender("c01", CONTROLLERS[1].address, 1), ChangeOrder("c01", 1, 2, {"a": "2"}))
     for _ in range(20):
--- a/tests/configuration/test_change_queue.py
+++ b/tests/configuration/test_change_queue.py
@@ -1,4 +1,4 @@
-"""Operators' changes: accepted, rejected, passed on, and answered once."""
+"""Operators' changes: accepted or rejected, forwarded, and answered once."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     controller.post(ChangeRequested(7, {"a": "1"}))
     assert controller.answers() == [(7, 1, "")] and controller.sent(Delta) == [delta(0, {}, {"a": "1"})]
     assert [e.state.version for e in controller.effects if isinstance(e, StateCommitted)] == [1]
-    assert [m.state.entries for m in controller.sent(StateUpdate)] == [{"a": "1"}] * 2, "also to the other controllers"
+    assert [m.state.entries for m in controller.sent(StateUpdate)] == [{"a": "1"}] * 2, "one to each other controller"
 
 
 @pytest.mark.parametrize(
@@ -62,7 +62,10 @@
 
 
 def test_orders_overtaken_by_an_earlier_process_with_a_higher_incarnation_are_settled_once() -> None:
-    """The clock went back. The earlier process's order was delivered late, between those of this one."""
+    """The clock was set back, so this process uses a lower incarnation than the earlier one.
+
+    A delayed order of the earlier process is committed after two orders of this one, and thereby skips the third.
+    """
     controller, c00 = ControllerHarness("c01", incarnation=502), Sender("c00", CONTROLLERS[0].address, 1)
     for ticket in (1, 2, 3):
         controller.post(ChangeRequested(ticket, {"a": f"{ticket}"}))
--- a/tests/configuration/test_codec.py
+++ b/tests/configuration/test_codec.py
@@ -1,4 +1,4 @@
-"""Messages as bytes: round trips, invalid bytes and states out of bounds."""
+"""The codec of messages: round trips, invalid bytes and states that exceed their bounds."""
 
 from __future__ import annotations
 
--- a/tests/configuration/test_committed_log.py
+++ b/tests/configuration/test_committed_log.py
@@ -1,4 +1,4 @@
-"""Updates for relays: deltas, and snapshots where steps are missing."""
+"""Updates for relays: deltas, and snapshots if steps are missing."""
 
 from __future__ import annotations
 
@@ -34,4 +34,4 @@
     far_ahead = committed(*({"k": f"{n}"} for n in range(MAX_RECENT_STEPS + 30)), state=state)
     controller.receive(c01, StateUpdate(far_ahead))
     controller.receive(RELAY, heartbeat(newest, state.entries), 300.0)
-    assert controller.sent(Snapshot) and not controller.sent(Delta), "over a gap"
+    assert controller.sent(Snapshot) and not controller.sent(Delta), "the steps between the two states are not known"
--- a/tests/configuration/test_controller.py
+++ b/tests/configuration/test_controller.py
@@ -1,4 +1,4 @@
-"""The controller as a whole: unknown senders, states, ballots."""
+"""The controller as a whole: messages of unknown senders, state updates and ballots."""
 
 from __future__ import annotations
 
--- a/tests/configuration/test_disk_faults.py
+++ b/tests/configuration/test_disk_faults.py
@@ -1,7 +1,7 @@
-"""Controllers on disks that fail for a while, and that are killed during a write: committed changes stay.
+"""Committed changes survive temporary disk faults and kills of controllers during a write.
 
-Faults are injected by the soak's shim inside the controllers' processes: open, read, write, sync and rename below
-their folders fail with ENOSPC or EIO, and a write ends the process after its first half.
+The soak test's shim injects the faults into the controllers' processes: open, read, write, sync and rename below their
+directories fail with ENOSPC or EIO, and a process is killed after it has written the first half of its data.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 
 class ControllerOnFailingDisk(ControllerProcess):
-    """Calls on its directory fail as its page of the shim says; each process has a page."""
+    """A controller process with the shim, whose memory-mapped page sets which calls on its directory fail."""
 
     library = Path()
     page: Page | None = None
--- a/tests/configuration/test_fault_simulation.py
+++ b/tests/configuration/test_fault_simulation.py
@@ -1,4 +1,4 @@
-"""Days of the model fleet with faults, and planted defects that the checker must find."""
+"""Simulations of controllers and relays with faults, and planted defects that the invariant checker must find."""
 
 from __future__ import annotations
 
@@ -66,7 +66,13 @@
 
 @dataclass(slots=True, frozen=True)
 class DefectScenario:
-    """The day that finds a defect: its seed, and fleet (controllers, voters, relays) and faults if not the seed's."""
+    """A simulation that finds a defect.
+
+    Attributes:
+        seed: The seed of the simulation.
+        fleet: The numbers of controllers, voters and relays; None if the seed determines them.
+        faults: The faults to inject; None if the seed determines them.
+    """
 
     seed: int
     fleet: tuple[int, int, int] | None = None
--- a/tests/configuration/test_link.py
+++ b/tests/configuration/test_link.py
@@ -1,4 +1,4 @@
-"""The link: datagrams that are dropped, incarnations, and bounded tables."""
+"""The link: dropped datagrams, incarnations and bounded tables."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
         with pytest.raises(DroppedDatagramError):
             local.receive(1.0, bad, remote.address)
     with pytest.raises(DroppedDatagramError):
-        remote.receive(1.0, data, remote.address)  # its own, back
+        remote.receive(1.0, data, remote.address)  # the sender receives its own datagram
     assert sum(n for counter, n in local.counts.items() if counter.startswith("dropped")) == 5
 
 
--- a/tests/configuration/test_relay_sessions.py
+++ b/tests/configuration/test_relay_sessions.py
@@ -1,4 +1,4 @@
-"""Attached relays: overtaken messages, name conflicts, bounds and updates."""
+"""Attached relays: messages out of order, name conflicts, bounds and updates."""
 
 from __future__ import annotations
 
@@ -59,7 +59,7 @@
     controller.post(MessageReceived(Sender("r0", RELAY.address, 1, 10_000), Detach()))
     controller.post(ChangeRequested(1, {"a": "1"}))
     assert controller.core.status().applied_everywhere == 0 and controller.core.status().relays == 0
-    assert not controller.sent(Delta), "another controller updates it"
+    assert not controller.sent(Delta), "the relay's next controller sends it updates"
     if reported:
         controller.receive(c01, RelayReattached(*RELAY.address, 1, 10_001))
     for n in range(int(ATTACHMENT_GRACE_MS / 100.0) + 4):
--- a/tests/configuration/test_settings.py
+++ b/tests/configuration/test_settings.py
@@ -1,4 +1,4 @@
-"""The operators' section `[control]`: invalid keys, a missing package, and the example."""
+"""The section `[control]` of the operators' settings: invalid keys, a missing package and the example file."""
 
 from __future__ import annotations
 
--- a/tests/configuration/test_state.py
+++ b/tests/configuration/test_state.py
@@ -1,4 +1,4 @@
-"""The replicated state: orders in their turn, rejections, bounds and digests."""
+"""The replicated state: the sequence of orders, rejections, bounds and digests."""
 
 from __future__ import annotations
 
@@ -21,17 +21,17 @@
 
 def test_an_order_is_settled_once_and_in_its_turn() -> None:
     order, next_order = ChangeOrder("c01", 5, 1, {"a": "1"}), ChangeOrder("c01", 5, 2, {"a": "2"})
-    assert INITIAL_STATE.settle(next_order, check) is None, "the first is not settled"
+    assert INITIAL_STATE.settle(next_order, check) is None, "the preceding order is not settled"
     first = require_settled(INITIAL_STATE.settle(order, check))
     assert first.settle(order, check) is None and first.is_settled(order) and not first.is_settled(next_order)
     second = require_settled(first.settle(next_order, check))
     assert second.entries == {"a": "2"} and second.settle(order, check) is None
-    assert second.settle(ChangeOrder("c01", 4, 1, {"a": "0"}), check) is None, "of an earlier process, delivered late"
+    assert second.settle(ChangeOrder("c01", 4, 1, {"a": "0"}), check) is None, "a delayed order of an earlier process"
     assert second.settle(ChangeOrder("c01", 6, 2, {"a": "0"}), check) is None
     third = require_settled(second.settle(ChangeOrder("c01", 6, 1, {"a": None}), check))
     assert third.entries == {} and third.settle(ChangeOrder("c01", 5, 3, {"a": "0"}), check) is None
     assert require_settled(third.settle(ChangeOrder("c02", 1, 1, {"b": "1"}), check)).version == 4, (
-        "each controller has its own turns"
+        "each controller numbers its orders independently"
     )
 
 
--- a/tests/configuration/test_status.py
+++ b/tests/configuration/test_status.py
@@ -1,4 +1,4 @@
-"""Where a version is applied: summaries of all controllers, and the grace period of attachments."""
+"""Status: which version all relays apply according to all controllers' summaries, and the attachment grace period."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
     controller.post(ChangeRequested(1, {"a": "1"}))
     assert controller.core.status().applied_everywhere == 0
     controller.receive(RELAY, heartbeat(1, {"a": "1"}))
-    assert controller.core.status().applied_everywhere == 0, "c01's relay does not apply it"
+    assert controller.core.status().applied_everywhere == 0, "the relay of c01 does not apply the version yet"
     controller.receive(c01, RelaySummary(1, 1, [(1, 1)], []))
     assert controller.core.status().applied_everywhere == 1
     lines = [line for _ in range(4) for line in controller.post(TimerFired(), 100.0) and controller.log_lines()]
@@ -39,7 +39,7 @@
     incarnation = 2 if cause == "new incarnation" else 1
     if cause != "silent":
         controller.receive(Sender("c01", CONTROLLERS[1].address, incarnation), RelaySummary(1, 0, [], []))
-    assert controller.core.status().applied_everywhere == 0, "a relay may be between two controllers"
+    assert controller.core.status().applied_everywhere == 0, "a relay may be changing its controller"
     for _ in range(int(ATTACHMENT_GRACE_MS / 100.0) + 2):
         controller.receive(RELAY, heartbeat(1, {"a": "1"}), 0.0)
         if cause != "silent":
--- a/tests/consensus/test_acceptor.py
+++ b/tests/consensus/test_acceptor.py
@@ -1,4 +1,4 @@
-"""What an acceptor stores, promises and rejects."""
+"""The acceptor: which requests it accepts, stores or rejects."""
 
 from __future__ import annotations
 
@@ -38,4 +38,4 @@
     acceptor.on_message(Accept((4, "r0"), 2, INITIAL_IDENTITY, newer))
     answer = acceptor.on_message(Prepare((5, "r1"), 1, INITIAL_IDENTITY))
     assert isinstance(answer, Rejected)
-    assert answer.newer == newer, "the proposer's voter set is old"
+    assert answer.newer == newer, "a request with an old epoch is rejected with the acceptor's state"
--- a/tests/consensus/test_proposer.py
+++ b/tests/consensus/test_proposer.py
@@ -1,4 +1,4 @@
-"""Which answers a proposer counts."""
+"""The proposer: which acceptors' responses it counts."""
 
 from __future__ import annotations
 
@@ -13,8 +13,11 @@
 
 
 def test_a_promise_to_an_earlier_process_of_the_proposer_does_not_count() -> None:
-    """A delayed promise was given before the earlier process wrote its state. Counted by the later process, under the
-    same ballot, it would let that one overwrite a committed state."""
+    """A proposer that restarts must not use a ballot of its earlier process.
+
+    Otherwise it would count delayed promises to that process, which were given before that one wrote its state, and
+    could overwrite a committed state.
+    """
     initial = initial_state(VOTERS)
     earlier, later = (
         MaintenanceCoordinator("r0", key, initial, "", initial, 1, 0.0).proposer for key in ("key-1", "key-2")
@@ -30,4 +33,4 @@
     later.start(lambda state: state)
     for name, promise in delayed.items():
         assert isinstance(promise, Promise)
-        assert not later.on_message(name, promise), "a majority of delayed promises is none"
+        assert not later.on_message(name, promise), "promises to the earlier process must not count as a majority"
