--- a/tests/configuration/test_relay_sessions.py
+++ b/tests/configuration/test_relay_sessions.py
@@ -37,7 +37,7 @@
     c01 = CONTROLLERS[1]
     controller.post(MessageReceived(Sender("c01", c01.address, 1, 1), RelayReattached(*RELAY.address, 2, 49)))
     (relay,) = controller.core.sessions.relays.values()
-    assert relay.known_version == 0 and not relay.detached_at
+    assert relay.known_version == 0 and not relay.grace_ends_at
     controller.post(MessageReceived(Sender("c01", c01.address, 2, 50), RelaySummary(0, 7, [(0, 7)], [])))
     controller.post(MessageReceived(Sender("c01", c01.address, 2, 49), RelaySummary(0, 1, [(0, 1)], [])))
     assert controller.core.status().controllers["c01"].relays == 7
--- a/yarrowspindle/configuration/relay_sessions.py
+++ b/yarrowspindle/configuration/relay_sessions.py
@@ -41,7 +41,7 @@
         wants_snapshot: Whether the relay requested a snapshot in its last heartbeat.
         last_update_at: When an update was last sent to the relay.
         lagging_since: Since when the relay has not applied the newest version; 0 if it applies it.
-        detached_at: Until when a relay that has detached is still counted here; 0 while it is attached. It is counted
+        grace_ends_at: Until when a relay that has detached is still counted here; 0 while it is attached. It is counted
             during this grace period so that it is always in some summary until its next controller reports it.
     """
 
@@ -53,7 +53,7 @@
     wants_snapshot: bool = False
     last_update_at: float = NEVER_MS
     lagging_since: float = 0.0
-    detached_at: float = 0.0
+    grace_ends_at: float = 0.0
 
     def is_older_than(self, incarnation: int, sent_at: int) -> bool:
         """Whether a message with this incarnation and sending time is newer than the last one from this relay."""
@@ -91,7 +91,7 @@
         relay = self.relays.get(sender.address)
         if relay is not None and relay.is_older_than(sender.incarnation, sender.sent_at):
             relay.sender = sender
-            relay.detached_at = self.context.now + ATTACHMENT_GRACE_MS
+            relay.grace_ends_at = self.context.now + ATTACHMENT_GRACE_MS
 
     def on_reattached(self, sender: Sender, reattached: RelayReattached) -> None:
         """Shorten the grace period of a relay that another controller reports as attached.
@@ -107,7 +107,7 @@
         # If that controller is alive, it sends its next summary, or is considered failed, within this time.
         is_live = sender.name in self.peers.live_incarnations
         grace_ms = PEER_TIMEOUT_MS + SUMMARY_INTERVAL_MS if is_live else ATTACHMENT_GRACE_MS
-        relay.detached_at = min(relay.detached_at or now + ATTACHMENT_GRACE_MS, now + grace_ms)
+        relay.grace_ends_at = min(relay.grace_ends_at or now + ATTACHMENT_GRACE_MS, now + grace_ms)
 
     # --- changes of the committed state ---------------------------------------------------------
 
@@ -129,7 +129,7 @@
         expired = [
             address
             for address, relay in self.relays.items()
-            if self.context.now > (relay.detached_at or relay.last_heartbeat_at + RELAY_RETENTION_MS)
+            if self.context.now > (relay.grace_ends_at or relay.last_heartbeat_at + RELAY_RETENTION_MS)
         ]
         for address in expired:
             del self.relays[address]
@@ -188,7 +188,7 @@
     def _report_name_conflict(self, sender: Sender) -> None:
         """Log a warning if another live relay has the same name: both are served, but an operator has to rename one."""
         for other in self.relays.values():
-            if other.sender.name == sender.name and not other.detached_at and self.is_live(other):
+            if other.sender.name == sender.name and not other.grace_ends_at and self.is_live(other):
                 self._log_name_conflict(sender, other)
                 return
 
@@ -229,7 +229,7 @@
     def _is_update_due(self, relay: AttachedRelay) -> bool:
         return (
             relay.known_version < self.context.committed.version
-            and not relay.detached_at
+            and not relay.grace_ends_at
             and self.context.now >= relay.last_update_at + UPDATE_INTERVAL_MS
             and self.is_live(relay)
         )
--- a/yarrowspindle/configuration/status.py
+++ b/yarrowspindle/configuration/status.py
@@ -159,12 +159,12 @@
         counted = [
             relay
             for relay in self.sessions.relays.values()
-            if (now <= relay.detached_at if relay.detached_at else self.sessions.is_live(relay))
+            if (now <= relay.grace_ends_at if relay.grace_ends_at else self.sessions.is_live(relay))
         ]
         lagging = self._lagging_relays()
         return RelaySummary(
             self.context.committed.version,
-            sum(not relay.detached_at for relay in counted),
+            sum(not relay.grace_ends_at for relay in counted),
             self._relays_by_version(counted),
             lagging[:MAX_LAGGING_RELAYS],
             max(0, len(lagging) - MAX_LAGGING_RELAYS),
@@ -187,7 +187,7 @@
         """Return the relays that are silent or do not apply the newest version, sorted by how long; longest first."""
         lagging = []
         for relay in self.sessions.relays.values():
-            if relay.detached_at:
+            if relay.grace_ends_at:
                 continue
             if not self.sessions.is_live(relay):
                 lagging.append((relay, relay.last_heartbeat_at, SILENT))
--- a/yarrowspindle/lab/model/planted_control.py
+++ b/yarrowspindle/lab/model/planted_control.py
@@ -187,7 +187,7 @@
 
     def on_detach(self, sender: Sender, message: Detach) -> None:
         super().on_detach(sender, message)
-        if sender.address in self.relays and self.relays[sender.address].detached_at:
+        if sender.address in self.relays and self.relays[sender.address].grace_ends_at:
             del self.relays[sender.address]
 
 
