--- a/yarrowspindle/configuration/agent.py
+++ b/yarrowspindle/configuration/agent.py
@@ -69,11 +69,11 @@
         self.digest = content_digest(self.known_version, self.entries)
         self.applied_version, self.rejection_reason = 0, ""
         self.applied_entries: Entries = {}
-        self.previous_applied: tuple[int, Entries] = (0, {})  # before the last `ApplySettings`
+        self.previous_applied: tuple[int, Entries] = (0, {})  # restored if the process cannot apply the current one
         self.current: ControllerAddress | None = None
-        self.last_received_at = now  # from the current controller
+        self.last_received_at = now  # when the current controller last sent a message
         self.next_heartbeat_at = now
-        self.unanswered_since = NOT_SET_MS
+        self.unanswered_since = NOT_SET_MS  # when the last heartbeat was sent, if it is not answered yet
         self.next_candidate_index = 0
         self.next_preferred_check_at = self._preferred_check_at()
         self.needs_snapshot = False
--- a/yarrowspindle/configuration/change_queue.py
+++ b/yarrowspindle/configuration/change_queue.py
@@ -64,6 +64,7 @@
             self._answer(event.ticket, 0, reason)
             return
         if self._settled_incarnation() == self.incarnation and not self.last_number:
+            # Another process of this controller has used this incarnation; its numbers must not be used again.
             self._renumber(self.incarnation + 1)
         self.last_number += 1
         order = ChangeOrder(self.context.name, self.incarnation, self.last_number, event.step)
@@ -128,6 +129,7 @@
         self._renumber(self.incarnation + 1)
 
     def _renumber(self, incarnation: int) -> None:
+        """Use this incarnation from now on, and number the pending orders again in it, starting with 1."""
         self.incarnation, self.last_number = incarnation, 0
         for pending in self.pending:
             self.last_number += 1
@@ -144,8 +146,8 @@
         """Answer the changes whose orders are settled.
 
         If an order of a later incarnation is settled, those of earlier incarnations count as settled, too, although
-        they may have been skipped. A pending order that was certainly skipped remains pending and is numbered anew. If
-        the recent steps no longer show whether it was skipped, the answer is that the result is not known.
+        they may have been skipped. An order that was certainly skipped remains pending and is renumbered. If the recent
+        steps no longer show whether it was skipped, the answer is that the result is not known.
         """
         state = self.context.committed.state
         own_steps = {
--- a/yarrowspindle/configuration/peer_controllers.py
+++ b/yarrowspindle/configuration/peer_controllers.py
@@ -50,8 +50,12 @@
 class PeerControllers:
     """The other controllers by name.
 
-    From `attachments_complete_at` on, every live relay is assumed to be counted in a summary of a live controller. In
-    milliseconds of this controller's clock.
+    Attributes:
+        context: The shared state of the controller.
+        by_name: The other controllers by name.
+        live_incarnations: The incarnations of those that were alive at the last `refresh`, by name.
+        attachments_complete_at: When the grace period ends, in milliseconds of this controller's clock. From then on
+            every live relay is assumed to be counted in a summary of a live controller.
     """
 
     def __init__(self, context: ControllerContext) -> None:
--- a/yarrowspindle/configuration/relay_sessions.py
+++ b/yarrowspindle/configuration/relay_sessions.py
@@ -33,7 +33,7 @@
     """A relay that sends its heartbeats to this controller. Times are in milliseconds of the controller's clock.
 
     Attributes:
-        sender: The sender of the newest message of the relay.
+        sender: The sender of the newest message received from the relay.
         known_version: The newest version that the relay has.
         applied_version: The version that the relay applies.
         rejection_reason: Why the relay does not apply the newest version; empty if it does not reject it.
