--- a/tests/decisions/test_invariants.py
+++ b/tests/decisions/test_invariants.py
@@ -64,7 +64,7 @@
     }
     values.update(changes)
     d = Driver(settings(**values), seed=7)
-    d.list(EndpointList(ListKind.CACHED, entries(0, d.now)))
+    d.update_endpoints(EndpointList(ListKind.CACHED, entries(0, d.now)))
     for step_kind, pick in steps:
         waiting = [n for n, b in d.records.items() if b.in_flight and not b.established and not b.disconnected]
         running = [n for n, b in d.records.items() if b.in_flight and b.established]
@@ -77,19 +77,19 @@
         elif step_kind == "fail" and waiting:
             d.end(waiting[pick % len(waiting)], FAILURES[pick % len(FAILURES)])
         elif step_kind == "leave" and waiting:
-            d.leave(waiting[pick % len(waiting)])
+            d.disconnect(waiting[pick % len(waiting)])
         elif step_kind == "slow" and running:
             number = running[pick % len(running)]
             d.handle(SlowMessageObserved(number, d.records[number].attempts[-1].backend, float(pick % 500)))
         elif step_kind == "list":
             kind = (ListKind.DELTA, ListKind.FULL, ListKind.FAILED)[pick % 3]
-            d.list(EndpointList(kind, entries(pick, d.now) if kind is not ListKind.FAILED else []))
+            d.update_endpoints(EndpointList(kind, entries(pick, d.now) if kind is not ListKind.FAILED else []))
         elif step_kind == "wait":
             d.advance(float(pick % 400))
     d.advance(20_000.0)
     assert all(not record.answer_pending for record in d.records.values()), "every request must have its answer"
     assert all(record.answered <= 1 for record in d.records.values())
-    return d.log
+    return d.actions
 
 
 @given(st.lists(STEP, max_size=60))
@@ -110,18 +110,18 @@
 
 def test_a_non_idempotent_request_that_may_have_run_fails_and_is_not_retried() -> None:
     d = Driver(settings(classes=CLASSES), seed=1)
-    d.list(EndpointList(ListKind.FULL, [Endpoint(1), Endpoint(2)]))
+    d.update_endpoints(EndpointList(ListKind.FULL, [Endpoint(1), Endpoint(2)]))
     number = d.request(4, 2000.0)
     d.end(number, Outcome.ERROR)
-    assert [type(a).__name__ for a in d.log] == ["StartAttempt", "FailRequest"]
+    assert [type(a).__name__ for a in d.actions] == ["StartAttempt", "FailRequest"]
 
 
 def test_a_non_idempotent_request_that_never_ran_is_retried() -> None:
     d = Driver(settings(classes=CLASSES), seed=1)
-    d.list(EndpointList(ListKind.FULL, [Endpoint(1), Endpoint(2)]))
+    d.update_endpoints(EndpointList(ListKind.FULL, [Endpoint(1), Endpoint(2)]))
     number = d.request(4, 2000.0)
     d.end(number, Outcome.CONNECT_FAILED)
-    assert [type(a).__name__ for a in d.log] == ["StartAttempt", "StartAttempt"]
+    assert [type(a).__name__ for a in d.actions] == ["StartAttempt", "StartAttempt"]
 
 
 def test_with_no_usable_backend_a_request_is_queued_until_its_objective_and_then_rejected() -> None:
@@ -135,16 +135,16 @@
 
 def test_a_queued_request_is_placed_when_a_backend_becomes_ready() -> None:
     d = Driver(settings(classes=CLASSES), seed=1)
-    d.list(EndpointList(ListKind.FULL, [Endpoint(1, state=EndpointState.DRAINING)]))
+    d.update_endpoints(EndpointList(ListKind.FULL, [Endpoint(1, state=EndpointState.DRAINING)]))
     number = d.request(0, 2000.0)
-    d.list(EndpointList(ListKind.DELTA, [Endpoint(2)]))
+    d.update_endpoints(EndpointList(ListKind.DELTA, [Endpoint(2)]))
     assert d.records[number].attempts[0].backend == 2
 
 
 def test_a_backend_missing_from_a_full_list_gets_nothing_new() -> None:
     d = Driver(settings(classes=CLASSES), seed=1)
-    d.list(EndpointList(ListKind.FULL, [Endpoint(1), Endpoint(2)]))
-    d.list(EndpointList(ListKind.FULL, [Endpoint(2)]))
+    d.update_endpoints(EndpointList(ListKind.FULL, [Endpoint(1), Endpoint(2)]))
+    d.update_endpoints(EndpointList(ListKind.FULL, [Endpoint(2)]))
     for _ in range(30):
         d.request(0, 2000.0)
     assert {a.backend for b in d.records.values() for a in b.attempts} == {2}
--- a/tests/driver.py
+++ b/tests/driver.py
@@ -39,7 +39,7 @@
     """An attempt and how it ended."""
 
     backend: int
-    sent: float
+    sent_at: float
     outcome: Outcome | None = None
 
 
@@ -47,7 +47,7 @@
 class RequestRecord:
     """What the rules need of one request."""
 
-    cls: int
+    request_class: int
     deadline: float
     attempts: list[Attempt] = field(default_factory=list)
     answered: int = 0
@@ -72,76 +72,78 @@
         self.records: dict[int, RequestRecord] = {}
         self.timers: list[tuple[float, int]] = []
         self.listed: dict[int, Endpoint] = {}
-        self.log: list[Action] = []
+        self.actions: list[Action] = []
         self.next_id = 1
 
     # --- events -----------------------------------------------------------------------------------
 
     def handle(self, event: Event) -> None:
         for action in self.balancer.handle(self.now, event):
-            self.log.append(action)
+            self.actions.append(action)
             self.check(action)
 
-    def list(self, event: EndpointList) -> None:
+    def update_endpoints(self, event: EndpointList) -> None:
         if event.kind.name in ("FULL", "CACHED"):
             self.listed = {}
         if event.kind.name != "FAILED":
-            self.listed.update({e.backend: e for e in event.entries})
+            self.listed.update({entry.backend: entry for entry in event.entries})
         self.handle(event)
 
-    def request(self, cls: int, left: float, load: float = 0.0) -> int:
-        number, self.next_id = self.next_id, self.next_id + 1
-        self.records[number] = RequestRecord(cls, self.now + left)
-        self.handle(RequestReceived(number, cls, left_ms=left, load=load))
-        return number
+    def request(self, request_class: int, remaining_ms: float, load: float = 0.0) -> int:
+        request_id, self.next_id = self.next_id, self.next_id + 1
+        self.records[request_id] = RequestRecord(request_class, self.now + remaining_ms)
+        self.handle(RequestReceived(request_id, request_class, left_ms=remaining_ms, load=load))
+        return request_id
 
-    def establish(self, number: int) -> None:
-        record = self.records[number]
+    def establish(self, request_id: int) -> None:
+        record = self.records[request_id]
         record.established = True
         last = len(record.attempts) - 1
         self.handle(
-            ConnectionEstablished(number, last, record.attempts[last].backend, self.now - record.attempts[last].sent)
+            ConnectionEstablished(
+                request_id, last, record.attempts[last].backend, self.now - record.attempts[last].sent_at
+            )
         )
 
-    def end(self, number: int, outcome: Outcome) -> None:
-        record = self.records[number]
+    def end(self, request_id: int, outcome: Outcome) -> None:
+        record = self.records[request_id]
         last = len(record.attempts) - 1
         attempt = record.attempts[last]
         attempt.outcome = outcome
         if outcome is Outcome.OK:
             record.established = True
         finished = record.established or not record.answer_pending
-        self.handle(AttemptEnded(number, last, attempt.backend, outcome, finished, self.now - attempt.sent))
+        self.handle(AttemptEnded(request_id, last, attempt.backend, outcome, finished, self.now - attempt.sent_at))
         if outcome is Outcome.TIMEOUT and self.now >= record.deadline and not finished:
             assert record.answered == 1, "a timeout at the deadline is answered at once"
 
-    def leave(self, number: int) -> None:
-        self.records[number].disconnected = True
-        self.handle(ClientDisconnected(number))
+    def disconnect(self, request_id: int) -> None:
+        self.records[request_id].disconnected = True
+        self.handle(ClientDisconnected(request_id))
 
     def advance(self, delay: float) -> None:
         """Advance the clock: timers fire at their time, and an attempt in flight times out at its deadline."""
-        goal = self.now + delay
+        end = self.now + delay
         while True:
             due = [
-                (r.deadline, n)
-                for n, r in self.records.items()
-                if r.in_flight and r.answer_pending and r.deadline <= goal
+                (record.deadline, request_id)
+                for request_id, record in self.records.items()
+                if record.in_flight and record.answer_pending and record.deadline <= end
             ]
-            timer = self.timers[0][0] if self.timers else float("inf")
-            first = min(due) if due else (float("inf"), -1)
-            if min(first[0], timer) > goal:
+            next_timer = self.timers[0][0] if self.timers else float("inf")
+            next_due = min(due) if due else (float("inf"), -1)
+            if min(next_due[0], next_timer) > end:
                 break
-            self.now = max(self.now, min(first[0], timer))
-            if timer <= first[0]:
+            self.now = max(self.now, min(next_due[0], next_timer))
+            if next_timer <= next_due[0]:
                 self.handle(TimerFired(heapq.heappop(self.timers)[1]))
             else:
-                self.end(first[1], Outcome.TIMEOUT)
-        self.now = goal
-        for number, record in self.records.items():
+                self.end(next_due[1], Outcome.TIMEOUT)
+        self.now = end
+        for request_id, record in self.records.items():
             if record.answer_pending:
                 assert self.now <= record.deadline + self.settings.answer_slack_ms, (
-                    f"{number} has no answer after its deadline"
+                    f"{request_id} has no answer after its deadline"
                 )
 
     # --- actions: the rules -----------------------------------------------------------------------
@@ -151,7 +153,7 @@
             assert action.delay_ms >= 0.0
             heapq.heappush(self.timers, (self.now + action.delay_ms, action.token))
         elif isinstance(action, StartAttempt):
-            self.check_send(action)
+            self.check_start(action)
         elif isinstance(action, RejectRequest | FailRequest):
             record = self.records[action.request]
             assert record.answer_pending and not record.in_flight, "one final answer, with no attempt in flight"
@@ -164,7 +166,7 @@
             assert self.settings.may_cancel
             assert 0 <= action.attempt < len(self.records[action.request].attempts)
 
-    def check_send(self, action: StartAttempt) -> None:
+    def check_start(self, action: StartAttempt) -> None:
         record = self.records[action.request]
         assert record.answer_pending, "nothing is sent for a request that is over"
         assert not record.in_flight, "never two attempts in flight"
@@ -172,22 +174,27 @@
         assert len(record.attempts) < self.settings.max_attempts
         entry = self.listed.get(action.backend)
         assert entry is not None and entry.state is EndpointState.READY, "nothing new to a draining or removed backend"
-        ran = [a for a in record.attempts if a.outcome not in NEVER_RAN]
-        cls = self.settings.classes[record.cls]
-        if ran and cls.idempotency is not Idempotency.IDEMPOTENT:
-            assert cls.idempotency is Idempotency.KEYED, "a non-idempotent request that may have run is never retried"
-            assert self.now < ran[0].sent + cls.idempotency_window_ms
-            if cls.deduplication_scope is DeduplicationScope.ZONE:
-                assert entry.zone == self.listed[ran[0].backend].zone
-            elif cls.deduplication_scope is DeduplicationScope.CELL:
-                assert entry.cell == self.listed[ran[0].backend].cell
+        may_have_run = [attempt for attempt in record.attempts if attempt.outcome not in NEVER_RAN]
+        request_class = self.settings.classes[record.request_class]
+        if may_have_run and request_class.idempotency is not Idempotency.IDEMPOTENT:
+            assert request_class.idempotency is Idempotency.KEYED, (
+                "a non-idempotent request that may have run is never retried"
+            )
+            assert self.now < may_have_run[0].sent_at + request_class.idempotency_window_ms
+            if request_class.deduplication_scope is DeduplicationScope.ZONE:
+                assert entry.zone == self.listed[may_have_run[0].backend].zone
+            elif request_class.deduplication_scope is DeduplicationScope.CELL:
+                assert entry.cell == self.listed[may_have_run[0].backend].cell
         record.attempts.append(Attempt(action.backend, self.now))
 
     def check_rejection(self, record: RequestRecord) -> None:
-        ran = [a for a in record.attempts if a.outcome not in NEVER_RAN]
-        cls = self.settings.classes[record.cls]
-        if ran:
-            keyed_by_all = cls.idempotency is Idempotency.KEYED and cls.deduplication_scope is DeduplicationScope.ALL
-            assert cls.idempotency is Idempotency.IDEMPOTENT or keyed_by_all, (
+        may_have_run = [attempt for attempt in record.attempts if attempt.outcome not in NEVER_RAN]
+        request_class = self.settings.classes[record.request_class]
+        if may_have_run:
+            deduplicated_by_all = (
+                request_class.idempotency is Idempotency.KEYED
+                and request_class.deduplication_scope is DeduplicationScope.ALL
+            )
+            assert request_class.idempotency is Idempotency.IDEMPOTENT or deduplicated_by_all, (
                 "a rejection states that a retry is harmless"
             )
