--- a/tests/routing/test_data_delays.py
+++ b/tests/routing/test_data_delays.py
@@ -19,10 +19,10 @@
 )
 from yarrowspindle.routing.reducer import Reducer
 
-HELD_MS = 140.0
+READ_DELAY_MS = 140.0
 
 
-def established(delay_ms: float, setup_ms: float = 145.0) -> tuple[Reducer, float]:
+def establish_connection(delay_ms: float, setup_ms: float = 145.0) -> tuple[Reducer, float]:
     """A reducer with one connection, of whose set-up this process lost `delay_ms`; the time at its end."""
     reducer = Reducer(settings(classes=WITH_MESSAGE_OBJECTIVE), 1, 0.0)
     reducer.step(0.0, EndpointsUpdated(ListKind.FULL, [Endpoint("s-1", ("127.0.0.1", 1))]))
@@ -35,22 +35,22 @@
     return reducer, now
 
 
-@pytest.mark.parametrize(("delay_ms", "counted_ms"), [(0.0, 145.0), (HELD_MS, 5.0), (500.0, 0.0)])
-def test_a_setup_takes_what_the_backend_took(delay_ms: float, counted_ms: float) -> None:
+@pytest.mark.parametrize(("delay_ms", "expected_ms"), [(0.0, 145.0), (READ_DELAY_MS, 5.0), (500.0, 0.0)])
+def test_setup_latency_excludes_the_delay_in_this_process(delay_ms: float, expected_ms: float) -> None:
     """Guards against shedding for set-ups that were slow in this process alone."""
-    reducer, _ = established(delay_ms)
+    reducer, _ = establish_connection(delay_ms)
     fraction = reducer.balancer.admission.setup_latency.fraction
     objective_ms = WITH_MESSAGE_OBJECTIVE[0].setup_latency_objective_ms
-    assert fraction * 8.0 * objective_ms == pytest.approx(counted_ms)
+    assert fraction * 8.0 * objective_ms == pytest.approx(expected_ms)
 
 
-@pytest.mark.parametrize("delay_ms", [0.0, HELD_MS])
-def test_a_message_takes_what_the_backend_took(delay_ms: float) -> None:
+@pytest.mark.parametrize("delay_ms", [0.0, READ_DELAY_MS])
+def test_message_latency_excludes_the_delay_in_this_process(delay_ms: float) -> None:
     """Guards against taking a backend for slow whose answers lay unread; one that is slow is still found."""
-    reducer, now = established(0.0, 5.0)
+    reducer, now = establish_connection(0.0, 5.0)
     for _ in range(20):
         reducer.step(now, ClientDataForwarded(1, 1))
-        now += HELD_MS + 20.0
+        now += READ_DELAY_MS + 20.0
         if delay_ms:
             reducer.step(now, BackendDataDelayed(1, delay_ms))
         reducer.step(now, BackendDataForwarded(1, 1))
@@ -58,8 +58,8 @@
     assert (backend.slow_until > now) == (delay_ms == 0.0)
 
 
-def test_a_stall_that_was_counted_is_not_counted_again() -> None:
-    reducer, now = established(0.0, 5.0)
+def test_a_delay_during_a_stall_is_not_counted_twice() -> None:
+    reducer, now = establish_connection(0.0, 5.0)
     reducer.step(now, ClientDataForwarded(1, 1))
     reducer.step(now + 400.0, EventLoopStalled(300.0))
     reducer.step(now + 400.0, BackendDataDelayed(1, 90.0))
@@ -67,5 +67,5 @@
 
 
 def test_a_delay_of_an_unknown_request_changes_nothing() -> None:
-    reducer, now = established(0.0)
+    reducer, now = establish_connection(0.0)
     assert reducer.step(now, BackendDataDelayed(77, 50.0)) == []
--- a/tests/routing/test_load_reports.py
+++ b/tests/routing/test_load_reports.py
@@ -26,21 +26,23 @@
 def test_a_message_latency_is_not_classified_as_a_load() -> None:
     """Otherwise a backend whose messages take 134 ms seems to carry next to nothing, and gets more."""
     classifier = LoadReportClassifier(50.0)
-    assert classifier.classify(0.0, 1, 28_489.8, lambda request: True) is ReportKind.LOAD
-    assert classifier.classify(2000.0, 1, 134.0, lambda request: True) is ReportKind.UNDECIDED
-    assert classifier.classify(2050.0, 1, 28_214.0, lambda request: True) is ReportKind.LOAD
-    assert classifier.classify(3004.0, 1, 185.0, lambda request: True) is ReportKind.LATENCY
-    assert classifier.classify(3400.0, 2, 900.0, lambda request: True) is ReportKind.LOAD  # small, outside the period
+    assert classifier.classify(0.0, 1, 28_489.8, lambda request_id: True) is ReportKind.LOAD
+    assert classifier.classify(2000.0, 1, 134.0, lambda request_id: True) is ReportKind.UNDECIDED
+    assert classifier.classify(2050.0, 1, 28_214.0, lambda request_id: True) is ReportKind.LOAD
+    assert classifier.classify(3004.0, 1, 185.0, lambda request_id: True) is ReportKind.LATENCY
     assert (
-        classifier.classify(4004.0, 2, 210.0, lambda request: request != 1) is ReportKind.LATENCY
+        classifier.classify(3400.0, 2, 900.0, lambda request_id: True) is ReportKind.LOAD
+    )  # small, outside the period
+    assert (
+        classifier.classify(4004.0, 2, 210.0, lambda request_id: request_id != 1) is ReportKind.LATENCY
     )  # the former connection has ended
-    assert classifier.classify(5010.0, 2, 18.9, lambda request: True) is ReportKind.LATENCY  # the series ends
-    assert classifier.classify(6010.0, 2, 18.9, lambda request: True) is ReportKind.LOAD
+    assert classifier.classify(5010.0, 2, 18.9, lambda request_id: True) is ReportKind.LATENCY  # the series ends
+    assert classifier.classify(6010.0, 2, 18.9, lambda request_id: True) is ReportKind.LOAD
 
 
 def test_a_small_load_is_classified_as_a_load_once_no_second_report_follows() -> None:
     classifier = LoadReportClassifier(50.0)
-    assert classifier.classify(0.0, 1, 976.8, lambda request: True) is ReportKind.UNDECIDED
+    assert classifier.classify(0.0, 1, 976.8, lambda request_id: True) is ReportKind.UNDECIDED
     assert classifier.take_resolved_load(900.0) is None
     assert classifier.take_resolved_load(1200.0) == ReportedLoad(1, 976.8)
     assert classifier.take_resolved_load(1300.0) is None
@@ -52,7 +54,7 @@
     for _ in range(20_000):
         now += random.expovariate(1.0 / 140.0)  # seven changes a second on seventy connections
         kind = classifier.classify(
-            now, random.randrange(70), 15_000.0 * random.lognormvariate(0.0, 1.4), lambda request: True
+            now, random.randrange(70), 15_000.0 * random.lognormvariate(0.0, 1.4), lambda request_id: True
         )
         latencies, loads = latencies + (kind is ReportKind.LATENCY), loads + (kind is not ReportKind.LATENCY)
         classifier.take_resolved_load(now)
@@ -65,8 +67,8 @@
     reducer.step(0.0, RequestReceived(1, 4800.0))
     reducer.step(1.0, BackendConnected(1, 0))
     reducer.step(2.0, BackendAccepted(1, 0))
-    for now, figure in ((10.0, 40_000.0), (2000.0, 134.0), (3000.0, 185.0)):
-        reducer.step(now, UnclassifiedReport(1, figure))
+    for now, value in ((10.0, 40_000.0), (2000.0, 134.0), (3000.0, 185.0)):
+        reducer.step(now, UnclassifiedReport(1, value))
     (backend,) = reducer.balancer.backends.values()
     assert reducer.requests[1].load == 40.0 and backend.load == 40.0
     assert backend.slow_until > 3000.0 and backend.message_latency_ms == 185.0
--- a/tests/routing/test_reducer_model.py
+++ b/tests/routing/test_reducer_model.py
@@ -89,7 +89,7 @@
 class ReducerMachine(RuleBasedStateMachine):
     @initialize(seed=st.integers(0, 99))
     def start(self, seed: int) -> None:
-        self.now, self.next_number = 1000.0, count(1)
+        self.now, self.next_id = 1000.0, count(1)
         self.reducer = Reducer(
             helpers.settings(
                 classes=(RequestClass(800.0, DEADLINE_MS, message_latency_objective_ms=150.0),),
@@ -107,72 +107,72 @@
         self.excluded: frozenset[str] = frozenset()
         self.timers: list[tuple[float, int, object]] = []
         self.cancelled_timers: set[object] = set()
-        self.step(EndpointsUpdated(ListKind.CACHED, [Endpoint(n, ("127.0.0.1", 1)) for n in BACKEND_NAMES]))
+        self.step(EndpointsUpdated(ListKind.CACHED, [Endpoint(name, ("127.0.0.1", 1)) for name in BACKEND_NAMES]))
 
     # --- events ------------------------------------------------------------------------------------
 
-    def pick_request(self, draw: int, **wanted: bool) -> int | None:
-        fits = [
-            n
-            for n, j in self.requests.items()
-            if all(bool(getattr(j, k)) == v for k, v in (wanted | {"closed": False}).items())
+    def pick_request(self, draw: int, **expected: bool) -> int | None:
+        matching = [
+            request_id
+            for request_id, request in self.requests.items()
+            if all(bool(getattr(request, field)) == value for field, value in (expected | {"closed": False}).items())
         ]
-        return fits[draw % len(fits)] if fits else None
+        return matching[draw % len(matching)] if matching else None
 
     @rule(
         remaining_ms=st.sampled_from((DEADLINE_MS, 300.0, 1.0)),
         previous_backend=st.sampled_from(("", "", "", "b", "nobody")),
     )
     def receive_request(self, remaining_ms: float, previous_backend: str) -> None:
-        number = next(self.next_number)
-        self.requests[number] = ModelRequest(
+        request_id = next(self.next_id)
+        self.requests[request_id] = ModelRequest(
             self.now + (EXISTING_CONNECTION_DEADLINE_MS if previous_backend else remaining_ms)
         )
-        self.step(RequestReceived(number, remaining_ms, previous_backend=previous_backend))
+        self.step(RequestReceived(request_id, remaining_ms, previous_backend=previous_backend))
 
     @rule(draw=st.integers(0, 9))
     def backend_connected(self, draw: int) -> None:
-        number = self.pick_request(draw, backend=True, forwarded=False, established=False)
-        if number:
-            self.step(BackendConnected(number, self.requests[number].attempts - 1))
+        request_id = self.pick_request(draw, backend=True, forwarded=False, established=False)
+        if request_id:
+            self.step(BackendConnected(request_id, self.requests[request_id].attempts - 1))
 
     @rule(draw=st.integers(0, 9))
     def backend_accepted(self, draw: int) -> None:
-        number = self.pick_request(draw, forwarded=True, established=False)
-        if number:
-            self.step(BackendAccepted(number, self.requests[number].attempts - 1))
-            assert self.requests[number].established
+        request_id = self.pick_request(draw, forwarded=True, established=False)
+        if request_id:
+            self.step(BackendAccepted(request_id, self.requests[request_id].attempts - 1))
+            assert self.requests[request_id].established
 
     @rule(draw=st.integers(0, 9), reason=ATTEMPT_FAILURES)
     def attempt_fails(self, draw: int, reason: TerminationReason) -> None:
-        number = self.pick_request(draw, backend=True, established=False)
-        if number:
-            request = self.requests[number]
+        request_id = self.pick_request(draw, backend=True, established=False)
+        if request_id:
+            request = self.requests[request_id]
             request.backend, request.forwarded = "", False
-            self.step(AttemptEnded(number, request.attempts - 1, reason))
+            self.step(AttemptEnded(request_id, request.attempts - 1, reason))
 
     @rule(draw=st.integers(0, 9), reason=CONNECTION_ENDS)
     def connection_ends(self, draw: int, reason: TerminationReason) -> None:
-        number = self.pick_request(draw, established=True)
-        if number:
-            self.step(AttemptEnded(number, self.requests[number].attempts - 1, reason))
-            assert self.requests[number].closed
+        request_id = self.pick_request(draw, established=True)
+        if request_id:
+            self.step(AttemptEnded(request_id, self.requests[request_id].attempts - 1, reason))
+            assert self.requests[request_id].closed
 
     @rule(draw=st.integers(0, 9))
     def client_disconnects(self, draw: int) -> None:
-        number = self.pick_request(draw)
-        if number:
-            request = self.requests[number]
-            had_attempt, request.closed = request.backend, True
-            self.step(ClientDisconnected(number))
-            assert not (had_attempt and request.backend), "the attempt is aborted"
+        request_id = self.pick_request(draw)
+        if request_id:
+            request = self.requests[request_id]
+            aborted_backend, request.closed = request.backend, True
+            self.step(ClientDisconnected(request_id))
+            assert not (aborted_backend and request.backend), "the attempt is aborted"
 
     @rule(draw=st.integers(0, 9))
     def unexpected_client_data(self, draw: int) -> None:
-        number = self.pick_request(draw, established=False)
-        if number:
-            self.step(UnexpectedClientData(number))
-            assert self.requests[number].closed, "the request fails, and no attempt stays in flight"
+        request_id = self.pick_request(draw, established=False)
+        if request_id:
+            self.step(UnexpectedClientData(request_id))
+            assert self.requests[request_id].closed, "the request fails, and no attempt stays in flight"
 
     @rule(
         remaining_ms=st.sampled_from((DEADLINE_MS, 90_000.0)),
@@ -181,21 +181,21 @@
     )
     def receive_request_with_id(self, remaining_ms: float, client_request_id: str, previous_backend: str) -> None:
         """A client that uses an id in use, waits without limit, or names its backend late gets no attempt."""
-        number = next(self.next_number)
+        request_id = next(self.next_id)
         in_use = client_request_id in self.reducer.context.client_request_ids
-        self.requests[number] = ModelRequest(
+        self.requests[request_id] = ModelRequest(
             self.now + (EXISTING_CONNECTION_DEADLINE_MS if previous_backend else remaining_ms)
         )
         serving = self.reducer.context.serving_new_requests
         self.step(
             RequestReceived(
-                number, remaining_ms, previous_backend=previous_backend, client_request_id=client_request_id
+                request_id, remaining_ms, previous_backend=previous_backend, client_request_id=client_request_id
             )
         )
         if in_use or (remaining_ms > DEADLINE_MS and not previous_backend) or (previous_backend and serving):
             assert (
-                self.requests[number].closed
-                and self.requests[number].attempts == 0
+                self.requests[request_id].closed
+                and self.requests[request_id].attempts == 0
                 and (client_request_id in self.reducer.context.client_request_ids) == in_use
             )
 
@@ -207,18 +207,18 @@
 
     @rule(draw=st.integers(0, 9), load=st.floats(0.0, 900.0), answered=st.booleans())
     def exchange_data(self, draw: int, load: float, answered: bool) -> None:
-        number = self.pick_request(draw, established=True)
-        if number:
-            self.step(LoadReported(number, load))
-            self.step(ClientDataForwarded(number))
-            if answered and not self.requests[number].closed:
-                self.step(BackendDataForwarded(number))
+        request_id = self.pick_request(draw, established=True)
+        if request_id:
+            self.step(LoadReported(request_id, load))
+            self.step(ClientDataForwarded(request_id))
+            if answered and not self.requests[request_id].closed:
+                self.step(BackendDataForwarded(request_id))
 
     @rule(request=st.integers(0, 30), attempt=st.integers(0, 3), reason=ATTEMPT_FAILURES)
     def stale_attempt_event(self, request: int, attempt: int, reason: TerminationReason) -> None:
         """An event of an attempt that has ended, or never started, changes nothing."""
-        seen = self.requests.get(request)
-        if seen is None or seen.closed or attempt != seen.attempts - 1:
+        known_request = self.requests.get(request)
+        if known_request is None or known_request.closed or attempt != known_request.attempts - 1:
             assert self.reducer.step(self.now, AttemptEnded(request, attempt, reason)) == []
             assert self.reducer.step(self.now, BackendAccepted(request, attempt)) == []
 
@@ -259,14 +259,14 @@
                 or request.deadline > DEADLINE_MS + 10_000.0
             )
 
-    @rule(passed=st.sampled_from((1.0, 50.0, 700.0, 3000.0)))
-    def advance_time(self, passed: float) -> None:
-        goal = self.now + passed
-        while self.timers and self.timers[0][0] <= goal:
-            self.now, order, what = heapq.heappop(self.timers)
-            if (order, what) not in self.cancelled_timers:
-                self.step(TimerFired(what))
-        self.now = goal
+    @rule(elapsed_ms=st.sampled_from((1.0, 50.0, 700.0, 3000.0)))
+    def advance_time(self, elapsed_ms: float) -> None:
+        end = self.now + elapsed_ms
+        while self.timers and self.timers[0][0] <= end:
+            self.now, order, timer = heapq.heappop(self.timers)
+            if (order, timer) not in self.cancelled_timers:
+                self.step(TimerFired(timer))
+        self.now = end
 
     @precondition(lambda self: not self.reducer.context.shutdown_deadline)
     @rule()
@@ -298,9 +298,9 @@
         for effect in self.reducer.step(self.now, event):
             self.telemetry.on_effect(effect)
             if isinstance(effect, SetTimer):
-                heapq.heappush(self.timers, (self.now + effect.delay_ms, next(self.next_number), effect.timer))
+                heapq.heappush(self.timers, (self.now + effect.delay_ms, next(self.next_id), effect.timer))
             elif isinstance(effect, CancelTimer):
-                self.cancelled_timers |= {(order, what) for _, order, what in self.timers if what == effect.timer}
+                self.cancelled_timers |= {(order, timer) for _, order, timer in self.timers if timer == effect.timer}
             elif isinstance(
                 effect,
                 OpenBackendConnection
@@ -355,25 +355,33 @@
     def state_matches_the_model(self) -> None:
         if not hasattr(self, "requests"):
             return
-        for number, request in self.requests.items():
-            assert (number in self.reducer.requests) != request.closed
+        for request_id, request in self.requests.items():
+            assert (request_id in self.reducer.requests) != request.closed
             assert request.closed or request.established or self.now <= request.deadline
         in_use = {
-            j.id for n in self.reducer.backends.values() for j in map(self.reducer.requests.__getitem__, n.requests)
+            request.id
+            for backend in self.reducer.backends.values()
+            for request in map(self.reducer.requests.__getitem__, backend.requests)
+        }
+        assert in_use == {
+            request_id for request_id, request in self.requests.items() if request.backend and not request.closed
         }
-        assert in_use == {n for n, j in self.requests.items() if j.backend and not j.closed}
         counts = self.telemetry.counts
-        answered = sum(counts[f"{figure}.0"] for figure in ("success", "busy", "failure", "abandoned"))
+        answered = sum(counts[f"{outcome}.0"] for outcome in ("success", "busy", "failure", "abandoned"))
         assert counts["taken.0"] == answered + len(self.telemetry.waiting), "the figures add up"
         assert set(self.telemetry.waiting) <= set(self.reducer.requests), "only requests that are not closed wait"
-        assert self.telemetry.figures()["inflight"] == len([j for j in self.requests.values() if not j.closed])
+        assert self.telemetry.figures()["inflight"] == len(
+            [request for request in self.requests.values() if not request.closed]
+        )
         if (
             self.reducer.context.shutdown_deadline
             and self.reducer.process_exits
             and self.now > self.reducer.context.shutdown_deadline + 100.0
         ):
             assert all(
-                j.closed for n, j in self.requests.items() if j.deadline <= self.reducer.context.shutdown_deadline
+                request.closed
+                for _, request in self.requests.items()
+                if request.deadline <= self.reducer.context.shutdown_deadline
             )
 
 
@@ -383,5 +391,5 @@
 TestReducerMachine = ReducerMachine.TestCase
 
 
-def test_every_ending_has_its_outcome() -> None:
+def test_every_termination_reason_has_an_outcome() -> None:
     assert set(OUTCOMES) == set(TerminationReason)
--- a/tests/routing/test_start_times.py
+++ b/tests/routing/test_start_times.py
@@ -23,10 +23,10 @@
 
 HOUR_MS = 3_600_000.0
 WARMUP_MS = 4000.0
-BACKENDS = 10
-START = 1_700_000_000_000.0
-STEP_MS = 6.0
-HEARTBEAT_MS = 2000.0
+BACKEND_COUNT = 10
+START_MS = 1_700_000_000_000.0
+REQUEST_INTERVAL_MS = 6.0
+UPDATE_INTERVAL_MS = 2000.0
 
 
 class Relay:
@@ -40,10 +40,12 @@
             "overload_window_ms": 1000.0,
             "balancers": 1,
         }
-        self.reducer = Reducer(settings(**(values | changes)), seed, START)
-        self.now, self.requests = START, itertools.count(1)
-        self.running: list[tuple[float, OpenBackendConnection]] = []
-        self.endpoints = {f"s-{n}": Endpoint(f"s-{n}", ("127.0.0.1", 1 + n)) for n in range(BACKENDS)}
+        self.reducer = Reducer(settings(**(values | changes)), seed, START_MS)
+        self.now, self.request_ids = START_MS, itertools.count(1)
+        self.open_connections: list[tuple[float, OpenBackendConnection]] = []
+        self.endpoints = {
+            f"s-{index}": Endpoint(f"s-{index}", ("127.0.0.1", 1 + index)) for index in range(BACKEND_COUNT)
+        }
         self.update(ListKind.FULL, list(self.endpoints), since_last_update_ms=None)
 
     def update(self, kind: ListKind, names: list[str], since_last_update_ms: float | None) -> None:
@@ -52,7 +54,7 @@
             update.since_last_update_ms = since_last_update_ms
         self.reducer.step(self.now, update)
 
-    def restart(self, name: str, reported_start_ms: float, since_last_update_ms: float = HEARTBEAT_MS) -> None:
+    def restart(self, name: str, reported_start_ms: float, since_last_update_ms: float = UPDATE_INTERVAL_MS) -> None:
         self.endpoints[name] = Endpoint(
             name, self.endpoints[name].address, EndpointState.READY, started_ms=reported_start_ms
         )
@@ -60,33 +62,33 @@
 
     def serve(self, duration_ms: float) -> dict[str, int]:
         """A request every 6 ms, accepted at once; returns how many each backend got."""
-        got = dict.fromkeys(self.endpoints, 0)
-        until = self.now + duration_ms
-        while self.now < until:
-            self.now += STEP_MS
-            while self.running and self.running[0][0] <= self.now:
-                _, connection = self.running.pop(0)
+        request_counts = dict.fromkeys(self.endpoints, 0)
+        end = self.now + duration_ms
+        while self.now < end:
+            self.now += REQUEST_INTERVAL_MS
+            while self.open_connections and self.open_connections[0][0] <= self.now:
+                _, connection = self.open_connections.pop(0)
                 self.reducer.step(
                     self.now, AttemptEnded(connection.request, connection.attempt, TerminationReason.COMPLETED)
                 )
-            number = next(self.requests)
-            for effect in self.reducer.step(self.now, RequestReceived(number, 1500.0)):
+            request_id = next(self.request_ids)
+            for effect in self.reducer.step(self.now, RequestReceived(request_id, 1500.0)):
                 if isinstance(effect, OpenBackendConnection):
-                    got[effect.backend] += 1
-                    self.reducer.step(self.now, BackendConnected(number, effect.attempt))
-                    self.reducer.step(self.now, BackendAccepted(number, effect.attempt))
-                    self.running.append((self.now + 200.0, effect))
-        return got
+                    request_counts[effect.backend] += 1
+                    self.reducer.step(self.now, BackendConnected(request_id, effect.attempt))
+                    self.reducer.step(self.now, BackendAccepted(request_id, effect.attempt))
+                    self.open_connections.append((self.now + 200.0, effect))
+        return request_counts
 
 
-def relative_share(got: dict[str, int], name: str) -> float:
+def relative_share(request_counts: dict[str, int], name: str) -> float:
     """Relative to the mean of the other backends."""
-    others = [count for other, count in got.items() if other != name]
-    return got[name] / (sum(others) / len(others))
+    others = [count for other, count in request_counts.items() if other != name]
+    return request_counts[name] / (sum(others) / len(others))
 
 
 @pytest.mark.parametrize("clock_error_ms", (-HOUR_MS, -5000.0, 0.0, HOUR_MS))
-def test_a_restart_that_the_relay_sees_is_dated_by_its_own_clock_where_the_wall_clocks_do_not_agree(
+def test_an_observed_restart_is_dated_by_the_relays_clock_if_the_wall_clocks_disagree(
     clock_error_ms: float,
 ) -> None:
     relay = Relay()
@@ -97,7 +99,7 @@
     assert 0.75 < relative_share(relay.serve(2000.0), "s-3") < 1.25, "and none once its time is over"
 
 
-def test_a_restart_is_dated_as_reported_where_the_clocks_agree() -> None:
+def test_a_restart_is_dated_as_reported_if_the_clocks_agree() -> None:
     """An update that arrives late, after a gap, does not restart the slow start."""
     relay = Relay()
     relay.serve(2000.0)
@@ -105,7 +107,7 @@
     assert 0.75 < relative_share(relay.serve(2000.0), "s-3") < 1.25
 
 
-def test_a_start_in_the_future_that_is_first_seen_in_a_list_does_not_keep_a_backend_cold_for_an_hour() -> None:
+def test_a_first_listed_start_in_the_future_does_not_prolong_slow_start() -> None:
     relay = Relay()
     relay.endpoints["s-3"] = Endpoint("s-3", ("127.0.0.1", 4), started_ms=relay.now + HOUR_MS)
     relay.update(ListKind.FULL, list(relay.endpoints), since_last_update_ms=None)
@@ -114,7 +116,7 @@
 
 
 @pytest.mark.parametrize("seed", (1, 2, 3))
-def test_a_backend_that_is_warming_up_gets_no_more_than_each_of_the_others(seed: int) -> None:
+def test_a_backend_in_slow_start_gets_no_more_than_its_share(seed: int) -> None:
     """Even where generous settings allow it, since its own clients would wait for it."""
     relay = Relay(seed, warmup_ms=3000.0)
     relay.serve(3000.0)
--- a/tests/test_peers_off.py
+++ b/tests/test_peers_off.py
@@ -22,7 +22,7 @@
 
 # All effects of all relays, in their order. Taken on the build before (694cc79); the asked ones anew when draws came to
 # be seeded by the group, which changes what every relay draws there, with or without peers.
-BEFORE = {
+EXPECTED_HASHES = {
     ("asked", "vanish"): "713642e8e226a0e3",
     ("asked", "drain"): "0452b6e96dcfe9a7",
     ("blind", "vanish"): "c30c51b3bb9ce26b",
@@ -31,7 +31,7 @@
     ("probed", "drain"): "f4b27eb8d7fb7511",
 }
 # The same with the reasons that answers, moves and drops carry, and with probes that are taken back.
-WITH_REASONS = {
+EXPECTED_HASHES_WITH_REASONS = {
     ("asked", "vanish"): "2589e88338af9740",
     ("asked", "drain"): "bffbd6c1aa22662c",
     ("blind", "vanish"): "ec711391906996c3",
@@ -43,29 +43,29 @@
 SPECS = {"asked": ASKED, "blind": replace(ASKED, by_own_load=True, relays=6), "probed": PROBED}
 
 
-@pytest.mark.parametrize(("name", "trouble"), BEFORE)
+@pytest.mark.parametrize(("name", "trouble"), EXPECTED_HASHES)
 def test_without_peers_each_decision_is_the_same_byte_for_byte(
     name: str, trouble: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    found, reasons = hashlib.sha256(), hashlib.sha256()
+    effects_hash, reasons_hash = hashlib.sha256(), hashlib.sha256()
     step: Callable[..., Any] = Reducer.step
 
-    def hashed(self: Reducer, now: float, event: Any) -> Any:
+    def step_with_hash(self: Reducer, now: float, event: Any) -> Any:
         effects = step(self, now, event)
-        found.update(
+        effects_hash.update(
             REASON.sub("", recorded_repr([e for e in effects if not isinstance(e, CancelHealthCheck)])).encode()
         )
-        reasons.update(recorded_repr(effects).encode())
+        reasons_hash.update(recorded_repr(effects).encode())
         return effects
 
-    monkeypatch.setattr(Reducer, "step", hashed)
+    monkeypatch.setattr(Reducer, "step", step_with_hash)
     spec: FleetSpec = SPECS[name]
     fleet = Fleet(spec, 5)
     fleet.fill(2.0)
     fleet.run(4.0)
     TROUBLES[trouble](fleet)
-    assert found.hexdigest()[:16] == BEFORE[name, trouble]
-    assert reasons.hexdigest()[:16] == WITH_REASONS[name, trouble]
+    assert effects_hash.hexdigest()[:16] == EXPECTED_HASHES[name, trouble]
+    assert reasons_hash.hexdigest()[:16] == EXPECTED_HASHES_WITH_REASONS[name, trouble]
 
 
 def test_nothing_of_control_is_loaded_without_the_section() -> None:
@@ -75,5 +75,5 @@
         "words = ('configuration', 'controller', 'shared_settings', 'yarrowspindle.storage'); "
         "print([m for m in sys.modules if any(w in m for w in words) or m in ('msgspec', 'click')])"
     )
-    said = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True)
-    assert said.stdout.strip() == "[]"
+    result = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True)
+    assert result.stdout.strip() == "[]"
