--- a/yarrowspindle/routing/__init__.py
+++ b/yarrowspindle/routing/__init__.py
@@ -1,1 +1,4 @@
-"""The core without I/O: events in, effects out. It keeps the state of requests and backends and asks the balancer."""
+"""The relay's core, without I/O: a reducer that turns events into effects.
+
+It keeps the state of requests and backends and asks the balancer for each decision.
+"""
--- a/yarrowspindle/routing/address.py
+++ b/yarrowspindle/routing/address.py
@@ -1,4 +1,4 @@
-"""The address of a socket: host and port."""
+"""The type of a socket address: host and port."""
 
 from __future__ import annotations
 
--- a/yarrowspindle/routing/attempts.py
+++ b/yarrowspindle/routing/attempts.py
@@ -1,8 +1,10 @@
-"""Attempts, final answers and migrations: what the balancer decides for requests, carried out on their state.
+"""Attempts, final answers and migrations: carries out the balancer's actions on the state of the requests.
 
-Held here, whatever the balancer or the network does: exactly one final answer for each request, one attempt in flight
-at a time, numbered as the balancer counts, and no attempt at a backend that is listed as draining or removed (except
-where an existing connection returns to its backend).
+This module guarantees, independently of the balancer's decisions and of network events:
+
+- exactly one final answer for each request;
+- at most one attempt in flight for each request, numbered in the same way as by the balancer;
+- no attempt at a backend that is draining or removed, unless an existing connection returns to its previous backend.
 """
 
 from __future__ import annotations
@@ -31,15 +33,15 @@
 from yarrowspindle.routing.termination import OUTCOMES, TerminationReason
 from yarrowspindle.routing.timers import RECONNECT_TIMER, REQUEST_DEADLINE_TIMER
 
-if TYPE_CHECKING:  # the platform does without this package
+if TYPE_CHECKING:  # optional package: loaded only if it is configured
     from yarrowspindle.rebalancing import Rebalancer
 
 RECONNECT_DELAY_MS = 400.0
-HEALTH_CHECK_TIMEOUT_MS = 500.0  # a backend that pauses for a quarter of a second still answers within this
+HEALTH_CHECK_TIMEOUT_MS = 500.0  # a backend that pauses for 250 ms still answers within this
 
 
 class Attempts:
-    """Notifies the balancer of events and carries out its actions."""
+    """Notifies the balancer of events and carries out the actions that it returns."""
 
     __slots__ = ("_context", "_requests", "_backends_by_number")
 
@@ -73,30 +75,37 @@
             self.watch_endpoints()
         elif isinstance(action, actions.LogMessage):
             self._context.effects.append(LogMessage(action.text))
-        # A cancelled attempt needs no effect: it belongs to a client that left, which has already aborted it.
+        # CancelAttempt needs no effect: its client has disconnected, and that event has already aborted the attempt.
 
     def _check_health(self, backend: Backend | None) -> None:
-        # The balancer needs no report of a backend that may not be used.
+        # The balancer does not use the load report of a backend that may not get new attempts.
         if backend is not None and not gate.backend_rejection(backend.state):
             self._context.effects.append(CheckHealth(backend.name, backend.address, HEALTH_CHECK_TIMEOUT_MS))
 
     def watch_endpoints(self, renew: bool = False) -> None:
-        """Watch the endpoint list from the version that is known."""
+        """Watch the endpoint list for changes after the last known version.
+
+        Args:
+            renew: Replace an open watch at the same address as well.
+        """
         context = self._context
         context.effects.append(WatchEndpoints(context.endpoint_list_version, context.discovery_address, renew))
 
     # --- attempts ---------------------------------------------------------------------------------
 
     def _start(self, request: Request, action: actions.StartAttempt) -> None:
-        """Start an attempt, or report it as not sent where its backend or the time left forbid it.
+        """Start an attempt; report it to the balancer as not sent if its backend or the remaining time forbids it.
 
-        Raises ValueError where the request is answered or has an attempt in flight.
+        Raises:
+            ValueError: The request has been answered or has an attempt in flight.
         """
         reason = gate.answer_rejection(
             answer_pending=request.phase is not Phase.CLOSED, in_flight=request.phase is not Phase.QUEUED
         )
         if reason:
-            raise ValueError(f"request {request.id} is {request.phase.name}: {reason.value}")
+            raise ValueError(
+                f"cannot start an attempt for request {request.id} in phase {request.phase.name}: {reason.value}"
+            )
         now = self._context.now
         request.attempt += 1
         remaining_ms = request.deadline - now
@@ -124,7 +133,7 @@
         )
 
     def reconnect(self, request: Request) -> None:
-        """Connect an existing connection to its backend again, or reject it where that one is not available."""
+        """Re-establish an existing connection at its previous backend; reject it if that backend is not available."""
         backend = request.backend
         if backend is None or backend.state is EndpointState.GONE or self._context.in_maintenance(backend.name):
             self.answer(request.id, RejectRequest(request.id, 0.0, RejectionReason.BACKEND_REMOVED))
@@ -137,24 +146,30 @@
         reported_reason: TerminationReason | RejectionReason,
         termination_reason: TerminationReason,
     ) -> None:
-        """End the attempt in flight from this side.
+        """Abort the request's attempt in flight.
 
         Args:
-            request: Its attempt is ended.
-            reported_reason: Goes to logs and metrics.
-            termination_reason: Decides the outcome that the balancer is notified of.
+            request: The request of the attempt.
+            reported_reason: The reason for logs and metrics.
+            termination_reason: The reason that determines the outcome for the balancer.
         """
         self._context.effects.append(AbortAttempt(request.id, request.attempt, reported_reason))
         self.end(request, termination_reason, finished=False)
 
     def end(self, request: Request, reason: TerminationReason, finished: bool) -> None:
-        """End the newest attempt and report it to the balancer; `finished`: the client is owed no answer.
+        """End the request's newest attempt and report its outcome to the balancer.
+
+        Args:
+            request: The request of the attempt.
+            reason: Why the attempt, or its established connection, ended.
+            finished: Whether the request ends with it; otherwise its answer is still pending.
 
-        Raises ValueError where the request has no attempt.
+        Raises:
+            ValueError: The request has no attempt.
         """
         backend = request.backend
         if backend is None:
-            raise ValueError(f"request {request.id} has no attempt")
+            raise ValueError(f"cannot end an attempt of request {request.id}: it has none")
         rebalancer = self._context.rebalancer
         if rebalancer is not None:
             self._report_to_rebalancer(rebalancer, request, backend, reason, finished)
@@ -171,7 +186,7 @@
                 )
             )
         elif not finished and reason is TerminationReason.CONNECT_FAILED:
-            # All existing connections return at once, which may exceed what a backend accepts at a time.
+            # After a restart all existing connections return at once, which may be more than a backend accepts at once.
             self._context.effects.append(SetTimer(RECONNECT_DELAY_MS, (RECONNECT_TIMER, request.id)))
         elif not finished:
             self.answer(request.id, RejectRequest(request.id, 0.0, RejectionReason.NO_USABLE_BACKEND))
@@ -187,7 +202,7 @@
     # --- the end of a request ---------------------------------------------------------------------
 
     def answer(self, request_id: int, answer: RejectRequest | FailRequest) -> None:
-        """Give the final answer, unless the request has one already or an attempt is in flight."""
+        """Send the final answer, unless the request already has one or an attempt is in flight."""
         request = self._requests.get(request_id)
         if request is None:
             return
@@ -207,12 +222,12 @@
             self.close_established(request, TerminationReason.MIGRATED)
 
     def close_established(self, request: Request, reason: TerminationReason) -> None:
-        """End an established connection; its client is asked to connect again."""
+        """Close an established connection and ask its client to connect again."""
         self._context.effects.append(MigrateConnection(request.id, reason))
         self.end(request, reason, finished=True)
 
     def finish(self, request: Request) -> None:
-        """Close the request and drop its state."""
+        """Mark the request as closed and drop its state."""
         self._release_backend(request)
         if request.phase is not Phase.ESTABLISHED:
             self._context.effects.append(CancelTimer((REQUEST_DEADLINE_TIMER, request.id)))
--- a/yarrowspindle/routing/draining.py
+++ b/yarrowspindle/routing/draining.py
@@ -1,4 +1,4 @@
-"""Planned restart and drain: established connections are migrated, spread over the time that there is."""
+"""Planned restart and drain: migrates the established connections, spread evenly over the time limit."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 from yarrowspindle.routing.timers import SHUTDOWN_TIMER
 
 MIGRATION_INTERVAL_MS = 50.0
-# No client is migrated sooner after SIGTERM: the front still sends new connections to this relay for 0.4 s, and in a
-# rolling restart the relay before this one accepts connections again only after 1.7 s.
+# Delay between SIGTERM and the first migration: the front still sends new connections to this relay for 0.4 s, and in a
+# rolling restart the previously restarted relay accepts connections again only after 1.7 s.
 MIGRATION_START_DELAY_MS = 1500.0
 
 
 class DrainHandlers:
-    """Handles shutdown requests and drains; the process outlives a drain."""
+    """Handles shutdowns and drains; after a drain the process keeps running."""
 
     __slots__ = ("_context", "_attempts", "_request_handlers")
 
@@ -29,7 +29,7 @@
         self._request_handlers = request_handlers
 
     def on_shutdown_requested(self, event: ShutdownRequested) -> None:
-        """Start to migrate all clients; those that arrive meanwhile are served and migrated as well."""
+        """Start to migrate all clients; clients that arrive during the shutdown are served and migrated as well."""
         context = self._context
         context.shutdown_deadline = context.now + event.time_limit_ms
         context.process_exits = event.process_exits
@@ -38,7 +38,7 @@
         context.effects.append(SetTimer(min(MIGRATION_START_DELAY_MS, event.time_limit_ms / 2.0), SHUTDOWN_TIMER))
 
     def on_drain_cancelled(self, event: DrainCancelled) -> None:
-        """Stop migrating clients."""
+        """Cancel the shutdown or drain, and stop migrating clients."""
         context = self._context
         if context.shutdown_deadline:
             context.shutdown_deadline = 0.0
@@ -47,11 +47,11 @@
                 context.rebalancer.stopped = False
 
     def on_shutdown_timer(self) -> None:
-        """Migrate this interval's part of the established connections, or all once the time has passed."""
+        """Migrate this interval's batch of the established connections, or all after the deadline."""
         context = self._context
         remaining_ms = context.shutdown_deadline - context.now
         interval_ms = min(remaining_ms, MIGRATION_INTERVAL_MS) if remaining_ms > 0.0 else MIGRATION_INTERVAL_MS
-        # Set first: a connection that cannot be migrated must not keep the others here.
+        # Set the timer first: an exception in one migration must not prevent the migration of other connections.
         context.effects.append(SetTimer(interval_ms, SHUTDOWN_TIMER))
         if remaining_ms > 0.0:
             self._migrate_batch(remaining_ms)
@@ -59,14 +59,14 @@
             self._migrate_all()
 
     def _migrate_batch(self, remaining_ms: float) -> None:
-        """Migrate as many as leave an equal number for each of the remaining intervals."""
+        """Migrate a number of connections that leaves batches of equal size for the remaining intervals."""
         established = [request for request in self._context.requests.values() if request.phase is Phase.ESTABLISHED]
         intervals = max(1.0, remaining_ms / MIGRATION_INTERVAL_MS - 1.0)
         for request in established[: ceil(len(established) / intervals)]:
             self._attempts.migrate(request)
 
     def _migrate_all(self) -> None:
-        """Migrate all established connections; requests that wait are answered only where the process exits."""
+        """Migrate all established connections; if the process exits, expire all other requests."""
         for request in list(self._context.requests.values()):
             if request.phase is Phase.ESTABLISHED:
                 self._attempts.migrate(request)
--- a/yarrowspindle/routing/endpoints.py
+++ b/yarrowspindle/routing/endpoints.py
@@ -1,4 +1,7 @@
-"""The endpoint list: what an update changes, which attempts it ends, and the watch that delivers the next one."""
+"""The handlers for endpoint list updates, and for the watch that delivers them.
+
+An update changes the state of backends and aborts the attempts that may no longer be sent.
+"""
 
 from __future__ import annotations
 
@@ -16,8 +19,9 @@
 from yarrowspindle.routing.termination import TerminationReason
 from yarrowspindle.routing.timers import ENDPOINT_WATCH_TIMER
 
-# Where lists are pushed, a change counts as known once the agent on this machine has it, also on a watch that no longer
-# delivers: the watch is renewed so that such a change still arrives within the drain's grace period.
+# If lists are pushed, discovery counts a change as known once the agent on this machine has received it, even if the
+# watch no longer delivers updates. The watch is renewed at this fraction of the drain grace period, so that the change
+# still arrives within it.
 WATCH_RENEWAL_FRACTION = 0.5
 MIN_WATCH_RENEWAL_MS = 250.0
 MAX_LOGGED_BACKENDS = 8
@@ -25,10 +29,11 @@
 
 @dataclass(slots=True)
 class EndpointChanges:
-    """What one update changes.
+    """The changes that one update of the endpoint list makes.
 
-    previous_states: of each backend that the update names, before it. restarted: those of them under a new start,
-    which may be cold although they were chosen as warm.
+    Attributes:
+        previous_states: The state before the update of each backend that it names or removes.
+        restarted: The backends with a new start time, which may be cold although they were chosen as warm.
     """
 
     previous_states: dict[str, EndpointState] = field(default_factory=dict)
@@ -36,7 +41,7 @@
 
 
 class EndpointHandlers:
-    """Handles updates of the endpoint list and of the discovery service's address."""
+    """Handles updates of the endpoint list, changes of the discovery address, and steps of the wall clock."""
 
     __slots__ = ("_context", "_attempts")
 
@@ -45,9 +50,9 @@
         self._attempts = attempts
 
     def on_endpoints_updated(self, event: EndpointsUpdated, log_changes: bool = True) -> None:
-        """Apply the update, notify the balancer and end the attempts that may no longer be sent.
+        """Apply the update, notify the balancer and abort the attempts that may no longer be sent.
 
-        Only the named backends are visited, so that a change of one does not cost a walk over the fleet.
+        An incremental update visits only the backends that it names, so its cost does not depend on the fleet's size.
         """
         if event.kind is ListKind.FAILED:
             self._on_list_failed()
@@ -75,7 +80,7 @@
             self._context.effects.append(SetTimer(MIN_WATCH_RENEWAL_MS, ENDPOINT_WATCH_TIMER))
 
     def _remove_missing(self, endpoints: Sequence[Endpoint], changes: EndpointChanges) -> None:
-        """Mark the backends as removed that a full list does not name."""
+        """Mark the backends that a full list does not contain as removed."""
         listed = {endpoint.name for endpoint in endpoints}
         for name, backend in self._context.backends.items():
             if name not in listed:
@@ -86,7 +91,7 @@
     def _apply_entry(
         self, endpoint: Endpoint, since_last_update_ms: float | None, changes: EndpointChanges
     ) -> balancer_events.Endpoint:
-        """Update the endpoint's backend; return the entry for the balancer."""
+        """Update the endpoint's backend and return the entry for the balancer."""
         context, name = self._context, endpoint.name
         backend = context.backends.get(name)
         if backend is None:
@@ -129,7 +134,7 @@
         return backend
 
     def _log_state_changes(self, version: int, changed: Sequence[Backend], changes: EndpointChanges) -> None:
-        """Operators ask which states were reported, and when."""
+        """Log the backends whose state changed, so that operators can see which states were reported and when."""
         transitioned = [backend for backend in changed if backend.state is not changes.previous_states[backend.name]]
         if not transitioned:
             return
@@ -141,7 +146,7 @@
         self._context.effects.append(LogMessage(f"machine list {version}: {states}{suffix}"))
 
     def _abort_unsent_attempts(self, changed: Sequence[Backend], changes: EndpointChanges) -> None:
-        """End the attempts that nothing was sent for, at backends that drain, are removed or have started anew."""
+        """Abort the attempts that were not sent yet, at backends that are draining, removed or restarted."""
         affected = [
             backend
             for backend in changed
@@ -155,7 +160,7 @@
                 self._attempts.abort(request, reason or TerminationReason.NOT_SENT, TerminationReason.NOT_SENT)
 
     def _clean_up(self, changed: Sequence[Backend], changes: EndpointChanges) -> None:
-        """Cancel health checks that no longer matter, and drop the backends that were removed."""
+        """Cancel the health checks of unusable and restarted backends, and drop the backends that were removed."""
         context = self._context
         for backend in changed:
             unusable_reason = gate.backend_rejection(backend.state)
@@ -167,7 +172,11 @@
             context.discard_if_unused(backend)
 
     def watch_if_pushed(self, renew: bool) -> None:
-        """Watch the list where it is pushed; where it is polled, the balancer asks for it when it needs it."""
+        """Watch the endpoint list if it is pushed; if it is polled, the balancer requests it when needed.
+
+        Args:
+            renew: Replace an open watch at the same address as well.
+        """
         settings = self._context.settings
         if not settings.polls_discovery:
             self._attempts.watch_endpoints(renew)
@@ -175,11 +184,11 @@
             self._context.effects.append(SetTimer(renewal_ms, ENDPOINT_WATCH_TIMER))
 
     def on_watch_timer(self) -> None:
-        """Renew the watch."""
+        """Renew the watch of the endpoint list."""
         self.watch_if_pushed(renew=True)
 
     def on_discovery_address_changed(self, event: DiscoveryAddressChanged) -> None:
-        """Request the whole list from the new address: another service may count versions in another way."""
+        """Request the full list from the new address, since another service may number versions differently."""
         context = self._context
         if event.address != context.discovery_address:
             context.discovery_address = event.address
@@ -187,5 +196,5 @@
             self._attempts.watch_endpoints()
 
     def on_wall_clock_stepped(self, event: WallClockStepped) -> None:
-        """Reported starts can no longer be compared with this machine's wall clock."""
+        """Record that reported start times can no longer be compared with this machine's wall clock."""
         self._context.start_times.on_clock_stepped()
--- a/yarrowspindle/routing/evacuation.py
+++ b/yarrowspindle/routing/evacuation.py
@@ -1,4 +1,7 @@
-"""Maintenance of backends, as agreed by the relays: nothing is placed on them, and their connections are migrated."""
+"""Maintenance of backends, as agreed by the relays.
+
+A backend in maintenance gets no new connections, and its established connections are migrated.
+"""
 
 from __future__ import annotations
 
@@ -13,7 +16,7 @@
 
 
 class EvacuationHandlers:
-    """Handles new maintenance plans and evacuates backends."""
+    """Handles new maintenance plans and migrates connections away from backends in maintenance."""
 
     __slots__ = ("_context", "_attempts", "_endpoint_handlers")
 
@@ -23,8 +26,12 @@
         self._endpoint_handlers = endpoint_handlers
 
     def on_maintenance_updated(self, event: MaintenanceUpdated) -> None:
-        """Adopt the plan: for the balancer a backend in maintenance is draining, and one that returned is cold."""
-        from yarrowspindle.maintenance.evacuation import TICK_MS, BackendEvacuator  # the platform does without it
+        """Adopt the plan.
+
+        The balancer sees a backend in maintenance as draining, and one that returned from maintenance as cold.
+        """
+        # Optional package: loaded only if it is configured.
+        from yarrowspindle.maintenance.evacuation import TICK_MS, BackendEvacuator
 
         context = self._context
         previously_in_maintenance = {name for name in context.backends if context.in_maintenance(name)}
@@ -46,8 +53,9 @@
         context.evacuator.set_plan(context.now, event.plan)
 
     def on_evacuation_timer(self) -> None:
-        """Migrate the connections that the evacuator's rate allows now."""
-        from yarrowspindle.maintenance.evacuation import TICK_MS  # the platform does without it
+        """Migrate as many connections as the evacuator's rate limit allows now."""
+        # Optional package: loaded only if it is configured.
+        from yarrowspindle.maintenance.evacuation import TICK_MS
 
         context = self._context
         context.effects.append(SetTimer(TICK_MS, EVACUATION_TIMER))
--- a/yarrowspindle/routing/health.py
+++ b/yarrowspindle/routing/health.py
@@ -1,4 +1,4 @@
-"""Health of backends: loads, message latencies, unresponsive backends, health checks; stalls of this process."""
+"""Health of backends: loads, message latencies, unresponsive backends, health checks, and stalls of this process."""
 
 from __future__ import annotations
 
@@ -23,12 +23,12 @@
 LIVENESS_INTERVAL_MS = 250.0
 MAX_RESPONSE_DELAY_MS = 2500.0  # a connection without an answer for longer is migrated; the protocol allows 7 s
 UNRESPONSIVE_SETUP_TIMEOUT_MS = 1000.0  # an attempt at an unresponsive backend is aborted after this
-LATENCY_REPORT_INTERVAL_MS = 1000.0  # for each backend, towards the balancer
+LATENCY_REPORT_INTERVAL_MS = 1000.0  # between latency reports to the balancer, for each backend
 MICROSECONDS_PER_MS = 1000.0
 
 
 class HealthHandlers:
-    """Handles what connections and health checks show of their backends."""
+    """Handles the events that show the health of backends, on connections and in health checks."""
 
     __slots__ = ("_context", "_attempts", "_requests")
 
@@ -50,7 +50,7 @@
         self._attempts.notify_balancer(balancer_events.LoadChanged(request.id, request.backend.number, event.load))
 
     def on_unclassified_report(self, event: UnclassifiedReport) -> None:
-        """Tell whether a reported figure is a load or a latency, and pass it to the balancer as that."""
+        """Classify the reported value as a load or a message latency, and pass it to the balancer as such."""
         request = self._requests.get(event.request)
         if request is None or request.backend is None or request.phase is not Phase.ESTABLISHED:
             return
@@ -70,7 +70,7 @@
             return backend.load_reports.classify(
                 self._context.now, event.request, event.figure, self._requests.__contains__
             )
-        # Of the two quantities in this form only latencies remain.
+        # Backends that report no loads can only mean a latency.
         return ReportKind.LATENCY if settings.backend_reports_latency else ReportKind.UNDECIDED
 
     def _report_resolved_load(self, backend: Backend) -> None:
@@ -81,15 +81,15 @@
     # --- message latencies ------------------------------------------------------------------------
 
     def on_client_data_forwarded(self, event: ClientDataForwarded) -> None:
-        """Remember when the client's lines were forwarded."""
+        """Record when the client's lines were forwarded."""
         request = self._requests.get(event.request)
         if request is not None and request.phase is Phase.ESTABLISHED:
             request.record_client_lines(self._context.now, event.lines)
 
     def on_backend_data_delayed(self, event: BackendDataDelayed) -> None:
-        """Count the delays of the request from that much later on: this process, not the backend, lost the time.
+        """Move the start of the request's latency measurements by the delay, which this process caused.
 
-        Not where a stall has moved them already.
+        A start that an event loop stall has already moved stays as it is.
         """
         request, context = self._requests.get(event.request), self._context
         if request is None:
@@ -101,7 +101,7 @@
                 entry[0] = min(context.now, entry[0] + event.delay_ms)
 
     def on_backend_data_forwarded(self, event: BackendDataForwarded) -> None:
-        """Record the latency of the oldest line that is answered now."""
+        """Record the latency of the oldest client line that the forwarded data answers."""
         request = self._requests.get(event.request)
         if request is not None and request.backend is not None and request.unanswered:
             backend, now = request.backend, self._context.now
@@ -111,7 +111,7 @@
                 self._report_latency(backend, request)
 
     def _report_latency(self, backend: Backend, request: Request) -> None:
-        """Report the mean latency while messages take long, and once when they no longer do."""
+        """Report the mean latency to the balancer while the backend is slow, and once when it no longer is."""
         latency_ms = sum(backend.message_latencies_ms) / len(backend.message_latencies_ms)
         backend.message_latencies_ms.clear()
         backend.latencies_reported_at = self._context.now
@@ -123,10 +123,10 @@
     # --- unresponsive backends --------------------------------------------------------------------
 
     def on_liveness_timer(self) -> None:
-        """Migrate connections that get no answer, and abort attempts at backends that deliver nothing at all.
+        """Migrate connections that get no answer, and abort attempts at backends that send no data at all.
 
-        A machine that vanished sends nothing and its connections stay open. Backends are reached by way of the
-        requests, since each interval must not cost a walk over the fleet.
+        A machine that fails without closing its connections sends nothing, and its connections stay open. Only the
+        backends of current requests are visited, so that the cost of a check does not depend on the fleet's size.
         """
         self._context.effects.append(SetTimer(LIVENESS_INTERVAL_MS, LIVENESS_TIMER))
         in_use = dict.fromkeys(request.backend for request in self._requests.values() if request.backend is not None)
@@ -164,7 +164,7 @@
                 self._attempts.abort(request, reason, reason)
 
     def on_event_loop_stalled(self, event: EventLoopStalled) -> None:
-        """Count delays from the end of the stall: answers may have waited in this process's own sockets."""
+        """Exclude the stall from all delays, since answers may have waited in this process's own sockets."""
         now = self._context.now
         self._context.stall_ended_at = now
         for request in self._requests.values():
--- a/yarrowspindle/routing/rebalancing.py
+++ b/yarrowspindle/routing/rebalancing.py
@@ -1,4 +1,4 @@
-"""Rebalancing: established connections are migrated towards even load, at the pace of the rebalancer's plan."""
+"""Rebalancing: migrates established connections to even out the load, at the rate that the rebalancer plans."""
 
 from __future__ import annotations
 
@@ -12,22 +12,22 @@
 from yarrowspindle.routing.state import Phase
 from yarrowspindle.routing.timers import REBALANCING_TIMER
 
-if TYPE_CHECKING:  # the platform does without this package
+if TYPE_CHECKING:  # optional package: loaded only if it is configured
     from yarrowspindle.rebalancing import Rebalancer, RebalanceSettings
 
 
 class RebalancingHandlers:
-    """Starts, configures and stops the rebalancer and carries out its migrations."""
+    """Starts, configures and stops the rebalancer, and carries out its migrations."""
 
     __slots__ = ("_context", "_attempts", "_target")
 
     def __init__(self, context: RoutingContext, attempts: Attempts) -> None:
         self._context = context
         self._attempts = attempts
-        self._target = 0.0  # as the balancer was last notified
+        self._target = 0.0  # the last target that the balancer was notified of
 
     def on_rebalancing_configured(self, event: RebalancingConfigured) -> None:
-        """Start the rebalancer, change its settings, or stop it where there are none."""
+        """Start the rebalancer, change its settings, or stop it if the event has no settings."""
         context = self._context
         if event.settings is None:
             context.rebalancer = None
@@ -39,7 +39,7 @@
             self._start(event.settings, event.seed)
 
     def _start(self, rebalance_settings: RebalanceSettings, seed: int) -> None:
-        from yarrowspindle.rebalancing import Rebalancer  # the platform does without it
+        from yarrowspindle.rebalancing import Rebalancer  # optional package: loaded only if it is configured
 
         context, settings = self._context, self._context.settings
         context.rebalancer = Rebalancer(
@@ -56,7 +56,7 @@
         context.effects.append(SetTimer(context.rebalancer.first_round_delay_ms(), REBALANCING_TIMER))
 
     def _fill_view(self, rebalancer: Rebalancer) -> None:
-        """Give the rebalancer the present backends and established connections."""
+        """Add the current backends and established connections to the rebalancer's view."""
         context = self._context
         for backend in context.backends.values():
             rebalancer.view.update_backend(
@@ -78,7 +78,7 @@
                 )
 
     def on_rebalancing_timer(self) -> None:
-        """Migrate the connections that the rebalancer chooses now."""
+        """Run a rebalancing round: migrate the connections that the rebalancer chooses."""
         context, rebalancer = self._context, self._context.rebalancer
         if rebalancer is None:
             return
@@ -90,7 +90,7 @@
         context.effects += [LogMessage(text) for text in rebalancer.take_log_lines()]
 
     def _set_target(self, target: float) -> None:
-        """Notify the balancer of the target where it changed."""
+        """Notify the balancer of the target if it changed."""
         if target != self._target:
             self._target = target
             self._attempts.notify_balancer(balancer_events.RebalancingTarget(target))
--- a/yarrowspindle/routing/reducer.py
+++ b/yarrowspindle/routing/reducer.py
@@ -1,4 +1,7 @@
-"""The core's entry point: (state, event) -> effects. It only dispatches; each concern has a module of handlers."""
+"""The core's entry point: (state, event) -> effects.
+
+The reducer only dispatches events; each concern has a module with its handlers.
+"""
 
 from __future__ import annotations
 
@@ -54,16 +57,17 @@
     SHUTDOWN_TIMER,
 )
 
-if TYPE_CHECKING:  # the platform does without this package
+if TYPE_CHECKING:  # optional package: loaded only if it is configured
     from yarrowspindle.rebalancing import Rebalancer
 
 EventHandlers = dict[type, Callable[[Any], None]]
 
 
 class Reducer:
-    """Applies events to the core's state and returns the effects to be carried out, in order. Times are milliseconds.
+    """A state machine that applies events to the core's state and returns the effects to carry out, in order.
 
-    The balancer decides; the reducer guards its decisions (see `routing.attempts`) and carries them out.
+    The balancer makes the decisions; the reducer validates them (see `routing.attempts`) and carries them out. Times
+    are in milliseconds.
     """
 
     def __init__(self, settings: Settings, seed: int, now: float, discovery_address: Address | None = None) -> None:
@@ -119,7 +123,12 @@
         }
 
     def step(self, now: float, event: Event) -> list[Effect]:
-        """Apply an event; return the effects to be carried out, in order."""
+        """Apply an event and return the effects to carry out, in order.
+
+        Args:
+            now: The current time. A time before that of an earlier event counts as that of the earlier event.
+            event: The event to apply.
+        """
         context = self.context
         context.now = max(context.now, now)
         self._event_handlers[type(event)](event)
@@ -127,11 +136,11 @@
         return effects
 
     def take_effects(self) -> list[Effect]:
-        """The effects of a step that raised an error, and those of the start."""
+        """Return and clear the pending effects: those of the start, or of a step that raised an exception."""
         effects, self.context.effects = self.context.effects, []
         return effects
 
-    # --- events of no single concern --------------------------------------------------------------
+    # --- events without a handler module -----------------------------------------------------------
 
     def _on_timer_fired(self, event: TimerFired) -> None:
         timer = event.timer
@@ -145,7 +154,7 @@
             self._requests.on_request_timer(*timer)
 
     def _on_settings_changed(self, event: SettingsChanged) -> None:
-        """New requests are judged by the new settings; those in progress keep their class, whose entry stays."""
+        """Apply the new settings to new requests; requests in progress keep their class, whose entry stays."""
         context = self.context
         context.settings = event.settings
         for backend in context.backends.values():
@@ -155,7 +164,7 @@
     def _on_peer_loads_updated(self, event: PeerLoadsUpdated) -> None:
         self._attempts.notify_balancer(event.loads)
 
-    # --- state that others read -------------------------------------------------------------------
+    # --- public state -----------------------------------------------------------------------------
 
     @property
     def now(self) -> float:
@@ -169,12 +178,12 @@
 
     @property
     def discovery_address(self) -> Address | None:
-        """Where the endpoint list comes from."""
+        """The address of the discovery service that serves the endpoint list; None if there is none."""
         return self.context.discovery_address
 
     @property
     def balancer(self) -> Balancer:
-        """The balancer, whose load estimates and ejections are published."""
+        """The balancer; its load estimates and ejections are published."""
         return self.context.balancer
 
     @property
@@ -184,22 +193,22 @@
 
     @property
     def backends(self) -> Mapping[str, Backend]:
-        """The backends that are listed or have requests, by name."""
+        """The backends that are in the endpoint list or have requests, by name."""
         return self.context.backends
 
     @property
     def backends_by_number(self) -> Mapping[int, Backend]:
-        """The same backends by the balancer's number."""
+        """The backends that are in the endpoint list or have requests, by the balancer's number."""
         return self.context.backends_by_number
 
     @property
     def rebalancer(self) -> Rebalancer | None:
-        """None where established connections are not rebalanced."""
+        """The rebalancer; None if established connections are not rebalanced."""
         return self.context.rebalancer
 
     @property
     def classes(self) -> set[int]:
-        """The numbers of the classes that requests are in."""
+        """The numbers of the request classes that have requests, in the core or in the balancer."""
         context = self.context
         return {request.received.request_class for request in context.requests.values()} | {
             request.cls for request in context.balancer.requests.values()
@@ -216,5 +225,5 @@
         return self.context.process_exits
 
     def may_exit(self, now: float) -> bool:
-        """Whether the process may exit: the shutdown's time has passed, and no request is accepted any more."""
+        """Return whether the process may exit: the shutdown deadline has passed and new requests are rejected."""
         return self.context.may_exit(now)
--- a/yarrowspindle/routing/requests.py
+++ b/yarrowspindle/routing/requests.py
@@ -1,4 +1,4 @@
-"""Requests: arrival, the progress of their attempts, deadlines, and answers after an internal error."""
+"""The handlers for requests: arrival, progress of the attempts, deadlines, and answers after an internal error."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 from yarrowspindle.routing.termination import TerminationReason
 from yarrowspindle.routing.timers import RECONNECT_TIMER, REQUEST_DEADLINE_TIMER
 
-# Clients of connections from before this process wait 40 s for them to be established again.
+# After a restart of the relay clients wait up to 40 s until their existing connections are re-established.
 EXISTING_CONNECTION_DEADLINE_MS = 38_000.0
 
 
@@ -50,7 +50,7 @@
     # --- arrival ----------------------------------------------------------------------------------
 
     def on_request_received(self, event: RequestReceived) -> None:
-        """Accept the request and pass it to the balancer, or refuse it at once."""
+        """Accept the request and pass it to the balancer, or answer it at once if it is not admitted."""
         context = self._context
         reason = self._rejection_reason(event)
         if reason is not None:
@@ -85,14 +85,14 @@
         )
 
     def _reject(self, request_id: int, reason: RejectionReason) -> None:
-        # Only for these is it harmless for the client to try again elsewhere.
+        # A rejection tells the client that it may retry elsewhere, which is harmless only for these two reasons.
         if reason in (RejectionReason.SHUTTING_DOWN, RejectionReason.DEADLINE_EXCEEDED):
             self._context.effects.append(RejectRequest(request_id, 0.0, reason))
         else:
             self._context.effects.append(FailRequest(request_id, reason))
 
     def _bind_to_previous_backend(self, request: Request, event: RequestReceived) -> None:
-        """A connection from before this process goes to the backend that had it, and to no other."""
+        """Bind a connection from before the restart of this relay to its previous backend; no other may serve it."""
         request.existing_connection = balancer_events.ExistingConnection(
             event.request,
             backend_id(event.previous_backend),
@@ -107,11 +107,12 @@
         request.deadline = self._context.now + EXISTING_CONNECTION_DEADLINE_MS
 
     def _rejection_reason(self, event: RequestReceived) -> RejectionReason | None:
-        """Why the request may not be accepted; None where it may.
+        """Return why the request is not admitted; None if it is.
 
-        Protects backends and other requests from a client that uses another's id, that would wait without limit, or
-        that names its backend after the first new request (that backend may be draining by then). A request without an
-        id was made by the front itself.
+        This protects backends and other requests from a client that uses the id of another request, that states an
+        unlimited wait, or that names its previous backend after the first new request was received (the backend may be
+        draining by then). A request without a client's id was created by the front; it is rejected only after a
+        shutdown.
         """
         context = self._context
         shutting_down = context.may_exit(context.now)
@@ -133,7 +134,7 @@
     # --- the client -------------------------------------------------------------------------------
 
     def on_client_disconnected(self, event: ClientDisconnected) -> None:
-        """Drop the request and abort its attempt."""
+        """Drop the request, and abort its attempt or close its connection to the backend."""
         request = self._requests.get(event.request)
         if request is None:
             return
@@ -147,7 +148,7 @@
         self._attempts.end(request, reason, finished=True)
 
     def on_unexpected_client_data(self, event: UnexpectedClientData) -> None:
-        """Fail a request whose client sent more before its answer."""
+        """Fail the request: the protocol forbids its client to send data before the answer."""
         request = self._requests.get(event.request)
         if request is not None and request.phase is not Phase.ESTABLISHED:
             self.on_client_disconnected(ClientDisconnected(request.id))
@@ -156,14 +157,14 @@
     # --- the attempt ------------------------------------------------------------------------------
 
     def _request_for_attempt(self, request_id: int, attempt: int) -> Request | None:
-        """The request, where this attempt is its newest and has not ended; else None."""
+        """Return the request if the attempt is its newest and has not ended, else None."""
         request = self._requests.get(request_id)
         if request is None or request.attempt != attempt or request.phase is Phase.QUEUED:
             return None
         return request
 
     def on_backend_connected(self, event: BackendConnected) -> None:
-        """Forward the request, unless its backend or the time left forbid it by now."""
+        """Forward the request, unless its backend is no longer usable or too little time remains."""
         request = self._request_for_attempt(event.request, event.attempt)
         if request is None or request.backend is None or request.phase is not Phase.CONNECTING:
             return
@@ -182,7 +183,7 @@
         context.effects.append(ForwardRequest(request.id, request.attempt, request.deadline - context.now))
 
     def on_backend_accepted(self, event: BackendAccepted) -> None:
-        """Establish the connection."""
+        """Mark the connection as established and start to relay data."""
         request = self._request_for_attempt(event.request, event.attempt)
         if request is None or request.backend is None or request.phase is not Phase.AWAITING_RESPONSE:
             return
@@ -205,7 +206,7 @@
         )
 
     def on_attempt_ended(self, event: AttemptEnded) -> None:
-        """End the attempt, or the established connection with its client's side."""
+        """End the attempt; if it was an established connection, close its client's side as well."""
         request = self._request_for_attempt(event.request, event.attempt)
         if request is None:
             return
@@ -217,7 +218,7 @@
     # --- timers -----------------------------------------------------------------------------------
 
     def on_request_timer(self, name: str, request_id: int) -> None:
-        """The timer of a request fired; ignored where the request is closed."""
+        """Handle a timer of the request; a timer of a closed request is ignored."""
         request = self._requests.get(request_id)
         if request is None:
             return
@@ -227,11 +228,11 @@
             self._attempts.reconnect(request)
 
     def expire(self, request: Request) -> None:
-        """The deadline was reached: abort the attempt in flight and give the final answer."""
+        """Abort the attempt in flight and send the final answer, at the deadline or at the end of a shutdown."""
         if request.in_flight:
             self._abort_expired(request)
         if request.phase is Phase.QUEUED and request.existing_connection is None:
-            # Only the balancer knows whether an attempt may have run, so that repeating it may do harm.
+            # Only the balancer knows whether an attempt may have run, in which case a retry by the client may do harm.
             self._attempts.notify_balancer(balancer_events.DeadlineReached(request.id))
         if request.phase is Phase.QUEUED:
             self._attempts.answer(request.id, RejectRequest(request.id, 0.0, RejectionReason.DEADLINE_EXCEEDED))
@@ -245,9 +246,9 @@
     # --- internal errors --------------------------------------------------------------------------
 
     def on_internal_error(self, event: InternalError) -> None:
-        """Answer the client of a request whose step failed, whatever is left undone.
+        """Answer the client of a request for which a step or an effect raised an exception.
 
-        The balancer is notified last, since it may be what failed.
+        The balancer is notified last, since it may raise the exception again.
         """
         request = self._requests.get(event.request)
         if request is None:
--- a/yarrowspindle/routing/termination.py
+++ b/yarrowspindle/routing/termination.py
@@ -1,4 +1,4 @@
-"""Why an attempt or an established connection ended, and the outcome that the balancer is notified of."""
+"""The reasons why attempts and established connections end, and the outcome that the balancer gets for each."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @unique
 class TerminationReason(Enum):
-    """Why an attempt or an established connection ended; the value is a description for people."""
+    """The reason why an attempt or an established connection ended; the value is a human-readable description."""
 
     COMPLETED = "the backend completed the connection"
     BACKEND_DRAINING = "the backend is draining and asked the client to connect again"
--- a/yarrowspindle/routing/timers.py
+++ b/yarrowspindle/routing/timers.py
@@ -1,6 +1,6 @@
-"""The names of the core's timers. Recorded sequences contain them, so the values must not change.
+"""The names of the core's timers. Recorded event sequences contain the values, so they must not change.
 
-The balancer's own timers are integers; timers of one request are pairs of a name and the request's id.
+A timer of the balancer is an integer instead, and a timer of a single request is a pair of a name and the request's id.
 """
 
 from __future__ import annotations
