--- a/yarrowspindle/routing/context.py
+++ b/yarrowspindle/routing/context.py
@@ -13,7 +13,7 @@
 from yarrowspindle.routing.start_times import StartTimes
 from yarrowspindle.routing.state import Backend, Request
 
-if TYPE_CHECKING:  # the platform does without these packages
+if TYPE_CHECKING:  # optional packages: loaded only if they are configured
     from yarrowspindle.maintenance.evacuation import BackendEvacuator, MaintenancePlan
     from yarrowspindle.rebalancing import Rebalancer
 
@@ -21,25 +21,34 @@
 
 
 def backend_id(name: str) -> int:
-    """The balancer's number for a backend: the same at every relay, whatever the order of the list."""
+    """Return the balancer's number for a backend, which is the same at every relay and independent of list order."""
     return int.from_bytes(blake2b(name.encode(), digest_size=BACKEND_ID_BYTES).digest(), "big")
 
 
 class RoutingContext:
-    """The shared state of the core. Times are milliseconds on the relay's clock.
+    """The shared state of the core. Times are in milliseconds on the relay's clock.
+
+    The mappings `requests`, `backends` and `backends_by_number` are never replaced, so handlers may keep references.
 
     Attributes:
-        requests, backends, backends_by_number: the same objects throughout, so that handlers may keep them.
-        client_request_ids: the clients' ids of the requests that are not closed.
-        serving_new_requests: whether a request was received that is no connection from before this process.
-        effects: of the current step, in the order in which they are to be carried out.
-        endpoint_list_version: of the newest endpoint list; 0 before the first.
-        stall_ended_at: when the event loop last resumed after a stall.
-        shutdown_deadline: when a shutdown or drain must have completed; 0 where there is none.
-        process_exits: whether the process ends after the shutdown; False for a drain.
-        rebalancer: None where established connections are not rebalanced.
-        maintenance_plan: what the relays agreed on; None where they do not coordinate maintenance.
-        evacuator: None until the first maintenance plan.
+        settings: The current settings.
+        now: The time of the newest event.
+        discovery_address: The address of the discovery service; None if there is none.
+        balancer: The balancer, which makes the decisions.
+        requests: The requests that are not closed, by id.
+        client_request_ids: The clients' ids of the requests that are not closed.
+        serving_new_requests: Whether any request was received that is not a connection from before this process.
+        backends: The backends that are in the endpoint list or have requests, by name.
+        backends_by_number: The same backends by the balancer's number.
+        endpoint_list_version: The version of the newest endpoint list; 0 before the first.
+        start_times: Estimates the start times of backends.
+        stall_ended_at: When the event loop last resumed after a stall.
+        shutdown_deadline: When a shutdown or drain must have completed; 0 if there is none.
+        process_exits: Whether the process exits after the shutdown; False for a drain.
+        rebalancer: The rebalancer; None if established connections are not rebalanced.
+        maintenance_plan: The plan that the relays agreed on; None if they do not coordinate maintenance.
+        evacuator: Migrates connections away from backends in maintenance; None until the first maintenance plan.
+        effects: The effects of the current step, in the order in which they are to be carried out.
     """
 
     __slots__ = (
@@ -84,20 +93,24 @@
         self.effects: list[Effect] = []
 
     def may_exit(self, now: float) -> bool:
-        """Whether the process may exit: the shutdown's time has passed, and no request is accepted any more."""
+        """Return whether the process may exit: the shutdown deadline has passed and new requests are rejected."""
         return self.process_exits and 0.0 < self.shutdown_deadline <= now
 
     def classifier_threshold_ms(self) -> float:
-        """Above which a reported figure may be a message latency; 0 where backends report no latencies."""
+        """Return the value above which a report may be a message latency; 0 if backends report no latencies."""
         return self.settings.slow_message_ms if self.settings.backend_reports_latency else 0.0
 
     def in_maintenance(self, name: str) -> bool:
-        """Whether nothing is placed on the backend: the plan excludes it, or this process has read no plan yet."""
+        """Return whether the backend gets no new connections due to maintenance.
+
+        This is the case if the plan excludes it, or if relays coordinate maintenance and this process has not read the
+        agreed state yet.
+        """
         plan = self.maintenance_plan
         return plan is not None and (plan.excluded is None or name in plan.excluded)
 
     def discard_if_unused(self, backend: Backend) -> None:
-        """Drop the state of a backend that is no longer listed, once it has no request."""
+        """Drop the backend's state if it is no longer listed and has no requests."""
         if backend.state is not EndpointState.GONE or backend.requests:
             return
         if self.backends.get(backend.name) is not backend:
--- a/yarrowspindle/routing/effects.py
+++ b/yarrowspindle/routing/effects.py
@@ -1,4 +1,4 @@
-"""Effects: what the core asks the runtime and the fronts to carry out, in order. Times are milliseconds."""
+"""The effects that the core requests from the runtime and the fronts, in order. Times are in milliseconds."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 @dataclass(slots=True)
 class ForwardRequest:
-    """Send the request on the connection that is established for its attempt."""
+    """Send the request on the established connection of its attempt."""
 
     request: int
     attempt: int
@@ -40,14 +40,14 @@
 
 @dataclass(slots=True)
 class StartRelaying:
-    """Pass the backend's first answer to the client; from now on relay data in both directions."""
+    """Pass the backend's first answer to the client, then relay data in both directions."""
 
     request: int
 
 
 @dataclass(slots=True)
 class RejectRequest:
-    """Final answer: rejected; the client may retry after this time."""
+    """Send the final answer that the request is rejected; a retry after `retry_after_ms` is harmless."""
 
     request: int
     retry_after_ms: float
@@ -56,7 +56,7 @@
 
 @dataclass(slots=True)
 class FailRequest:
-    """Final answer: not served, without the promise that nothing ran."""
+    """Send the final answer that the request failed; it does not state that a retry is harmless."""
 
     request: int
     reason: RejectionReason | None = None
@@ -64,7 +64,7 @@
 
 @dataclass(slots=True)
 class MigrateConnection:
-    """Ask the client to connect again, and close both sides."""
+    """Ask the client to connect again, and close both sides of its connection."""
 
     request: int
     reason: TerminationReason = TerminationReason.MIGRATED
@@ -72,7 +72,7 @@
 
 @dataclass(slots=True)
 class CloseClientConnection:
-    """Close the client's side in the way in which the backend's side ended."""
+    """Close the client's side of the connection in the same way as the backend's side ended."""
 
     request: int
     reason: TerminationReason
@@ -80,7 +80,7 @@
 
 @dataclass(slots=True)
 class SetTimer:
-    """Return `TimerFired` with this timer after the delay; an earlier delay of the same timer is replaced."""
+    """Report `TimerFired` for this timer after the delay; replaces an earlier setting of the same timer."""
 
     delay_ms: float
     timer: object
@@ -88,16 +88,19 @@
 
 @dataclass(slots=True)
 class CancelTimer:
-    """Cancel the timer, where it is set."""
+    """Cancel the timer if it is set."""
 
     timer: object
 
 
 @dataclass(slots=True)
 class WatchEndpoints:
-    """Watch the endpoint list at this address, from this version on; it replaces a watch at another address.
+    """Watch the endpoint list for changes after a known version; replaces a watch at another address.
 
-    renew: replace also an open watch at the same address, once the new one has delivered an update.
+    Attributes:
+        version: The last known version of the list; 0 requests the full list.
+        address: The address of the discovery service.
+        renew: Whether to replace an open watch at the same address as well, once the new one has delivered an update.
     """
 
     version: int
@@ -107,7 +110,7 @@
 
 @dataclass(slots=True)
 class CheckHealth:
-    """Request the backend's load report; one `HealthCheckCompleted` follows within this time."""
+    """Request the backend's load report; one `HealthCheckCompleted` follows within `timeout_ms`."""
 
     backend: str
     address: Address
@@ -116,14 +119,14 @@
 
 @dataclass(slots=True)
 class CancelHealthCheck:
-    """Cancel the health check of this backend, and send no further one on its connection."""
+    """Cancel the health check of this backend, and send no other on its connection."""
 
     backend: str
 
 
 @dataclass(slots=True)
 class BackendRemoved:
-    """The backend was removed from the endpoint list: close its connections where the transport does not show that."""
+    """Close the connections to a backend that was removed from the list, if the transport does not show their end."""
 
     backend: str
 
--- a/yarrowspindle/routing/events.py
+++ b/yarrowspindle/routing/events.py
@@ -1,4 +1,4 @@
-"""Events: what fronts and runtime report to the core. Times are milliseconds."""
+"""The events that the fronts and the runtime report to the core. Times are in milliseconds."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from yarrowspindle.routing.address import Address
 from yarrowspindle.routing.termination import TerminationReason
 
-if TYPE_CHECKING:  # the platform does without these packages
+if TYPE_CHECKING:  # optional packages: loaded only if they are configured
     from yarrowspindle.maintenance.evacuation import MaintenancePlan
     from yarrowspindle.rebalancing import RebalanceSettings
 
@@ -20,15 +20,17 @@
     """A client's request was received.
 
     Attributes:
-        remaining_ms: how long the client still waits for its answer; 0 or less: no longer.
-        request_class, tenant: the numbers of its class and tenant.
-        key: identifies the client; 0 for none.
-        load: a hint of the connection's load, in milliseconds of work a second; 0 for none.
-        group: identifies the client's group, which can share work at a backend; 0 for none.
-        repeated: the request repeats an earlier one; passed to the balancer.
-        returned: the client's former connection was migrated or reset.
-        previous_backend: the backend that had the connection before this process started; empty where it is new.
-        client_request_id: the id that the client gave the request; empty where the front made the request itself.
+        request: The id of the request in this process.
+        remaining_ms: How long the client still waits for its answer; 0 or less if it no longer waits.
+        request_class: The number of the request class.
+        tenant: The number of the tenant.
+        key: Identifies the client; 0 if unknown.
+        load: A hint of the connection's load, in milliseconds of work per second; 0 if there is none.
+        group: Identifies the client's group, which can share work at a backend; 0 if there is none.
+        repeated: Whether the request repeats an earlier one; passed to the balancer.
+        returned: Whether the client's previous connection was migrated or reset.
+        previous_backend: The backend of the connection before this process started; empty for a new connection.
+        client_request_id: The client's id for the request; empty if the front created the request itself.
     """
 
     request: int
@@ -46,21 +48,21 @@
 
 @dataclass(slots=True)
 class ClientDisconnected:
-    """The client closed its connection, or it was reset."""
+    """The client's connection was closed or reset."""
 
     request: int
 
 
 @dataclass(slots=True)
 class UnexpectedClientData:
-    """The client sent more before it had its answer, which the protocol forbids."""
+    """The client sent data before the answer to its request, which the protocol forbids."""
 
     request: int
 
 
 @dataclass(slots=True)
 class BackendConnected:
-    """The attempt's connection to the backend is established; nothing was sent."""
+    """The connection to the backend for this attempt is established; the request was not sent yet."""
 
     request: int
     attempt: int
@@ -68,7 +70,7 @@
 
 @dataclass(slots=True)
 class BackendDataDelayed:
-    """What is reported next of the attempt or connection lay unread in this process's socket for `delay_ms`."""
+    """The data of the next event for this request was unread in this process's socket for `delay_ms`."""
 
     request: int
     delay_ms: float
@@ -93,7 +95,7 @@
 
 @dataclass(slots=True)
 class LoadReported:
-    """The backend reported the connection's load, in milliseconds of work a second."""
+    """The backend reported the connection's load, in milliseconds of work per second."""
 
     request: int
     load: float
@@ -101,7 +103,7 @@
 
 @dataclass(slots=True)
 class UnclassifiedReport:
-    """The figure of a `LOAD` line as received: a load or a message latency, see `routing.load_reports`."""
+    """A backend's `LOAD` line: `figure` is a load or a message latency, see `routing.load_reports`."""
 
     request: int
     figure: float
@@ -109,7 +111,7 @@
 
 @dataclass(slots=True)
 class ClientDataForwarded:
-    """Lines of the client were forwarded on an established connection."""
+    """Lines from the client were forwarded to the backend on an established connection."""
 
     request: int
     lines: int = 1
@@ -117,7 +119,7 @@
 
 @dataclass(slots=True)
 class BackendDataForwarded:
-    """Lines of the backend were forwarded to the client."""
+    """Lines from the backend were forwarded to the client."""
 
     request: int
     lines: int = 1
@@ -125,7 +127,7 @@
 
 @dataclass(slots=True)
 class Endpoint:
-    """An entry of the endpoint list; `started_ms` is the start of its process by discovery's wall clock."""
+    """An entry of the endpoint list; `started_ms` is when the backend process started, by discovery's wall clock."""
 
     name: str
     address: Address
@@ -139,10 +141,14 @@
 
 @dataclass(slots=True)
 class EndpointsUpdated:
-    """The endpoint list was read, changed, or could not be read, see `ListKind`.
+    """The endpoint list was read, was changed, or could not be read.
 
-    since_last_update_ms: time since the update before this one, within which the reported changes were made; None where
-    there was none.
+    Attributes:
+        kind: Which of these, see `ListKind`.
+        endpoints: The entries: all of them, or those that changed.
+        version: The version of the list.
+        since_last_update_ms: The time since the previous update, within which the reported changes were made; None if
+            there was no previous update.
     """
 
     kind: ListKind
@@ -153,14 +159,14 @@
 
 @dataclass(slots=True)
 class TimerFired:
-    """A timer of `SetTimer` fired."""
+    """A timer that was set with `SetTimer` fired."""
 
     timer: object
 
 
 @dataclass(slots=True)
 class ShutdownRequested:
-    """A planned restart, or a drain (process_exits False): all clients are to be migrated within this time."""
+    """A shutdown, or a drain if `process_exits` is False: all clients must be migrated within the time limit."""
 
     time_limit_ms: float
     process_exits: bool = True
@@ -168,9 +174,11 @@
 
 @dataclass(slots=True)
 class SettingsChanged:
-    """New settings; classes of requests in progress keep their numbers.
+    """The settings changed; classes of requests in progress keep their numbers.
 
-    reassigned_classes: unused numbers that stand for another class than before.
+    Attributes:
+        settings: The new settings.
+        reassigned_classes: Class numbers without requests that now denote another class.
     """
 
     settings: Settings
@@ -179,28 +187,30 @@
 
 @dataclass(slots=True)
 class DrainCancelled:
-    """The drain was cancelled: no further client is migrated for it."""
+    """The drain was cancelled: no more clients are migrated for it."""
 
 
 @dataclass(slots=True)
 class DiscoveryAddressChanged:
-    """The endpoint list is served at this address from now on."""
+    """The address of the discovery service that serves the endpoint list changed."""
 
     address: Address
 
 
 @dataclass(slots=True)
 class EventLoopStalled:
-    """The event loop did not run for so long: delays in that time are not the backends' fault."""
+    """The event loop did not run for `duration_ms`: delays in that time do not count as the backends'."""
 
     duration_ms: float
 
 
 @dataclass(slots=True)
 class InternalError:
-    """A step or an effect on this request raised an error, which was logged; its client is to be answered now.
+    """A step or an effect for this request raised an exception, which was logged; its client must be answered now.
 
-    arrived: it was raised while the request was being received, so that the core may not know the request.
+    Attributes:
+        request: The id of the request.
+        arrived: Whether the exception was raised while the request was received, so that the core may not know it.
     """
 
     request: int
@@ -209,14 +219,14 @@
 
 @dataclass(slots=True)
 class WallClockStepped:
-    """This machine's wall clock was set to another time."""
+    """This machine's wall clock was stepped."""
 
     step_ms: float
 
 
 @dataclass(slots=True)
 class RebalancingConfigured:
-    """Rebalance established connections with these settings from now on, or no longer (None)."""
+    """The rebalancing of established connections was configured, or disabled if `settings` is None."""
 
     settings: RebalanceSettings | None
     seed: int = 0
@@ -224,7 +234,7 @@
 
 @dataclass(slots=True)
 class HealthCheckCompleted:
-    """A health check ended: COMPLETED with the values of the load report, or the reason why there is none."""
+    """A health check ended: `reason` is COMPLETED if it delivered a load report, else why it delivered none."""
 
     backend: str
     reason: TerminationReason
@@ -234,7 +244,7 @@
 
 @dataclass(slots=True)
 class PeerLoadsUpdated:
-    """The loads of the other relays, where relays exchange them."""
+    """The loads that the other relays reported changed; only if relays exchange their loads."""
 
     loads: PeerLoads
 
--- a/yarrowspindle/routing/start_times.py
+++ b/yarrowspindle/routing/start_times.py
@@ -1,8 +1,9 @@
-"""When backends started, on the relay's own clock, from what discovery reports by a wall clock that may be stepped.
+"""Estimates of backend start times on the relay's clock, from the start times that discovery reports.
 
-Slow start depends on a duration of real time. A start that the relay itself sees change lies between the last update
-that discovery had of the former one and now. A start in the first list cannot be dated better than the list does.
-Pure; all times are milliseconds.
+Discovery reports start times by a wall clock that may be stepped or may differ from that of this machine, but slow
+start has to last for a real duration. If the relay sees a start time change, the restart happened between the previous
+update from discovery and now. For a start time in the first list, the reported time is the best estimate. The module
+has no I/O; all times are in milliseconds.
 """
 
 from __future__ import annotations
@@ -11,13 +12,13 @@
 from dataclasses import dataclass
 from math import inf
 
-MAX_CLOCK_SKEW_MS = 50.0  # a start reported further in the future means that the clocks do not agree
-MAX_REMEMBERED_REMOVALS = 4096  # backends that were removed and may return under a new start
+MAX_CLOCK_SKEW_MS = 50.0  # a reported start further in the future shows that the wall clocks disagree
+MAX_REMEMBERED_REMOVALS = 4096  # removed backends that may return with a new start time
 
 
 @dataclass(slots=True, frozen=True)
 class StartTime:
-    """A backend's start: as discovery reports it, and on the relay's clock (0 for long ago)."""
+    """The start time of a backend: as reported by discovery, and on the relay's clock (0: long ago)."""
 
     reported_ms: float = 0.0
     local_ms: float = 0.0
@@ -25,16 +26,17 @@
 
 @dataclass(slots=True, frozen=True)
 class Removal:
-    """The start under which a backend was last listed, and when it was removed from the list."""
+    """The last listed start time of a backend, and when it was removed from the list."""
 
     start_time: StartTime
     removed_at_ms: float
 
 
 class StartTimes:
-    """Estimates the start of each backend.
+    """An estimator of backend start times, with the start times of recently removed backends.
 
-    clocks_agree: whether the wall clocks of this machine and of discovery are believed to agree.
+    Attributes:
+        clocks_agree: Whether the wall clocks of this machine and of discovery are assumed to agree.
     """
 
     def __init__(self) -> None:
@@ -49,10 +51,14 @@
         now: float,
         since_last_update_ms: float | None,
     ) -> StartTime:
-        """The start of a listed backend.
-
-        previous: its start so far, None where it is not listed. since_last_update_ms: how long ago the update before
-        this one was received from discovery, None where there was none.
+        """Return the start time of a listed backend.
+
+        Args:
+            backend: The name of the backend.
+            reported_ms: The start time that discovery reports.
+            previous: The start time before this update; None if the backend was not listed.
+            now: The current time on the relay's clock.
+            since_last_update_ms: How long ago the previous update was received from discovery; None if there was none.
         """
         earliest_start_ms = -inf if since_last_update_ms is None else now - since_last_update_ms
         if previous is None and (removal := self._removals.pop(backend, None)) is not None:
@@ -69,17 +75,17 @@
         return StartTime(reported_ms, reported_ms if trusted else now)
 
     def _estimate_first_listed(self, reported_ms: float, now: float, since_last_update_ms: float | None) -> float:
-        """On the relay's clock, the start of a backend that was not listed before."""
+        """Return the start time, on the relay's clock, of a backend that was not listed before."""
         trusted = self.clocks_agree or since_last_update_ms is None
         return min(reported_ms, now) if trusted else now
 
     def on_removed(self, backend: str, start_time: StartTime, now: float) -> None:
-        """Remember the start of a backend that is no longer listed."""
+        """Remember the start time of a backend that is no longer listed."""
         self._removals[backend] = Removal(start_time, now)
         self._removals.move_to_end(backend)
         while len(self._removals) > MAX_REMEMBERED_REMOVALS:
             self._removals.popitem(last=False)
 
     def on_clock_stepped(self) -> None:
-        """This machine's wall clock was stepped: reported starts can no longer be compared with it."""
+        """Stop comparing reported start times with this machine's wall clock, which was stepped."""
         self.clocks_agree = False
--- a/yarrowspindle/routing/state.py
+++ b/yarrowspindle/routing/state.py
@@ -15,15 +15,16 @@
 
 
 class Phase(Enum):
-    """The phases of a request, from its arrival until nothing is left to do for it."""
+    """The phases of a request, from its arrival to its final state."""
 
     QUEUED = "accepted; no attempt is in flight"
     CONNECTING = "an attempt is in flight; its connection is not established and nothing was sent"
     AWAITING_RESPONSE = "an attempt is in flight and the request was sent"
     ESTABLISHED = "the connection is established"
-    CLOSED = "answered, ended or left by its client"
+    CLOSED = "answered, ended, or its client disconnected"
 
-    __hash__ = object.__hash__  # members are singletons; Enum would hash the name, in Python, at every step
+    # Members are singletons, and Enum.__hash__ would hash the name in Python code at every step.
+    __hash__ = object.__hash__
 
 
 NEXT_PHASES = {
@@ -36,19 +37,22 @@
 
 
 class Request:
-    """A request and, once established, its connection. Times are milliseconds on the relay's clock.
+    """A request and, once established, its connection. Times are in milliseconds on the relay's clock.
 
     Attributes:
-        attempt: number of the newest attempt, counted as the balancer does; -1 before the first.
-        backend: of the newest attempt.
-        deadline: when the client stops waiting for its answer.
-        attempt_started_at: when the newest attempt started.
-        write_deadline: when the newest attempt's request must have been written.
-        existing_connection: set while a connection from before this process is not established again.
-        unanswered: when client lines were forwarded that have no answer yet, and how many.
-        client_request_id: the client's id for the request; empty where the front made the request itself.
-        load: the load of the connection, as last reported.
-        established_at: when the connection was established; until then, when the request was received.
+        id: The id of the request in this process.
+        received: The event that reported the request.
+        phase: The current phase; changed with `enter` only.
+        attempt: The number of the newest attempt, counted in the same way as by the balancer; -1 before the first.
+        backend: The backend of the newest attempt, or of an existing connection; None if there was no attempt.
+        deadline: When the client stops waiting for its answer.
+        attempt_started_at: When the newest attempt started.
+        write_deadline: When the newest attempt's request must have been written.
+        existing_connection: A connection from before this process, until it is re-established; else None.
+        unanswered: Pairs of the time at which client lines were forwarded and how many of them have no answer yet.
+        client_request_id: The client's id for the request; empty if the front created the request itself.
+        load: The load of the connection, as last reported, in milliseconds of work per second.
+        established_at: When the connection was established; until then, when the request was received.
     """
 
     __slots__ = (
@@ -88,14 +92,17 @@
         return self.phase in (Phase.CONNECTING, Phase.AWAITING_RESPONSE)
 
     def record_client_lines(self, now: float, lines: int) -> None:
-        """Count lines that the client sent. Bounded: beyond the limit they are added to the newest entry."""
+        """Count lines that the client sent.
+
+        The number of entries is bounded: at the limit the lines are added to the newest entry.
+        """
         if len(self.unanswered) < MAX_UNANSWERED_ENTRIES:
             self.unanswered.append([now, lines])
         else:
             self.unanswered[-1][1] += lines
 
     def record_backend_lines(self, lines: int) -> float:
-        """Count answer lines; return when the oldest line that they answer was forwarded, 0 where none was open."""
+        """Count answer lines; return when the oldest unanswered line was forwarded, 0 if there was none."""
         oldest_at = self.unanswered[0][0] if self.unanswered else 0.0
         while lines > 0 and self.unanswered:
             answered = min(lines, self.unanswered[0][1])
@@ -106,27 +113,35 @@
         return oldest_at
 
     def enter(self, phase: Phase) -> None:
-        """Change the phase. Raises ValueError where the request cannot enter this phase from its present one."""
+        """Change the phase.
+
+        Raises:
+            ValueError: The phase cannot follow the current one.
+        """
         if phase not in NEXT_PHASES[self.phase]:
-            raise ValueError(f"request {self.id} cannot go from {self.phase.name} to {phase.name}")
+            raise ValueError(f"invalid phase change of request {self.id} from {self.phase.name} to {phase.name}")
         self.phase = phase
 
 
 class Backend:
-    """What is known of a backend. Times are milliseconds on the relay's clock.
+    """The core's state of a backend. Times are in milliseconds on the relay's clock.
 
     Attributes:
-        number: the balancer's number for the backend.
-        state: its state for placement; a ready backend in maintenance is DRAINING.
-        requests: ids of the attempts in flight and of the established connections.
-        load_reports: tells loads from message latencies in its reports.
-        endpoint: its entry in the endpoint list, whatever the maintenance plan says; None where it is not listed.
-        start_time: when its process started, as last listed.
-        readmitted_at: when it returned from maintenance; 0 where it was in none.
-        warmup_started_at: when its warmup started: the later of the start and the readmission.
-        last_data_at: when any of its connections last delivered data.
-        message_latencies_ms: latencies since the last report to the balancer, made at `latencies_reported_at`.
-        reported_slow: whether the last report to the balancer was that messages take long.
+        name: The name in the endpoint list.
+        number: The balancer's number for the backend.
+        address: The address in the endpoint list.
+        state: The state for placement; a ready backend in maintenance is DRAINING.
+        capacity: The capacity in the endpoint list.
+        requests: The ids of the requests with an attempt in flight or an established connection at the backend.
+        load_reports: Distinguishes loads from message latencies in the backend's reports.
+        endpoint: The entry in the endpoint list, regardless of the maintenance plan; None if it is not listed.
+        start_time: When the backend process started, as last listed.
+        readmitted_at: When the backend returned from maintenance; 0 if it was in none.
+        warmup_started_at: When the warmup started: the later of the start and the return from maintenance.
+        last_data_at: When any connection to the backend last delivered data.
+        message_latencies_ms: The message latencies since `latencies_reported_at`.
+        latencies_reported_at: When the mean latency was last computed, to be reported to the balancer if it is long.
+        reported_slow: Whether the balancer was last notified of a long latency.
     """
 
     __slots__ = (
