--- a/tests/driver.py
+++ b/tests/driver.py
@@ -1,6 +1,7 @@
-"""Drives a balancer through legal events of clients, backends and discovery, and checks the four rules.
+"""A test driver that feeds a balancer legal events of clients, backends and discovery, and checks its actions.
 
-It keeps what the rules need, and neither loads nor latencies.
+It checks the rules for attempts, retries, final answers and rejections. It records only what these rules need, and no
+loads or latencies.
 """
 
 from __future__ import annotations
@@ -36,7 +37,7 @@
 
 @dataclass
 class Attempt:
-    """An attempt and how it ended."""
+    """An attempt; `outcome` is None while it is in flight."""
 
     backend: int
     sent_at: float
@@ -45,7 +46,7 @@
 
 @dataclass
 class RequestRecord:
-    """What the rules need of one request."""
+    """The state of a request that the rules depend on."""
 
     request_class: int
     deadline: float
@@ -64,7 +65,7 @@
 
 
 class Driver:
-    """A balancer, its timers and its requests."""
+    """A driver of one balancer, with its clock, its timers and its requests."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
         self.settings, self.now = settings, 0.0
@@ -115,14 +116,14 @@
         finished = record.established or not record.answer_pending
         self.handle(AttemptEnded(request_id, last, attempt.backend, outcome, finished, self.now - attempt.sent_at))
         if outcome is Outcome.TIMEOUT and self.now >= record.deadline and not finished:
-            assert record.answered == 1, "a timeout at the deadline is answered at once"
+            assert record.answered == 1, "a request whose attempt times out at the deadline is answered at once"
 
     def disconnect(self, request_id: int) -> None:
         self.records[request_id].disconnected = True
         self.handle(ClientDisconnected(request_id))
 
     def advance(self, delay: float) -> None:
-        """Advance the clock: timers fire at their time, and an attempt in flight times out at its deadline."""
+        """Advance the clock: timers fire when due, and an attempt in flight times out at its request's deadline."""
         end = self.now + delay
         while True:
             due = [
@@ -143,10 +144,10 @@
         for request_id, record in self.records.items():
             if record.answer_pending:
                 assert self.now <= record.deadline + self.settings.answer_slack_ms, (
-                    f"{request_id} has no answer after its deadline"
+                    f"request {request_id} has no answer after its deadline"
                 )
 
-    # --- actions: the rules -----------------------------------------------------------------------
+    # --- checks of actions ------------------------------------------------------------------------
 
     def check(self, action: Action) -> None:
         if isinstance(action, SetTimer):
@@ -156,7 +157,9 @@
             self.check_start(action)
         elif isinstance(action, RejectRequest | FailRequest):
             record = self.records[action.request]
-            assert record.answer_pending and not record.in_flight, "one final answer, with no attempt in flight"
+            assert record.answer_pending and not record.in_flight, (
+                "one final answer, and none while an attempt is in flight"
+            )
             record.answered += 1
             if isinstance(action, RejectRequest):
                 self.check_rejection(record)
@@ -168,12 +171,14 @@
 
     def check_start(self, action: StartAttempt) -> None:
         record = self.records[action.request]
-        assert record.answer_pending, "nothing is sent for a request that is over"
-        assert not record.in_flight, "never two attempts in flight"
+        assert record.answer_pending, "no attempt after the end of a request"
+        assert not record.in_flight, "at most one attempt in flight"
         assert self.now < record.deadline
         assert len(record.attempts) < self.settings.max_attempts
         entry = self.listed.get(action.backend)
-        assert entry is not None and entry.state is EndpointState.READY, "nothing new to a draining or removed backend"
+        assert entry is not None and entry.state is EndpointState.READY, (
+            "no new attempt at a draining or removed backend"
+        )
         may_have_run = [attempt for attempt in record.attempts if attempt.outcome not in NEVER_RAN]
         request_class = self.settings.classes[record.request_class]
         if may_have_run and request_class.idempotency is not Idempotency.IDEMPOTENT:
--- a/tests/routing/test_data_delays.py
+++ b/tests/routing/test_data_delays.py
@@ -1,4 +1,7 @@
-"""Delays of this process itself are not the backends': set-ups and messages whose answers lay unread in its sockets."""
+"""Delays that this process causes do not count as backend latency.
+
+The answer to a connection setup or a message may stay unread in this process's socket, for example during a stall.
+"""
 
 from __future__ import annotations
 
@@ -23,7 +26,12 @@
 
 
 def establish_connection(delay_ms: float, setup_ms: float = 145.0) -> tuple[Reducer, float]:
-    """A reducer with one connection, of whose set-up this process lost `delay_ms`; the time at its end."""
+    """Return a reducer with one established connection, and the time at which its setup ended.
+
+    Args:
+        delay_ms: How long the backend's answer was unread in this process's socket.
+        setup_ms: The duration of the setup, including the delay.
+    """
     reducer = Reducer(settings(classes=WITH_MESSAGE_OBJECTIVE), 1, 0.0)
     reducer.step(0.0, EndpointsUpdated(ListKind.FULL, [Endpoint("s-1", ("127.0.0.1", 1))]))
     reducer.step(1.0, RequestReceived(1, 2000.0))
@@ -37,7 +45,7 @@
 
 @pytest.mark.parametrize(("delay_ms", "expected_ms"), [(0.0, 145.0), (READ_DELAY_MS, 5.0), (500.0, 0.0)])
 def test_setup_latency_excludes_the_delay_in_this_process(delay_ms: float, expected_ms: float) -> None:
-    """Guards against shedding for set-ups that were slow in this process alone."""
+    """Guards against load shedding due to setups that only this process delayed."""
     reducer, _ = establish_connection(delay_ms)
     fraction = reducer.balancer.admission.setup_latency.fraction
     objective_ms = WITH_MESSAGE_OBJECTIVE[0].setup_latency_objective_ms
@@ -46,7 +54,7 @@
 
 @pytest.mark.parametrize("delay_ms", [0.0, READ_DELAY_MS])
 def test_message_latency_excludes_the_delay_in_this_process(delay_ms: float) -> None:
-    """Guards against taking a backend for slow whose answers lay unread; one that is slow is still found."""
+    """Guards against counting a backend as slow when its answers were unread here; a slow one is still detected."""
     reducer, now = establish_connection(0.0, 5.0)
     for _ in range(20):
         reducer.step(now, ClientDataForwarded(1, 1))
--- a/tests/routing/test_load_reports.py
+++ b/tests/routing/test_load_reports.py
@@ -1,4 +1,4 @@
-"""Load reports: a connection's load and a message's latency arrive in one form."""
+"""Load reports: the load of a connection and the latency of a message arrive in the same format."""
 
 from __future__ import annotations
 
@@ -24,19 +24,17 @@
 
 
 def test_a_message_latency_is_not_classified_as_a_load() -> None:
-    """Otherwise a backend whose messages take 134 ms seems to carry next to nothing, and gets more."""
+    """Guards against taking a message latency of 134 ms for a tiny load, which would attract more connections."""
     classifier = LoadReportClassifier(50.0)
     assert classifier.classify(0.0, 1, 28_489.8, lambda request_id: True) is ReportKind.LOAD
     assert classifier.classify(2000.0, 1, 134.0, lambda request_id: True) is ReportKind.UNDECIDED
     assert classifier.classify(2050.0, 1, 28_214.0, lambda request_id: True) is ReportKind.LOAD
     assert classifier.classify(3004.0, 1, 185.0, lambda request_id: True) is ReportKind.LATENCY
-    assert (
-        classifier.classify(3400.0, 2, 900.0, lambda request_id: True) is ReportKind.LOAD
-    )  # small, outside the period
-    assert (
-        classifier.classify(4004.0, 2, 210.0, lambda request_id: request_id != 1) is ReportKind.LATENCY
-    )  # the former connection has ended
-    assert classifier.classify(5010.0, 2, 18.9, lambda request_id: True) is ReportKind.LATENCY  # the series ends
+    # A small load outside the period of the latency reports.
+    assert classifier.classify(3400.0, 2, 900.0, lambda request_id: True) is ReportKind.LOAD
+    # The series continues on another connection, since its previous connection has ended.
+    assert classifier.classify(4004.0, 2, 210.0, lambda request_id: request_id != 1) is ReportKind.LATENCY
+    assert classifier.classify(5010.0, 2, 18.9, lambda request_id: True) is ReportKind.LATENCY  # ends the series
     assert classifier.classify(6010.0, 2, 18.9, lambda request_id: True) is ReportKind.LOAD
 
 
@@ -52,7 +50,7 @@
     random, classifier, latencies, loads = Random(5), LoadReportClassifier(50.0), 0, 0
     now = 0.0
     for _ in range(20_000):
-        now += random.expovariate(1.0 / 140.0)  # seven changes a second on seventy connections
+        now += random.expovariate(1.0 / 140.0)  # 7 load changes per second on 70 connections
         kind = classifier.classify(
             now, random.randrange(70), 15_000.0 * random.lognormvariate(0.0, 1.4), lambda request_id: True
         )
@@ -74,7 +72,7 @@
     assert backend.slow_until > 3000.0 and backend.message_latency_ms == 185.0
     reducer.step(4000.0, UnclassifiedReport(1, 20.0))
     assert backend.slow_until < 4000.0
-    reducer.step(9000.0, UnclassifiedReport(1, 700.0))  # a load that is small
+    reducer.step(9000.0, UnclassifiedReport(1, 700.0))  # a small load
     for now in (9250.0, 10_100.0):
         reducer.step(now, TimerFired(LIVENESS_TIMER))
     assert reducer.requests[1].load == 0.7
--- a/tests/routing/test_reducer_model.py
+++ b/tests/routing/test_reducer_model.py
@@ -1,4 +1,4 @@
-"""Random events against a model of each request: the reducer's effects must fit the model."""
+"""Property test of the reducer: random events, whose effects must agree with a model of each request."""
 
 from __future__ import annotations
 
@@ -52,7 +52,7 @@
 from yarrowspindle.telemetry import Telemetry
 
 DEADLINE_MS = 2000.0
-EXISTING_CONNECTION_DEADLINE_MS = 38_000.0  # stated here again, so that a change shows
+EXISTING_CONNECTION_DEADLINE_MS = 38_000.0  # repeated here, so that the test detects a change
 BACKEND_NAMES = ("a", "b", "c")
 ATTEMPT_FAILURES = st.sampled_from(
     (
@@ -76,7 +76,7 @@
 
 @dataclass
 class ModelRequest:
-    """A request as its client and the backends see it; `backend` is that of the attempt or connection."""
+    """A request as seen by its client and the backends; `backend` has its attempt or connection, if any."""
 
     deadline: float
     attempts: int = 0
@@ -180,7 +180,7 @@
         previous_backend=st.sampled_from(("", "b")),
     )
     def receive_request_with_id(self, remaining_ms: float, client_request_id: str, previous_backend: str) -> None:
-        """A client that uses an id in use, waits without limit, or names its backend late gets no attempt."""
+        """A request with an id in use, an excessive deadline, or a late previous backend gets no attempt."""
         request_id = next(self.next_id)
         in_use = client_request_id in self.reducer.context.client_request_ids
         self.requests[request_id] = ModelRequest(
@@ -216,7 +216,7 @@
 
     @rule(request=st.integers(0, 30), attempt=st.integers(0, 3), reason=ATTEMPT_FAILURES)
     def stale_attempt_event(self, request: int, attempt: int, reason: TerminationReason) -> None:
-        """An event of an attempt that has ended, or never started, changes nothing."""
+        """An event for an attempt that has ended, or never started, has no effect."""
         known_request = self.requests.get(request)
         if known_request is None or known_request.closed or attempt != known_request.attempts - 1:
             assert self.reducer.step(self.now, AttemptEnded(request, attempt, reason)) == []
@@ -242,7 +242,7 @@
         deadline=st.sampled_from((0.0, 5.0)),
     )
     def update_maintenance(self, excluded: frozenset[str], unread: bool, deadline: float) -> None:
-        """Nothing is placed on backends in maintenance, nor on any before the first plan was read."""
+        """No attempt starts at a backend in maintenance, nor at any backend before the first plan was read."""
         readmitted = self.excluded - excluded
         self.excluded = frozenset(BACKEND_NAMES) if unread else excluded
         self.step(
@@ -286,9 +286,8 @@
     @rule(attempts=st.integers(1, 3), deadline=st.sampled_from((DEADLINE_MS, 900.0)))
     def change_settings(self, attempts: int, deadline: float) -> None:
         settings = self.reducer.settings
-        classes = (*settings.classes, RequestClass(800.0, deadline, message_latency_objective_ms=150.0))[
-            :4
-        ]  # numbers stay
+        # Existing classes keep their numbers.
+        classes = (*settings.classes, RequestClass(800.0, deadline, message_latency_objective_ms=150.0))[:4]
         self.step(SettingsChanged(replace(settings, classes=classes, max_attempts=attempts)))
 
     # --- effects -----------------------------------------------------------------------------------
@@ -330,7 +329,7 @@
             assert request.backend and effect.attempt == request.attempts - 1
             request.backend, request.forwarded = "", False
             return
-        assert not request.closed, "nothing follows the end of a request"
+        assert not request.closed, "no effect after the end of a request"
         if isinstance(effect, OpenBackendConnection):
             assert not request.backend and self.now < request.deadline and effect.backend not in self.excluded
             assert self.endpoint_states[effect.backend] is EndpointState.READY or (
@@ -345,7 +344,9 @@
             assert request.forwarded and not request.established
             request.established = True
         elif isinstance(effect, RejectRequest | FailRequest):
-            assert not request.established and not request.backend, "one answer, none during an attempt"
+            assert not request.established and not request.backend, (
+                "one final answer, and none while an attempt is in flight"
+            )
             request.closed = True
         else:
             assert request.established
@@ -368,8 +369,10 @@
         }
         counts = self.telemetry.counts
         answered = sum(counts[f"{outcome}.0"] for outcome in ("success", "busy", "failure", "abandoned"))
-        assert counts["taken.0"] == answered + len(self.telemetry.waiting), "the figures add up"
-        assert set(self.telemetry.waiting) <= set(self.reducer.requests), "only requests that are not closed wait"
+        assert counts["taken.0"] == answered + len(self.telemetry.waiting), (
+            "each received request is counted once: as answered or as waiting"
+        )
+        assert set(self.telemetry.waiting) <= set(self.reducer.requests), "only open requests are waiting"
         assert self.telemetry.figures()["inflight"] == len(
             [request for request in self.requests.values() if not request.closed]
         )
--- a/tests/routing/test_start_times.py
+++ b/tests/routing/test_start_times.py
@@ -1,4 +1,4 @@
-"""Slow start where the wall clocks of this machine and of discovery do not agree: durations are real time."""
+"""Slow start lasts for a real duration even if the wall clocks of this machine and of discovery disagree."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 class Relay:
-    """A reducer whose backends serve each request for 200 ms, and an endpoint list that reports changes."""
+    """A reducer with backends that serve each request for 200 ms, and an endpoint list that reports changes."""
 
     def __init__(self, seed: int = 7, **changes: Any) -> None:
         values = {
@@ -61,7 +61,7 @@
         self.update(ListKind.DELTA, [name], since_last_update_ms)
 
     def serve(self, duration_ms: float) -> dict[str, int]:
-        """A request every 6 ms, accepted at once; returns how many each backend got."""
+        """Send a request every 6 ms, accepted at once; return the number of requests by backend."""
         request_counts = dict.fromkeys(self.endpoints, 0)
         end = self.now + duration_ms
         while self.now < end:
@@ -82,7 +82,7 @@
 
 
 def relative_share(request_counts: dict[str, int], name: str) -> float:
-    """Relative to the mean of the other backends."""
+    """Return the backend's number of requests relative to the mean of the other backends."""
     others = [count for other, count in request_counts.items() if other != name]
     return request_counts[name] / (sum(others) / len(others))
 
@@ -94,13 +94,13 @@
     relay = Relay()
     relay.serve(2000.0)
     relay.restart("s-3", relay.now + clock_error_ms)
-    assert relative_share(relay.serve(1000.0), "s-3") < 0.75, "slow start in its first second"
+    assert relative_share(relay.serve(1000.0), "s-3") < 0.75, "slow start in the first second after the restart"
     relay.serve(WARMUP_MS)
-    assert 0.75 < relative_share(relay.serve(2000.0), "s-3") < 1.25, "and none once its time is over"
+    assert 0.75 < relative_share(relay.serve(2000.0), "s-3") < 1.25, "no slow start after its duration"
 
 
 def test_a_restart_is_dated_as_reported_if_the_clocks_agree() -> None:
-    """An update that arrives late, after a gap, does not restart the slow start."""
+    """Guards against a second slow start when the update that reports the restart arrives late, after a gap."""
     relay = Relay()
     relay.serve(2000.0)
     relay.restart("s-3", relay.now - WARMUP_MS, since_last_update_ms=WARMUP_MS + 1000.0)
@@ -117,10 +117,10 @@
 
 @pytest.mark.parametrize("seed", (1, 2, 3))
 def test_a_backend_in_slow_start_gets_no_more_than_its_share(seed: int) -> None:
-    """Even where generous settings allow it, since its own clients would wait for it."""
+    """Guards against overloading a cold backend with permissive settings, since its clients would have to wait."""
     relay = Relay(seed, warmup_ms=3000.0)
     relay.serve(3000.0)
     relay.restart("s-3", relay.now)
     relay.serve(1500.0)
     assert relative_share(relay.serve(1500.0), "s-3") < 1.25
-    assert 0.75 < relative_share(relay.serve(3000.0), "s-3") < 1.25, "and it has its share once it is warm"
+    assert 0.75 < relative_share(relay.serve(3000.0), "s-3") < 1.25, "it gets its share once it is warm"
--- a/tests/test_peers_off.py
+++ b/tests/test_peers_off.py
@@ -1,5 +1,8 @@
-"""Without peers and control every decision is what it was before the module knew of others: whole days of the model,
-hashed. Nothing of control is loaded."""
+"""Relays without peers and shared configuration decide as they did before these features existed.
+
+The effects of whole runs of the simulation model are hashed and compared with recorded hashes. Without its section in
+the operator's file, no module of the shared configuration is loaded.
+"""
 
 from __future__ import annotations
 
@@ -20,8 +23,9 @@
 from yarrowspindle.routing.effects import CancelHealthCheck
 from yarrowspindle.routing.reducer import Reducer
 
-# All effects of all relays, in their order. Taken on the build before (694cc79); the asked ones anew when draws came to
-# be seeded by the group, which changes what every relay draws there, with or without peers.
+# Hashes of all effects of all relays, in order, by deployment and fault. Recorded at 694cc79, the build before peers
+# were added; those of "asked" were recorded again when random draws became seeded by the group, which changes the draws
+# of each relay with or without peers.
 EXPECTED_HASHES = {
     ("asked", "vanish"): "713642e8e226a0e3",
     ("asked", "drain"): "0452b6e96dcfe9a7",
@@ -30,7 +34,8 @@
     ("probed", "vanish"): "b5a5742086a819ed",
     ("probed", "drain"): "f4b27eb8d7fb7511",
 }
-# The same with the reasons that answers, moves and drops carry, and with probes that are taken back.
+# Hashes of the same effects, including the reasons of answers, migrations and aborted attempts, and cancelled health
+# checks.
 EXPECTED_HASHES_WITH_REASONS = {
     ("asked", "vanish"): "2589e88338af9740",
     ("asked", "drain"): "bffbd6c1aa22662c",
