--- a/tests/test_peers_off.py
+++ b/tests/test_peers_off.py
@@ -73,7 +73,7 @@
     assert reasons_hash.hexdigest()[:16] == EXPECTED_HASHES_WITH_REASONS[name, trouble]
 
 
-def test_nothing_of_control_is_loaded_without_the_section() -> None:
+def test_no_control_module_is_loaded_without_its_section() -> None:
     code = (
         "import sys, yarrowspindle.daemon.main as main, yarrowspindle.fronts.line_front; "
         "main.load_operator({'YARROWSPINDLE_OPERATOR': 'deploy/rebalance.toml'}); "
--- a/yarrowspindle/routing/events.py
+++ b/yarrowspindle/routing/events.py
@@ -210,11 +210,11 @@
 
     Attributes:
         request: The id of the request.
-        arrived: Whether the exception was raised while the request was received, so that the core may not know it.
+        during_arrival: Whether it was raised while the request was received, so that the core may not know the request.
     """
 
     request: int
-    arrived: bool = False
+    during_arrival: bool = False
 
 
 @dataclass(slots=True)
--- a/yarrowspindle/routing/requests.py
+++ b/yarrowspindle/routing/requests.py
@@ -252,7 +252,7 @@
         """
         request = self._requests.get(event.request)
         if request is None:
-            if event.arrived:
+            if event.during_arrival:
                 self._context.effects.append(FailRequest(event.request, RejectionReason.INTERNAL_ERROR))
             return
         backend, phase, attempt = request.backend, request.phase, request.attempt
