--- a/yarrowspindle/routing/context.py
+++ b/yarrowspindle/routing/context.py
@@ -37,7 +37,8 @@
         balancer: The balancer, which makes the decisions.
         requests: The requests that are not closed, by id.
         client_request_ids: The clients' ids of the requests that are not closed.
-        serving_new_requests: Whether any request was received that is not a connection from before this process.
+        serving_new_requests: Whether a client's new request was received; from then on clients may no longer name the
+            previous backend of a connection from before this process.
         backends: The backends that are in the endpoint list or have requests, by name.
         backends_by_number: The same backends by the balancer's number.
         endpoint_list_version: The version of the newest endpoint list; 0 before the first.
@@ -47,7 +48,7 @@
         process_exits: Whether the process exits after the shutdown; False for a drain.
         rebalancer: The rebalancer; None if established connections are not rebalanced.
         maintenance_plan: The plan that the relays agreed on; None if they do not coordinate maintenance.
-        evacuator: Migrates connections away from backends in maintenance; None until the first maintenance plan.
+        evacuator: Chooses the connections to migrate from backends in maintenance; None before the first plan.
         effects: The effects of the current step, in the order in which they are to be carried out.
     """
 
--- a/yarrowspindle/routing/requests.py
+++ b/yarrowspindle/routing/requests.py
@@ -111,8 +111,8 @@
 
         This protects backends and other requests from a client that uses the id of another request, that states an
         unlimited wait, or that names its previous backend after the first new request was received (the backend may be
-        draining by then). A request without a client's id was created by the front; it is rejected only after a
-        shutdown.
+        draining by then). A request without a client's id was created by the front; it is rejected only after the
+        shutdown deadline.
         """
         context = self._context
         shutting_down = context.may_exit(context.now)
--- a/yarrowspindle/routing/state.py
+++ b/yarrowspindle/routing/state.py
@@ -47,7 +47,8 @@
         backend: The backend of the newest attempt, or of an existing connection; None if there was no attempt.
         deadline: When the client stops waiting for its answer.
         attempt_started_at: When the newest attempt started.
-        write_deadline: When the newest attempt's request must have been written.
+        write_deadline: When the newest attempt's request must have been written, so that a backend still recognises a
+            repeated request.
         existing_connection: A connection from before this process, until it is re-established; else None.
         unanswered: Pairs of the time at which client lines were forwarded and how many of them have no answer yet.
         client_request_id: The client's id for the request; empty if the front created the request itself.
