--- a/tests/daemon/test_configuration_daemon.py
+++ b/tests/daemon/test_configuration_daemon.py
@@ -198,7 +198,7 @@
             file.write_bytes(file.read_bytes()[:50])
             before = len(last.log_lines)
             await last.start(environment_of(world, 2))
-            assert any("it is cut off" in line for line in last.log_lines[before:])
+            assert any("the file is truncated" in line for line in last.log_lines[before:])
             await last.wait_for_log("has its voter's file, promised 0", first=before)
             assert (last.directory / "voter.bad").exists()
             await world.controllers[0].logged("version 2 is committed: voters")
--- a/tests/storage/test_durable_file.py
+++ b/tests/storage/test_durable_file.py
@@ -1,4 +1,4 @@
-"""Durable files: what is loaded, and what a failing disk leaves."""
+"""Durable files: what is loaded, and what remains after a disk failure."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 def make_unreadable(path: Path) -> None:
-    """Make opening the file fail with a circular link."""
+    """Replace the file by a circular link, so that opening it fails."""
     path.rename(path.with_suffix(".aside"))
     path.symlink_to(path.name)
 
@@ -36,7 +36,10 @@
 
 
 def test_a_temporarily_unreadable_file_does_not_count_as_lost(tmp_path: Path) -> None:
-    """A voter that forgot its promises would break them; one that waits for its disk is only silent."""
+    """Guards against recreating a voter file that is unreadable for a while.
+
+    The voter would forget its promises and break them; a voter that waits for its disk only does not respond.
+    """
 
     async def scenario() -> None:
         file = MaintenanceVoterFile(f"{tmp_path}/turns", "n0", "default")
@@ -58,7 +61,7 @@
 def test_after_a_failed_directory_sync_the_old_or_the_new_content_is_complete(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """`store` failed, so nothing was promised, whichever of the two is found."""
+    """`store` has failed, so no promise was sent, and either content is correct."""
     file = MaintenanceVoterFile(str(tmp_path), "n0", "lab")
     file.initialize(VOTERS)
     old = file.load()
@@ -96,23 +99,23 @@
 
 def test_a_file_is_loaded_only_complete_and_only_by_its_owner(tmp_path: Path) -> None:
     file = MaintenanceVoterFile(str(tmp_path / "r0"), "r0", "lab")
-    with pytest.raises(FileUnavailableError, match="there is none"):
+    with pytest.raises(FileUnavailableError, match="the file does not exist"):
         file.load()
     file.initialize(SAMPLE_VOTERS)
     assert file.load() == AcceptorState(INITIAL_IDENTITY, NO_BALLOT, NO_BALLOT, initial_state(SAMPLE_VOTERS))
-    with pytest.raises(FileUnavailableError, match="is there already"):
+    with pytest.raises(FileUnavailableError, match="already exists"):
         file.initialize(SAMPLE_VOTERS)
-    with pytest.raises(FileUnavailableError, match="none of the voters"):
+    with pytest.raises(FileUnavailableError, match="is not one of the voters"):
         MaintenanceVoterFile(str(tmp_path / "r9"), "r9", "lab").initialize(SAMPLE_VOTERS)
     stored = AcceptorState(INITIAL_IDENTITY, (7, "r2"), (6, "r1"), sample_state())
     file.store(stored)
     assert file.load() == stored and not list(tmp_path.glob("r0/*.new"))
     complete = file.path.read_bytes()
     for invalid, reason in (
-        (complete[:-3], "cut off"),
-        (complete.replace(b"machine-7", b"machine-8", 1), "sum is wrong"),
-        (b"", "cut off"),
-        (b"\xff" * 50, "cut off"),
+        (complete[:-3], "the file is truncated"),
+        (complete.replace(b"machine-7", b"machine-8", 1), "checksum of the file does not match"),
+        (b"", "the file is truncated"),
+        (b"\xff" * 50, "the file is truncated"),
     ):
         file.path.write_bytes(invalid)
         with pytest.raises(FileUnavailableError, match=reason):
@@ -122,7 +125,7 @@
         MaintenanceVoterFile(str(file.directory), "r1", "lab"),
         MaintenanceVoterFile(str(file.directory), "r0", "other"),
     ):
-        with pytest.raises(FileUnavailableError, match="it is r0's of cluster lab"):
+        with pytest.raises(FileUnavailableError, match="the file belongs to r0 of cluster lab"):
             other.load()
 
 
--- a/tests/storage/test_file_codec.py
+++ b/tests/storage/test_file_codec.py
@@ -1,4 +1,4 @@
-"""Bytes of durable files."""
+"""Codec of durable files."""
 
 from __future__ import annotations
 
@@ -26,12 +26,12 @@
 @pytest.mark.parametrize(
     ("data", "reason"),
     [
-        (DATA[:-1], "cut off"),
-        (DATA[:-1] + b"\x02", "checksum is wrong"),
-        (OTHER_VERSION.encode({"a": 1}, "n0", "lab"), "its version is 4, not 3"),
-        (CODEC.encode({"a": 1}, "n1", "lab"), "it is n1's of cluster lab"),
-        (CODEC.encode({"a": 1}, "n0", "other"), "it is n0's of cluster other"),
-        (OTHER_TYPE.encode([1], "n0", "lab"), "nonsense"),
+        (DATA[:-1], "the file is truncated"),
+        (DATA[:-1] + b"\x02", "checksum of the file does not match"),
+        (OTHER_VERSION.encode({"a": 1}, "n0", "lab"), "the file has format version 4, expected 3"),
+        (CODEC.encode({"a": 1}, "n1", "lab"), "the file belongs to n1 of cluster lab"),
+        (CODEC.encode({"a": 1}, "n0", "other"), "the file belongs to n0 of cluster other"),
+        (OTHER_TYPE.encode([1], "n0", "lab"), "the stored value is invalid"),
         (CODEC.encode({"a": 1, "b": 2}, "n0", "lab"), "out of bounds"),
     ],
 )
--- a/yarrowspindle/storage/durable_file.py
+++ b/yarrowspindle/storage/durable_file.py
@@ -1,7 +1,7 @@
-"""One durable file in a directory of the process, and the lock by which one process at a time uses it.
+"""A durable file in a directory of the process, and the lock that keeps other processes from using it.
 
-The content is written to a temporary file, synced and renamed, and the directory synced, before the caller may act on
-it. A file that is missing, cut off or of another owner is not used.
+The content is written to a temporary file, which is synced and renamed, and the directory is synced, before the caller
+may act on it. A file that is missing, truncated or of another owner is not used.
 """
 
 from __future__ import annotations
@@ -18,16 +18,24 @@
 LOCK_NAME = "lock"
 TEMPORARY_SUFFIX = ".new"
 MAX_FILE_BYTES = 4 << 20
-FILE_MODE = 0o600  # permissions of files
+FILE_MODE = 0o600
 NOT_LOCKED = -1  # in place of a file descriptor
 
 
 class FileUnavailableError(Exception):
-    """There is no usable file; the text gives the reason."""
+    """There is no usable file; the message gives the reason."""
 
 
 class DurableFile(Generic[StoredValue]):
-    """A file that holds one value of the codec's type, for one owner in one cluster."""
+    """File that holds one value of the codec's type, for one owner in one cluster.
+
+    Args:
+        directory: directory of the file and its lock.
+        owner: name of the process that owns the file.
+        cluster: name of its cluster.
+        name: name of the file.
+        codec: codec of the value.
+    """
 
     def __init__(self, directory: str, owner: str, cluster: str, name: str, codec: FileCodec[StoredValue]) -> None:
         self.directory = Path(directory)
@@ -35,12 +43,16 @@
         self.cluster = cluster
         self.codec = codec
         self.path = self.directory / name
-        # The lock of a voter's file has no prefix: it is the lock of the whole directory.
+        # The lock of a voter file has no prefix, because it is the lock of the whole directory.
         self.lock_path = self.directory / (LOCK_NAME if name == VOTER_FILE_NAME else f"{name}.{LOCK_NAME}")
         self.lock_descriptor = NOT_LOCKED
 
     def acquire_lock(self) -> bool:
-        """Take the lock until this process ends. Return False where another process has it. Raises OSError."""
+        """Acquire the lock, which is held until this process ends. Return False if another process holds it.
+
+        Raises:
+            OSError: The directory or the lock file cannot be created or opened.
+        """
         if self.lock_descriptor != NOT_LOCKED:
             return True
         self.directory.mkdir(parents=True, exist_ok=True)
@@ -54,26 +66,27 @@
         return True
 
     def lock_failure(self) -> str:
-        """Take the lock. Return why it is not available yet, or an empty string once this process has it."""
+        """Try to acquire the lock. Return why that failed, or an empty string if this process holds it."""
         try:
             acquired = self.acquire_lock()
         except OSError as error:
-            return f"the lock in {self.directory} cannot be taken: {error}"
-        return "" if acquired else f"another process has the lock in {self.directory}, until it has ended"
+            return f"the lock in {self.directory} cannot be acquired: {error}"
+        return "" if acquired else f"another process has the lock in {self.directory} and keeps it until it ends"
 
     def load(self) -> StoredValue:
         """Return the stored value.
 
-        Raises FileUnavailableError where there is no file or it is invalid, and OSError where it cannot be read at the
-        moment: the file may still be valid then, and the caller has to retry.
+        Raises:
+            FileUnavailableError: There is no file, or it is invalid.
+            OSError: The file cannot be read at the moment. It may still be valid, so the caller has to retry.
         """
         try:
             with self.path.open("rb") as file:
                 data = file.read(MAX_FILE_BYTES + 1)
         except FileNotFoundError:
-            raise FileUnavailableError("there is none") from None
+            raise FileUnavailableError("the file does not exist") from None
         if len(data) > MAX_FILE_BYTES:
-            raise FileUnavailableError("it is too long")
+            raise FileUnavailableError("the file is longer than 4 MiB")
         try:
             return self.codec.decode(data, self.owner, self.cluster)
         except InvalidMessageError as error:
@@ -82,10 +95,13 @@
     def store(self, value: StoredValue) -> None:
         """Replace the content.
 
-        Raises OSError where any step fails. The former content is then intact or, where only the sync of the directory
-        failed, the new content may be found after a crash; never a mixture. The caller must not act on the new value
-        before this returns. An acceptor's promise that is found after such a failure counts as one whose answer was
+        The caller must not act on the new value before this method returns. After a failure the former content is
+        intact or, if only the sync of the directory failed, the new content may be present after a crash; never a
+        mixture. An acceptor whose promise is stored in spite of such a failure behaves as if its response had been
         lost.
+
+        Raises:
+            OSError: A step failed.
         """
         data = self.codec.encode(value, self.owner, self.cluster)
         temporary_path = self.path.with_name(f"{self.path.name}{TEMPORARY_SUFFIX}")
