--- a/tests/maintenance/sample_state.py
+++ b/tests/maintenance/sample_state.py
@@ -1,4 +1,4 @@
-"""A maintenance state for tests."""
+"""A state of maintenance for tests."""
 
 from __future__ import annotations
 
--- a/tests/maintenance/test_codec.py
+++ b/tests/maintenance/test_codec.py
@@ -1,4 +1,4 @@
-"""Bytes of the messages of maintenance."""
+"""Codec of the messages of maintenance."""
 
 from __future__ import annotations
 
@@ -40,5 +40,5 @@
         with pytest.raises(InvalidMessageError):
             codec.decode(invalid)
     too_many_voters = MaintenanceState(dict.fromkeys([f"r{n}" for n in range(65)], INITIAL_IDENTITY))
-    with pytest.raises(InvalidMessageError, match="out of bounds"):
+    with pytest.raises(InvalidMessageError, match="the state is out of bounds"):
         codec.decode(codec.encode(StateUpdate(too_many_voters)))
--- a/tests/maintenance/test_maintenance_simulation.py
+++ b/tests/maintenance/test_maintenance_simulation.py
@@ -1,4 +1,4 @@
-"""Maintenance on the virtual clock: the rules under faults, and defects that must be found."""
+"""Simulation of maintenance on a virtual clock: invariants under faults, and detection of injected defects."""
 
 from __future__ import annotations
 
@@ -34,9 +34,9 @@
 def test_seeds_that_found_defects_before() -> None:
     """Three seeds that each found a defect.
 
-    79: a relay confirmed by an observation from before it adopted the evacuation, and a connection had been placed
-    since. 630: an evacuation was proposed before a backend died, by a relay that died too. 1463: an evacuation was
-    started by an observation from before a stall.
+    79: a relay confirmed an evacuation by an observation made before it adopted the evacuation; a connection had been
+    placed in between. 630: a relay proposed an evacuation, then a backend and this relay died, and a later round
+    committed the proposal. 1463: an evacuation was started by an observation made before a stall.
     """
     for seed in (79, 630, 1463):
         result = simulate(seed)
@@ -75,7 +75,7 @@
     assert explore(3, 100_000, DEFECTS["places before it has read"], "free").broken
 
 
-# The first seed that found each defect; six more of DEFECTS need more seeds than fit here (docs/design/turns.md).
+# The first seed that detects each defect; six more of DEFECTS need more seeds than fit here (docs/design/turns.md).
 SEED_BY_DEFECT = {
     "forgets to sync its file": 9,
     "accepts below its promise": 13,
--- a/tests/maintenance/test_settings.py
+++ b/tests/maintenance/test_settings.py
@@ -1,4 +1,4 @@
-"""The settings of maintenance, and requests as operators write them."""
+"""Settings of maintenance, and requests as operators write them."""
 
 from __future__ import annotations
 
@@ -22,12 +22,12 @@
     [
         ('[turns]\ndirectory = "x"\nvoters = ["r0"]\n', "needs \\[peers\\]"),
         (PEERS + '[turns]\nvoters = ["r0"]\n', "turns.directory is missing"),
-        (PEERS + '[turns]\ndirectory = "x"\n', "turns.voters names"),
-        (TURNS + "move_per_s = 3\n", "turns.move_per_s is not known; moves_per_s is"),
+        (PEERS + '[turns]\ndirectory = "x"\n', "turns.voters must name"),
+        (TURNS + "move_per_s = 3\n", "turns.move_per_s is not a known key; did you mean moves_per_s"),
         (TURNS + "pressure = 7\n", "turns.pressure is 7"),
-        (TURNS + 'command = "10.0.0.1:80"\n', "a loopback address is wanted"),
+        (TURNS + 'command = "10.0.0.1:80"\n', "expected a loopback address"),
         (TURNS + 'command = "here"\n', "turns.command is 'here'"),
-        (TURNS + '[[turns.request]]\nmachines = ["a"]\nzone = "b"\n', "machines, or a zone, or a kind"),
+        (TURNS + '[[turns.request]]\nmachines = ["a"]\nzone = "b"\n', "either machines, or a zone, or a kind"),
         (TURNS + '[[turns.request]]\nmachines = ["a"]\nmost = "2"\n', "turns.request.most is '2'"),
         (TURNS + '[[turns.request]]\nzone = "a"\norder = "any"\n', "order is 'any'"),
     ],
--- a/tests/maintenance/test_state.py
+++ b/tests/maintenance/test_state.py
@@ -1,4 +1,4 @@
-"""The rules of the maintenance state."""
+"""Invariants of the replicated state of maintenance."""
 
 from __future__ import annotations
 
@@ -52,14 +52,14 @@
     assert list(state.evacuations) == ["m0", "m1"] and [
         evacuation.number for evacuation in state.evacuations.values()
     ] == [1, 2]
-    assert state.advanced(BACKENDS) is None, "two are out"
+    assert state.advanced(BACKENDS) is None, "two backends are out of service"
     one_zone = require(
         require(MaintenanceState().with_request(MaintenanceRequest(("m0", "m2"), 2, 1, 0.0))).advanced(BACKENDS)
     )
-    assert one_zone.advanced(BACKENDS) is None, "both are in one zone"
+    assert one_zone.advanced(BACKENDS) is None, "both backends are in one zone"
     assert (
         require(MaintenanceState().with_request(MaintenanceRequest(("m0",), 1, 1, 3.5))).advanced(BACKENDS) is None
-    ), "the floor"
+    ), "the ready capacity would fall below the floor"
     with_connections = {
         name: BackendObservation(seen.zone, seen.capacity, seen.ready, 9 - int(name[1]))
         for name, seen in BACKENDS.items()
@@ -75,12 +75,14 @@
 def test_a_backend_is_free_once_each_registered_incarnation_confirmed_this_evacuation() -> None:
     state = with_one_evacuation()
     assert state.unconfirmed_relays("m0") == ["r0", "r1"] and state.with_confirmations("r0", 1, {"m0": 7}) is None
-    assert state.with_confirmations("r0", 9, {"m0": 1}) is None, "another incarnation"
+    assert state.with_confirmations("r0", 9, {"m0": 1}) is None, "not the registered incarnation"
     state = require(state.with_confirmations("r0", 1, {"m0": 1}))
     assert state.evacuations["m0"].stage == EMPTYING
-    assert state.with_relay("r0", "x") is None, "the same process again"
+    assert state.with_relay("r0", "x") is None, "the process is registered already"
     restarted = require(state.with_relay("r0", "z"))
-    assert restarted.unconfirmed_relays("m0") == ["r0", "r1"], "it does not know the former incarnation's connections"
+    assert restarted.unconfirmed_relays("m0") == ["r0", "r1"], (
+        "the new process does not know the connections of the former one"
+    )
     state = require(state.without_relay("r1", 2))
     assert state.evacuations["m0"].stage == FREE and state.excludes("m0")
 
@@ -98,7 +100,7 @@
     )
     free = require(require(state.with_confirmations("r0", 1, {"m0": 1})).with_confirmations("r1", 2, {"m0": 1}))
     cancelled = require(free.with_request_cancelled(REQUEST.id, queued_at_version))
-    assert cancelled.evacuations["m0"].stage == FREE, "it is being worked on"
+    assert cancelled.evacuations["m0"].stage == FREE, "a free backend stays out of service until its work is completed"
     assert cancelled.with_work_completed("m0", 0) is None, "a command for an earlier evacuation"
     warming = require(cancelled.with_work_completed("m0", 1))
     assert warming.evacuations["m0"].stage == WARMING and not warming.excludes("m0")
@@ -114,4 +116,4 @@
     assert list(paused.evacuations) == ["m0"] and paused.requests[REQUEST.id].waiting == ("m1", "m2")
     assert paused.advanced(BACKENDS) is None and paused.with_pause("zone a is lost") is None
     resumed = require(require(paused.without_pause()).advanced(BACKENDS))
-    assert resumed.evacuations["m1"].number == 3, "a new evacuation, whose number nobody has confirmed"
+    assert resumed.evacuations["m1"].number == 3, "the new evacuation has a number that no relay has confirmed"
--- a/yarrowspindle/maintenance/__init__.py
+++ b/yarrowspindle/maintenance/__init__.py
@@ -1,6 +1,6 @@
-"""Backends out of service for maintenance, one after the other, as the relays agree. Pure: no sockets, files or clock.
+"""Maintenance: the relays agree on the order in which backends are evacuated and taken out of service.
 
-`state` is what they agree on, by the register of `yarrowspindle.consensus`; `coordinator` is one relay's part in it.
-`fleet_health` says when nothing should leave, `evacuation` how fast connections leave, `status_report` what operators
-are shown. The design is in `docs/design/turns.md`.
+Without sockets, files or clock. `state` is the state that they replicate with `yarrowspindle.consensus`, `coordinator`
+the state machine of one relay. `fleet_health` detects faults that pause maintenance, `evacuation` sets the rate of
+migrations, `status_report` is the status for operators. The design is in `docs/design/turns.md`.
 """
--- a/yarrowspindle/maintenance/change_log.py
+++ b/yarrowspindle/maintenance/change_log.py
@@ -1,4 +1,4 @@
-"""Lines for the log that describe the difference between two states."""
+"""Log lines that describe the difference between two states."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 def describe_changes(old: MaintenanceState, new: MaintenanceState) -> list[str]:
-    """Return a line for each evacuation, pause and request that differs."""
+    """Return a line for each evacuation, pause and request that differs between the states."""
     return [
         *_ended_evacuation_lines(old, new),
         *_evacuation_stage_lines(old, new),
--- a/yarrowspindle/maintenance/codec.py
+++ b/yarrowspindle/maintenance/codec.py
@@ -1,4 +1,4 @@
-"""The codecs of maintenance: messages between relays, and the file of a voter.
+"""Codecs of maintenance: messages between relays, and the file of a voter.
 
 A message is cut into fragments (`protocol/fragments.py`) that travel in the datagrams of the membership protocol.
 """
@@ -21,12 +21,16 @@
 
 VERSION = 1
 MAX_DECODED_VOTERS = 64
-MAX_DECODED_REQUESTS = 2 * MAX_REQUESTS + 1  # queued and ended ones
+MAX_DECODED_REQUESTS = 2 * MAX_REQUESTS + 1  # queued and ended requests
 MAX_DECODED_EVACUATIONS = MAX_REQUESTS * MAX_BACKENDS
 
 
 def _check_bounds(state: MaintenanceState | None) -> None:
-    """Check a state that was received. Raises InvalidMessageError for one that no relay could have made."""
+    """Check the bounds of a received state.
+
+    Raises:
+        InvalidMessageError: No relay could have produced the state.
+    """
     if state is None:
         return
     names = [*state.voters, *state.relays, *state.evacuations]
@@ -39,7 +43,7 @@
         or any(len(name) > MAX_NAME_LENGTH for name in names)
         or min(state.version, state.epoch, state.last_evacuation_number) < 0
     ):
-        raise InvalidMessageError("a state out of bounds")
+        raise InvalidMessageError("the state is out of bounds")
 
 
 MESSAGES = MessageCodec(
--- a/yarrowspindle/maintenance/coordinator.py
+++ b/yarrowspindle/maintenance/coordinator.py
@@ -1,7 +1,8 @@
-"""One relay's part in maintenance: it proposes changes of the replicated state, and adopts those committed.
+"""The maintenance state machine of one relay: proposes changes of the replicated state and adopts committed states.
 
-Pure: `step` takes an event and returns effects. The daemon and the model of `lab/model/turning.py` carry them out. The
-leader is the first member by name. Relays need not agree on it: it only spares them proposing the same change at once.
+Without I/O: `step` takes an event and returns effects, which the daemon and the model in `lab/model/turning.py` carry
+out. The leader is the reachable relay with the first name. Safety does not depend on it: relays may disagree on the
+leader, whose only purpose is to avoid concurrent proposals of the same change.
 """
 
 from __future__ import annotations
@@ -34,28 +35,37 @@
 from yarrowspindle.maintenance.peer_requests import PeerRequests, StateChange
 from yarrowspindle.maintenance.state import EMPTYING, MaintenanceState
 
-TICK = "tick"  # the one timer
+TICK = "tick"  # the only timer
 TICK_MS = 150.0
 ROUND_TIMEOUT_MS = 400.0
 MAX_RETRY_DELAY_MS = 1200.0
-MAX_COUNTED_FAILURES = 6  # of rounds; the delay of a retry doubles with each
-READ_INTERVAL_ACTIVE_MS = 1500.0  # while something is out; the state is read where no majority was heard for so long
+MAX_COUNTED_FAILURES = 6  # failed rounds; each doubles the maximum delay before a retry
+# The state is read from a majority if none has been reached for this interval. Active: backends are out of service,
+# commands are pending or this relay is not registered.
+READ_INTERVAL_ACTIVE_MS = 1500.0
 READ_INTERVAL_IDLE_MS = 10_000.0
 LATEST_VERSION_INTERVAL_MS = 2000.0
-REMINDER_INTERVAL_MS = 500.0  # of relays that have not confirmed
-OWN_CONFIRMATION_DELAY_MS = 600.0  # a relay writes its confirmation itself if the leader has not by then
-OWN_REGISTRATION_DELAY_MS = 1500.0
-MAX_OBSERVATION_AGE_MS = 1000.0  # no evacuation starts by an older one
-STABLE_PERIOD_MS = 10_000.0  # without a fault, before evacuations start again
-MAX_CATCH_UP_RELAYS = 3  # asked at once by a relay that cannot reach the voters
-MAX_COMMANDS = 64
+REMINDER_INTERVAL_MS = 500.0  # to relays that have not confirmed an evacuation
+OWN_CONFIRMATION_DELAY_MS = 600.0  # before a relay proposes its confirmation itself, in place of the leader
+OWN_REGISTRATION_DELAY_MS = 1500.0  # before a relay proposes its registration itself, in place of the leader
+MAX_OBSERVATION_AGE_MS = 1000.0  # an older observation of the fleet starts no evacuation
+STABLE_PERIOD_MS = 10_000.0  # without a fault, before evacuations resume
+MAX_CATCH_UP_RELAYS = 3  # asked for the state at once by a relay that cannot reach the voters
+MAX_COMMANDS = 64  # pending at once; further ones are dropped
 
 
 class MaintenanceCoordinator:
-    """Coordinates maintenance with the other relays.
-
-    `initial` is the state that all relays start from. `identity` is that of this relay's voter file, empty without
-    one, and `membership_hint` the state in it. `key` is random, and unique to this process. Times are in milliseconds.
+    """Coordinator of maintenance with the other relays.
+
+    Args:
+        name: name of this relay.
+        key: random key, unique to this process.
+        initial: state that all relays start from.
+        identity: identity of this relay's voter file; empty if it has none.
+        membership_hint: state in the voter file, which may not be committed.
+        seed: seed of the random delays.
+        now: current time in milliseconds, as all times here.
+        proposer: class of the proposer, which the model replaces by defective ones.
     """
 
     def __init__(
@@ -75,22 +85,22 @@
         self.now = now
         self.started_at = now
         self.random = Random(seed)
-        # No two processes share a ballot: answers to an earlier process of this name may still arrive.
+        # With the key no two processes share a ballot: responses to an earlier process of this name may still arrive.
         self.proposer = proposer(f"{name} {key}", initial, self.random)
-        # The hint may not be committed, so only its voters are used.
+        # The hint may be uncommitted, so only its voter set is used.
         self.proposer.membership_hint = max(initial, membership_hint, key=lambda state: state.epoch)
         self.fleet = FleetObserved(frozenset(), {}, (name,))
         self.commands: list[OperatorCommand] = []
         self.peer_requests = PeerRequests(OWN_REGISTRATION_DELAY_MS)
-        self.majority_reached_at = 0.0  # by this relay; 0: never
-        self.version_confirmed_at = 0.0  # by a relay that heard a majority; 0: never
-        self.confirmable_since = 0.0  # 0: there is nothing to confirm
+        self.majority_reached_at = 0.0  # when this relay last reached a majority of the voters; 0: never
+        self.version_confirmed_at = 0.0  # when a relay that had reached one last confirmed the version; 0: never
+        self.confirmable_since = 0.0  # since when a confirmation is due; 0: none is
         self.round_started_at = 0.0
         self.reminded_at = 0.0
         self.last_fault_at = now
         self.retry_at = now
         self.failed_rounds = 0
-        self.failure_reason = ""  # of the last round
+        self.failure_reason = ""  # why the last round failed; empty if it succeeded
         self.observed_at = -MAX_OBSERVATION_AGE_MS
         self.observations_valid_from = now
         self.adopted = initial
@@ -98,7 +108,7 @@
         self.effects: list[Effect] = [SetTimer(TICK_MS * self.random.random(), TICK)]
 
     def step(self, now: float, event: Event) -> list[Effect]:
-        """Handle an event and return the effects."""
+        """Handle an event and return the effects to carry out."""
         self.now = max(self.now, now)
         if isinstance(event, MessageReceived):
             self._on_message(event)
@@ -112,13 +122,13 @@
         return self.take_effects()
 
     def take_effects(self) -> list[Effect]:
-        """Return the effects that are pending."""
+        """Return and clear the pending effects."""
         effects, self.effects = self.effects, []
         return effects
 
     @property
     def state(self) -> MaintenanceState:
-        """The newest committed state that is known."""
+        """Newest committed state that this relay knows."""
         return self.proposer.newest_committed
 
     @property
@@ -128,17 +138,17 @@
 
     @property
     def incarnation(self) -> int:
-        """The incarnation that this process is registered as; 0 where it is not registered."""
+        """Incarnation under which this process is registered; 0 if it is not registered."""
         own_key = self.adopted.process_keys.get(self.name)
         return self.adopted.relays.get(self.name, 0) if own_key == self.key else 0
 
     @property
     def majority_known_at(self) -> float:
-        """When a majority of the voters was last heard, by this relay or one that reported it; 0 if never."""
+        """Time when a majority was last known to be reached, by this relay or one that reported it; 0 if never."""
         return max(self.majority_reached_at, self.version_confirmed_at)
 
     def may_place(self, backend: str) -> bool:
-        """Whether this relay may place connections on the backend."""
+        """Return whether this relay may place connections on the backend."""
         return self.registered and not self.adopted.excludes(backend)
 
     @property
@@ -159,7 +169,7 @@
 
     def _on_fleet_observed(self, event: FleetObserved) -> None:
         if self.now > self.observed_at + MAX_OBSERVATION_AGE_MS:
-            # After a stall, updates of the endpoint list may still wait to be read.
+            # After a stall, updates of the endpoint list may still be unread, so observations are stale for a while.
             self.observations_valid_from = self.now + MAX_OBSERVATION_AGE_MS
         self.fleet = event
         self.observed_at = self.now
@@ -224,7 +234,7 @@
 
     def _on_round_failed(self, reason: str) -> None:
         self.failure_reason = reason
-        # A random delay, so that two proposers do not keep each other from a majority.
+        # A random delay, so that two proposers do not repeatedly preempt each other.
         self.failed_rounds = min(self.failed_rounds + 1, MAX_COUNTED_FAILURES)
         max_delay_ms = min(MAX_RETRY_DELAY_MS, TICK_MS * 2.0**self.failed_rounds)
         self.retry_at = self.now + self.random.uniform(0.0, max_delay_ms)
@@ -252,7 +262,7 @@
         else:
             self._log("this relay was declared ended: nothing is placed until it is registered again")
 
-    # Periodic work
+    # Timer
 
     def _on_tick(self) -> None:
         self._send_requests_to_leader()
@@ -291,7 +301,10 @@
         return LATEST_VERSION_INTERVAL_MS if self._is_leader else READ_INTERVAL_IDLE_MS
 
     def _send_reminders(self) -> None:
-        """Tell the members the latest version, so that they need not read, and unconfirmed relays the state."""
+        """Send the version to the members and the state to the relays that have not confirmed an evacuation.
+
+        Members that learn the latest version need not read it from the voters.
+        """
         self.reminded_at = self.now
         state = self.state
         if self.now <= self.majority_reached_at + 3.0 * LATEST_VERSION_INTERVAL_MS:
@@ -308,7 +321,7 @@
     # Proposed changes
 
     def _proposed_change(self, state: MaintenanceState) -> MaintenanceState | None:
-        """Apply all changes that this relay proposes. Return None where they leave the state as it is."""
+        """Return the state with all changes that this relay proposes, or None if they change nothing."""
         changed = state
         for change in self._proposed_changes():
             changed = change(changed) or changed
@@ -338,9 +351,10 @@
         return state.advanced(self.fleet.backends) if self._observation_valid else None
 
     def _revert_outdated_evacuations(self, state: MaintenanceState) -> MaintenanceState | None:
-        """Revert evacuations that a failed proposer left with a minority, unless the capacity limits still hold.
+        """Revert evacuations that another proposer left uncommitted, unless the capacity floors verifiably hold.
 
-        This round would commit them, at an unknown time after they were proposed.
+        A proposer that fails can leave a proposal with a minority of the voters. This round would commit it, an
+        unknown time after the observation that it was based on.
         """
         uncommitted = [
             backend
@@ -357,10 +371,10 @@
         return state.without_pause() if self.now >= self.last_fault_at + STABLE_PERIOD_MS else None
 
     def _releases(self) -> dict[str, int]:
-        """Return the evacuations that this relay can confirm, by backend.
+        """Return the numbers of the evacuations that this relay can confirm, by backend.
 
-        Only adopted ones, since it places nothing there from then on, and only by an observation after the adoption:
-        a connection may have been placed between an earlier observation and the adoption.
+        A relay places nothing on a backend once it has adopted the evacuation. It confirms only by an observation made
+        after the adoption, because a connection may have been placed between an earlier observation and the adoption.
         """
         if not self.registered or not self.observed_since_adoption:
             return {}
@@ -379,9 +393,9 @@
         return state.with_confirmations(self.name, self.incarnation, releases) if releases and due else None
 
     def _replace_own_voter_file(self, state: MaintenanceState) -> MaintenanceState | None:
-        """Propose this relay's new file, where its former one was lost with the promises in it.
+        """Propose this relay's recreated voter file if the former one was lost, with the promises in it.
 
-        It counts once all voters of the new set have accepted it.
+        The new file counts once all voters of the new voter set have accepted it.
         """
         if not self.identity or self.name not in state.voters:
             return None
--- a/yarrowspindle/maintenance/events.py
+++ b/yarrowspindle/maintenance/events.py
@@ -1,4 +1,4 @@
-"""What a relay's coordinator is notified of, and the effects that it asks for. Times are in milliseconds."""
+"""Events that a relay's coordinator handles, and effects that it returns. Times are in milliseconds."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @dataclass(slots=True)
 class MessageReceived:
-    """Event: a message of the register or of `messages` was received."""
+    """Event: a message of `consensus.messages` or `maintenance.messages` was received from this relay."""
 
     source: str
     message: Any
@@ -28,10 +28,13 @@
 
 @dataclass(slots=True)
 class FleetObserved:
-    """Event: what this relay knows of itself, the endpoint list and the members.
+    """Event: this relay observed its own connections, the endpoint list and the members.
 
-    used_backends: where it has connections or attempts in progress. backends: the endpoint list. members: names of the
-    reachable relays, this one included. fault: why no backend should leave at the moment; empty if none.
+    Attributes:
+        used_backends: backends to which this relay has connections or attempts in flight.
+        backends: observations of the listed backends, by name.
+        members: names of the reachable relays, including this one.
+        fault: why no backend should be evacuated now; empty if there is no fault.
     """
 
     used_backends: frozenset[str]
@@ -45,7 +48,7 @@
 
 @dataclass(slots=True)
 class SendMessage:
-    """Effect: the message is to be sent to the relay of this name."""
+    """Effect: send the message to the relay of this name."""
 
     destination: str
     message: Any
@@ -53,7 +56,7 @@
 
 @dataclass(slots=True)
 class SetTimer:
-    """Effect: a `TimerFired` is due after the delay."""
+    """Effect: deliver a `TimerFired` event after the delay."""
 
     delay_ms: float
     timer: object
@@ -61,21 +64,21 @@
 
 @dataclass(slots=True)
 class StateCommitted:
-    """Effect: a committed state was adopted; from now on its evacuations are carried out."""
+    """Effect: carry out the evacuations of a committed state, which this relay has adopted."""
 
     state: MaintenanceState
 
 
 @dataclass(slots=True)
 class LogMessage:
-    """Effect: a line for the log."""
+    """Effect: write a line to the log."""
 
     text: str
 
 
 @dataclass(slots=True)
 class AskAcceptor:
-    """Effect: a message to this relay's acceptor. Its answer goes to the source; none does where storing fails."""
+    """Effect: pass a message to this relay's acceptor and its response to `source`; no response if storing fails."""
 
     source: str
     message: Prepare | Accept[MaintenanceState]
--- a/yarrowspindle/maintenance/fleet_health.py
+++ b/yarrowspindle/maintenance/fleet_health.py
@@ -1,4 +1,7 @@
-"""What one relay observes of the backends: which are warmed up, and which faults there are. Pure."""
+"""Health of the fleet as one relay observes it: which backends are ready and warm, and which faults exist.
+
+Without I/O. A fault pauses maintenance.
+"""
 
 from __future__ import annotations
 
@@ -8,18 +11,24 @@
 from yarrowspindle.decisions.events import EndpointState
 from yarrowspindle.maintenance.state import EMPTYING, WARMING, BackendObservation, MaintenanceState
 
-FAULT_PERIOD_MS = 10_000.0  # for which the death of a backend counts as a fault
+FAULT_PERIOD_MS = 10_000.0  # during which the death of a backend counts as a fault
 REJECTION_WINDOW_MS = 5000.0
-MIN_REQUESTS = 20  # in the window, for a share of rejected ones to count
-MAX_NAMED_BACKENDS = 3  # in a fault's text
+MIN_REQUESTS = 20  # in the window, for the rejected fraction to be meaningful
+MAX_NAMED_BACKENDS = 3  # in the text of a fault
 
 
 @dataclass(slots=True, frozen=True)
 class BackendSample:
-    """A backend as the endpoint list has it now.
-
-    started: when its process started, as the list has it. failing: this relay does not place there, because attempts
-    failed. connections: as far as this relay knows.
+    """Backend in the current endpoint list.
+
+    Attributes:
+        name: name of the backend.
+        zone: number of its zone.
+        capacity: capacity in the units of the endpoint list.
+        state: state in the endpoint list.
+        started: start time of its process according to the list.
+        failing: whether this relay has ejected it because attempts failed.
+        connections: number of its connections that this relay knows of.
     """
 
     name: str
@@ -33,7 +42,12 @@
 
 @dataclass(slots=True, frozen=True)
 class FleetAssessment:
-    """The backends for the replicated state, and why none should leave now; an empty fault where nothing is wrong."""
+    """Result of an assessment.
+
+    Attributes:
+        backends: observations by backend, as input to changes of the replicated state.
+        fault: why no backend should be evacuated now; empty if there is no fault.
+    """
 
     backends: Mapping[str, BackendObservation]
     fault: str
@@ -41,7 +55,13 @@
 
 @dataclass(slots=True)
 class BackendRecord:
-    """A backend as it was last seen. warm_at: when it has warmed up, in milliseconds."""
+    """Last observation of a backend.
+
+    Attributes:
+        state: state in the endpoint list.
+        started: start time of its process according to the list.
+        warm_at: time in milliseconds when it has warmed up.
+    """
 
     state: EndpointState
     started: float
@@ -50,7 +70,7 @@
 
 @dataclass(slots=True, frozen=True)
 class RequestCounts:
-    """How many requests were received and rejected since the start, at a time in milliseconds."""
+    """Numbers of requests received and rejected since the start of the relay; `at` is a time in milliseconds."""
 
     at: float
     received: int
@@ -58,10 +78,14 @@
 
 
 class FleetHealth:
-    """Assesses the fleet. `warmup_ms` is how long a backend warms up, `max_rejected_fraction` the pressure allowed.
+    """Observer of the fleet's health.
+
+    Backends of the first assessment count as warm: a relay that starts cannot know when their warm-up began, and only
+    warm backends count towards the capacity floor.
 
-    Backends of the first assessment count as warmed up: a relay that starts cannot know better, and the capacity floor
-    of maintenance counts them.
+    Args:
+        warmup_ms: duration of a backend's warm-up.
+        max_rejected_fraction: fraction of rejected requests above which there is a fault.
     """
 
     def __init__(self, warmup_ms: float, max_rejected_fraction: float) -> None:
@@ -69,7 +93,7 @@
         self.max_rejected_fraction = max_rejected_fraction
         self.backends: dict[str, BackendRecord] = {}
         self.died_at: dict[str, float] = {}
-        self.counts: list[RequestCounts] = []  # of the window
+        self.counts: list[RequestCounts] = []  # within REJECTION_WINDOW_MS
         self.assessed = False
 
     def assess(
@@ -80,7 +104,15 @@
         received: int = 0,
         rejected: int = 0,
     ) -> FleetAssessment:
-        """Return the observations and the fault at a time in milliseconds; counts of requests are since the start."""
+        """Return the observations of the backends and the current fault.
+
+        Args:
+            now: current time in milliseconds.
+            samples: backends of the endpoint list.
+            state: replicated state of maintenance.
+            received: requests received since the start of the relay.
+            rejected: requests rejected since the start of the relay.
+        """
         observations: dict[str, BackendObservation] = {}
         failing: list[str] = []
         for sample in samples:
@@ -99,7 +131,7 @@
         return FleetAssessment(observations, self._fault(failing, rejection_fault))
 
     def _record(self, now: float, sample: BackendSample) -> BackendRecord:
-        """Return the record of the backend, a new one where its process is new."""
+        """Return the record of the backend, a new one if its process is new."""
         record = self.backends.get(sample.name)
         if record is None or record.started != sample.started or record.state is EndpointState.GONE:
             warms_up = self.assessed and sample.state is EndpointState.READY
@@ -111,7 +143,7 @@
         evacuation = state.evacuations.get(sample.name)
         out_of_service = evacuation is not None and evacuation.stage != WARMING
         if out_of_service:
-            record.warm_at = now + self.warmup_ms  # it warms up when it returns, whatever the list has
+            record.warm_at = now + self.warmup_ms  # it warms up after its return, even if its process is the same
         in_use = not out_of_service or (evacuation is not None and evacuation.stage == EMPTYING)
         if in_use and record.state is EndpointState.READY and sample.state is EndpointState.GONE:
             self.died_at[sample.name] = now
@@ -134,7 +166,7 @@
                 del self.backends[name]
 
     def _rejection_fault(self, now: float, received: int, rejected: int) -> str:
-        """Return the text of a fault where too many of the window's requests were rejected, else an empty string."""
+        """Return a fault if too many requests in the window were rejected, else an empty string."""
         self.counts.append(RequestCounts(now, received, rejected))
         while self.counts[0].at < now - REJECTION_WINDOW_MS:
             self.counts.pop(0)
@@ -143,7 +175,7 @@
         recent_rejections = rejected - oldest.rejected
         if recent_requests < MIN_REQUESTS or recent_rejections <= self.max_rejected_fraction * recent_requests:
             return ""
-        return f"the fleet is under pressure: {recent_rejections / recent_requests:.0%} of the jobs were refused"
+        return f"overload: {recent_rejections / recent_requests:.0%} of recent requests were rejected"
 
     def _fault(self, failing: Collection[str], rejection_fault: str) -> str:
         if self.died_at:
--- a/yarrowspindle/maintenance/messages.py
+++ b/yarrowspindle/maintenance/messages.py
@@ -1,4 +1,4 @@
-"""The messages between relays about maintenance, beside those of the register. Their field names are on the wire."""
+"""Maintenance messages between relays, in addition to those of `consensus.messages`. Field names are on the wire."""
 
 from __future__ import annotations
 
@@ -12,16 +12,20 @@
 
 @dataclass(slots=True, frozen=True)
 class StateUpdate:
-    """A committed state."""
+    """A state that is committed."""
 
     state: MaintenanceState
 
 
 class ReleaseConfirmation(Struct, frozen=True, rename={"incarnation": "life", "numbers": "turns"}):
-    """The sender knows of these evacuations and has no connections on their backends.
+    """The sender knows of these evacuations and has no connections to their backends.
 
-    numbers: of the evacuations, by backend. The statement holds for as long as they last, so the message may be
-    delayed or duplicated. The leader writes those of many relays in one round.
+    The statement stays true until the evacuations end, so the message may be delayed or duplicated. The leader writes
+    the confirmations of many relays in one round.
+
+    Attributes:
+        incarnation: incarnation of the sender.
+        numbers: numbers of the evacuations, by backend.
     """
 
     incarnation: int
@@ -30,20 +34,20 @@
 
 @dataclass(slots=True, frozen=True)
 class RegisterRelay:
-    """The sender is a process that is not registered; the leader registers it. key: random, and unique to it."""
+    """The sender is not registered and asks the leader to register it; `key` is random and unique to its process."""
 
     key: str
 
 
 @dataclass(slots=True, frozen=True)
 class LatestVersion:
-    """The sender has reached a majority recently, and this is the newest version."""
+    """The sender has recently reached a majority of the voters; `version` is the newest version that it knows."""
 
     version: int
 
 
 @dataclass(slots=True, frozen=True)
 class CatchUpRequest:
-    """The sender knows of no later state than this version, and asks for a later one."""
+    """The sender asks for a state that is newer than this version, the newest that it knows."""
 
     version: int
--- a/yarrowspindle/maintenance/peer_requests.py
+++ b/yarrowspindle/maintenance/peer_requests.py
@@ -1,4 +1,4 @@
-"""What other relays ask the leader to write into the state: their registrations and confirmations."""
+"""Registrations and confirmations that other relays ask the leader to write into the replicated state."""
 
 from __future__ import annotations
 
@@ -16,16 +16,18 @@
 
 @dataclass(slots=True)
 class PendingRegistration:
-    """A process that asks to be registered. received_at is in milliseconds."""
+    """Process that asks to be registered; `received_at` is the time in milliseconds of its last message."""
 
     key: str
     received_at: float
 
 
 class PeerRequests:
-    """The requests of other relays that no committed state contains yet, the latest of each relay.
+    """Requests of other relays that no committed state contains yet; the latest of each relay and kind.
 
-    A registration that was not repeated for `registration_lifetime_ms` may be of a process that has ended.
+    Args:
+        registration_lifetime_ms: period after which a registration that is not repeated is dropped, because its
+            process may have ended.
     """
 
     def __init__(self, registration_lifetime_ms: float) -> None:
@@ -34,7 +36,7 @@
         self.registrations: dict[str, PendingRegistration] = {}
 
     def add_confirmation(self, source: str, message: ReleaseConfirmation) -> None:
-        """Record a confirmation of a registered relay."""
+        """Record the confirmation of a registered relay."""
         self.confirmations[source] = message
 
     def add_registration(self, now: float, source: str, message: RegisterRelay) -> None:
@@ -43,7 +45,7 @@
             self.registrations[source] = PendingRegistration(message.key, now)
 
     def drop_completed(self, now: float, state: MaintenanceState) -> None:
-        """Forget what the committed state contains, and what has expired."""
+        """Drop confirmations of removed relays, and registrations that are committed or expired."""
         for name in [name for name in self.confirmations if name not in state.relays]:
             del self.confirmations[name]
         for name, pending in list(self.registrations.items()):
@@ -52,7 +54,7 @@
                 del self.registrations[name]
 
     def changes(self) -> list[StateChange]:
-        """Return the changes of the state that the relays ask for."""
+        """Return the changes of the state that the relays request."""
         registrations = [partial(_register, name, pending.key) for name, pending in self.registrations.items()]
         confirmations = [partial(_confirm, name, message) for name, message in self.confirmations.items()]
         return [*registrations, *confirmations]
--- a/yarrowspindle/maintenance/requests.py
+++ b/yarrowspindle/maintenance/requests.py
@@ -1,4 +1,4 @@
-"""Requests of operators to take backends out of service, and their status."""
+"""Requests of operators to take backends out of service, and the status of each."""
 
 from __future__ import annotations
 
@@ -7,17 +7,17 @@
 
 from msgspec import Struct
 
-QUEUED, REFUSED, DONE, CANCELLED = "queued", "refused", "done", "cancelled"  # states of a request; stored and shown
-ORDER_GIVEN, ORDER_FEWEST = "given", "fewest"  # order of the backends; stored
+QUEUED, REFUSED, DONE, CANCELLED = "queued", "refused", "done", "cancelled"  # states of a request; stored and published
+ORDER_GIVEN, ORDER_FEWEST = "given", "fewest"  # order in which backends are evacuated; stored
 
-MAX_BACKENDS = 512  # of one request
+MAX_BACKENDS = 512  # in one request
 MAX_NAME_LENGTH = 64
 MAX_DEADLINE_S = 86_400.0
 REQUEST_ID_BYTES = 6
 
 
 class MaintenanceError(ValueError):
-    """A request or command that is invalid; the text gives the reason."""
+    """A request or command is invalid; the message gives the reason."""
 
 
 class MaintenanceRequest(
@@ -30,14 +30,19 @@
         "min_ready_capacity": "floor",
     },
 ):
-    """Backends to take out of service, and under which limits. Stored under the field names of its first version.
-
-    max_unavailable, max_unavailable_per_zone: backends out at once. min_ready_capacity: what must remain ready, in
-    the units of the endpoint list. deadline_s: connections that remain on a backend after so many seconds are all
-    migrated at once. order: ORDER_GIVEN, or ORDER_FEWEST for the backend with the fewest connections first. name:
-    distinguishes requests that are otherwise equal.
-
-    Raises MaintenanceError where a value is out of range.
+    """Backends to take out of service, with limits. Stored under the field names of its first version.
+
+    Attributes:
+        backends: names of the backends.
+        max_unavailable: maximum number of backends out of service at once.
+        max_unavailable_per_zone: maximum number of backends of one zone out of service at once.
+        min_ready_capacity: capacity that must remain ready, in the units of the endpoint list.
+        deadline_s: seconds after which connections that remain on an emptying backend are all migrated at once.
+        order: ORDER_GIVEN, or ORDER_FEWEST for the backend with the fewest connections first.
+        name: distinguishes requests that are otherwise equal.
+
+    Raises:
+        MaintenanceError: A value is out of range.
     """
 
     backends: tuple[str, ...]
@@ -51,22 +56,23 @@
     def __post_init__(self) -> None:
         count = len(self.backends)
         if not 0 < count <= MAX_BACKENDS or len(set(self.backends)) != count:
-            raise MaintenanceError(f"a request names 1 to {MAX_BACKENDS} machines, each once")
+            raise MaintenanceError(f"a request must name 1 to {MAX_BACKENDS} machines, each once")
         if any(not 0 < len(name) <= MAX_NAME_LENGTH for name in self.backends):
-            raise MaintenanceError(f"a machine's name has 1 to {MAX_NAME_LENGTH} characters")
+            raise MaintenanceError(f"a machine name must have 1 to {MAX_NAME_LENGTH} characters")
         limits_valid = min(self.max_unavailable, self.max_unavailable_per_zone) >= 1
         capacity_valid = 0.0 <= self.min_ready_capacity < inf
         deadline_valid = 0.0 < self.deadline_s <= MAX_DEADLINE_S
         if not limits_valid or not capacity_valid or not deadline_valid:
             raise MaintenanceError(
-                "most and most_zone are at least 1, floor is not below 0, deadline_s is 86,400 at most"
+                "most and most_zone must be at least 1, floor at least 0 and finite, "
+                "deadline_s above 0 and at most 86,400"
             )
         if self.order not in (ORDER_GIVEN, ORDER_FEWEST):
-            raise MaintenanceError(f"order is {ORDER_GIVEN!r} or {ORDER_FEWEST!r}")
+            raise MaintenanceError(f"order must be {ORDER_GIVEN!r} or {ORDER_FEWEST!r}")
 
     @property
     def id(self) -> str:
-        """An identifier that equal requests share, wherever they were made. It is stored, so its input is fixed."""
+        """Identifier shared by equal requests, regardless of the relay. It is stored, so its input must not change."""
         values = (
             self.backends,
             self.max_unavailable,
@@ -80,10 +86,14 @@
 
 
 class RequestStatus(Struct, frozen=True, rename={"request": "wish", "reason": "why", "changed_at_version": "at"}):
-    """A request in the replicated state.
-
-    waiting: its backends whose evacuation has not started. reason: why it was refused. changed_at_version: version of
-    the state with which it was queued, refused, cancelled or done.
+    """Request in the replicated state.
+
+    Attributes:
+        request: the request.
+        waiting: its backends whose evacuation has not started.
+        state: QUEUED, REFUSED, DONE or CANCELLED.
+        reason: why it was refused.
+        changed_at_version: version of the state with which it was queued, refused, cancelled or done.
     """
 
     request: MaintenanceRequest
--- a/yarrowspindle/maintenance/state.py
+++ b/yarrowspindle/maintenance/state.py
@@ -1,9 +1,12 @@
-"""The state on which the relays agree: requests, backends out of service, and which relays have released them.
+"""Replicated state of maintenance: requests, backends out of service, and the relays that have released them.
 
-Each change is a pure function of the state. The invariants: never more backends out at once than a request allows, in
-all and in each zone; no evacuation takes the ready capacity below the minimum of its request; a backend is free only
-when each registered relay has confirmed this evacuation's number, or is known to have ended; the numbers increase by
-one and are used once.
+Each change is a pure function of the state. Invariants:
+
+1. No more backends are out of service at once than a request allows, in total and in each zone.
+2. No evacuation takes the ready capacity below the minimum of its request.
+3. A backend is free only when each registered relay has confirmed the number of this evacuation or is known to have
+   ended.
+4. Evacuation numbers increase by one, and each is used once.
 """
 
 from __future__ import annotations
@@ -24,19 +27,22 @@
     RequestStatus,
 )
 
-EMPTYING, FREE, WARMING = "emptying", "free", "warming"  # stages of an evacuation; stored and shown
+EMPTYING, FREE, WARMING = "emptying", "free", "warming"  # stages of an evacuation; stored and published
 
 MAX_REQUESTS = 16  # queued at once
-MAX_ENDED_REQUESTS = 16  # that are still shown
+MAX_ENDED_REQUESTS = 16  # refused, done or cancelled requests that are kept for the status
 MAX_RELAYS = 1024
 
 
 @dataclass(slots=True, frozen=True)
 class BackendObservation:
-    """A backend as the proposer sees it.
+    """Backend as the proposer observes it.
 
-    ready: takes connections and is warmed up. capacity: in the units of the endpoint list. connections: as far as the
-    proposer knows.
+    Attributes:
+        zone: number of its zone.
+        capacity: capacity in the units of the endpoint list.
+        ready: whether it accepts connections and is warm.
+        connections: number of its connections that the proposer knows of.
     """
 
     zone: int
@@ -46,9 +52,15 @@
 
 
 class Evacuation(Struct, frozen=True, rename={"number": "turn", "request_id": "request", "confirmed_by": "confirmed"}):
-    """A backend that is out of service.
-
-    confirmed_by: relays, by name and incarnation, that know of the evacuation and have no connections there.
+    """Evacuation of a backend, which is out of service until the evacuation ends.
+
+    Attributes:
+        number: number of the evacuation.
+        request_id: request that it belongs to.
+        zone: number of the backend's zone.
+        stage: EMPTYING, FREE or WARMING.
+        confirmed_by: name and incarnation of the relays that know of the evacuation and have no connections to the
+            backend.
     """
 
     number: int
@@ -69,14 +81,21 @@
         "paused_by_operator": "by_hand",
     },
 ):
-    """The replicated state of maintenance. Stored under the field names of its first version.
-
-    voters: identity of each voter's file, by name. requests: by id, in the order in which they were decided.
-    evacuations: by backend. relays: incarnation of each registered relay, by name; process_keys: the key of its
-    process. pause_reason: why no evacuation starts; empty while they do. paused_by_operator: only an operator may end
-    the pause.
-
-    The methods named `with_...` and `without_...` return the changed state, or None where nothing changes.
+    """Replicated state of maintenance, stored under the field names of its first version.
+
+    Methods named `with_...` and `without_...` return the changed state, or None if nothing changes.
+
+    Attributes:
+        voters: identity of each voter's file, by name.
+        version: increases with each change.
+        epoch: increases with each change of the voter set.
+        last_evacuation_number: number of the newest evacuation.
+        requests: requests by id, in the order in which they were decided.
+        evacuations: evacuations by backend.
+        relays: incarnation of each registered relay, by name.
+        process_keys: key of the process of each registered relay, by name.
+        pause_reason: why no evacuations start; empty if maintenance is not paused.
+        paused_by_operator: whether only an operator may end the pause.
     """
 
     voters: Mapping[str, str] = field(default_factory=dict)
@@ -91,33 +110,33 @@
     paused_by_operator: bool = False
 
     def successor(self, **changes: object) -> MaintenanceState:
-        """Return the next version of the state with these fields changed."""
+        """Return the next version of the state, with these fields changed."""
         return replace(self, version=self.version + 1, **changes)
 
     def at_epoch(self, epoch: int) -> MaintenanceState:
-        """Return the next version of the state with another epoch of its voter set."""
+        """Return the next version of the state, with another epoch of its voter set."""
         return self.successor(epoch=epoch)
 
     # Queries
 
     def excludes(self, backend: str) -> bool:
-        """Whether no connection may be placed on the backend."""
+        """Return whether no connection may be placed on the backend."""
         evacuation = self.evacuations.get(backend)
         return evacuation is not None and evacuation.stage != WARMING
 
     def unconfirmed_relays(self, backend: str) -> list[str]:
-        """Return the relays that have to confirm before the backend is free."""
+        """Return the sorted names of the relays that must still confirm before the backend is free."""
         confirmed_by = self.evacuations[backend].confirmed_by
         return sorted(name for name, incarnation in self.relays.items() if (name, incarnation) not in confirmed_by)
 
     def ready_capacity(self, backends: Mapping[str, BackendObservation]) -> float:
-        """Return the capacity of the ready backends that are in service."""
+        """Return the total capacity of the ready backends that are in service."""
         return sum(
             backend.capacity for name, backend in backends.items() if backend.ready and name not in self.evacuations
         )
 
     def meets_capacity_floors(self, backends: Mapping[str, BackendObservation]) -> bool:
-        """Whether the ready capacity meets the minimum of each request with an emptying backend."""
+        """Return whether the ready capacity meets the minimum of each request that has an emptying backend."""
         minimums = [
             self.requests[evacuation.request_id].request.min_ready_capacity
             for evacuation in self.evacuations.values()
@@ -132,9 +151,13 @@
         backends: Mapping[str, BackendObservation],
         ready_capacity: float,
     ) -> str:
-        """Return why the backend's evacuation may not start now, or an empty string where it may.
+        """Return why the backend's evacuation may not start now, or an empty string if it may.
 
-        `ready_capacity` is the value of the method of this name for the same backends.
+        Args:
+            status: request that the backend belongs to.
+            backend: name of the backend.
+            backends: observations by backend.
+            ready_capacity: result of the method `ready_capacity` for the same observations.
         """
         request = status.request
         observed = backends.get(backend)
@@ -155,9 +178,9 @@
     # Relays
 
     def with_relay(self, name: str, key: str) -> MaintenanceState | None:
-        """Register a process, which ends any earlier incarnation of its name.
+        """Register a process, which ends any earlier incarnation of the relay.
 
-        Its incarnation is the version that it is registered with, so that no two are equal.
+        The incarnation is the version of the state that registers it, which makes it unique.
         """
         full = len(self.relays) >= MAX_RELAYS and name not in self.relays
         if full or self.process_keys.get(name) == key:
@@ -168,7 +191,7 @@
         )._with_released_backends()
 
     def without_relay(self, name: str, incarnation: int) -> MaintenanceState | None:
-        """Remove a relay that has shut down, or that an operator declares ended."""
+        """Remove a relay that has shut down or that an operator has declared ended."""
         if self.relays.get(name) != incarnation:
             return None
         return self.successor(
@@ -177,9 +200,15 @@
         )._with_released_backends()
 
     def with_confirmations(self, name: str, incarnation: int, numbers: Mapping[str, int]) -> MaintenanceState | None:
-        """Record that a relay has no connections on these backends. `numbers`: of the evacuations, by backend."""
+        """Record that a relay has no connections to these backends.
+
+        Args:
+            name: name of the relay.
+            incarnation: incarnation of the relay; only the registered one can confirm.
+            numbers: numbers of the confirmed evacuations, by backend.
+        """
         if self.relays.get(name) != incarnation:
-            return None  # it has to register first: it may not know what has changed since
+            return None  # an unregistered process may not know the current evacuations
         evacuations = dict(self.evacuations)
         for backend, number in numbers.items():
             evacuation = evacuations.get(backend)
@@ -200,10 +229,14 @@
     # Operators
 
     def with_request(self, request: MaintenanceRequest, known_version: float = 0) -> MaintenanceState | None:
-        """Queue a request, or record it as refused where it conflicts with another one.
+        """Queue a request, or record it as refused if it conflicts with another one.
 
-        An equal request that is queued stays as it is. `known_version` is the version that was known when the request
-        was made: a delayed command must not repeat a request that has ended since.
+        An equal request that is already queued stays unchanged.
+
+        Args:
+            request: the request.
+            known_version: version of the state that was known when the request was made. A request that has ended
+                since is not repeated, so that a delayed command has no effect.
         """
         request_id = request.id
         existing = self.requests.get(request_id)
@@ -222,7 +255,7 @@
         return self.successor(requests=requests)
 
     def _refusal(self, request: MaintenanceRequest, other_requests: Mapping[str, RequestStatus]) -> str:
-        """Return why the request is refused beside the other requests; empty where it is not."""
+        """Return why the request is refused in view of the other requests, or an empty string if it is accepted."""
         request_ids: dict[str, str] = {}
         for request_id, status in self.requests.items():
             if status.state == QUEUED:
@@ -236,9 +269,13 @@
         return ""
 
     def with_request_cancelled(self, request_id: str, queued_at_version: int) -> MaintenanceState | None:
-        """Cancel a queued request. Emptying backends return to service, free ones stay out until their work is done.
+        """Cancel a queued request.
+
+        Emptying backends return to service at once; free ones stay out of service until their work is completed.
 
-        `queued_at_version` tells it from an equal request that was queued later.
+        Args:
+            request_id: id of the request.
+            queued_at_version: version with which it was queued, which distinguishes it from an equal later request.
         """
         status = self.requests.get(request_id)
         if status is None or status.state != QUEUED or status.changed_at_version != queued_at_version:
@@ -252,14 +289,14 @@
         return self.successor(requests={**self.requests, request_id: cancelled}, evacuations=evacuations)
 
     def with_work_completed(self, backend: str, number: int) -> MaintenanceState | None:
-        """Return a free backend to service, to warm up. A command for an earlier evacuation has no effect."""
+        """Return a free backend to service, where it warms up. The number of an earlier evacuation has no effect."""
         evacuation = self.evacuations.get(backend)
         if evacuation is None or evacuation.stage != FREE or evacuation.number != number:
             return None
         return self.successor(evacuations={**self.evacuations, backend: replace(evacuation, stage=WARMING)})
 
     def with_backend_abandoned(self, backend: str, number: int) -> MaintenanceState | None:
-        """End the evacuation of a free or warming backend that does not return, or is not waited for."""
+        """End the evacuation of a free or warming backend without waiting for its return."""
         evacuation = self.evacuations.get(backend)
         if evacuation is None or evacuation.stage == EMPTYING or evacuation.number != number:
             return None
@@ -267,7 +304,7 @@
         return self.successor(evacuations=evacuations)._with_completed_requests()
 
     def with_pause(self, reason: str, by_operator: bool = False) -> MaintenanceState | None:
-        """Start no evacuations, and revert those in progress: after a fault, under pressure, or for an operator."""
+        """Pause: start no evacuations and revert those of emptying backends, after a fault or for an operator."""
         emptying = [backend for backend, evacuation in self.evacuations.items() if evacuation.stage == EMPTYING]
         already_paused = self.paused_by_operator or (self.pause_reason and not by_operator)
         if not emptying and already_paused:
@@ -279,7 +316,11 @@
         )
 
     def without_pause(self, reason: str = "") -> MaintenanceState | None:
-        """End a pause. `reason` is that of the pause which an operator ends; without it, one by an operator stays."""
+        """End a pause.
+
+        Args:
+            reason: reason of the pause that an operator ends. If empty, only a pause after a fault ends.
+        """
         if not self.pause_reason:
             return None
         may_end = self.pause_reason == reason if reason else not self.paused_by_operator
@@ -288,7 +329,7 @@
     # Progress
 
     def advanced(self, backends: Mapping[str, BackendObservation]) -> MaintenanceState | None:
-        """End the evacuations of backends that are warmed up, and start the next evacuation that the limits allow."""
+        """End the evacuations of backends that have warmed up, and start the next evacuation that the limits allow."""
         warmed_up = [
             name
             for name, evacuation in self.evacuations.items()
@@ -323,7 +364,7 @@
         )
 
     def _with_completed_requests(self) -> MaintenanceState:
-        """Mark the requests as done that have no backend waiting or out."""
+        """Mark queued requests as done if none of their backends is waiting or out of service."""
         evacuated = {evacuation.request_id for evacuation in self.evacuations.values()}
         requests = {}
         for request_id, status in self.requests.items():
@@ -332,7 +373,10 @@
         return replace(self, requests=requests)
 
     def with_evacuations_reverted(self, backends: Collection[str]) -> MaintenanceState:
-        """Return the backends to service and to the head of the queue; their next evacuations get new numbers."""
+        """Return the backends to service and put them at the head of their requests' queues.
+
+        Their next evacuations get new numbers, so confirmations of the reverted ones do not count.
+        """
         requests = dict(self.requests)
         for backend in backends:
             request_id = self.evacuations[backend].request_id
@@ -344,13 +388,13 @@
     # Voters
 
     def with_voter(self, name: str, identity: str) -> MaintenanceState | None:
-        """Add a voter, or replace the file of one."""
+        """Add a voter, or replace the identity of a voter's file."""
         if self.voters.get(name) == identity:
             return None
         return self.successor(voters={**self.voters, name: identity}, epoch=self.epoch + 1)
 
     def without_voter(self, name: str) -> MaintenanceState | None:
-        """Remove a voter, unless it is the last one."""
+        """Remove a voter, unless it is the last."""
         if name not in self.voters or len(self.voters) == 1:
             return None
         voters = {other: identity for other, identity in self.voters.items() if other != name}
@@ -358,7 +402,7 @@
 
 
 def _waiting_in_order(status: RequestStatus, backends: Mapping[str, BackendObservation]) -> tuple[str, ...]:
-    """Return the waiting backends in the order that the request wants."""
+    """Return the waiting backends in the order that the request specifies."""
     if status.request.order != ORDER_FEWEST:
         return status.waiting
     return tuple(sorted(status.waiting, key=lambda name: backends[name].connections if name in backends else 0))
--- a/yarrowspindle/maintenance/status_report.py
+++ b/yarrowspindle/maintenance/status_report.py
@@ -1,6 +1,6 @@
-"""What operators are shown of maintenance: requests, backends out of service, and what each waits for.
+"""Status of maintenance for operators: requests, backends out of service, and what each backend waits for.
 
-Pure, and it decides nothing. JSON keys and texts are published.
+Read-only and without I/O. JSON keys and texts are published.
 """
 
 from __future__ import annotations
@@ -12,11 +12,17 @@
 from yarrowspindle.maintenance.requests import QUEUED, RequestStatus
 from yarrowspindle.maintenance.state import EMPTYING, FREE, WARMING
 
-MAJORITY_TIMEOUT_MS = 25_000.0  # after which a majority that was not heard is shown as missing
+MAJORITY_TIMEOUT_MS = 25_000.0  # without a majority, before the status shows it as missing
 
 
 def waiting_reasons(coordinator: MaintenanceCoordinator, backend: str, members: Collection[str]) -> list[str]:
-    """Return what a backend that is out of service waits for, one text for each cause."""
+    """Return what a backend that is out of service waits for, one text for each cause.
+
+    Args:
+        coordinator: coordinator of this relay.
+        backend: name of the backend.
+        members: names of the reachable relays.
+    """
     stage = coordinator.adopted.evacuations[backend].stage
     if stage == FREE:
         return ["the operator's done"]
@@ -49,7 +55,11 @@
 ) -> dict[str, Any]:
     """Return the status as a JSON object.
 
-    `adopted_at` is when this relay adopted each evacuation, by number. Times are in milliseconds.
+    Args:
+        coordinator: coordinator of this relay.
+        now: current time in milliseconds.
+        adopted_at: time in milliseconds when this relay adopted each evacuation, by number.
+        members: names of the reachable relays.
     """
     state = coordinator.adopted
     since_majority_ms = now - coordinator.majority_known_at
@@ -125,7 +135,7 @@
 
 
 def gauges(coordinator: MaintenanceCoordinator, now: float) -> dict[str, float]:
-    """Return the gauges for the metrics by published name; `now` is in milliseconds."""
+    """Return the gauges by published name; `now` is the current time in milliseconds."""
     state = coordinator.adopted
     stages = [evacuation.stage for evacuation in state.evacuations.values()]
     waiting = sum(len(status.waiting) for status in state.requests.values() if status.state == QUEUED)
@@ -143,7 +153,7 @@
 
 
 def format_table(status: Mapping[str, Any]) -> str:
-    """Return the object of `report` as text for a terminal."""
+    """Return the result of `report` as a text table for a terminal."""
     lines = [*_header_lines(status), "", f"{'machine':20} {'turn':>5} {'stage':9} {'since':>8}  waits for"]
     for entry in status["out"]:
         lines.append(
