--- a/tests/subsets/test_leases.py
+++ b/tests/subsets/test_leases.py
@@ -1,4 +1,4 @@
-"""Budgets spent together: never more than the total, whatever is lost; met by need soon after the faults."""
+"""Leases of shared budgets: never more than the total under faults, and needs are met soon after them."""
 
 from __future__ import annotations
 
@@ -16,6 +16,7 @@
         assert 0.0 <= result.met_s <= 10.0, f"seed {seed}: not met"
 
 
+# A seed for which the model detects each defect.
 SEED_BY_DEFECT = {
     "no margin": 182,
     "lends at once after a start": 32,
@@ -43,21 +44,21 @@
 def test_a_pool_counts_a_lease_as_in_use_until_it_has_certainly_ended() -> None:
     pool, retention_ms = QuotaPool(100.0, TERM_MS, 0.0), TERM_MS * (1.0 + CLOCK_MARGIN)
     assert pool.on_request(1.0, "a", LeaseRequest(1, 1, 0, 500.0)) is None, (
-        "a process before this one may have lent it all"
+        "the process before this one may have granted all of it"
     )
     now = retention_ms + 1.0
     first_grant = pool.on_request(now, "a", LeaseRequest(1, 2, 0, 500.0))
     assert first_grant is not None and first_grant.amount == 100.0
     other_grant = pool.on_request(now + 1.0, "b", LeaseRequest(1, 1, 0, 500.0))
-    assert other_grant is not None and other_grant.amount == 0.0, "a may be using it"
-    assert pool.on_request(now + 2.0, "a", LeaseRequest(1, 2, 0, 500.0)) is None, "doubled"
+    assert other_grant is not None and other_grant.amount == 0.0, "a may still use all of it"
+    assert pool.on_request(now + 2.0, "a", LeaseRequest(1, 2, 0, 500.0)) is None, "a duplicate"
     reduced_grant = pool.on_request(now + 2.0, "a", LeaseRequest(1, 3, 2, 500.0))
     assert reduced_grant is not None and reduced_grant.amount == 50.0 and pool.outstanding(now + 2.0) == 100.0, (
-        "it may not have heard yet"
+        "a may not have received the smaller lease yet"
     )
     pool.on_request(now + 3.0, "a", LeaseRequest(1, 4, 3, 500.0))
     later_grant = pool.on_request(now + 4.0, "b", LeaseRequest(1, 2, 1, 500.0))
-    assert later_grant is not None and later_grant.amount == 50.0, "now it has"
+    assert later_grant is not None and later_grant.amount == 50.0, "a has reported the smaller lease"
 
 
 def test_the_term_of_a_lease_runs_from_its_request() -> None:
@@ -66,7 +67,7 @@
     grant = QuotaPool(100.0, TERM_MS, -9000.0).on_request(0.0, "me", request)
     assert grant is not None and grant.amount == 45.0
     holder.on_grant(1500.0, "b", grant)
-    assert holder.budget(1500.0) == 5.0, "that bank was not asked"
+    assert holder.budget(1500.0) == 5.0, "the request was not sent to that pool"
     ((_, request),) = holder.requests(100.0, 50.0)
     grant = QuotaPool(100.0, TERM_MS, -9000.0).on_request(0.0, "me", request)
     assert grant is not None
--- a/tests/subsets/test_subset_ring.py
+++ b/tests/subsets/test_subset_ring.py
@@ -1,4 +1,4 @@
-"""Arcs to the m-th successor: even cover, few changes, no history."""
+"""The subset ring: even coverage, few changes when a relay joins, no dependence on history."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 def test_subsets_depend_only_on_the_current_relays_and_backends() -> None:
     random, ring = Random(4), SubsetRing()
     relays, backends = {f"r{n}": 1.0 + n % 3 for n in range(30)}, [f"s{n}" for n in range(80)]
-    for _ in range(300):  # anything at all before
+    for _ in range(300):  # a random history
         kind, number = random.randrange(4), random.randrange(40)
         if kind == 0:
             ring.set_relay(f"r{number}", random.choice((0.3, 1.0, 9.0, 100.0)))
@@ -55,7 +55,9 @@
         "s": 1
     }
     ring = ring_of({f"r{n}": 10.0 if n == 0 else 1.0 for n in range(100)}, [f"s{n}" for n in range(400)])
-    assert set(ring.subset("nobody").weights) == set(ring.backends), "who is not a member yet draws from all"
+    assert set(ring.subset("nobody").weights) == set(ring.backends), (
+        "a relay that is not a member yet uses all backends"
+    )
     assert len(ring.subset("r0")) > 3 * len(ring.subset("r1"))
     assert (
         point_count(0.0) == POINTS_PER_RELAY // 4
--- a/yarrowspindle/subsets/__init__.py
+++ b/yarrowspindle/subsets/__init__.py
@@ -1,6 +1,7 @@
-"""Which backends a relay draws from, and budgets that relays share; each relay works it out alone. Pure.
+"""Subsets of the backends that each relay uses, and budgets that relays share. Without I/O.
 
-Not wired into the daemon yet; `docs/design/subsets.md` says what stands.
+`subset_ring` assigns the subsets, `leases` the budgets. Each relay computes its own. The daemon does not use this
+package yet; its status is in `docs/design/subsets.md`.
 """
 
 from yarrowspindle.subsets.subset_ring import Subset, SubsetRing
--- a/yarrowspindle/subsets/leases.py
+++ b/yarrowspindle/subsets/leases.py
@@ -1,14 +1,17 @@
-"""Budgets that relays share by leases. Pure: pools that grant, holders that spend.
-
-A total (of slow-start admissions, retries, health checks, migrations or a tenant's quota) is cut into a reserve, of
-which each relay has its part for good, and the rest. The rest is cut among a few pools, at relays that the operator
-names; each pool alone grants its part, so nothing has to be agreed on, and what is leased is never more than there is:
-
-1. A pool grants no more than its quota, less all that it granted and that may still be in use.
-2. A lease runs at the holder for a term from when it *requested* it, at the pool for a term and a margin from when it
-   *granted* it; both by their own monotonic clocks, which run apart by less than the margin.
-3. A holder uses its newest lease of each pool only; a duplicate or late grant has an older number.
-4. A pool that starts grants nothing for a term and the margin: leases of the process before it may be in use.
+"""Budgets that relays share by leases: pools grant them, holders spend them. Without I/O.
+
+A total (of slow-start admissions, retries, health checks, migrations or a tenant's quota) is divided into a reserve, of
+which each relay permanently has its part, and the rest. The rest is divided among a few pools, at relays that the
+operator names. Each pool grants its part independently, so the relays need no consensus. The leases in use never exceed
+the total:
+
+1. A pool grants no more than its quota minus the leases that may still be in use.
+2. A lease lasts one term at the holder, from the time when the holder *requested* it, and one term plus a margin at the
+   pool, from the time when the pool *granted* it. Both use their own monotonic clock; the clocks drift apart by less
+   than the margin.
+3. A holder uses only its newest lease of each pool. A duplicate or delayed grant has an older number.
+4. A pool grants nothing for one term plus the margin after it starts, because leases of the process before it may still
+   be in use.
 """
 
 from __future__ import annotations
@@ -16,22 +19,22 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-CLOCK_MARGIN = 0.05  # of a term: clocks do not run apart by more
-MAX_HOLDERS = 1024
-MIN_NEED_FRACTION = 0.1  # of an equal part, granted also to a holder without need, so that a first need is met at once
+CLOCK_MARGIN = 0.05  # fraction of a term; bounds the drift between two monotonic clocks
+MAX_HOLDERS = 1024  # with an account at one pool
+MIN_NEED_FRACTION = 0.1  # of an equal share, granted without need as well, so that a first need is met at once
 
 HolderId = tuple[str, int]  # a relay's name and incarnation
 
 
 @dataclass(slots=True, frozen=True)
 class LeaseRequest:
-    """What a holder sends to a pool.
+    """Request of a holder for a lease, sent to a pool.
 
     Attributes:
-        incarnation: of the holder's process.
-        number: grows with each request.
-        held_lease_number: the number of the newest lease that the holder has of this pool; 0: none.
-        need: as much as it could spend.
+        incarnation: incarnation of the holder's process.
+        number: request number, which increases with each request.
+        held_lease_number: number of the newest lease of this pool that the holder has; 0 for none.
+        need: amount that the holder could spend.
     """
 
     incarnation: int
@@ -42,7 +45,13 @@
 
 @dataclass(slots=True, frozen=True)
 class LeaseGrant:
-    """What a pool answers: an amount under the number of the request."""
+    """Response of a pool: a lease of an amount.
+
+    Attributes:
+        incarnation: incarnation in the request.
+        number: number of the request, which is also that of the lease.
+        amount: amount that the holder may spend.
+    """
 
     incarnation: int
     number: int
@@ -51,7 +60,7 @@
 
 @dataclass(slots=True, frozen=True)
 class GrantedLease:
-    """A lease as its pool sees it. `until`: when it is certainly no longer in use."""
+    """Lease as its pool records it; `until` is the time after which it is certainly not in use."""
 
     amount: float
     until: float
@@ -59,13 +68,13 @@
 
 @dataclass(slots=True)
 class Account:
-    """What one holder may have in use.
+    """Leases that one holder may have in use.
 
     Attributes:
-        leases: by the number of their requests.
-        need: as last requested.
-        last_requested_at: when the holder last requested a lease.
-        newest_request_number: the highest number of its requests.
+        leases: leases by number.
+        need: need in the newest request.
+        last_requested_at: time of the newest request.
+        newest_request_number: number of the newest request.
     """
 
     leases: dict[int, GrantedLease] = field(default_factory=dict)
@@ -74,12 +83,16 @@
     newest_request_number: int = 0
 
     def outstanding(self, now: float) -> float:
-        """Returns the most that may be in use: the holder uses one of its leases, the pool cannot know which."""
+        """Return the maximum amount in use: the holder uses one of its leases, but the pool cannot know which."""
         return max((lease.amount for lease in self.leases.values() if now < lease.until), default=0.0)
 
 
 def max_min_fair_shares(total: float, needs: Mapping[HolderId, float]) -> dict[HolderId, float]:
-    """Divides a total by need: to nobody more than needed, the same to all that need more. What is over is left."""
+    """Return the max-min fair shares of a total.
+
+    No holder receives more than it needs, and all holders that need more than their share receive equal shares. If the
+    needs add up to less than the total, the remainder is not assigned.
+    """
     shares: dict[HolderId, float] = {}
     remaining = total
     unserved = len(needs)
@@ -91,12 +104,12 @@
 
 
 class QuotaPool:
-    """The granting side of one part of a budget.
+    """Pool that grants leases of one part of a budget.
 
     Args:
-        quota: what this pool may grant in all.
-        term_ms: of a lease, at its holder.
-        now: milliseconds of this process's monotonic clock.
+        quota: amount that this pool may grant in total.
+        term_ms: term of a lease at its holder.
+        now: current time in milliseconds of this process's monotonic clock.
     """
 
     def __init__(self, quota: float, term_ms: float, now: float) -> None:
@@ -107,11 +120,14 @@
 
     @property
     def retention_ms(self) -> float:
-        """How long a granted lease may be in use, by this process's clock."""
+        """Time for which a granted lease may be in use, in milliseconds of this process's clock."""
         return self.term_ms * (1.0 + CLOCK_MARGIN)
 
     def on_request(self, now: float, name: str, request: LeaseRequest) -> LeaseGrant | None:
-        """Grants a lease to the relay of this name; None: the request is a duplicate, too early, or one too many."""
+        """Grant a lease to the relay of this name.
+
+        Return None if the request is a duplicate, or comes before the pool may grant, or if there are too many holders.
+        """
         holder = (name, request.incarnation)
         account = self._account(now, holder)
         if account is None or request.number <= account.newest_request_number:
@@ -119,7 +135,7 @@
         account.newest_request_number = request.number
         account.need = max(request.need, 0.0)
         account.last_requested_at = now
-        # Leases older than the one that it holds are no longer used.
+        # The holder no longer uses leases that are older than the one it reports.
         account.leases = {
             number: lease
             for number, lease in account.leases.items()
@@ -132,7 +148,7 @@
         return LeaseGrant(request.incarnation, request.number, amount)
 
     def _account(self, now: float, holder: HolderId) -> Account | None:
-        """Returns the holder's account, a new one where there is room."""
+        """Return the holder's account, which is created if necessary; None if there are too many accounts."""
         account = self.accounts.get(holder)
         if account is not None:
             return account
@@ -144,7 +160,7 @@
         return account
 
     def _share(self, now: float, holder: HolderId) -> float:
-        """Returns the holder's part of the quota by need."""
+        """Return the holder's max-min fair share of the quota among the holders that requested recently."""
         active = {
             other: account.need
             for other, account in self.accounts.items()
@@ -154,7 +170,7 @@
         return max_min_fair_shares(self.quota, {other: max(need, min_need) for other, need in active.items()})[holder]
 
     def _free(self, now: float, holder: HolderId) -> float:
-        """Returns what the other holders certainly do not use."""
+        """Return the part of the quota that the other holders certainly do not use."""
         used = sum(account.outstanding(now) for other, account in self.accounts.items() if other != holder)
         return max(0.0, self.quota - used)
 
@@ -164,13 +180,13 @@
                 del self.accounts[holder]
 
     def outstanding(self, now: float) -> float:
-        """Returns the most that may be in use of this pool's quota."""
+        """Return the maximum amount of this pool's quota in use."""
         return sum(account.outstanding(now) for account in self.accounts.values())
 
 
 @dataclass(slots=True)
 class HeldLease:
-    """A lease as its holder sees it: spent until `until`, milliseconds of its own clock."""
+    """Lease as its holder records it; `until` is its end in milliseconds of the holder's own clock."""
 
     number: int = 0
     amount: float = 0.0
@@ -179,20 +195,20 @@
 
 @dataclass(slots=True, frozen=True)
 class PendingRequest:
-    """A request without its answer."""
+    """Request that awaits its response."""
 
     pool: str
     sent_at: float
 
 
 class QuotaHolder:
-    """One relay's side of one budget.
+    """Holder of one relay's leases of one budget.
 
     Args:
-        incarnation: of this process.
-        reserve: what this relay may always spend.
-        term_ms: of a lease.
-        pools: the names of the relays that grant.
+        incarnation: incarnation of this process.
+        reserve: amount that this relay may always spend.
+        term_ms: term of a lease.
+        pools: names of the relays with a pool of the budget.
     """
 
     def __init__(self, incarnation: int, reserve: float, term_ms: float, pools: tuple[str, ...]) -> None:
@@ -205,11 +221,11 @@
         self.leases = {pool: HeldLease() for pool in pools}
 
     def requests(self, now: float, need: float) -> list[tuple[str, LeaseRequest]]:
-        """Returns a request for each pool; to be called a few times in a term.
+        """Return a request for each pool. The caller sends requests several times in each term.
 
         Args:
-            now: milliseconds of this process's monotonic clock.
-            need: as much as this relay could spend now, in all.
+            now: current time in milliseconds of this process's monotonic clock.
+            need: amount that this relay could spend now, in total.
         """
         self.pending = {
             number: request for number, request in self.pending.items() if now < request.sent_at + self.term_ms
@@ -224,7 +240,7 @@
         return requests
 
     def on_grant(self, now: float, pool: str, grant: LeaseGrant) -> None:
-        """Takes a lease, unless it is another process's, a duplicate, or older than the one that is held."""
+        """Accept a lease, unless it is for another process, a duplicate, or older than the lease that is held."""
         request = self.pending.pop(grant.number, None)
         if request is None or request.pool != pool or grant.incarnation != self.incarnation:
             return
@@ -232,5 +248,5 @@
             self.leases[pool] = HeldLease(grant.number, grant.amount, request.sent_at + self.term_ms)
 
     def budget(self, now: float) -> float:
-        """Returns what this relay may spend now."""
+        """Return the amount that this relay may spend now."""
         return self.reserve + sum(lease.amount for lease in self.leases.values() if now < lease.until)
--- a/yarrowspindle/subsets/subset_ring.py
+++ b/yarrowspindle/subsets/subset_ring.py
@@ -1,6 +1,8 @@
-"""Which backends a relay draws from: consistent hashing in which every place lies under exactly m points of relays.
+"""Subset of the backends that each relay uses, by consistent hashing with equally many arcs over each backend.
 
-No history and no leader: the same members and the same endpoint list give the same subsets at all relays.
+Each relay has points on a hash ring. An arc reaches from each point up to the m-th point after it, so that each
+position lies within exactly m arcs. A relay uses the backends within its arcs. The result depends on the current
+members and endpoint list only: relays that agree on them compute the same subsets, without history or a leader.
 """
 
 from __future__ import annotations
@@ -12,24 +14,27 @@
 from math import ceil, sqrt
 
 HASH_BYTES = 8
-POINTS_PER_RELAY = 64  # of a relay with the mean traffic
-MAX_POINTS_FACTOR = 8  # times that, of a relay with more traffic
-TRAFFIC_STEPS = 4  # a mean traffic is counted in quarters, so that small changes change nothing
-EVENNESS_FACTOR = 24.0  # the fullest backend has about 1 + 2.7 / EVENNESS_FACTOR times the mean
-MIN_BACKENDS = 12  # of a relay, so that two draws are left when a quarter of them is lost
-MIN_POINTS_PER_BACKEND = (
-    16  # relays over each backend, so that chance evens out; up to twice as many draw from all backends
-)
+POINTS_PER_RELAY = 64  # for a relay with the mean traffic
+MAX_POINTS_FACTOR = 8  # limit for a relay with more traffic, in multiples of POINTS_PER_RELAY
+TRAFFIC_STEPS = 4  # traffic is rounded to quarters of the mean, so that small changes move no points
+EVENNESS_FACTOR = 24.0  # the most loaded backend has about 1 + 2.7 / EVENNESS_FACTOR times the mean load
+MIN_BACKENDS = 12  # of a relay, so that two draws remain possible after the loss of a quarter of them
+# Averages out the random differences between relays. In a fleet of up to twice as many relays each uses all backends.
+MIN_POINTS_PER_BACKEND = 16
 
 
 def ring_position(text: str) -> int:
-    """Returns the place of a name on the ring, of 64 bits."""
+    """Return the 64-bit position of a name on the ring."""
     return int.from_bytes(blake2b(text.encode(), digest_size=HASH_BYTES).digest(), "big")
 
 
 @dataclass(slots=True, frozen=True)
 class Subset:
-    """The backends that a relay draws from. `weights`: in how many of its arcs each lies; draws are weighed by it."""
+    """Backends that a relay uses.
+
+    Attributes:
+        weights: number of the relay's arcs that each backend lies in, by which random choices are weighted.
+    """
 
     weights: Mapping[str, int] = field(default_factory=dict)
 
@@ -38,22 +43,22 @@
 
 
 def point_count(traffic: float) -> int:
-    """Returns how many points a relay has on the ring. `traffic`: its own, over that of a mean relay."""
+    """Return the number of points of a relay on the ring. `traffic` is relative to the mean of all relays."""
     points = round(TRAFFIC_STEPS * traffic) * POINTS_PER_RELAY // TRAFFIC_STEPS
     return max(POINTS_PER_RELAY // TRAFFIC_STEPS, min(POINTS_PER_RELAY * MAX_POINTS_FACTOR, points))
 
 
 class SubsetRing:
-    """The ring as one relay sees it. Subsets are worked out when they are asked for.
+    """Hash ring as one relay knows it. Subsets are computed on demand.
 
     Args:
-        subset_fraction: of all backends, that a relay with the mean traffic is to have.
+        subset_fraction: fraction of all backends that a relay with the mean traffic is to use.
 
     Attributes:
-        relays: name -> its number of points.
-        backends: name -> its place.
-        relay_points: places of the relays' points, sorted.
-        backend_positions: places of the backends, sorted.
+        relays: number of points of each relay, by name.
+        backends: position of each backend, by name.
+        relay_points: position and relay of all points, sorted.
+        backend_positions: position and name of all backends, sorted.
     """
 
     def __init__(self, subset_fraction: float = 0.1) -> None:
@@ -62,16 +67,16 @@
         self.backends: dict[str, int] = {}
         self.relay_points: list[tuple[int, str]] = []
         self.backend_positions: list[tuple[int, str]] = []
-        self._point_positions: dict[str, list[int]] = {}  # of each relay, as far as they were worked out
+        self._point_positions: dict[str, list[int]] = {}  # by relay; extended on demand
 
     def _positions_of_points(self, name: str, count: int) -> list[int]:
-        """Returns the places of the relay's first points."""
+        """Return the positions of the first `count` points of the relay."""
         known = self._point_positions.setdefault(name, [])
         known += [ring_position(f"{name}/{number}") for number in range(len(known), count)]
         return known[:count]
 
     def set_relay(self, name: str, traffic: float = 1.0) -> None:
-        """Adds a relay, or changes its traffic (over that of a mean relay)."""
+        """Add a relay or change its traffic, which is relative to the mean of all relays."""
         count = point_count(traffic)
         former_count = self.relays.get(name, 0)
         if count == former_count:
@@ -84,25 +89,30 @@
             del self.relay_points[bisect_left(self.relay_points, (position, name))]
 
     def remove_relay(self, name: str) -> None:
-        """Removes a relay; one that is not there changes nothing."""
+        """Remove a relay. An unknown relay has no effect."""
         for position in self._positions_of_points(name, self.relays.pop(name, 0)):
             del self.relay_points[bisect_left(self.relay_points, (position, name))]
         self._point_positions.pop(name, None)
 
     def add_backend(self, name: str) -> None:
-        """Adds a backend; one that is there already changes nothing."""
+        """Add a backend. A known backend has no effect."""
         if name not in self.backends:
             self.backends[name] = ring_position(name)
             insort(self.backend_positions, (self.backends[name], name))
 
     def remove_backend(self, name: str) -> None:
-        """Removes a backend; one that is not there changes nothing."""
+        """Remove a backend. An unknown backend has no effect."""
         position = self.backends.pop(name, None)
         if position is not None:
             del self.backend_positions[bisect_left(self.backend_positions, (position, name))]
 
     def set_view(self, relays: Mapping[str, float], backends: Iterable[str]) -> None:
-        """Takes in a whole view: what is not in it is removed. `relays`: name -> traffic."""
+        """Replace all relays and backends.
+
+        Args:
+            relays: traffic of each relay relative to the mean, by name.
+            backends: names of the backends.
+        """
         for name in [name for name in self.relays if name not in relays]:
             self.remove_relay(name)
         for name, traffic in relays.items():
@@ -115,18 +125,22 @@
 
     @property
     def points_per_backend(self) -> int:
-        """How many points lie over each backend: a power of two, so that it seldom changes."""
+        """Number of arcs that each backend lies in, which is a power of two so that it rarely changes."""
         if not self.relay_points or not self.backend_positions:
             return 0
         relays = len(self.relay_points) / POINTS_PER_RELAY
         backends = len(self.backend_positions)
         fraction = max(self.subset_fraction, 2 * MIN_BACKENDS / backends)
-        # By chance a relay has more or fewer backends than its part; over a backend that evens out among so many.
+        # The number of backends of a relay varies randomly; the variation averages out over this many relays.
         required = ceil(max(MIN_POINTS_PER_BACKEND, fraction * relays, EVENNESS_FACTOR * sqrt(relays / backends)))
         return min(len(self.relay_points), 1 << (required - 1).bit_length())
 
     def subset(self, name: str) -> Subset:
-        """Returns the subset of this relay: all backends, each once, where arcs would be no smaller."""
+        """Return the subset of this relay.
+
+        A relay uses all backends, with equal weights, if it is unknown, if its arcs contain too few backends, or if the
+        arcs of a mean relay add up to more than half of the ring.
+        """
         points_per_backend = self.points_per_backend
         if (
             name not in self.relays
