--- a/tests/subsets/test_subset_ring.py
+++ b/tests/subsets/test_subset_ring.py
@@ -23,11 +23,11 @@
     assert row["load_max_over_mean"] <= row["load_all"] + 0.05 or backends <= 90
 
 
-def test_equally_many_points_cover_each_backend_and_each_relay_has_enough_backends() -> None:
+def test_equally_many_arcs_cover_each_backend_and_each_relay_has_enough_backends() -> None:
     ring = ring_of({f"r{n}": 1.0 for n in range(60)}, [f"s{n}" for n in range(300)])
     subsets = {name: ring.subset(name) for name in ring.relays}
     for backend in ring.backends:
-        assert sum(subset.weights.get(backend, 0) for subset in subsets.values()) == ring.points_per_backend
+        assert sum(subset.weights.get(backend, 0) for subset in subsets.values()) == ring.arcs_per_backend
     assert min(len(subset) for subset in subsets.values()) >= MIN_BACKENDS
 
 
--- a/yarrowspindle/subsets/subset_ring.py
+++ b/yarrowspindle/subsets/subset_ring.py
@@ -18,9 +18,9 @@
 MAX_POINTS_FACTOR = 8  # limit for a relay with more traffic, in multiples of POINTS_PER_RELAY
 TRAFFIC_STEPS = 4  # traffic is rounded to quarters of the mean, so that small changes move no points
 EVENNESS_FACTOR = 24.0  # the most loaded backend has about 1 + 2.7 / EVENNESS_FACTOR times the mean load
-MIN_BACKENDS = 12  # of a relay, so that two draws remain possible after the loss of a quarter of them
+MIN_BACKENDS = 12  # of a relay, so that two random draws remain after the loss of a quarter of them
 # Averages out the random differences between relays. In a fleet of up to twice as many relays each uses all backends.
-MIN_POINTS_PER_BACKEND = 16
+MIN_ARCS_PER_BACKEND = 16
 
 
 def ring_position(text: str) -> int:
@@ -124,15 +124,15 @@
             self.add_backend(name)
 
     @property
-    def points_per_backend(self) -> int:
+    def arcs_per_backend(self) -> int:
         """Number of arcs that each backend lies in, which is a power of two so that it rarely changes."""
         if not self.relay_points or not self.backend_positions:
             return 0
         relays = len(self.relay_points) / POINTS_PER_RELAY
         backends = len(self.backend_positions)
         fraction = max(self.subset_fraction, 2 * MIN_BACKENDS / backends)
-        # The number of backends of a relay varies randomly; the variation averages out over this many relays.
-        required = ceil(max(MIN_POINTS_PER_BACKEND, fraction * relays, EVENNESS_FACTOR * sqrt(relays / backends)))
+        # The number of backends of a relay varies randomly, which averages out over the relays of a backend.
+        required = ceil(max(MIN_ARCS_PER_BACKEND, fraction * relays, EVENNESS_FACTOR * sqrt(relays / backends)))
         return min(len(self.relay_points), 1 << (required - 1).bit_length())
 
     def subset(self, name: str) -> Subset:
@@ -141,16 +141,16 @@
         A relay uses all backends, with equal weights, if it is unknown, if its arcs contain too few backends, or if the
         arcs of a mean relay add up to more than half of the ring.
         """
-        points_per_backend = self.points_per_backend
+        arcs_per_backend = self.arcs_per_backend
         if (
             name not in self.relays
-            or 2 * POINTS_PER_RELAY * points_per_backend > len(self.relay_points)
+            or 2 * POINTS_PER_RELAY * arcs_per_backend > len(self.relay_points)
             or not self.backend_positions
         ):
             return self._all_backends()
         weights: dict[str, int] = {}
         for position in self._positions_of_points(name, self.relays[name]):
-            for backend in self._backends_in_arc(position, name, points_per_backend):
+            for backend in self._backends_in_arc(position, name, arcs_per_backend):
                 weights[backend] = weights.get(backend, 0) + 1
         if len(weights) < min(MIN_BACKENDS, len(self.backends)):
             return self._all_backends()
@@ -159,10 +159,10 @@
     def _all_backends(self) -> Subset:
         return Subset(dict.fromkeys(self.backends, 1))
 
-    def _backends_in_arc(self, start: int, name: str, points_per_backend: int) -> list[str]:
-        """Return the backends from a point of this relay up to the `points_per_backend`-th point after it."""
+    def _backends_in_arc(self, start: int, name: str, arcs_per_backend: int) -> list[str]:
+        """Return the backends within the arc that starts at this point of the relay."""
         first = bisect_left(self.relay_points, (start, name))
-        end = self.relay_points[(first + points_per_backend) % len(self.relay_points)][0]
+        end = self.relay_points[(first + arcs_per_backend) % len(self.relay_points)][0]
         low = bisect_left(self.backend_positions, (start, ""))
         high = bisect_left(self.backend_positions, (end, ""))
         inside = (
