--- a/yarrowspindle/maintenance/change_log.py
+++ b/yarrowspindle/maintenance/change_log.py
@@ -43,7 +43,7 @@
 def _pause_lines(old: MaintenanceState, new: MaintenanceState) -> list[str]:
     if new.pause_reason == old.pause_reason:
         return []
-    return [f"turns are paused: {new.pause_reason}" if new.pause_reason else "turns go on"]
+    return [f"maintenance is paused: {new.pause_reason}" if new.pause_reason else "maintenance resumes"]
 
 
 def _request_state_lines(old: MaintenanceState, new: MaintenanceState) -> list[str]:
--- a/yarrowspindle/maintenance/coordinator.py
+++ b/yarrowspindle/maintenance/coordinator.py
@@ -35,7 +35,7 @@
 from yarrowspindle.maintenance.peer_requests import PeerRequests, StateChange
 from yarrowspindle.maintenance.state import EMPTYING, MaintenanceState
 
-TICK = "tick"  # the only timer
+TICK = "tick"  # name of the only timer
 TICK_MS = 150.0
 ROUND_TIMEOUT_MS = 400.0
 MAX_RETRY_DELAY_MS = 1200.0
@@ -94,7 +94,7 @@
         self.peer_requests = PeerRequests(OWN_REGISTRATION_DELAY_MS)
         self.majority_reached_at = 0.0  # when this relay last reached a majority of the voters; 0: never
         self.version_confirmed_at = 0.0  # when a relay that had reached one last confirmed the version; 0: never
-        self.confirmable_since = 0.0  # since when a confirmation is due; 0: none is
+        self.confirmable_since = 0.0  # since when a confirmation has been due; 0: none is due
         self.round_started_at = 0.0
         self.reminded_at = 0.0
         self.last_fault_at = now
--- a/yarrowspindle/maintenance/status_report.py
+++ b/yarrowspindle/maintenance/status_report.py
@@ -12,7 +12,7 @@
 from yarrowspindle.maintenance.requests import QUEUED, RequestStatus
 from yarrowspindle.maintenance.state import EMPTYING, FREE, WARMING
 
-MAJORITY_TIMEOUT_MS = 25_000.0  # without a majority, before the status shows it as missing
+MAJORITY_TIMEOUT_MS = 25_000.0  # without contact to a majority, before the status reports it as missing
 
 
 def waiting_reasons(coordinator: MaintenanceCoordinator, backend: str, members: Collection[str]) -> list[str]:
@@ -161,7 +161,7 @@
             f"{'; '.join(entry['waits_for'])}"
         )
     if not status["out"]:
-        lines.append("(nothing is out)")
+        lines.append("(no machine is out of service)")
     for request in status["requests"]:
         reason = f": {request['why']}" if request["why"] else ""
         lines += ["", f"request {request['request']} {request['name']} is {request['state']}{reason}"]
@@ -176,9 +176,9 @@
     lines = [summary]
     if not status["majority"]:
         reason = status["why"] or "starting"
-        lines.append(f"NO MAJORITY of {', '.join(status['voters'])} heard: nothing new starts ({reason})")
+        lines.append(f"NO MAJORITY of {', '.join(status['voters'])} reached: no evacuation starts ({reason})")
     if status["paused"]:
-        lines.append(f"PAUSED{' by hand' if status['by_hand'] else ''}: {status['paused']}")
+        lines.append(f"PAUSED{' by an operator' if status['by_hand'] else ''}: {status['paused']}")
     if status["unreached"]:
-        lines.append(f"not reached: {', '.join(status['unreached'])}")
+        lines.append(f"relays not reached: {', '.join(status['unreached'])}")
     return lines
