--- a/benchmarks/library.py
+++ b/benchmarks/library.py
@@ -63,7 +63,7 @@
         relay.runtime.timers.clear()
         relay.reducer = relay.runtime.reducer = Reducer(settings, seed, fleet.clock.now())
         recorder = Recorder(out, settings, seed, fleet.clock.now())
-        relay.runtime.seen.append(recorder.event)
+        relay.runtime.event_observers.append(recorder.event)
         relay.post(fleet.whole_list())
         fleet.fill(5.0)
         while recorder.events < least:
--- a/benchmarks/soak/planted.py
+++ b/benchmarks/soak/planted.py
@@ -154,7 +154,7 @@
 
 def end_at_once() -> None:
     """At SIGTERM the process ends without a word to anybody."""
-    line_front.LineFront.end = lambda self, until: asyncio.sleep(0)  # type: ignore[method-assign]
+    line_front.LineFront.shut_down = lambda self, until: asyncio.sleep(0)  # type: ignore[method-assign]
     from yarrowspindle.daemon.relay_service import RelayService
 
     RelayService.begin_shutdown = lambda self: 50.0  # type: ignore[method-assign]
--- a/tests/daemon/test_failing_steps.py
+++ b/tests/daemon/test_failing_steps.py
@@ -28,7 +28,7 @@
 from yarrowspindle.runtime import SystemClock
 from yarrowspindle.runtime.endpoint_watch import EndpointWatch
 from yarrowspindle.runtime.health_checker import HealthChecker
-from yarrowspindle.telemetry.log import log_to
+from yarrowspindle.telemetry.log import configure_log
 
 DEADLINE_S = 0.9
 WHERE_FAILS: dict[str, Callable[[RelayService, LineFront], None]] = {
@@ -72,7 +72,7 @@
 
 
 def fail_effect(front: LineFront, effect: type) -> None:
-    front.effects[effect] = fail
+    front.effect_handlers[effect] = fail
 
 
 def fail_deadlines(hub: RelayService) -> None:
@@ -101,7 +101,7 @@
         writer.write(f"OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=charge,t=acme,d={1000 * DEADLINE_S:.0f}\r\n".encode())
         answer = await asyncio.wait_for(reader.read(), DEADLINE_S + 0.5)
         assert answer.split()[0] in (b"ERR", b"BUSY") and answer.count(b"\r\n") == 1
-        assert not front.backends and not front.reaching and not hub.reducer.requests, "nothing is kept of it"
+        assert not front.backends and not front.connect_attempts and not hub.reducer.requests, "nothing is kept of it"
         assert not hub.runtime.owners
 
     uvloop.run(body())
@@ -112,7 +112,7 @@
     """As the daemon sets it up. What a fault leaves behind is collected at once: a task whose exception nobody saw is
     told of when it is collected, and that must not fall into another's parsing of source (CPython 3.11 raises
     SystemError there)."""
-    log_to("INFO")
+    configure_log("INFO")
     yield
     gc.collect()
 
@@ -123,7 +123,7 @@
 async def watch_ends() -> None:
     told: list[EndpointsUpdated] = []
     watch = EndpointWatch(Names(), told.append, lambda why: None)
-    watch.ask(0, NOWHERE)
+    watch.open(0, NOWHERE)
     await asyncio.sleep(0.3)
     assert [list_told.kind for list_told in told] == [ListKind.FAILED]
     watch.close()
@@ -148,7 +148,7 @@
     reader, writer = await asyncio.open_connection(*hub.config.listen)
     writer.write(b"OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=charge,t=acme,d=900\r\n")
     assert (await asyncio.wait_for(reader.read(), 1.5)).split()[0] == b"BUSY"
-    assert not front.reaching and not hub.reducer.requests
+    assert not front.connect_attempts and not hub.reducer.requests
 
 
 @pytest.mark.parametrize("ends", (watch_ends, probe_ends, attempt_ends))
@@ -166,7 +166,7 @@
         hub.start()
         front = LineFront(hub, 200).start()
         hub.serving = True
-        hub.runtime.seen.append(fail)
+        hub.runtime.event_observers.append(fail)
         _, writer = await asyncio.open_connection(*hub.config.listen)
         writer.write(b"OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=charge,t=acme,d=900\r\n")
         for _ in range(100):
--- a/tests/daemon/test_starts_and_ends.py
+++ b/tests/daemon/test_starts_and_ends.py
@@ -231,7 +231,7 @@
         set_timer = timers.set
         monkeypatch.setattr(timers, "set", hold_and_set)
         await asyncio.sleep(until - loop.time())
-        await front.end(until + CLOSE_S)
+        await front.shut_down(until + CLOSE_S)
         assert holds
         assert not service.reducer.requests
         last = b"MOVE\r\n" if standing else b"ERR\r\n"  # what waits was sent to its backend, and may have run there
--- a/tests/library/test_library.py
+++ b/tests/library/test_library.py
@@ -94,7 +94,7 @@
 
     async def body(placer: Placer) -> None:
         seen: list[Event] = []
-        placer.runtime.seen.append(lambda now, event: seen.append(event))
+        placer.runtime.event_observers.append(lambda now, event: seen.append(event))
         async with placer.place() as standing, placer.place() as reaching:
             standing.up()
             standing.asked()  # a message is on its way as the loop stands still
@@ -131,7 +131,7 @@
     async def body() -> None:
         clock = JumpingClock()
         timers, ran = Timers(clock), list[object]()
-        timers.due = ran.append
+        timers.on_due = ran.append
         for delay, what in ((300.0, "c"), (100.0, "a"), (100.0, "b"), (200.0, "gone"), (5000.0, "later")):
             timers.set(delay, what)
         timers.cancel("gone")
@@ -398,7 +398,7 @@
 
     async def body() -> None:
         placer = Placer(SETTINGS, StaticList(MACHINES), seed=9)
-        placer.runtime.seen.append(Recorder(out, placer.core, 9, placer.clock.now()).event)
+        placer.runtime.event_observers.append(Recorder(out, placer.core, 9, placer.clock.now()).event)
         async with placer:
             for key in range(20):
                 async with placer.place(key=key) as placement:
--- a/tests/middleware/test_middleware.py
+++ b/tests/middleware/test_middleware.py
@@ -223,7 +223,7 @@
 def test_what_a_host_reads_from_the_request_reaches_the_core_and_a_wrong_class_is_a_400() -> None:
     async def body(app: Any, placer: Placer, go: dict[str, Any]) -> None:
         seen: list[Any] = []
-        placer.runtime.seen.append(lambda now, event: seen.append(event))
+        placer.runtime.event_observers.append(lambda now, event: seen.append(event))
         wrapped = PlacementMiddleware(
             app, placer, key=lambda s: 7, group=lambda s: 9, deadline=lambda s: 0.3, returned=lambda s: True
         )
--- a/tests/transport/test_call_outs.py
+++ b/tests/transport/test_call_outs.py
@@ -319,7 +319,7 @@
             if len(over) > 1:
                 return
             if next_check.startswith("leaves"):
-                checker.leave({"s-0", "s-1"})
+                checker.disconnect({"s-0", "s-1"})
             else:
                 for name in ("s-0", "s-1"):
                     if name in checker.backends:
@@ -330,7 +330,7 @@
         for number, backend in enumerate(idle):
             checker.probe(CheckHealth(f"s-{number}", backend.address, 500.0))
         checker.max_connections = 1
-        checker.leave({"s-0", "s-1"})
+        checker.disconnect({"s-0", "s-1"})
         assert not checker.backends.keys() & {"s-0", "s-1"}
         checker.close()
         for backend in idle:
--- a/tests/transport/test_connecting.py
+++ b/tests/transport/test_connecting.py
@@ -83,7 +83,7 @@
     hub.start()
     front = LineFront(hub, 200).start()
     hub.serving = True
-    reach = front.effects[OpenBackendConnection]
+    reach = front.effect_handlers[OpenBackendConnection]
     stalls = iter((turns,))
 
     def reach_and_stall(effect: OpenBackendConnection) -> None:
@@ -92,7 +92,7 @@
         if first is not None:
             stall_after(first)
 
-    front.effects[OpenBackendConnection] = reach_and_stall
+    front.effect_handlers[OpenBackendConnection] = reach_and_stall
     _, writer = await asyncio.open_connection(*hub.config.listen)
     writer.write(b"OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=charge,t=acme,d=900\r\n")
     await asyncio.sleep(0.6)
--- a/yarrowspindle/daemon/main.py
+++ b/yarrowspindle/daemon/main.py
@@ -21,7 +21,7 @@
 from yarrowspindle.fronts.connection_limiter import descriptors_left
 from yarrowspindle.fronts.line_front import LineFront
 from yarrowspindle.runtime import SystemClock
-from yarrowspindle.telemetry.log import log_to
+from yarrowspindle.telemetry.log import configure_log
 
 if TYPE_CHECKING:  # the platform does without these packages
     from yarrowspindle.daemon.maintenance_endpoint import MaintenanceEndpoint
@@ -178,7 +178,7 @@
         until = loop.time() + service.begin_shutdown() / 1000.0
         await asyncio.sleep(until - loop.time())
         if self.front is not None:
-            await self.front.end(until + CLOSE_S)
+            await self.front.shut_down(until + CLOSE_S)
         for task in self.reports:
             task.cancel()
         for endpoint in (self.configuration, self.maintenance, self.membership):
@@ -211,10 +211,10 @@
 def main() -> int:
     """Runs a relay, or the controller that the operator's file names. Returns the process's exit status."""
     signal.signal(signal.SIGHUP, signal.SIG_IGN)  # until it can be handled; the file is about to be read anyway
-    log_to("INFO")
+    configure_log("INFO")
     try:
         operator = load_operator()
-        log_to(operator.log_level)
+        configure_log(operator.log_level)
         if operator.control is not None and operator.control.role == "controller":
             from yarrowspindle.daemon import controller
 
--- a/yarrowspindle/daemon/maintenance_endpoint.py
+++ b/yarrowspindle/daemon/maintenance_endpoint.py
@@ -296,7 +296,7 @@
             self._recreate_voter_file()
         self.plan = self._plan(state)
         self.service.post(MaintenanceUpdated(self.plan))
-        self.service.health_checker.leave(frozenset(self.plan.deadlines_s or ()))
+        self.service.health_checker.disconnect(frozenset(self.plan.deadlines_s or ()))
 
     def _plan(self, state: MaintenanceState) -> MaintenancePlan:
         deadlines_s: dict[str, float] = {}
--- a/yarrowspindle/daemon/relay_service.py
+++ b/yarrowspindle/daemon/relay_service.py
@@ -91,14 +91,14 @@
         self.metrics.sources["runtime"] = self.runtime.counts
         self.metrics.sources["overload"] = lambda: self.reducer.balancer.overload_rejections
         self.metrics.sources["invariant_violations_total"] = self.guard.counts
-        self.runtime.seen.append(lambda now, event: self.metrics.event(event))
-        self.runtime.seen.append(lambda now, event: self.telemetry.on_event(event))
-        self.runtime.seen.append(self.guard.on_event)
+        self.runtime.event_observers.append(lambda now, event: self.metrics.event(event))
+        self.runtime.event_observers.append(lambda now, event: self.telemetry.on_event(event))
+        self.runtime.event_observers.append(self.guard.on_event)
         self.trace: Trace | None = None
         if self.operator.log_level in TRACE_LEVELS:
             self.trace = trace = Trace(logger.debug)
-            self.runtime.seen.append(lambda now, event: trace.on_event(event))
-        self.runtime.effect = self._observe_effect
+            self.runtime.event_observers.append(lambda now, event: trace.on_event(event))
+        self.runtime.effect_observer = self._observe_effect
 
     def _watch_discovery(self) -> None:
         self.endpoint_watch = EndpointWatch(
@@ -106,7 +106,7 @@
             self.post,
             lambda reason: logger.warning("the watch on the endpoint list ended: {}", reason),
         )
-        self.runtime.watch = self._watch
+        self.runtime.watch_endpoints = self._watch
 
     def _check_health(self) -> None:
         settings = self.config.settings
@@ -116,11 +116,11 @@
             settings.load_report_fields, idle_timeout_s, self.post, self.invalid_reports_log.warn
         )
         self.metrics.sources["probes"] = self.health_checker.counts
-        self.runtime.probe = self.health_checker.probe
-        self.runtime.unprobe = self._cancel_health_check
+        self.runtime.check_health = self.health_checker.probe
+        self.runtime.cancel_health_check = self._cancel_health_check
 
     def _cancel_health_check(self, effect: CancelHealthCheck) -> None:
-        self.health_checker.leave({effect.backend})
+        self.health_checker.disconnect({effect.backend})
 
     def start(self) -> None:
         """Starts the runtime with the endpoint list that the configuration has."""
@@ -247,7 +247,7 @@
             self.metrics.rebalance(self.reducer.rebalancer)
 
     def _watch(self, effect: WatchEndpoints) -> None:
-        self.endpoint_watch.ask(effect.version, effect.address or self.config.discovery, effect.renew)
+        self.endpoint_watch.open(effect.version, effect.address or self.config.discovery, effect.renew)
 
 
 def _reassigned_classes(old: Config, new: Config) -> frozenset[int]:
--- a/yarrowspindle/fronts/line_front.py
+++ b/yarrowspindle/fronts/line_front.py
@@ -78,7 +78,7 @@
         clients: the clients whose requests are not over, by request.
         opened: the first lines of requests that may still be forwarded.
         backends: of each request's attempt in flight, or its established connection.
-        reaching: attempts to connect to backends, by request.
+        connect_attempts: attempts to connect to backends, by request.
     """
 
     def __init__(self, service: RelayService, descriptors: int) -> None:
@@ -91,8 +91,8 @@
         self.clients: dict[int, ClientConnection] = {}
         self.opened: dict[int, Open] = {}
         self.backends: dict[int, BackendConnection] = {}
-        self.reaching: dict[int, Connecting] = {}
-        self.effects: dict[type, Callable[[Any], None]] = {
+        self.connect_attempts: dict[int, Connecting] = {}
+        self.effect_handlers: dict[type, Callable[[Any], None]] = {
             OpenBackendConnection: self._open_backend_connection,
             ForwardRequest: self._forward_request,
             AbortAttempt: self._abort_attempt,
@@ -113,7 +113,7 @@
         logger.info("{} serves at {}:{}", self.config.name, *self.config.listen)
         return self
 
-    async def end(self, until: float) -> None:
+    async def shut_down(self, until: float) -> None:
         """Ends all connections in order, once the reducer begins nothing any more.
 
         Whoever waits in the kernel is accepted and answered, whoever has sent no request is ended, and all are heard to
@@ -153,7 +153,7 @@
 
     def carry_out(self, effect: Effect) -> None:
         """Carries out an effect on a request of this front."""
-        handler = self.effects.get(type(effect))
+        handler = self.effect_handlers.get(type(effect))
         if handler is not None:  # a backend that is gone ends its connections itself
             handler(effect)
 
@@ -263,7 +263,7 @@
 
     def backend_connected(self, side: BackendConnection) -> None:
         """Posts it."""
-        self.reaching.pop(side.request, None)
+        self.connect_attempts.pop(side.request, None)
         self.network.works()
         if monotonic() > self.runtime.behind_at:
             self._report_delay(side)
@@ -308,12 +308,12 @@
         self.backends[effect.request] = side
         self.limiter.on_backend_connecting(side)
         connecting = Connecting(side, effect.address, lambda failure: self._on_unreached(side, failure))
-        self.reaching[effect.request] = connecting
+        self.connect_attempts[effect.request] = connecting
         connecting.start(effect.timeout_ms / 1000.0)
 
     def _on_unreached(self, side: BackendConnection, failure: ConnectFailure) -> None:
         """The attempt's connection did not come up, and never will: nothing was written on it."""
-        self.reaching.pop(side.request, None)
+        self.connect_attempts.pop(side.request, None)
         self.limiter.on_closed(side)
         if failure.unexpected:
             self.log_warning(f"a connection to execute node {side.backend} failed: {failure.error!r}")
@@ -332,7 +332,7 @@
         side = self.backends.pop(effect.request, None)
         if side is not None:
             side.drop()
-        connecting = self.reaching.pop(effect.request, None)
+        connecting = self.connect_attempts.pop(effect.request, None)
         if connecting is not None and side is not None and connecting.cancel():
             self.limiter.on_closed(side)
 
--- a/yarrowspindle/fronts/quic_front.py
+++ b/yarrowspindle/fronts/quic_front.py
@@ -67,7 +67,7 @@
         self.table = FlowTable(config.max_connections, config.idle_s)
         self.counts: Counter[str] = Counter()
         self.loop = asyncio.get_running_loop()
-        self.effects: dict[type, Callable[[Any], None]] = {
+        self.effect_handlers: dict[type, Callable[[Any], None]] = {
             OpenBackendConnection: self._open_backend_connection,
             ForwardRequest: self._forward_request,
             AbortAttempt: self._abort_attempt,
@@ -89,7 +89,7 @@
 
     def carry_out(self, effect: Effect) -> None:
         """Carries out an effect on a request of this front, or the removal of a backend."""
-        self.effects[type(effect)](effect)
+        self.effect_handlers[type(effect)](effect)
 
     # --- datagrams of clients ---------------------------------------------------------------------
 
--- a/yarrowspindle/lab/model/relay.py
+++ b/yarrowspindle/lab/model/relay.py
@@ -99,7 +99,7 @@
 
     def _virtual_due(self, what: object) -> None:
         self.named.pop(what, None)
-        self.due(what)
+        self.on_due(what)
 
     def clear(self) -> None:
         for what in list(self.named):
@@ -113,7 +113,7 @@
             Reducer(settings, seed, fleet.clock.now()), fleet.clock, self._log, VirtualTimers(fleet.clock)
         )
         self.reducer = self.runtime.reducer
-        self.runtime.probe = self._probe
+        self.runtime.check_health = self._probe
         self.zone = settings.zone
         self.clients: dict[int, Client] = {}
         self.attempts: dict[int, Attempt] = {}
--- a/yarrowspindle/library/placer.py
+++ b/yarrowspindle/library/placer.py
@@ -102,7 +102,7 @@
         self.class_names = [c.name for c in self.settings.classes] if self.settings else _numbered_names(self.core)
         self.max_requests = self.settings.jobs_most if self.settings else DEFAULT_MAX_REQUESTS
         self.runtime = Runtime(Reducer(self.core, self.seed, self.clock.now()), self.clock, self._log, timers)
-        self.runtime.watch = self._watch
+        self.runtime.watch_endpoints = self._watch
         if isinstance(self.clock, SystemClock):
             self.runtime.wall_step_ms = self.clock.wall_step_ms
         self.post: Callable[[Event], None] = self.runtime.post
--- a/yarrowspindle/library/sources.py
+++ b/yarrowspindle/library/sources.py
@@ -80,11 +80,11 @@
         from yarrowspindle.runtime.endpoint_watch import EndpointWatch  # needs httptools
 
         self.watch = EndpointWatch(self.names, told, failed)
-        self.watch.ask(0, self.address)
+        self.watch.open(0, self.address)
 
     def ask(self, version: int) -> None:
         """Opens a watch from this version on, where none is open."""
-        self.watch.ask(version, self.address)
+        self.watch.open(version, self.address)
 
     def close(self) -> None:
         """Closes the watch."""
--- a/yarrowspindle/replay/player.py
+++ b/yarrowspindle/replay/player.py
@@ -101,7 +101,7 @@
     known = EndpointsUpdated(ListKind.DELTA)  # not posted: the sequence has the lists
     config = Config("replay", NOWHERE, NOWHERE, header.seed, header.settings, known)
     service = RelayService(config, clock, timers=NoTimers(clock))
-    service.runtime.watch = lambda effect: None
+    service.runtime.watch_endpoints = lambda effect: None
     front = _RecordingFront(played)
 
     def post(event: Event) -> None:
@@ -129,8 +129,8 @@
     placer = Placer(header.settings, seed=header.seed, clock=clock, timers=NoTimers(clock))
     placer.max_requests = UNLIMITED
     asyncio.run(_open(placer))
-    placer.runtime.late_at = inf  # the sequence has the stalls
-    placer.runtime.effect = played.effect
+    placer.runtime.stall_deadline = inf  # the sequence has the stalls
+    placer.runtime.effect_observer = played.effect
 
     def post(event: Event) -> None:
         if isinstance(event, RequestReceived):
--- a/yarrowspindle/replay/sequence.py
+++ b/yarrowspindle/replay/sequence.py
@@ -38,7 +38,7 @@
 
 
 class Recorder:
-    """Writes a sequence; give `event` to `Runtime.seen`, or call it with each event and its time."""
+    """Writes a sequence; give `event` to `Runtime.event_observers`, or call it with each event and its time."""
 
     def __init__(self, out: BinaryIO, settings: Settings, seed: int, started: float) -> None:
         self.out = out
--- a/yarrowspindle/runtime/endpoint_watch.py
+++ b/yarrowspindle/runtime/endpoint_watch.py
@@ -33,7 +33,7 @@
         former: the watch before, kept until its successor has brought its list.
         last_active_at: seconds of the event loop at which a service last said anything after a list; None: never.
         last_active_address: that service's.
-        version: the newest that was reported since `ask` last wanted the full list.
+        version: the newest that was reported since `open` last wanted the full list.
         ended_as_older: whether the last watch was ended because its full list was older than that.
     """
 
@@ -52,7 +52,7 @@
         self.version = 0
         self.ended_as_older = False
 
-    def ask(self, version: int, address: Address, renew: bool = False) -> None:
+    def open(self, version: int, address: Address, renew: bool = False) -> None:
         """Watches the list at this address from this version on; a watch that is there already goes on, or is renewed.
 
         A watch that is renewed reports on until the new one has brought a list; so one that has gone silent is found.
--- a/yarrowspindle/runtime/health_checker.py
+++ b/yarrowspindle/runtime/health_checker.py
@@ -106,7 +106,7 @@
             self._close(check)
         self.backends.clear()
 
-    def leave(self, backends: Collection[str]) -> None:
+    def disconnect(self, backends: Collection[str]) -> None:
         """Closes the connections to these backends: no connection of this relay stands there any more."""
         for backend in self.backends.keys() & backends:
             check = self.backends.pop(backend, None)
--- a/yarrowspindle/runtime/runtime.py
+++ b/yarrowspindle/runtime/runtime.py
@@ -55,16 +55,17 @@
         timers: driven by hand; the event loop's where they are left out.
 
     Attributes:
-        watch, probe, unprobe: carry out `WatchEndpoints`, `CheckHealth` and `CancelHealthCheck`.
-        seen: each is given every event with its time, before the reducer is (a recorder, metrics).
-        effect: is given each effect on a request.
+        watch_endpoints, check_health, cancel_health_check: carry out `WatchEndpoints`, `CheckHealth` and
+            `CancelHealthCheck`.
+        event_observers: each is given every event with its time, before the reducer is (a recorder, metrics).
+        effect_observer: is given each effect on a request.
         fronts: all that carry out effects.
         owners: the front that received each request.
         tick_late_ms: how late the last tick was; 0 where it was on time.
         behind_at: seconds of time.monotonic from which on the loop may stand still, or stood still a moment ago: what
             is read then may have waited to be read.
         wall_step_ms: returns the steps of the wall clock since the start; of these the reducer knows `wall_stepped_ms`.
-        late_at: when a tick is so late that the loop stood still; inf: stalls are not looked for.
+        stall_deadline: when a tick is so late that the loop stood still; inf: stalls are not looked for.
     """
 
     def __init__(
@@ -72,23 +73,23 @@
     ) -> None:
         self.reducer, self.clock, self.log = reducer, clock, log
         self.timers = timers or Timers(clock)
-        self.timers.due = self._due
+        self.timers.on_due = self._due
         self.queue: deque[Event] = deque()
         self.busy = self.closed = False
         self.fronts: list[Front] = []
         self.owners: dict[int, Front] = {}
         self.requests = 0
-        self.watch: Callable[[WatchEndpoints], None] = lambda effect: None
-        self.probe: Callable[[CheckHealth], None] = lambda effect: None
-        self.unprobe: Callable[[CancelHealthCheck], None] = lambda effect: None
-        self.seen: list[Callable[[float, Event], None]] = []
-        self.effect: Callable[[Effect], None] | None = None
+        self.watch_endpoints: Callable[[WatchEndpoints], None] = lambda effect: None
+        self.check_health: Callable[[CheckHealth], None] = lambda effect: None
+        self.cancel_health_check: Callable[[CancelHealthCheck], None] = lambda effect: None
+        self.event_observers: list[Callable[[float, Event], None]] = []
+        self.effect_observer: Callable[[Effect], None] | None = None
         self.handlers: dict[type, Callable[[Any], None]] = {
             SetTimer: lambda effect: self.timers.set(effect.delay_ms, effect.timer),
             CancelTimer: lambda effect: self.timers.cancel(effect.timer),
-            WatchEndpoints: lambda effect: self.watch(effect),  # noqa: PLW0108  # set after this table is made
-            CheckHealth: lambda effect: self.probe(effect),  # noqa: PLW0108  # set after this table is made
-            CancelHealthCheck: lambda effect: self.unprobe(effect),  # noqa: PLW0108  # set after this table is made
+            WatchEndpoints: lambda effect: self.watch_endpoints(effect),  # noqa: PLW0108  # set later
+            CheckHealth: lambda effect: self.check_health(effect),  # noqa: PLW0108  # set later
+            CancelHealthCheck: lambda effect: self.cancel_health_check(effect),  # noqa: PLW0108  # set later
             LogMessage: lambda effect: self.log("info", effect.text),
             BackendRemoved: self._remove_backend,
         }
@@ -99,7 +100,7 @@
         self.behind_at = inf
         self.wall_step_ms: Callable[[], float] = lambda: 0.0
         self.wall_stepped_ms = 0.0
-        self.late_at = inf
+        self.stall_deadline = inf
 
     def start(self) -> None:
         """From here on stalls of the loop are found."""
@@ -108,7 +109,7 @@
     def close(self) -> None:
         """Handles no more events, and cancels all timers."""
         self.closed = True
-        self.late_at = inf
+        self.stall_deadline = inf
         self.timers.clear()
         self.owners.clear()
 
@@ -127,14 +128,14 @@
         if self.busy:
             self.queue.append(event)
         elif not self.closed:
-            if self.clock.now() > self.late_at:
+            if self.clock.now() > self.stall_deadline:
                 self._stalled()
                 self.timers.run_due()
             self._run(event)
 
     def post_both(self, first: Event, second: Event) -> None:
         """The same for two, with nothing between them."""
-        if not self.busy and self.clock.now() <= self.late_at:
+        if not self.busy and self.clock.now() <= self.stall_deadline:
             self.queue.append(second)
             self.post(first)
         else:
@@ -147,7 +148,7 @@
         try:
             while True:
                 now = self.clock.now()
-                for see in self.seen:
+                for see in self.event_observers:
                     try:
                         see(now, event)
                     except Exception:  # whoever looks on must not keep the event from the reducer
@@ -166,8 +167,8 @@
                             continue
                         front = owners.get(effect.request)  # type: ignore[union-attr]  # all others are of a request
                         if front is not None:
-                            if self.effect is not None:
-                                self.effect(effect)
+                            if self.effect_observer is not None:
+                                self.effect_observer(effect)
                             front.carry_out(effect)
                     except Exception:
                         self._failed(effect)
@@ -208,7 +209,7 @@
         self.tick_late_ms = 0.0 if on_time else now - self.tick_due
         self.tick_due = now + TICK_MS
         self.behind_at = time.monotonic() + (TICK_MS + BEHIND_MS) / 1000.0 if on_time else 0.0
-        self.late_at = self.ticked + STALL_MS
+        self.stall_deadline = self.ticked + STALL_MS
         self.timers.set(TICK_MS, TICK)
         step = self.wall_step_ms() - self.wall_stepped_ms
         if abs(step) >= MIN_STEP_MS:
@@ -220,14 +221,14 @@
     def _stalled(self) -> None:
         """The loop may have stood still from the last tick on: nobody knows better."""
         now = self.clock.now()
-        late, self.ticked, self.late_at = now - self.ticked, now, now + STALL_MS
+        late, self.ticked, self.stall_deadline = now - self.ticked, now, now + STALL_MS
         self.counts["stalls"] += 1
         self.counts["stalled_ms"] += int(late)
         self.log("warning", f"the event loop stood still for {late:.0f} ms")
         self._run(EventLoopStalled(late))
 
     def _due(self, what: object) -> None:
-        if self.clock.now() > self.late_at:
+        if self.clock.now() > self.stall_deadline:
             self._stalled()
         if what == TICK:
             self._tick()
--- a/yarrowspindle/runtime/timers.py
+++ b/yarrowspindle/runtime/timers.py
@@ -35,7 +35,7 @@
 
 
 class Timers:
-    """Timers by name, ordered by (deadline, order of setting); `due` is called with the name of each that fires.
+    """Timers by name, ordered by (deadline, order of setting); `on_due` is called with the name of each that fires.
 
     The event loop wakes it once for the earliest. `run_due` may be called at any time: after a stall all that has
     fallen due runs before anything else, in its order, though the loop would run what came in over sockets first.
@@ -43,7 +43,7 @@
 
     def __init__(self, clock: Clock) -> None:
         self.clock = clock
-        self.due: Callable[[object], None] = lambda what: None
+        self.on_due: Callable[[object], None] = lambda what: None
         self.heap: list[tuple[float, int, object]] = []
         self.current: dict[object, tuple[float, int]] = {}  # what each name stands for now; else it was taken back
         self.sequence = 0
@@ -77,7 +77,7 @@
                 at, sequence, what = heapq.heappop(self.heap)
                 if self.current.get(what) == (at, sequence):
                     del self.current[what]
-                    self.due(what)
+                    self.on_due(what)
         finally:
             self.running = False
             self._arm()
--- a/yarrowspindle/telemetry/log.py
+++ b/yarrowspindle/telemetry/log.py
@@ -12,7 +12,7 @@
 PERIOD_S = 1.0
 
 
-def log_to(level: str) -> None:
+def configure_log(level: str) -> None:
     """Logs from this level on, in place of what was set before."""
     logger.remove()
     # Without `diagnose`: annotated tracebacks show the values of variables, clients' keys among them.
