--- a/benchmarks/soak/planted.py
+++ b/benchmarks/soak/planted.py
@@ -73,9 +73,9 @@
     """One request in fifty is taken and never looked at again."""
     real = line_front.LineFront.request_received
 
-    def came(self: line_front.LineFront, side: Any, opened: Any) -> None:
-        if opened.key % 50:
-            real(self, side, opened)
+    def came(self: line_front.LineFront, side: Any, first_line: Any) -> None:
+        if first_line.key % 50:
+            real(self, side, first_line)
         else:
             self.limiter.on_request(side)
             side.request = self.service.new_request(self)
@@ -154,7 +154,7 @@
 
 def end_at_once() -> None:
     """At SIGTERM the process ends without a word to anybody."""
-    line_front.LineFront.shut_down = lambda self, until: asyncio.sleep(0)  # type: ignore[method-assign]
+    line_front.LineFront.shut_down = lambda self, deadline_s: asyncio.sleep(0)  # type: ignore[method-assign]
     from yarrowspindle.daemon.relay_service import RelayService
 
     RelayService.begin_shutdown = lambda self: 50.0  # type: ignore[method-assign]
--- a/tests/fronts/test_connection_limiter.py
+++ b/tests/fronts/test_connection_limiter.py
@@ -7,12 +7,12 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from yarrowspindle.fronts.connection_limiter import MIN_AGE_S, SPARE_DESCRIPTORS, ConnectionLimiter
+from yarrowspindle.fronts.connection_limiter import MIN_AGE_S, RESERVED_DESCRIPTORS, ConnectionLimiter
 
-STEPS = ["accept"] * 5 + ["request"] * 2 + ["answer", "lose", "wait"]
+ACTIONS = ["accept"] * 5 + ["request"] * 2 + ["answer", "lose", "wait"]
 
 
-class Ended:
+class StubConnection:
     def __init__(self) -> None:
         self.aborted = False
 
@@ -21,66 +21,66 @@
 
 
 @settings(derandomize=True, max_examples=100)
-@given(st.lists(st.tuples(st.sampled_from(STEPS), st.integers(0, 9)), max_size=120))
-def test_no_more_are_let_in_than_there_is_room_and_only_old_idle_clients_go(steps: list[tuple[str, int]]) -> None:
+@given(st.lists(st.tuples(st.sampled_from(ACTIONS), st.integers(0, 9)), max_size=120))
+def test_accepts_stay_within_the_limit_and_only_old_idle_clients_are_closed(steps: list[tuple[str, int]]) -> None:
     now, accepted_at = [0.0], dict[Any, float]()
-    limiter = ConnectionLimiter(40 + SPARE_DESCRIPTORS, lambda: now[0])
+    limiter = ConnectionLimiter(40 + RESERVED_DESCRIPTORS, lambda: now[0])
     requests: set[Any] = set()
     backends: dict[Any, Any] = {}
-    for step, pick in steps:
+    for action, pick in steps:
         sides = [side for side in accepted_at if not side.aborted and side in limiter.connections]
         side = sides[pick % len(sides)] if sides else None
-        if step == "accept":
+        if action == "accept":
             if limiter.make_room():
-                side = cast(Any, Ended())
+                side = cast(Any, StubConnection())
                 accepted_at[side] = now[0]
                 limiter.on_accepted(side)
-        elif step == "wait":
+        elif action == "wait":
             now[0] += pick * MIN_AGE_S / 4.0
-        elif side is not None and step == "request":
+        elif side is not None and action == "request":
             if side not in requests and side not in limiter.answered:
                 requests.add(side)
                 limiter.on_request(side)
-                limiter.on_backend_connecting(cast(Any, backend := Ended()))  # its backend's side
+                limiter.on_backend_connecting(cast(Any, backend := StubConnection()))  # its backend's side
                 backends[side] = backend
         elif side is not None:
             requests.discard(side)
-            if (other := backends.pop(side, None)) is not None:
-                limiter.on_closed(cast(Any, other))
-            (limiter.on_answered if step == "answer" else limiter.on_closed)(side)
+            if (backend_side := backends.pop(side, None)) is not None:
+                limiter.on_closed(cast(Any, backend_side))
+            (limiter.on_answered if action == "answer" else limiter.on_closed)(side)
         assert len(limiter.connections) <= 40
         assert len(limiter.without_request) + len(limiter.answered) <= limiter.max_idle
         assert not any(side.aborted for side in requests), "a request is never ended for want of room"
         assert all(now[0] >= accepted_at[side] + MIN_AGE_S for side in accepted_at if side.aborted)
 
 
-def test_idle_clients_that_all_become_requests_find_a_descriptor_for_their_backends_too() -> None:
+def test_idle_clients_that_all_send_requests_get_a_descriptor_for_their_backends() -> None:
     """Guards against idle clients that count once: a crowd whose requests came together took what the watch needs."""
-    limiter = ConnectionLimiter(40 + SPARE_DESCRIPTORS, lambda: 0.0)
+    limiter = ConnectionLimiter(40 + RESERVED_DESCRIPTORS, lambda: 0.0)
     while limiter.make_room():
-        side = cast(Any, Ended())
+        side = cast(Any, StubConnection())
         limiter.on_accepted(side)
         if len(limiter.without_request) == limiter.max_idle or len(limiter.connections) < 30:
             limiter.on_request(side)
-            limiter.on_backend_connecting(cast(Any, Ended()))
+            limiter.on_backend_connecting(cast(Any, StubConnection()))
     for side in list(limiter.without_request):
         limiter.on_request(side)
-        limiter.on_backend_connecting(cast(Any, Ended()))
+        limiter.on_backend_connecting(cast(Any, StubConnection()))
     assert 38 <= len(limiter.connections) <= 40
 
 
-def test_an_idle_client_whose_line_was_not_read_yet_is_not_sent_away() -> None:
+def test_an_idle_client_with_unread_data_is_not_closed() -> None:
     """Guards against counting the time of a hold as a client's: its line lay in the kernel, and it was reset."""
     now, unread = [0.0], set[Any]()
-    limiter = ConnectionLimiter(40 + SPARE_DESCRIPTORS, lambda: now[0], lambda side: side not in unread)
+    limiter = ConnectionLimiter(40 + RESERVED_DESCRIPTORS, lambda: now[0], lambda side: side not in unread)
     sides = []
     while limiter.make_room():
-        sides.append(cast(Any, Ended()))
+        sides.append(cast(Any, StubConnection()))
         limiter.on_accepted(sides[-1])
     unread.update(sides[:3])
     now[0] += 2.0 * MIN_AGE_S
     assert limiter.make_room()
     assert [side.aborted for side in sides] == [False] * 3 + [True] + [False] * (len(sides) - 4)
     unread.update(sides)
-    limiter.on_accepted(cast(Any, Ended()))
+    limiter.on_accepted(cast(Any, StubConnection()))
     assert not limiter.make_room(), "nobody is sent away: the loop reads them first"
--- a/tests/fronts/test_quic_front.py
+++ b/tests/fronts/test_quic_front.py
@@ -25,107 +25,111 @@
 
 
 @dataclass
-class World:
+class QuicSetup:
     backends: list[QuicBackend]
-    hub: RelayService
+    service: RelayService
     front: QuicFront
     relay: Address
-    machines: dict[str, Endpoint]
+    endpoints: dict[str, Endpoint]
     clients: list[QuicClient] = field(default_factory=list)
 
     async def client(self) -> QuicClient:
         self.clients.append(await QuicClient(self.relay).start())
         return self.clients[-1]
 
-    async def up(self) -> QuicClient:
+    async def connected_client(self) -> QuicClient:
         client = await self.client()
         await asyncio.wait_for(client.up, 5.0)
         return client
 
-    def list(self, name: str, state: EndpointState) -> None:
-        self.machines[name].state = state
-        self.hub.post(EndpointsUpdated(ListKind.DELTA, [self.machines[name]]))
+    def update_endpoint(self, name: str, state: EndpointState) -> None:
+        self.endpoints[name].state = state
+        self.service.post(EndpointsUpdated(ListKind.DELTA, [self.endpoints[name]]))
 
     def backend_of(self, answer: bytes) -> str:
         return answer.split(b":")[0].decode()
 
 
-def run(
-    body: Callable[[World], Awaitable[None]],
+def run_with_backends(
+    body: Callable[[QuicSetup], Awaitable[None]],
     *backends: dict[str, Any],
-    started: float = 0.0,
-    class_ms: float = 3000.0,
+    first_started_ms: float = 0.0,
+    class_deadline_ms: float = 3000.0,
     max_connections: int = 50,
     **changes: Any,
 ) -> None:
-    async def inside() -> None:
-        made = [QuicBackend(f"node-{i}", **options) for i, options in enumerate(backends)]
-        machines = {}
-        for i, backend in enumerate(made):
-            machines[backend.name] = Endpoint(backend.name, await backend.open(), started_ms=started if i == 0 else 0.0)
+    async def scenario() -> None:
+        quic_backends = [QuicBackend(f"node-{i}", **options) for i, options in enumerate(backends)]
+        endpoints = {}
+        for i, backend in enumerate(quic_backends):
+            endpoints[backend.name] = Endpoint(
+                backend.name, await backend.open(), started_ms=first_started_ms if i == 0 else 0.0
+            )
         settings = Settings(
-            classes=(RequestClass(800.0, class_ms),),
+            classes=(RequestClass(800.0, class_deadline_ms),),
             max_attempts=3,
             may_cancel=True,
             clients_heed_retry_after=True,
             max_retry_after_ms=2000.0,
             **changes,
         )
-        known = EndpointsUpdated(ListKind.CACHED, list(machines.values()))
-        hub = RelayService(Config("n0", ("127.0.0.1", 0), ("127.0.0.1", 1), 5, settings, known), SystemClock())
-        hub.start()
+        known = EndpointsUpdated(ListKind.CACHED, list(endpoints.values()))
+        service = RelayService(Config("n0", ("127.0.0.1", 0), ("127.0.0.1", 1), 5, settings, known), SystemClock())
+        service.start()
         front = QuicFront(
-            hub, QuicConfig(("127.0.0.1", 0), ID_KEY, RESET_KEY, answer_ms=400.0, max_connections=max_connections)
+            service, QuicConfig(("127.0.0.1", 0), ID_KEY, RESET_KEY, answer_ms=400.0, max_connections=max_connections)
         )
         await front.start()
-        assert front.front.transport is not None
-        world = World(made, hub, front, front.front.transport.get_extra_info("sockname"), machines)
+        assert front.client_socket.transport is not None
+        setup = QuicSetup(
+            quic_backends, service, front, front.client_socket.transport.get_extra_info("sockname"), endpoints
+        )
         try:
-            await body(world)
+            await body(setup)
         finally:
-            for end in (*made, *world.clients):
+            for end in (*quic_backends, *setup.clients):
                 end.close()
-            front.front.transport.abort()
+            front.client_socket.transport.abort()
 
-    asyncio.run(inside())
+    asyncio.run(scenario())
 
 
-def test_streams_go_on_at_their_backend_while_clients_rebind_their_ports() -> None:
-    async def body(w: World) -> None:
-        clients = [await w.up() for _ in range(6)]
-        homes = [w.backend_of(await c.ask(b"0")) for c in clients]
+def test_streams_stay_on_their_backend_when_clients_rebind_their_ports() -> None:
+    async def body(w: QuicSetup) -> None:
+        clients = [await w.connected_client() for _ in range(6)]
+        chosen = [w.backend_of(await c.ask(b"0")) for c in clients]
         for step in range(1, 4):
             for client in clients:
                 await client.rebind()
             answers = await asyncio.gather(*(c.ask(b"%d" % step) for c in clients))
-            assert answers == [f"{home}:{step}".encode() for home in homes]
+            assert answers == [f"{backend_name}:{step}".encode() for backend_name in chosen]
         assert sum(len(n.links) for n in w.backends) == 6, "no connection was set up twice"
         assert all(c.got.empty() and not c.ended.done() for c in clients), "nothing was answered twice"
-        assert len(set(homes)) == 2
-        counted = {s.connections for s in w.hub.reducer.balancer.backends.values()}
-        assert counted == {homes.count("node-0"), homes.count("node-1")}
+        assert len(set(chosen)) == 2
+        counted = {s.connections for s in w.service.reducer.balancer.backends.values()}
+        assert counted == {chosen.count("node-0"), chosen.count("node-1")}
 
-    run(body, {}, {})
+    run_with_backends(body, {}, {})
 
 
-def test_a_known_id_reaches_a_draining_backend_until_it_is_gone_and_a_new_request_never() -> None:
-    async def body(w: World) -> None:
-        first = await w.up()
-        home = w.backend_of(await first.ask(b"a"))
-        w.list(home, EndpointState.DRAINING)
+def test_a_known_id_reaches_a_draining_backend_until_it_is_removed_and_a_new_request_never_does() -> None:
+    async def body(w: QuicSetup) -> None:
+        first = await w.connected_client()
+        backend_name = w.backend_of(await first.ask(b"a"))
+        w.update_endpoint(backend_name, EndpointState.DRAINING)
         await first.rebind()
-        assert await first.ask(b"b") == f"{home}:b".encode()
-        others = [await w.up() for _ in range(5)]
-        assert home not in [w.backend_of(await c.ask(b"c")) for c in others]
-        w.list(home, EndpointState.GONE)
+        assert await first.ask(b"b") == f"{backend_name}:b".encode()
+        others = [await w.connected_client() for _ in range(5)]
+        assert backend_name not in [w.backend_of(await c.ask(b"c")) for c in others]
+        w.update_endpoint(backend_name, EndpointState.GONE)
         await asyncio.wait_for(first.reset, 5.0)
         assert len(w.front.table.flows) == 5
 
-    run(body, {}, {})
+    run_with_backends(body, {}, {})
 
 
-def test_a_refused_client_gets_one_close_with_advice_and_never_a_second() -> None:
-    async def body(w: World) -> None:
+def test_a_rejected_client_gets_one_close_with_retry_advice_and_never_a_second() -> None:
+    async def body(w: QuicSetup) -> None:
         client = await w.client()
         event = await asyncio.wait_for(client.ended, 5.0)
         assert event.error_code == quic.REFUSED and event.reason_phrase.startswith("retry after ")
@@ -134,67 +138,67 @@
         await asyncio.wait_for((await w.client()).ended, 5.0)  # later than whatever the repeat brings
         assert len(client.datagrams) == 1 and w.front.counts["answered_before"] > 0
 
-    run(body, {"refuses": True})
+    run_with_backends(body, {"refuses": True})
 
 
 def test_at_the_deadline_the_answer_is_a_close() -> None:
-    async def body(w: World) -> None:
+    async def body(w: QuicSetup) -> None:
         start = time.monotonic()
         event = await asyncio.wait_for((await w.client()).ended, 5.0)
         assert event.error_code == quic.REFUSED and 0.2 < time.monotonic() - start < 0.4
-        assert not w.front.table.flows and not w.hub.reducer.requests
+        assert not w.front.table.flows and not w.service.reducer.requests
 
-    run(body, {"answers": False}, class_ms=250.0)
+    run_with_backends(body, {"answers": False}, class_deadline_ms=250.0)
 
 
-def test_a_dead_backend_costs_an_attempt_and_not_the_connection() -> None:
-    async def body(w: World) -> None:
+def test_a_closed_backend_fails_the_attempt_but_not_the_connection() -> None:
+    async def body(w: QuicSetup) -> None:
         w.backends[0].close()
         for _ in range(6):
-            assert w.backend_of(await (await w.up()).ask(b"x")) == "node-1"
+            assert w.backend_of(await (await w.connected_client()).ask(b"x")) == "node-1"
 
-    run(body, {}, {})
+    run_with_backends(body, {}, {})
 
 
-def test_a_silent_backend_is_given_up_after_its_time() -> None:
-    async def body(w: World) -> None:
+def test_an_unresponsive_backend_is_abandoned_after_the_answer_timeout() -> None:
+    async def body(w: QuicSetup) -> None:
         for _ in range(3):
-            assert w.backend_of(await (await w.up()).ask(b"x")) == "node-1"
+            assert w.backend_of(await (await w.connected_client()).ask(b"x")) == "node-1"
         assert w.backends[0].initials <= 3
 
-    run(body, {"answers": False}, {})
+    run_with_backends(body, {"answers": False}, {})
 
 
-def test_a_backend_that_dies_under_its_connections_ends_them_with_a_reset() -> None:
-    async def body(w: World) -> None:
-        client = await w.up()
-        home = w.backend_of(await client.ask(b"x"))
-        next(n for n in w.backends if n.name == home).close()
+def test_a_backend_that_closes_its_port_ends_its_connections_with_a_reset() -> None:
+    async def body(w: QuicSetup) -> None:
+        client = await w.connected_client()
+        backend_name = w.backend_of(await client.ask(b"x"))
+        next(n for n in w.backends if n.name == backend_name).close()
         client.connection.send_stream_data(0, b"y")
         client.flush(client.connection)
         await asyncio.wait_for(client.reset, 5.0)
         assert not w.front.table.flows
 
-    run(body, {}, {})
+    run_with_backends(body, {}, {})
 
 
-def test_a_relay_that_starts_anew_passes_known_ids_on() -> None:
-    async def body(w: World) -> None:
-        client = await w.up()
-        home = w.backend_of(await client.ask(b"x"))
+def test_a_restarted_relay_forwards_known_ids() -> None:
+    async def body(w: QuicSetup) -> None:
+        client = await w.connected_client()
+        backend_name = w.backend_of(await client.ask(b"x"))
         for flow in list(w.front.table.flows.values()):  # as after a restart: the table is empty
             w.front._forget(flow, remember=False)
-        w.hub.reducer.context.requests.clear()
-        assert await client.ask(b"y") == f"{home}:y".encode()
+        w.service.reducer.context.requests.clear()
+        assert await client.ask(b"y") == f"{backend_name}:y".encode()
         assert w.front.counts["taken_over"] == 1
 
-    run(body, {}, {})
+    run_with_backends(body, {}, {})
 
 
-def test_a_cold_backend_gets_no_more_than_its_budget() -> None:
-    async def body(w: World) -> None:
+def test_a_backend_in_slow_start_gets_no_more_than_its_budget() -> None:
+    async def body(w: QuicSetup) -> None:
         for _ in range(20):
-            await w.up()
+            await w.connected_client()
         assert len(w.backends[0].links) <= 3
 
     cold: dict[str, Any] = {
@@ -203,12 +207,12 @@
         "overload_multiple": 3.0,
         "overload_window_ms": 1500.0,
     }
-    run(body, {}, {}, started=time.time() * 1000.0, **cold)
+    run_with_backends(body, {}, {}, first_started_ms=time.time() * 1000.0, **cold)
 
 
 def test_the_table_is_bounded_and_idle_ids_expire() -> None:
-    async def body(w: World) -> None:
-        await w.up()
+    async def body(w: QuicSetup) -> None:
+        await w.connected_client()
         client = await w.client()
         while not w.front.counts["no_room"]:
             await asyncio.sleep(0)
@@ -216,30 +220,30 @@
         (flow,) = w.front.table.flows.values()
         flow.last_received_at -= w.front.config.idle_s
         w.front._sweep()
-        assert not w.front.table.flows and not w.front.table.by_id and not w.front.table.by_link
-        assert [s.connections for s in w.hub.reducer.balancer.backends.values()] == [0]
+        assert not w.front.table.flows and not w.front.table.by_connection_id and not w.front.table.by_link
+        assert [s.connections for s in w.service.reducer.balancer.backends.values()] == [0]
 
-    run(body, {}, max_connections=1)
+    run_with_backends(body, {}, max_connections=1)
 
 
-def test_what_makes_no_sense_is_dropped_and_counted() -> None:
-    async def body(w: World) -> None:
-        client = await w.up()
+def test_malformed_datagrams_are_dropped_and_counted() -> None:
+    async def body(w: QuicSetup) -> None:
+        client = await w.connected_client()
         bad = [b"", b"\x40", b"\xc0\0\0\0\1\xff", b"\xc0\0\0\0\1\x08abcdefgh\x08abcdefgh\0\x41", b"\x40" + b"z" * 40]
         for data in bad:
-            w.front.from_client(data, ("127.0.0.1", 9))
+            w.front.on_client_datagram(data, ("127.0.0.1", 9))
         assert w.front.counts["malformed"] == 4 and w.front.counts["unknown_id"] == 1
-        assert w.hub.metrics.counters()["quic.malformed"] == 4.0
+        assert w.service.metrics.counters()["quic.malformed"] == 4.0
         assert await client.ask(b"x")
         other = b"\xc0\x0a\x0a\x0a\x0a\x08abcdefgh\x08abcdefgh" + bytes(1200)
         client.raw(other)
         assert w.front.ids.decode(b"\x10" + bytes(16)) is not None and len(w.front.table.flows) == 1
 
-    run(body, {})
+    run_with_backends(body, {})
 
 
-def test_the_daemon_serves_both_fronts_where_the_operators_file_says_so(tmp_path: Path) -> None:
-    async def inside() -> None:
+def test_the_daemon_serves_both_fronts_if_the_operators_file_configures_quic(tmp_path: Path) -> None:
+    async def scenario() -> None:
         port = free_port()
         operator = f'[quic]\nlisten = "127.0.0.1:{port}"\nid_key = "{ID_KEY.hex()}"\nreset_key = "{RESET_KEY.hex()}"\n'
         async with relay(tmp_path, operator) as world:
@@ -247,19 +251,19 @@
             for backend in backends:
                 await backend.open(world.backends[backend.name].port)
             client = await QuicClient(("127.0.0.1", port)).start()
-            home = (await client.ask(b"x")).split(b":")[0]
+            backend_name = (await client.ask(b"x")).split(b":")[0]
             await client.rebind()
-            assert await client.ask(b"y") == home + b":y"
+            assert await client.ask(b"y") == backend_name + b":y"
             await world.standing()
             world.stop()
             await asyncio.wait_for(client.reset, 5.0)
             for end in (*backends, client):
                 end.close()
 
-    asyncio.run(inside())
+    asyncio.run(scenario())
 
 
-def test_an_id_names_its_backend_and_connection_and_hides_them() -> None:
+def test_an_id_encodes_its_backend_and_connection_without_revealing_them() -> None:
     ids = {IDS.encode(7, 9, sequence) for sequence in range(50)}
     assert len(ids) == 50 and {IDS.decode(cid) for cid in ids} == {(7, 9)}
     assert quic.BackendIds(bytes(16)).decode(next(iter(ids))) != (7, 9)
--- a/tests/fronts/test_call_outs.py
+++ b/tests/fronts/test_reentrancy.py
@@ -36,11 +36,11 @@
 from yarrowspindle.transport.line_connection import LineConnection
 
 WAIT_S = 5.0
-ENDS_S = 1.5  # for all that an end waits for: the rest of a line, the peer's end
-RESET = b"\x01\x00\x00\x00\x00\x00\x00\x00"  # of SO_LINGER
+CLOSE_TIMEOUT_S = 1.5  # for all that an end waits for: the rest of a line, the peer's end
+LINGER_ZERO = b"\x01\x00\x00\x00\x00\x00\x00\x00"  # of SO_LINGER
 FLOOD = (b"x" * 998 + b"\r\n") * 100
 
-Loops = (asyncio.run, uvloop.run)
+LOOP_RUNNERS = (asyncio.run, uvloop.run)
 
 
 class Backend:
@@ -48,7 +48,7 @@
 
     def __init__(self) -> None:
         self.port = free_port()
-        self.came: asyncio.Queue[tuple[asyncio.StreamReader, asyncio.StreamWriter]] = asyncio.Queue()
+        self.accepted: asyncio.Queue[tuple[asyncio.StreamReader, asyncio.StreamWriter]] = asyncio.Queue()
 
     async def open(self) -> None:
         self.server = await asyncio.start_server(self._serve, "127.0.0.1", self.port)
@@ -56,11 +56,11 @@
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readline()
         writer.write(b"UP r1\r\n")
-        self.came.put_nowait((reader, writer))
+        self.accepted.put_nowait((reader, writer))
 
 
 @dataclass
-class Standing:
+class Connection:
     """One established connection, both its ends, and the relay between them."""
 
     service: RelayService
@@ -71,65 +71,65 @@
     backend: asyncio.StreamReader
     backend_end: asyncio.StreamWriter
     failures: list[dict[str, Any]] = field(default_factory=list)
-    strikes: int = 0
+    injections: int = 0
 
     def __post_init__(self) -> None:
         self.client_side: LineConnection = self.front.clients[self.request]
         self.backend_side: LineConnection = self.front.backends[self.request]
 
-    def strike_at(self, told: type[Event], strike: Callable[[Standing], None]) -> None:
+    def inject_before_event(self, event_type: type[Event], action: Callable[[Connection], None]) -> None:
         """Lets this happen, once, within the call that tells of such an event, before the event itself."""
         post = self.service.runtime.post
 
-        def posted(event: Event) -> None:
-            if type(event) is told and not self.strikes:
-                self.strikes += 1
-                strike(self)
+        def inject_and_post(event: Event) -> None:
+            if type(event) is event_type and not self.injections:
+                self.injections += 1
+                action(self)
             post(event)
 
-        self.service.post = posted
+        self.service.post = inject_and_post
 
-    def strike_in(self, side: LineConnection, callback: str, strike: Callable[[Standing], None]) -> None:
+    def inject_before_callback(self, side: LineConnection, callback: str, action: Callable[[Connection], None]) -> None:
         """The same within a callback that tells nobody: before it."""
-        real = getattr(side, callback)
+        original = getattr(side, callback)
 
-        def called(*given: Any) -> None:
-            self.strikes += 1
-            strike(self)
-            real(*given)
+        def wrapped(*args: Any) -> None:
+            self.injections += 1
+            action(self)
+            original(*args)
 
-        setattr(side, callback, called)
+        setattr(side, callback, wrapped)
 
 
 # --- what happens to the connection ---------------------------------------------------------------
 
 
-def move(s: Standing) -> None:
+def migrate(s: Connection) -> None:
     s.service.runtime.post(InternalError(s.request))  # its client is sent elsewhere
 
 
-def drain(s: Standing) -> None:
+def drain(s: Connection) -> None:
     s.service.runtime.post(ShutdownRequested(0.0, process_exits=False))
     s.service.runtime.timers.run_due()
 
 
-def end(s: Standing) -> None:
-    told_of_end(s.backend_side)
+def close_backend(s: Connection) -> None:
+    simulate_peer_close(s.backend_side)
 
 
-def cancel(s: Standing) -> None:
-    told_of_end(s.client_side)
+def close_client(s: Connection) -> None:
+    simulate_peer_close(s.client_side)
 
 
-def lose_the_backend(s: Standing) -> None:
-    told_of_end(s.backend_side, reset=True)
+def reset_backend(s: Connection) -> None:
+    simulate_peer_close(s.backend_side, reset=True)
 
 
-def lose_the_client(s: Standing) -> None:
-    told_of_end(s.client_side, reset=True)
+def reset_client(s: Connection) -> None:
+    simulate_peer_close(s.client_side, reset=True)
 
 
-def told_of_end(side: LineConnection, reset: bool = False) -> None:
+def simulate_peer_close(side: LineConnection, reset: bool = False) -> None:
     """As a transport does it that has read its peer's end."""
     transport = side.transport
     if transport is not None and reset:
@@ -138,72 +138,72 @@
         transport.close()
 
 
-def remove_the_backend(s: Standing) -> None:
+def remove_backend(s: Connection) -> None:
     backends = s.service.reducer.backends
-    gone = [backend.endpoint for backend in backends.values() if backend.endpoint is not None]
-    for endpoint in gone:
+    endpoints = [backend.endpoint for backend in backends.values() if backend.endpoint is not None]
+    for endpoint in endpoints:
         endpoint.state = EndpointState.GONE
-    s.service.runtime.post(EndpointsUpdated(ListKind.DELTA, gone, 2))
+    s.service.runtime.post(EndpointsUpdated(ListKind.DELTA, endpoints, 2))
 
 
-def change_the_settings(s: Standing) -> None:
+def change_settings(s: Connection) -> None:
     settings = s.service.config.settings
     s.service.runtime.post(SettingsChanged(settings, frozenset(range(len(settings.classes)))))
 
 
-ENDS: dict[str, Callable[[Standing], None]] = {
-    "move": move,
+ENDINGS: dict[str, Callable[[Connection], None]] = {
+    "move": migrate,
     "drain": drain,
-    "end": end,
-    "cancel": cancel,
-    "backend lost": lose_the_backend,
-    "client lost": lose_the_client,
+    "end": close_backend,
+    "cancel": close_client,
+    "backend lost": reset_backend,
+    "client lost": reset_client,
 }
-BY_THE_RELAY = ("move", "drain")  # what can happen while a transport steers the flow: no peer's end is read there
-STAYS: dict[str, Callable[[Standing], None]] = {
-    "backend removed": remove_the_backend,
-    "settings changed": change_the_settings,
+RELAY_ENDINGS = ("move", "drain")  # what can happen while a transport steers the flow: no peer's end is read there
+FLEET_CHANGES: dict[str, Callable[[Connection], None]] = {
+    "backend removed": remove_backend,
+    "settings changed": change_settings,
 }
 
 
 # --- what is told ---------------------------------------------------------------------------------
 
 
-async def client_data(s: Standing) -> None:
+async def client_data(s: Connection) -> None:
     s.client_end.write(b"a line\r\n")
 
 
-async def client_end(s: Standing) -> None:
+async def client_end(s: Connection) -> None:
     s.client_end.write_eof()
 
 
-async def client_loss(s: Standing) -> None:
+async def client_loss(s: Connection) -> None:
     reset(s.client_end)
 
 
-async def backend_data(s: Standing) -> None:
+async def backend_data(s: Connection) -> None:
     s.backend_end.write(b"a line\r\nand another\r\n")
 
 
-async def backend_loads(s: Standing) -> None:
+async def backend_loads(s: Connection) -> None:
     s.backend_end.write(b"LOAD 5\r\na line\r\nLOAD 7\r\n")
 
 
-async def backend_end(s: Standing) -> None:
+async def backend_end(s: Connection) -> None:
     s.backend_end.write(b"BYE\r\n")
     s.backend_end.close()
 
 
-async def backend_loss(s: Standing) -> None:
+async def backend_loss(s: Connection) -> None:
     reset(s.backend_end)
 
 
 def reset(writer: asyncio.StreamWriter) -> None:
-    writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
+    writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_ZERO)
     writer.transport.abort()
 
 
-TOLD: dict[str, tuple[type[Event], Callable[[Standing], Awaitable[None]]]] = {
+TRIGGERS: dict[str, tuple[type[Event], Callable[[Connection], Awaitable[None]]]] = {
     "client's data": (ClientDataForwarded, client_data),
     "client's end": (ClientDisconnected, client_end),
     "client's loss": (ClientDisconnected, client_loss),
@@ -214,7 +214,7 @@
 }
 
 
-async def standing(body: Callable[[Standing], Awaitable[None]]) -> None:
+async def run_with_connection(body: Callable[[Connection], Awaitable[None]]) -> None:
     backend = Backend()
     await backend.open()
     service = RelayService(read_config(config([backend])), SystemClock())  # type: ignore[list-item]
@@ -227,94 +227,94 @@
     writer.write(b"OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=charge,t=acme,d=900\r\n")
     assert await asyncio.wait_for(client.readline(), WAIT_S) == b"UP r1\r\n"
     (request,) = service.reducer.requests
-    s = Standing(service, front, request, client, writer, *await backend.came.get(), failures)
+    s = Connection(service, front, request, client, writer, *await backend.accepted.get(), failures)
     try:
         await body(s)
     finally:
-        for end_of in (s.client_end, s.backend_end):
-            end_of.transport.abort()
+        for writer_end in (s.client_end, s.backend_end):
+            writer_end.transport.abort()
         front.listener.sock.close()
         backend.server.close()
-    assert s.strikes == 1, "it happened within the call"
+    assert s.injections == 1, "it happened within the call"
     assert not failures, "no callback of a transport raised"
     assert not service.runtime.counts["failures"] and not any(service.guard.counts.values())
     assert not service.reducer.requests and not front.clients and not front.backends and not service.runtime.owners
 
 
-async def read_to_the_end(reader: asyncio.StreamReader) -> bytes:
-    """What came, a reset included."""
-    found = b""
+async def read_until_closed(reader: asyncio.StreamReader) -> bytes:
+    """What accepted, a reset included."""
+    received = b""
     try:
-        while data := await asyncio.wait_for(reader.read(1 << 16), ENDS_S):
-            found += data
+        while data := await asyncio.wait_for(reader.read(1 << 16), CLOSE_TIMEOUT_S):
+            received += data
     except ConnectionError:
         pass
-    return found
+    return received
 
 
-async def both_ends(s: Standing) -> tuple[bytes, bytes]:
-    return await asyncio.wait_for(asyncio.gather(read_to_the_end(s.client), read_to_the_end(s.backend)), WAIT_S)
+async def read_both_until_closed(s: Connection) -> tuple[bytes, bytes]:
+    return await asyncio.wait_for(asyncio.gather(read_until_closed(s.client), read_until_closed(s.backend)), WAIT_S)
 
 
-@pytest.mark.parametrize("loop", Loops, ids=("asyncio", "uvloop"))
-@pytest.mark.parametrize("told", TOLD)
-@pytest.mark.parametrize("ending", ENDS)
-def test_a_connection_that_ends_in_the_call_that_tells_of_it_raises_nothing_and_leaves_nothing(
-    ending: str, told: str, loop: Callable[[Coroutine[Any, Any, None]], None]
+@pytest.mark.parametrize("loop", LOOP_RUNNERS, ids=("asyncio", "uvloop"))
+@pytest.mark.parametrize("trigger_name", TRIGGERS)
+@pytest.mark.parametrize("ending", ENDINGS)
+def test_a_connection_that_ends_while_it_reports_an_event_raises_nothing_and_is_cleaned_up(
+    ending: str, trigger_name: str, loop: Callable[[Coroutine[Any, Any, None]], None]
 ) -> None:
     """Guards against using a connection that ended in the very call that told of its data: resets overtook MOVE."""
 
-    async def body(s: Standing) -> None:
-        event, trigger = TOLD[told]
-        if told.startswith("backend's"):
+    async def body(s: Connection) -> None:
+        event, trigger = TRIGGERS[trigger_name]
+        if trigger_name.startswith("backend's"):
             s.client_end.write(b"a line\r\n")  # what the backend's lines answer
             await asyncio.wait_for(s.backend.readline(), WAIT_S)
-        s.strike_at(event, ENDS[ending])
+        s.inject_before_event(event, ENDINGS[ending])
         await trigger(s)
-        to_client, _ = await both_ends(s)
-        if ending in BY_THE_RELAY and told in ("client's data", "backend's data", "backend's loads"):
+        to_client, _ = await read_both_until_closed(s)
+        if ending in RELAY_ENDINGS and trigger_name in ("client's data", "backend's data", "backend's loads"):
             assert to_client.endswith(b"MOVE\r\n") and to_client.count(b"MOVE") == 1
 
-    loop(standing(body))
+    loop(run_with_connection(body))
 
 
-@pytest.mark.parametrize("loop", Loops, ids=("asyncio", "uvloop"))
-@pytest.mark.parametrize("told", ("client's data", "backend's data", "backend's loads"))
-@pytest.mark.parametrize("change", STAYS)
-def test_a_change_of_the_fleet_in_the_call_that_tells_of_data_costs_no_line(
-    change: str, told: str, loop: Callable[[Coroutine[Any, Any, None]], None]
+@pytest.mark.parametrize("loop", LOOP_RUNNERS, ids=("asyncio", "uvloop"))
+@pytest.mark.parametrize("trigger_name", ("client's data", "backend's data", "backend's loads"))
+@pytest.mark.parametrize("change", FLEET_CHANGES)
+def test_a_fleet_change_while_data_is_reported_loses_no_line(
+    change: str, trigger_name: str, loop: Callable[[Coroutine[Any, Any, None]], None]
 ) -> None:
     """Guards against losing what is being passed on while the list or the settings change under it."""
 
-    async def body(s: Standing) -> None:
-        event, trigger = TOLD[told]
-        if told.startswith("backend's"):
+    async def body(s: Connection) -> None:
+        event, trigger = TRIGGERS[trigger_name]
+        if trigger_name.startswith("backend's"):
             s.client_end.write(b"a line\r\n")
             await asyncio.wait_for(s.backend.readline(), WAIT_S)
-        s.strike_at(event, STAYS[change])
+        s.inject_before_event(event, FLEET_CHANGES[change])
         await trigger(s)
-        reader = s.backend if told == "client's data" else s.client
-        heard = [await asyncio.wait_for(reader.readline(), WAIT_S)]
-        while heard[-1] != b"a line\r\n":
-            heard.append(await asyncio.wait_for(reader.readline(), WAIT_S))
+        reader = s.backend if trigger_name == "client's data" else s.client
+        received_lines = [await asyncio.wait_for(reader.readline(), WAIT_S)]
+        while received_lines[-1] != b"a line\r\n":
+            received_lines.append(await asyncio.wait_for(reader.readline(), WAIT_S))
         s.client_end.close()
-        await both_ends(s)
+        await read_both_until_closed(s)
 
-    loop(standing(body))
+    loop(run_with_connection(body))
 
 
-@pytest.mark.parametrize("loop", Loops, ids=("asyncio", "uvloop"))
+@pytest.mark.parametrize("loop", LOOP_RUNNERS, ids=("asyncio", "uvloop"))
 @pytest.mark.parametrize("side", ("client", "backend"))
 @pytest.mark.parametrize("callback", ("pause_writing", "resume_writing"))
-@pytest.mark.parametrize("ending", BY_THE_RELAY)
-def test_a_connection_that_ends_as_its_peer_reads_again_raises_nothing(
+@pytest.mark.parametrize("ending", RELAY_ENDINGS)
+def test_a_connection_that_ends_during_flow_control_raises_nothing(
     ending: str, callback: str, side: str, loop: Callable[[Coroutine[Any, Any, None]], None]
 ) -> None:
     """Guards against steering the other side's transport when that side has ended in between."""
 
-    async def body(s: Standing) -> None:
-        of = s.client_side if side == "client" else s.backend_side
-        s.strike_in(of, callback, ENDS[ending])
+    async def body(s: Connection) -> None:
+        side_under_test = s.client_side if side == "client" else s.backend_side
+        s.inject_before_callback(side_under_test, callback, ENDINGS[ending])
         writer = s.backend_end if side == "client" else s.client_end
         reader = s.client if side == "client" else s.backend
         reader._transport.pause_reading()  # type: ignore[attr-defined]
@@ -325,9 +325,9 @@
             await asyncio.sleep(0.0)
         reader._transport.resume_reading()  # type: ignore[attr-defined]
         for _ in range(100):
-            if s.strikes:
+            if s.injections:
                 break
             await asyncio.sleep(0.01)
-        await both_ends(s)
+        await read_both_until_closed(s)
 
-    loop(standing(body))
+    loop(run_with_connection(body))
--- a/tests/telemetry/test_guard.py
+++ b/tests/telemetry/test_guard.py
@@ -71,17 +71,17 @@
 }
 
 
-def guard() -> tuple[Guard, list[str]]:
+def started_guard() -> tuple[Guard, list[str]]:
     reported: list[str] = []
     values = settings(warmup_ms=1000.0, initial_capacity_fraction=0.2, overload_multiple=2.0, overload_window_ms=1000.0)
-    found = Guard(lambda: values, reported.append)
-    found.on_event(0.0, EndpointsUpdated(ListKind.FULL, list(ENDPOINTS)))
-    return found, reported
+    checker = Guard(lambda: values, reported.append)
+    checker.on_event(0.0, EndpointsUpdated(ListKind.FULL, list(ENDPOINTS)))
+    return checker, reported
 
 
 @pytest.mark.parametrize("case", CASES)
 def test_each_violated_invariant_is_counted_once_under_its_name(case: str) -> None:
-    found, reported = guard()
+    checker, reported = started_guard()
     steps, rule = CASES[case]
     now = 1.0
     for step in steps:
@@ -90,28 +90,28 @@
         elif isinstance(
             step, OpenBackendConnection | ForwardRequest | AbortAttempt | StartRelaying | RejectRequest | FailRequest
         ):
-            found.on_effect(step)
+            checker.on_effect(step)
             continue
         else:
-            found.on_event(now, step)
-        found.now = now
-    violated = {name: count for name, count in found.counts.items() if count}
+            checker.on_event(now, step)
+        checker.now = now
+    violated = {name: count for name, count in checker.counts.items() if count}
     assert violated == ({rule.value: 1} if rule else {})
     assert len(reported) == len(violated)
 
 
 def test_a_restarted_backend_that_gets_far_over_its_share_is_reported() -> None:
     for share, is_violation in ((0.5, False), (40.0, True)):
-        found, _ = guard()
-        found.on_event(1.0, RESTARTED)
+        checker, _ = started_guard()
+        checker.on_event(1.0, RESTARTED)
         number, now = 10, 1.0
         for _ in range(20):
             now += 10.0
             for backend, count in (("s-2", 2), ("s-1", int(2 * share))):
                 for _ in range(count):
                     number += 1
-                    found.on_event(now, RequestReceived(number, 900.0))
-                    found.on_effect(OpenBackendConnection(number, 0, backend, ADDRESS, 9.0))
-                    found.on_effect(ForwardRequest(number, 0, 900.0))
-                    found.on_effect(StartRelaying(number))
-        assert (found.counts[Rule.SLOW_START.value] > 0) is is_violation
+                    checker.on_event(now, RequestReceived(number, 900.0))
+                    checker.on_effect(OpenBackendConnection(number, 0, backend, ADDRESS, 9.0))
+                    checker.on_effect(ForwardRequest(number, 0, 900.0))
+                    checker.on_effect(StartRelaying(number))
+        assert (checker.counts[Rule.SLOW_START.value] > 0) is is_violation
--- a/tests/telemetry/test_log.py
+++ b/tests/telemetry/test_log.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from yarrowspindle.telemetry.log import MAX_WARNINGS, PERIOD_S, RateLimitedLog
+from yarrowspindle.telemetry.log import MAX_WARNINGS, WARNING_PERIOD_S, RateLimitedLog
 
 
 def test_warnings_that_clients_can_cause_are_limited() -> None:
@@ -11,6 +11,6 @@
     for _ in range(10 * MAX_WARNINGS):
         log.warn("a bad line")
     assert (log.logged, log.suppressed) == (MAX_WARNINGS, 9 * MAX_WARNINGS)
-    now[0] = PERIOD_S
+    now[0] = WARNING_PERIOD_S
     log.warn("a bad line")
     assert (log.logged, log.suppressed) == (1, 0)
--- a/yarrowspindle/fronts/connection_limiter.py
+++ b/yarrowspindle/fronts/connection_limiter.py
@@ -14,34 +14,34 @@
 
 from yarrowspindle.transport.line_connection import LineConnection
 
-SPARE_DESCRIPTORS = 24  # for what comes and goes: watches, the configuration's file, sockets that are about to close
-IDLE_FRACTION = 0.2  # of the connections, without a request or answered
-MIN_IDLE = 8
-MAX_LOOKS = 16  # at the oldest, for one whose socket is empty
+RESERVED_DESCRIPTORS = 24  # for what comes and goes: watches, the configuration's file, sockets that are about to close
+MAX_IDLE_FRACTION = 0.2  # of the connections, without a request or answered
+MIN_IDLE_CONNECTIONS = 8
+MAX_CANDIDATES = 16  # at the oldest, for one whose socket is empty
 MIN_AGE_S = 0.03  # a usual client's line comes with its connection; nobody is sent away sooner than this
 FALLBACK_USED_DESCRIPTORS = 32  # where the system does not list them
 
 
 def descriptors_left(configured: int = 0) -> int:
     """Returns how many the process may still open, by its limit and by what the configuration allows; 0: no bound."""
-    most = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
-    if most == resource.RLIM_INFINITY:
-        most = 1 << 20
+    limit = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
+    if limit == resource.RLIM_INFINITY:
+        limit = 1 << 20
     try:
         used = len(list(Path("/proc/self/fd").iterdir()))
     except OSError:
         used = FALLBACK_USED_DESCRIPTORS
-    return max(0, min(most, configured or most) - used)
+    return max(0, min(limit, configured or limit) - used)
 
 
 class ConnectionLimiter:
     """Counts connections, and closes idle ones for new ones.
 
     Args:
-        most: descriptors for all connections, of which some are spared.
+        max_descriptors: descriptors for all connections, of which some are spared.
         clock: returns seconds.
-        silent: returns whether the kernel holds nothing of a connection that was not read, its first line for all we
-            know.
+        end_if_silent: returns whether the kernel holds nothing of a connection that was not read, its first line for
+            all we know.
 
     Attributes:
         connections: all sides that have a descriptor, or are about to.
@@ -50,10 +50,17 @@
     """
 
     def __init__(
-        self, most: int, clock: Callable[[], float], silent: Callable[[LineConnection], bool] = lambda side: True
+        self,
+        max_descriptors: int,
+        clock: Callable[[], float],
+        end_if_silent: Callable[[LineConnection], bool] = lambda side: True,
     ) -> None:
-        self.max_connections, self.clock, self.silent = most - SPARE_DESCRIPTORS, clock, silent
-        self.max_idle = max(MIN_IDLE, int(self.max_connections * IDLE_FRACTION))
+        self.max_connections, self.clock, self.end_if_silent = (
+            max_descriptors - RESERVED_DESCRIPTORS,
+            clock,
+            end_if_silent,
+        )
+        self.max_idle = max(MIN_IDLE_CONNECTIONS, int(self.max_connections * MAX_IDLE_FRACTION))
         self.connections: set[LineConnection] = set()
         self.without_request: dict[LineConnection, float] = {}
         self.answered: dict[LineConnection, float] = {}
@@ -103,12 +110,12 @@
         )
 
     def _close_oldest(self) -> bool:
-        latest = self.clock() - MIN_AGE_S
+        latest_start = self.clock() - MIN_AGE_S
         for sides in (self.answered, self.without_request):
-            for side, since in islice(sides.items(), MAX_LOOKS):
-                if since > latest:
+            for side, since in islice(sides.items(), MAX_CANDIDATES):
+                if since > latest_start:
                     break
-                if self.silent(side):
+                if self.end_if_silent(side):
                     self.on_closed(side)
                     side.abort()
                     return True
--- a/yarrowspindle/fronts/line_front.py
+++ b/yarrowspindle/fronts/line_front.py
@@ -50,15 +50,15 @@
     from yarrowspindle.daemon.relay_service import RelayService
 
 BACKLOG = 1024
-TURN_S = 0.001
+SHUTDOWN_POLL_S = 0.001
 DRAIN_POLL_S = 0.02
-DRAIN_FRACTION = 2.0 / 3.0  # of the time for the end, until a MOVE waits no longer for the rest of a line
-MAX_FIRST_LINE_TURNS = 64  # for a first line that comes in pieces while the relay ends
-LAST_TURNS = 4  # of the loop, to write the last lines and to read what crosses them, however late it is
+PARTIAL_LINE_WAIT_FRACTION = 2.0 / 3.0  # of the time for the end, until a MOVE waits no longer for the rest of a line
+MAX_FIRST_LINE_READS = 64  # for a first line that comes in pieces while the relay ends
+FINAL_LOOP_ITERATIONS = 4  # of the loop, to write the last lines and to read what crosses them, however late it is
 
 
 @unique
-class IdleEndReason(Enum):
+class IdleCloseReason(Enum):
     """Why the relay ends a client's connection on which nothing is asked. The value is the name in the log."""
 
     NO_FIRST_LINE = "no_first_line"
@@ -76,7 +76,7 @@
     Attributes:
         limiter: which connections are accepted.
         clients: the clients whose requests are not over, by request.
-        opened: the first lines of requests that may still be forwarded.
+        first_lines: the first lines of requests that may still be forwarded.
         backends: of each request's attempt in flight, or its established connection.
         connect_attempts: attempts to connect to backends, by request.
     """
@@ -84,12 +84,12 @@
     def __init__(self, service: RelayService, descriptors: int) -> None:
         self.service, self.config, self.runtime = service, service.config, service.runtime
         self.loop = asyncio.get_running_loop()
-        self.limiter = ConnectionLimiter(descriptors, self.loop.time, self._end_to_make_room)
-        self.idle_end_reason = IdleEndReason.NO_FIRST_LINE  # why one would be ended that the limiter leaves alone
+        self.limiter = ConnectionLimiter(descriptors, self.loop.time, self._end_if_silent)
+        self.idle_close_reason = IdleCloseReason.NO_FIRST_LINE  # why one would be ended that the limiter leaves alone
         self.log = RateLimitedLog(self.loop.time)
         self.network = OwnNetwork()
         self.clients: dict[int, ClientConnection] = {}
-        self.opened: dict[int, Open] = {}
+        self.first_lines: dict[int, Open] = {}
         self.backends: dict[int, BackendConnection] = {}
         self.connect_attempts: dict[int, Connecting] = {}
         self.effect_handlers: dict[type, Callable[[Any], None]] = {
@@ -109,46 +109,48 @@
             self.config.listen, BACKLOG, self._client_connection, self.limiter.make_room, self.log_warning
         )
         self.service.fronts.append(self)
-        self.service.connected_backends.append(self.connected)
+        self.service.connected_backends.append(self.connected_backends)
         logger.info("{} serves at {}:{}", self.config.name, *self.config.listen)
         return self
 
-    async def shut_down(self, until: float) -> None:
+    async def shut_down(self, deadline_s: float) -> None:
         """Ends all connections in order, once the reducer begins nothing any more.
 
         Whoever waits in the kernel is accepted and answered, whoever has sent no request is ended, and all are heard to
         their end while there is time: a close over unread bytes would reset.
 
-        until: a time of the loop. Where the process was held up beyond it, only hearing clients to their end falls
+        deadline_s: a time of the loop. Where the process was held up beyond it, only hearing clients to their end falls
         short: each step before that is over when its work is done, not after a time.
         """
         while not self.service.reducer.may_exit(self.runtime.clock.now()):
-            await asyncio.sleep(TURN_S)
+            await asyncio.sleep(SHUTDOWN_POLL_S)
         self.service.finish_shutdown()
-        began = self.loop.time()
-        await self.listener.close(until)
+        started_at = self.loop.time()
+        await self.listener.close(deadline_s)
         await self._end_silent_clients()
-        await self._drain_clients(began + (until - began) * DRAIN_FRACTION)
+        await self._drain_clients(started_at + (deadline_s - started_at) * PARTIAL_LINE_WAIT_FRACTION)
         for backend in [side for side in self.limiter.connections if isinstance(side, BackendConnection)]:
             backend.move_now()
-        await self._drain_clients(until)
-        for _ in range(LAST_TURNS):
+        await self._drain_clients(deadline_s)
+        for _ in range(FINAL_LOOP_ITERATIONS):
             await sockets_read()
 
     async def _end_silent_clients(self) -> None:
         """Reads what lies in the sockets, and ends in order whoever has sent no whole first line by then."""
-        self.idle_end_reason = IdleEndReason.SHUTDOWN
-        for turn in range(MAX_FIRST_LINE_TURNS):
+        self.idle_close_reason = IdleCloseReason.SHUTDOWN
+        for iteration in range(MAX_FIRST_LINE_READS):
             await sockets_read()
             silent = [side for side in self.limiter.without_request if isinstance(side, ClientConnection)]
             if not silent:
                 return
             for client in silent:
-                client.end_if_silent(although_unread=turn == MAX_FIRST_LINE_TURNS - 1)
+                client.end_if_silent(although_unread=iteration == MAX_FIRST_LINE_READS - 1)
 
-    async def _drain_clients(self, until: float) -> None:
+    async def _drain_clients(self, deadline_s: float) -> None:
         """Hears those that were answered to their end, until this time of the loop."""
-        while self.loop.time() < until and any(isinstance(side, ClientConnection) for side in self.limiter.connections):
+        while self.loop.time() < deadline_s and any(
+            isinstance(side, ClientConnection) for side in self.limiter.connections
+        ):
             await asyncio.sleep(DRAIN_POLL_S)
 
     def carry_out(self, effect: Effect) -> None:
@@ -166,9 +168,9 @@
     def _client_connection(self) -> ClientConnection:
         return ClientConnection(self, self.listener.waited)
 
-    def _unread_ms(self, side: ClientConnection) -> float:
+    def _read_delay_ms(self, side: ClientConnection) -> float:
         """How long the client's line lay unread. In a relay that keeps up it did not, and the system isn't asked."""
-        if side.waited or monotonic() > self.runtime.behind_at:
+        if side.waited or monotonic() > self.runtime.assume_behind_at:
             return last_data_age_ms(side.alive)
         return 0.0
 
@@ -176,38 +178,38 @@
         """Counts the connection."""
         self.limiter.on_accepted(side)
 
-    def request_received(self, side: ClientConnection, opened: Open) -> None:
+    def request_received(self, side: ClientConnection, first_line: Open) -> None:
         """Posts the request, or rejects a first line that makes no sense."""
         try:
-            received = self._request_of(side, opened)
+            received = self._parse_request(side, first_line)
         except LineError as error:
             side.reject_first_line(str(error))
             return
         self.limiter.on_request(side)
         side.request = received.request = self.service.new_request(self)
-        self.clients[side.request], self.opened[side.request] = side, opened
+        self.clients[side.request], self.first_lines[side.request] = side, first_line
         self.service.post(received)
 
-    def _request_of(self, side: ClientConnection, opened: Open) -> RequestReceived:
+    def _parse_request(self, side: ClientConnection, first_line: Open) -> RequestReceived:
         """The request that a first line stands for. Raises LineError where it makes no sense."""
         config = self.config
         try:
-            cls = self.service.config.current_classes[opened.get("c")]
-            tenant = config.tenants.index(opened.get("t")) if config.tenants else 0
+            cls = self.service.config.current_classes[first_line.get("c")]
+            tenant = config.tenants.index(first_line.get("t")) if config.tenants else 0
         except (KeyError, ValueError):
             raise LineError("a class or tenant that the settings do not name") from None
         return RequestReceived(
             0,
-            opened.number("d") - self._unread_ms(side),
+            first_line.number("d") - self._read_delay_ms(side),
             cls,
             tenant,
-            opened.key,
-            opened.number("h"),
-            opened.hexadecimal("g"),
-            opened.flag("r"),
-            opened.flag("again"),
-            opened.get("at"),
-            opened.id,
+            first_line.key,
+            first_line.number("h"),
+            first_line.hexadecimal("g"),
+            first_line.flag("r"),
+            first_line.flag("again"),
+            first_line.get("at"),
+            first_line.id,
         )
 
     def unexpected_client_data(self, request: int) -> None:
@@ -236,17 +238,17 @@
 
     def idle_client_closed(self, side: ClientConnection) -> None:
         """Counts the connection as answered."""
-        self._log_idle_end(side, self.idle_end_reason)
+        self._log_idle_close(side, self.idle_close_reason)
         self.limiter.on_answered(side)
 
-    def _end_to_make_room(self, side: LineConnection) -> bool:
+    def _end_if_silent(self, side: LineConnection) -> bool:
         """Ends our sending, unless bytes of the client lie unread; returns whether it is silent."""
         if not end_sending_if_silent(side.alive):
             return False
-        self._log_idle_end(side, IdleEndReason.SHORT_OF_DESCRIPTORS)
+        self._log_idle_close(side, IdleCloseReason.SHORT_OF_DESCRIPTORS)
         return True
 
-    def _log_idle_end(self, side: LineConnection, reason: IdleEndReason) -> None:
+    def _log_idle_close(self, side: LineConnection, reason: IdleCloseReason) -> None:
         """There is no request to trace it by: the client's address names it."""
         idle_ms = 1000.0 * self.limiter.idle_s(side)
         logger.debug("idle client {} ended reason={} idle_ms={:.0f}", side.peer_address, reason.value, idle_ms)
@@ -257,7 +259,7 @@
 
     # --- reports of backends ----------------------------------------------------------------------
 
-    def connected(self) -> set[str]:
+    def connected_backends(self) -> set[str]:
         """Returns the backends to which a connection stands, is under way or is being closed."""
         return {side.backend for side in self.limiter.connections if isinstance(side, BackendConnection)}
 
@@ -265,11 +267,11 @@
         """Posts it."""
         self.connect_attempts.pop(side.request, None)
         self.network.works()
-        if monotonic() > self.runtime.behind_at:
-            self._report_delay(side)
+        if monotonic() > self.runtime.assume_behind_at:
+            self._post_read_delay(side)
         self.service.post(BackendConnected(side.request, side.attempt))
 
-    def _report_delay(self, side: BackendConnection) -> None:
+    def _post_read_delay(self, side: BackendConnection) -> None:
         """What comes of the backend now may have lain unread here: that is no delay of the backend."""
         delay_ms = last_data_age_ms(side.alive)
         if delay_ms > 0.0:
@@ -277,14 +279,14 @@
 
     def backend_accepted(self, side: BackendConnection) -> None:
         """Posts it."""
-        if monotonic() > self.runtime.behind_at:
-            self._report_delay(side)
+        if monotonic() > self.runtime.assume_behind_at:
+            self._post_read_delay(side)
         self.service.post(BackendAccepted(side.request, side.attempt))
 
     def backend_data_forwarded(self, request: int, lines: int) -> None:
         """Posts it."""
-        if monotonic() > self.runtime.behind_at and (side := self.backends.get(request)) is not None:
-            self._report_delay(side)
+        if monotonic() > self.runtime.assume_behind_at and (side := self.backends.get(request)) is not None:
+            self._post_read_delay(side)
         self.service.post(BackendDataForwarded(request, lines))
 
     def backend_load_reported(self, request: int, load: float) -> None:
@@ -307,11 +309,11 @@
         side = BackendConnection(self, effect.request, effect.attempt, effect.backend)
         self.backends[effect.request] = side
         self.limiter.on_backend_connecting(side)
-        connecting = Connecting(side, effect.address, lambda failure: self._on_unreached(side, failure))
+        connecting = Connecting(side, effect.address, lambda failure: self._on_connect_failed(side, failure))
         self.connect_attempts[effect.request] = connecting
         connecting.start(effect.timeout_ms / 1000.0)
 
-    def _on_unreached(self, side: BackendConnection, failure: ConnectFailure) -> None:
+    def _on_connect_failed(self, side: BackendConnection, failure: ConnectFailure) -> None:
         """The attempt's connection did not come up, and never will: nothing was written on it."""
         self.connect_attempts.pop(side.request, None)
         self.limiter.on_closed(side)
@@ -324,9 +326,9 @@
         )
 
     def _forward_request(self, effect: ForwardRequest) -> None:
-        side, opened = self.backends.get(effect.request), self.opened.get(effect.request)
-        if side is not None and opened is not None:
-            side.ask(opened.forward(effect.remaining_ms))
+        side, first_line = self.backends.get(effect.request), self.first_lines.get(effect.request)
+        if side is not None and first_line is not None:
+            side.ask(first_line.forward(effect.remaining_ms))
 
     def _abort_attempt(self, effect: AbortAttempt) -> None:
         side = self.backends.pop(effect.request, None)
@@ -340,7 +342,7 @@
 
     def _start_relaying(self, effect: StartRelaying) -> None:
         client, backend = self.clients.get(effect.request), self.backends.get(effect.request)
-        self.opened.pop(effect.request, None)
+        self.first_lines.pop(effect.request, None)
         if client is not None and backend is not None:
             client.join(backend, backend.first)
             backend.flow()
@@ -354,7 +356,7 @@
 
     def _forget(self, request: int) -> None:
         self.clients.pop(request, None)
-        self.opened.pop(request, None)
+        self.first_lines.pop(request, None)
         self.service.forget(request)
 
     def _reject_request(self, effect: RejectRequest) -> None:
--- a/yarrowspindle/fronts/quic_front.py
+++ b/yarrowspindle/fronts/quic_front.py
@@ -41,14 +41,14 @@
     from yarrowspindle.daemon.operator_config import QuicConfig
     from yarrowspindle.daemon.relay_service import RelayService
 
-MAX_FIRST_FLIGHT = 8  # datagrams of the client kept until the connection is established
-MAX_PENDING = 16  # datagrams of the backend kept until its handshake has answered
-MIN_ID_BYTES = 8  # of a client's first destination connection id (RFC 9000, section 7.2)
+MAX_FIRST_FLIGHT_DATAGRAMS = 8  # datagrams of the client kept until the connection is established
+MAX_PENDING_DATAGRAMS = 16  # datagrams of the backend kept until its handshake has answered
+MIN_CONNECTION_ID_BYTES = 8  # of a client's first destination connection id (RFC 9000, section 7.2)
 # A client that sends for this long and this often without any answer has lost its backend.
 UNRESPONSIVE_S = 5.0
 UNRESPONSIVE_DATAGRAMS = 4
 PATH_IDLE_S = 10.0  # of an address that a client has left
-SWEEP_S = 0.5
+SWEEP_INTERVAL_S = 0.5
 
 
 class QuicFront:
@@ -63,7 +63,7 @@
         self.service = service
         self.config = config
         self.ids = quic.BackendIds(config.id_key)
-        self.front = Front(self.from_client)
+        self.client_socket = Front(self.on_client_datagram)
         self.table = FlowTable(config.max_connections, config.idle_s)
         self.counts: Counter[str] = Counter()
         self.loop = asyncio.get_running_loop()
@@ -81,10 +81,10 @@
 
     async def start(self) -> None:
         """Listens. Raises OSError where the address cannot be had."""
-        await self.loop.create_datagram_endpoint(lambda: self.front, local_addr=self.config.listen)
+        await self.loop.create_datagram_endpoint(lambda: self.client_socket, local_addr=self.config.listen)
         self.service.fronts.append(self)
         self.service.metrics.sources["quic"] = self.counts
-        self.loop.call_later(SWEEP_S, self._sweep)
+        self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
         logger.info("QUIC is served at {}:{}", *self.config.listen)
 
     def carry_out(self, effect: Effect) -> None:
@@ -93,7 +93,7 @@
 
     # --- datagrams of clients ---------------------------------------------------------------------
 
-    def from_client(self, data: bytes, client: Address) -> None:
+    def on_client_datagram(self, data: bytes, client: Address) -> None:
         """Passes a datagram on by its connection id, or begins a request for it."""
         self.counts["datagrams"] += 1
         try:
@@ -116,38 +116,38 @@
 
     def _negotiate_version(self, header: Header, data: bytes, client: Address) -> None:
         if len(data) >= quic.SMALLEST_INITIAL:
-            self.front.send(quic.version_negotiation(header), client)
+            self.client_socket.send(quic.version_negotiation(header), client)
         self.counts["other_version"] += 1
 
     def _find(self, header: Header) -> tuple[Flow | None, Link | None]:
         """Returns the connection of this id, and the link that the id names where a backend has issued it."""
         table = self.table
-        flow = table.by_id.get(header.destination)
+        flow = table.by_connection_id.get(header.destination)
         if flow is not None:
             return flow, None
         link = self.ids.decode(header.destination)
-        if link is not None and (link in table.ended or link in table.by_link or self._names_backend(link)):
+        if link is not None and (link in table.ended_ids or link in table.by_link or self._is_known_backend(link)):
             return table.by_link.get(link), link
         return None, None
 
-    def _names_backend(self, link: Link) -> bool:
+    def _is_known_backend(self, link: Link) -> bool:
         return link[0] in self.service.reducer.backends_by_number
 
     def _on_first_initial(self, header: Header, data: bytes, client: Address) -> None:
         """An Initial with an unknown id: a request, unless it was answered already or there is no capacity."""
-        if len(data) < quic.SMALLEST_INITIAL or len(header.destination) < MIN_ID_BYTES:
+        if len(data) < quic.SMALLEST_INITIAL or len(header.destination) < MIN_CONNECTION_ID_BYTES:
             self.counts["malformed"] += 1
-        elif header.destination in self.table.ended:
+        elif header.destination in self.table.ended_ids:
             self.counts["answered_before"] += 1  # a client that has not seen its answer yet: never a second one
         elif self.table.is_full:
             self.counts["no_room"] += 1
         else:
             flow = self._new_flow(header, data, client)
-            key = int.from_bytes(header.destination[:MIN_ID_BYTES], "big")
-            cls, deadline_ms = self._first_class()
+            key = int.from_bytes(header.destination[:MIN_CONNECTION_ID_BYTES], "big")
+            cls, deadline_ms = self._default_class()
             self.service.post(RequestReceived(flow.request, self.config.deadline_ms or deadline_ms, cls, key=key))
 
-    def _first_class(self) -> tuple[int, float]:
+    def _default_class(self) -> tuple[int, float]:
         """Returns the number of the first request class of the settings as they are now, and its deadline."""
         config = self.service.config
         number = next(iter(config.current_classes.values()), 0)
@@ -167,17 +167,17 @@
         backend is gone.
         """
         backend = self.service.reducer.backends_by_number.get(link[0])
-        if link in self.table.ended or backend is None or backend.state is EndpointState.GONE:
-            self._reset(header.destination, len(data), client)
+        if link in self.table.ended_ids or backend is None or backend.state is EndpointState.GONE:
+            self._send_stateless_reset(header.destination, len(data), client)
         elif self.table.is_full:
             self.counts["no_room"] += 1
         elif header.short:
             flow = self._new_flow(header, data, client)
-            flow.last_id = header.destination
-            flow.last_size = len(data)
+            flow.last_connection_id = header.destination
+            flow.last_datagram_bytes = len(data)
             self.table.set_link(flow, link)
             self.counts["taken_over"] += 1
-            cls, deadline_ms = self._first_class()
+            cls, deadline_ms = self._default_class()
             self.service.post(RequestReceived(flow.request, deadline_ms, cls, previous_backend=backend.name))
         else:
             self.counts["unknown_id"] += 1
@@ -186,31 +186,35 @@
         """Passes a datagram on to the connection's backend."""
         now = self.loop.time()
         flow.last_received_at = now
-        flow.client = client
-        if header.destination != flow.original_id or (flow.link is not None and header.short):
-            flow.last_id = header.destination
-            flow.last_size = len(data)
-        if not flow.unanswered:
+        flow.client_address = client
+        if header.destination != flow.original_connection_id or (flow.link is not None and header.short):
+            flow.last_connection_id = header.destination
+            flow.last_datagram_bytes = len(data)
+        if not flow.unanswered_datagrams:
             flow.unanswered_since = now
-        flow.unanswered += 1
-        if not flow.established and len(flow.first_flight) < MAX_FIRST_FLIGHT and data not in flow.first_flight:
+        flow.unanswered_datagrams += 1
+        if (
+            not flow.established
+            and len(flow.first_flight) < MAX_FIRST_FLIGHT_DATAGRAMS
+            and data not in flow.first_flight
+        ):
             flow.first_flight.append(data)
         if flow.forwarding:
             self._path(flow, client).send(data)
 
     # --- datagrams of backends --------------------------------------------------------------------
 
-    def _from_backend(self, flow: Flow, attempt: int, path: Path, data: bytes) -> None:
-        if flow.attempt != attempt or not self.table.holds(flow):
+    def _on_backend_datagram(self, flow: Flow, attempt: int, path: Path, data: bytes) -> None:
+        if flow.attempt != attempt or not self.table.contains(flow):
             return
         path.used = self.loop.time()
-        flow.unanswered = 0
+        flow.unanswered_datagrams = 0
         if flow.established:
             flow.last_received_at = path.used
-            self.front.send(data, path.client)
+            self.client_socket.send(data, path.client)
             return
         try:
-            headers = quic.parse_datagram(data, len(flow.client_id))
+            headers = quic.parse_datagram(data, len(flow.client_connection_id))
         except PacketError:
             self.counts["malformed_from_node"] += 1
             return
@@ -223,22 +227,22 @@
             if QuicPacketType.RETRY in kinds:  # the client starts again, at this backend, with the id it is given
                 flow.first_flight.clear()
                 self.table.add_id(flow, headers[0].source)
-            self.front.send(data, path.client)
+            self.client_socket.send(data, path.client)
             return
         if kinds == {QuicPacketType.INITIAL}:
-            code = quic.close_code(data, headers[0], flow.original_id)
+            code = quic.close_code(data, headers[0], flow.original_connection_id)
             if code is not None:  # not passed on: another backend may still accept the request
                 refused = code == quic.REFUSED
                 reason = TerminationReason.REJECTED if refused else TerminationReason.BACKEND_ERROR
                 self.service.post(AttemptEnded(flow.request, attempt, reason))
                 return
-        if len(flow.pending) < MAX_PENDING:
-            flow.pending.append((path, data))
+        if len(flow.pending_datagrams) < MAX_PENDING_DATAGRAMS:
+            flow.pending_datagrams.append((path, data))
         if kinds & {QuicPacketType.HANDSHAKE, QuicPacketType.ONE_RTT}:
-            self._learn_id(flow, headers)
+            self._record_connection_id(flow, headers)
             self.service.post(BackendAccepted(flow.request, attempt))
 
-    def _learn_id(self, flow: Flow, headers: list[Header]) -> None:
+    def _record_connection_id(self, flow: Flow, headers: list[Header]) -> None:
         """Notes the id that the backend chose, by which the client will send from now on."""
         source = next((header.source for header in headers if not header.short and header.source), b"")
         link = self.ids.decode(source)
@@ -249,7 +253,7 @@
 
     def _on_port_closed(self, flow: Flow, attempt: int) -> None:
         """Ends the attempt: the backend's port is closed."""
-        if flow.attempt == attempt and self.table.holds(flow):
+        if flow.attempt == attempt and self.table.contains(flow):
             reset, unreachable = TerminationReason.CONNECTION_RESET, TerminationReason.CONNECT_FAILED
             self.service.post(AttemptEnded(flow.request, attempt, reset if flow.established else unreachable))
 
@@ -257,7 +261,7 @@
 
     def _open_backend_connection(self, effect: OpenBackendConnection) -> None:
         flow = self.table.flows[effect.request]
-        flow.leave_backend()  # an attempt that the backend ended leaves its path behind, which leads to that backend
+        flow.detach_backend()  # an attempt that the backend ended leaves its path behind, which leads to that backend
         flow.attempt = effect.attempt
         flow.backend = effect.backend
         flow.address = (effect.address[0], self.config.node_port or effect.address[1])
@@ -267,7 +271,7 @@
         flow = self.table.flows[effect.request]
         flow.forwarding = True
         for data in flow.first_flight:
-            self._path(flow, flow.client).send(data)
+            self._path(flow, flow.client_address).send(data)
         timeout_s = min(self.config.answer_ms, effect.remaining_ms) / 1000.0
         flow.timeout = SilenceTimer(timeout_s, self._on_timeout, flow, flow.attempt)
 
@@ -280,7 +284,7 @@
         if path is None or path.closed:
             attempt = flow.attempt
             path = flow.paths[client] = Path(
-                lambda path, data: self._from_backend(flow, attempt, path, data),
+                lambda path, data: self._on_backend_datagram(flow, attempt, path, data),
                 lambda path: self._on_port_closed(flow, attempt),
                 client,
             )
@@ -298,16 +302,16 @@
     def _abort_attempt(self, effect: AbortAttempt) -> None:
         flow = self.table.flows.get(effect.request)
         if flow is not None:
-            flow.leave_backend()
+            flow.detach_backend()
 
     def _start_relaying(self, effect: StartRelaying) -> None:
         flow = self.table.flows[effect.request]
         flow.established = True
         flow.first_flight.clear()
         flow.cancel_timeout()
-        pending, flow.pending = flow.pending, []
+        pending, flow.pending_datagrams = flow.pending_datagrams, []
         for path, data in pending:
-            self.front.send(data, path.client)
+            self.client_socket.send(data, path.client)
 
     def _reject_request(self, effect: RejectRequest) -> None:
         advice = f"retry after {round(effect.retry_after_ms)} ms" if effect.retry_after_ms else "retry later"
@@ -320,10 +324,12 @@
         """Closes a connection that is not established."""
         flow = self.table.flows[request]
         if flow.link is not None:  # it was established before this relay knew it
-            self._reset(flow.last_id, flow.last_size, flow.client)
+            self._send_stateless_reset(flow.last_connection_id, flow.last_datagram_bytes, flow.client_address)
         else:
-            close = quic.initial_close(flow.version, flow.original_id, flow.client_id, quic.REFUSED, reason)
-            self.front.send(close, flow.client)
+            close = quic.initial_close(
+                flow.version, flow.original_connection_id, flow.client_connection_id, quic.REFUSED, reason
+            )
+            self.client_socket.send(close, flow.client_address)
         self._forget(flow)
 
     def _migrate_connection(self, effect: MigrateConnection) -> None:
@@ -342,19 +348,19 @@
             self.service.post(AttemptEnded(flow.request, flow.attempt, TerminationReason.BACKEND_REMOVED))
 
     def _end(self, flow: Flow) -> None:
-        if flow.last_id:
-            self._reset(flow.last_id, flow.last_size, flow.client)
+        if flow.last_connection_id:
+            self._send_stateless_reset(flow.last_connection_id, flow.last_datagram_bytes, flow.client_address)
         self._forget(flow)
 
-    def _reset(self, connection_id: bytes, size: int, client: Address) -> None:
+    def _send_stateless_reset(self, connection_id: bytes, size: int, client: Address) -> None:
         """Sends a Stateless Reset for a datagram of this size (RFC 9000, section 10.3)."""
         packet = quic.stateless_reset(quic.reset_token(self.config.reset_key, connection_id), size)
         if packet is not None:
             self.counts["resets"] += 1
-            self.front.send(packet, client)
+            self.client_socket.send(packet, client)
 
     def _forget(self, flow: Flow, remember: bool = True) -> None:
-        flow.leave_backend()
+        flow.detach_backend()
         self.service.forget(flow.request)
         self.table.remove(flow, self.loop.time(), remember)
 
@@ -362,7 +368,7 @@
 
     def _sweep(self) -> None:
         """Ends connections that are idle or whose backend is silent, and closes paths that are not used any more."""
-        self.loop.call_later(SWEEP_S, self._sweep)
+        self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
         now = self.loop.time()
         self.table.expire(now)
         for flow in list(self.table.flows.values()):
@@ -372,7 +378,9 @@
 
     def _check_silence(self, flow: Flow, now: float) -> None:
         is_idle = now >= flow.last_received_at + self.config.idle_s
-        is_unanswered = flow.unanswered >= UNRESPONSIVE_DATAGRAMS and now >= flow.unanswered_since + UNRESPONSIVE_S
+        is_unanswered = (
+            flow.unanswered_datagrams >= UNRESPONSIVE_DATAGRAMS and now >= flow.unanswered_since + UNRESPONSIVE_S
+        )
         if is_idle:
             self.service.post(AttemptEnded(flow.request, flow.attempt, TerminationReason.IDLE_EXPIRED))
         elif is_unanswered:
--- a/yarrowspindle/runtime/endpoint_watch.py
+++ b/yarrowspindle/runtime/endpoint_watch.py
@@ -27,14 +27,14 @@
 
     Attributes:
         watch: the newest call.
-        watch_at: the address of the discovery service that it was made to.
+        watch_address: the address of the discovery service that it was made to.
         connecting: attempts to connect, by watch.
         pending_calls: earlier calls to the same address that have brought no list yet.
-        former: the watch before, kept until its successor has brought its list.
+        previous: the watch before, kept until its successor has brought its list.
         last_active_at: seconds of the event loop at which a service last said anything after a list; None: never.
         last_active_address: that service's.
         version: the newest that was reported since `open` last wanted the full list.
-        ended_as_older: whether the last watch was ended because its full list was older than that.
+        older_list_rejected: whether the last watch was ended because its full list was older than that.
     """
 
     def __init__(
@@ -42,15 +42,15 @@
     ) -> None:
         self.names, self.on_update, self.on_failure = names, on_update, on_failure
         self.watch: WatchSide | None = None
-        self.watch_at: Address | None = None
+        self.watch_address: Address | None = None
         self.connecting: dict[WatchSide, Connecting] = {}
         self.pending_calls: deque[WatchSide] = deque()
-        self.former: WatchSide | None = None
+        self.previous: WatchSide | None = None
         self.closed = False
         self.last_active_at: float | None = None
         self.last_active_address: Address | None = None
         self.version = 0
-        self.ended_as_older = False
+        self.older_list_rejected = False
 
     def open(self, version: int, address: Address, renew: bool = False) -> None:
         """Watches the list at this address from this version on; a watch that is there already goes on, or is renewed.
@@ -59,12 +59,12 @@
         A call that has brought none yet goes on beside those after it: a service that answers each later than the next
         is made is heard all the same.
         """
-        if self.closed or (self.watch is not None and self.watch_at == address and not renew):
+        if self.closed or (self.watch is not None and self.watch_address == address and not renew):
             return
         if self.watch is not None:
             self._replace(self.watch, address)
         self.version = max(version, self.version) if version else 0
-        self.watch_at = address
+        self.watch_address = address
         self.watch = watch = WatchSide(self, self.names, address, version)
         watch.begin()
         connecting = Connecting(watch, address, lambda failure: watch.end(str(failure)))
@@ -73,8 +73,8 @@
 
     def _replace(self, replaced: WatchSide, address: Address) -> None:
         self.watch = None
-        if replaced.has_list and self.former is None:
-            self.former = replaced
+        if replaced.has_list and self.previous is None:
+            self.previous = replaced
         elif not replaced.has_list and replaced.address == address:
             self.pending_calls.append(replaced)
             if len(self.pending_calls) > MAX_PENDING_CALLS:
@@ -101,7 +101,7 @@
     def close(self) -> None:
         """Ends all calls, and reports nothing more."""
         self.closed = True
-        for watch in (self.watch, self.former, *self.pending_calls):
+        for watch in (self.watch, self.previous, *self.pending_calls):
             if watch is not None:
                 self._end(watch, "closed")
 
@@ -109,7 +109,7 @@
 
     def watch_active(self, watch: WatchSide) -> None:
         """Notes when the service was heard: whatever it was, what it reported so far stands."""
-        if watch is self.watch or (watch is self.former and watch.address == self.watch_at):
+        if watch is self.watch or (watch is self.previous and watch.address == self.watch_address):
             self.last_active_at, self.last_active_address = asyncio.get_running_loop().time(), watch.address
 
     def _silence_ms(self, watch: WatchSide) -> float | None:
@@ -128,19 +128,19 @@
         if watch is self.watch and 0 < update.version < self.version:
             if update.kind is ListKind.DELTA:
                 return
-            if not self.ended_as_older:
-                self.ended_as_older = True
+            if not self.older_list_rejected:
+                self.older_list_rejected = True
                 watch.end(f"a whole list of revision {update.version}, older than {self.version}")
                 return
         if watch is self.watch:
-            self.version, self.ended_as_older = update.version, False
-        if watch is self.watch and self.former is not None:
-            former, self.former = self.former, None
-            former.end("another has taken its place")
-        if watch is self.former and watch.address != self.watch_at:
+            self.version, self.older_list_rejected = update.version, False
+        if watch is self.watch and self.previous is not None:
+            previous, self.previous = self.previous, None
+            previous.end("another has taken its place")
+        if watch is self.previous and watch.address != self.watch_address:
             # Another service counts in another way: no version to go on from.
             update = replace(update, version=self.version)
-        if watch in (self.watch, self.former):
+        if watch in (self.watch, self.previous):
             update.since_last_update_ms = self._silence_ms(watch)
             self.on_update(update)
 
@@ -149,8 +149,8 @@
         self.connecting.pop(watch, None)
         if watch in self.pending_calls:
             self.pending_calls.remove(watch)
-        if self.former is watch:
-            self.former = None
+        if self.previous is watch:
+            self.previous = None
         elif self.watch is watch:
             self.watch = None
             if not self.closed:
--- a/yarrowspindle/runtime/health_checker.py
+++ b/yarrowspindle/runtime/health_checker.py
@@ -23,7 +23,7 @@
 from yarrowspindle.transport.silence import SilenceTimer
 
 MAX_CONNECTIONS = 32  # descriptors are set aside for them
-MAX_SILENT_BACKENDS = 1024
+MAX_UNRESPONSIVE_BACKENDS = 1024
 
 
 class PendingCheck:
@@ -32,16 +32,16 @@
     Attributes:
         side: the connection.
         address: where the backend listens.
-        asked_at: seconds of the event loop at which the question was asked.
+        sent_at: seconds of the event loop at which the question was asked.
         timeout: the question's time, then that of the idle connection.
         connecting: the attempt to connect.
     """
 
-    __slots__ = ("side", "address", "asked_at", "timeout", "connecting")
+    __slots__ = ("side", "address", "sent_at", "timeout", "connecting")
 
     def __init__(self, side: HealthCheckConnection, address: Address) -> None:
         self.side, self.address = side, address
-        self.asked_at = 0.0
+        self.sent_at = 0.0
         self.timeout: SilenceTimer | None = None
         self.connecting: Connecting | None = None
 
@@ -72,7 +72,7 @@
         self.max_connections = max_connections
         self.backends: dict[str, PendingCheck] = {}  # used longest ago first
         self.counts: Counter[str] = Counter()
-        self.silent: set[str] = set()  # whose last check was not answered, so that it is logged once
+        self.unresponsive: set[str] = set()  # whose last check was not answered, so that it is logged once
         self.closed = False
 
     def probe(self, effect: CheckHealth) -> None:
@@ -89,11 +89,11 @@
             return
         if check is None:
             check = PendingCheck(HealthCheckConnection(self, effect.backend), effect.address)
-            check.connecting = Connecting(check.side, effect.address, partial(self._on_unreached, check.side))
+            check.connecting = Connecting(check.side, effect.address, partial(self._on_connect_failed, check.side))
             check.connecting.start()
         self.backends[effect.backend] = check
         self.counts["sent"] += 1
-        check.asked_at = asyncio.get_running_loop().time()
+        check.sent_at = asyncio.get_running_loop().time()
         if check.timeout is not None:
             check.timeout.cancel()
         check.timeout = SilenceTimer(effect.timeout_ms / 1000.0, self._on_timeout, check)
@@ -114,7 +114,7 @@
                 continue
             self._close(check)
             if check.side.asked:
-                self._complete(backend, TerminationReason.NOT_SENT, check.asked_at)
+                self._complete(backend, TerminationReason.NOT_SENT, check.sent_at)
 
     @staticmethod
     def _on_timeout(check: PendingCheck) -> None:
@@ -132,21 +132,21 @@
         return False
 
     @staticmethod
-    def _on_unreached(side: HealthCheckConnection, failure: ConnectFailure) -> None:
+    def _on_connect_failed(side: HealthCheckConnection, failure: ConnectFailure) -> None:
         side.end(TerminationReason.NOT_SENT if failure.own else TerminationReason.CONNECT_FAILED, str(failure))
 
     def _close(self, check: PendingCheck) -> None:
         check.side.over = True  # nothing more is reported of it
         if check.side.transport is not None:
             check.side.transport.abort()
-        for pending in (check.timeout, check.connecting):
-            if pending is not None:
-                pending.cancel()
+        for cancellable in (check.timeout, check.connecting):
+            if cancellable is not None:
+                cancellable.cancel()
 
     def _complete(
-        self, backend: str, reason: TerminationReason, asked_at: float, report: tuple[float, ...] = ()
+        self, backend: str, reason: TerminationReason, sent_at: float, report: tuple[float, ...] = ()
     ) -> None:
-        duration_ms = (asyncio.get_running_loop().time() - asked_at) * 1000.0 if asked_at else 0.0
+        duration_ms = (asyncio.get_running_loop().time() - sent_at) * 1000.0 if sent_at else 0.0
         self.counts[TERMINATION_REASONS[reason]] += 1
         self.on_completed(HealthCheckCompleted(backend, reason, duration_ms, report))
 
@@ -165,10 +165,10 @@
         if check.timeout is not None:
             check.timeout.cancel()
         check.timeout = SilenceTimer(self.idle_s, self._on_idle, side)
-        if side.backend in self.silent:
-            self.silent.discard(side.backend)
+        if side.backend in self.unresponsive:
+            self.unresponsive.discard(side.backend)
             self.log_warning(f"execute node {side.backend} answers its probes again")
-        self._complete(side.backend, TerminationReason.COMPLETED, check.asked_at, report)
+        self._complete(side.backend, TerminationReason.COMPLETED, check.sent_at, report)
 
     def _on_idle(self, side: HealthCheckConnection) -> None:
         check = self.backends.get(side.backend)
@@ -185,10 +185,10 @@
         self._close(check)
         if reason is TerminationReason.PROTOCOL_ERROR:
             self.log_warning(f"execute node {side.backend}: {text}")
-        if side.asked and side.backend not in self.silent:
-            if len(self.silent) >= MAX_SILENT_BACKENDS:
-                self.silent.clear()
-            self.silent.add(side.backend)
+        if side.asked and side.backend not in self.unresponsive:
+            if len(self.unresponsive) >= MAX_UNRESPONSIVE_BACKENDS:
+                self.unresponsive.clear()
+            self.unresponsive.add(side.backend)
             self.log_warning(f"execute node {side.backend} does not answer its probe: {text}")
         if side.asked or reason is TerminationReason.PROTOCOL_ERROR:
-            self._complete(side.backend, reason, check.asked_at)
+            self._complete(side.backend, reason, check.sent_at)
--- a/yarrowspindle/runtime/membership_driver.py
+++ b/yarrowspindle/runtime/membership_driver.py
@@ -132,16 +132,16 @@
 
 def local_load(backends: Iterable[Backend], now: float) -> LocalLoad:
     """Returns this relay's load on the backends, its ejections, and the load reports it received, for its peers."""
-    own = LocalLoad({})
+    load = LocalLoad({})
     for backend in backends:
         key = backend.id & BACKEND_KEY_MASK
         if backend.connections:
-            own.loads[key] = (backend.connections, backend.load)
+            load.loads[key] = (backend.connections, backend.load)
             for group, count in backend.connections_by_group.items():
                 if group:
-                    own.loads[group_key(backend.id, group)] = (count, 0.0)
+                    load.loads[group_key(backend.id, group)] = (count, 0.0)
         if now < backend.ejected_until:
-            own.ejected[key] = backend.ejected_until - now
+            load.ejected[key] = backend.ejected_until - now
         if now <= backend.last_report_at + MAX_OWN_REPORT_AGE_MS:
-            own.reports[key] = (backend.utilization, backend.reported_connections, now - backend.last_report_at)
-    return own
+            load.reports[key] = (backend.utilization, backend.reported_connections, now - backend.last_report_at)
+    return load
--- a/yarrowspindle/runtime/runtime.py
+++ b/yarrowspindle/runtime/runtime.py
@@ -29,10 +29,10 @@
 from yarrowspindle.routing.reducer import Reducer
 from yarrowspindle.runtime.timers import Clock, Timers
 
-TICK, TICK_MS = "tick", 100.0
-BEHIND_MS = 20.0  # a tick that is so late: what came meanwhile may still lie unread in the sockets
-MIN_STEP_MS = 50.0  # a smaller change of the wall clock is its ordinary correction
-STALL_MS = TICK_MS + 150.0  # a tick that is so late: the loop stood still
+TICK, TICK_INTERVAL_MS = "tick", 100.0
+TICK_TOLERANCE_MS = 20.0  # a tick that is so late: what came meanwhile may still lie unread in the sockets
+MIN_CLOCK_STEP_MS = 50.0  # a smaller change of the wall clock is its ordinary correction
+STALL_THRESHOLD_MS = TICK_INTERVAL_MS + 150.0  # a tick that is so late: the loop stood still
 
 
 class Front(Protocol):
@@ -62,9 +62,10 @@
         fronts: all that carry out effects.
         owners: the front that received each request.
         tick_late_ms: how late the last tick was; 0 where it was on time.
-        behind_at: seconds of time.monotonic from which on the loop may stand still, or stood still a moment ago: what
-            is read then may have waited to be read.
-        wall_step_ms: returns the steps of the wall clock since the start; of these the reducer knows `wall_stepped_ms`.
+        assume_behind_at: seconds of time.monotonic from which on the loop may stand still, or stood still a moment ago:
+            what is read then may have waited to be read.
+        wall_step_ms: returns the steps of the wall clock since the start; of these the reducer knows
+            `handled_wall_step_ms`.
         stall_deadline: when a tick is so late that the loop stood still; inf: stalls are not looked for.
     """
 
@@ -73,7 +74,7 @@
     ) -> None:
         self.reducer, self.clock, self.log = reducer, clock, log
         self.timers = timers or Timers(clock)
-        self.timers.on_due = self._due
+        self.timers.on_due = self._on_timer_due
         self.queue: deque[Event] = deque()
         self.busy = self.closed = False
         self.fronts: list[Front] = []
@@ -94,12 +95,12 @@
             BackendRemoved: self._remove_backend,
         }
         self.counts: Counter[str] = Counter()
-        self.ticked = 0.0
-        self.tick_due = inf
+        self.last_tick_at = 0.0
+        self.next_tick_at = inf
         self.tick_late_ms = 0.0
-        self.behind_at = inf
+        self.assume_behind_at = inf
         self.wall_step_ms: Callable[[], float] = lambda: 0.0
-        self.wall_stepped_ms = 0.0
+        self.handled_wall_step_ms = 0.0
         self.stall_deadline = inf
 
     def start(self) -> None:
@@ -129,7 +130,7 @@
             self.queue.append(event)
         elif not self.closed:
             if self.clock.now() > self.stall_deadline:
-                self._stalled()
+                self._report_stall()
                 self.timers.run_due()
             self._run(event)
 
@@ -148,16 +149,16 @@
         try:
             while True:
                 now = self.clock.now()
-                for see in self.event_observers:
+                for observe in self.event_observers:
                     try:
-                        see(now, event)
+                        observe(now, event)
                     except Exception:  # whoever looks on must not keep the event from the reducer
                         self.counts["failures"] += 1
                         self.log("error", f"an observer failed at {event!r}")
                 try:
                     effects = step(now, event)
                 except Exception:
-                    self._failed(event)
+                    self._on_failure(event)
                     effects = self.reducer.take_effects()
                 for effect in effects:
                     try:
@@ -171,26 +172,26 @@
                                 self.effect_observer(effect)
                             front.carry_out(effect)
                     except Exception:
-                        self._failed(effect)
+                        self._on_failure(effect)
                 if not queue:
                     return
                 event = queue.popleft()
         finally:
             self.busy = False
 
-    def _failed(self, what: Event | Effect) -> None:
+    def _on_failure(self, step: Event | Effect) -> None:
         self.counts["failures"] += 1
-        self.log("error", f"the reducer or an effect failed: {what!r}")
-        request = self._request_of(what)
-        if request and not isinstance(what, InternalError):
-            self.queue.append(InternalError(request, isinstance(what, RequestReceived)))
+        self.log("error", f"the reducer or an effect failed: {step!r}")
+        request = self._request_of(step)
+        if request and not isinstance(step, InternalError):
+            self.queue.append(InternalError(request, isinstance(step, RequestReceived)))
 
     @staticmethod
-    def _request_of(what: Event | Effect) -> int:
+    def _request_of(step: Event | Effect) -> int:
         """Whose answer may hang on it; 0: nobody's."""
-        if isinstance(what, SetTimer | TimerFired):
-            return what.timer[1] if isinstance(what.timer, tuple) and isinstance(what.timer[1], int) else 0
-        return getattr(what, "request", 0)
+        if isinstance(step, SetTimer | TimerFired):
+            return step.timer[1] if isinstance(step.timer, tuple) and isinstance(step.timer[1], int) else 0
+        return getattr(step, "request", 0)
 
     def _remove_backend(self, effect: BackendRemoved) -> None:
         for front in self.fronts:
@@ -200,37 +201,37 @@
 
     def recent_delay_ms(self) -> float:
         """For how long, at the most, the loop has just stood still; 0 where it keeps up."""
-        late_ms = max(self.tick_late_ms, self.clock.now() - self.tick_due)
-        return late_ms + TICK_MS if late_ms > BEHIND_MS else 0.0
+        late_ms = max(self.tick_late_ms, self.clock.now() - self.next_tick_at)
+        return late_ms + TICK_INTERVAL_MS if late_ms > TICK_TOLERANCE_MS else 0.0
 
     def _tick(self) -> None:
-        self.ticked = now = self.clock.now()
-        on_time = now <= self.tick_due + BEHIND_MS
-        self.tick_late_ms = 0.0 if on_time else now - self.tick_due
-        self.tick_due = now + TICK_MS
-        self.behind_at = time.monotonic() + (TICK_MS + BEHIND_MS) / 1000.0 if on_time else 0.0
-        self.stall_deadline = self.ticked + STALL_MS
-        self.timers.set(TICK_MS, TICK)
-        step = self.wall_step_ms() - self.wall_stepped_ms
-        if abs(step) >= MIN_STEP_MS:
-            self.wall_stepped_ms += step
+        self.last_tick_at = now = self.clock.now()
+        on_time = now <= self.next_tick_at + TICK_TOLERANCE_MS
+        self.tick_late_ms = 0.0 if on_time else now - self.next_tick_at
+        self.next_tick_at = now + TICK_INTERVAL_MS
+        self.assume_behind_at = time.monotonic() + (TICK_INTERVAL_MS + TICK_TOLERANCE_MS) / 1000.0 if on_time else 0.0
+        self.stall_deadline = self.last_tick_at + STALL_THRESHOLD_MS
+        self.timers.set(TICK_INTERVAL_MS, TICK)
+        step = self.wall_step_ms() - self.handled_wall_step_ms
+        if abs(step) >= MIN_CLOCK_STEP_MS:
+            self.handled_wall_step_ms += step
             self.counts["clock_steps"] += 1
             self.log("warning", f"the wall clock was stepped by {step:.0f} ms")
             self._run(WallClockStepped(step))
 
-    def _stalled(self) -> None:
+    def _report_stall(self) -> None:
         """The loop may have stood still from the last tick on: nobody knows better."""
         now = self.clock.now()
-        late, self.ticked, self.stall_deadline = now - self.ticked, now, now + STALL_MS
+        stalled_ms, self.last_tick_at, self.stall_deadline = now - self.last_tick_at, now, now + STALL_THRESHOLD_MS
         self.counts["stalls"] += 1
-        self.counts["stalled_ms"] += int(late)
-        self.log("warning", f"the event loop stood still for {late:.0f} ms")
-        self._run(EventLoopStalled(late))
+        self.counts["stalled_ms"] += int(stalled_ms)
+        self.log("warning", f"the event loop stood still for {stalled_ms:.0f} ms")
+        self._run(EventLoopStalled(stalled_ms))
 
-    def _due(self, what: object) -> None:
+    def _on_timer_due(self, timer: object) -> None:
         if self.clock.now() > self.stall_deadline:
-            self._stalled()
-        if what == TICK:
+            self._report_stall()
+        if timer == TICK:
             self._tick()
         else:
-            self._run(TimerFired(what))
+            self._run(TimerFired(timer))
--- a/yarrowspindle/runtime/timers.py
+++ b/yarrowspindle/runtime/timers.py
@@ -9,7 +9,7 @@
 from typing import Protocol
 
 # The heap keeps timers that were cancelled; it is made anew where it holds so many entries for each that is set.
-MIN_HEAP, MAX_HEAP_FACTOR = 64, 4
+MIN_HEAP_ENTRIES, MAX_ENTRIES_PER_TIMER = 64, 4
 
 
 class Clock(Protocol):
@@ -43,7 +43,7 @@
 
     def __init__(self, clock: Clock) -> None:
         self.clock = clock
-        self.on_due: Callable[[object], None] = lambda what: None
+        self.on_due: Callable[[object], None] = lambda name: None
         self.heap: list[tuple[float, int, object]] = []
         self.current: dict[object, tuple[float, int]] = {}  # what each name stands for now; else it was taken back
         self.sequence = 0
@@ -51,19 +51,19 @@
         self.handle_at = 0.0
         self.running = False
 
-    def set(self, delay_ms: float, what: object) -> None:
+    def set(self, delay_ms: float, name: object) -> None:
         """Sets a timer, in place of an earlier one of this name."""
         self.sequence = sequence = self.sequence + 1
-        at = self.clock.now() + (delay_ms if delay_ms > 0.0 else 0.0)
-        self.current[what] = (at, sequence)
-        heapq.heappush(self.heap, (at, sequence, what))
-        if not self.running and (self.handle is None or at < self.handle_at):
+        deadline = self.clock.now() + (delay_ms if delay_ms > 0.0 else 0.0)
+        self.current[name] = (deadline, sequence)
+        heapq.heappush(self.heap, (deadline, sequence, name))
+        if not self.running and (self.handle is None or deadline < self.handle_at):
             self._arm()
 
-    def cancel(self, what: object) -> None:
+    def cancel(self, name: object) -> None:
         """Cancels the timer of this name, where there is one."""
-        self.current.pop(what, None)
-        if len(self.heap) > max(MIN_HEAP, MAX_HEAP_FACTOR * len(self.current)):
+        self.current.pop(name, None)
+        if len(self.heap) > max(MIN_HEAP_ENTRIES, MAX_ENTRIES_PER_TIMER * len(self.current)):
             self.heap = [entry for entry in self.heap if self.current.get(entry[2]) == entry[:2]]
             heapq.heapify(self.heap)
 
@@ -74,10 +74,10 @@
         self.running = True
         try:
             while self.heap and self.heap[0][0] <= self.clock.now():
-                at, sequence, what = heapq.heappop(self.heap)
-                if self.current.get(what) == (at, sequence):
-                    del self.current[what]
-                    self.on_due(what)
+                deadline, sequence, name = heapq.heappop(self.heap)
+                if self.current.get(name) == (deadline, sequence):
+                    del self.current[name]
+                    self.on_due(name)
         finally:
             self.running = False
             self._arm()
@@ -95,14 +95,14 @@
             heapq.heappop(self.heap)
         if not self.heap:
             return
-        at = self.heap[0][0]
+        deadline = self.heap[0][0]
         if self.handle is not None:
-            if self.handle_at <= at:
+            if self.handle_at <= deadline:
                 return
             self.handle.cancel()
-        self.handle_at = at
+        self.handle_at = deadline
         loop = asyncio.get_running_loop()
-        self.handle = loop.call_later(max(at - self.clock.now(), 0.0) / 1000.0, self._fire)
+        self.handle = loop.call_later(max(deadline - self.clock.now(), 0.0) / 1000.0, self._fire)
 
     def _fire(self) -> None:
         self.handle = None
@@ -112,8 +112,8 @@
 class NoTimers(Timers):
     """For a replay: what fell due stands in the sequence."""
 
-    def set(self, delay_ms: float, what: object) -> None:
+    def set(self, delay_ms: float, name: object) -> None:
         """Does nothing."""
 
-    def cancel(self, what: object) -> None:
+    def cancel(self, name: object) -> None:
         """Does nothing."""
--- a/yarrowspindle/telemetry/counts.py
+++ b/yarrowspindle/telemetry/counts.py
@@ -74,16 +74,16 @@
 
     def figures(self) -> dict[str, int]:
         """All figures as of now, under their published names."""
-        found: dict[str, int] = {}
+        figures: dict[str, int] = {}
         for name in self._class_names:
             for figure in ANSWER_FIGURES.values():
-                found[f"{figure}.{name}"] = self.counts[f"{figure}.{name}"]
-        found["backend_calls"] = self.counts["backend_calls"]
-        found["inflight"] = len(self._reducer.requests)
-        found |= self._backend_figures()
-        found["reconfig_ok"] = self.counts["reconfig_ok"]
-        found["reconfig_failed"] = self.counts["reconfig_failed"]
-        return found
+                figures[f"{figure}.{name}"] = self.counts[f"{figure}.{name}"]
+        figures["backend_calls"] = self.counts["backend_calls"]
+        figures["inflight"] = len(self._reducer.requests)
+        figures |= self._backend_figures()
+        figures["reconfig_ok"] = self.counts["reconfig_ok"]
+        figures["reconfig_failed"] = self.counts["reconfig_failed"]
+        return figures
 
     def _backend_figures(self) -> dict[str, int]:
         reducer = self._reducer
--- a/yarrowspindle/telemetry/log.py
+++ b/yarrowspindle/telemetry/log.py
@@ -9,7 +9,7 @@
 
 LOG_FORMAT = "{time:HH:mm:ss.SSS} {level} {message}"
 MAX_WARNINGS = 20  # in each period
-PERIOD_S = 1.0
+WARNING_PERIOD_S = 1.0
 
 
 def configure_log(level: str) -> None:
@@ -35,7 +35,7 @@
     def warn(self, text: str) -> None:
         """Logs the warning, or counts it where too many were logged in this period."""
         now = self.clock()
-        if now >= self.period_start + PERIOD_S:
+        if now >= self.period_start + WARNING_PERIOD_S:
             if self.suppressed:
                 logger.warning("and {} more warnings like these", self.suppressed)
             self.period_start = now
--- a/yarrowspindle/telemetry/warmup_share.py
+++ b/yarrowspindle/telemetry/warmup_share.py
@@ -29,7 +29,7 @@
         """Count a request; return a description where the backend got more than the settings allow, else None."""
         window_ms = settings.overload_window_ms
         self._forwarded_to_all.append(now)
-        _drop_before(self._forwarded_to_all, now - window_ms)
+        _discard_before(self._forwarded_to_all, now - window_ms)
         restarted_at = self._restarted_at.get(backend)
         if restarted_at is None:
             return None
@@ -38,22 +38,22 @@
             return None
         forwarded = self._forwarded[backend]
         forwarded.append(now)
-        _drop_before(forwarded, now - window_ms)
-        by_each_other = (len(self._forwarded_to_all) - len(forwarded)) / max(1, listed_backends - 1)
-        limit = _limit(settings, now - restarted_at, by_each_other)
+        _discard_before(forwarded, now - window_ms)
+        per_other_backend = (len(self._forwarded_to_all) - len(forwarded)) / max(1, listed_backends - 1)
+        limit = _limit(settings, now - restarted_at, per_other_backend)
         if len(forwarded) <= limit:
             return None
         return f"{len(forwarded)} forwarded to backend={backend} in {window_ms:.0f} ms, at most {limit:.0f} allowed"
 
 
-def _drop_before(times: deque[float], earliest: float) -> None:
+def _discard_before(times: deque[float], earliest: float) -> None:
     while times[0] < earliest:
         times.popleft()
 
 
-def _limit(settings: Settings, since_restart_ms: float, by_each_other: float) -> float:
-    """How many requests a backend may get where each of the others got `by_each_other`."""
+def _limit(settings: Settings, since_restart_ms: float, per_other_backend: float) -> float:
+    """How many requests a backend may get where each of the others got `per_other_backend`."""
     initial_fraction = settings.initial_capacity_fraction
     capacity_fraction = initial_fraction + (1.0 - initial_fraction) * since_restart_ms / settings.warmup_ms
-    allowed = MAX_SHARE_FACTOR * settings.overload_multiple * capacity_fraction * by_each_other
+    allowed = MAX_SHARE_FACTOR * settings.overload_multiple * capacity_fraction * per_other_backend
     return allowed + MAX_DEVIATIONS * sqrt(allowed) + MAX_EXCESS
