--- a/yarrowspindle/runtime/__init__.py
+++ b/yarrowspindle/runtime/__init__.py
@@ -1,4 +1,4 @@
-"""What runs the reducer, whatever the front: events in, effects out, one at a time; timers, owners, stalls."""
+"""The runtime: passes events to the reducer one at a time, carries out its effects and detects event loop stalls."""
 
 from yarrowspindle.runtime.runtime import Front, Runtime
 from yarrowspindle.runtime.timers import Clock, NoTimers, SystemClock, Timers
--- a/yarrowspindle/runtime/endpoint_watch.py
+++ b/yarrowspindle/runtime/endpoint_watch.py
@@ -1,4 +1,4 @@
-"""The watch on the endpoint list over HTTP: one at a time, the next opened before the last is given up."""
+"""Watches the endpoint list of the discovery service over HTTP; a new watch is opened before the old one is closed."""
 
 from __future__ import annotations
 
@@ -14,27 +14,28 @@
 from yarrowspindle.transport.connecting import Connecting
 from yarrowspindle.transport.endpoint_list import WatchSide
 
-MAX_PENDING_CALLS = 12  # under way beside the newest; each ends by itself after its time
+MAX_PENDING_CALLS = 12  # calls in flight besides the newest; each one times out on its own
 
 
 class EndpointWatch:
-    """Keeps one watch open. Whoever is given a failed update asks for the next one.
+    """A watch on the endpoint list. After an update of the kind FAILED, the receiver calls `open` to retry.
 
     Args:
-        names: of zones and kinds, as the settings have them.
-        on_update: is given each list, and an update of the kind FAILED where the watch has ended.
-        on_failure: is given a reason for the log then.
+        names: zone and kind names from the settings.
+        on_update: called with each update, and with one of the kind FAILED when the watch ends.
+        on_failure: called with the reason, for the log, when the watch ends.
 
     Attributes:
         watch: the newest call.
-        watch_address: the address of the discovery service that it was made to.
+        watch_address: the address of the discovery service that `watch` connects to.
         connecting: attempts to connect, by watch.
-        pending_calls: earlier calls to the same address that have brought no list yet.
-        previous: the watch before, kept until its successor has brought its list.
-        last_active_at: seconds of the event loop at which a service last said anything after a list; None: never.
-        last_active_address: that service's.
-        version: the newest that was reported since `open` last wanted the full list.
-        older_list_rejected: whether the last watch was ended because its full list was older than that.
+        pending_calls: earlier calls to the same address that have not received a list yet.
+        previous: the watch that `watch` replaces, kept open until `watch` has received its list.
+        last_active_at: event loop time in seconds at which a service last sent data on a watch that had received its
+            list; None before the first time.
+        last_active_address: the address of that service.
+        version: the newest list version that was reported since `open` last requested the full list.
+        older_list_rejected: whether the last watch was ended because its full list was older than `version`.
     """
 
     def __init__(
@@ -53,11 +54,12 @@
         self.older_list_rejected = False
 
     def open(self, version: int, address: Address, renew: bool = False) -> None:
-        """Watches the list at this address from this version on; a watch that is there already goes on, or is renewed.
+        """Watch the list at `address` from `version` on.
 
-        A watch that is renewed reports on until the new one has brought a list; so one that has gone silent is found.
-        A call that has brought none yet goes on beside those after it: a service that answers each later than the next
-        is made is heard all the same.
+        An existing watch on the same address is kept, unless `renew` is set. While a watch is being renewed, the old
+        one continues to report updates until the new one has received a list; renewing detects a watch that no longer
+        receives anything. Calls that have not received a list yet stay open beside newer ones, so that a service whose
+        answers take longer than the interval between calls is still heard.
         """
         if self.closed or (self.watch is not None and self.watch_address == address and not renew):
             return
@@ -78,9 +80,9 @@
         elif not replaced.has_list and replaced.address == address:
             self.pending_calls.append(replaced)
             if len(self.pending_calls) > MAX_PENDING_CALLS:
-                self._end(self.pending_calls.popleft(), "too many calls are under way")
-        else:  # nothing is lost with it
-            self._end(replaced, "another is opened in its place")
+                self._end(self.pending_calls.popleft(), "too many pending watch calls; closing the oldest")
+        else:  # `replaced` holds no list that is still needed
+            self._end(replaced, "replaced by a new watch")
 
     def _end(self, watch: WatchSide, reason: str) -> None:
         connecting = self.connecting.pop(watch, None)
@@ -89,17 +91,17 @@
         watch.end(reason)
 
     def _promote(self, watch: WatchSide) -> None:
-        """Puts a call that was answered late in place of those made after it."""
+        """Make a pending call that has received its list the current watch, and end the calls made after it."""
         self.pending_calls.remove(watch)
         superseded = [*self.pending_calls, self.watch]
         self.pending_calls.clear()
         self.watch = watch
         for later in superseded:
             if later is not None:
-                self._end(later, "an earlier call was answered")
+                self._end(later, "superseded: an earlier call received its list")
 
     def close(self) -> None:
-        """Ends all calls, and reports nothing more."""
+        """End all calls and report nothing more."""
         self.closed = True
         for watch in (self.watch, self.previous, *self.pending_calls):
             if watch is not None:
@@ -108,20 +110,21 @@
     # --- reports of the watches -------------------------------------------------------------------
 
     def watch_active(self, watch: WatchSide) -> None:
-        """Notes when the service was heard: whatever it was, what it reported so far stands."""
+        """Record the time at which the service sent data: any data confirms that its last list is still current."""
         if watch is self.watch or (watch is self.previous and watch.address == self.watch_address):
             self.last_active_at, self.last_active_address = asyncio.get_running_loop().time(), watch.address
 
     def _silence_ms(self, watch: WatchSide) -> float | None:
-        """How long ago this service was last heard; None: it was not."""
+        """Return how many milliseconds ago the service of this watch last sent data; None if it has sent none."""
         if self.last_active_at is None or self.last_active_address != watch.address:
             return None
         return (asyncio.get_running_loop().time() - self.last_active_at) * 1000.0
 
     def endpoints_received(self, watch: WatchSide, update: EndpointsUpdated) -> None:
-        """Reports an update, unless it is older than what is known: it would undo drains.
+        """Report an update, unless it is older than the last one reported: an older list would undo drains.
 
-        A full list like that is asked for once more, and believed then: the service may count anew.
+        An older full list is requested once more and accepted the second time, since the service may have restarted its
+        version numbers.
         """
         if watch in self.pending_calls:
             self._promote(watch)
@@ -130,22 +133,22 @@
                 return
             if not self.older_list_rejected:
                 self.older_list_rejected = True
-                watch.end(f"a whole list of revision {update.version}, older than {self.version}")
+                watch.end(f"full list has version {update.version}, older than {self.version}; requesting it again")
                 return
         if watch is self.watch:
             self.version, self.older_list_rejected = update.version, False
         if watch is self.watch and self.previous is not None:
             previous, self.previous = self.previous, None
-            previous.end("another has taken its place")
+            previous.end("replaced by a newer watch that has received its list")
         if watch is self.previous and watch.address != self.watch_address:
-            # Another service counts in another way: no version to go on from.
+            # Versions of another service are not comparable: keep the version to resume from.
             update = replace(update, version=self.version)
         if watch in (self.watch, self.previous):
             update.since_last_update_ms = self._silence_ms(watch)
             self.on_update(update)
 
     def watch_ended(self, watch: WatchSide, reason: str) -> None:
-        """Reports a failure where it was the newest call."""
+        """Remove a watch that ended, and report a failure if it was the newest call."""
         self.connecting.pop(watch, None)
         if watch in self.pending_calls:
             self.pending_calls.remove(watch)
--- a/yarrowspindle/runtime/health_checker.py
+++ b/yarrowspindle/runtime/health_checker.py
@@ -1,8 +1,8 @@
 """Carries out the balancer's health checks over sockets.
 
-There is a connection to each backend that is checked, and one question out on each. The connection used longest ago
-makes room for a new one; each question has its time; a connection that was not used for `idle_s` is closed, before the
-backend would do it.
+Each checked backend has one connection with at most one check in flight. When the limit is reached, the least recently
+used connection is closed for a new one. Each check has a timeout. A connection that is idle for `idle_s` is closed
+before the backend closes it.
 """
 
 from __future__ import annotations
@@ -22,18 +22,18 @@
 from yarrowspindle.transport.probe import HealthCheckConnection
 from yarrowspindle.transport.silence import SilenceTimer
 
-MAX_CONNECTIONS = 32  # descriptors are set aside for them
+MAX_CONNECTIONS = 32  # descriptors are reserved for them
 MAX_UNRESPONSIVE_BACKENDS = 1024
 
 
 class PendingCheck:
-    """One backend's connection, and the question that is out on it.
+    """The health check connection to one backend and the check in flight on it.
 
     Attributes:
         side: the connection.
-        address: where the backend listens.
-        sent_at: seconds of the event loop at which the question was asked.
-        timeout: the question's time, then that of the idle connection.
+        address: the address on which the backend listens.
+        sent_at: event loop time in seconds at which the check was sent.
+        timeout: the timer of the check in flight; of the idle connection if there is none.
         connecting: the attempt to connect.
     """
 
@@ -50,11 +50,11 @@
     """The connections of all health checks.
 
     Args:
-        fields: of the load report, as the settings name them.
-        idle_s: how long a connection that is not used stays open.
-        on_completed: is given the result of each check.
-        log_warning: is given a text on backends that do not answer, or answer nonsense.
-        max_connections: at once.
+        fields: names of the load report's fields, from the settings.
+        idle_s: seconds after which an unused connection is closed.
+        on_completed: called with the result of each check.
+        log_warning: called with a message about a backend that does not answer or sends an invalid answer.
+        max_connections: maximum number of open connections.
     """
 
     def __init__(
@@ -70,18 +70,18 @@
         self.on_completed = on_completed
         self.log_warning = log_warning
         self.max_connections = max_connections
-        self.backends: dict[str, PendingCheck] = {}  # used longest ago first
+        self.backends: dict[str, PendingCheck] = {}  # least recently used first
         self.counts: Counter[str] = Counter()
-        self.unresponsive: set[str] = set()  # whose last check was not answered, so that it is logged once
+        self.unresponsive: set[str] = set()  # their last check failed; each failure series is logged once
         self.closed = False
 
     def probe(self, effect: CheckHealth) -> None:
-        """Asks a backend for its load, on the connection that is there or a new one."""
+        """Request the backend's load report on its existing connection or on a new one."""
         check = self.backends.pop(effect.backend, None)
         if check is not None and check.address != effect.address:
             self._close(check)
             check = None
-        if check is not None and check.side.asked:  # the last question is still out, and has its own end
+        if check is not None and check.side.asked:  # the previous check is in flight and has its own timeout
             self.backends[effect.backend] = check
             return
         if self.closed or (check is None and not self._make_room()):
@@ -100,17 +100,17 @@
         check.side.ask()
 
     def close(self) -> None:
-        """Closes all connections, and checks nothing more."""
+        """Close all connections and report further checks as not sent."""
         self.closed = True
         for check in list(self.backends.values()):
             self._close(check)
         self.backends.clear()
 
     def disconnect(self, backends: Collection[str]) -> None:
-        """Closes the connections to these backends: no connection of this relay stands there any more."""
+        """Close the health check connections to these backends, so that none of this relay's remains open there."""
         for backend in self.backends.keys() & backends:
             check = self.backends.pop(backend, None)
-            if check is None:  # the report on another one has ended it
+            if check is None:  # reporting the end of another check removed it
                 continue
             self._close(check)
             if check.side.asked:
@@ -121,7 +121,7 @@
         check.side.end(TerminationReason.UNRESPONSIVE, "no answer in time")
 
     def _make_room(self) -> bool:
-        """Returns whether one more connection may be opened; the one used longest ago goes where that is needed."""
+        """Return whether one more connection may be opened; if needed, close the least recently used idle one first."""
         if len(self.backends) < self.max_connections:
             return True
         for backend, check in self.backends.items():
@@ -136,7 +136,7 @@
         side.end(TerminationReason.NOT_SENT if failure.own else TerminationReason.CONNECT_FAILED, str(failure))
 
     def _close(self, check: PendingCheck) -> None:
-        check.side.over = True  # nothing more is reported of it
+        check.side.over = True  # suppresses further reports of this connection
         if check.side.transport is not None:
             check.side.transport.abort()
         for cancellable in (check.timeout, check.connecting):
@@ -153,7 +153,7 @@
     # --- reports of the connections ---------------------------------------------------------------
 
     def health_check_answered(self, side: HealthCheckConnection, line: bytes) -> None:
-        """Passes the load report on; one that makes no sense ends the connection."""
+        """Report the answer to a check; an invalid load report ends the connection."""
         check = self.backends.get(side.backend)
         if check is None or check.side is not side:
             return
@@ -177,7 +177,7 @@
             self._close(check)
 
     def health_check_ended(self, side: HealthCheckConnection, reason: TerminationReason, text: str) -> None:
-        """Reports the check's failure where a question was out, and logs the first of a series."""
+        """Report the failure if a check was in flight, and log the first failure of a series."""
         check = self.backends.get(side.backend)
         if check is None or check.side is not side:
             return
--- a/yarrowspindle/runtime/membership_driver.py
+++ b/yarrowspindle/runtime/membership_driver.py
@@ -1,6 +1,6 @@
-"""Drives the membership core: carries out its effects and posts its timers with their deadlines.
+"""Drives the membership core: carries out its effects and posts timer events with their deadlines.
 
-The same driver runs on sockets (`daemon/membership_endpoint.py`) and on the virtual clock (`lab/model/peering.py`).
+Used with real sockets (`daemon/membership_endpoint.py`) and with a virtual clock (`lab/model/peering.py`).
 """
 
 from __future__ import annotations
@@ -23,22 +23,30 @@
 from yarrowspindle.membership.timers import PeriodicTimer
 from yarrowspindle.routing.address import Address
 
-RETRY_DELAY_MS = 1000.0  # until a periodic timer whose handler failed fires again
+RETRY_DELAY_MS = 1000.0  # until a periodic timer fires again after its handler raised an exception
 MAX_OWN_REPORT_AGE_MS = 750.0  # older load reports of backends are not passed on to peers
 
 
 def _ignore_payload(sender: str, data: bytes) -> None:
-    """The default receiver of payloads."""
+    """Discard a payload; the default of `MembershipDriver.on_payload`."""
 
 
 class MembershipDriver:
-    """Runs one membership core.
-
-    now: returns milliseconds of a monotonic clock. call_later: calls the function after so many milliseconds.
-    send: sends a datagram. sample_load: returns this relay's load. on_peer_loads: receives the peers' load.
-    log: writes a text; the flag says that hosts outside the cluster can cause it. on_failure: called for an event
-    that the core failed on, while the exception is handled; without it the exception propagates.
-    on_payload: receives the name of a peer and the payload that it sent.
+    """Driver of one membership core.
+
+    Args:
+        core: the membership core.
+        now: returns the milliseconds of a monotonic clock.
+        call_later: calls a function after a delay in milliseconds.
+        send: sends a datagram.
+        sample_load: returns this relay's load.
+        on_peer_loads: called with the load that the peers report.
+        log: writes a text; the flag is set if hosts outside the cluster can cause the message.
+        on_failure: called, while the exception is handled, with an event on which the core raised one; without it the
+            exception propagates.
+
+    Attributes:
+        on_payload: called with the name of a peer and a payload that it sent.
     """
 
     def __init__(
@@ -66,11 +74,11 @@
         self._is_closed = False
 
     def start(self) -> None:
-        """Carries out the effects of the core's start."""
+        """Carry out the effects of the core's start."""
         self._carry_out(self.core.take_effects())
 
     def post(self, event: Event) -> None:
-        """Runs the core on the event, after those that are already queued."""
+        """Pass the event to the core, after the events that are already queued."""
         if self._is_closed:
             return
         self._queue.append(event)
@@ -84,7 +92,7 @@
             self._is_running = False
 
     def close(self) -> None:
-        """Discards queued events and all later ones."""
+        """Discard queued events and all later ones."""
         self._is_closed = True
         self._queue.clear()
 
@@ -98,7 +106,7 @@
             self._recover(event)
 
     def _recover(self, event: Event) -> None:
-        """Sets a periodic timer again whose handler failed: it would have done so as its last step."""
+        """Re-arm the periodic timer of a handler that failed before its last step, which would have re-armed it."""
         self._carry_out(self.core.take_effects())
         if isinstance(event, LocalLoad):
             self._set_timer(SetTimer(RETRY_DELAY_MS, PeriodicTimer.LOAD_SIGNAL))
@@ -131,7 +139,7 @@
 
 
 def local_load(backends: Iterable[Backend], now: float) -> LocalLoad:
-    """Returns this relay's load on the backends, its ejections, and the load reports it received, for its peers."""
+    """Return this relay's load on the backends, its ejections and the load reports it received, for its peers."""
     load = LocalLoad({})
     for backend in backends:
         key = backend.id & BACKEND_KEY_MASK
--- a/yarrowspindle/runtime/runtime.py
+++ b/yarrowspindle/runtime/runtime.py
@@ -1,4 +1,4 @@
-"""Runs the reducer, for daemon, library and both fronts: events, timers, owners of requests, stalls, failures."""
+"""Runs the reducer for the daemon and the library: queues events, carries out effects, detects event loop stalls."""
 
 from __future__ import annotations
 
@@ -30,43 +30,43 @@
 from yarrowspindle.runtime.timers import Clock, Timers
 
 TICK, TICK_INTERVAL_MS = "tick", 100.0
-TICK_TOLERANCE_MS = 20.0  # a tick that is so late: what came meanwhile may still lie unread in the sockets
-MIN_CLOCK_STEP_MS = 50.0  # a smaller change of the wall clock is its ordinary correction
-STALL_THRESHOLD_MS = TICK_INTERVAL_MS + 150.0  # a tick that is so late: the loop stood still
+TICK_TOLERANCE_MS = 20.0  # if a tick is later than this, data received meanwhile may be unread in the sockets
+MIN_CLOCK_STEP_MS = 50.0  # smaller wall clock changes are the ordinary corrections of time synchronization
+STALL_THRESHOLD_MS = TICK_INTERVAL_MS + 150.0  # since the last tick; after that the event loop counts as stalled
 
 
 class Front(Protocol):
-    """Carries out the effects on the requests that it has received."""
+    """Carries out the effects on the requests that it receives."""
 
     def carry_out(self, effect: Effect) -> None:
-        """Carries out one effect; called in their order."""
+        """Carry out one effect; called in the order in which the reducer returned the effects."""
 
 
 class Runtime:
-    """One core with its timers, made inside a running event loop, or with timers that are driven by hand.
+    """A reducer with its timers. Without `timers` it must be created inside a running event loop.
 
-    One event at a time: an event that an effect causes waits until all effects are carried out. An event that the core
-    fails on, or an effect that cannot be carried out, must not end other connections: it is logged.
+    Events are handled one at a time: an event posted while effects are carried out is queued until all of them are
+    done. An exception in the reducer or in an effect's handler is logged and must not end other connections.
 
     Args:
-        reducer: the core.
+        reducer: the reducer.
         clock: the source of time.
-        log: is given a level ("info", "warning", "error") and a text; called for an error while it is handled.
-        timers: driven by hand; the event loop's where they are left out.
+        log: called with a level ("info", "warning", "error") and a text; for errors, while the exception is handled.
+        timers: timers to use instead of the event loop's, such as those of a replay or a virtual clock.
 
     Attributes:
         watch_endpoints, check_health, cancel_health_check: carry out `WatchEndpoints`, `CheckHealth` and
             `CancelHealthCheck`.
-        event_observers: each is given every event with its time, before the reducer is (a recorder, metrics).
-        effect_observer: is given each effect on a request.
-        fronts: all that carry out effects.
+        event_observers: called with every event and its time, before the reducer handles it (recorder, metrics).
+        effect_observer: called with each effect on a request.
+        fronts: all fronts.
         owners: the front that received each request.
-        tick_late_ms: how late the last tick was; 0 where it was on time.
-        assume_behind_at: seconds of time.monotonic from which on the loop may stand still, or stood still a moment ago:
-            what is read then may have waited to be read.
-        wall_step_ms: returns the steps of the wall clock since the start; of these the reducer knows
-            `handled_wall_step_ms`.
-        stall_deadline: when a tick is so late that the loop stood still; inf: stalls are not looked for.
+        tick_late_ms: delay of the last tick; 0 if it was on time.
+        assume_behind_at: time.monotonic seconds after which the loop may be stalled or may have just recovered; data
+            read after that time may have waited in a socket.
+        wall_step_ms: returns by how many milliseconds the wall clock was stepped since the start.
+        handled_wall_step_ms: the part of `wall_step_ms` that was already posted to the reducer.
+        stall_deadline: clock time in milliseconds after which a missing tick counts as a stall; inf disables detection.
     """
 
     def __init__(
@@ -104,28 +104,28 @@
         self.stall_deadline = inf
 
     def start(self) -> None:
-        """From here on stalls of the loop are found."""
+        """Start detecting stalls of the event loop."""
         self._tick()
 
     def close(self) -> None:
-        """Handles no more events, and cancels all timers."""
+        """Cancel all timers and ignore further events."""
         self.closed = True
         self.stall_deadline = inf
         self.timers.clear()
         self.owners.clear()
 
     def new_request(self, front: Front) -> int:
-        """Returns the number of a new request, whose effects go to this front."""
+        """Return the number of a new request and make this front its owner."""
         self.requests += 1
         self.owners[self.requests] = front
         return self.requests
 
     def forget(self, request: int) -> None:
-        """No more effects on this request are carried out."""
+        """Stop carrying out effects on this request."""
         self.owners.pop(request, None)
 
     def post(self, event: Event) -> None:
-        """Runs the reducer on the event. What has fallen due by now comes first, and a stall before that."""
+        """Pass the event to the reducer; after a stall, first report the stall and fire the timers that are due."""
         if self.busy:
             self.queue.append(event)
         elif not self.closed:
@@ -135,7 +135,7 @@
             self._run(event)
 
     def post_both(self, first: Event, second: Event) -> None:
-        """The same for two, with nothing between them."""
+        """Post two events so that no other event is handled between them, unless the loop was stalled."""
         if not self.busy and self.clock.now() <= self.stall_deadline:
             self.queue.append(second)
             self.post(first)
@@ -143,7 +143,7 @@
             self.post(first)
             self.post(second)
 
-    def _run(self, event: Event) -> None:  # noqa: C901  # on the path of each line: no call for each effect
+    def _run(self, event: Event) -> None:  # noqa: C901  # hot path, run for each line: avoids one call per effect
         queue, step, handlers, owners = self.queue, self.reducer.step, self.handlers, self.owners
         self.busy = True
         try:
@@ -152,9 +152,9 @@
                 for observe in self.event_observers:
                     try:
                         observe(now, event)
-                    except Exception:  # whoever looks on must not keep the event from the reducer
+                    except Exception:  # a failing observer must not keep the event from the reducer
                         self.counts["failures"] += 1
-                        self.log("error", f"an observer failed at {event!r}")
+                        self.log("error", f"event observer failed on {event!r}; the reducer handles the event anyway")
                 try:
                     effects = step(now, event)
                 except Exception:
@@ -166,7 +166,7 @@
                         if handler is not None:
                             handler(effect)
                             continue
-                        front = owners.get(effect.request)  # type: ignore[union-attr]  # all others are of a request
+                        front = owners.get(effect.request)  # type: ignore[union-attr]  # all other effects have a request
                         if front is not None:
                             if self.effect_observer is not None:
                                 self.effect_observer(effect)
@@ -181,14 +181,14 @@
 
     def _on_failure(self, step: Event | Effect) -> None:
         self.counts["failures"] += 1
-        self.log("error", f"the reducer or an effect failed: {step!r}")
+        self.log("error", f"reducer or effect handler failed on {step!r}")
         request = self._request_of(step)
         if request and not isinstance(step, InternalError):
             self.queue.append(InternalError(request, isinstance(step, RequestReceived)))
 
     @staticmethod
     def _request_of(step: Event | Effect) -> int:
-        """Whose answer may hang on it; 0: nobody's."""
+        """Return the request whose answer may depend on this event or effect; 0 if there is none."""
         if isinstance(step, SetTimer | TimerFired):
             return step.timer[1] if isinstance(step.timer, tuple) and isinstance(step.timer[1], int) else 0
         return getattr(step, "request", 0)
@@ -200,7 +200,7 @@
     # --- time -----------------------------------------------------------------------------------
 
     def recent_delay_ms(self) -> float:
-        """For how long, at the most, the loop has just stood still; 0 where it keeps up."""
+        """Return for how many milliseconds, at most, the loop has just been stalled; 0 if it is on time."""
         late_ms = max(self.tick_late_ms, self.clock.now() - self.next_tick_at)
         return late_ms + TICK_INTERVAL_MS if late_ms > TICK_TOLERANCE_MS else 0.0
 
@@ -216,16 +216,16 @@
         if abs(step) >= MIN_CLOCK_STEP_MS:
             self.handled_wall_step_ms += step
             self.counts["clock_steps"] += 1
-            self.log("warning", f"the wall clock was stepped by {step:.0f} ms")
+            self.log("warning", f"wall clock stepped by {step:.0f} ms")
             self._run(WallClockStepped(step))
 
     def _report_stall(self) -> None:
-        """The loop may have stood still from the last tick on: nobody knows better."""
+        """Report a stall since the last tick, the earliest time at which it may have begun."""
         now = self.clock.now()
         stalled_ms, self.last_tick_at, self.stall_deadline = now - self.last_tick_at, now, now + STALL_THRESHOLD_MS
         self.counts["stalls"] += 1
         self.counts["stalled_ms"] += int(stalled_ms)
-        self.log("warning", f"the event loop stood still for {stalled_ms:.0f} ms")
+        self.log("warning", f"event loop stalled for {stalled_ms:.0f} ms")
         self._run(EventLoopStalled(stalled_ms))
 
     def _on_timer_due(self, timer: object) -> None:
--- a/yarrowspindle/runtime/timers.py
+++ b/yarrowspindle/runtime/timers.py
@@ -1,4 +1,4 @@
-"""Time for the core: the clock, and timers that fall due in one stated order however late the loop is."""
+"""The clock and the timers of the reducer; timers fire in a fixed order however late the event loop is."""
 
 from __future__ import annotations
 
@@ -8,51 +8,51 @@
 from collections.abc import Callable
 from typing import Protocol
 
-# The heap keeps timers that were cancelled; it is made anew where it holds so many entries for each that is set.
+# Cancelled timers stay in the heap; it is rebuilt once it exceeds both this size and this many entries per set timer.
 MIN_HEAP_ENTRIES, MAX_ENTRIES_PER_TIMER = 64, 4
 
 
 class Clock(Protocol):
-    """A source of time that never goes back."""
+    """A source of time that never goes backwards."""
 
     def now(self) -> float:
-        """Returns Unix milliseconds."""
+        """Return the time as Unix milliseconds."""
 
 
 class SystemClock:
-    """The wall clock as it was at the start of this clock, carried on by the monotonic one."""
+    """The wall clock at the creation of this object, advanced by the monotonic clock."""
 
     def __init__(self) -> None:
         self.offset = time.time() - time.monotonic()
 
     def now(self) -> float:
-        """Returns Unix milliseconds that no step of the wall clock changes."""
+        """Return the time as Unix milliseconds, unaffected by steps of the wall clock."""
         return (time.monotonic() + self.offset) * 1000.0
 
     def wall_step_ms(self) -> float:
-        """By how much the wall clock was set forward (or back, below 0) since the start of this clock."""
+        """Return by how many ms the wall clock was stepped since this object was created; negative if set back."""
         return (time.time() - time.monotonic() - self.offset) * 1000.0
 
 
 class Timers:
-    """Timers by name, ordered by (deadline, order of setting); `on_due` is called with the name of each that fires.
+    """Named timers, ordered by (deadline, order of setting); `on_due` is called with the name of each that fires.
 
-    The event loop wakes it once for the earliest. `run_due` may be called at any time: after a stall all that has
-    fallen due runs before anything else, in its order, though the loop would run what came in over sockets first.
+    One event loop timer is set for the earliest deadline. `run_due` may be called at any time: after a stall it fires
+    all due timers in order, before data from the sockets, which the event loop would otherwise handle first.
     """
 
     def __init__(self, clock: Clock) -> None:
         self.clock = clock
         self.on_due: Callable[[object], None] = lambda name: None
         self.heap: list[tuple[float, int, object]] = []
-        self.current: dict[object, tuple[float, int]] = {}  # what each name stands for now; else it was taken back
+        self.current: dict[object, tuple[float, int]] = {}  # by name; other heap entries are cancelled
         self.sequence = 0
         self.handle: asyncio.TimerHandle | None = None
         self.handle_at = 0.0
         self.running = False
 
     def set(self, delay_ms: float, name: object) -> None:
-        """Sets a timer, in place of an earlier one of this name."""
+        """Set a timer, replacing an earlier one of the same name."""
         self.sequence = sequence = self.sequence + 1
         deadline = self.clock.now() + (delay_ms if delay_ms > 0.0 else 0.0)
         self.current[name] = (deadline, sequence)
@@ -61,14 +61,14 @@
             self._arm()
 
     def cancel(self, name: object) -> None:
-        """Cancels the timer of this name, where there is one."""
+        """Cancel the timer of this name, if it is set."""
         self.current.pop(name, None)
         if len(self.heap) > max(MIN_HEAP_ENTRIES, MAX_ENTRIES_PER_TIMER * len(self.current)):
             self.heap = [entry for entry in self.heap if self.current.get(entry[2]) == entry[:2]]
             heapq.heapify(self.heap)
 
     def run_due(self) -> None:
-        """Fires all timers whose time has come, in their order."""
+        """Fire all timers whose deadline has passed, in order."""
         if self.running:
             return
         self.running = True
@@ -83,7 +83,7 @@
             self._arm()
 
     def clear(self) -> None:
-        """Cancels all timers."""
+        """Cancel all timers."""
         self.heap.clear()
         self.current.clear()
         if self.handle is not None:
@@ -110,10 +110,10 @@
 
 
 class NoTimers(Timers):
-    """For a replay: what fell due stands in the sequence."""
+    """Timers that never fire, for a replay: the recorded sequence contains the timer events."""
 
     def set(self, delay_ms: float, name: object) -> None:
-        """Does nothing."""
+        """Do nothing."""
 
     def cancel(self, name: object) -> None:
-        """Does nothing."""
+        """Do nothing."""
