--- a/yarrowspindle/fronts/__init__.py
+++ b/yarrowspindle/fronts/__init__.py
@@ -1,1 +1,1 @@
-"""What clients connect to: the platform's lines, and QUIC."""
+"""The fronts to which clients connect: the platform's line protocol and QUIC."""
--- a/yarrowspindle/fronts/connection_limiter.py
+++ b/yarrowspindle/fronts/connection_limiter.py
@@ -1,8 +1,8 @@
-"""Which connections are accepted while descriptors are short: the books behind the listening socket.
+"""Limits the accepted connections by the file descriptors that are available.
 
-Requests need a descriptor for each side. Connections whose request has not come, and those that were answered and have
-not ended yet, share a part of what there is. Where that is full, those answered longest ago go first, then those that
-have sent nothing for longest.
+A request needs one descriptor for its client and one for its backend. Connections that have not sent a request yet and
+those that were answered but are not closed yet share a fraction of all connections. When that fraction is used up, the
+connections answered longest ago are closed first, then those without a request, oldest first.
 """
 
 from __future__ import annotations
@@ -14,16 +14,20 @@
 
 from yarrowspindle.transport.line_connection import LineConnection
 
-RESERVED_DESCRIPTORS = 24  # for what comes and goes: watches, the configuration's file, sockets that are about to close
-MAX_IDLE_FRACTION = 0.2  # of the connections, without a request or answered
+RESERVED_DESCRIPTORS = 24  # for watches, the configuration file and sockets that are about to close
+MAX_IDLE_FRACTION = 0.2  # of all connections: those without a request and those already answered
 MIN_IDLE_CONNECTIONS = 8
-MAX_CANDIDATES = 16  # at the oldest, for one whose socket is empty
-MIN_AGE_S = 0.03  # a usual client's line comes with its connection; nobody is sent away sooner than this
-FALLBACK_USED_DESCRIPTORS = 32  # where the system does not list them
+MAX_CANDIDATES = 16  # oldest connections checked for one whose socket has no unread data
+MIN_AGE_S = 0.03  # time to send the first line, which usually follows the connection at once; none is closed sooner
+FALLBACK_USED_DESCRIPTORS = 32  # if the system has no /proc/self/fd
 
 
 def descriptors_left(configured: int = 0) -> int:
-    """Returns how many the process may still open, by its limit and by what the configuration allows; 0: no bound."""
+    """Return how many descriptors the process may still open under its own limit and the configured one.
+
+    Args:
+        configured: maximum number of descriptors from the settings; 0 sets no limit besides that of the process.
+    """
     limit = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
     if limit == resource.RLIM_INFINITY:
         limit = 1 << 20
@@ -35,18 +39,18 @@
 
 
 class ConnectionLimiter:
-    """Counts connections, and closes idle ones for new ones.
+    """Counts connections and closes idle ones to make room for new ones.
 
     Args:
-        max_descriptors: descriptors for all connections, of which some are spared.
+        max_descriptors: descriptors for all connections, including the reserved ones.
         clock: returns seconds.
-        end_if_silent: returns whether the kernel holds nothing of a connection that was not read, its first line for
-            all we know.
+        end_if_silent: returns whether the kernel holds no unread data of a connection, and may end sending on it if so;
+            unread data could be its first line.
 
     Attributes:
-        connections: all sides that have a descriptor, or are about to.
-        without_request: since when, oldest first.
-        answered: since when, oldest first.
+        connections: client and backend connections that have a descriptor or are about to open one.
+        without_request: time of acceptance of each client connection without a request, oldest first.
+        answered: time of the answer on each client connection that was answered, oldest first.
     """
 
     def __init__(
@@ -66,44 +70,44 @@
         self.answered: dict[LineConnection, float] = {}
 
     def on_accepted(self, side: LineConnection) -> None:
-        """A client's connection was accepted."""
+        """Count a client connection that was accepted."""
         self.connections.add(side)
         self.without_request[side] = self.clock()
 
     def on_backend_connecting(self, side: LineConnection) -> None:
-        """A connection to a backend is about to be opened."""
+        """Count a connection to a backend that is about to be opened."""
         self.connections.add(side)
 
     def on_request(self, side: LineConnection) -> None:
-        """The client's request has come."""
+        """Record that the client has sent its request."""
         self.without_request.pop(side, None)
 
     def on_answered(self, side: LineConnection) -> None:
-        """The client has its last line."""
+        """Record that the client was sent its last line."""
         self.without_request.pop(side, None)
         if side in self.connections:
             self.answered[side] = self.clock()
 
     def on_closed(self, side: LineConnection) -> None:
-        """The connection has no descriptor any more."""
+        """Remove a connection whose descriptor was closed."""
         self.connections.discard(side)
         self.without_request.pop(side, None)
         self.answered.pop(side, None)
 
     def idle_s(self, side: LineConnection) -> float:
-        """Returns for how long the connection has had no request; 0 where it has one, or is not counted."""
+        """Return for how many seconds the connection has had no request; 0 if it has one or is not counted."""
         now = self.clock()
         return now - self.without_request.get(side, self.answered.get(side, now))
 
     def make_room(self) -> bool:
-        """Returns whether one more may be accepted; closes an idle one where that is needed and possible."""
+        """Return whether one more connection may be accepted; close idle ones first if that is needed and possible."""
         while self._is_full():
             if not self._close_oldest():
                 return False
         return True
 
     def _is_full(self) -> bool:
-        without_request = len(self.without_request)  # each takes one more, for its backend, once its request has come
+        without_request = len(self.without_request)  # each needs one more, for its backend, once it sends its request
         return (
             len(self.connections) + without_request >= self.max_connections
             or without_request + len(self.answered) >= self.max_idle
--- a/yarrowspindle/fronts/line_front.py
+++ b/yarrowspindle/fronts/line_front.py
@@ -1,4 +1,4 @@
-"""The platform's front: reports of its transports become events, effects become calls on transports."""
+"""The front for the platform's line protocol: turns transport reports into events, and effects into transport calls."""
 
 from __future__ import annotations
 
@@ -52,14 +52,14 @@
 BACKLOG = 1024
 SHUTDOWN_POLL_S = 0.001
 DRAIN_POLL_S = 0.02
-PARTIAL_LINE_WAIT_FRACTION = 2.0 / 3.0  # of the time for the end, until a MOVE waits no longer for the rest of a line
-MAX_FIRST_LINE_READS = 64  # for a first line that comes in pieces while the relay ends
-FINAL_LOOP_ITERATIONS = 4  # of the loop, to write the last lines and to read what crosses them, however late it is
+PARTIAL_LINE_WAIT_FRACTION = 2.0 / 3.0  # of the shutdown time; after it, MOVE no longer waits for the rest of a line
+MAX_FIRST_LINE_READS = 64  # event loop iterations in which a first line that arrives in pieces may complete
+FINAL_LOOP_ITERATIONS = 4  # to write the last lines and read data that crosses them, even after the deadline
 
 
 @unique
 class IdleCloseReason(Enum):
-    """Why the relay ends a client's connection on which nothing is asked. The value is the name in the log."""
+    """Reason why the relay closes a client connection without a request. The value is the name in the log."""
 
     NO_FIRST_LINE = "no_first_line"
     SHORT_OF_DESCRIPTORS = "short_of_descriptors"
@@ -67,17 +67,19 @@
 
 
 class LineFront:
-    """The clients' address, and all connections that come of it.
+    """The listening socket for clients and all client and backend connections that result from it.
 
     Args:
         service: the relay.
-        descriptors: for all connections.
+        descriptors: number of descriptors for all connections.
 
     Attributes:
-        limiter: which connections are accepted.
-        clients: the clients whose requests are not over, by request.
-        first_lines: the first lines of requests that may still be forwarded.
-        backends: of each request's attempt in flight, or its established connection.
+        limiter: decides whether a connection is accepted.
+        idle_close_reason: the reason logged when a client connection without a request is closed for any cause but the
+            limiter.
+        clients: client connections of requests that have not ended, by request.
+        first_lines: first lines of requests that may still be forwarded, by request.
+        backends: backend connection of the attempt in flight or of the established connection, by request.
         connect_attempts: attempts to connect to backends, by request.
     """
 
@@ -85,7 +87,7 @@
         self.service, self.config, self.runtime = service, service.config, service.runtime
         self.loop = asyncio.get_running_loop()
         self.limiter = ConnectionLimiter(descriptors, self.loop.time, self._end_if_silent)
-        self.idle_close_reason = IdleCloseReason.NO_FIRST_LINE  # why one would be ended that the limiter leaves alone
+        self.idle_close_reason = IdleCloseReason.NO_FIRST_LINE
         self.log = RateLimitedLog(self.loop.time)
         self.network = OwnNetwork()
         self.clients: dict[int, ClientConnection] = {}
@@ -104,7 +106,11 @@
         }
 
     def start(self) -> LineFront:
-        """Listens. Raises OSError where the address cannot be had."""
+        """Start listening.
+
+        Raises:
+            OSError: the address cannot be bound.
+        """
         self.listener = Listener(
             self.config.listen, BACKLOG, self._client_connection, self.limiter.make_room, self.log_warning
         )
@@ -114,13 +120,15 @@
         return self
 
     async def shut_down(self, deadline_s: float) -> None:
-        """Ends all connections in order, once the reducer begins nothing any more.
+        """Close all connections gracefully, once the reducer starts no new attempts.
 
-        Whoever waits in the kernel is accepted and answered, whoever has sent no request is ended, and all are heard to
-        their end while there is time: a close over unread bytes would reset.
+        Connections in the kernel's accept queue are accepted and answered, those without a request are closed, and
+        until the deadline all connections are read until the client closes: closing a socket with unread data would
+        reset the connection.
 
-        deadline_s: a time of the loop. Where the process was held up beyond it, only hearing clients to their end falls
-        short: each step before that is over when its work is done, not after a time.
+        Args:
+            deadline_s: event loop time. If the process is delayed beyond it, only the wait for clients to close is cut
+                short; each earlier step ends when its work is done, not at a time.
         """
         while not self.service.reducer.may_exit(self.runtime.clock.now()):
             await asyncio.sleep(SHUTDOWN_POLL_S)
@@ -136,7 +144,7 @@
             await sockets_read()
 
     async def _end_silent_clients(self) -> None:
-        """Reads what lies in the sockets, and ends in order whoever has sent no whole first line by then."""
+        """Read the sockets' pending data, then close the clients that have not sent a complete first line."""
         self.idle_close_reason = IdleCloseReason.SHUTDOWN
         for iteration in range(MAX_FIRST_LINE_READS):
             await sockets_read()
@@ -147,39 +155,39 @@
                 client.end_if_silent(although_unread=iteration == MAX_FIRST_LINE_READS - 1)
 
     async def _drain_clients(self, deadline_s: float) -> None:
-        """Hears those that were answered to their end, until this time of the loop."""
+        """Read from answered clients until they close, up to this event loop time."""
         while self.loop.time() < deadline_s and any(
             isinstance(side, ClientConnection) for side in self.limiter.connections
         ):
             await asyncio.sleep(DRAIN_POLL_S)
 
     def carry_out(self, effect: Effect) -> None:
-        """Carries out an effect on a request of this front."""
+        """Carry out an effect on a request of this front."""
         handler = self.effect_handlers.get(type(effect))
-        if handler is not None:  # a backend that is gone ends its connections itself
+        if handler is not None:  # `BackendRemoved` needs none: a removed backend closes its connections itself
             handler(effect)
 
     # --- reports of clients -----------------------------------------------------------------------
 
     def ready(self) -> bool:
-        """Returns whether the relay accepts new connections."""
+        """Return whether the relay accepts new connections."""
         return self.service.ready()
 
     def _client_connection(self) -> ClientConnection:
         return ClientConnection(self, self.listener.waited)
 
     def _read_delay_ms(self, side: ClientConnection) -> float:
-        """How long the client's line lay unread. In a relay that keeps up it did not, and the system isn't asked."""
+        """Return how long the client's line was unread in the kernel; 0, without asking it, if the loop is on time."""
         if side.waited or monotonic() > self.runtime.assume_behind_at:
             return last_data_age_ms(side.alive)
         return 0.0
 
     def client_connected(self, side: ClientConnection) -> None:
-        """Counts the connection."""
+        """Count the connection."""
         self.limiter.on_accepted(side)
 
     def request_received(self, side: ClientConnection, first_line: Open) -> None:
-        """Posts the request, or rejects a first line that makes no sense."""
+        """Post the request, or reject an invalid first line."""
         try:
             received = self._parse_request(side, first_line)
         except LineError as error:
@@ -191,13 +199,17 @@
         self.service.post(received)
 
     def _parse_request(self, side: ClientConnection, first_line: Open) -> RequestReceived:
-        """The request that a first line stands for. Raises LineError where it makes no sense."""
+        """Return the request of a first line.
+
+        Raises:
+            LineError: the first line is invalid.
+        """
         config = self.config
         try:
             cls = self.service.config.current_classes[first_line.get("c")]
             tenant = config.tenants.index(first_line.get("t")) if config.tenants else 0
         except (KeyError, ValueError):
-            raise LineError("a class or tenant that the settings do not name") from None
+            raise LineError("request names a class or tenant that is not in the settings") from None
         return RequestReceived(
             0,
             first_line.number("d") - self._read_delay_ms(side),
@@ -213,58 +225,58 @@
         )
 
     def unexpected_client_data(self, request: int) -> None:
-        """Posts it."""
+        """Post that the client sent data while it waited for its answer."""
         self.service.post(UnexpectedClientData(request))
 
     def client_data_forwarded(self, request: int, lines: int) -> None:
-        """Posts it, unless no line was complete."""
+        """Post the number of complete lines that were forwarded to the backend, if there were any."""
         if lines:
             self.service.post(ClientDataForwarded(request, lines))
 
     def client_disconnected(self, request: int) -> None:
-        """Posts it."""
+        """Post that the client has disconnected."""
         self.service.post(ClientDisconnected(request))
 
     def client_connection_lost(self, side: ClientConnection) -> None:
-        """Forgets the connection, and its request where that is not over."""
+        """Forget the connection, and its request if that has not ended."""
         self.limiter.on_closed(side)
         if self.clients.get(side.request) is side:
             self._forget(side.request)
 
     def first_line_rejected(self, side: ClientConnection, reason: str) -> None:
-        """Counts the connection as answered, and logs why."""
+        """Count the connection as answered and log the reason for the rejection."""
         self.limiter.on_answered(side)
         self.log_warning(reason)
 
     def idle_client_closed(self, side: ClientConnection) -> None:
-        """Counts the connection as answered."""
+        """Log the close of a client connection without a request, and count it as answered."""
         self._log_idle_close(side, self.idle_close_reason)
         self.limiter.on_answered(side)
 
     def _end_if_silent(self, side: LineConnection) -> bool:
-        """Ends our sending, unless bytes of the client lie unread; returns whether it is silent."""
+        """End sending unless the kernel holds unread data of the client; return whether it holds none."""
         if not end_sending_if_silent(side.alive):
             return False
         self._log_idle_close(side, IdleCloseReason.SHORT_OF_DESCRIPTORS)
         return True
 
     def _log_idle_close(self, side: LineConnection, reason: IdleCloseReason) -> None:
-        """There is no request to trace it by: the client's address names it."""
+        """Log the close with the client's address, since there is no request by which to trace it."""
         idle_ms = 1000.0 * self.limiter.idle_s(side)
         logger.debug("idle client {} ended reason={} idle_ms={:.0f}", side.peer_address, reason.value, idle_ms)
 
     def log_warning(self, text: str) -> None:
-        """Logs what clients or backends can cause, in bounds."""
+        """Log a warning that clients or backends can cause, at a limited rate."""
         self.log.warn(text)
 
     # --- reports of backends ----------------------------------------------------------------------
 
     def connected_backends(self) -> set[str]:
-        """Returns the backends to which a connection stands, is under way or is being closed."""
+        """Return the backends to which a connection is established, being opened or being closed."""
         return {side.backend for side in self.limiter.connections if isinstance(side, BackendConnection)}
 
     def backend_connected(self, side: BackendConnection) -> None:
-        """Posts it."""
+        """Post that the connection to the backend was opened."""
         self.connect_attempts.pop(side.request, None)
         self.network.works()
         if monotonic() > self.runtime.assume_behind_at:
@@ -272,33 +284,33 @@
         self.service.post(BackendConnected(side.request, side.attempt))
 
     def _post_read_delay(self, side: BackendConnection) -> None:
-        """What comes of the backend now may have lain unread here: that is no delay of the backend."""
+        """Post how long the backend's data was unread in the kernel: it must not count as the backend's latency."""
         delay_ms = last_data_age_ms(side.alive)
         if delay_ms > 0.0:
             self.service.post(BackendDataDelayed(side.request, delay_ms))
 
     def backend_accepted(self, side: BackendConnection) -> None:
-        """Posts it."""
+        """Post that the backend accepted the request."""
         if monotonic() > self.runtime.assume_behind_at:
             self._post_read_delay(side)
         self.service.post(BackendAccepted(side.request, side.attempt))
 
     def backend_data_forwarded(self, request: int, lines: int) -> None:
-        """Posts it."""
+        """Post the number of complete lines that were forwarded to the client."""
         if monotonic() > self.runtime.assume_behind_at and (side := self.backends.get(request)) is not None:
             self._post_read_delay(side)
         self.service.post(BackendDataForwarded(request, lines))
 
     def backend_load_reported(self, request: int, load: float) -> None:
-        """Posts it."""
+        """Post the load that the backend reported."""
         self.service.post(UnclassifiedReport(request, load))
 
     def backend_connection_lost(self, side: BackendConnection) -> None:
-        """Forgets the connection."""
+        """Forget the connection."""
         self.limiter.on_closed(side)
 
     def attempt_ended(self, side: BackendConnection, reason: TerminationReason) -> None:
-        """Posts it."""
+        """Post that the attempt ended, with the reason."""
         if self.backends.get(side.request) is side:
             del self.backends[side.request]
         self.service.post(AttemptEnded(side.request, side.attempt, reason))
@@ -314,11 +326,13 @@
         connecting.start(effect.timeout_ms / 1000.0)
 
     def _on_connect_failed(self, side: BackendConnection, failure: ConnectFailure) -> None:
-        """The attempt's connection did not come up, and never will: nothing was written on it."""
+        """End an attempt whose connection failed to open; nothing was written on it."""
         self.connect_attempts.pop(side.request, None)
         self.limiter.on_closed(side)
         if failure.unexpected:
-            self.log_warning(f"a connection to execute node {side.backend} failed: {failure.error!r}")
+            self.log_warning(
+                f"connecting to execute node {side.backend} failed with an unexpected error: {failure.error!r}"
+            )
         side.unreached(
             TerminationReason.NOT_SENT
             if self.network.at_fault(side.backend, failure)
@@ -379,5 +393,5 @@
         client = self.clients.get(effect.request)
         self._forget(effect.request)
         if client is not None:
-            client.finish()  # in order, however the backend ended: its last lines may still wait to be written
+            client.finish()  # gracefully: the backend's last lines may not be written yet
             self.limiter.on_answered(client)
--- a/yarrowspindle/fronts/quic_flow.py
+++ b/yarrowspindle/fronts/quic_flow.py
@@ -1,4 +1,4 @@
-"""QUIC connections as the front knows them: by request, by connection id, and by the backend's link."""
+"""The QUIC front's table of connections, by request, by connection id and by the link that a backend's id encodes."""
 
 from __future__ import annotations
 
@@ -11,35 +11,36 @@
 from yarrowspindle.transport.silence import SilenceTimer
 
 NO_ATTEMPT = -1
-MAX_ENDED_IDS_PER_CONNECTION = 4  # ids of ended connections that are remembered, for each connection at once
+MAX_ENDED_IDS_PER_CONNECTION = 4  # remembered ids of ended connections, per connection that the table may hold
 
 
 @dataclass(slots=True)
 class Flow:
-    """One QUIC connection. Times are seconds of the event loop.
+    """One QUIC connection. Times are seconds of the event loop's clock.
 
     Attributes:
-        request: its id for the reducer.
+        request: the number of its request in the reducer.
         original_connection_id: the destination connection id of the client's first Initial.
         client_connection_id: the client's own connection id.
-        version: of QUIC.
-        client_address: the address that the client sent from last.
-        last_received_at: when the client, or after its set-up the backend, last sent anything.
-        first_flight: the client's datagrams until the connection is established, for another backend if one fails.
-        pending_datagrams: the backend's datagrams until its handshake has answered.
+        version: the QUIC version.
+        client_address: the address from which the client last sent a datagram.
+        last_received_at: when the client, or once the connection is established the backend, last sent a datagram.
+        first_flight: the client's first datagrams, kept until the connection is established to resend them to another
+            backend if the attempt fails.
+        pending_datagrams: the backend's datagrams that are held back until the connection is established.
         attempt: the number of the attempt in flight.
-        backend: its name.
-        address: where its datagrams go.
+        backend: the name of the attempt's backend.
+        address: the backend's address.
         forwarding: whether the client's datagrams go to the backend.
         established: whether the backend has accepted the connection.
-        connection_ids: all ids by which the client may send.
-        link: the backend's id and its number for the connection, where the backend's connection id names them.
-        paths: one socket towards the backend for each address of the client.
+        connection_ids: all destination connection ids that the client may use.
+        link: the backend's id and its number for the connection, if the backend's connection id encodes them.
+        paths: one socket towards the backend for each client address.
         last_connection_id: the backend's connection id that the client used last.
-        last_datagram_bytes: the size of that datagram.
-        unanswered_since: when the first datagram that had no answer came.
-        unanswered_datagrams: how many datagrams of the client had no answer.
-        timeout: ends the attempt.
+        last_datagram_bytes: the size of the datagram with that id.
+        unanswered_since: when the first datagram that the backend has not answered was received.
+        unanswered_datagrams: number of the client's datagrams since the backend last answered.
+        timeout: timer that ends the attempt.
     """
 
     request: int
@@ -65,7 +66,7 @@
     timeout: SilenceTimer | None = None
 
     def detach_backend(self) -> None:
-        """Closes the paths to the backend, and forgets what it has sent."""
+        """Close the paths to the backend and discard the datagrams it has sent."""
         self.forwarding = False
         self.pending_datagrams.clear()
         self.cancel_timeout()
@@ -74,13 +75,13 @@
         self.paths.clear()
 
     def cancel_timeout(self) -> None:
-        """The attempt has its answer."""
+        """Cancel the timeout of the attempt."""
         if self.timeout is not None:
             self.timeout.cancel()
             self.timeout = None
 
     def close_idle_paths(self, before: float) -> None:
-        """Closes paths of addresses that the client has left and that were last used before this time."""
+        """Close paths of former client addresses that were last used before this time."""
         for address, path in list(self.paths.items()):
             if address != self.client_address and before >= path.used:
                 path.close()
@@ -88,11 +89,11 @@
 
 
 class FlowTable:
-    """All connections, and the ids of those that have ended, so that late datagrams are not taken for new ones.
+    """All connections, and the ids of ended ones, so that their late datagrams do not start new connections.
 
     Args:
-        max_connections: at once.
-        remember_s: how long an ended connection's ids are remembered.
+        max_connections: maximum number of connections.
+        remember_s: seconds for which the ids of an ended connection are remembered.
     """
 
     def __init__(self, max_connections: int, remember_s: float) -> None:
@@ -101,34 +102,34 @@
         self.flows: dict[int, Flow] = {}
         self.by_connection_id: dict[bytes, Flow] = {}
         self.by_link: dict[Link, Flow] = {}
-        self.ended_ids: OrderedDict[bytes | Link, float] = OrderedDict()  # until when each is remembered
+        self.ended_ids: OrderedDict[bytes | Link, float] = OrderedDict()  # time at which each expires
 
     @property
     def is_full(self) -> bool:
-        """Whether no more connections are accepted."""
+        """Whether the maximum number of connections is reached."""
         return len(self.flows) >= self.max_connections
 
     def add(self, flow: Flow) -> None:
-        """Adds a connection under its first id."""
+        """Add a connection under its first id."""
         self.flows[flow.request] = flow
         self.add_id(flow, flow.original_connection_id)
 
     def add_id(self, flow: Flow, connection_id: bytes) -> None:
-        """The client may send by this id too."""
+        """Add a destination connection id that the client may use."""
         flow.connection_ids.add(connection_id)
         self.by_connection_id[connection_id] = flow
 
     def set_link(self, flow: Flow, link: Link) -> None:
-        """The client may send by any id that the backend issues for this link."""
+        """Set the link of a connection, so that all ids that the backend issues for it are recognized."""
         flow.link = link
         self.by_link[link] = flow
 
     def contains(self, flow: Flow) -> bool:
-        """Returns whether the connection has not ended."""
+        """Return whether the connection has not ended."""
         return self.flows.get(flow.request) is flow
 
     def remove(self, flow: Flow, now: float, remember: bool) -> None:
-        """Removes a connection. `remember`: its ids stay known as those of an ended one."""
+        """Remove a connection; if `remember` is set, keep its ids as those of an ended connection."""
         self.flows.pop(flow.request, None)
         keys: list[bytes | Link] = [*flow.connection_ids]
         for connection_id in flow.connection_ids:
@@ -144,6 +145,6 @@
             self.ended_ids.popitem(last=False)
 
     def expire(self, now: float) -> None:
-        """Forgets the ids of connections that ended long ago."""
+        """Forget the ids of ended connections whose time has expired."""
         while self.ended_ids and next(iter(self.ended_ids.values())) <= now:
             self.ended_ids.popitem(last=False)
--- a/yarrowspindle/fronts/quic_front.py
+++ b/yarrowspindle/fronts/quic_front.py
@@ -1,7 +1,7 @@
-"""The QUIC front: connections by their ids, passed through to the backends, on the same reducer as all others.
+"""The QUIC front: forwards QUIC connections by connection id, driven by the same reducer as the line front.
 
-The first Initial with an unknown destination connection id is a request. What follows goes by its id to the backend
-that holds the connection, whatever address it comes from (RFC 9000, sections 5.1 and 9).
+The first Initial packet with an unknown destination connection id is a request. Later datagrams are forwarded by their
+id to the backend of the connection, from any client address (RFC 9000, sections 5.1 and 9).
 """
 
 from __future__ import annotations
@@ -41,22 +41,22 @@
     from yarrowspindle.daemon.operator_config import QuicConfig
     from yarrowspindle.daemon.relay_service import RelayService
 
-MAX_FIRST_FLIGHT_DATAGRAMS = 8  # datagrams of the client kept until the connection is established
-MAX_PENDING_DATAGRAMS = 16  # datagrams of the backend kept until its handshake has answered
-MIN_CONNECTION_ID_BYTES = 8  # of a client's first destination connection id (RFC 9000, section 7.2)
-# A client that sends for this long and this often without any answer has lost its backend.
+MAX_FIRST_FLIGHT_DATAGRAMS = 8  # of the client, kept until the connection is established
+MAX_PENDING_DATAGRAMS = 16  # of the backend, held back until the connection is established
+MIN_CONNECTION_ID_BYTES = 8  # minimum length of the first destination connection id (RFC 9000, section 7.2)
+# A backend is unresponsive if it leaves at least this many datagrams unanswered for at least this time.
 UNRESPONSIVE_S = 5.0
 UNRESPONSIVE_DATAGRAMS = 4
-PATH_IDLE_S = 10.0  # of an address that a client has left
+PATH_IDLE_S = 10.0  # after which the path of a former client address is closed
 SWEEP_INTERVAL_S = 0.5
 
 
 class QuicFront:
-    """One UDP address of clients.
+    """The UDP socket for clients and all QUIC connections over it.
 
     Args:
         service: the relay.
-        config: the operator's [quic].
+        config: the section [quic] of the operator's file.
     """
 
     def __init__(self, service: RelayService, config: QuicConfig) -> None:
@@ -80,7 +80,11 @@
         }
 
     async def start(self) -> None:
-        """Listens. Raises OSError where the address cannot be had."""
+        """Start listening.
+
+        Raises:
+            OSError: the address cannot be bound.
+        """
         await self.loop.create_datagram_endpoint(lambda: self.client_socket, local_addr=self.config.listen)
         self.service.fronts.append(self)
         self.service.metrics.sources["quic"] = self.counts
@@ -88,13 +92,13 @@
         logger.info("QUIC is served at {}:{}", *self.config.listen)
 
     def carry_out(self, effect: Effect) -> None:
-        """Carries out an effect on a request of this front, or the removal of a backend."""
+        """Carry out an effect on a request of this front, or the removal of a backend."""
         self.effect_handlers[type(effect)](effect)
 
     # --- datagrams of clients ---------------------------------------------------------------------
 
     def on_client_datagram(self, data: bytes, client: Address) -> None:
-        """Passes a datagram on by its connection id, or begins a request for it."""
+        """Forward a client's datagram by its connection id, or start a request for it."""
         self.counts["datagrams"] += 1
         try:
             header = quic.parse_header(data)
@@ -120,7 +124,7 @@
         self.counts["other_version"] += 1
 
     def _find(self, header: Header) -> tuple[Flow | None, Link | None]:
-        """Returns the connection of this id, and the link that the id names where a backend has issued it."""
+        """Return the connection of this id, and the link that the id encodes if a backend issued it."""
         table = self.table
         flow = table.by_connection_id.get(header.destination)
         if flow is not None:
@@ -134,11 +138,11 @@
         return link[0] in self.service.reducer.backends_by_number
 
     def _on_first_initial(self, header: Header, data: bytes, client: Address) -> None:
-        """An Initial with an unknown id: a request, unless it was answered already or there is no capacity."""
+        """Start a request for an Initial with an unknown id, unless it was answered already or the table is full."""
         if len(data) < quic.SMALLEST_INITIAL or len(header.destination) < MIN_CONNECTION_ID_BYTES:
             self.counts["malformed"] += 1
         elif header.destination in self.table.ended_ids:
-            self.counts["answered_before"] += 1  # a client that has not seen its answer yet: never a second one
+            self.counts["answered_before"] += 1  # the client has not received its answer yet; never send a second one
         elif self.table.is_full:
             self.counts["no_room"] += 1
         else:
@@ -148,7 +152,7 @@
             self.service.post(RequestReceived(flow.request, self.config.deadline_ms or deadline_ms, cls, key=key))
 
     def _default_class(self) -> tuple[int, float]:
-        """Returns the number of the first request class of the settings as they are now, and its deadline."""
+        """Return the number and the deadline in milliseconds of the first request class in the current settings."""
         config = self.service.config
         number = next(iter(config.current_classes.values()), 0)
         return number, config.settings.classes[number].deadline_ms
@@ -161,10 +165,10 @@
         return flow
 
     def _on_issued_id(self, link: Link, header: Header, data: bytes, client: Address) -> None:
-        """An id that names its backend, of a connection that this relay does not know.
+        """Take over a connection that this relay does not know but whose id encodes its backend.
 
-        It came from another relay, or this one has started anew. It goes on at its backend, draining or not, until the
-        backend is gone.
+        Another relay handled it before, or this relay was restarted. The connection continues at its backend, even a
+        draining one, until the backend is removed.
         """
         backend = self.service.reducer.backends_by_number.get(link[0])
         if link in self.table.ended_ids or backend is None or backend.state is EndpointState.GONE:
@@ -183,7 +187,7 @@
             self.counts["unknown_id"] += 1
 
     def _forward(self, flow: Flow, header: Header, data: bytes, client: Address) -> None:
-        """Passes a datagram on to the connection's backend."""
+        """Forward a client's datagram to the backend of its connection."""
         now = self.loop.time()
         flow.last_received_at = now
         flow.client_address = client
@@ -221,17 +225,17 @@
         self._on_handshake(flow, attempt, path, data, headers)
 
     def _on_handshake(self, flow: Flow, attempt: int, path: Path, data: bytes, headers: list[Header]) -> None:
-        """A datagram before the connection is established: a retry, a refusal, or a part of the handshake."""
+        """Handle a backend's datagram before the connection is established: a Retry, a refusal, or handshake data."""
         kinds = {header.kind for header in headers}
         if kinds <= {QuicPacketType.RETRY, QuicPacketType.VERSION_NEGOTIATION}:
-            if QuicPacketType.RETRY in kinds:  # the client starts again, at this backend, with the id it is given
+            if QuicPacketType.RETRY in kinds:  # the client restarts its handshake with this backend and the new id
                 flow.first_flight.clear()
                 self.table.add_id(flow, headers[0].source)
             self.client_socket.send(data, path.client)
             return
         if kinds == {QuicPacketType.INITIAL}:
             code = quic.close_code(data, headers[0], flow.original_connection_id)
-            if code is not None:  # not passed on: another backend may still accept the request
+            if code is not None:  # not forwarded: another backend may still accept the request
                 refused = code == quic.REFUSED
                 reason = TerminationReason.REJECTED if refused else TerminationReason.BACKEND_ERROR
                 self.service.post(AttemptEnded(flow.request, attempt, reason))
@@ -243,7 +247,7 @@
             self.service.post(BackendAccepted(flow.request, attempt))
 
     def _record_connection_id(self, flow: Flow, headers: list[Header]) -> None:
-        """Notes the id that the backend chose, by which the client will send from now on."""
+        """Record the connection id that the backend chose and that the client will use from now on."""
         source = next((header.source for header in headers if not header.short and header.source), b"")
         link = self.ids.decode(source)
         if link is not None and link[0] == backend_id(flow.backend):
@@ -252,7 +256,7 @@
             self.table.add_id(flow, source)
 
     def _on_port_closed(self, flow: Flow, attempt: int) -> None:
-        """Ends the attempt: the backend's port is closed."""
+        """End the attempt because the backend's port is closed."""
         if flow.attempt == attempt and self.table.contains(flow):
             reset, unreachable = TerminationReason.CONNECTION_RESET, TerminationReason.CONNECT_FAILED
             self.service.post(AttemptEnded(flow.request, attempt, reset if flow.established else unreachable))
@@ -261,7 +265,7 @@
 
     def _open_backend_connection(self, effect: OpenBackendConnection) -> None:
         flow = self.table.flows[effect.request]
-        flow.detach_backend()  # an attempt that the backend ended leaves its path behind, which leads to that backend
+        flow.detach_backend()  # closes the path to the backend of an earlier attempt that the backend ended
         flow.attempt = effect.attempt
         flow.backend = effect.backend
         flow.address = (effect.address[0], self.config.node_port or effect.address[1])
@@ -279,7 +283,7 @@
         self.service.post(AttemptEnded(flow.request, attempt, TerminationReason.DEADLINE_EXCEEDED))
 
     def _path(self, flow: Flow, client: Address) -> Path:
-        """Returns the socket towards the backend for this address of the client, a new one where there is none."""
+        """Return the socket towards the backend for this client address; open one if there is none."""
         path = flow.paths.get(client)
         if path is None or path.closed:
             attempt = flow.attempt
@@ -295,8 +299,8 @@
     async def _open_path(self, path: Path, flow: Flow, attempt: int) -> None:
         try:
             await self.loop.create_datagram_endpoint(lambda: path, remote_addr=flow.address)
-        except Exception as error:  # an invalid address too ends the attempt now, not at its deadline
-            logger.warning("no path to {}: {!r}", flow.backend, error)
+        except Exception as error:  # also for an invalid address, end the attempt now instead of at its deadline
+            logger.warning("cannot open a UDP socket to backend {}: {!r}", flow.backend, error)
             self._on_port_closed(flow, attempt)
 
     def _abort_attempt(self, effect: AbortAttempt) -> None:
@@ -321,9 +325,9 @@
         self._refuse(effect.request, "not served")
 
     def _refuse(self, request: int, reason: str) -> None:
-        """Closes a connection that is not established."""
+        """Close a connection that is not established, with the reason for the client."""
         flow = self.table.flows[request]
-        if flow.link is not None:  # it was established before this relay knew it
+        if flow.link is not None:  # taken over: its handshake was completed before this relay handled it
             self._send_stateless_reset(flow.last_connection_id, flow.last_datagram_bytes, flow.client_address)
         else:
             close = quic.initial_close(
@@ -353,7 +357,7 @@
         self._forget(flow)
 
     def _send_stateless_reset(self, connection_id: bytes, size: int, client: Address) -> None:
-        """Sends a Stateless Reset for a datagram of this size (RFC 9000, section 10.3)."""
+        """Send a Stateless Reset in reply to a datagram of this size in bytes (RFC 9000, section 10.3)."""
         packet = quic.stateless_reset(quic.reset_token(self.config.reset_key, connection_id), size)
         if packet is not None:
             self.counts["resets"] += 1
@@ -367,7 +371,7 @@
     # --- time -------------------------------------------------------------------------------------
 
     def _sweep(self) -> None:
-        """Ends connections that are idle or whose backend is silent, and closes paths that are not used any more."""
+        """End connections that are idle or whose backend is unresponsive, and close unused paths."""
         self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
         now = self.loop.time()
         self.table.expire(now)
