--- a/yarrowspindle/telemetry/__init__.py
+++ b/yarrowspindle/telemetry/__init__.py
@@ -1,4 +1,4 @@
-"""Figures, invariant checks and debug lines, from what the core receives and decides."""
+"""Counters, invariant checks and debug traces from the reducer's events and effects; log; published names."""
 
 from yarrowspindle.telemetry.counts import Telemetry
 
--- a/yarrowspindle/telemetry/counts.py
+++ b/yarrowspindle/telemetry/counts.py
@@ -1,9 +1,9 @@
-"""The operators' figures, counted from the core's events and effects.
+"""The operators' counters, derived from the reducer's events and effects.
 
-Each request that is received is counted once in `taken` and, once it has its final answer, once in one of `success`
-(established), `busy` (rejected) or `failure`; one whose client disconnects first is `abandoned`. So for each class, at
-every moment: taken = success + busy + failure + abandoned + waiting. The counts start with the process; a class that
-is removed from the settings keeps its counts.
+Each received request is counted once in `taken` and, when it gets its final answer, once in one of `success`
+(established), `busy` (rejected) or `failure`; if its client disconnects before, it is counted in `abandoned`. For each
+class it always holds that taken = success + busy + failure + abandoned + waiting. The counts start at 0 with the
+process; a class that is removed from the settings keeps its counts.
 """
 
 from __future__ import annotations
@@ -18,15 +18,20 @@
 
 ANSWER_FIGURES: Mapping[type, str] = {StartRelaying: "success", RejectRequest: "busy", FailRequest: "failure"}
 
-MAX_CLASSES = 256  # class names counted apart during a process's lifetime
-OTHER_CLASSES = "other"  # later class names are counted together under this one
+MAX_CLASSES = 256  # class names that are counted separately during a process's lifetime
+OTHER_CLASSES = "other"  # counts all further class names together
 
 
 class Telemetry:
-    """Counts requests by class.
+    """Counters of requests by class.
 
-    counts: by `FIGURE.CLASS`, or by the figure's name alone. waiting: the class name of each request without its final
-    answer; bounded by the core's requests.
+    Args:
+        reducer: the reducer, for the current numbers of requests and backends.
+        class_name: returns the name of a request class by its number.
+
+    Attributes:
+        counts: counts by `FIGURE.CLASS`, or by the figure's name alone.
+        waiting: class name of each request without a final answer; bounded by the number of the reducer's requests.
     """
 
     def __init__(self, reducer: Reducer, class_name: Callable[[int], str]) -> None:
@@ -34,7 +39,7 @@
         self.waiting: dict[int, str] = {}
         self._reducer = reducer
         self._class_name = class_name
-        self._class_names: dict[str, None] = {}  # ordered; by name, since numbers of classes are used again
+        self._class_names: dict[str, None] = {}  # an ordered set; by name, since class numbers are reused
 
     def on_event(self, event: Event) -> None:
         """Count an event."""
@@ -53,14 +58,14 @@
             return
         figure = ANSWER_FIGURES.get(kind)
         if figure is not None:
-            self._count_answer(figure, effect.request)  # type: ignore[union-attr]  # all three are of a request
+            self._count_answer(figure, effect.request)  # type: ignore[union-attr]  # all three effects have a request
 
     def on_configuration_reloaded(self, applied: bool) -> None:
         """Count a reload of the configuration."""
         self.counts["reconfig_ok" if applied else "reconfig_failed"] += 1
 
     def _counted_class(self, number: int) -> str:
-        """The name under which a class is counted."""
+        """Return the name under which a class is counted."""
         name = self._class_name(number)
         if name not in self._class_names:
             name = name if len(self._class_names) < MAX_CLASSES else OTHER_CLASSES
@@ -73,7 +78,7 @@
             self.counts[f"{figure}.{name}"] += 1
 
     def figures(self) -> dict[str, int]:
-        """All figures as of now, under their published names."""
+        """Return the current figures by their published names."""
         figures: dict[str, int] = {}
         for name in self._class_names:
             for figure in ANSWER_FIGURES.values():
@@ -95,5 +100,5 @@
         return {"hosts_listed": len(listed), "hosts_down": len(unavailable)}
 
     def text(self) -> str:
-        """All figures, one `name=value` a line."""
+        """Return all figures, one `name=value` per line."""
         return "".join(f"{name}={value}\n" for name, value in self.figures().items())
--- a/yarrowspindle/telemetry/guard.py
+++ b/yarrowspindle/telemetry/guard.py
@@ -1,7 +1,8 @@
-"""Counts violated invariants at run time, from the core's events and effects, with state of its own.
+"""Checks invariants at run time against the reducer's events and effects.
 
-It decides nothing and reads none of the core's state, so that a fault there shows here. A violation is counted once
-for each request and rule, as `invariant_violations_total.RULE`, and logged as an error.
+The guard keeps its own state and reads none of the reducer's, so that it detects faults in the reducer's state; it does
+not influence any decision. A violation is counted once per request and rule, as `invariant_violations_total.RULE`, and
+logged as an error.
 """
 
 from __future__ import annotations
@@ -35,31 +36,34 @@
 )
 from yarrowspindle.telemetry.warmup_share import WarmupShare
 
-MAX_ANSWER_DELAY_MS = 500.0  # after the deadline; a later answer counts as none
+MAX_ANSWER_DELAY_MS = 500.0  # after the deadline; without an answer by then, UNANSWERED is violated
 UNANSWERED_CHECK_INTERVAL_MS = 1000.0
 
 
 @unique
 class Rule(Enum):
-    """The invariants; the value is the name in logs and metrics."""
+    """An invariant; the value is its name in logs and metrics."""
 
     ONE_FINAL_ANSWER = "one_final_answer"
     ONE_ATTEMPT_IN_FLIGHT = "one_attempt_out"
-    # Nothing is forwarded to a backend that is listed as draining, was removed, or has started anew.
+    # No request is forwarded to a backend that is draining, was removed, or restarted after the attempt began.
     NO_SEND_TO_UNAVAILABLE_BACKEND = "server_told"
-    CLIENT_GONE = "client_gone"  # no attempt for a client that has disconnected, or has its answer
-    DEADLINE = "deadline"  # no request forwarded after its deadline
-    SLOW_START = "slow_start"  # the share of a backend that is warming up
-    UNANSWERED = "unanswered"  # each request that was received gets an answer
+    CLIENT_GONE = "client_gone"  # no attempt for a client that has disconnected or has been answered
+    DEADLINE = "deadline"  # no request is forwarded after its deadline
+    SLOW_START = "slow_start"  # a backend that is warming up does not exceed its share of requests
+    UNANSWERED = "unanswered"  # each request that was received is answered
 
 
 class PendingRequest:
     """A request without its final answer.
 
     Attributes:
-        id: the client's id, for the log.
-        attempt: number of the attempt in flight; None where there is none.
-        backend, started_ms: of that attempt, as listed when it started.
+        id: the client's request id, for the log.
+        deadline: clock time in milliseconds by which the request must be answered.
+        existing_connection: whether the client already had an established connection, such as one of another relay.
+        attempt: number of the attempt in flight; None if there is none.
+        backend: name of the backend of the last attempt.
+        started_ms: start time of that backend as listed when the attempt began; 0 if unknown.
         violated: the rules that were violated for this request.
     """
 
@@ -76,7 +80,12 @@
 
 
 class Guard:
-    """Checks the invariants; `report` is given a description of each violation."""
+    """Checker of the invariants.
+
+    Args:
+        settings: returns the current settings.
+        report: called with a description of each violation.
+    """
 
     def __init__(self, settings: Callable[[], Settings], report: Callable[[str], None]) -> None:
         self.now = 0.0
@@ -105,7 +114,7 @@
         }
 
     def on_event(self, now: float, event: Event) -> None:
-        """Check an event, before the core handles it."""
+        """Check an event, before the reducer handles it."""
         self.now = now
         handler = self._event_handlers.get(type(event))
         if handler is not None:
@@ -183,7 +192,7 @@
             self._violation(Rule.ONE_FINAL_ANSWER, None, text)
 
     def _on_event_loop_stalled(self, event: EventLoopStalled) -> None:
-        """Deadlines that passed during a stall are counted from its end."""
+        """Extend deadlines that passed during the stall to its end."""
         for request in self._pending.values():
             request.deadline = max(request.deadline, self.now)
 
--- a/yarrowspindle/telemetry/log.py
+++ b/yarrowspindle/telemetry/log.py
@@ -1,4 +1,4 @@
-"""The process's log on standard error, and a limit on warnings that clients can cause."""
+"""The process's log on standard error, and a rate limit for warnings that clients can cause."""
 
 from __future__ import annotations
 
@@ -8,22 +8,22 @@
 from loguru import logger
 
 LOG_FORMAT = "{time:HH:mm:ss.SSS} {level} {message}"
-MAX_WARNINGS = 20  # in each period
+MAX_WARNINGS = 20  # per WARNING_PERIOD_S
 WARNING_PERIOD_S = 1.0
 
 
 def configure_log(level: str) -> None:
-    """Logs from this level on, in place of what was set before."""
+    """Log messages of this level and above to standard error, replacing the previous configuration."""
     logger.remove()
-    # Without `diagnose`: annotated tracebacks show the values of variables, clients' keys among them.
+    # `diagnose` would annotate tracebacks with the values of variables, which include clients' keys.
     logger.add(sys.stderr, format=LOG_FORMAT, level=level, backtrace=False, diagnose=False)
 
 
 class RateLimitedLog:
-    """Warnings that clients can cause: MAX_WARNINGS in a period, then a count of the others.
+    """Log for warnings that clients can cause: MAX_WARNINGS per period, then only a count of the others.
 
     Args:
-        clock: seconds of a clock that never goes back.
+        clock: returns the seconds of a monotonic clock.
     """
 
     def __init__(self, clock: Callable[[], float]) -> None:
@@ -33,11 +33,11 @@
         self.suppressed = 0
 
     def warn(self, text: str) -> None:
-        """Logs the warning, or counts it where too many were logged in this period."""
+        """Log the warning, or only count it if too many were logged in this period."""
         now = self.clock()
         if now >= self.period_start + WARNING_PERIOD_S:
             if self.suppressed:
-                logger.warning("and {} more warnings like these", self.suppressed)
+                logger.warning("{} more warnings suppressed by the rate limit", self.suppressed)
             self.period_start = now
             self.logged = 0
             self.suppressed = 0
--- a/yarrowspindle/telemetry/published_names.py
+++ b/yarrowspindle/telemetry/published_names.py
@@ -1,6 +1,6 @@
 """The names under which metrics, logs and health checks publish events, effects, reasons and phases.
 
-Operators' tools read these names, so they stay whatever the classes and enum members are called.
+Operators' tools read these names, so they must not change when a class or enum member is renamed.
 """
 
 from __future__ import annotations
@@ -55,7 +55,7 @@
 
 
 def reason_name(reason: RejectionReason | TerminationReason | None) -> str:
-    """The published name of the reason for an answer, a migration or an aborted attempt; "none" where there is none."""
+    """Return the published name of the reason for an answer, a migration or an aborted attempt; "none" if unset."""
     if reason is None:
         return "none"
     return reason.value if isinstance(reason, RejectionReason) else TERMINATION_REASONS[reason]
--- a/yarrowspindle/telemetry/trace.py
+++ b/yarrowspindle/telemetry/trace.py
@@ -1,6 +1,6 @@
-"""A debug log line for each step of each request, from its arrival to its end.
+"""Writes a debug log line for each step of each request, from its receipt to its end.
 
-Attached only where the log shows debug lines, so that it costs nothing elsewhere.
+The trace is attached only if the log level includes debug lines, so it has no cost otherwise.
 """
 
 from __future__ import annotations
@@ -32,14 +32,14 @@
 
 
 class Trace:
-    """Formats the lines and passes each to `write`.
+    """Trace of requests; `write` is called with each line.
 
-    A line starts with `request=`, the client's id, and `number=`, the relay's own number for the request.
+    A line starts with `request=`, the client's request id, and `number=`, the relay's number for the request.
     """
 
     def __init__(self, write: Callable[[str], None]) -> None:
         self._write = write
-        self._client_request_ids: dict[int, str] = {}  # of requests that are not closed
+        self._client_request_ids: dict[int, str] = {}  # by number, of requests that have not ended
         self._retry_reasons: dict[int, str] = {}  # why the request's last attempt ended
         self._handlers: dict[type, Callable[[Any], None]] = {
             RequestReceived: self._on_request_received,
@@ -60,15 +60,15 @@
 
     @property
     def open_requests(self) -> int:
-        """How many requests are remembered."""
+        """The number of requests whose ids or retry reasons are kept."""
         return len(self._client_request_ids.keys() | self._retry_reasons.keys())
 
     def on_event(self, event: Event) -> None:
-        """Write the line of an event, where it has one."""
+        """Write a line for the event if it is a step of a request."""
         self._dispatch(event)
 
     def on_effect(self, effect: Effect) -> None:
-        """Write the line of an effect, where it has one."""
+        """Write a line for the effect if it is a step of a request."""
         self._dispatch(effect)
 
     def _dispatch(self, step: Event | Effect) -> None:
--- a/yarrowspindle/telemetry/warmup_share.py
+++ b/yarrowspindle/telemetry/warmup_share.py
@@ -1,4 +1,4 @@
-"""Whether a backend that is warming up gets more than its share of what this relay forwards. Times are milliseconds."""
+"""Checks that a backend that is warming up gets no more than its share of this relay's requests; times are in ms."""
 
 from __future__ import annotations
 
@@ -7,26 +7,28 @@
 
 from yarrowspindle.decisions.settings import Settings
 
-MAX_SHARE_FACTOR = 4.0  # of a warm backend's share, for each multiple that the settings allow a cold one
-MAX_DEVIATIONS = 3.0  # standard deviations of a Poisson count above the allowed number
-MAX_EXCESS = 3.0  # forwarded requests above that, where the allowed number is small
+MAX_SHARE_FACTOR = 4.0  # multiplies `overload_multiple` times the warming backend's fraction of a warm one's share
+MAX_DEVIATIONS = 3.0  # in standard deviations of a Poisson count, above the allowed number
+MAX_EXCESS = 3.0  # in requests, above that, for small allowed numbers
 
 
 class WarmupShare:
-    """Counts what is forwarded to each backend that was seen to start anew, within the overload window."""
+    """Counter of the requests forwarded to each recently restarted backend within the overload window."""
 
     def __init__(self) -> None:
-        self._restarted_at: dict[str, float] = {}  # when a backend's present start was first seen
-        self._forwarded: dict[str, deque[float]] = {}  # to each of these backends
+        self._restarted_at: dict[str, float] = {}  # when the backend's last restart was first seen in the list
+        self._forwarded: dict[
+            str, deque[float]
+        ] = {}  # times of the requests forwarded to each backend in `_restarted_at`
         self._forwarded_to_all: deque[float] = deque()
 
     def on_restarted(self, backend: str, now: float) -> None:
-        """The backend started anew."""
+        """Start counting for a backend that restarted."""
         self._restarted_at[backend] = now
         self._forwarded[backend] = deque()
 
     def on_forwarded(self, backend: str, now: float, settings: Settings, listed_backends: int) -> str | None:
-        """Count a request; return a description where the backend got more than the settings allow, else None."""
+        """Count a forwarded request; return a description if the backend got more than allowed, else None."""
         window_ms = settings.overload_window_ms
         self._forwarded_to_all.append(now)
         _discard_before(self._forwarded_to_all, now - window_ms)
@@ -52,7 +54,7 @@
 
 
 def _limit(settings: Settings, since_restart_ms: float, per_other_backend: float) -> float:
-    """How many requests a backend may get where each of the others got `per_other_backend`."""
+    """Return how many requests a backend may get if the others got `per_other_backend` each on average."""
     initial_fraction = settings.initial_capacity_fraction
     capacity_fraction = initial_fraction + (1.0 - initial_fraction) * since_restart_ms / settings.warmup_ms
     allowed = MAX_SHARE_FACTOR * settings.overload_multiple * capacity_fraction * per_other_backend
