--- a/tests/fronts/test_quic_front.py
+++ b/tests/fronts/test_quic_front.py
@@ -95,111 +95,113 @@
 
 
 def test_streams_stay_on_their_backend_when_clients_rebind_their_ports() -> None:
-    async def body(w: QuicSetup) -> None:
-        clients = [await w.connected_client() for _ in range(6)]
-        chosen = [w.backend_of(await c.ask(b"0")) for c in clients]
+    async def body(setup: QuicSetup) -> None:
+        clients = [await setup.connected_client() for _ in range(6)]
+        backend_names = [setup.backend_of(await client.ask(b"0")) for client in clients]
         for step in range(1, 4):
             for client in clients:
                 await client.rebind()
-            answers = await asyncio.gather(*(c.ask(b"%d" % step) for c in clients))
-            assert answers == [f"{backend_name}:{step}".encode() for backend_name in chosen]
-        assert sum(len(n.links) for n in w.backends) == 6, "no connection was set up twice"
-        assert all(c.got.empty() and not c.ended.done() for c in clients), "nothing was answered twice"
-        assert len(set(chosen)) == 2
-        counted = {s.connections for s in w.service.reducer.balancer.backends.values()}
-        assert counted == {chosen.count("node-0"), chosen.count("node-1")}
+            answers = await asyncio.gather(*(client.ask(b"%d" % step) for client in clients))
+            assert answers == [f"{backend_name}:{step}".encode() for backend_name in backend_names]
+        assert sum(len(backend.links) for backend in setup.backends) == 6, "no connection was set up twice"
+        assert all(client.got.empty() and not client.ended.done() for client in clients), "nothing was answered twice"
+        assert len(set(backend_names)) == 2
+        counted = {load.connections for load in setup.service.reducer.balancer.backends.values()}
+        assert counted == {backend_names.count("node-0"), backend_names.count("node-1")}
 
     run_with_backends(body, {}, {})
 
 
 def test_a_known_id_reaches_a_draining_backend_until_it_is_removed_and_a_new_request_never_does() -> None:
-    async def body(w: QuicSetup) -> None:
-        first = await w.connected_client()
-        backend_name = w.backend_of(await first.ask(b"a"))
-        w.update_endpoint(backend_name, EndpointState.DRAINING)
+    async def body(setup: QuicSetup) -> None:
+        first = await setup.connected_client()
+        backend_name = setup.backend_of(await first.ask(b"a"))
+        setup.update_endpoint(backend_name, EndpointState.DRAINING)
         await first.rebind()
         assert await first.ask(b"b") == f"{backend_name}:b".encode()
-        others = [await w.connected_client() for _ in range(5)]
-        assert backend_name not in [w.backend_of(await c.ask(b"c")) for c in others]
-        w.update_endpoint(backend_name, EndpointState.GONE)
+        others = [await setup.connected_client() for _ in range(5)]
+        assert backend_name not in [setup.backend_of(await client.ask(b"c")) for client in others]
+        setup.update_endpoint(backend_name, EndpointState.GONE)
         await asyncio.wait_for(first.reset, 5.0)
-        assert len(w.front.table.flows) == 5
+        assert len(setup.front.table.flows) == 5
 
     run_with_backends(body, {}, {})
 
 
 def test_a_rejected_client_gets_one_close_with_retry_advice_and_never_a_second() -> None:
-    async def body(w: QuicSetup) -> None:
-        client = await w.client()
+    async def body(setup: QuicSetup) -> None:
+        client = await setup.client()
         event = await asyncio.wait_for(client.ended, 5.0)
         assert event.error_code == quic.REFUSED and event.reason_phrase.startswith("retry after ")
-        assert [n.initials for n in w.backends] == [3], "as many attempts as the settings allow, one after another"
+        assert [backend.initials for backend in setup.backends] == [3], (
+            "as many attempts as the settings allow, one after another"
+        )
         client.repeat()
-        await asyncio.wait_for((await w.client()).ended, 5.0)  # later than whatever the repeat brings
-        assert len(client.datagrams) == 1 and w.front.counts["answered_before"] > 0
+        await asyncio.wait_for((await setup.client()).ended, 5.0)  # later than whatever the repeat brings
+        assert len(client.datagrams) == 1 and setup.front.counts["answered_before"] > 0
 
     run_with_backends(body, {"refuses": True})
 
 
 def test_at_the_deadline_the_answer_is_a_close() -> None:
-    async def body(w: QuicSetup) -> None:
+    async def body(setup: QuicSetup) -> None:
         start = time.monotonic()
-        event = await asyncio.wait_for((await w.client()).ended, 5.0)
+        event = await asyncio.wait_for((await setup.client()).ended, 5.0)
         assert event.error_code == quic.REFUSED and 0.2 < time.monotonic() - start < 0.4
-        assert not w.front.table.flows and not w.service.reducer.requests
+        assert not setup.front.table.flows and not setup.service.reducer.requests
 
     run_with_backends(body, {"answers": False}, class_deadline_ms=250.0)
 
 
 def test_a_closed_backend_fails_the_attempt_but_not_the_connection() -> None:
-    async def body(w: QuicSetup) -> None:
-        w.backends[0].close()
+    async def body(setup: QuicSetup) -> None:
+        setup.backends[0].close()
         for _ in range(6):
-            assert w.backend_of(await (await w.connected_client()).ask(b"x")) == "node-1"
+            assert setup.backend_of(await (await setup.connected_client()).ask(b"x")) == "node-1"
 
     run_with_backends(body, {}, {})
 
 
 def test_an_unresponsive_backend_is_abandoned_after_the_answer_timeout() -> None:
-    async def body(w: QuicSetup) -> None:
+    async def body(setup: QuicSetup) -> None:
         for _ in range(3):
-            assert w.backend_of(await (await w.connected_client()).ask(b"x")) == "node-1"
-        assert w.backends[0].initials <= 3
+            assert setup.backend_of(await (await setup.connected_client()).ask(b"x")) == "node-1"
+        assert setup.backends[0].initials <= 3
 
     run_with_backends(body, {"answers": False}, {})
 
 
 def test_a_backend_that_closes_its_port_ends_its_connections_with_a_reset() -> None:
-    async def body(w: QuicSetup) -> None:
-        client = await w.connected_client()
-        backend_name = w.backend_of(await client.ask(b"x"))
-        next(n for n in w.backends if n.name == backend_name).close()
+    async def body(setup: QuicSetup) -> None:
+        client = await setup.connected_client()
+        backend_name = setup.backend_of(await client.ask(b"x"))
+        next(backend for backend in setup.backends if backend.name == backend_name).close()
         client.connection.send_stream_data(0, b"y")
         client.flush(client.connection)
         await asyncio.wait_for(client.reset, 5.0)
-        assert not w.front.table.flows
+        assert not setup.front.table.flows
 
     run_with_backends(body, {}, {})
 
 
 def test_a_restarted_relay_forwards_known_ids() -> None:
-    async def body(w: QuicSetup) -> None:
-        client = await w.connected_client()
-        backend_name = w.backend_of(await client.ask(b"x"))
-        for flow in list(w.front.table.flows.values()):  # as after a restart: the table is empty
-            w.front._forget(flow, remember=False)
-        w.service.reducer.context.requests.clear()
+    async def body(setup: QuicSetup) -> None:
+        client = await setup.connected_client()
+        backend_name = setup.backend_of(await client.ask(b"x"))
+        for flow in list(setup.front.table.flows.values()):  # as after a restart: the table is empty
+            setup.front._forget(flow, remember=False)
+        setup.service.reducer.context.requests.clear()
         assert await client.ask(b"y") == f"{backend_name}:y".encode()
-        assert w.front.counts["taken_over"] == 1
+        assert setup.front.counts["taken_over"] == 1
 
     run_with_backends(body, {}, {})
 
 
 def test_a_backend_in_slow_start_gets_no_more_than_its_budget() -> None:
-    async def body(w: QuicSetup) -> None:
+    async def body(setup: QuicSetup) -> None:
         for _ in range(20):
-            await w.connected_client()
-        assert len(w.backends[0].links) <= 3
+            await setup.connected_client()
+        assert len(setup.backends[0].links) <= 3
 
     cold: dict[str, Any] = {
         "warmup_ms": 60_000.0,
@@ -211,33 +213,33 @@
 
 
 def test_the_table_is_bounded_and_idle_ids_expire() -> None:
-    async def body(w: QuicSetup) -> None:
-        await w.connected_client()
-        client = await w.client()
-        while not w.front.counts["no_room"]:
+    async def body(setup: QuicSetup) -> None:
+        await setup.connected_client()
+        client = await setup.client()
+        while not setup.front.counts["no_room"]:
             await asyncio.sleep(0)
-        assert not client.up.done() and len(w.front.table.flows) == 1
-        (flow,) = w.front.table.flows.values()
-        flow.last_received_at -= w.front.config.idle_s
-        w.front._sweep()
-        assert not w.front.table.flows and not w.front.table.by_connection_id and not w.front.table.by_link
-        assert [s.connections for s in w.service.reducer.balancer.backends.values()] == [0]
+        assert not client.up.done() and len(setup.front.table.flows) == 1
+        (flow,) = setup.front.table.flows.values()
+        flow.last_received_at -= setup.front.config.idle_s
+        setup.front._sweep()
+        assert not setup.front.table.flows and not setup.front.table.by_connection_id and not setup.front.table.by_link
+        assert [load.connections for load in setup.service.reducer.balancer.backends.values()] == [0]
 
     run_with_backends(body, {}, max_connections=1)
 
 
 def test_malformed_datagrams_are_dropped_and_counted() -> None:
-    async def body(w: QuicSetup) -> None:
-        client = await w.connected_client()
+    async def body(setup: QuicSetup) -> None:
+        client = await setup.connected_client()
         bad = [b"", b"\x40", b"\xc0\0\0\0\1\xff", b"\xc0\0\0\0\1\x08abcdefgh\x08abcdefgh\0\x41", b"\x40" + b"z" * 40]
         for data in bad:
-            w.front.on_client_datagram(data, ("127.0.0.1", 9))
-        assert w.front.counts["malformed"] == 4 and w.front.counts["unknown_id"] == 1
-        assert w.service.metrics.counters()["quic.malformed"] == 4.0
+            setup.front.on_client_datagram(data, ("127.0.0.1", 9))
+        assert setup.front.counts["malformed"] == 4 and setup.front.counts["unknown_id"] == 1
+        assert setup.service.metrics.counters()["quic.malformed"] == 4.0
         assert await client.ask(b"x")
         other = b"\xc0\x0a\x0a\x0a\x0a\x08abcdefgh\x08abcdefgh" + bytes(1200)
         client.raw(other)
-        assert w.front.ids.decode(b"\x10" + bytes(16)) is not None and len(w.front.table.flows) == 1
+        assert setup.front.ids.decode(b"\x10" + bytes(16)) is not None and len(setup.front.table.flows) == 1
 
     run_with_backends(body, {})
 
@@ -265,6 +267,6 @@
 
 def test_an_id_encodes_its_backend_and_connection_without_revealing_them() -> None:
     ids = {IDS.encode(7, 9, sequence) for sequence in range(50)}
-    assert len(ids) == 50 and {IDS.decode(cid) for cid in ids} == {(7, 9)}
+    assert len(ids) == 50 and {IDS.decode(connection_id) for connection_id in ids} == {(7, 9)}
     assert quic.BackendIds(bytes(16)).decode(next(iter(ids))) != (7, 9)
     assert quic.stateless_reset(bytes(16), 21) is None and len(quic.stateless_reset(bytes(16), 1200) or b"") == 43
--- a/tests/fronts/test_reentrancy.py
+++ b/tests/fronts/test_reentrancy.py
@@ -104,29 +104,29 @@
 # --- what happens to the connection ---------------------------------------------------------------
 
 
-def migrate(s: Connection) -> None:
-    s.service.runtime.post(InternalError(s.request))  # its client is sent elsewhere
+def migrate(connection: Connection) -> None:
+    connection.service.runtime.post(InternalError(connection.request))  # its client is sent elsewhere
 
 
-def drain(s: Connection) -> None:
-    s.service.runtime.post(ShutdownRequested(0.0, process_exits=False))
-    s.service.runtime.timers.run_due()
+def drain(connection: Connection) -> None:
+    connection.service.runtime.post(ShutdownRequested(0.0, process_exits=False))
+    connection.service.runtime.timers.run_due()
 
 
-def close_backend(s: Connection) -> None:
-    simulate_peer_close(s.backend_side)
+def close_backend(connection: Connection) -> None:
+    simulate_peer_close(connection.backend_side)
 
 
-def close_client(s: Connection) -> None:
-    simulate_peer_close(s.client_side)
+def close_client(connection: Connection) -> None:
+    simulate_peer_close(connection.client_side)
 
 
-def reset_backend(s: Connection) -> None:
-    simulate_peer_close(s.backend_side, reset=True)
+def reset_backend(connection: Connection) -> None:
+    simulate_peer_close(connection.backend_side, reset=True)
 
 
-def reset_client(s: Connection) -> None:
-    simulate_peer_close(s.client_side, reset=True)
+def reset_client(connection: Connection) -> None:
+    simulate_peer_close(connection.client_side, reset=True)
 
 
 def simulate_peer_close(side: LineConnection, reset: bool = False) -> None:
@@ -138,17 +138,17 @@
         transport.close()
 
 
-def remove_backend(s: Connection) -> None:
-    backends = s.service.reducer.backends
+def remove_backend(connection: Connection) -> None:
+    backends = connection.service.reducer.backends
     endpoints = [backend.endpoint for backend in backends.values() if backend.endpoint is not None]
     for endpoint in endpoints:
         endpoint.state = EndpointState.GONE
-    s.service.runtime.post(EndpointsUpdated(ListKind.DELTA, endpoints, 2))
+    connection.service.runtime.post(EndpointsUpdated(ListKind.DELTA, endpoints, 2))
 
 
-def change_settings(s: Connection) -> None:
-    settings = s.service.config.settings
-    s.service.runtime.post(SettingsChanged(settings, frozenset(range(len(settings.classes)))))
+def change_settings(connection: Connection) -> None:
+    settings = connection.service.config.settings
+    connection.service.runtime.post(SettingsChanged(settings, frozenset(range(len(settings.classes)))))
 
 
 ENDINGS: dict[str, Callable[[Connection], None]] = {
@@ -169,33 +169,33 @@
 # --- what is told ---------------------------------------------------------------------------------
 
 
-async def client_data(s: Connection) -> None:
-    s.client_end.write(b"a line\r\n")
+async def client_data(connection: Connection) -> None:
+    connection.client_end.write(b"a line\r\n")
 
 
-async def client_end(s: Connection) -> None:
-    s.client_end.write_eof()
+async def client_end(connection: Connection) -> None:
+    connection.client_end.write_eof()
 
 
-async def client_loss(s: Connection) -> None:
-    reset(s.client_end)
+async def client_loss(connection: Connection) -> None:
+    reset(connection.client_end)
 
 
-async def backend_data(s: Connection) -> None:
-    s.backend_end.write(b"a line\r\nand another\r\n")
+async def backend_data(connection: Connection) -> None:
+    connection.backend_end.write(b"a line\r\nand another\r\n")
 
 
-async def backend_loads(s: Connection) -> None:
-    s.backend_end.write(b"LOAD 5\r\na line\r\nLOAD 7\r\n")
+async def backend_loads(connection: Connection) -> None:
+    connection.backend_end.write(b"LOAD 5\r\na line\r\nLOAD 7\r\n")
 
 
-async def backend_end(s: Connection) -> None:
-    s.backend_end.write(b"BYE\r\n")
-    s.backend_end.close()
+async def backend_end(connection: Connection) -> None:
+    connection.backend_end.write(b"BYE\r\n")
+    connection.backend_end.close()
 
 
-async def backend_loss(s: Connection) -> None:
-    reset(s.backend_end)
+async def backend_loss(connection: Connection) -> None:
+    reset(connection.backend_end)
 
 
 def reset(writer: asyncio.StreamWriter) -> None:
@@ -227,15 +227,15 @@
     writer.write(b"OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=charge,t=acme,d=900\r\n")
     assert await asyncio.wait_for(client.readline(), WAIT_S) == b"UP r1\r\n"
     (request,) = service.reducer.requests
-    s = Connection(service, front, request, client, writer, *await backend.accepted.get(), failures)
+    connection = Connection(service, front, request, client, writer, *await backend.accepted.get(), failures)
     try:
-        await body(s)
+        await body(connection)
     finally:
-        for writer_end in (s.client_end, s.backend_end):
+        for writer_end in (connection.client_end, connection.backend_end):
             writer_end.transport.abort()
         front.listener.sock.close()
         backend.server.close()
-    assert s.injections == 1, "it happened within the call"
+    assert connection.injections == 1, "it happened within the call"
     assert not failures, "no callback of a transport raised"
     assert not service.runtime.counts["failures"] and not any(service.guard.counts.values())
     assert not service.reducer.requests and not front.clients and not front.backends and not service.runtime.owners
@@ -252,8 +252,10 @@
     return received
 
 
-async def read_both_until_closed(s: Connection) -> tuple[bytes, bytes]:
-    return await asyncio.wait_for(asyncio.gather(read_until_closed(s.client), read_until_closed(s.backend)), WAIT_S)
+async def read_both_until_closed(connection: Connection) -> tuple[bytes, bytes]:
+    return await asyncio.wait_for(
+        asyncio.gather(read_until_closed(connection.client), read_until_closed(connection.backend)), WAIT_S
+    )
 
 
 @pytest.mark.parametrize("loop", LOOP_RUNNERS, ids=("asyncio", "uvloop"))
@@ -264,14 +266,14 @@
 ) -> None:
     """Guards against using a connection that ended in the very call that told of its data: resets overtook MOVE."""
 
-    async def body(s: Connection) -> None:
+    async def body(connection: Connection) -> None:
         event, trigger = TRIGGERS[trigger_name]
         if trigger_name.startswith("backend's"):
-            s.client_end.write(b"a line\r\n")  # what the backend's lines answer
-            await asyncio.wait_for(s.backend.readline(), WAIT_S)
-        s.inject_before_event(event, ENDINGS[ending])
-        await trigger(s)
-        to_client, _ = await read_both_until_closed(s)
+            connection.client_end.write(b"a line\r\n")  # what the backend's lines answer
+            await asyncio.wait_for(connection.backend.readline(), WAIT_S)
+        connection.inject_before_event(event, ENDINGS[ending])
+        await trigger(connection)
+        to_client, _ = await read_both_until_closed(connection)
         if ending in RELAY_ENDINGS and trigger_name in ("client's data", "backend's data", "backend's loads"):
             assert to_client.endswith(b"MOVE\r\n") and to_client.count(b"MOVE") == 1
 
@@ -286,19 +288,19 @@
 ) -> None:
     """Guards against losing what is being passed on while the list or the settings change under it."""
 
-    async def body(s: Connection) -> None:
+    async def body(connection: Connection) -> None:
         event, trigger = TRIGGERS[trigger_name]
         if trigger_name.startswith("backend's"):
-            s.client_end.write(b"a line\r\n")
-            await asyncio.wait_for(s.backend.readline(), WAIT_S)
-        s.inject_before_event(event, FLEET_CHANGES[change])
-        await trigger(s)
-        reader = s.backend if trigger_name == "client's data" else s.client
+            connection.client_end.write(b"a line\r\n")
+            await asyncio.wait_for(connection.backend.readline(), WAIT_S)
+        connection.inject_before_event(event, FLEET_CHANGES[change])
+        await trigger(connection)
+        reader = connection.backend if trigger_name == "client's data" else connection.client
         received_lines = [await asyncio.wait_for(reader.readline(), WAIT_S)]
         while received_lines[-1] != b"a line\r\n":
             received_lines.append(await asyncio.wait_for(reader.readline(), WAIT_S))
-        s.client_end.close()
-        await read_both_until_closed(s)
+        connection.client_end.close()
+        await read_both_until_closed(connection)
 
     loop(run_with_connection(body))
 
@@ -312,11 +314,11 @@
 ) -> None:
     """Guards against steering the other side's transport when that side has ended in between."""
 
-    async def body(s: Connection) -> None:
-        side_under_test = s.client_side if side == "client" else s.backend_side
-        s.inject_before_callback(side_under_test, callback, ENDINGS[ending])
-        writer = s.backend_end if side == "client" else s.client_end
-        reader = s.client if side == "client" else s.backend
+    async def body(connection: Connection) -> None:
+        side_under_test = connection.client_side if side == "client" else connection.backend_side
+        connection.inject_before_callback(side_under_test, callback, ENDINGS[ending])
+        writer = connection.backend_end if side == "client" else connection.client_end
+        reader = connection.client if side == "client" else connection.backend
         reader._transport.pause_reading()  # type: ignore[attr-defined]
         for _ in range(200):
             if writer.is_closing():
@@ -325,9 +327,9 @@
             await asyncio.sleep(0.0)
         reader._transport.resume_reading()  # type: ignore[attr-defined]
         for _ in range(100):
-            if s.injections:
+            if connection.injections:
                 break
             await asyncio.sleep(0.01)
-        await read_both_until_closed(s)
+        await read_both_until_closed(connection)
 
     loop(run_with_connection(body))
