--- a/tests/fronts/test_connection_limiter.py
+++ b/tests/fronts/test_connection_limiter.py
@@ -1,4 +1,4 @@
-"""Which connections are accepted while descriptors are short, against random steps."""
+"""The connection limiter: which connections are accepted when descriptors are short, with random actions."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
             if side not in requests and side not in limiter.answered:
                 requests.add(side)
                 limiter.on_request(side)
-                limiter.on_backend_connecting(cast(Any, backend := StubConnection()))  # its backend's side
+                limiter.on_backend_connecting(cast(Any, backend := StubConnection()))
                 backends[side] = backend
         elif side is not None:
             requests.discard(side)
@@ -50,12 +50,12 @@
             (limiter.on_answered if action == "answer" else limiter.on_closed)(side)
         assert len(limiter.connections) <= 40
         assert len(limiter.without_request) + len(limiter.answered) <= limiter.max_idle
-        assert not any(side.aborted for side in requests), "a request is never ended for want of room"
+        assert not any(side.aborted for side in requests), "a connection with a request is never closed to make room"
         assert all(now[0] >= accepted_at[side] + MIN_AGE_S for side in accepted_at if side.aborted)
 
 
 def test_idle_clients_that_all_send_requests_get_a_descriptor_for_their_backends() -> None:
-    """Guards against idle clients that count once: a crowd whose requests came together took what the watch needs."""
+    """Guards against counting idle clients once: their simultaneous requests used the descriptors of the watch."""
     limiter = ConnectionLimiter(40 + RESERVED_DESCRIPTORS, lambda: 0.0)
     while limiter.make_room():
         side = cast(Any, StubConnection())
@@ -70,7 +70,7 @@
 
 
 def test_an_idle_client_with_unread_data_is_not_closed() -> None:
-    """Guards against counting the time of a hold as a client's: its line lay in the kernel, and it was reset."""
+    """Guards against counting a stall of the relay as idle time: clients with an unread line were reset."""
     now, unread = [0.0], set[Any]()
     limiter = ConnectionLimiter(40 + RESERVED_DESCRIPTORS, lambda: now[0], lambda side: side not in unread)
     sides = []
@@ -83,4 +83,4 @@
     assert [side.aborted for side in sides] == [False] * 3 + [True] + [False] * (len(sides) - 4)
     unread.update(sides)
     limiter.on_accepted(cast(Any, StubConnection()))
-    assert not limiter.make_room(), "nobody is sent away: the loop reads them first"
+    assert not limiter.make_room(), "no client is closed before the event loop has read its data"
--- a/tests/fronts/test_quic_front.py
+++ b/tests/fronts/test_quic_front.py
@@ -1,4 +1,4 @@
-"""The QUIC front over loopback: real sockets, aioquic's endpoints on both sides, the relay's front between."""
+"""The QUIC front between aioquic clients and backends, on real loopback sockets."""
 
 from __future__ import annotations
 
@@ -103,7 +103,7 @@
                 await client.rebind()
             answers = await asyncio.gather(*(client.ask(b"%d" % step) for client in clients))
             assert answers == [f"{backend_name}:{step}".encode() for backend_name in backend_names]
-        assert sum(len(backend.links) for backend in setup.backends) == 6, "no connection was set up twice"
+        assert sum(len(backend.links) for backend in setup.backends) == 6, "no connection was established twice"
         assert all(client.got.empty() and not client.ended.done() for client in clients), "nothing was answered twice"
         assert len(set(backend_names)) == 2
         counted = {load.connections for load in setup.service.reducer.balancer.backends.values()}
@@ -133,11 +133,11 @@
         client = await setup.client()
         event = await asyncio.wait_for(client.ended, 5.0)
         assert event.error_code == quic.REFUSED and event.reason_phrase.startswith("retry after ")
-        assert [backend.initials for backend in setup.backends] == [3], (
-            "as many attempts as the settings allow, one after another"
-        )
+        assert [backend.initials for backend in setup.backends] == [3], "one attempt after another, up to max_attempts"
         client.repeat()
-        await asyncio.wait_for((await setup.client()).ended, 5.0)  # later than whatever the repeat brings
+        await asyncio.wait_for(
+            (await setup.client()).ended, 5.0
+        )  # by then any answer to the repeated datagrams has arrived
         assert len(client.datagrams) == 1 and setup.front.counts["answered_before"] > 0
 
     run_with_backends(body, {"refuses": True})
--- a/tests/fronts/test_reentrancy.py
+++ b/tests/fronts/test_reentrancy.py
@@ -1,6 +1,7 @@
-"""A connection of the line front that ends in the very call in which it tells of something, on real sockets.
+"""Reentrancy of the line front on real sockets: a connection ends during the call in which it reports an event.
 
-What has fallen due runs before the event that is told: after a stall that may be anything, at this very connection.
+`Runtime.post` fires the due timers before the event that is posted. After a stall these can do anything, including
+ending the connection that is reporting the event.
 """
 
 from __future__ import annotations
@@ -36,15 +37,15 @@
 from yarrowspindle.transport.line_connection import LineConnection
 
 WAIT_S = 5.0
-CLOSE_TIMEOUT_S = 1.5  # for all that an end waits for: the rest of a line, the peer's end
-LINGER_ZERO = b"\x01\x00\x00\x00\x00\x00\x00\x00"  # of SO_LINGER
+CLOSE_TIMEOUT_S = 1.5  # covers the waits of a close: for the rest of a line and for the peer to close
+LINGER_ZERO = b"\x01\x00\x00\x00\x00\x00\x00\x00"  # struct linger for SO_LINGER: closing resets the connection
 FLOOD = (b"x" * 998 + b"\r\n") * 100
 
 LOOP_RUNNERS = (asyncio.run, uvloop.run)
 
 
 class Backend:
-    """Takes every request, and leaves the rest to the test."""
+    """A backend that accepts every request and leaves the streams to the test."""
 
     def __init__(self) -> None:
         self.port = free_port()
@@ -61,7 +62,7 @@
 
 @dataclass
 class Connection:
-    """One established connection, both its ends, and the relay between them."""
+    """An established connection with its client, its backend and the relay between them."""
 
     service: RelayService
     front: LineFront
@@ -78,7 +79,7 @@
         self.backend_side: LineConnection = self.front.backends[self.request]
 
     def inject_before_event(self, event_type: type[Event], action: Callable[[Connection], None]) -> None:
-        """Lets this happen, once, within the call that tells of such an event, before the event itself."""
+        """Run the action once, within the call that posts an event of this type, before the event is handled."""
         post = self.service.runtime.post
 
         def inject_and_post(event: Event) -> None:
@@ -90,7 +91,7 @@
         self.service.post = inject_and_post
 
     def inject_before_callback(self, side: LineConnection, callback: str, action: Callable[[Connection], None]) -> None:
-        """The same within a callback that tells nobody: before it."""
+        """Run the action within a transport callback that posts no event, before the callback itself."""
         original = getattr(side, callback)
 
         def wrapped(*args: Any) -> None:
@@ -101,11 +102,13 @@
         setattr(side, callback, wrapped)
 
 
-# --- what happens to the connection ---------------------------------------------------------------
+# --- actions on the connection --------------------------------------------------------------------
 
 
 def migrate(connection: Connection) -> None:
-    connection.service.runtime.post(InternalError(connection.request))  # its client is sent elsewhere
+    connection.service.runtime.post(
+        InternalError(connection.request)
+    )  # the reducer migrates the client of a failed request
 
 
 def drain(connection: Connection) -> None:
@@ -130,7 +133,7 @@
 
 
 def simulate_peer_close(side: LineConnection, reset: bool = False) -> None:
-    """As a transport does it that has read its peer's end."""
+    """Do what a transport does when its peer has closed or reset the connection."""
     transport = side.transport
     if transport is not None and reset:
         transport.abort()
@@ -159,14 +162,14 @@
     "backend lost": reset_backend,
     "client lost": reset_client,
 }
-RELAY_ENDINGS = ("move", "drain")  # what can happen while a transport steers the flow: no peer's end is read there
+RELAY_ENDINGS = ("move", "drain")  # possible during flow control callbacks, in which no peer's close is read
 FLEET_CHANGES: dict[str, Callable[[Connection], None]] = {
     "backend removed": remove_backend,
     "settings changed": change_settings,
 }
 
 
-# --- what is told ---------------------------------------------------------------------------------
+# --- triggers of the events -----------------------------------------------------------------------
 
 
 async def client_data(connection: Connection) -> None:
@@ -235,14 +238,14 @@
             writer_end.transport.abort()
         front.listener.sock.close()
         backend.server.close()
-    assert connection.injections == 1, "it happened within the call"
-    assert not failures, "no callback of a transport raised"
+    assert connection.injections == 1, "the action ran within the call"
+    assert not failures, "no transport callback raised an exception"
     assert not service.runtime.counts["failures"] and not any(service.guard.counts.values())
     assert not service.reducer.requests and not front.clients and not front.backends and not service.runtime.owners
 
 
 async def read_until_closed(reader: asyncio.StreamReader) -> bytes:
-    """What accepted, a reset included."""
+    """Return all data up to the end of the stream or a reset."""
     received = b""
     try:
         while data := await asyncio.wait_for(reader.read(1 << 16), CLOSE_TIMEOUT_S):
@@ -264,12 +267,12 @@
 def test_a_connection_that_ends_while_it_reports_an_event_raises_nothing_and_is_cleaned_up(
     ending: str, trigger_name: str, loop: Callable[[Coroutine[Any, Any, None]], None]
 ) -> None:
-    """Guards against using a connection that ended in the very call that told of its data: resets overtook MOVE."""
+    """Guards against using a connection that ended during the call that reported its data: resets overtook MOVE."""
 
     async def body(connection: Connection) -> None:
         event, trigger = TRIGGERS[trigger_name]
         if trigger_name.startswith("backend's"):
-            connection.client_end.write(b"a line\r\n")  # what the backend's lines answer
+            connection.client_end.write(b"a line\r\n")  # the backend's lines answer this one
             await asyncio.wait_for(connection.backend.readline(), WAIT_S)
         connection.inject_before_event(event, ENDINGS[ending])
         await trigger(connection)
@@ -286,7 +289,7 @@
 def test_a_fleet_change_while_data_is_reported_loses_no_line(
     change: str, trigger_name: str, loop: Callable[[Coroutine[Any, Any, None]], None]
 ) -> None:
-    """Guards against losing what is being passed on while the list or the settings change under it."""
+    """Guards against losing lines in transit when the endpoint list or the settings change during the call."""
 
     async def body(connection: Connection) -> None:
         event, trigger = TRIGGERS[trigger_name]
@@ -312,7 +315,7 @@
 def test_a_connection_that_ends_during_flow_control_raises_nothing(
     ending: str, callback: str, side: str, loop: Callable[[Coroutine[Any, Any, None]], None]
 ) -> None:
-    """Guards against steering the other side's transport when that side has ended in between."""
+    """Guards against pausing or resuming the other side's transport after that side has ended."""
 
     async def body(connection: Connection) -> None:
         side_under_test = connection.client_side if side == "client" else connection.backend_side
--- a/tests/telemetry/test_guard.py
+++ b/tests/telemetry/test_guard.py
@@ -1,4 +1,4 @@
-"""The guard finds each violated invariant from its own state, and none where all hold."""
+"""The guard reports each violated invariant from its own state, and nothing if all hold."""
 
 from __future__ import annotations
 
--- a/tests/telemetry/test_log.py
+++ b/tests/telemetry/test_log.py
@@ -1,4 +1,4 @@
-"""The limit on warnings that clients can cause."""
+"""The rate limit for warnings that clients can cause."""
 
 from __future__ import annotations
 
--- a/tests/telemetry/test_trace.py
+++ b/tests/telemetry/test_trace.py
@@ -1,4 +1,4 @@
-"""The trace: a line for each step of a request."""
+"""The trace writes a line for each step of a request."""
 
 from __future__ import annotations
 
