--- a/yarrowspindle/fronts/line_front.py
+++ b/yarrowspindle/fronts/line_front.py
@@ -148,10 +148,10 @@
         self.idle_close_reason = IdleCloseReason.SHUTDOWN
         for iteration in range(MAX_FIRST_LINE_READS):
             await sockets_read()
-            silent = [side for side in self.limiter.without_request if isinstance(side, ClientConnection)]
-            if not silent:
+            pending_clients = [side for side in self.limiter.without_request if isinstance(side, ClientConnection)]
+            if not pending_clients:
                 return
-            for client in silent:
+            for client in pending_clients:
                 client.end_if_silent(although_unread=iteration == MAX_FIRST_LINE_READS - 1)
 
     async def _drain_clients(self, deadline_s: float) -> None:
--- a/yarrowspindle/runtime/runtime.py
+++ b/yarrowspindle/runtime/runtime.py
@@ -88,9 +88,10 @@
         self.handlers: dict[type, Callable[[Any], None]] = {
             SetTimer: lambda effect: self.timers.set(effect.delay_ms, effect.timer),
             CancelTimer: lambda effect: self.timers.cancel(effect.timer),
-            WatchEndpoints: lambda effect: self.watch_endpoints(effect),  # noqa: PLW0108  # set later
-            CheckHealth: lambda effect: self.check_health(effect),  # noqa: PLW0108  # set later
-            CancelHealthCheck: lambda effect: self.cancel_health_check(effect),  # noqa: PLW0108  # set later
+            # Lambdas, since these three attributes are replaced after this table is created.
+            WatchEndpoints: lambda effect: self.watch_endpoints(effect),  # noqa: PLW0108
+            CheckHealth: lambda effect: self.check_health(effect),  # noqa: PLW0108
+            CancelHealthCheck: lambda effect: self.cancel_health_check(effect),  # noqa: PLW0108
             LogMessage: lambda effect: self.log("info", effect.text),
             BackendRemoved: self._remove_backend,
         }
