--- a/benchmarks/capacity/hollow.py
+++ b/benchmarks/capacity/hollow.py
@@ -27,7 +27,7 @@
 from yarrowspindle.membership.events import DatagramReceived, LocalLoad
 from yarrowspindle.routing.address import Address
 from yarrowspindle.runtime.membership_driver import MembershipDriver
-from yarrowspindle.transport.datagrams import Front
+from yarrowspindle.transport.datagrams import UdpListener
 
 HEADER = 28  # bytes of IP and UDP round each datagram
 BACKENDS, HELD = 2000, 80  # nodes of the fleet, and those at which one relay holds something
@@ -190,7 +190,7 @@
         self.settings = sockets.settings(index)
         self.random = Random(f"sockets {sockets.seed} {index}")
         self.holds: Holds = dict.fromkeys(self.random.sample(range(1, BACKENDS + 1), HELD), (1, 100.0))
-        self.front = Front(lambda data, source: self.driver.post(DatagramReceived(data, source)))
+        self.front = UdpListener(lambda data, source: self.driver.post(DatagramReceived(data, source)))
         self.core = Membership(self.settings, f"r{index}", 1, self.random.randrange(1 << 32), self.now())
         self.driver = MembershipDriver(
             self.core, self.now, self._after, self._send, self._own, lambda others: None, lambda text, bounded: None
--- a/benchmarks/capacity/sockets.py
+++ b/benchmarks/capacity/sockets.py
@@ -39,7 +39,7 @@
 from yarrowspindle.routing.address import Address
 from yarrowspindle.storage.durable_file import FileUnavailableError
 from yarrowspindle.storage.voter_file import VoterFile
-from yarrowspindle.transport.datagrams import Front
+from yarrowspindle.transport.datagrams import UdpListener
 
 PARCELS_S, LOOK_S = 0.05, 0.02
 MAX_LATE_MS = 50.0  # of the event loop, in 99 of 100 looks: beyond that the machine is measured, not the relays
@@ -69,7 +69,7 @@
         self.network, self.name, self.address, self.region = network, name, address, region
         self.loop = asyncio.get_running_loop()
         self.link = Link(name, address, CLUSTER, int(time.time() * 1000), Random(name).getrandbits(40), self.now())
-        self.front = Front(self._came)
+        self.front = UdpListener(self._came)
         self.core: Agent | Controller
 
     async def open(self) -> None:
--- a/benchmarks/soak/planted.py
+++ b/benchmarks/soak/planted.py
@@ -22,7 +22,7 @@
 from yarrowspindle.routing.endpoints import EndpointHandlers
 from yarrowspindle.routing.requests import RequestHandlers
 from yarrowspindle.routing.termination import OUTCOMES, TerminationReason
-from yarrowspindle.transport import client, connecting
+from yarrowspindle.transport import client, connector
 
 BLIND_S = 0.02  # between look and end
 
@@ -108,26 +108,26 @@
 def late_connections() -> None:
     """The time limit of a connection cancels it, as before the hunt: what was written counts as never sent."""
 
-    class Late(connecting.Connecting):
+    class Late(connector.Connector):
         async def _connect(self, loop: asyncio.AbstractEventLoop) -> None:
             try:
                 connect = loop.create_connection(lambda: self.protocol, *self.address)
-                await asyncio.wait_for(connect, self.within_s)
+                await asyncio.wait_for(connect, self.timeout_s)
             except OSError as error:
-                self.failed(connecting.ConnectFailure(error))
+                self.failed(connector.ConnectFailure(error))
 
-        def start(self, within_s: float | None = None) -> None:
-            self.within_s = within_s
+        def start(self, timeout_s: float | None = None) -> None:
+            self.timeout_s = timeout_s
             super().start(None)
 
-    setattr(line_front, "Connecting", Late)  # noqa: B010  # it is imported there by name
+    setattr(line_front, "Connector", Late)  # noqa: B010  # it is imported there by name
 
 
 def end_without_looking() -> None:
     """A connection that rests is ended a while after the look at its socket; what it sends meanwhile is not read."""
-    real = client.ClientConnection.end_if_silent
+    real = client.ClientConnection.close_if_idle
 
-    def end_if_silent(self: client.ClientConnection, although_unread: bool = False) -> bool:
+    def close_if_idle(self: client.ClientConnection, even_if_unread: bool = False) -> bool:
         if not self.closing:
             self.closing = True
             asyncio.get_running_loop().call_later(BLIND_S, end, self)
@@ -135,9 +135,9 @@
 
     def end(side: client.ClientConnection) -> None:
         side.closing = False
-        real(side, although_unread=True)
+        real(side, even_if_unread=True)
 
-    client.ClientConnection.end_if_silent = end_if_silent  # type: ignore[method-assign]
+    client.ClientConnection.close_if_idle = close_if_idle  # type: ignore[method-assign]
 
 
 def end_newcomers() -> None:
@@ -147,7 +147,7 @@
     def connection_made(self: client.ClientConnection, transport: asyncio.BaseTransport) -> None:
         real(self, transport)
         if next(numbers) % 10 == 0:
-            self.end_if_silent(although_unread=True)
+            self.close_if_idle(even_if_unread=True)
 
     client.ClientConnection.connection_made = connection_made  # type: ignore[method-assign]
 
--- a/tests/daemon/test_failing_steps.py
+++ b/tests/daemon/test_failing_steps.py
@@ -10,12 +10,12 @@
 import pytest
 import uvloop
 
-from tests.transport.test_connecting import Backend, config
+from tests.transport.test_connector import Backend, config
 from yarrowspindle.daemon.config import read_config
 from yarrowspindle.daemon.relay_service import RelayService
 from yarrowspindle.decisions.events import ListKind
 from yarrowspindle.fronts.line_front import LineFront
-from yarrowspindle.protocol.endpoint_list import Names
+from yarrowspindle.protocol.endpoint_list import ZoneAndKindNames
 from yarrowspindle.routing.effects import CheckHealth, ForwardRequest, OpenBackendConnection, SetTimer
 from yarrowspindle.routing.events import (
     BackendConnected,
@@ -122,7 +122,7 @@
 
 async def watch_ends() -> None:
     told: list[EndpointsUpdated] = []
-    watch = EndpointWatch(Names(), told.append, lambda why: None)
+    watch = EndpointWatch(ZoneAndKindNames(), told.append, lambda why: None)
     watch.open(0, NOWHERE)
     await asyncio.sleep(0.3)
     assert [list_told.kind for list_told in told] == [ListKind.FAILED]
--- a/tests/daemon/test_list_calls.py
+++ b/tests/daemon/test_list_calls.py
@@ -12,7 +12,7 @@
 from tests.stand_ins import HEAD, SETTINGS, Peer, World, run
 from yarrowspindle.daemon.config import ConfigError, read_config
 from yarrowspindle.decisions.events import EndpointState
-from yarrowspindle.protocol.endpoint_list import ListError, Names, parse_list
+from yarrowspindle.protocol.endpoint_list import ListError, ZoneAndKindNames, parse_list
 from yarrowspindle.routing.effects import CancelHealthCheck, CheckHealth
 from yarrowspindle.routing.events import Endpoint, EndpointsUpdated
 from yarrowspindle.routing.reducer import Reducer
@@ -62,9 +62,9 @@
 @pytest.mark.parametrize("changes", SENSELESS, ids=str)
 def test_a_member_that_makes_no_sense_is_refused_with_its_list(changes: dict[str, Any]) -> None:
     with pytest.raises(ListError):
-        parse_list({"revision": 1, "members": [MEMBER | changes]}, Names())
+        parse_list({"revision": 1, "members": [MEMBER | changes]}, ZoneAndKindNames())
     with pytest.raises(ListError):
-        parse_list({"revision": float("inf"), "members": [MEMBER]}, Names())
+        parse_list({"revision": float("inf"), "members": [MEMBER]}, ZoneAndKindNames())
     told = {"name": "n0", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "settings": SETTINGS}
     known = {"revision": 1, "members": [MEMBER | changes]}
     with pytest.raises(ConfigError):
--- a/tests/daemon/test_own_network.py
+++ b/tests/daemon/test_own_network.py
@@ -9,7 +9,7 @@
 import pytest
 import uvloop
 
-from tests.transport.test_connecting import Backend, config
+from tests.transport.test_connector import Backend, config
 from yarrowspindle.daemon.config import read_config
 from yarrowspindle.daemon.relay_service import RelayService
 from yarrowspindle.fronts.line_front import LineFront
--- a/tests/daemon/test_starts_and_ends.py
+++ b/tests/daemon/test_starts_and_ends.py
@@ -19,7 +19,7 @@
 
 from tests.ports import free_port
 from tests.stand_ins import ROOT
-from tests.transport.test_connecting import Backend, config
+from tests.transport.test_connector import Backend, config
 from yarrowspindle.daemon import metrics_reporter
 from yarrowspindle.daemon.config import read_config
 from yarrowspindle.daemon.main import CLOSE_S
@@ -30,7 +30,7 @@
 from yarrowspindle.routing.timers import SHUTDOWN_TIMER
 from yarrowspindle.runtime import SystemClock
 from yarrowspindle.transport.line_connection import LineConnection
-from yarrowspindle.transport.receivers import Datagrams
+from yarrowspindle.transport.metrics_senders import UdpMetricsSender
 
 WAIT_S = 10.0
 
@@ -143,13 +143,13 @@
     async def body() -> None:
         figures, opened, sent = Figures(), list[int](), list[bytes]()
 
-        class Way(Datagrams):
+        class Way(UdpMetricsSender):
             def send(self, data: bytes) -> None:
                 if len(sent) == 0 and not opened[-1]:
                     raise OSError(errno.ENETUNREACH, "Network is unreachable")
                 sent.append(data)
 
-        async def open_datagrams(address: Any) -> Datagrams:
+        async def open_datagrams(address: Any) -> UdpMetricsSender:
             opened.append(len(opened))
             if len(opened) == 1:
                 raise OSError(errno.ENFILE, "Too many open files in system")
@@ -258,4 +258,4 @@
 
     side, transport = LineConnection(), Transport()
     side.connection_made(transport)
-    assert side.alive is transport
+    assert side.open_transport is transport
--- a/tests/decisions/test_load_estimates.py
+++ b/tests/decisions/test_load_estimates.py
@@ -24,7 +24,7 @@
 from yarrowspindle.decisions.load_estimates import LoadEstimates
 from yarrowspindle.decisions.requests import Request
 from yarrowspindle.decisions.settings import RequestClass
-from yarrowspindle.protocol.lines import LineError, report_of
+from yarrowspindle.protocol.lines import LineError, parse_load_report
 from yarrowspindle.routing import events as routing_events
 from yarrowspindle.routing.events import BackendAccepted, BackendConnected, EndpointsUpdated, UnclassifiedReport
 from yarrowspindle.routing.reducer import Reducer
@@ -192,13 +192,13 @@
     ],
 )
 def test_a_load_report_is_parsed(line: bytes, expected: tuple[float, ...]) -> None:
-    assert report_of(line, ("rif", "x0")) == expected
+    assert parse_load_report(line, ("rif", "x0")) == expected
 
 
 @pytest.mark.parametrize("line", [b"NO", b"ERR", b"", b"PONG x0=nan", b"PONG x0=-1", b"PONG x0", b"PONG \xff", b"UP 1"])
 def test_an_invalid_load_report_is_an_error(line: bytes) -> None:
     with pytest.raises(LineError):
-        report_of(line, ("rif", "x0"))
+        parse_load_report(line, ("rif", "x0"))
 
 
 def test_each_report_is_a_message_latency_if_backends_report_no_load() -> None:
--- a/tests/fronts/test_quic_front.py
+++ b/tests/fronts/test_quic_front.py
@@ -132,7 +132,7 @@
     async def body(setup: QuicSetup) -> None:
         client = await setup.client()
         event = await asyncio.wait_for(client.ended, 5.0)
-        assert event.error_code == quic.REFUSED and event.reason_phrase.startswith("retry after ")
+        assert event.error_code == quic.CONNECTION_REFUSED and event.reason_phrase.startswith("retry after ")
         assert [backend.initials for backend in setup.backends] == [3], "one attempt after another, up to max_attempts"
         client.repeat()
         await asyncio.wait_for(
@@ -147,7 +147,7 @@
     async def body(setup: QuicSetup) -> None:
         start = time.monotonic()
         event = await asyncio.wait_for((await setup.client()).ended, 5.0)
-        assert event.error_code == quic.REFUSED and 0.2 < time.monotonic() - start < 0.4
+        assert event.error_code == quic.CONNECTION_REFUSED and 0.2 < time.monotonic() - start < 0.4
         assert not setup.front.table.flows and not setup.service.reducer.requests
 
     run_with_backends(body, {"answers": False}, class_deadline_ms=250.0)
@@ -268,5 +268,5 @@
 def test_an_id_encodes_its_backend_and_connection_without_revealing_them() -> None:
     ids = {IDS.encode(7, 9, sequence) for sequence in range(50)}
     assert len(ids) == 50 and {IDS.decode(connection_id) for connection_id in ids} == {(7, 9)}
-    assert quic.BackendIds(bytes(16)).decode(next(iter(ids))) != (7, 9)
+    assert quic.ConnectionIdCodec(bytes(16)).decode(next(iter(ids))) != (7, 9)
     assert quic.stateless_reset(bytes(16), 21) is None and len(quic.stateless_reset(bytes(16), 1200) or b"") == 43
--- a/tests/fronts/test_reentrancy.py
+++ b/tests/fronts/test_reentrancy.py
@@ -16,7 +16,7 @@
 import uvloop
 
 from tests.ports import free_port
-from tests.transport.test_connecting import config
+from tests.transport.test_connector import config
 from yarrowspindle.daemon.config import read_config
 from yarrowspindle.daemon.relay_service import RelayService
 from yarrowspindle.decisions.events import EndpointState, ListKind
--- a/tests/protocol/test_protocol.py
+++ b/tests/protocol/test_protocol.py
@@ -1,4 +1,4 @@
-"""Lines, the machine list, Graphite and collectd: bytes in, bytes out."""
+"""LineSplitter, the machine list, Graphite and collectd: bytes in, bytes out."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 from yarrowspindle.daemon.operator_config import QuicConfig, read_operator
 from yarrowspindle.decisions.events import EndpointState, ListKind
 from yarrowspindle.protocol import collectd, graphite, lines
-from yarrowspindle.protocol.endpoint_list import ListError, Names, WatchAnswer
+from yarrowspindle.protocol.endpoint_list import ListError, WatchResponse, ZoneAndKindNames
 from yarrowspindle.protocol.lines import (
     LineError,
     LineKind,
-    Lines,
-    Opening,
-    kind_of,
-    load_of,
+    LineSplitter,
+    OpeningReader,
+    parse_line_kind,
+    parse_load,
     parse_open,
     rejection_line,
 )
@@ -70,17 +70,17 @@
 @settings(derandomize=True, max_examples=60)
 @given(st.lists(st.text("ab ", max_size=5), max_size=6), st.lists(st.integers(0, 40), max_size=5))
 def test_lines_are_the_same_wherever_the_stream_is_cut(texts: list[str], cuts: list[int]) -> None:
-    data, cutter, found, at = "".join(t + "\r\n" for t in texts).encode() + b"rest", Lines(), [], 0
+    data, cutter, found, at = "".join(t + "\r\n" for t in texts).encode() + b"rest", LineSplitter(), [], 0
     for cut in [*sorted(cuts), len(data)]:
         found += cutter.feed(data[at:cut])
         at = max(at, cut)
-    assert found == [t.encode() for t in texts] and cutter.rest == b"rest" and not cutter.between
+    assert found == [t.encode() for t in texts] and cutter.rest == b"rest" and not cutter.at_boundary
 
 
 @settings(derandomize=True, max_examples=60)
 @given(st.integers(0, 6), st.integers(1, 40), st.sampled_from(["", "x", "\r\n", LINE + "\r\n"]))
 def test_an_opening_is_the_same_wherever_it_is_cut_and_holds_one_line(probes: int, size: int, behind: str) -> None:
-    data, opening = ("PING\r\nSTATS\r\n" * probes + LINE + "\r\n" + behind).encode(), Opening()
+    data, opening = ("PING\r\nSTATS\r\n" * probes + LINE + "\r\n" + behind).encode(), OpeningReader()
     answers, opened, refused = b"", None, False
     for at in range(0, len(data), size):
         try:
@@ -101,11 +101,11 @@
 )
 def test_an_opening_that_is_too_long_or_ends_oddly_is_refused_at_once(bad: bytes) -> None:
     with pytest.raises(LineError):
-        Opening().feed(bad)
+        OpeningReader().feed(bad)
 
 
 def test_words_loads_and_notices() -> None:
-    assert [kind_of(w) for w in (b"UP r", b"BYE", b"MOVE", b"ERR", b"BUSY 3", b"LOAD 2", b"UPS", b"")] == [
+    assert [parse_line_kind(w) for w in (b"UP r", b"BYE", b"MOVE", b"ERR", b"BUSY 3", b"LOAD 2", b"UPS", b"")] == [
         LineKind.UP,
         LineKind.BYE,
         LineKind.MOVE,
@@ -115,10 +115,10 @@
         LineKind.OTHER,
         LineKind.OTHER,
     ]
-    assert [load_of(b) for b in (b"LOAD 2.5", b"LOAD", b"LOAD x", b"LOAD -1", b"LOAD nan")] == [2.5] + 4 * [None]
+    assert [parse_load(b) for b in (b"LOAD 2.5", b"LOAD", b"LOAD x", b"LOAD -1", b"LOAD nan")] == [2.5] + 4 * [None]
     assert rejection_line(0.0) == b"BUSY\r\n" and rejection_line(1499.6) == b"BUSY 1500\r\n"
     with pytest.raises(LineError):
-        Lines().feed(b"x" * (lines.MAX_LINE_BYTES + 1))
+        LineSplitter().feed(b"x" * (lines.MAX_LINE_BYTES + 1))
 
 
 @settings(derandomize=True, max_examples=30)
@@ -126,7 +126,11 @@
 def test_a_watch_is_read_wherever_it_is_cut_and_however_it_is_indented(first: int, then: int) -> None:
     indented = json.dumps(json.loads(LIST) | {"note": 'a "{" in a string, \\"'}, indent=first % 3).encode() + b"\n"
     body = b"".join(b"%x\r\n%s\r\n" % (len(p), p) for p in (LIST[:30], LIST[30:], b"\n", indented))
-    data, answer, told = HEAD + body, WatchAnswer(Names(["a", "b"], ["m1", "m2"])), list[EndpointsUpdated]()
+    data, answer, told = (
+        HEAD + body,
+        WatchResponse(ZoneAndKindNames(["a", "b"], ["m1", "m2"])),
+        list[EndpointsUpdated](),
+    )
     for at in range(0, len(data), first + then):
         told += answer.feed(data[at : at + first])
         told += answer.feed(data[at + first : at + first + then])
@@ -157,7 +161,7 @@
 )
 def test_an_answer_that_makes_no_sense_fails_the_watch_and_says_why(bad: bytes, why: str) -> None:
     with pytest.raises(ListError, match=why):
-        WatchAnswer(Names()).feed(bad)
+        WatchResponse(ZoneAndKindNames()).feed(bad)
 
 
 def test_settings_are_flattened_as_the_simulator_writes_them() -> None:
--- a/tests/quic_stand_ins.py
+++ b/tests/quic_stand_ins.py
@@ -22,7 +22,7 @@
 from yarrowspindle.routing.context import backend_id
 
 ID_KEY, RESET_KEY = bytes(range(16)), bytes(range(16, 48))
-IDS = quic.BackendIds(ID_KEY)
+IDS = quic.ConnectionIdCodec(ID_KEY)
 
 
 @cache
@@ -105,7 +105,7 @@
         super().__init__()
         self.name, self.answers, self.refuses = name, answers, refuses
         self.configuration = QuicConfiguration(
-            is_client=False, alpn_protocols=["t"], connection_id_length=quic.ID_LENGTH
+            is_client=False, alpn_protocols=["t"], connection_id_length=quic.CONNECTION_ID_BYTES
         )
         self.configuration.certificate, self.configuration.private_key = certificate()
         self.links: dict[int, BackendConnection] = {}
@@ -119,7 +119,9 @@
         if connection is None and not header.short:
             self.initials += 1
             if self.refuses and self.transport is not None:
-                close = quic.initial_close(header.version, header.destination, header.source, quic.REFUSED, "full")
+                close = quic.initial_close(
+                    header.version, header.destination, header.source, quic.CONNECTION_REFUSED, "full"
+                )
                 self.transport.sendto(close, addr)
             if self.refuses or not self.answers:
                 return
--- a/tests/transport/test_call_out_order.py
+++ b/tests/transport/test_callback_order.py
@@ -23,7 +23,7 @@
     "ClientConnection._on_first_line_timeout": "sets the timer only where nothing was reported",
     "ClientConnection.connection_lost": "its transport is gone, and what it had left is the sink's",
     "HealthCheckConnection.data_received": "looks whether it is over before each report",
-    "WatchSide.data_received": "looks whether it is over before each report and each timer",
+    "WatchConnection.data_received": "looks whether it is over before each report and each timer",
     "Listener._ready": "only `close` ends it, and no call leads there",
     "Listener._accept": "the same",
     "Listener._accept_batch": "the same",
--- a/tests/transport/test_call_outs.py
+++ b/tests/transport/test_callback_reentrancy.py
@@ -16,8 +16,8 @@
 import uvloop
 
 from yarrowspindle.operator_api import OperatorApi
-from yarrowspindle.protocol.endpoint_list import Names
-from yarrowspindle.protocol.lines import Open
+from yarrowspindle.protocol.endpoint_list import ZoneAndKindNames
+from yarrowspindle.protocol.lines import OpenRequest
 from yarrowspindle.routing.effects import CheckHealth
 from yarrowspindle.routing.events import HealthCheckCompleted
 from yarrowspindle.routing.termination import TerminationReason
@@ -25,10 +25,10 @@
 from yarrowspindle.transport import datagrams
 from yarrowspindle.transport.backend import BackendConnection
 from yarrowspindle.transport.client import ClientConnection
-from yarrowspindle.transport.connecting import ConnectFailure, Connecting
-from yarrowspindle.transport.endpoint_list import WatchSide
+from yarrowspindle.transport.connector import ConnectFailure, Connector
+from yarrowspindle.transport.endpoint_list_watch import WatchConnection
+from yarrowspindle.transport.health_check_connection import HealthCheckConnection
 from yarrowspindle.transport.line_connection import LineConnection
-from yarrowspindle.transport.probe import HealthCheckConnection
 
 WAIT_S = 5.0
 RESET = b"\x01\x00\x00\x00\x00\x00\x00\x00"  # of SO_LINGER
@@ -98,7 +98,7 @@
     def ready(self) -> bool:
         return True
 
-    def request_received(self, side: ClientConnection, opened: Open) -> None:
+    def request_received(self, side: ClientConnection, opened: OpenRequest) -> None:
         side.request = 7
         self._told("request_received")
 
@@ -113,8 +113,8 @@
     def backend_accepted(self, side: BackendConnection) -> None:
         self._told("backend_accepted")
         if not self.client.closing and not self.backend.end_reported:
-            self.client.join(self.backend, self.backend.first)
-            self.backend.flow()
+            self.client.start_relaying(self.backend, self.backend.up_line)
+            self.backend.forward_early_data()
 
 
 def finish_both(pair: Pair) -> None:
@@ -128,7 +128,7 @@
 
 
 def move(pair: Pair) -> None:
-    pair.backend.move(pair.client)
+    pair.backend.migrate(pair.client)
 
 
 def drop_the_attempt(pair: Pair) -> None:
@@ -198,7 +198,7 @@
     client = await connected(pair.client)
     send(client, OPEN)
     backend = await connected(pair.backend)
-    pair.backend.ask(OPEN)
+    pair.backend.send_request(OPEN)
     await asyncio.sleep(STEP_S)
     await script(client, backend)
     await asyncio.sleep(2.0 * STEP_S)
@@ -264,15 +264,15 @@
     async def body() -> None:
         sink = Told(name, lambda watch: watch.end("by its sink"))
         with no_callback_raises():
-            watch = WatchSide(cast(Any, sink), Names(), ("127.0.0.1", 1), 0)
-            watch.begin()
+            watch = WatchConnection(cast(Any, sink), ZoneAndKindNames(), ("127.0.0.1", 1), 0)
+            watch.start_first_list_timer()
             service = await connected(watch)
             send(service, HEAD + json_list(2) + json_list(3))
             await asyncio.sleep(STEP_S)
             send(service, json_list(4) + last)
             await asyncio.sleep(STEP_S)
             service.close()
-            await until(lambda: watch.over)
+            await until(lambda: watch.ended)
             await asyncio.sleep(STEP_S)
         assert sink.calls.count("watch_ended") == 1
         assert set(sink.after_the_end) <= {"watch_ended"}
@@ -292,13 +292,13 @@
         sink = Told(name, lambda side: side.end(TerminationReason.NOT_SENT, "by its sink"))
         with no_callback_raises():
             side = HealthCheckConnection(cast(Any, sink), "s-1")
-            side.ask()
+            side.send_probe()
             backend = await connected(side)
             await asyncio.sleep(STEP_S)
             send(backend, answer)
             await asyncio.sleep(STEP_S)
             backend.close()
-            await until(lambda: side.over)
+            await until(lambda: side.ended)
         assert sink.calls.count("health_check_ended") == 1
         assert set(sink.after_the_end) <= {"health_check_ended"}
 
@@ -323,7 +323,7 @@
             else:
                 for name in ("s-0", "s-1"):
                     if name in checker.backends:
-                        checker.backends[name].side.asked = False  # its answer has come
+                        checker.backends[name].side.awaiting_reply = False  # its answer has come
                 checker.probe(CheckHealth("s-2", idle[0].address, 500.0))
 
         checker = HealthChecker((), 10.0, told, lambda text: None, max_connections=2)
@@ -357,7 +357,7 @@
         calls: list[str] = []
 
         def closes(name: str) -> Callable[..., None]:
-            def called(path: datagrams.Path, *what: Any) -> None:
+            def called(path: datagrams.BackendPath, *what: Any) -> None:
                 calls.append(name)
                 path.close()
 
@@ -368,7 +368,7 @@
             address = backend.getsockname()
             if told == "refused":
                 backend.close()
-            path = datagrams.Path(closes("came"), closes("refused"), ("127.0.0.1", 1))
+            path = datagrams.BackendPath(closes("came"), closes("refused"), ("127.0.0.1", 1))
             for number in range(5):
                 path.send(b"%d" % number)
             await asyncio.get_running_loop().create_datagram_endpoint(lambda: path, remote_addr=address)
@@ -436,7 +436,7 @@
         if port_is == "closed":
             backend.server.close()
         with no_callback_raises():
-            connecting = Connecting(Made(), backend.address, failed)
+            connecting = Connector(Made(), backend.address, failed)
             connecting.start(0.5)
             await until(lambda: bool(told))
             await asyncio.sleep(5.0 * STEP_S)
--- a/tests/transport/test_silence.py
+++ b/tests/transport/test_inactivity_timer.py
@@ -12,12 +12,12 @@
 import pytest
 import uvloop
 
-from yarrowspindle.transport.silence import (
-    LATE_S,
-    SilenceTimer,
-    end_sending_if_silent,
-    sleep_reading,
-    sockets_read,
+from yarrowspindle.transport.inactivity_timer import (
+    STALL_EXTENSION_S,
+    InactivityTimer,
+    half_close_unless_readable,
+    sleep_then_wait_for_reads,
+    wait_for_socket_reads,
 )
 
 LIMIT_S = 0.03
@@ -35,7 +35,7 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = transport
         self.began = time.monotonic()
-        self.timer = SilenceTimer(LIMIT_S, self.silent)
+        self.timer = InactivityTimer(LIMIT_S, self.silent)
 
     def data_received(self, data: bytes) -> None:
         self.received += data
@@ -64,7 +64,7 @@
         receiver, far = await connected()
         time.sleep(2.0 * LIMIT_S)
         far.send(b"x")
-        await asyncio.sleep(2.0 * LIMIT_S + LATE_S)
+        await asyncio.sleep(2.0 * LIMIT_S + STALL_EXTENSION_S)
         assert receiver.received == b"x" and receiver.silent_after is None
         far.close()
 
@@ -86,12 +86,12 @@
 def test_after_a_hold_the_peer_gets_a_little_more_time_once(loop: Callable[[], asyncio.AbstractEventLoop]) -> None:
     async def body() -> None:
         receiver, far = await connected()
-        held_s = LIMIT_S + 1.5 * LATE_S
+        held_s = LIMIT_S + 1.5 * STALL_EXTENSION_S
         time.sleep(held_s)
-        await asyncio.sleep(0.5 * LATE_S)
+        await asyncio.sleep(0.5 * STALL_EXTENSION_S)
         assert receiver.silent_after is None
-        await asyncio.sleep(LATE_S)
-        assert receiver.silent_after is not None and receiver.silent_after >= held_s + LATE_S - CLOCK_TICK_S
+        await asyncio.sleep(STALL_EXTENSION_S)
+        assert receiver.silent_after is not None and receiver.silent_after >= held_s + STALL_EXTENSION_S - CLOCK_TICK_S
         far.close()
 
     run(loop, body())
@@ -103,25 +103,25 @@
 ) -> None:
     async def body() -> None:
         silent, silent_far = await connected()
-        assert end_sending_if_silent(silent.transport), "nothing has come"
+        assert half_close_unless_readable(silent.transport), "nothing has come"
         receiver, far = await connected()
         far.send(b"x")
-        assert not end_sending_if_silent(receiver.transport)
-        await sockets_read()
+        assert not half_close_unless_readable(receiver.transport)
+        await wait_for_socket_reads()
         assert receiver.received == b"x"
         far.send(b"y")
         time.sleep(0.01)
-        await sleep_reading(0.001)
+        await sleep_then_wait_for_reads(0.001)
         assert receiver.received == b"xy"
         far.close()
-        assert not end_sending_if_silent(receiver.transport), "its end is not read"
-        await sockets_read()
+        assert not half_close_unless_readable(receiver.transport), "its end is not read"
+        await wait_for_socket_reads()
         await asyncio.sleep(0.01)
-        assert end_sending_if_silent(receiver.transport) and end_sending_if_silent(None), "it is closed"
+        assert half_close_unless_readable(receiver.transport) and half_close_unless_readable(None), "it is closed"
         read, read_far = await connected()
         read_far.send(b"x")
-        await sockets_read()
-        assert read.received == b"x" and end_sending_if_silent(read.transport), "all that came is read"
+        await wait_for_socket_reads()
+        assert read.received == b"x" and half_close_unless_readable(read.transport), "all that came is read"
         silent_far.close()
         read_far.close()
 
@@ -136,12 +136,12 @@
         receiver, far = await connected()
         far.settimeout(1.0)
         far.send(b"x")
-        assert not end_sending_if_silent(receiver.transport)
-        await sockets_read()
-        assert end_sending_if_silent(receiver.transport)
+        assert not half_close_unless_readable(receiver.transport)
+        await wait_for_socket_reads()
+        assert half_close_unless_readable(receiver.transport)
         assert far.recv(1) == b"", "before the loop's next turn"
         far.close()
-        assert end_sending_if_silent(None)
+        assert half_close_unless_readable(None)
 
     run(loop, body())
 
@@ -175,9 +175,9 @@
 
         poll = select.poll
         monkeypatch.setattr(select, "poll", HeldPoll)
-        assert not end_sending_if_silent(receiver.transport) and looks == [False, True]
+        assert not half_close_unless_readable(receiver.transport) and looks == [False, True]
         monkeypatch.undo()
-        await sockets_read()
+        await wait_for_socket_reads()
         assert receiver.received == b"x"
         far.close()
 
@@ -193,7 +193,7 @@
         receiver = Receiver()
         receiver.connection_made(cast(asyncio.BaseTransport, None))
         receiver.timer.cancel()
-        receiver.timer = SilenceTimer(limit_s, receiver.silent)
+        receiver.timer = InactivityTimer(limit_s, receiver.silent)
         await asyncio.sleep(0.02)
         assert receiver.silent_after is not None
 
@@ -206,7 +206,7 @@
             receiver = Receiver()
             receiver.connection_made(cast(asyncio.BaseTransport, None))
             receiver.timer.cancel()
-            receiver.timer = SilenceTimer(0.0, receiver.silent)
+            receiver.timer = InactivityTimer(0.0, receiver.silent)
             for _ in range(turns):
                 if receiver.silent_after is None:
                     await asyncio.sleep(0.0)
--- a/tests/transport/test_line_connections.py
+++ b/tests/transport/test_line_connections.py
@@ -11,7 +11,7 @@
 from yarrowspindle.transport.client import ClientConnection
 
 
-class Wire:
+class RecordingTransport:
     """A transport; as uvloop's it takes nothing more once it closes."""
 
     def __init__(self) -> None:
@@ -52,34 +52,34 @@
         self.reading = True
 
 
-class Sink:
-    """Both sinks at once: keeps what it is told."""
+class RecordingSink:
+    """Both sinks at once: keeps what it is calls."""
 
     def __init__(self) -> None:
-        self.told: list[tuple[Any, ...]] = []
+        self.calls: list[tuple[Any, ...]] = []
 
     def __getattr__(self, name: str) -> Callable[..., None]:
-        return lambda *what: self.told.append((name, *what))
+        return lambda *what: self.calls.append((name, *what))
 
     def request_received(self, side: ClientConnection, opened: object) -> None:
         side.request = 7
 
 
-def pair() -> tuple[Sink, ClientConnection, Wire, BackendConnection, Wire]:
-    sink, near, far = Sink(), Wire(), Wire()
+def pair() -> tuple[RecordingSink, ClientConnection, RecordingTransport, BackendConnection, RecordingTransport]:
+    sink, near, far = RecordingSink(), RecordingTransport(), RecordingTransport()
     client, backend = ClientConnection(cast(Any, sink)), BackendConnection(cast(Any, sink), 7, 0)
     client.connection_made(cast(asyncio.BaseTransport, near))
     backend.connection_made(cast(asyncio.BaseTransport, far))
     client.data_received(b"OPEN 000000000000000a 00000000000000ff c=x,d=5\r\n")
-    backend.ask(b"OPEN\r\n")
+    backend.send_request(b"OPEN\r\n")
     return sink, client, near, backend, far
 
 
-def joined() -> tuple[Sink, ClientConnection, Wire, BackendConnection, Wire]:
+def joined() -> tuple[RecordingSink, ClientConnection, RecordingTransport, BackendConnection, RecordingTransport]:
     made = pair()
     made[3].data_received(b"UP r\r\n")
-    made[1].join(made[3], made[3].first)
-    made[3].flow()
+    made[1].start_relaying(made[3], made[3].up_line)
+    made[3].forward_early_data()
     return made
 
 
@@ -95,7 +95,7 @@
         _, client, near, backend, far = joined()
         backend.data_received(b"hel")
         assert near.sent == b"UP r\r\nhel"
-        backend.move(client)
+        backend.migrate(client)
         assert not near.eof
         backend.data_received(b"lo\r\nnext\r\n")
         assert near.sent == b"UP r\r\nhello\r\nMOVE\r\n" and near.eof and far.eof
@@ -107,10 +107,10 @@
     def body() -> None:
         sink, client, near, backend, far = pair()
         backend.data_received(b"UP r\r\nLOAD 5\r\nx")
-        client.join(backend, backend.first)
-        backend.flow()
+        client.start_relaying(backend, backend.up_line)
+        backend.forward_early_data()
         assert near.sent == b"UP r\r\nLOAD 5\r\nx" and far.sent == b"OPEN\r\n"
-        assert ("backend_load_reported", 7, 5.0) in sink.told
+        assert ("backend_load_reported", 7, 5.0) in sink.calls
 
     run(body)
 
@@ -134,9 +134,9 @@
     def body() -> None:
         sink, client, _, backend, far = pair()
         client.data_received(b"x" * 100_000)
-        assert sink.told[-1] == ("unexpected_client_data", 7)
+        assert sink.calls[-1] == ("unexpected_client_data", 7)
         backend.data_received(b"UP r\r\n")
-        client.join(backend, backend.first)
+        client.start_relaying(backend, backend.up_line)
         assert far.sent == b"OPEN\r\n"
 
     run(body)
@@ -147,15 +147,15 @@
         sink, client, _, backend, _ = joined()
         client.data_received(b"x\r\n" * 5000)
         backend.data_received(b"y\r\n" * 5000)
-        assert sink.told[-2:] == [("client_data_forwarded", 7, 5000), ("backend_data_forwarded", 7, 5000)]
+        assert sink.calls[-2:] == [("client_data_forwarded", 7, 5000), ("backend_data_forwarded", 7, 5000)]
 
     run(body)
 
 
 def test_a_refused_client_is_heard_out_while_it_sends_and_no_longer() -> None:
     async def inside() -> None:
-        wire = Wire()
-        client = ClientConnection(cast(Any, Sink()))
+        wire = RecordingTransport()
+        client = ClientConnection(cast(Any, RecordingSink()))
         client.connection_made(cast(asyncio.BaseTransport, wire))
         client.data_received(b"x" * 5000)
         assert wire.sent == b"ERR\r\n" and wire.eof and not wire.closed
@@ -180,21 +180,21 @@
             backend.data_received(b"hello\r\n" + last)
             backend.eof_received()
             backend.connection_lost(None)
-            assert [t[2] for t in sink.told if t[0] == "attempt_ended"] == [ending]
+            assert [t[2] for t in sink.calls if t[0] == "attempt_ended"] == [ending]
         sink, _, _, backend, _ = pair()
-        backend.is_asked = False
+        backend.request_sent = False
         backend.connection_lost(None)
-        assert sink.told[-1] == ("attempt_ended", backend, TerminationReason.CONNECT_FAILED)
+        assert sink.calls[-1] == ("attempt_ended", backend, TerminationReason.CONNECT_FAILED)
 
     run(body)
 
 
 def test_a_connection_that_comes_up_after_it_was_given_up_is_closed() -> None:
     def body() -> None:
-        sink, wire = Sink(), Wire()
+        sink, wire = RecordingSink(), RecordingTransport()
         backend = BackendConnection(cast(Any, sink), 7, 0)
         backend.drop()
         backend.connection_made(cast(asyncio.BaseTransport, wire))
-        assert wire.closed and not sink.told
+        assert wire.closed and not sink.calls
 
     run(body)
--- a/tests/transport/test_listener.py
+++ b/tests/transport/test_listener.py
@@ -13,10 +13,10 @@
 import uvloop
 
 from tests.ports import free_port
-from yarrowspindle.transport.listener import BATCH, PAUSE_S, Listener
+from yarrowspindle.transport.listener import ACCEPT_BATCH, MAX_PAUSE_S, Listener
 
 # Errors that belong to the connection at the head of the queue, and shortages of the system.
-OF_ONE_CONNECTION = (
+CONNECTION_ERRORS = (
     "ECONNABORTED",
     "EPERM",
     "EPROTO",
@@ -30,8 +30,8 @@
 )
 SHORTAGES = ("EMFILE", "ENFILE", "ENOBUFS", "ENOMEM")
 CLIENTS = 200
-FAILING = 7  # calls of each ten, before the three that succeed
-SHORTEST_DEADLINE_S = 0.3
+FAILING_CALLS_OF_TEN = 7  # calls of each ten, before the three that succeed
+ACCEPT_DEADLINE_S = 0.3
 
 
 class FailingSocket:
@@ -50,36 +50,36 @@
         return self.real.accept()
 
 
-class Taken(asyncio.Protocol):
+class AcceptedConnection(asyncio.Protocol):
     count = 0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        Taken.count += 1
+        AcceptedConnection.count += 1
         cast(asyncio.Transport, transport).write(b"x")
 
 
 def listener(port: int, fails: Callable[[], bool], error: str) -> tuple[Listener, FailingSocket]:
-    made = Listener(("127.0.0.1", port), 1024, Taken, lambda: True, lambda text: None)
-    made.loop.remove_reader(made.sock)
-    failing = FailingSocket(made.sock, fails, getattr(errno, error))
-    made.sock = cast(socket.socket, failing)
-    made._listen()
-    return made, failing
+    listening = Listener(("127.0.0.1", port), 1024, AcceptedConnection, lambda: True, lambda text: None)
+    listening.loop.remove_reader(listening.sock)
+    failing = FailingSocket(listening.sock, fails, getattr(errno, error))
+    listening.sock = cast(socket.socket, failing)
+    listening._listen()
+    return listening, failing
 
 
-@pytest.mark.parametrize("error", OF_ONE_CONNECTION)
+@pytest.mark.parametrize("error", CONNECTION_ERRORS)
 def test_a_queue_is_taken_in_before_its_deadlines_though_most_accepts_fail(error: str) -> None:
     """Guards against a pause at each failing accept, behind which requests waited for longer than their time."""
 
     async def body() -> None:
         port, number = free_port(), itertools.count()
-        made, _ = listener(port, lambda: next(number) % 10 < FAILING, error)
-        ends = await asyncio.gather(*(asyncio.open_connection("127.0.0.1", port) for _ in range(CLIENTS)))
-        answers = asyncio.gather(*(reader.readexactly(1) for reader, _ in ends))
-        await asyncio.wait_for(answers, SHORTEST_DEADLINE_S)
-        for _, writer in ends:
+        listening, _ = listener(port, lambda: next(number) % 10 < FAILING_CALLS_OF_TEN, error)
+        streams = await asyncio.gather(*(asyncio.open_connection("127.0.0.1", port) for _ in range(CLIENTS)))
+        answers = asyncio.gather(*(reader.readexactly(1) for reader, _ in streams))
+        await asyncio.wait_for(answers, ACCEPT_DEADLINE_S)
+        for _, writer in streams:
             writer.close()
-        await made.close(made.loop.time())
+        await listening.close(listening.loop.time())
 
     uvloop.run(body())
 
@@ -90,13 +90,13 @@
 
     async def body() -> None:
         port, number = free_port(), itertools.count()
-        made, _ = listener(port, lambda: next(number) % 10 < FAILING, error)
-        ends = await asyncio.gather(*(asyncio.open_connection("127.0.0.1", port) for _ in range(CLIENTS // 2)))
-        answers = asyncio.gather(*(reader.readexactly(1) for reader, _ in ends))
-        await asyncio.wait_for(answers, SHORTEST_DEADLINE_S)
-        for _, writer in ends:
+        listening, _ = listener(port, lambda: next(number) % 10 < FAILING_CALLS_OF_TEN, error)
+        streams = await asyncio.gather(*(asyncio.open_connection("127.0.0.1", port) for _ in range(CLIENTS // 2)))
+        answers = asyncio.gather(*(reader.readexactly(1) for reader, _ in streams))
+        await asyncio.wait_for(answers, ACCEPT_DEADLINE_S)
+        for _, writer in streams:
             writer.close()
-        await made.close(made.loop.time())
+        await listening.close(listening.loop.time())
 
     uvloop.run(body())
 
@@ -107,16 +107,16 @@
 
     async def body() -> None:
         port, seconds = free_port(), 0.2
-        made, failing = listener(port, lambda: True, error)
+        listening, failing = listener(port, lambda: True, error)
         _, writer = await asyncio.open_connection("127.0.0.1", port)
         await asyncio.sleep(seconds)
-        assert failing.calls <= BATCH * (seconds / PAUSE_S + 2)
+        assert failing.calls <= ACCEPT_BATCH * (seconds / MAX_PAUSE_S + 2)
         failing.fails = lambda: False
-        before = Taken.count
-        await asyncio.sleep(5.0 * PAUSE_S)
-        assert Taken.count == before + 1, "it is taken in once accept works again"
+        before = AcceptedConnection.count
+        await asyncio.sleep(5.0 * MAX_PAUSE_S)
+        assert AcceptedConnection.count == before + 1, "it is taken in once accept works again"
         writer.close()
-        await made.close(made.loop.time())
+        await listening.close(listening.loop.time())
 
     uvloop.run(body())
 
@@ -127,12 +127,12 @@
 
     async def body() -> None:
         port, number = free_port(), itertools.count()
-        made, _ = listener(port, lambda: next(number) % 10 < FAILING, error)
-        made.loop.remove_reader(made.sock)
-        ends = await asyncio.gather(*(asyncio.open_connection("127.0.0.1", port) for _ in range(20)))
-        await made.close(made.loop.time() + 2.0)
-        assert [await reader.readexactly(1) for reader, _ in ends] == [b"x"] * 20
-        for _, writer in ends:
+        listening, _ = listener(port, lambda: next(number) % 10 < FAILING_CALLS_OF_TEN, error)
+        listening.loop.remove_reader(listening.sock)
+        streams = await asyncio.gather(*(asyncio.open_connection("127.0.0.1", port) for _ in range(20)))
+        await listening.close(listening.loop.time() + 2.0)
+        assert [await reader.readexactly(1) for reader, _ in streams] == [b"x"] * 20
+        for _, writer in streams:
             writer.close()
 
     uvloop.run(body())
--- a/tests/transport/test_slow_readers.py
+++ b/tests/transport/test_slow_readers.py
@@ -81,7 +81,7 @@
         server = await loop.create_server(made, "127.0.0.1", port)
         reader = socket.create_connection(("127.0.0.1", port))
         until = loop.time() + 6.0
-        while not sides or sides[0].alive:
+        while not sides or sides[0].open_transport:
             assert loop.time() < until, "it is still held"
             await asyncio.sleep(0.05)
         reader.close()
--- a/yarrowspindle/daemon/config.py
+++ b/yarrowspindle/daemon/config.py
@@ -15,7 +15,7 @@
 
 from yarrowspindle.decisions.events import ListKind
 from yarrowspindle.decisions.settings import Settings
-from yarrowspindle.protocol.endpoint_list import ListError, Names, parse_address, parse_list
+from yarrowspindle.protocol.endpoint_list import ListError, ZoneAndKindNames, parse_address, parse_list
 from yarrowspindle.protocol.platform_settings import SettingsError, read_settings
 from yarrowspindle.routing.address import Address
 from yarrowspindle.routing.events import EndpointsUpdated
@@ -65,7 +65,7 @@
     seed: int
     settings: Settings
     known: EndpointsUpdated
-    names: Names = field(default_factory=Names)
+    names: ZoneAndKindNames = field(default_factory=ZoneAndKindNames)
     classes: list[str] = field(default_factory=list)
     current_classes: dict[str, int] = field(default_factory=dict)
     tenants: list[str] = field(default_factory=list)
@@ -114,7 +114,9 @@
     """Reads the decoded configuration file. Raises ConfigError where a member is missing or invalid."""
     try:
         raw = data["settings"]
-        names = Names([str(zone) for zone in raw.get("azs") or []], [str(kind) for kind in raw.get("skus") or []])
+        names = ZoneAndKindNames(
+            [str(zone) for zone in raw.get("azs") or []], [str(kind) for kind in raw.get("skus") or []]
+        )
         known = data.get("known") or {"members": []}
         seed = data.get("seed", "0")
         classes = names_of(raw.get("categories"))
--- a/yarrowspindle/daemon/configuration_endpoint.py
+++ b/yarrowspindle/daemon/configuration_endpoint.py
@@ -22,8 +22,8 @@
 from yarrowspindle.membership.codec import DroppedDatagramError
 from yarrowspindle.routing.address import Address
 from yarrowspindle.telemetry.log import RateLimitedLog
-from yarrowspindle.transport.datagrams import Front
-from yarrowspindle.transport.silence import sleep_reading
+from yarrowspindle.transport.datagrams import UdpListener
+from yarrowspindle.transport.inactivity_timer import sleep_then_wait_for_reads
 
 RETRY_MS = 1000.0  # until the next timer event after one that failed
 FRAGMENT_REQUEST_INTERVAL_S = 0.05
@@ -48,7 +48,7 @@
     def __init__(self, settings: ControlSettings, name: str) -> None:
         self.settings, self.name = settings, name
         self.loop = asyncio.get_running_loop()
-        self.front = Front(self._on_datagram)
+        self.front = UdpListener(self._on_datagram)
         # Only a hint: where this clock went back, receivers report the newer incarnation that they know.
         self.incarnation = int(time.time() * 1000.0)
         self.link = Link(
@@ -78,7 +78,7 @@
         if self.store is not None:
             await self.store.flush()
         self.disk.shutdown(wait=False, cancel_futures=True)
-        await sleep_reading(FLUSH_S)
+        await sleep_then_wait_for_reads(FLUSH_S)
         if self.front.transport is not None:
             self.front.transport.close()
 
--- a/yarrowspindle/daemon/membership_endpoint.py
+++ b/yarrowspindle/daemon/membership_endpoint.py
@@ -22,8 +22,8 @@
 from yarrowspindle.routing.events import PeerLoadsUpdated
 from yarrowspindle.runtime.membership_driver import MembershipDriver, local_load
 from yarrowspindle.telemetry.log import RateLimitedLog
-from yarrowspindle.transport.datagrams import Front
-from yarrowspindle.transport.silence import sleep_reading
+from yarrowspindle.transport.datagrams import UdpListener
+from yarrowspindle.transport.inactivity_timer import sleep_then_wait_for_reads
 
 FLUSH_S = 0.02  # for the last datagrams, before the socket is closed
 
@@ -53,7 +53,7 @@
         self._service = service
         self.settings = settings
         self._loop = asyncio.get_running_loop()
-        self._socket = Front(self._on_datagram)
+        self._socket = UdpListener(self._on_datagram)
         self._opening: asyncio.Task[None] | None = None
         self._warnings = RateLimitedLog(time.monotonic)
         self._timers: set[asyncio.TimerHandle] = set()
@@ -72,7 +72,7 @@
         self.driver.close()
         for timer in self._timers:
             timer.cancel()
-        await sleep_reading(FLUSH_S)
+        await sleep_then_wait_for_reads(FLUSH_S)
         if self._socket.transport is not None:
             self._socket.transport.close()
 
--- a/yarrowspindle/daemon/metrics_reporter.py
+++ b/yarrowspindle/daemon/metrics_reporter.py
@@ -11,7 +11,7 @@
 from yarrowspindle.daemon.operator_config import MetricsConfig
 from yarrowspindle.protocol import collectd, graphite
 from yarrowspindle.routing.address import Address
-from yarrowspindle.transport.receivers import Datagrams, Receiver
+from yarrowspindle.transport.metrics_senders import TcpMetricsSender, UdpMetricsSender
 
 
 async def report(metrics: MetricsSource, config: MetricsConfig, name: str) -> None:
@@ -42,8 +42,8 @@
         self.metrics = metrics
         self.config = config
         self.name = name
-        self.receiver = Receiver(config.graphite) if config.graphite else None
-        self.datagrams: Datagrams | None = None
+        self.receiver = TcpMetricsSender(config.graphite) if config.graphite else None
+        self.datagrams: UdpMetricsSender | None = None
 
     async def report(self) -> None:
         """Sends one report. Raises what a source of metrics or the system raises."""
@@ -61,8 +61,8 @@
             self.datagrams.send(packet)
 
 
-async def open_datagrams(address: Address) -> Datagrams:
+async def open_datagrams(address: Address) -> UdpMetricsSender:
     """Opens a UDP socket to this address. Raises OSError where the system has none to give."""
-    datagrams = Datagrams()
+    datagrams = UdpMetricsSender()
     await asyncio.get_running_loop().create_datagram_endpoint(lambda: datagrams, remote_addr=address)
     return datagrams
--- a/yarrowspindle/fronts/line_front.py
+++ b/yarrowspindle/fronts/line_front.py
@@ -12,7 +12,7 @@
 
 from yarrowspindle.fronts.connection_limiter import ConnectionLimiter
 from yarrowspindle.protocol import lines
-from yarrowspindle.protocol.lines import LineError, Open
+from yarrowspindle.protocol.lines import LineError, OpenRequest
 from yarrowspindle.routing.effects import (
     AbortAttempt,
     CloseClientConnection,
@@ -40,10 +40,10 @@
 from yarrowspindle.telemetry.log import RateLimitedLog
 from yarrowspindle.transport.backend import BackendConnection
 from yarrowspindle.transport.client import ClientConnection
-from yarrowspindle.transport.connecting import ConnectFailure, Connecting, OwnNetwork
+from yarrowspindle.transport.connector import ConnectFailure, Connector, LocalNetworkMonitor
+from yarrowspindle.transport.inactivity_timer import half_close_unless_readable, wait_for_socket_reads
 from yarrowspindle.transport.line_connection import LineConnection
 from yarrowspindle.transport.listener import Listener
-from yarrowspindle.transport.silence import end_sending_if_silent, sockets_read
 from yarrowspindle.transport.tcp_info import last_data_age_ms
 
 if TYPE_CHECKING:
@@ -89,11 +89,11 @@
         self.limiter = ConnectionLimiter(descriptors, self.loop.time, self._end_if_silent)
         self.idle_close_reason = IdleCloseReason.NO_FIRST_LINE
         self.log = RateLimitedLog(self.loop.time)
-        self.network = OwnNetwork()
+        self.network = LocalNetworkMonitor()
         self.clients: dict[int, ClientConnection] = {}
-        self.first_lines: dict[int, Open] = {}
+        self.first_lines: dict[int, OpenRequest] = {}
         self.backends: dict[int, BackendConnection] = {}
-        self.connect_attempts: dict[int, Connecting] = {}
+        self.connect_attempts: dict[int, Connector] = {}
         self.effect_handlers: dict[type, Callable[[Any], None]] = {
             OpenBackendConnection: self._open_backend_connection,
             ForwardRequest: self._forward_request,
@@ -138,21 +138,21 @@
         await self._end_silent_clients()
         await self._drain_clients(started_at + (deadline_s - started_at) * PARTIAL_LINE_WAIT_FRACTION)
         for backend in [side for side in self.limiter.connections if isinstance(side, BackendConnection)]:
-            backend.move_now()
+            backend.finish_migration_now()
         await self._drain_clients(deadline_s)
         for _ in range(FINAL_LOOP_ITERATIONS):
-            await sockets_read()
+            await wait_for_socket_reads()
 
     async def _end_silent_clients(self) -> None:
         """Read the sockets' pending data, then close the clients that have not sent a complete first line."""
         self.idle_close_reason = IdleCloseReason.SHUTDOWN
         for iteration in range(MAX_FIRST_LINE_READS):
-            await sockets_read()
+            await wait_for_socket_reads()
             pending_clients = [side for side in self.limiter.without_request if isinstance(side, ClientConnection)]
             if not pending_clients:
                 return
             for client in pending_clients:
-                client.end_if_silent(although_unread=iteration == MAX_FIRST_LINE_READS - 1)
+                client.close_if_idle(even_if_unread=iteration == MAX_FIRST_LINE_READS - 1)
 
     async def _drain_clients(self, deadline_s: float) -> None:
         """Read from answered clients until they close, up to this event loop time."""
@@ -174,19 +174,19 @@
         return self.service.ready()
 
     def _client_connection(self) -> ClientConnection:
-        return ClientConnection(self, self.listener.waited)
+        return ClientConnection(self, self.listener.may_have_waited)
 
     def _read_delay_ms(self, side: ClientConnection) -> float:
         """Return how long the client's line was unread in the kernel; 0, without asking it, if the loop is on time."""
-        if side.waited or monotonic() > self.runtime.assume_behind_at:
-            return last_data_age_ms(side.alive)
+        if side.may_have_waited or monotonic() > self.runtime.assume_behind_at:
+            return last_data_age_ms(side.open_transport)
         return 0.0
 
     def client_connected(self, side: ClientConnection) -> None:
         """Count the connection."""
         self.limiter.on_accepted(side)
 
-    def request_received(self, side: ClientConnection, first_line: Open) -> None:
+    def request_received(self, side: ClientConnection, first_line: OpenRequest) -> None:
         """Post the request, or reject an invalid first line."""
         try:
             received = self._parse_request(side, first_line)
@@ -198,7 +198,7 @@
         self.clients[side.request], self.first_lines[side.request] = side, first_line
         self.service.post(received)
 
-    def _parse_request(self, side: ClientConnection, first_line: Open) -> RequestReceived:
+    def _parse_request(self, side: ClientConnection, first_line: OpenRequest) -> RequestReceived:
         """Return the request of a first line.
 
         Raises:
@@ -255,7 +255,7 @@
 
     def _end_if_silent(self, side: LineConnection) -> bool:
         """End sending unless the kernel holds unread data of the client; return whether it holds none."""
-        if not end_sending_if_silent(side.alive):
+        if not half_close_unless_readable(side.open_transport):
             return False
         self._log_idle_close(side, IdleCloseReason.SHORT_OF_DESCRIPTORS)
         return True
@@ -278,14 +278,14 @@
     def backend_connected(self, side: BackendConnection) -> None:
         """Post that the connection to the backend was opened."""
         self.connect_attempts.pop(side.request, None)
-        self.network.works()
+        self.network.on_connected()
         if monotonic() > self.runtime.assume_behind_at:
             self._post_read_delay(side)
         self.service.post(BackendConnected(side.request, side.attempt))
 
     def _post_read_delay(self, side: BackendConnection) -> None:
         """Post how long the backend's data was unread in the kernel: it must not count as the backend's latency."""
-        delay_ms = last_data_age_ms(side.alive)
+        delay_ms = last_data_age_ms(side.open_transport)
         if delay_ms > 0.0:
             self.service.post(BackendDataDelayed(side.request, delay_ms))
 
@@ -321,7 +321,7 @@
         side = BackendConnection(self, effect.request, effect.attempt, effect.backend)
         self.backends[effect.request] = side
         self.limiter.on_backend_connecting(side)
-        connecting = Connecting(side, effect.address, lambda failure: self._on_connect_failed(side, failure))
+        connecting = Connector(side, effect.address, lambda failure: self._on_connect_failed(side, failure))
         self.connect_attempts[effect.request] = connecting
         connecting.start(effect.timeout_ms / 1000.0)
 
@@ -333,16 +333,16 @@
             self.log_warning(
                 f"connecting to execute node {side.backend} failed with an unexpected error: {failure.error!r}"
             )
-        side.unreached(
+        side.report_connect_failure(
             TerminationReason.NOT_SENT
-            if self.network.at_fault(side.backend, failure)
+            if self.network.is_local_fault(side.backend, failure)
             else TerminationReason.CONNECT_FAILED
         )
 
     def _forward_request(self, effect: ForwardRequest) -> None:
         side, first_line = self.backends.get(effect.request), self.first_lines.get(effect.request)
         if side is not None and first_line is not None:
-            side.ask(first_line.forward(effect.remaining_ms))
+            side.send_request(first_line.forward(effect.remaining_ms))
 
     def _abort_attempt(self, effect: AbortAttempt) -> None:
         side = self.backends.pop(effect.request, None)
@@ -358,8 +358,8 @@
         client, backend = self.clients.get(effect.request), self.backends.get(effect.request)
         self.first_lines.pop(effect.request, None)
         if client is not None and backend is not None:
-            client.join(backend, backend.first)
-            backend.flow()
+            client.start_relaying(backend, backend.up_line)
+            backend.forward_early_data()
 
     def _answer(self, request: int, line: bytes) -> None:
         client = self.clients.get(request)
@@ -377,7 +377,7 @@
         self._answer(effect.request, lines.rejection_line(effect.retry_after_ms))
 
     def _fail_request(self, effect: FailRequest) -> None:
-        self._answer(effect.request, lines.FAILED)
+        self._answer(effect.request, lines.ERR)
 
     def _migrate_connection(self, effect: MigrateConnection) -> None:
         client, backend = self.clients.get(effect.request), self.backends.pop(effect.request, None)
@@ -385,7 +385,7 @@
         if client is None:
             return
         if backend is not None:
-            backend.move(client)
+            backend.migrate(client)
         else:
             client.finish(lines.MOVE)
 
--- a/yarrowspindle/fronts/quic_flow.py
+++ b/yarrowspindle/fronts/quic_flow.py
@@ -5,10 +5,10 @@
 from collections import OrderedDict
 from dataclasses import dataclass, field
 
-from yarrowspindle.protocol.quic import Link
+from yarrowspindle.protocol.quic import ConnectionKey
 from yarrowspindle.routing.address import Address
-from yarrowspindle.transport.datagrams import Path
-from yarrowspindle.transport.silence import SilenceTimer
+from yarrowspindle.transport.datagrams import BackendPath
+from yarrowspindle.transport.inactivity_timer import InactivityTimer
 
 NO_ATTEMPT = -1
 MAX_ENDED_IDS_PER_CONNECTION = 4  # remembered ids of ended connections, per connection that the table may hold
@@ -50,20 +50,20 @@
     client_address: Address
     last_received_at: float
     first_flight: list[bytes] = field(default_factory=list)
-    pending_datagrams: list[tuple[Path, bytes]] = field(default_factory=list)
+    pending_datagrams: list[tuple[BackendPath, bytes]] = field(default_factory=list)
     attempt: int = NO_ATTEMPT
     backend: str = ""
     address: Address | None = None
     forwarding: bool = False
     established: bool = False
     connection_ids: set[bytes] = field(default_factory=set)
-    link: Link | None = None
-    paths: dict[Address, Path] = field(default_factory=dict)
+    link: ConnectionKey | None = None
+    paths: dict[Address, BackendPath] = field(default_factory=dict)
     last_connection_id: bytes = b""
     last_datagram_bytes: int = 0
     unanswered_since: float = 0.0
     unanswered_datagrams: int = 0
-    timeout: SilenceTimer | None = None
+    timeout: InactivityTimer | None = None
 
     def detach_backend(self) -> None:
         """Close the paths to the backend and discard the datagrams it has sent."""
@@ -83,7 +83,7 @@
     def close_idle_paths(self, before: float) -> None:
         """Close paths of former client addresses that were last used before this time."""
         for address, path in list(self.paths.items()):
-            if address != self.client_address and before >= path.used:
+            if address != self.client_address and before >= path.last_used_at:
                 path.close()
                 del self.paths[address]
 
@@ -101,8 +101,8 @@
         self.remember_s = remember_s
         self.flows: dict[int, Flow] = {}
         self.by_connection_id: dict[bytes, Flow] = {}
-        self.by_link: dict[Link, Flow] = {}
-        self.ended_ids: OrderedDict[bytes | Link, float] = OrderedDict()  # time at which each expires
+        self.by_link: dict[ConnectionKey, Flow] = {}
+        self.ended_ids: OrderedDict[bytes | ConnectionKey, float] = OrderedDict()  # time at which each expires
 
     @property
     def is_full(self) -> bool:
@@ -119,7 +119,7 @@
         flow.connection_ids.add(connection_id)
         self.by_connection_id[connection_id] = flow
 
-    def set_link(self, flow: Flow, link: Link) -> None:
+    def set_link(self, flow: Flow, link: ConnectionKey) -> None:
         """Set the link of a connection, so that all ids that the backend issues for it are recognized."""
         flow.link = link
         self.by_link[link] = flow
@@ -131,7 +131,7 @@
     def remove(self, flow: Flow, now: float, remember: bool) -> None:
         """Remove a connection; if `remember` is set, keep its ids as those of an ended connection."""
         self.flows.pop(flow.request, None)
-        keys: list[bytes | Link] = [*flow.connection_ids]
+        keys: list[bytes | ConnectionKey] = [*flow.connection_ids]
         for connection_id in flow.connection_ids:
             self.by_connection_id.pop(connection_id, None)
         if flow.link is not None:
--- a/yarrowspindle/fronts/quic_front.py
+++ b/yarrowspindle/fronts/quic_front.py
@@ -17,7 +17,7 @@
 from yarrowspindle.decisions.events import EndpointState
 from yarrowspindle.fronts.quic_flow import NO_ATTEMPT, Flow, FlowTable
 from yarrowspindle.protocol import quic
-from yarrowspindle.protocol.quic import Header, Link, PacketError
+from yarrowspindle.protocol.quic import ConnectionKey, Header, PacketError
 from yarrowspindle.routing.address import Address
 from yarrowspindle.routing.context import backend_id
 from yarrowspindle.routing.effects import (
@@ -34,8 +34,8 @@
 )
 from yarrowspindle.routing.events import AttemptEnded, BackendAccepted, BackendConnected, RequestReceived
 from yarrowspindle.routing.termination import TerminationReason
-from yarrowspindle.transport.datagrams import Front, Path
-from yarrowspindle.transport.silence import SilenceTimer
+from yarrowspindle.transport.datagrams import BackendPath, UdpListener
+from yarrowspindle.transport.inactivity_timer import InactivityTimer
 
 if TYPE_CHECKING:
     from yarrowspindle.daemon.operator_config import QuicConfig
@@ -62,8 +62,8 @@
     def __init__(self, service: RelayService, config: QuicConfig) -> None:
         self.service = service
         self.config = config
-        self.ids = quic.BackendIds(config.id_key)
-        self.client_socket = Front(self.on_client_datagram)
+        self.ids = quic.ConnectionIdCodec(config.id_key)
+        self.client_socket = UdpListener(self.on_client_datagram)
         self.table = FlowTable(config.max_connections, config.idle_s)
         self.counts: Counter[str] = Counter()
         self.loop = asyncio.get_running_loop()
@@ -119,11 +119,11 @@
             self.counts["unknown_id"] += 1
 
     def _negotiate_version(self, header: Header, data: bytes, client: Address) -> None:
-        if len(data) >= quic.SMALLEST_INITIAL:
+        if len(data) >= quic.MIN_INITIAL_DATAGRAM_BYTES:
             self.client_socket.send(quic.version_negotiation(header), client)
         self.counts["other_version"] += 1
 
-    def _find(self, header: Header) -> tuple[Flow | None, Link | None]:
+    def _find(self, header: Header) -> tuple[Flow | None, ConnectionKey | None]:
         """Return the connection of this id, and the link that the id encodes if a backend issued it."""
         table = self.table
         flow = table.by_connection_id.get(header.destination)
@@ -134,12 +134,12 @@
             return table.by_link.get(link), link
         return None, None
 
-    def _is_known_backend(self, link: Link) -> bool:
+    def _is_known_backend(self, link: ConnectionKey) -> bool:
         return link[0] in self.service.reducer.backends_by_number
 
     def _on_first_initial(self, header: Header, data: bytes, client: Address) -> None:
         """Start a request for an Initial with an unknown id, unless it was answered already or the table is full."""
-        if len(data) < quic.SMALLEST_INITIAL or len(header.destination) < MIN_CONNECTION_ID_BYTES:
+        if len(data) < quic.MIN_INITIAL_DATAGRAM_BYTES or len(header.destination) < MIN_CONNECTION_ID_BYTES:
             self.counts["malformed"] += 1
         elif header.destination in self.table.ended_ids:
             self.counts["answered_before"] += 1  # the client has not received its answer yet; never send a second one
@@ -164,7 +164,7 @@
         self.table.add(flow)
         return flow
 
-    def _on_issued_id(self, link: Link, header: Header, data: bytes, client: Address) -> None:
+    def _on_issued_id(self, link: ConnectionKey, header: Header, data: bytes, client: Address) -> None:
         """Take over a connection that this relay does not know but whose id encodes its backend.
 
         Another relay handled it before, or this relay was restarted. The connection continues at its backend, even a
@@ -208,13 +208,13 @@
 
     # --- datagrams of backends --------------------------------------------------------------------
 
-    def _on_backend_datagram(self, flow: Flow, attempt: int, path: Path, data: bytes) -> None:
+    def _on_backend_datagram(self, flow: Flow, attempt: int, path: BackendPath, data: bytes) -> None:
         if flow.attempt != attempt or not self.table.contains(flow):
             return
-        path.used = self.loop.time()
+        path.last_used_at = self.loop.time()
         flow.unanswered_datagrams = 0
         if flow.established:
-            flow.last_received_at = path.used
+            flow.last_received_at = path.last_used_at
             self.client_socket.send(data, path.client)
             return
         try:
@@ -224,7 +224,7 @@
             return
         self._on_handshake(flow, attempt, path, data, headers)
 
-    def _on_handshake(self, flow: Flow, attempt: int, path: Path, data: bytes, headers: list[Header]) -> None:
+    def _on_handshake(self, flow: Flow, attempt: int, path: BackendPath, data: bytes, headers: list[Header]) -> None:
         """Handle a backend's datagram before the connection is established: a Retry, a refusal, or handshake data."""
         kinds = {header.kind for header in headers}
         if kinds <= {QuicPacketType.RETRY, QuicPacketType.VERSION_NEGOTIATION}:
@@ -236,7 +236,7 @@
         if kinds == {QuicPacketType.INITIAL}:
             code = quic.close_code(data, headers[0], flow.original_connection_id)
             if code is not None:  # not forwarded: another backend may still accept the request
-                refused = code == quic.REFUSED
+                refused = code == quic.CONNECTION_REFUSED
                 reason = TerminationReason.REJECTED if refused else TerminationReason.BACKEND_ERROR
                 self.service.post(AttemptEnded(flow.request, attempt, reason))
                 return
@@ -277,26 +277,26 @@
         for data in flow.first_flight:
             self._path(flow, flow.client_address).send(data)
         timeout_s = min(self.config.answer_ms, effect.remaining_ms) / 1000.0
-        flow.timeout = SilenceTimer(timeout_s, self._on_timeout, flow, flow.attempt)
+        flow.timeout = InactivityTimer(timeout_s, self._on_timeout, flow, flow.attempt)
 
     def _on_timeout(self, flow: Flow, attempt: int) -> None:
         self.service.post(AttemptEnded(flow.request, attempt, TerminationReason.DEADLINE_EXCEEDED))
 
-    def _path(self, flow: Flow, client: Address) -> Path:
+    def _path(self, flow: Flow, client: Address) -> BackendPath:
         """Return the socket towards the backend for this client address; open one if there is none."""
         path = flow.paths.get(client)
         if path is None or path.closed:
             attempt = flow.attempt
-            path = flow.paths[client] = Path(
+            path = flow.paths[client] = BackendPath(
                 lambda path, data: self._on_backend_datagram(flow, attempt, path, data),
                 lambda path: self._on_port_closed(flow, attempt),
                 client,
             )
             self.loop.create_task(self._open_path(path, flow, attempt))
-        path.used = self.loop.time()
+        path.last_used_at = self.loop.time()
         return path
 
-    async def _open_path(self, path: Path, flow: Flow, attempt: int) -> None:
+    async def _open_path(self, path: BackendPath, flow: Flow, attempt: int) -> None:
         try:
             await self.loop.create_datagram_endpoint(lambda: path, remote_addr=flow.address)
         except Exception as error:  # also for an invalid address, end the attempt now instead of at its deadline
@@ -331,7 +331,7 @@
             self._send_stateless_reset(flow.last_connection_id, flow.last_datagram_bytes, flow.client_address)
         else:
             close = quic.initial_close(
-                flow.version, flow.original_connection_id, flow.client_connection_id, quic.REFUSED, reason
+                flow.version, flow.original_connection_id, flow.client_connection_id, quic.CONNECTION_REFUSED, reason
             )
             self.client_socket.send(close, flow.client_address)
         self._forget(flow)
--- a/yarrowspindle/library/sources.py
+++ b/yarrowspindle/library/sources.py
@@ -8,7 +8,7 @@
 from typing import Protocol
 
 from yarrowspindle.decisions.events import ListKind
-from yarrowspindle.protocol.endpoint_list import Names, parse_address
+from yarrowspindle.protocol.endpoint_list import ZoneAndKindNames, parse_address
 from yarrowspindle.routing.address import Address
 from yarrowspindle.routing.events import Endpoint, EndpointsUpdated
 
@@ -73,7 +73,7 @@
 
     def __init__(self, address: str, zones: Iterable[str] = (), kinds: Iterable[str] = ()) -> None:
         self.address: Address = parse_address(address)
-        self.names = Names(list(zones), list(kinds))
+        self.names = ZoneAndKindNames(list(zones), list(kinds))
 
     def open(self, told: OnUpdate, failed: OnFailure) -> None:
         """Opens the watch."""
--- a/yarrowspindle/operator_api/http.py
+++ b/yarrowspindle/operator_api/http.py
@@ -15,7 +15,7 @@
 
 import httptools
 
-from yarrowspindle.transport.silence import SilenceTimer
+from yarrowspindle.transport.inactivity_timer import InactivityTimer
 
 MAX_CALLS = 32  # connections at once; the oldest is closed for a new one
 CALL_TIMEOUT_S = 2.0  # for a whole call
@@ -77,14 +77,14 @@
         self.body_bytes = 0
         self.headers_complete = False
         self.done = False
-        self.timeout: SilenceTimer | None = None
+        self.timeout: InactivityTimer | None = None
 
     # --- callbacks of the transport ---------------------------------------------------------------
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Begins the time in which the whole call has to come."""
         self.transport = cast(asyncio.Transport, transport)
-        self.timeout = SilenceTimer(CALL_TIMEOUT_S, self.abort)
+        self.timeout = InactivityTimer(CALL_TIMEOUT_S, self.abort)
         self.api.add(self)
 
     def data_received(self, data: bytes) -> None:
@@ -196,7 +196,7 @@
                 self.transport.write_eof()
         if self.timeout is not None:
             self.timeout.cancel()
-        self.timeout = SilenceTimer(LINGER_S, self.abort)
+        self.timeout = InactivityTimer(LINGER_S, self.abort)
 
     def abort(self) -> None:
         """Closes the connection without an answer."""
--- a/yarrowspindle/protocol/collectd.py
+++ b/yarrowspindle/protocol/collectd.py
@@ -9,30 +9,30 @@
 TIME_HR, INTERVAL_HR = 0x0008, 0x0009
 GAUGE, DERIVE = 1, 2
 MAX_PACKET_BYTES = 1452  # what collectd itself sends at most, so that no packet is split on the way
-HEAD = struct.Struct(">HH")
+PART_HEADER = struct.Struct(">HH")
 MAX_TEXT_BYTES = 127  # without the zero byte behind it
 
 
-def text_part(kind: int, text: str) -> bytes:
+def text_part(part_type: int, text: str) -> bytes:
     """Returns a part of this type with a text, cut to MAX_TEXT_BYTES."""
     raw = text.encode("utf-8")[:MAX_TEXT_BYTES] + b"\0"
-    return HEAD.pack(kind, HEAD.size + len(raw)) + raw
+    return PART_HEADER.pack(part_type, PART_HEADER.size + len(raw)) + raw
 
 
-def time_part(kind: int, seconds: float) -> bytes:
+def time_part(part_type: int, seconds: float) -> bytes:
     """Returns a part of this type with a time, or a span of time, in high resolution."""
-    return HEAD.pack(kind, 12) + struct.pack(">Q", round(seconds * 2**30))  # in units of 2^-30 s
+    return PART_HEADER.pack(part_type, 12) + struct.pack(">Q", round(seconds * 2**30))  # in units of 2^-30 s
 
 
-def values_part(kind: int, value: float) -> bytes:
+def values_part(part_type: int, value: float) -> bytes:
     """Returns a part with one value; kind: GAUGE or DERIVE."""
     # A gauge is a little-endian double, a derive a big-endian signed integer: so has it collectd's own writer.
-    content = struct.pack("<d", value) if kind == GAUGE else struct.pack(">q", int(value))
-    return HEAD.pack(VALUES, HEAD.size + 2 + 1 + 8) + struct.pack(">HB", 1, kind) + content
+    content = struct.pack("<d", value) if part_type == GAUGE else struct.pack(">q", int(value))
+    return PART_HEADER.pack(VALUES, PART_HEADER.size + 2 + 1 + 8) + struct.pack(">HB", 1, part_type) + content
 
 
 def packets(
-    host: str, counters: Mapping[str, float], gauges: Mapping[str, float], when_s: float, interval_s: float
+    host: str, counters: Mapping[str, float], gauges: Mapping[str, float], time_s: float, interval_s: float
 ) -> Iterator[bytes]:
     """Yields the packets that hold all values, each whole in itself.
 
@@ -40,19 +40,19 @@
         host: the name under which collectd keeps the values.
         counters: by name, sent as DERIVE: collectd makes rates of them.
         gauges: by name.
-        when_s: seconds since 1970.
+        time_s: seconds since 1970.
         interval_s: until the next packets, seconds.
     """
     head = (
         text_part(HOST, host)
-        + time_part(TIME_HR, when_s)
+        + time_part(TIME_HR, time_s)
         + time_part(INTERVAL_HR, interval_s)
         + text_part(PLUGIN, "yarrowspindle")
     )
     packet = head
-    for kind, name, values in ((DERIVE, "derive", counters), (GAUGE, "gauge", gauges)):
+    for part_type, name, values in ((DERIVE, "derive", counters), (GAUGE, "gauge", gauges)):
         for instance, value in values.items():
-            part = text_part(TYPE, name) + text_part(TYPE_INSTANCE, instance) + values_part(kind, value)
+            part = text_part(TYPE, name) + text_part(TYPE_INSTANCE, instance) + values_part(part_type, value)
             if len(packet) + len(part) > MAX_PACKET_BYTES:
                 yield packet
                 packet = head
--- a/yarrowspindle/protocol/endpoint_list.py
+++ b/yarrowspindle/protocol/endpoint_list.py
@@ -25,14 +25,14 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Names:
+class ZoneAndKindNames:
     """Names of zones and kinds, as the settings have them."""
 
     zones: list[str] = field(default_factory=list)
     kinds: list[str] = field(default_factory=list)
 
 
-def place(names: list[str], name: object) -> int:
+def index_of(names: list[str], name: object) -> int:
     """Returns the position of the name; 0 where the settings do not have it."""
     return names.index(name) if isinstance(name, str) and name in names else 0
 
@@ -52,16 +52,16 @@
     return value
 
 
-def parse_figure(value: object, default: float, most: float) -> float:
-    """Returns a number from 0 up to `most`; the default where it is absent or 0. Raises ListError."""
+def parse_number(value: object, default: float, maximum: float) -> float:
+    """Returns a number from 0 up to `maximum`; the default where it is absent or 0. Raises ListError."""
     if value is None:
         return default
-    if isinstance(value, bool) or not isinstance(value, int | float) or not 0.0 <= value <= most:
-        raise ListError(f"not a figure from 0 to {most:g}: {value!r}")
+    if isinstance(value, bool) or not isinstance(value, int | float) or not 0.0 <= value <= maximum:
+        raise ListError(f"not a figure from 0 to {maximum:g}: {value!r}")
     return float(value) or default
 
 
-def parse_list(data: object, names: Names, kind: ListKind | None = None) -> EndpointsUpdated:
+def parse_list(data: object, names: ZoneAndKindNames, kind: ListKind | None = None) -> EndpointsUpdated:
     """Reads a list in discovery's form. Raises ListError.
 
     kind: None where the list itself says whether it is the whole.
@@ -74,11 +74,11 @@
                 name=parse_name(m["id"]),
                 address=parse_address(m["host_port"]),
                 state=STATES[m["phase"]],
-                zone=place(names.zones, m.get("locality")),
-                cell=int(parse_figure(m.get("cell"), 0.0, MAX_CELL)),
-                kind=place(names.kinds, m.get("flavor")),
-                capacity=parse_figure(m.get("size"), 1.0, MAX_SIZE),
-                started_ms=parse_figure(m.get("up_since_ms"), 0.0, MAX_TIME_MS),
+                zone=index_of(names.zones, m.get("locality")),
+                cell=int(parse_number(m.get("cell"), 0.0, MAX_CELL)),
+                kind=index_of(names.kinds, m.get("flavor")),
+                capacity=parse_number(m.get("size"), 1.0, MAX_SIZE),
+                started_ms=parse_number(m.get("up_since_ms"), 0.0, MAX_TIME_MS),
             )
             for m in data["members"]
         ]
@@ -97,7 +97,7 @@
     ).encode()
 
 
-class WatchAnswer:
+class WatchResponse:
     """The answer to a watch, piece by piece; each piece gives the lists that it completes.
 
     Attributes:
@@ -109,7 +109,7 @@
         ended: whether the answer is over.
     """
 
-    def __init__(self, names: Names) -> None:
+    def __init__(self, names: ZoneAndKindNames) -> None:
         self.names = names
         self.parser = httptools.HttpResponseParser(self)
         self.rest = b""
@@ -150,9 +150,9 @@
         self.size += len(line)
         if self.depth > 0 and self.size <= MAX_LIST_BYTES:
             return
-        whole, self.object_lines, self.depth, self.size = b"\n".join(self.object_lines), [], 0, 0
+        object_bytes, self.object_lines, self.depth, self.size = b"\n".join(self.object_lines), [], 0, 0
         try:
-            data = json.loads(whole)
+            data = json.loads(object_bytes)
         except (ValueError, RecursionError) as error:
             raise ListError("a list that is not JSON") from error
         self.completed.append(parse_list(data, self.names))
--- a/yarrowspindle/protocol/lines.py
+++ b/yarrowspindle/protocol/lines.py
@@ -7,15 +7,15 @@
 from enum import Enum
 
 MAX_LINE_BYTES = 4096
-END = b"\r\n"
-PING, PONG, MOVE, FAILED, NO = b"PING\r\n", b"PONG\r\n", b"MOVE\r\n", b"ERR\r\n", b"NO\r\n"
+CRLF = b"\r\n"
+PING, PONG, MOVE, ERR, NO = b"PING\r\n", b"PONG\r\n", b"MOVE\r\n", b"ERR\r\n", b"NO\r\n"
 PROBES = {b"PING": PONG, b"STATS": NO}  # what a connection may ask before its OPEN line
 MAX_PROBES = 4
 STATS = b"STATS\r\n"
 # Narrower than what int() and float() take: signs, underscores and exponents are no figures of this protocol.
 OPEN_LINE = re.compile(r"OPEN ([0-9a-f]{16}) ([0-9a-f]{16}) (\S+)")
 PAIR = re.compile(r"([a-z][a-z0-9_]{0,31})=([!-+\--<>-~]+)")
-FIGURE = re.compile(r"[0-9]{1,9}(\.[0-9]{1,9})?")
+DECIMAL = re.compile(r"[0-9]{1,9}(\.[0-9]{1,9})?")
 HEXADECIMAL = re.compile(r"[0-9a-f]{1,16}")
 MIN_RETRY_AFTER_MS = 0.5  # what rounds to no millisecond is not told
 MAX_LOAD = 1e12  # of a LOAD line: microseconds of work a second, or milliseconds
@@ -26,17 +26,17 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Open:
+class OpenRequest:
     """A client's request as its first line has it.
 
     Attributes:
         id: the client's name for the request, 16 hexadecimal digits.
-        flow: its key, in the same form.
+        affinity_key: its key, in the same form.
         pairs: names and values, in the order in which they came.
     """
 
     id: str
-    flow: str
+    affinity_key: str
     pairs: dict[str, str]
 
     def get(self, name: str, default: str = "") -> str:
@@ -46,7 +46,7 @@
     def number(self, name: str) -> float:
         """Returns the value as a number; 0 where the name did not come. Raises LineError."""
         value = self.get(name, "0")
-        if not FIGURE.fullmatch(value):
+        if not DECIMAL.fullmatch(value):
             raise LineError(f"{name} is not a figure")
         return float(value)
 
@@ -67,16 +67,16 @@
     @property
     def key(self) -> int:
         """The number that its key stands for."""
-        return int(self.flow, 16)
+        return int(self.affinity_key, 16)
 
     def forward(self, left_ms: float) -> bytes:
         """Returns the line as it goes on: all as it came, but for the time that is left."""
         left = str(max(1, int(left_ms)))
         listed = ",".join(f"{name}={left if name == 'd' else value}" for name, value in self.pairs.items())
-        return f"OPEN {self.id} {self.flow} {listed}".encode() + END
+        return f"OPEN {self.id} {self.affinity_key} {listed}".encode() + CRLF
 
 
-def parse_open(line: bytes) -> Open:
+def parse_open(line: bytes) -> OpenRequest:
     """Reads an OPEN line without its end. Raises LineError."""
     try:
         match = OPEN_LINE.fullmatch(line.decode("ascii"))
@@ -92,13 +92,13 @@
         if pair[1] in pairs:
             raise LineError("a name that comes twice")
         pairs[pair[1]] = pair[2]
-    opened = Open(match[1], match[2], pairs)
+    opened = OpenRequest(match[1], match[2], pairs)
     if opened.number("d") < 1.0:
         raise LineError("no time to wait is given")
     return opened
 
 
-class Opening:
+class OpeningReader:
     """What a client sends until its connection is established: a few probes, then one OPEN line and nothing behind it.
 
     Bounded and linear, however much comes at once and in whatever pieces.
@@ -110,7 +110,7 @@
         self.rest = b""
         self.probes = 0
 
-    def feed(self, data: bytes, ready: bool = True) -> tuple[bytes, Open | None]:
+    def feed(self, data: bytes, ready: bool = True) -> tuple[bytes, OpenRequest | None]:
         """Returns what to answer to probes, and the OPEN line once it is there. Raises LineError.
 
         ready: whether the relay accepts connections; where it does not, PING is answered with NO.
@@ -118,7 +118,7 @@
         data, self.rest, at, answers = self.rest + data, b"", 0, b""
         while (end := data.find(b"\n", at, at + MAX_LINE_BYTES)) >= 0:
             line, at = data[at : end + 1], end + 1
-            if not line.endswith(END):
+            if not line.endswith(CRLF):
                 raise LineError("a line that does not end with CRLF")
             line = line[:-2]
             if line not in PROBES:
@@ -155,12 +155,12 @@
 LINE_KINDS = {kind.value.encode(): kind for kind in LineKind if kind.value}
 
 
-def kind_of(line: bytes) -> LineKind:
+def parse_line_kind(line: bytes) -> LineKind:
     """Returns what a backend's line says."""
     return LINE_KINDS.get(line.split(b" ", 1)[0], LineKind.OTHER)
 
 
-def load_of(line: bytes) -> float | None:
+def parse_load(line: bytes) -> float | None:
     """Returns the X of a LOAD X line; None where it makes no sense."""
     try:
         load = float(line.split(b" ", 1)[1])
@@ -169,7 +169,7 @@
     return load if 0.0 <= load < MAX_LOAD else None
 
 
-def report_of(line: bytes, fields: tuple[str, ...]) -> tuple[float, ...]:
+def parse_load_report(line: bytes, fields: tuple[str, ...]) -> tuple[float, ...]:
     """Returns the values of these fields in a backend's answer to `STATS`; empty where one is missing.
 
     Raises LineError where it is no such answer.
@@ -183,13 +183,13 @@
     values: dict[str, float] = {}
     for part in rest.replace(" ", ",").split(",") if rest else ():
         name, _, value = part.partition("=")
-        if not FIGURE.fullmatch(value):
+        if not DECIMAL.fullmatch(value):
             raise LineError(f"{line[:60]!r}, a load report that makes no sense")
         values[name] = float(value)
     return tuple(values[name] for name in fields) if values.keys() >= set(fields) else ()
 
 
-class Lines:
+class LineSplitter:
     """Cuts a stream into lines without their ends; what is no whole line yet is kept."""
 
     __slots__ = ("rest",)
@@ -201,12 +201,12 @@
         """Returns the lines that these bytes complete. Raises LineError where one is too long."""
         if self.rest:
             data = self.rest + data
-        *lines, self.rest = data.split(END)
+        *lines, self.rest = data.split(CRLF)
         if len(self.rest) > MAX_LINE_BYTES or any(len(line) > MAX_LINE_BYTES for line in lines):
             raise LineError("a line that is too long")
         return lines
 
     @property
-    def between(self) -> bool:
+    def at_boundary(self) -> bool:
         """Whether the stream stands between two lines."""
         return not self.rest
--- a/yarrowspindle/protocol/platform_settings.py
+++ b/yarrowspindle/protocol/platform_settings.py
@@ -17,7 +17,7 @@
     """A setting is missing and needed, or makes no sense."""
 
 
-class Pairs:
+class SettingsReader:
     """Typed reading of the path=value settings. Each reader raises SettingsError where the value is not of its type."""
 
     def __init__(self, pairs: dict[str, str]) -> None:
@@ -43,7 +43,7 @@
             raise SettingsError(f"setting {path} is not finite: {value}")
         return number
 
-    def whole(self, path: str, default: int | None = None) -> int:
+    def integer(self, path: str, default: int | None = None) -> int:
         """Returns a whole number."""
         value = float(self.number(path, default))
         if not value.is_integer():
@@ -57,14 +57,14 @@
             raise SettingsError(f"setting {path} is neither true nor false: {value!r}")
         return value == "true"
 
-    def names(self, path: str) -> list[str]:
+    def name_list(self, path: str) -> list[str]:
         """Returns names that commas separate."""
         return [v for v in self.text(path, "").split(",") if v]
 
-    def numbers(self, path: str) -> list[float]:
+    def number_list(self, path: str) -> list[float]:
         """Returns numbers that commas separate; 0 for null."""
         try:
-            return [0.0 if v == "null" else float(v) for v in self.names(path)]
+            return [0.0 if v == "null" else float(v) for v in self.name_list(path)]
         except ValueError:
             raise SettingsError(f"setting {path} is not a list of numbers: {self.text(path)!r}") from None
 
@@ -78,64 +78,66 @@
 
 def read_settings(pairs: dict[str, str]) -> Settings:
     """Returns the library's settings from path=value pairs; unknown keys are passed over. Raises SettingsError."""
-    p = Pairs(pairs)
-    message_objectives = p.numbers("family_info.message_aim_ms")
+    reader = SettingsReader(pairs)
+    message_objectives = reader.number_list("family_info.message_aim_ms")
     classes = tuple(
         RequestClass(
-            setup_latency_objective_ms=p.number(f"categories.{i}.slo_ms"),
-            deadline_ms=p.number(f"categories.{i}.deadline_ms"),
-            idempotency=p.choice(f"categories.{i}.effect", EFFECTS, "side_effect"),
-            deduplication_scope=p.choice(f"categories.{i}.group", GROUPS, "cell"),
-            idempotency_window_ms=p.number(f"categories.{i}.window_ms", 0.0),
-            priority_weight=p.number(f"categories.{i}.points", 1.0),
+            setup_latency_objective_ms=reader.number(f"categories.{i}.slo_ms"),
+            deadline_ms=reader.number(f"categories.{i}.deadline_ms"),
+            idempotency=reader.choice(f"categories.{i}.effect", EFFECTS, "side_effect"),
+            deduplication_scope=reader.choice(f"categories.{i}.group", GROUPS, "cell"),
+            idempotency_window_ms=reader.number(f"categories.{i}.window_ms", 0.0),
+            priority_weight=reader.number(f"categories.{i}.points", 1.0),
             message_latency_objective_ms=message_objectives[i] if i < len(message_objectives) else 0.0,
         )
-        for i in range(p.whole("categories.count"))
+        for i in range(reader.integer("categories.count"))
     )
     if not classes or any(c.deadline_ms <= 0.0 or not math.isfinite(c.deadline_ms) for c in classes):
         raise SettingsError("each class needs a deadline over 0, and there is at least one class")
-    quota = p.numbers("family_info.tenant_quota_connections")
+    quota = reader.number_list("family_info.tenant_quota_connections")
     tenants = tuple(
         Tenant(
-            quota_per_s=p.number(f"realms.{i}.quota_per_s", 0.0),
+            quota_per_s=reader.number(f"realms.{i}.quota_per_s", 0.0),
             quota_connections=quota[i] if i < len(quota) else 0.0,
-            share=p.number(f"realms.{i}.share", 0.0),
+            share=reader.number(f"realms.{i}.share", 0.0),
         )
-        for i in range(p.whole("realms.count", 0))
+        for i in range(reader.integer("realms.count", 0))
     )
-    if p.whole("limits.max_attempts") <= 0:
+    if reader.integer("limits.max_attempts") <= 0:
         raise SettingsError("limits.max_attempts is not over 0")
     return Settings(
         classes=classes,
-        zone=p.whole("zone", 0),
-        zones=max(1, len(p.names("azs"))),
-        number=p.whole("slot_no"),
-        balancers=p.whole("balancers"),
+        zone=reader.integer("zone", 0),
+        zones=max(1, len(reader.name_list("azs"))),
+        number=reader.integer("slot_no"),
+        balancers=reader.integer("balancers"),
         tenants=tenants,
-        over_quota_priority_weight=p.number("over_share_worth", 1.0),
-        polls_discovery=p.choice("discovery", {"automatic": False, "subscribe": True}, "automatic"),
-        poll_interval_ms=p.number("obligations.ask_within_ms", 10_000.0),
-        drain_grace_ms=p.number("obligations.drain_grace_ms"),
-        answer_slack_ms=p.number("obligations.answer_slack_ms"),
-        initial_capacity_fraction=p.number("obligations.cold_share"),
-        warmup_ms=p.number("obligations.cold_ms"),
-        overload_multiple=p.number("obligations.fall_multiple"),
-        overload_window_ms=p.number("obligations.fall_ms"),
-        connect_timeout_ms=p.number("limits.connect_timeout_ms", 250.0),
-        conn_idle_ms=p.number("limits.conn_idle_ms", 30_000.0),
-        tick_ms=p.number("step_ms", 1.0),
-        max_attempts=p.whole("limits.max_attempts"),
-        max_retry_after_ms=p.number("limits.max_retry_after_ms", 0.0),
-        clients_heed_retry_after=p.flag("limits.retry_after"),
-        may_cancel=p.flag("limits.cancel"),
-        may_probe=p.flag("limits.probing"),
-        can_gossip=p.flag("limits.may_tell"),
-        cross_zone_price=p.number("deductions.cross_zone", 0.0),
-        backend_reports_load=p.flag("family_info.tells_load", True),
-        backend_reports_latency=p.flag("family_info.tells_delay", True),
-        move_price=p.number("deductions.moves", 0.0),
-        probe_price=p.number("deductions.probe", 0.0),
-        capacity_excludes_load=p.text("weight_kind", "nominal") == "live",
-        groups_share_work=p.flag("family_info.groups"),
-        load_report_fields=tuple(p.names("stats.columns")) if p.text("stats.source", "none") != "none" else (),
+        over_quota_priority_weight=reader.number("over_share_worth", 1.0),
+        polls_discovery=reader.choice("discovery", {"automatic": False, "subscribe": True}, "automatic"),
+        poll_interval_ms=reader.number("obligations.ask_within_ms", 10_000.0),
+        drain_grace_ms=reader.number("obligations.drain_grace_ms"),
+        answer_slack_ms=reader.number("obligations.answer_slack_ms"),
+        initial_capacity_fraction=reader.number("obligations.cold_share"),
+        warmup_ms=reader.number("obligations.cold_ms"),
+        overload_multiple=reader.number("obligations.fall_multiple"),
+        overload_window_ms=reader.number("obligations.fall_ms"),
+        connect_timeout_ms=reader.number("limits.connect_timeout_ms", 250.0),
+        conn_idle_ms=reader.number("limits.conn_idle_ms", 30_000.0),
+        tick_ms=reader.number("step_ms", 1.0),
+        max_attempts=reader.integer("limits.max_attempts"),
+        max_retry_after_ms=reader.number("limits.max_retry_after_ms", 0.0),
+        clients_heed_retry_after=reader.flag("limits.retry_after"),
+        may_cancel=reader.flag("limits.cancel"),
+        may_probe=reader.flag("limits.probing"),
+        can_gossip=reader.flag("limits.may_tell"),
+        cross_zone_price=reader.number("deductions.cross_zone", 0.0),
+        backend_reports_load=reader.flag("family_info.tells_load", True),
+        backend_reports_latency=reader.flag("family_info.tells_delay", True),
+        move_price=reader.number("deductions.moves", 0.0),
+        probe_price=reader.number("deductions.probe", 0.0),
+        capacity_excludes_load=reader.text("weight_kind", "nominal") == "live",
+        groups_share_work=reader.flag("family_info.groups"),
+        load_report_fields=tuple(reader.name_list("stats.columns"))
+        if reader.text("stats.source", "none") != "none"
+        else (),
     )
--- a/yarrowspindle/protocol/quic.py
+++ b/yarrowspindle/protocol/quic.py
@@ -27,17 +27,17 @@
 from cryptography.hazmat.primitives.ciphers import Cipher, algorithms, modes
 
 VERSIONS = (QuicProtocolVersion.VERSION_1, QuicProtocolVersion.VERSION_2)
-SMALLEST_INITIAL = 1200  # bytes. RFC 9000 section 14.1: an Initial in a smaller datagram is discarded
-ID_LENGTH = 17
-SERVER_BYTES, LINK_BYTES = 6, 4
+MIN_INITIAL_DATAGRAM_BYTES = 1200  # bytes. RFC 9000 section 14.1: an Initial in a smaller datagram is discarded
+CONNECTION_ID_BYTES = 17
+SERVER_ID_BYTES, CONNECTION_NUMBER_BYTES = 6, 4
 KEY_BYTES = 16  # of the connection ids
 MIN_LONG_HEADER_BYTES = 7  # first byte, version, and the lengths of two connection ids
-FIRST_OCTET = ID_LENGTH - 1  # config rotation 0 and the length that follows
-TOKEN_LENGTH = 16
-RESET_SMALLEST, RESET_LARGEST = 21, 43
-REFUSED = int(QuicErrorCode.CONNECTION_REFUSED)
+FIRST_OCTET = CONNECTION_ID_BYTES - 1  # config rotation 0 and the length that follows
+RESET_TOKEN_BYTES = 16
+MIN_RESET_BYTES, MAX_RESET_BYTES = 21, 43
+CONNECTION_REFUSED = int(QuicErrorCode.CONNECTION_REFUSED)
 
-Link = tuple[int, int]  # the backend's server id, and its number for the connection
+ConnectionKey = tuple[int, int]  # the backend's server id, and its number for the connection
 
 
 class PacketError(Exception):
@@ -64,16 +64,16 @@
     """Reads a long header by RFC 8999 alone, whatever the version. Raises PacketError."""
     if len(data) < MIN_LONG_HEADER_BYTES:
         raise PacketError("too short for a long header")
-    at, ids = 5, []
+    offset, ids = 5, []
     for _ in "ds":
-        if at >= len(data) or at + 1 + data[at] > len(data):
+        if offset >= len(data) or offset + 1 + data[offset] > len(data):
             raise PacketError("a connection id is cut off")
-        ids.append(data[at + 1 : at + 1 + data[at]])
-        at += 1 + data[at]
+        ids.append(data[offset + 1 : offset + 1 + data[offset]])
+        offset += 1 + data[offset]
     return Header(None, int.from_bytes(data[1:5], "big"), ids[0], ids[1], len(data))
 
 
-def parse_header(data: bytes, short_length: int = ID_LENGTH) -> Header:
+def parse_header(data: bytes, short_length: int = CONNECTION_ID_BYTES) -> Header:
     """Reads the first packet of a datagram. Raises PacketError.
 
     short_length: of the connection ids in short headers, in bytes.
@@ -98,17 +98,17 @@
 def parse_datagram(data: bytes, short_length: int) -> list[Header]:
     """Reads all packets of a datagram; what follows one that makes no sense is passed over. Raises PacketError."""
     headers = [parse_header(data, short_length)]
-    at = headers[0].length
-    while at < len(data) and data[at] & 0x80:
+    offset = headers[0].length
+    while offset < len(data) and data[offset] & 0x80:
         try:
-            headers.append(parse_header(data[at:], short_length))
+            headers.append(parse_header(data[offset:], short_length))
         except PacketError:
             break
-        at += headers[-1].length
+        offset += headers[-1].length
     return headers
 
 
-class BackendIds:
+class ConnectionIdCodec:
     """Connection ids in the manner of QUIC-LB's single-pass encryption, with a key that backends and relays share.
 
     The block holds the server id and a nonce that no other id of that server has. Backends keep the nonce unique
@@ -120,35 +120,39 @@
             raise ValueError(f"the key of the connection ids has {KEY_BYTES} bytes")
         self.cipher = Cipher(algorithms.AES(key), modes.ECB())  # one block, never a message
 
-    def encode(self, server: int, link: int, sequence: int) -> bytes:
+    def encode(self, server: int, connection: int, sequence: int) -> bytes:
         """Returns an id of this server's connection; sequence: of the ids of that connection."""
-        block = server.to_bytes(SERVER_BYTES, "big") + link.to_bytes(LINK_BYTES, "big") + sequence.to_bytes(6, "big")
+        block = (
+            server.to_bytes(SERVER_ID_BYTES, "big")
+            + connection.to_bytes(CONNECTION_NUMBER_BYTES, "big")
+            + sequence.to_bytes(6, "big")
+        )
         sealed = self.cipher.encryptor()
         return bytes([FIRST_OCTET]) + sealed.update(block) + sealed.finalize()
 
-    def decode(self, cid: bytes) -> Link | None:
+    def decode(self, cid: bytes) -> ConnectionKey | None:
         """Returns whose id it is; None where it has another form."""
-        if len(cid) != ID_LENGTH or cid[0] != FIRST_OCTET:
+        if len(cid) != CONNECTION_ID_BYTES or cid[0] != FIRST_OCTET:
             return None
         opened = self.cipher.decryptor()
         block = opened.update(cid[1:]) + opened.finalize()
         return (
-            int.from_bytes(block[:SERVER_BYTES], "big"),
-            int.from_bytes(block[SERVER_BYTES : SERVER_BYTES + LINK_BYTES], "big"),
+            int.from_bytes(block[:SERVER_ID_BYTES], "big"),
+            int.from_bytes(block[SERVER_ID_BYTES : SERVER_ID_BYTES + CONNECTION_NUMBER_BYTES], "big"),
         )
 
 
 def reset_token(key: bytes, cid: bytes) -> bytes:
     """RFC 9000 section 10.3.2: from a static key that backends and relays share, and the connection id."""
-    return hmac.new(key, cid, hashlib.sha256).digest()[:TOKEN_LENGTH]
+    return hmac.new(key, cid, hashlib.sha256).digest()[:RESET_TOKEN_BYTES]
 
 
-def stateless_reset(token: bytes, answered: int) -> bytes | None:
+def stateless_reset(token: bytes, datagram_bytes: int) -> bytes | None:
     """Returns a Stateless Reset for a datagram of that size; smaller, so that two ends cannot go on for ever."""
-    size = min(answered - 1, RESET_LARGEST)
-    if size < RESET_SMALLEST:
+    size = min(datagram_bytes - 1, MAX_RESET_BYTES)
+    if size < MIN_RESET_BYTES:
         return None
-    noise = bytearray(os.urandom(size - TOKEN_LENGTH))
+    noise = bytearray(os.urandom(size - RESET_TOKEN_BYTES))
     noise[0] = noise[0] & 0x3F | 0x40
     return bytes(noise) + token
 
@@ -189,7 +193,7 @@
     pair.setup_initial(cid=original, is_client=True, version=header.version)
     buffer = Buffer(data=packet[: header.length])
     try:
-        pull_quic_header_to_number(buffer)
+        skip_to_packet_number(buffer)
         _, payload, _ = pair.decrypt_packet(packet[: header.length], buffer.tell(), 0)
         frames = Buffer(data=payload)
         while not frames.eof():
@@ -205,7 +209,7 @@
     return None
 
 
-def pull_quic_header_to_number(buffer: Buffer) -> None:
+def skip_to_packet_number(buffer: Buffer) -> None:
     """Move to the packet number of an Initial."""
     buffer.pull_bytes(5)
     for _ in "ds":
--- a/yarrowspindle/runtime/endpoint_watch.py
+++ b/yarrowspindle/runtime/endpoint_watch.py
@@ -8,11 +8,11 @@
 from dataclasses import replace
 
 from yarrowspindle.decisions.events import ListKind
-from yarrowspindle.protocol.endpoint_list import Names
+from yarrowspindle.protocol.endpoint_list import ZoneAndKindNames
 from yarrowspindle.routing.address import Address
 from yarrowspindle.routing.events import EndpointsUpdated
-from yarrowspindle.transport.connecting import Connecting
-from yarrowspindle.transport.endpoint_list import WatchSide
+from yarrowspindle.transport.connector import Connector
+from yarrowspindle.transport.endpoint_list_watch import WatchConnection
 
 MAX_PENDING_CALLS = 12  # calls in flight besides the newest; each one times out on its own
 
@@ -39,14 +39,14 @@
     """
 
     def __init__(
-        self, names: Names, on_update: Callable[[EndpointsUpdated], None], on_failure: Callable[[str], None]
+        self, names: ZoneAndKindNames, on_update: Callable[[EndpointsUpdated], None], on_failure: Callable[[str], None]
     ) -> None:
         self.names, self.on_update, self.on_failure = names, on_update, on_failure
-        self.watch: WatchSide | None = None
+        self.watch: WatchConnection | None = None
         self.watch_address: Address | None = None
-        self.connecting: dict[WatchSide, Connecting] = {}
-        self.pending_calls: deque[WatchSide] = deque()
-        self.previous: WatchSide | None = None
+        self.connecting: dict[WatchConnection, Connector] = {}
+        self.pending_calls: deque[WatchConnection] = deque()
+        self.previous: WatchConnection | None = None
         self.closed = False
         self.last_active_at: float | None = None
         self.last_active_address: Address | None = None
@@ -67,13 +67,13 @@
             self._replace(self.watch, address)
         self.version = max(version, self.version) if version else 0
         self.watch_address = address
-        self.watch = watch = WatchSide(self, self.names, address, version)
-        watch.begin()
-        connecting = Connecting(watch, address, lambda failure: watch.end(str(failure)))
+        self.watch = watch = WatchConnection(self, self.names, address, version)
+        watch.start_first_list_timer()
+        connecting = Connector(watch, address, lambda failure: watch.end(str(failure)))
         self.connecting[watch] = connecting
         connecting.start()
 
-    def _replace(self, replaced: WatchSide, address: Address) -> None:
+    def _replace(self, replaced: WatchConnection, address: Address) -> None:
         self.watch = None
         if replaced.has_list and self.previous is None:
             self.previous = replaced
@@ -84,13 +84,13 @@
         else:  # `replaced` holds no list that is still needed
             self._end(replaced, "replaced by a new watch")
 
-    def _end(self, watch: WatchSide, reason: str) -> None:
+    def _end(self, watch: WatchConnection, reason: str) -> None:
         connecting = self.connecting.pop(watch, None)
         if connecting is not None:
             connecting.cancel()
         watch.end(reason)
 
-    def _promote(self, watch: WatchSide) -> None:
+    def _promote(self, watch: WatchConnection) -> None:
         """Make a pending call that has received its list the current watch, and end the calls made after it."""
         self.pending_calls.remove(watch)
         superseded = [*self.pending_calls, self.watch]
@@ -109,18 +109,18 @@
 
     # --- reports of the watches -------------------------------------------------------------------
 
-    def watch_active(self, watch: WatchSide) -> None:
+    def watch_active(self, watch: WatchConnection) -> None:
         """Record the time at which the service sent data: any data confirms that its last list is still current."""
         if watch is self.watch or (watch is self.previous and watch.address == self.watch_address):
             self.last_active_at, self.last_active_address = asyncio.get_running_loop().time(), watch.address
 
-    def _silence_ms(self, watch: WatchSide) -> float | None:
+    def _silence_ms(self, watch: WatchConnection) -> float | None:
         """Return how many milliseconds ago the service of this watch last sent data; None if it has sent none."""
         if self.last_active_at is None or self.last_active_address != watch.address:
             return None
         return (asyncio.get_running_loop().time() - self.last_active_at) * 1000.0
 
-    def endpoints_received(self, watch: WatchSide, update: EndpointsUpdated) -> None:
+    def endpoints_received(self, watch: WatchConnection, update: EndpointsUpdated) -> None:
         """Report an update, unless it is older than the last one reported: an older list would undo drains.
 
         An older full list is requested once more and accepted the second time, since the service may have restarted its
@@ -147,7 +147,7 @@
             update.since_last_update_ms = self._silence_ms(watch)
             self.on_update(update)
 
-    def watch_ended(self, watch: WatchSide, reason: str) -> None:
+    def watch_ended(self, watch: WatchConnection, reason: str) -> None:
         """Remove a watch that ended, and report a failure if it was the newest call."""
         self.connecting.pop(watch, None)
         if watch in self.pending_calls:
--- a/yarrowspindle/runtime/health_checker.py
+++ b/yarrowspindle/runtime/health_checker.py
@@ -12,15 +12,15 @@
 from collections.abc import Callable, Collection
 from functools import partial
 
-from yarrowspindle.protocol.lines import LineError, report_of
+from yarrowspindle.protocol.lines import LineError, parse_load_report
 from yarrowspindle.routing.address import Address
 from yarrowspindle.routing.effects import CheckHealth
 from yarrowspindle.routing.events import HealthCheckCompleted
 from yarrowspindle.routing.termination import TerminationReason
 from yarrowspindle.telemetry.published_names import TERMINATION_REASONS
-from yarrowspindle.transport.connecting import ConnectFailure, Connecting
-from yarrowspindle.transport.probe import HealthCheckConnection
-from yarrowspindle.transport.silence import SilenceTimer
+from yarrowspindle.transport.connector import ConnectFailure, Connector
+from yarrowspindle.transport.health_check_connection import HealthCheckConnection
+from yarrowspindle.transport.inactivity_timer import InactivityTimer
 
 MAX_CONNECTIONS = 32  # descriptors are reserved for them
 MAX_UNRESPONSIVE_BACKENDS = 1024
@@ -42,8 +42,8 @@
     def __init__(self, side: HealthCheckConnection, address: Address) -> None:
         self.side, self.address = side, address
         self.sent_at = 0.0
-        self.timeout: SilenceTimer | None = None
-        self.connecting: Connecting | None = None
+        self.timeout: InactivityTimer | None = None
+        self.connecting: Connector | None = None
 
 
 class HealthChecker:
@@ -81,7 +81,7 @@
         if check is not None and check.address != effect.address:
             self._close(check)
             check = None
-        if check is not None and check.side.asked:  # the previous check is in flight and has its own timeout
+        if check is not None and check.side.awaiting_reply:  # the previous check is in flight and has its own timeout
             self.backends[effect.backend] = check
             return
         if self.closed or (check is None and not self._make_room()):
@@ -89,15 +89,15 @@
             return
         if check is None:
             check = PendingCheck(HealthCheckConnection(self, effect.backend), effect.address)
-            check.connecting = Connecting(check.side, effect.address, partial(self._on_connect_failed, check.side))
+            check.connecting = Connector(check.side, effect.address, partial(self._on_connect_failed, check.side))
             check.connecting.start()
         self.backends[effect.backend] = check
         self.counts["sent"] += 1
         check.sent_at = asyncio.get_running_loop().time()
         if check.timeout is not None:
             check.timeout.cancel()
-        check.timeout = SilenceTimer(effect.timeout_ms / 1000.0, self._on_timeout, check)
-        check.side.ask()
+        check.timeout = InactivityTimer(effect.timeout_ms / 1000.0, self._on_timeout, check)
+        check.side.send_probe()
 
     def close(self) -> None:
         """Close all connections and report further checks as not sent."""
@@ -113,7 +113,7 @@
             if check is None:  # reporting the end of another check removed it
                 continue
             self._close(check)
-            if check.side.asked:
+            if check.side.awaiting_reply:
                 self._complete(backend, TerminationReason.NOT_SENT, check.sent_at)
 
     @staticmethod
@@ -125,7 +125,7 @@
         if len(self.backends) < self.max_connections:
             return True
         for backend, check in self.backends.items():
-            if not check.side.asked:
+            if not check.side.awaiting_reply:
                 del self.backends[backend]
                 self._close(check)
                 return True
@@ -133,10 +133,10 @@
 
     @staticmethod
     def _on_connect_failed(side: HealthCheckConnection, failure: ConnectFailure) -> None:
-        side.end(TerminationReason.NOT_SENT if failure.own else TerminationReason.CONNECT_FAILED, str(failure))
+        side.end(TerminationReason.NOT_SENT if failure.is_local else TerminationReason.CONNECT_FAILED, str(failure))
 
     def _close(self, check: PendingCheck) -> None:
-        check.side.over = True  # suppresses further reports of this connection
+        check.side.ended = True  # suppresses further reports of this connection
         if check.side.transport is not None:
             check.side.transport.abort()
         for cancellable in (check.timeout, check.connecting):
@@ -158,13 +158,13 @@
         if check is None or check.side is not side:
             return
         try:
-            report = report_of(line, self.fields)
+            report = parse_load_report(line, self.fields)
         except LineError as error:
             side.end(TerminationReason.PROTOCOL_ERROR, str(error))
             return
         if check.timeout is not None:
             check.timeout.cancel()
-        check.timeout = SilenceTimer(self.idle_s, self._on_idle, side)
+        check.timeout = InactivityTimer(self.idle_s, self._on_idle, side)
         if side.backend in self.unresponsive:
             self.unresponsive.discard(side.backend)
             self.log_warning(f"execute node {side.backend} answers its probes again")
@@ -172,7 +172,7 @@
 
     def _on_idle(self, side: HealthCheckConnection) -> None:
         check = self.backends.get(side.backend)
-        if check is not None and check.side is side and not side.asked:
+        if check is not None and check.side is side and not side.awaiting_reply:
             del self.backends[side.backend]
             self._close(check)
 
@@ -185,10 +185,10 @@
         self._close(check)
         if reason is TerminationReason.PROTOCOL_ERROR:
             self.log_warning(f"execute node {side.backend}: {text}")
-        if side.asked and side.backend not in self.unresponsive:
+        if side.awaiting_reply and side.backend not in self.unresponsive:
             if len(self.unresponsive) >= MAX_UNRESPONSIVE_BACKENDS:
                 self.unresponsive.clear()
             self.unresponsive.add(side.backend)
             self.log_warning(f"execute node {side.backend} does not answer its probe: {text}")
-        if side.asked or reason is TerminationReason.PROTOCOL_ERROR:
+        if side.awaiting_reply or reason is TerminationReason.PROTOCOL_ERROR:
             self._complete(side.backend, reason, check.sent_at)
--- a/yarrowspindle/transport/backend.py
+++ b/yarrowspindle/transport/backend.py
@@ -6,14 +6,14 @@
 from typing import Protocol
 
 from yarrowspindle.protocol import lines
-from yarrowspindle.protocol.lines import LineError, LineKind, Lines, kind_of, load_of
+from yarrowspindle.protocol.lines import LineError, LineKind, LineSplitter, parse_line_kind, parse_load
 from yarrowspindle.routing.termination import TerminationReason
+from yarrowspindle.transport.inactivity_timer import InactivityTimer
 from yarrowspindle.transport.line_connection import LineConnection
-from yarrowspindle.transport.silence import SilenceTimer
 
-LINE_REST_S = 0.5  # how long a migration waits for the rest of a line that MOVE must not cut
+MIGRATION_LINE_TIMEOUT_S = 0.5  # how long a migration waits for the rest of a line that MOVE must not cut
 
-ANSWERS = {
+TERMINATION_REASONS = {
     LineKind.BYE: TerminationReason.COMPLETED,
     LineKind.MOVE: TerminationReason.BACKEND_DRAINING,
     LineKind.ERR: TerminationReason.BACKEND_ERROR,
@@ -57,26 +57,26 @@
 
     Attributes:
         lines: what has come, cut into lines.
-        first: the UP line, as it came.
-        early: what came right behind it, until both sides relay.
-        is_asked: whether the request was written.
-        is_up: whether the backend has accepted it.
+        up_line: the UP line, as it came.
+        early_data: what came right behind it, until both sides relay.
+        request_sent: whether the request was written.
+        accepted: whether the backend has accepted it.
         end_reported: whether the sink knows the end, or has asked for it: nothing more is reported.
-        last: what the backend's last line says of the end to come.
-        migrating: the client that is sent away, once its line is complete.
+        final_reason: what the backend's last line says of the end to come.
+        migrating_client: the client that is sent away, once its line is complete.
         migration_timer: until the rest of a line is waited for no longer.
     """
 
     def __init__(self, sink: BackendSink, request: int, attempt: int, backend: str = "") -> None:
         super().__init__()
         self.sink, self.request, self.attempt, self.backend = sink, request, attempt, backend
-        self.lines = Lines()
-        self.first = b""
-        self.early = b""
-        self.is_asked = self.is_up = self.end_reported = False
-        self.last: TerminationReason | None = None
-        self.migrating: LineConnection | None = None
-        self.migration_timer: SilenceTimer | None = None
+        self.lines = LineSplitter()
+        self.up_line = b""
+        self.early_data = b""
+        self.request_sent = self.accepted = self.end_reported = False
+        self.final_reason: TerminationReason | None = None
+        self.migrating_client: LineConnection | None = None
+        self.migration_timer: InactivityTimer | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Reports that the connection is up, unless it was given up meanwhile."""
@@ -86,16 +86,16 @@
         else:
             self.sink.backend_connected(self)
 
-    def ask(self, line: bytes) -> None:
+    def send_request(self, line: bytes) -> None:
         """Sends the request's first line."""
-        self.is_asked = True
+        self.request_sent = True
         self.write(line)
 
     def data_received(self, data: bytes) -> None:
         """Passes lines on to the client, or reads the backend's answer."""
         if self.closing:
             self.discarded_bytes += len(data)
-        elif self.is_up:
+        elif self.accepted:
             self._forward(data)
         else:
             self._read_answer(data)
@@ -109,32 +109,32 @@
             return
         if not complete:
             return
-        kind = kind_of(complete[0])
+        kind = parse_line_kind(complete[0])
         if kind is LineKind.UP:
             self._accept(complete)
             return
-        if kind not in ANSWERS:
+        if kind not in TERMINATION_REASONS:
             self.sink.log_warning(f"an execute node answered {complete[0][:60]!r}")
-        self._end(ANSWERS.get(kind, TerminationReason.PROTOCOL_ERROR))
+        self._end(TERMINATION_REASONS.get(kind, TerminationReason.PROTOCOL_ERROR))
 
     def _accept(self, complete: list[bytes]) -> None:
-        self.is_up = True
-        self.first = complete[0] + lines.END
-        self.early = b"".join(line + lines.END for line in complete[1:]) + self.lines.rest
+        self.accepted = True
+        self.up_line = complete[0] + lines.CRLF
+        self.early_data = b"".join(line + lines.CRLF for line in complete[1:]) + self.lines.rest
         self.lines.rest = b""
         self.sink.backend_accepted(self)
 
-    def flow(self) -> None:
+    def forward_early_data(self) -> None:
         """Passes on what came with the UP line; called once the other side is set."""
-        early, self.early = self.early, b""
+        early, self.early_data = self.early_data, b""
         if early:
             self._forward(early)
 
     def _forward(self, data: bytes) -> None:
         if self.other is None:
-            self.early += data
+            self.early_data += data
             return
-        if self.migrating is not None:
+        if self.migrating_client is not None:
             self._forward_rest_of_line(data)
             return
         self.other.write(data)
@@ -151,52 +151,52 @@
         loads: list[float] = []
         answers = 0
         for line in complete:
-            kind = kind_of(line)
+            kind = parse_line_kind(line)
             if kind is LineKind.LOAD:
-                load = load_of(line)
+                load = parse_load(line)
                 if load is not None:
                     loads.append(load)
             else:
-                self.last = ANSWERS.get(kind)
-                answers += self.last is None
+                self.final_reason = TERMINATION_REASONS.get(kind)
+                answers += self.final_reason is None
         for load in loads:
             if not self.closing:
                 self.sink.backend_load_reported(self.request, load)
         if answers and not self.closing:
             self.sink.backend_data_forwarded(self.request, answers)
 
-    def move(self, client: LineConnection) -> None:
+    def migrate(self, client: LineConnection) -> None:
         """Migrates the client: at once if its stream stands between two lines, else behind the line."""
-        self.migrating = client
-        if self.lines.between:
+        self.migrating_client = client
+        if self.lines.at_boundary:
             self._finish_migration()
         else:
-            self.migration_timer = SilenceTimer(LINE_REST_S, self._finish_migration)
+            self.migration_timer = InactivityTimer(MIGRATION_LINE_TIMEOUT_S, self._finish_migration)
 
     def _forward_rest_of_line(self, data: bytes) -> None:
         end = data.find(b"\n") + 1
-        if self.migrating is not None:
-            self.migrating.write(data[:end] if end else data)
+        if self.migrating_client is not None:
+            self.migrating_client.write(data[:end] if end else data)
         if end:
             self.lines.rest = b""
             self._finish_migration()
 
-    def move_now(self) -> None:
+    def finish_migration_now(self) -> None:
         """Waits no longer for the rest of a line, where a migration does."""
-        if self.migrating is not None:
+        if self.migrating_client is not None:
             self._finish_migration()
 
     def _finish_migration(self) -> None:
         if self.migration_timer is not None:
             self.migration_timer.cancel()
             self.migration_timer = None
-        if self.migrating is not None:
-            self.migrating.finish(lines.MOVE if self.lines.between else lines.END + lines.MOVE)
-            self.migrating = None
+        if self.migrating_client is not None:
+            self.migrating_client.finish(lines.MOVE if self.lines.at_boundary else lines.CRLF + lines.MOVE)
+            self.migrating_client = None
         self.end_reported = True
         self.finish()
 
-    def unreached(self, reason: TerminationReason) -> None:
+    def report_connect_failure(self, reason: TerminationReason) -> None:
         """Ends the attempt: its connection has not come up. One that does all the same is closed without a byte."""
         self.closing = True
         if not self.end_reported:
@@ -218,14 +218,14 @@
         super().connection_lost(exc)
         was_sent = self.transport is None or self.transport.get_write_buffer_size() == 0
         self.transport = None
-        self.move_now()
+        self.finish_migration_now()
         self.sink.backend_connection_lost(self)
         self._end(self._reason_for_end(was_sent))
 
     def _reason_for_end(self, was_sent: bool = True) -> TerminationReason:
-        if self.is_up:
-            return self.last or TerminationReason.CONNECTION_RESET
-        may_have_run = self.is_asked and was_sent
+        if self.accepted:
+            return self.final_reason or TerminationReason.CONNECTION_RESET
+        may_have_run = self.request_sent and was_sent
         return TerminationReason.CONNECTION_RESET if may_have_run else TerminationReason.CONNECT_FAILED
 
     def _end(self, reason: TerminationReason) -> None:
--- a/yarrowspindle/transport/client.py
+++ b/yarrowspindle/transport/client.py
@@ -6,9 +6,9 @@
 from typing import Protocol
 
 from yarrowspindle.protocol import lines
-from yarrowspindle.protocol.lines import LineError, Open, Opening
+from yarrowspindle.protocol.lines import LineError, OpeningReader, OpenRequest
+from yarrowspindle.transport.inactivity_timer import InactivityTimer, half_close_unless_readable
 from yarrowspindle.transport.line_connection import LineConnection
-from yarrowspindle.transport.silence import SilenceTimer, end_sending_if_silent
 
 FIRST_LINE_S = 2.0  # a connection that has sent no OPEN line by then is ended, whatever else it said
 
@@ -22,7 +22,7 @@
     def client_connected(self, side: ClientConnection) -> None:
         """The connection was accepted."""
 
-    def request_received(self, side: ClientConnection, opened: Open) -> None:
+    def request_received(self, side: ClientConnection, opened: OpenRequest) -> None:
         """The OPEN line is complete."""
 
     def unexpected_client_data(self, request: int) -> None:
@@ -49,7 +49,7 @@
 
     Args:
         sink: receives the reports.
-        waited: whether the connection may have waited in the kernel for longer than its turn.
+        may_have_waited: whether the connection may have waited in the kernel for longer than its turn.
 
     Attributes:
         request: its number, set by the sink; 0: no OPEN line so far.
@@ -58,19 +58,19 @@
         first_line_timer: until the first line has to be complete.
     """
 
-    def __init__(self, sink: ClientSink, waited: bool = False) -> None:
+    def __init__(self, sink: ClientSink, may_have_waited: bool = False) -> None:
         super().__init__()
-        self.waited = waited
+        self.may_have_waited = may_have_waited
         self.sink = sink
         self.request = 0
-        self.opening = Opening()
+        self.opening = OpeningReader()
         self.disconnect_reported = False
-        self.first_line_timer: SilenceTimer | None = None
+        self.first_line_timer: InactivityTimer | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Begins the time in which the first line has to come."""
         super().connection_made(transport)
-        self.first_line_timer = SilenceTimer(FIRST_LINE_S, self._on_first_line_timeout)
+        self.first_line_timer = InactivityTimer(FIRST_LINE_S, self._on_first_line_timeout)
         self.sink.client_connected(self)
 
     def data_received(self, data: bytes) -> None:
@@ -100,21 +100,21 @@
     def reject_first_line(self, reason: str) -> None:
         """Ends a connection whose first line makes no sense."""
         self._cancel_first_line_timer()
-        self.finish(lines.FAILED)
+        self.finish(lines.ERR)
         self.sink.first_line_rejected(self, reason)
 
     def _on_first_line_timeout(self) -> None:
         if self.opening.rest:
             self.reject_first_line("half a line")
-        elif not self.end_if_silent():
-            self.first_line_timer = SilenceTimer(0.0, self._on_first_line_timeout)  # once its bytes are read
+        elif not self.close_if_idle():
+            self.first_line_timer = InactivityTimer(0.0, self._on_first_line_timeout)  # once its bytes are read
 
-    def end_if_silent(self, although_unread: bool = False) -> bool:
+    def close_if_idle(self, even_if_unread: bool = False) -> bool:
         """Ends a connection that has asked for nothing: in order, since its line may be on its way.
 
         Returns False where it goes on, since the kernel holds bytes of it that were not read.
         """
-        if not end_sending_if_silent(self.alive) and not although_unread:
+        if not half_close_unless_readable(self.open_transport) and not even_if_unread:
             return False
         self._cancel_first_line_timer()
         self.finish()
@@ -126,7 +126,7 @@
             self.first_line_timer.cancel()
             self.first_line_timer = None
 
-    def join(self, other: LineConnection, first: bytes) -> None:
+    def start_relaying(self, other: LineConnection, first: bytes) -> None:
         """Relays both ways from here on, the backend's first line before all else."""
         self.write(first)
         self.other, other.other = other, self
--- a/yarrowspindle/transport/connecting.py
+++ b/yarrowspindle/transport/connector.py
@@ -16,10 +16,10 @@
 from typing import cast
 
 from yarrowspindle.routing.address import Address
-from yarrowspindle.transport.silence import SilenceTimer
+from yarrowspindle.transport.inactivity_timer import InactivityTimer
 
 # Failures of this machine or of its own network, which say nothing of the other end.
-OWN_FAILURES = frozenset(
+LOCAL_ERRORS = frozenset(
     (
         errno.EMFILE,
         errno.ENFILE,
@@ -36,7 +36,7 @@
 )
 
 
-NO_ROUTE = frozenset((errno.EHOSTUNREACH, errno.ETIMEDOUT, errno.EHOSTDOWN))
+NO_ROUTE_ERRORS = frozenset((errno.EHOSTUNREACH, errno.ETIMEDOUT, errno.EHOSTDOWN))
 
 
 @dataclass(slots=True, frozen=True)
@@ -46,14 +46,14 @@
     error: BaseException | None = None
 
     @property
-    def own(self) -> bool:
+    def is_local(self) -> bool:
         """Whether it says nothing of the other end."""
-        return self.error is not None and (self.unexpected or self.errno in OWN_FAILURES)
+        return self.error is not None and (self.unexpected or self.errno in LOCAL_ERRORS)
 
     @property
     def no_route(self) -> bool:
         """Whether the system found no route there: the other end's fault, or that of the own network."""
-        return self.errno in NO_ROUTE
+        return self.errno in NO_ROUTE_ERRORS
 
     @property
     def errno(self) -> int:
@@ -69,54 +69,54 @@
         return "no connection in time" if self.error is None else f"no connection: {self.error!r}"
 
 
-class OwnNetwork:
+class LocalNetworkMonitor:
     """Tells a backend to which there is no route from an own network that has none to anybody.
 
     Of backends that fail so with no connection in between only the first counts as failed.
     """
 
     def __init__(self) -> None:
-        self.failed = ""  # the first backend to which there was no route since a connection came up
+        self.first_unrouted = ""  # the first backend to which there was no route since a connection came up
 
-    def at_fault(self, backend: str, failure: ConnectFailure) -> bool:
+    def is_local_fault(self, backend: str, failure: ConnectFailure) -> bool:
         """Returns whether this failure says nothing of the backend."""
         if not failure.no_route:
-            return failure.own
-        self.failed = self.failed or backend
-        return self.failed != backend
+            return failure.is_local
+        self.first_unrouted = self.first_unrouted or backend
+        return self.first_unrouted != backend
 
-    def works(self) -> None:
+    def on_connected(self) -> None:
         """A connection came up."""
-        self.failed = ""
+        self.first_unrouted = ""
 
 
-class State(Enum):
+class ConnectState(Enum):
     """Of one attempt to connect."""
 
     PENDING = auto()
-    UP = auto()
-    OVER = auto()
+    CONNECTED = auto()
+    ENDED = auto()
 
 
-class Guarded(asyncio.Protocol):
+class PendingProtocol(asyncio.Protocol):
     """Stands before the protocol until the connection is up; one that comes too late it closes without a byte."""
 
-    def __init__(self, connecting: Connecting) -> None:
-        self.connecting = connecting
+    def __init__(self, connector: Connector) -> None:
+        self.connector = connector
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Puts the protocol in its place, or closes a connection that nobody waits for any more."""
         stream = cast(asyncio.Transport, transport)
-        if self.connecting.state is State.OVER:
+        if self.connector.state is ConnectState.ENDED:
             stream.abort()
             return
-        self.connecting.up()
-        protocol = self.connecting.protocol
+        self.connector.mark_connected()
+        protocol = self.connector.protocol
         stream.set_protocol(protocol)
         protocol.connection_made(transport)
 
 
-class Connecting:
+class Connector:
     """One attempt to connect `protocol` to an address (host, port).
 
     failed: called once, with the reason, where the connection did not come up; never after `cancel`, nor once the
@@ -125,37 +125,37 @@
 
     def __init__(self, protocol: asyncio.Protocol, address: Address, failed: Callable[[ConnectFailure], None]) -> None:
         self.protocol, self.address, self.failed = protocol, address, failed
-        self.state = State.PENDING
+        self.state = ConnectState.PENDING
         self.task: asyncio.Task[None] | None = None
-        self.timer: SilenceTimer | None = None
+        self.timer: InactivityTimer | None = None
 
-    def start(self, within_s: float | None = None) -> None:
-        """within_s: seconds from now; without it only the system's own limits count."""
+    def start(self, timeout_s: float | None = None) -> None:
+        """timeout_s: seconds from now; without it only the system's own limits count."""
         loop = asyncio.get_running_loop()
-        if within_s is not None:
-            self.timer = SilenceTimer(max(within_s, 0.0), self._late)
+        if timeout_s is not None:
+            self.timer = InactivityTimer(max(timeout_s, 0.0), self._on_timeout)
         self.task = loop.create_task(self._connect(loop))
 
-    def up(self) -> None:
+    def mark_connected(self) -> None:
         """The protocol is about to be connected: no time limit counts any more."""
-        self.state = State.UP
+        self.state = ConnectState.CONNECTED
         self._stop_timer()
 
     def cancel(self) -> bool:
         """Gives the attempt up; whether it was still pending."""
-        pending = self.state is State.PENDING
+        pending = self.state is ConnectState.PENDING
         self._end()
         return pending
 
     async def _connect(self, loop: asyncio.AbstractEventLoop) -> None:
         try:
-            await loop.create_connection(lambda: Guarded(self), *self.address)
+            await loop.create_connection(lambda: PendingProtocol(self), *self.address)
         except Exception as error:  # whatever it is, whoever waits for the connection must hear of it
-            if self.state is State.PENDING:
+            if self.state is ConnectState.PENDING:
                 self._fail(ConnectFailure(error))
 
-    def _late(self) -> None:
-        if self.state is State.PENDING:
+    def _on_timeout(self) -> None:
+        if self.state is ConnectState.PENDING:
             self._fail(ConnectFailure())
 
     def _fail(self, failure: ConnectFailure) -> None:
@@ -164,9 +164,9 @@
 
     def _end(self) -> None:
         self._stop_timer()
-        if self.state is not State.PENDING:
+        if self.state is not ConnectState.PENDING:
             return
-        self.state = State.OVER
+        self.state = ConnectState.ENDED
         if self.task is not None and self.task is not asyncio.current_task():
             self.task.cancel()
 
--- a/yarrowspindle/transport/datagrams.py
+++ b/yarrowspindle/transport/datagrams.py
@@ -12,7 +12,7 @@
 MAX_PENDING = 32  # datagrams kept until a path's socket is there
 
 
-class Front(asyncio.DatagramProtocol):
+class UdpListener(asyncio.DatagramProtocol):
     """A listening socket.
 
     Args:
@@ -56,7 +56,7 @@
             self.transport.sendto(data, client)
 
 
-class Path(asyncio.DatagramProtocol):
+class BackendPath(asyncio.DatagramProtocol):
     """From one address of a client to one backend.
 
     The backend sees another address when the client's changes, and checks it as RFC 9000 section 9 has it; answers go
@@ -69,17 +69,20 @@
 
     Attributes:
         pending: what waits for the socket.
-        used: seconds of the event loop at which the path was used last.
+        last_used_at: seconds of the event loop at which the path was used last.
     """
 
     def __init__(
-        self, on_datagram: Callable[[Path, bytes], None], on_refused: Callable[[Path], None], client: Address
+        self,
+        on_datagram: Callable[[BackendPath, bytes], None],
+        on_refused: Callable[[BackendPath], None],
+        client: Address,
     ) -> None:
         self.on_datagram, self.on_refused, self.client = on_datagram, on_refused, client
         self.transport: asyncio.DatagramTransport | None = None
         self.pending: list[bytes] = []
         self.closed = False
-        self.used = 0.0
+        self.last_used_at = 0.0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Sends what waits for the socket."""
--- a/yarrowspindle/transport/endpoint_list.py
+++ b/yarrowspindle/transport/endpoint_list_watch.py
@@ -5,31 +5,32 @@
 import asyncio
 from typing import Protocol, cast
 
-from yarrowspindle.protocol.endpoint_list import ListError, Names, WatchAnswer, watch_request
+from yarrowspindle.protocol.endpoint_list import ListError, WatchResponse, ZoneAndKindNames, watch_request
 from yarrowspindle.routing.address import Address
 from yarrowspindle.routing.events import EndpointsUpdated
-from yarrowspindle.transport.silence import SilenceTimer
+from yarrowspindle.transport.inactivity_timer import InactivityTimer
 
 # What a silent watch misses counts as notified 6 s after its last update, so these and the waits between calls fit into
 # that.
-FIRST_LIST_S = 2.2  # from the opening of the connection to the first list; the service lets a call wait about so long
-MAX_SILENCE_S = 2.6  # a watch says something every 2 s, an empty line at least; one that does not is broken
+# From the opening of the connection to the first list; the service lets a call wait about so long.
+FIRST_LIST_TIMEOUT_S = 2.2
+MAX_INACTIVITY_S = 2.6  # a watch says something every 2 s, an empty line at least; one that does not is broken
 
 
 class WatchSink(Protocol):
     """What a watch reports to. Any call may end the watch."""
 
-    def endpoints_received(self, watch: WatchSide, update: EndpointsUpdated) -> None:
+    def endpoints_received(self, watch: WatchConnection, update: EndpointsUpdated) -> None:
         """A list, or changes of it, came."""
 
-    def watch_active(self, watch: WatchSide) -> None:
+    def watch_active(self, watch: WatchConnection) -> None:
         """Something came on a watch that has brought a list: what it reported so far stands."""
 
-    def watch_ended(self, watch: WatchSide, reason: str) -> None:
+    def watch_ended(self, watch: WatchConnection, reason: str) -> None:
         """The watch is over; reported once."""
 
 
-class WatchSide(asyncio.Protocol):
+class WatchConnection(asyncio.Protocol):
     """One call for the list, which goes on as a watch.
 
     Args:
@@ -40,54 +41,54 @@
 
     Attributes:
         has_list: whether a list has come.
-        over: whether the watch has ended.
-        silence_timer: until it counts as broken.
+        ended: whether the watch has ended.
+        inactivity_timer: until it counts as broken.
     """
 
-    def __init__(self, sink: WatchSink, names: Names, address: Address, version: int) -> None:
+    def __init__(self, sink: WatchSink, names: ZoneAndKindNames, address: Address, version: int) -> None:
         self.sink, self.address, self.version = sink, address, version
-        self.answer = WatchAnswer(names)
+        self.response = WatchResponse(names)
         self.transport: asyncio.Transport | None = None
-        self.silence_timer: SilenceTimer | None = None
-        self.over = False
+        self.inactivity_timer: InactivityTimer | None = None
+        self.ended = False
         self.has_list = False
 
-    def begin(self) -> None:
+    def start_first_list_timer(self) -> None:
         """The call begins: its connection is about to be opened."""
-        self._set_silence_timer(FIRST_LIST_S, "no list came in time")
+        self._set_inactivity_timer(FIRST_LIST_TIMEOUT_S, "no list came in time")
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Sends the call, unless it was given up while the connection came up."""
-        if self.over:
+        if self.ended:
             cast(asyncio.Transport, transport).abort()
             return
         self.transport = cast(asyncio.Transport, transport)
         self.transport.write(watch_request("{}:{}".format(*self.address), self.version))
 
-    def _set_silence_timer(self, within_s: float, reason: str) -> None:
-        if self.silence_timer is not None:
-            self.silence_timer.cancel()
-        self.silence_timer = SilenceTimer(within_s, self.end, reason)
+    def _set_inactivity_timer(self, within_s: float, reason: str) -> None:
+        if self.inactivity_timer is not None:
+            self.inactivity_timer.cancel()
+        self.inactivity_timer = InactivityTimer(within_s, self.end, reason)
 
     def data_received(self, data: bytes) -> None:
         """Reports the lists that are complete, until a report ends the watch."""
-        if self.over:
+        if self.ended:
             return
         try:
-            updates = self.answer.feed(data)
+            updates = self.response.feed(data)
         except ListError as error:
             self.end(str(error))
             return
         for update in updates:
-            if not self.over:
+            if not self.ended:
                 self.has_list = True
                 self.sink.endpoints_received(self, update)
-        if self.has_list and not self.over:
+        if self.has_list and not self.ended:
             self.sink.watch_active(self)
-        if self.answer.ended:
+        if self.response.ended:
             self.end("the watch ended")
-        elif self.has_list and not self.over:  # an empty line is no answer to the call
-            self._set_silence_timer(MAX_SILENCE_S, "nothing came for too long")
+        elif self.has_list and not self.ended:  # an empty line is no answer to the call
+            self._set_inactivity_timer(MAX_INACTIVITY_S, "nothing came for too long")
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Ends the watch."""
@@ -95,11 +96,11 @@
 
     def end(self, reason: str) -> None:
         """Ends the watch and reports why; without effect on one that has ended."""
-        if self.over:
+        if self.ended:
             return
-        self.over = True
-        if self.silence_timer is not None:
-            self.silence_timer.cancel()
+        self.ended = True
+        if self.inactivity_timer is not None:
+            self.inactivity_timer.cancel()
         if self.transport is not None:
             self.transport.abort()
         self.sink.watch_ended(self, reason)
--- a/yarrowspindle/transport/probe.py
+++ b/yarrowspindle/transport/health_check_connection.py
@@ -5,11 +5,11 @@
 import asyncio
 from typing import Protocol, cast
 
-from yarrowspindle.protocol.lines import STATS, LineError, Lines
+from yarrowspindle.protocol.lines import STATS, LineError, LineSplitter
 from yarrowspindle.routing.termination import TerminationReason
 
 
-class ProbeSink(Protocol):
+class HealthCheckSink(Protocol):
     """What a connection for health checks reports to. Any call may end the connection."""
 
     def health_check_answered(self, side: HealthCheckConnection, line: bytes) -> None:
@@ -24,34 +24,34 @@
 
     Attributes:
         backend: the backend's name.
-        asked: whether an answer is awaited.
-        over: whether nothing more is reported.
+        awaiting_reply: whether an answer is awaited.
+        ended: whether nothing more is reported.
     """
 
-    def __init__(self, sink: ProbeSink, backend: str) -> None:
+    def __init__(self, sink: HealthCheckSink, backend: str) -> None:
         self.sink, self.backend = sink, backend
         self.transport: asyncio.Transport | None = None
-        self.lines = Lines()
-        self.asked = False
-        self.over = False
+        self.lines = LineSplitter()
+        self.awaiting_reply = False
+        self.ended = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Asks what is to be asked, unless the connection was given up while it came up."""
         self.transport = cast(asyncio.Transport, transport)
-        if self.over:
+        if self.ended:
             self.transport.abort()
-        elif self.asked:
+        elif self.awaiting_reply:
             self.transport.write(STATS)
 
-    def ask(self) -> None:
+    def send_probe(self) -> None:
         """Asks now, or as soon as the connection is up."""
-        self.asked = True
+        self.awaiting_reply = True
         if self.transport is not None and not self.transport.is_closing():
             self.transport.write(STATS)
 
     def data_received(self, data: bytes) -> None:
         """Reports an answer; one that nobody asked for ends the connection."""
-        if self.over:
+        if self.ended:
             return
         try:
             lines = self.lines.feed(data)
@@ -59,10 +59,10 @@
             self.end(TerminationReason.PROTOCOL_ERROR, str(error))
             return
         for line in lines:
-            if not self.asked:
+            if not self.awaiting_reply:
                 self.end(TerminationReason.PROTOCOL_ERROR, f"{line[:60]!r} that nobody asked for")
-            if not self.over:
-                self.asked = False
+            if not self.ended:
+                self.awaiting_reply = False
                 self.sink.health_check_answered(self, line)
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -71,8 +71,8 @@
 
     def end(self, reason: TerminationReason, text: str) -> None:
         """Closes the connection and reports why; without effect on one that is over."""
-        if not self.over:
-            self.over = True
+        if not self.ended:
+            self.ended = True
             if self.transport is not None:
                 self.transport.abort()
             self.sink.health_check_ended(self, reason, text)
--- a/yarrowspindle/transport/silence.py
+++ b/yarrowspindle/transport/inactivity_timer.py
@@ -14,25 +14,25 @@
 from collections.abc import Callable
 
 # The first turn may run before the loop polls again; the second runs after what that poll found was handled.
-TURNS_PER_POLL = 2
-MAX_LOOKS = 8  # at a socket before it is ended
-MAX_LOOK_S = 0.0001  # of a process that was not held meanwhile
-LATE_S = 0.05  # a timer that is so late: the loop stood still, and exchanges under way with it
+ITERATIONS_PER_POLL = 2
+MAX_POLLS = 8  # at a socket before it is ended
+MAX_POLL_S = 0.0001  # of a process that was not held meanwhile
+STALL_EXTENSION_S = 0.05  # a timer that is so late: the loop stood still, and exchanges under way with it
 
 
-async def sockets_read() -> None:
+async def wait_for_socket_reads() -> None:
     """Returns once the event loop has read, at least once, what lay in each of its sockets at the call."""
-    for _ in range(TURNS_PER_POLL):
+    for _ in range(ITERATIONS_PER_POLL):
         await asyncio.sleep(0.0)
 
 
-async def sleep_reading(delay_s: float) -> None:
+async def sleep_then_wait_for_reads(delay_s: float) -> None:
     """Sleeps, and returns once the sockets have been read since, however late the loop is."""
     await asyncio.sleep(delay_s)
-    await sockets_read()
+    await wait_for_socket_reads()
 
 
-def end_sending_if_silent(transport: asyncio.BaseTransport | None) -> bool:
+def half_close_unless_readable(transport: asyncio.BaseTransport | None) -> bool:
     """Ends our sending at once, unless the kernel holds what was not read of the peer; returns whether it is silent.
 
     The event loop itself ends it in its next turn only, and what the peer sends until then would be lost unread.
@@ -41,41 +41,41 @@
     if sock is None:
         return True
     try:
-        same = socket.socket(sock.family, sock.type, sock.proto, fileno=sock.fileno())
+        duplicate = socket.socket(sock.family, sock.type, sock.proto, fileno=sock.fileno())
     except (OSError, ValueError):  # it is closed just now
         return True
     try:
-        if _look(same):
+        if _is_readable(duplicate):
             return False
-        same.shutdown(socket.SHUT_WR)
+        duplicate.shutdown(socket.SHUT_WR)
     except OSError:  # it is closed just now
         pass
     finally:
-        same.detach()
+        duplicate.detach()
     return True
 
 
-def _look(sock: socket.socket) -> bool:
+def _is_readable(sock: socket.socket) -> bool:
     """Returns whether bytes, or an end, lie in the socket at this moment: what arrives before our end is never read.
 
     A process is held most easily as a call of the system returns; a look that took so long is repeated.
     """
     poll = select.poll()
     poll.register(sock, select.POLLIN)
-    for _ in range(MAX_LOOKS):
+    for _ in range(MAX_POLLS):
         began = time.monotonic()
         if poll.poll(0):
             return True
-        if time.monotonic() < began + MAX_LOOK_S:
+        if time.monotonic() < began + MAX_POLL_S:
             break
     return False
 
 
-class SilenceTimer:
+class InactivityTimer:
     """Calls `callback(*args)` once `delay_s` seconds have passed and the sockets were read since, unless cancelled.
 
     Whoever receives what the timer waits for cancels it; so a callback means that it had not arrived in time. Where the
-    loop stood still at that moment the peer gets LATE_S more: an exchange of several steps stood still as well.
+    loop stood still at that moment the peer gets STALL_EXTENSION_S more: an exchange of several steps stood still too.
     """
 
     __slots__ = ("_callback", "_args", "_due", "_handle")
@@ -89,14 +89,14 @@
 
     def _expired(self) -> None:
         loop = asyncio.get_running_loop()
-        if loop.time() > self._due + LATE_S:
-            self._handle = loop.call_later(LATE_S, self._next_turn, TURNS_PER_POLL)
+        if loop.time() > self._due + STALL_EXTENSION_S:
+            self._handle = loop.call_later(STALL_EXTENSION_S, self._next_iteration, ITERATIONS_PER_POLL)
         else:
-            self._next_turn(TURNS_PER_POLL)
+            self._next_iteration(ITERATIONS_PER_POLL)
 
-    def _next_turn(self, turns: int) -> None:
+    def _next_iteration(self, turns: int) -> None:
         if turns:
-            self._handle = asyncio.get_running_loop().call_soon(self._next_turn, turns - 1)
+            self._handle = asyncio.get_running_loop().call_soon(self._next_iteration, turns - 1)
         else:
             self._handle = None
             self._callback(*self._args)
--- a/yarrowspindle/transport/line_connection.py
+++ b/yarrowspindle/transport/line_connection.py
@@ -10,14 +10,14 @@
 from contextlib import suppress
 from typing import Any, cast
 
-from yarrowspindle.transport.silence import SilenceTimer
+from yarrowspindle.transport.inactivity_timer import InactivityTimer
 
 LINGER_INTERVAL_S = 0.5  # after our end of sending, for the peer to end as well, if it sends nothing more
 MAX_DISCARD_S = 5.0  # for a peer that goes on sending: it reads our last line once it has sent all
 MAX_DISCARDED_BYTES = 256 << 20
 MAX_STALLED_WRITE_S = 2.0  # a peer that takes none of what is still to be sent for so long is not waited for
 MAX_SLOW_WRITE_S = 60.0  # nor is one that reads ever so slowly, after so long
-INT = struct.Struct("@i")
+C_INT = struct.Struct("@i")
 
 
 class LineConnection(asyncio.Protocol):
@@ -39,7 +39,7 @@
         self.other: LineConnection | None = None
         self.closing = False
         self.discarded_bytes = 0
-        self.linger_timer: SilenceTimer | None = None
+        self.linger_timer: InactivityTimer | None = None
         self.finished_at = self.read_at = 0.0
         self.last_unsent = -1
 
@@ -52,7 +52,7 @@
                 sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
     @property
-    def alive(self) -> asyncio.Transport | None:
+    def open_transport(self) -> asyncio.Transport | None:
         """The transport, while it can still be used: uvloop raises where asyncio's own passes over it."""
         return self.transport if self.transport is not None and not self.transport.is_closing() else None
 
@@ -64,23 +64,23 @@
 
     def write(self, data: bytes) -> None:
         """Sends bytes, unless our sending has ended."""
-        transport = self.alive
+        transport = self.open_transport
         if transport is not None and not self.closing:
             transport.write(data)
 
     def pause_writing(self) -> None:
         """Reads nothing more from the other side: this one does not keep up."""
-        if self.other is not None and (transport := self.other.alive):
+        if self.other is not None and (transport := self.other.open_transport):
             transport.pause_reading()
 
     def resume_writing(self) -> None:
         """Reads from the other side again."""
-        if self.other is not None and (transport := self.other.alive):
+        if self.other is not None and (transport := self.other.open_transport):
             transport.resume_reading()
 
     def finish(self, last: bytes = b"") -> None:
         """Sends what is left and ends the connection in order; what still comes in is discarded."""
-        transport, closing = self.alive, self.closing
+        transport, closing = self.open_transport, self.closing
         self.closing = True
         self.other = None
         if transport is None or closing:
@@ -96,7 +96,7 @@
         self._linger_again(self.finished_at + MAX_DISCARD_S)
 
     def _linger_again(self, until: float) -> None:
-        self.linger_timer = SilenceTimer(LINGER_INTERVAL_S, self._linger, self.discarded_bytes, until)
+        self.linger_timer = InactivityTimer(LINGER_INTERVAL_S, self._linger, self.discarded_bytes, until)
 
     def _linger(self, discarded_bytes: int, until: float) -> None:
         """Aborts the connection, unless the peer still sends, or still reads what is left, within bounds.
@@ -107,17 +107,17 @@
         unsent = self.unsent_bytes()
         if unsent != self.last_unsent:
             self.last_unsent, self.read_at = unsent, now
-        reads = unsent > 0 and now < min(self.read_at + MAX_STALLED_WRITE_S, self.finished_at + MAX_SLOW_WRITE_S)
-        if reads:
+        still_reads = unsent > 0 and now < min(self.read_at + MAX_STALLED_WRITE_S, self.finished_at + MAX_SLOW_WRITE_S)
+        if still_reads:
             until = now + MAX_DISCARD_S
-        if reads or (discarded_bytes < self.discarded_bytes < MAX_DISCARDED_BYTES and now < until):
+        if still_reads or (discarded_bytes < self.discarded_bytes < MAX_DISCARDED_BYTES and now < until):
             self._linger_again(until)
         else:
             self.abort()
 
     def unsent_bytes(self) -> int:
         """Returns what the peer has not taken yet: in the transport, and in the system's send buffer."""
-        transport = self.alive
+        transport = self.open_transport
         if transport is None:
             return 0
         waiting = transport.get_write_buffer_size()
@@ -125,7 +125,7 @@
         if sock is None:
             return waiting
         try:
-            (queued,) = INT.unpack(fcntl.ioctl(sock.fileno(), termios.TIOCOUTQ, bytes(INT.size)))
+            (queued,) = C_INT.unpack(fcntl.ioctl(sock.fileno(), termios.TIOCOUTQ, bytes(C_INT.size)))
         except (OSError, ValueError):  # it is closed just now
             return waiting
         return waiting + int(queued)
@@ -134,7 +134,7 @@
         """Closes the connection at once; what is left to send is dropped."""
         self.closing = True
         self.other = None
-        if transport := self.alive:
+        if transport := self.open_transport:
             transport.abort()
 
     def connection_lost(self, exc: Exception | None) -> None:
--- a/yarrowspindle/transport/listener.py
+++ b/yarrowspindle/transport/listener.py
@@ -15,12 +15,12 @@
 
 from yarrowspindle.routing.address import Address
 
-BATCH = 16  # calls of accept in one turn of the loop
-MAX_SHORTAGES = 4  # calls of a turn that fail for want of descriptors or memory
+ACCEPT_BATCH = 16  # calls of accept in one turn of the loop
+MAX_SHORTAGES_PER_BATCH = 4  # calls of a turn that fail for want of descriptors or memory
 # Pauses while nothing can be taken in, each twice the last: a shortage of a moment costs little time, a lasting one
 # little work.
-MIN_PAUSE_S, PAUSE_S = 0.001, 0.01
-LATE_PAUSES = 5  # at the end, once its time is over
+MIN_PAUSE_S, MAX_PAUSE_S = 0.001, 0.01
+MAX_PAUSES_AFTER_DEADLINE = 5  # at the end, once its time is over
 # Errors of one connection in the queue, by accept(2): the next call is for the next connection.
 CONNECTION_ERRORS = frozenset(
     (
@@ -39,7 +39,7 @@
 )
 
 
-class Queue(Enum):
+class QueueState(Enum):
     """What is known of the connections that wait in the kernel."""
 
     EMPTY = "nobody waits in the kernel"
@@ -58,8 +58,8 @@
         log_warning: is given a text on each call of accept that failed.
 
     Attributes:
-        behind: whether the queue was not emptied last time: who is accepted next may have waited.
-        waited: whether the connection for which `protocol_factory` is called may have waited so.
+        backlogged: whether the queue was not emptied last time: who is accepted next may have waited.
+        may_have_waited: whether the connection for which `protocol_factory` is called may have waited so.
         pause: until accept is called again, while nothing can be accepted.
         pause_s: the next such pause.
     """
@@ -79,8 +79,8 @@
         self.sock = socket.create_server(address, backlog=backlog, reuse_port=hasattr(socket, "SO_REUSEPORT"))
         self.sock.setblocking(False)
         self.pause: asyncio.TimerHandle | None = None
-        self.behind = False
-        self.waited = False
+        self.backlogged = False
+        self.may_have_waited = False
         self.pause_s = MIN_PAUSE_S
         self.tasks: set[asyncio.Task[object]] = set()
         self._listen()
@@ -90,65 +90,65 @@
         self.loop.add_reader(self.sock, self._ready)
 
     def _ready(self) -> None:
-        queue = self._accept(BATCH)
-        self.behind = queue is not Queue.EMPTY
-        if queue is Queue.NO_ROOM:
+        queue = self._accept(ACCEPT_BATCH)
+        self.backlogged = queue is not QueueState.EMPTY
+        if queue is QueueState.NO_ROOM:
             self.loop.remove_reader(self.sock)
             self.pause = self.loop.call_later(self.pause_s, self._listen)
 
-    def _accept(self, most: int) -> Queue:
+    def _accept(self, most: int) -> QueueState:
         """Takes in what waits, with `most` calls; where all of them fail there is no room either: it must not spin."""
         tasks = len(self.tasks)
         queue = self._accept_batch(most)
         accepted = len(self.tasks) > tasks
-        self.pause_s = MIN_PAUSE_S if accepted else min(2.0 * self.pause_s, PAUSE_S)
-        return Queue.NO_ROOM if queue is Queue.MORE and not accepted else queue
+        self.pause_s = MIN_PAUSE_S if accepted else min(2.0 * self.pause_s, MAX_PAUSE_S)
+        return QueueState.NO_ROOM if queue is QueueState.MORE and not accepted else queue
 
-    def _accept_batch(self, most: int) -> Queue:
+    def _accept_batch(self, most: int) -> QueueState:
         shortages = 0
         for _ in range(most):
             if not self.make_room():
-                return Queue.NO_ROOM
+                return QueueState.NO_ROOM
             try:
                 sock, _ = self.sock.accept()
             except BlockingIOError:
-                return Queue.EMPTY
+                return QueueState.EMPTY
             except OSError as error:
                 self.log_warning(f"no connection can be taken in: {error}")
                 shortages += error.errno not in CONNECTION_ERRORS
-                if shortages >= MAX_SHORTAGES:  # no descriptors or no memory: no reason to spin, nor to end
-                    return Queue.NO_ROOM
+                if shortages >= MAX_SHORTAGES_PER_BATCH:  # no descriptors or no memory: no reason to spin, nor to end
+                    return QueueState.NO_ROOM
                 continue
             sock.setblocking(False)
-            task = self.loop.create_task(self._take_in(sock, self.behind))
+            task = self.loop.create_task(self._hand_over(sock, self.backlogged))
             self.tasks.add(task)
             task.add_done_callback(self.tasks.discard)
-        return Queue.MORE
+        return QueueState.MORE
 
-    async def _take_in(self, sock: socket.socket, waited: bool) -> None:
+    async def _hand_over(self, sock: socket.socket, may_have_waited: bool) -> None:
         try:
-            self.waited = waited
+            self.may_have_waited = may_have_waited
             await self.loop.connect_accepted_socket(self.protocol_factory, sock)  # which it calls at once
         except OSError as error:
             sock.close()
             self.log_warning(f"a connection was lost while it was taken in: {error}")
 
-    async def close(self, until: float) -> None:
+    async def close(self, deadline: float) -> None:
         """Takes in what the kernel holds first: it has said yes to those, and a close would reset them.
 
-        until: a time of the loop. After it `backlog` more are still taken in, as many as may have waited for a process
-        that was held up, but room is hardly waited for any more.
+        deadline: a time of the loop. After it `backlog` more are still taken in, as many as may have waited for a
+        process that was held up, but room is hardly waited for any more.
         """
         if self.pause is not None:
             self.pause.cancel()
         self.loop.remove_reader(self.sock)
-        late = {Queue.MORE: ceil(self.backlog / BATCH), Queue.NO_ROOM: LATE_PAUSES}
-        while (queue := self._accept(BATCH)) is not Queue.EMPTY:
-            if self.loop.time() >= until:
+        late = {QueueState.MORE: ceil(self.backlog / ACCEPT_BATCH), QueueState.NO_ROOM: MAX_PAUSES_AFTER_DEADLINE}
+        while (queue := self._accept(ACCEPT_BATCH)) is not QueueState.EMPTY:
+            if self.loop.time() >= deadline:
                 late[queue] -= 1
                 if late[queue] < 0:
                     break
-            await asyncio.sleep(self.pause_s if queue is Queue.NO_ROOM else 0.0)
+            await asyncio.sleep(self.pause_s if queue is QueueState.NO_ROOM else 0.0)
         self.sock.close()
         if self.tasks:
             await asyncio.wait(self.tasks)
