--- a/tests/protocol/test_protocol.py
+++ b/tests/protocol/test_protocol.py
@@ -151,11 +151,11 @@
 @pytest.mark.parametrize(
     "bad, why",
     [
-        (b"HTTP/1.1 503 Busy\r\n\r\n", "status 503"),
-        (b"nonsense\r\n\r\n", "not HTTP"),
+        (b"HTTP/1.1 503 Busy\r\n\r\n", "HTTP status 503 instead of 200"),
+        (b"nonsense\r\n\r\n", "response is not HTTP"),
         (HEAD + b"3\r\n{]\n\r\n", "not JSON"),
         (HEAD + b"3\r\n[]\n\r\n", "without members"),
-        (HEAD + b"%x\r\n%s\r\n" % (len(LIST), LIST.replace(b"draining", b"sleeping")), "makes no sense"),
+        (HEAD + b"%x\r\n%s\r\n" % (len(LIST), LIST.replace(b"draining", b"sleeping")), "an invalid member or revision"),
         (HEAD + b"%x\r\n%s\r\n" % (len(LIST) - 5, LIST.replace(b":3000", b"")), "not an address"),
     ],
 )
--- a/yarrowspindle/protocol/__init__.py
+++ b/yarrowspindle/protocol/__init__.py
@@ -1,1 +1,1 @@
-"""Parsing and writing of what is spoken on the network. Nothing here does I/O."""
+"""Parsers and encoders of the network protocols and file formats. Nothing in this package does I/O."""
--- a/yarrowspindle/protocol/collectd.py
+++ b/yarrowspindle/protocol/collectd.py
@@ -1,4 +1,4 @@
-"""collectd's binary network protocol: parts of type, length and content, in packets of limited size."""
+"""collectd's binary network protocol: packets of limited size, made of parts with a type, a length and content."""
 
 from __future__ import annotations
 
@@ -8,25 +8,25 @@
 HOST, PLUGIN, TYPE, TYPE_INSTANCE, VALUES = 0x0000, 0x0002, 0x0004, 0x0005, 0x0006
 TIME_HR, INTERVAL_HR = 0x0008, 0x0009
 GAUGE, DERIVE = 1, 2
-MAX_PACKET_BYTES = 1452  # what collectd itself sends at most, so that no packet is split on the way
+MAX_PACKET_BYTES = 1452  # collectd's own limit, below which IP does not fragment a packet
 PART_HEADER = struct.Struct(">HH")
-MAX_TEXT_BYTES = 127  # without the zero byte behind it
+MAX_TEXT_BYTES = 127  # without the terminating zero byte
 
 
 def text_part(part_type: int, text: str) -> bytes:
-    """Returns a part of this type with a text, cut to MAX_TEXT_BYTES."""
+    """Return a part that holds a text, truncated to MAX_TEXT_BYTES."""
     raw = text.encode("utf-8")[:MAX_TEXT_BYTES] + b"\0"
     return PART_HEADER.pack(part_type, PART_HEADER.size + len(raw)) + raw
 
 
 def time_part(part_type: int, seconds: float) -> bytes:
-    """Returns a part of this type with a time, or a span of time, in high resolution."""
+    """Return a part that holds a high-resolution time or duration."""
     return PART_HEADER.pack(part_type, 12) + struct.pack(">Q", round(seconds * 2**30))  # in units of 2^-30 s
 
 
 def values_part(part_type: int, value: float) -> bytes:
-    """Returns a part with one value; kind: GAUGE or DERIVE."""
-    # A gauge is a little-endian double, a derive a big-endian signed integer: so has it collectd's own writer.
+    """Return a part that holds one value; `part_type` is GAUGE or DERIVE."""
+    # A gauge is a little-endian double and a derive a big-endian signed integer, as in collectd's own encoder.
     content = struct.pack("<d", value) if part_type == GAUGE else struct.pack(">q", int(value))
     return PART_HEADER.pack(VALUES, PART_HEADER.size + 2 + 1 + 8) + struct.pack(">HB", 1, part_type) + content
 
@@ -34,14 +34,14 @@
 def packets(
     host: str, counters: Mapping[str, float], gauges: Mapping[str, float], time_s: float, interval_s: float
 ) -> Iterator[bytes]:
-    """Yields the packets that hold all values, each whole in itself.
+    """Yield packets that together hold all values; each can be decoded alone.
 
     Args:
-        host: the name under which collectd keeps the values.
-        counters: by name, sent as DERIVE: collectd makes rates of them.
-        gauges: by name.
-        time_s: seconds since 1970.
-        interval_s: until the next packets, seconds.
+        host: The host name under which collectd stores the values.
+        counters: Counters by name, sent as DERIVE, from which collectd computes rates.
+        gauges: Gauges by name.
+        time_s: Unix time in seconds.
+        interval_s: Seconds until the next report.
     """
     head = (
         text_part(HOST, host)
--- a/yarrowspindle/protocol/endpoint_list.py
+++ b/yarrowspindle/protocol/endpoint_list.py
@@ -1,4 +1,4 @@
-"""The endpoint list: the request for a watch, and its answer as it streams in."""
+"""The endpoint list: the HTTP request that opens a watch, and the parser of the streamed response."""
 
 from __future__ import annotations
 
@@ -14,60 +14,66 @@
 
 STATES = {"ready": EndpointState.READY, "draining": EndpointState.DRAINING, "gone": EndpointState.GONE}
 HTTP_OK = 200
-MAX_LIST_BYTES = 4 << 20  # of one object, indented or not
+MAX_LIST_BYTES = 4 << 20  # of one JSON object, including its indentation
 MAX_PORT, MAX_CELL, MAX_SIZE = 65_535, 1e9, 1e9
-MAX_TIME_MS = 1e14  # of a Unix time: the year 5138
+MAX_TIME_MS = 1e14  # Unix time; the year 5138
 STRING = re.compile(rb'"(?:[^"\\]|\\.)*"')
 
 
 class ListError(Exception):
-    """An answer that discovery should not have given."""
+    """Invalid data from the discovery service, or an invalid list in the settings."""
 
 
 @dataclass(slots=True, frozen=True)
 class ZoneAndKindNames:
-    """Names of zones and kinds, as the settings have them."""
+    """Names of zones and of kinds of backends, in the order of the settings."""
 
     zones: list[str] = field(default_factory=list)
     kinds: list[str] = field(default_factory=list)
 
 
 def index_of(names: list[str], name: object) -> int:
-    """Returns the position of the name; 0 where the settings do not have it."""
+    """Return the index of the name; 0 if it is unknown or not a string."""
     return names.index(name) if isinstance(name, str) and name in names else 0
 
 
 def parse_address(text: str) -> Address:
-    """Reads `host:port`. Raises ListError."""
+    """Parse `host:port`. Raise ListError if it is invalid."""
     host, _, port = text.rpartition(":")
     if not host or not port.isascii() or not port.isdigit() or not 0 < int(port) <= MAX_PORT:
-        raise ListError(f"not an address: {text!r}")
+        raise ListError(f"not an address of the form host:port: {text!r}")
     return host, int(port)
 
 
 def parse_name(value: object) -> str:
-    """Returns a name, which is not empty. Raises ListError."""
+    """Return the value if it is a non-empty string. Raise ListError otherwise."""
     if not isinstance(value, str) or not value:
-        raise ListError(f"not a name: {value!r}")
+        raise ListError(f"not a name (a non-empty string): {value!r}")
     return value
 
 
 def parse_number(value: object, default: float, maximum: float) -> float:
-    """Returns a number from 0 up to `maximum`; the default where it is absent or 0. Raises ListError."""
+    """Return a number; the default if it is absent or 0. Raise ListError unless it is from 0 to `maximum`."""
     if value is None:
         return default
     if isinstance(value, bool) or not isinstance(value, int | float) or not 0.0 <= value <= maximum:
-        raise ListError(f"not a figure from 0 to {maximum:g}: {value!r}")
+        raise ListError(f"not a number from 0 to {maximum:g}: {value!r}")
     return float(value) or default
 
 
 def parse_list(data: object, names: ZoneAndKindNames, kind: ListKind | None = None) -> EndpointsUpdated:
-    """Reads a list in discovery's form. Raises ListError.
+    """Parse a list in the discovery service's JSON form.
 
-    kind: None where the list itself says whether it is the whole.
+    Args:
+        data: The decoded JSON object.
+        names: Names of zones and kinds, which become indexes.
+        kind: The kind of the list; None to take it from the list's `complete`.
+
+    Raises:
+        ListError: The list is invalid.
     """
     if not isinstance(data, dict) or not isinstance(data.get("members"), list):
-        raise ListError("a list without members")
+        raise ListError("an endpoint list without members")
     try:
         endpoints = [
             Endpoint(
@@ -84,29 +90,29 @@
         ]
         version = int(data.get("revision") or 0)
     except (KeyError, TypeError, ValueError, AttributeError, OverflowError) as error:
-        raise ListError(f"a member that makes no sense: {error!r}") from error
+        raise ListError(f"an invalid member or revision in the endpoint list: {error!r}") from error
     if kind is None:
         kind = ListKind.FULL if data.get("complete") else ListKind.DELTA
     return EndpointsUpdated(kind, endpoints, version)
 
 
 def watch_request(host: str, version: int) -> bytes:
-    """Returns the call that opens a watch, from the version on that is known."""
+    """Return the HTTP request that opens a watch for changes after a version; 0: for the full list."""
     return (
         f"GET /api/targets?stream=1&index={version} HTTP/1.1\r\nHost: {host}\r\nAccept: application/json\r\n\r\n"
     ).encode()
 
 
 class WatchResponse:
-    """The answer to a watch, piece by piece; each piece gives the lists that it completes.
+    """Incremental parser of the HTTP response to a watch: a stream of JSON objects, one list or delta each.
 
     Attributes:
-        rest: what has come of a line that is not whole yet.
-        object_lines: of an object that goes on, where lists come indented.
-        depth: how many brackets of that object are open.
-        size: its bytes so far.
-        completed: lists that were read and not yet returned.
-        ended: whether the answer is over.
+        rest: The incomplete last line.
+        object_lines: The lines received of an incomplete object; a service may indent its JSON.
+        depth: The number of open brackets of that object.
+        size: The number of bytes of that object so far.
+        completed: Lists that were parsed and not yet returned by `feed`.
+        ended: Whether the response is complete.
     """
 
     def __init__(self, names: ZoneAndKindNames) -> None:
@@ -119,31 +125,33 @@
         self.ended = False
 
     def feed(self, data: bytes) -> list[EndpointsUpdated]:
-        """Returns the lists that these bytes complete. Raises ListError."""
+        """Return the lists that these bytes complete. Raise ListError if the response is invalid."""
         try:
             self.parser.feed_data(data)
-        except httptools.HttpParserError as error:  # what a callback raised comes wrapped
+        except httptools.HttpParserError as error:  # also wraps what a callback raised
             cause = error.__context__
-            raise (cause if isinstance(cause, ListError) else ListError(f"not HTTP: {error}")) from error
+            raise (
+                cause if isinstance(cause, ListError) else ListError(f"the response is not HTTP: {error}")
+            ) from error
         completed, self.completed = self.completed, []
         return completed
 
     def on_headers_complete(self) -> None:
-        """Of the parser: the head has come. Raises ListError unless the call succeeded."""
+        """Check the status, as httptools' callback for complete headers. Raise ListError unless it is 200."""
         if self.parser.get_status_code() != HTTP_OK:
-            raise ListError(f"status {self.parser.get_status_code()}")
+            raise ListError(f"HTTP status {self.parser.get_status_code()} instead of {HTTP_OK}")
 
     def on_body(self, body: bytes) -> None:
-        """Of the parser: a piece of the body has come. Raises ListError."""
+        """Process a part of the body, as httptools' callback. Raise ListError if a list is invalid."""
         *lines, self.rest = (self.rest + body).split(b"\n")
         if self.size + len(self.rest) > MAX_LIST_BYTES:
-            raise ListError("a list that is too long")
+            raise ListError(f"an endpoint list longer than {MAX_LIST_BYTES} bytes")
         for line in lines:
             if line.strip():
                 self._line(line)
 
     def _line(self, line: bytes) -> None:
-        """An object ends with the line that closes its last bracket; a string holds no line break."""
+        """Add a line; parse the object if the line closes its last bracket. JSON strings hold no line breaks."""
         bare = STRING.sub(b"", line)
         self.depth += sum(bare.count(c) for c in (b"{", b"[")) - sum(bare.count(c) for c in (b"}", b"]"))
         self.object_lines.append(line)
@@ -154,9 +162,9 @@
         try:
             data = json.loads(object_bytes)
         except (ValueError, RecursionError) as error:
-            raise ListError("a list that is not JSON") from error
+            raise ListError("an endpoint list that is not JSON") from error
         self.completed.append(parse_list(data, self.names))
 
     def on_message_complete(self) -> None:
-        """Of the parser: the answer is over."""
+        """Note the end of the response, as httptools' callback."""
         self.ended = True
--- a/yarrowspindle/protocol/fragments.py
+++ b/yarrowspindle/protocol/fragments.py
@@ -1,6 +1,6 @@
-"""Messages that are longer than a datagram, cut into fragments; missing fragments are requested again. Pure.
+"""Fragmentation of messages that exceed a datagram, with requests for missing fragments. No I/O.
 
-Delivery is not guaranteed: a message that stays incomplete is dropped, and its sender's protocol has to cope.
+Delivery is not guaranteed: a message that stays incomplete is dropped, which the protocol above has to tolerate.
 """
 
 from __future__ import annotations
@@ -12,10 +12,10 @@
 from msgspec import DecodeError, Struct, ValidationError
 from msgspec.msgpack import Decoder, Encoder
 
-FRAGMENT_BYTES = 900  # a datagram of the membership protocol holds one, with its header
-MAX_FRAGMENTS = 400  # of one message
-MAX_REQUESTED_FRAGMENTS = 200  # in one request for missing ones
-MAX_RETAINED_MESSAGES = 64  # sent messages that are kept for requests
+FRAGMENT_BYTES = 900  # one fragment fits into a datagram of the membership protocol, with its header
+MAX_FRAGMENTS = 400  # per message
+MAX_REQUESTED_FRAGMENTS = 200  # per request for missing fragments
+MAX_RETAINED_MESSAGES = 64  # sent messages retained to answer requests for missing fragments
 MAX_PARTIAL_MESSAGES = 32
 REQUEST_INTERVAL_MS = 60.0
 REASSEMBLY_TIMEOUT_MS = 1500.0
@@ -32,7 +32,7 @@
 
 
 class MissingFragments(Struct, array_like=True, tag=2, frozen=True):
-    """The sender has not received these fragments of the receiver's message."""
+    """A request to send these fragments of the recipient's message `number` again."""
 
     number: int
     missing: list[int]
@@ -40,7 +40,7 @@
 
 @dataclass(slots=True)
 class PartialMessage:
-    """A message of which some fragments were received. Times are in milliseconds."""
+    """A message of which some fragments have been received. Times are in milliseconds."""
 
     count: int
     fragments: dict[int, bytes] = field(default_factory=dict)
@@ -49,11 +49,11 @@
 
     @property
     def complete(self) -> bool:
-        """Whether all fragments were received."""
+        """Whether all fragments have been received."""
         return len(self.fragments) == self.count
 
     def missing(self) -> list[int]:
-        """Return the indexes of the fragments that were not received."""
+        """Return the indexes of the missing fragments."""
         return [index for index in range(self.count) if index not in self.fragments]
 
     def joined(self) -> bytes:
@@ -62,17 +62,19 @@
 
 
 class FragmentResult(NamedTuple):
-    """What a received datagram led to: a message, if it completed one, and datagrams to send back to its source."""
+    """The result of a received datagram: the message it completed, if any, and datagrams to send to its source."""
 
     message: bytes | None = None
     replies: tuple[bytes, ...] = ()
 
 
 class Fragmenter:
-    """Cuts messages into fragments and reassembles those received.
+    """Splits messages into fragments and reassembles received messages.
 
-    `first_number` must be one that an earlier process of this name has not used recently; a random number will do.
-    `max_retained` is how many sent messages are kept to send fragments again.
+    Args:
+        first_number: The number before that of the first message; an earlier process of the same name must not have
+            used the numbers after it recently. A random number is sufficient.
+        max_retained: How many sent messages are retained to send fragments again.
     """
 
     def __init__(self, first_number: int, max_retained: int = MAX_RETAINED_MESSAGES) -> None:
@@ -98,7 +100,7 @@
         return fragments
 
     def on_datagram(self, now: float, source: str, data: bytes) -> FragmentResult:
-        """Handle a datagram received at `now`, in milliseconds. An invalid one has no effect."""
+        """Handle a datagram received at `now`, in milliseconds. An invalid datagram has no effect."""
         try:
             received = self._decode(data)
         except (DecodeError, ValidationError):
@@ -129,16 +131,22 @@
                 self.partial.popitem(last=False)
             return None
         del self.partial[key]
-        # Remembered, so that fragments sent twice do not deliver the message twice.
+        # Completed messages are remembered so that duplicate fragments do not deliver a message twice.
         self.completed[key] = None
         while len(self.completed) > MAX_PARTIAL_MESSAGES:
             self.completed.popitem(last=False)
         return partial.joined()
 
     def requests_due(self, now: float) -> list[tuple[str, bytes]]:
-        """Drop messages that timed out, and return datagrams with their destinations that request missing fragments.
+        """Drop messages that timed out, and return the requests for missing fragments that are due.
 
-        To be called periodically, with the time in milliseconds.
+        Call it periodically.
+
+        Args:
+            now: The time in milliseconds.
+
+        Returns:
+            Pairs of a destination and a datagram.
         """
         requests = []
         for (source, number), partial in list(self.partial.items()):
--- a/yarrowspindle/protocol/lines.py
+++ b/yarrowspindle/protocol/lines.py
@@ -1,4 +1,4 @@
-"""The platform's lines: the OPEN line that a client sends, and what a backend sends back."""
+"""The platform's line protocol: the OPEN line that a client sends, and the lines that a backend answers with."""
 
 from __future__ import annotations
 
@@ -9,30 +9,30 @@
 MAX_LINE_BYTES = 4096
 CRLF = b"\r\n"
 PING, PONG, MOVE, ERR, NO = b"PING\r\n", b"PONG\r\n", b"MOVE\r\n", b"ERR\r\n", b"NO\r\n"
-PROBES = {b"PING": PONG, b"STATS": NO}  # what a connection may ask before its OPEN line
+PROBES = {b"PING": PONG, b"STATS": NO}  # probes that a client may send before its OPEN line, with their replies
 MAX_PROBES = 4
 STATS = b"STATS\r\n"
-# Narrower than what int() and float() take: signs, underscores and exponents are no figures of this protocol.
+# int() and float() would also accept signs, underscores and exponents, which this protocol does not allow.
 OPEN_LINE = re.compile(r"OPEN ([0-9a-f]{16}) ([0-9a-f]{16}) (\S+)")
 PAIR = re.compile(r"([a-z][a-z0-9_]{0,31})=([!-+\--<>-~]+)")
 DECIMAL = re.compile(r"[0-9]{1,9}(\.[0-9]{1,9})?")
 HEXADECIMAL = re.compile(r"[0-9a-f]{1,16}")
-MIN_RETRY_AFTER_MS = 0.5  # what rounds to no millisecond is not told
-MAX_LOAD = 1e12  # of a LOAD line: microseconds of work a second, or milliseconds
+MIN_RETRY_AFTER_MS = 0.5  # a smaller value would be sent as 0 and is omitted
+MAX_LOAD = 1e12  # in a LOAD line: microseconds of work per second, or milliseconds
 
 
 class LineError(Exception):
-    """A line that the protocol does not know."""
+    """A line that violates the line protocol."""
 
 
 @dataclass(slots=True, frozen=True)
 class OpenRequest:
-    """A client's request as its first line has it.
+    """A client's request, as stated in its OPEN line.
 
     Attributes:
-        id: the client's name for the request, 16 hexadecimal digits.
-        affinity_key: its key, in the same form.
-        pairs: names and values, in the order in which they came.
+        id: The request's id, chosen by the client: 16 hexadecimal digits.
+        affinity_key: The key for backend affinity: 16 hexadecimal digits.
+        pairs: The `name=value` parameters in their order on the wire.
     """
 
     id: str
@@ -40,68 +40,68 @@
     pairs: dict[str, str]
 
     def get(self, name: str, default: str = "") -> str:
-        """Returns the value of a name as it came."""
+        """Return the value of a parameter as it was received."""
         return self.pairs.get(name, default)
 
     def number(self, name: str) -> float:
-        """Returns the value as a number; 0 where the name did not come. Raises LineError."""
+        """Return a parameter as a number; 0 if it is absent. Raise LineError if it is not a decimal number."""
         value = self.get(name, "0")
         if not DECIMAL.fullmatch(value):
-            raise LineError(f"{name} is not a figure")
+            raise LineError(f"parameter {name} of the OPEN line is not a decimal number: {value[:60]!r}")
         return float(value)
 
     def flag(self, name: str) -> bool:
-        """Returns the value as a truth value; False where the name did not come. Raises LineError."""
+        """Return a parameter as a truth value; False if it is absent. Raise LineError if it is neither 0 nor 1."""
         value = self.get(name, "0")
         if value not in ("0", "1"):
-            raise LineError(f"{name} is neither 0 nor 1")
+            raise LineError(f"parameter {name} of the OPEN line is neither 0 nor 1: {value[:60]!r}")
         return value == "1"
 
     def hexadecimal(self, name: str) -> int:
-        """Returns the value of hexadecimal digits; 0 where the name did not come. Raises LineError."""
+        """Return a parameter that holds hexadecimal digits; 0 if it is absent. Raise LineError if it holds others."""
         value = self.get(name, "0")
         if not HEXADECIMAL.fullmatch(value):
-            raise LineError(f"{name} is not hexadecimal")
+            raise LineError(f"parameter {name} of the OPEN line is not hexadecimal: {value[:60]!r}")
         return int(value, 16)
 
     @property
     def key(self) -> int:
-        """The number that its key stands for."""
+        """The affinity key as an integer."""
         return int(self.affinity_key, 16)
 
     def forward(self, left_ms: float) -> bytes:
-        """Returns the line as it goes on: all as it came, but for the time that is left."""
+        """Return the OPEN line for a backend: unchanged, except that `d` becomes the remaining time in milliseconds."""
         left = str(max(1, int(left_ms)))
         listed = ",".join(f"{name}={left if name == 'd' else value}" for name, value in self.pairs.items())
         return f"OPEN {self.id} {self.affinity_key} {listed}".encode() + CRLF
 
 
 def parse_open(line: bytes) -> OpenRequest:
-    """Reads an OPEN line without its end. Raises LineError."""
+    """Parse an OPEN line without its CRLF. Raise LineError if it is invalid."""
     try:
         match = OPEN_LINE.fullmatch(line.decode("ascii"))
     except UnicodeDecodeError:
-        raise LineError("a line that is not ASCII") from None
+        raise LineError("the first line is not ASCII") from None
     if match is None:
-        raise LineError("not an OPEN line")
+        raise LineError("the first line is not a valid OPEN line")
     pairs: dict[str, str] = {}
     for part in match[3].split(","):
         pair = PAIR.fullmatch(part)
         if pair is None:
-            raise LineError("not a name and a value")
+            raise LineError(f"a parameter of the OPEN line is not of the form name=value: {part[:60]!r}")
         if pair[1] in pairs:
-            raise LineError("a name that comes twice")
+            raise LineError(f"parameter {pair[1]} occurs twice in the OPEN line")
         pairs[pair[1]] = pair[2]
     opened = OpenRequest(match[1], match[2], pairs)
     if opened.number("d") < 1.0:
-        raise LineError("no time to wait is given")
+        raise LineError("parameter d of the OPEN line, the deadline in milliseconds, is absent or less than 1")
     return opened
 
 
 class OpeningReader:
-    """What a client sends until its connection is established: a few probes, then one OPEN line and nothing behind it.
+    """Parser of a client's data before its connection is established: a few probes, then one OPEN line and no more.
 
-    Bounded and linear, however much comes at once and in whatever pieces.
+    Memory is bounded and the time is linear in the input, whatever its size and the chunks in which it arrives.
     """
 
     __slots__ = ("rest", "probes")
@@ -111,37 +111,45 @@
         self.probes = 0
 
     def feed(self, data: bytes, ready: bool = True) -> tuple[bytes, OpenRequest | None]:
-        """Returns what to answer to probes, and the OPEN line once it is there. Raises LineError.
+        """Parse a chunk of data.
 
-        ready: whether the relay accepts connections; where it does not, PING is answered with NO.
+        Args:
+            data: The received bytes.
+            ready: Whether the relay accepts connections; if not, PING is answered with NO.
+
+        Returns:
+            The replies to probes, and the OPEN line once it is complete.
+
+        Raises:
+            LineError: The data violates the protocol.
         """
         data, self.rest, at, answers = self.rest + data, b"", 0, b""
         while (end := data.find(b"\n", at, at + MAX_LINE_BYTES)) >= 0:
             line, at = data[at : end + 1], end + 1
             if not line.endswith(CRLF):
-                raise LineError("a line that does not end with CRLF")
+                raise LineError("a line of the client does not end with CRLF")
             line = line[:-2]
             if line not in PROBES:
                 if at < len(data):
-                    raise LineError("more than one line at once")
+                    raise LineError("the client sent data after its first line without waiting for the answer")
                 return answers, parse_open(line)
             self.probes += 1
             if self.probes > MAX_PROBES:
-                raise LineError("too many probes")
+                raise LineError(f"the client sent more than {MAX_PROBES} probes before its OPEN line")
             answers += PROBES[line] if ready or line != b"PING" else NO
         if len(data) - at >= MAX_LINE_BYTES:
-            raise LineError("a first line that is too long")
+            raise LineError(f"the first line is longer than {MAX_LINE_BYTES} bytes")
         self.rest = data[at:]
         return answers, None
 
 
 def rejection_line(after_ms: float) -> bytes:
-    """Returns the answer that rejects a request, with the time after which to come again where there is one."""
+    """Return the BUSY line that rejects a request, with the time in milliseconds after which to retry, if any."""
     return b"BUSY %d\r\n" % round(after_ms) if after_ms >= MIN_RETRY_AFTER_MS else b"BUSY\r\n"
 
 
 class LineKind(Enum):
-    """What a backend's line says, by its first word."""
+    """Kinds of lines that a backend sends, by their first word."""
 
     UP = "UP"
     BYE = "BYE"
@@ -156,12 +164,12 @@
 
 
 def parse_line_kind(line: bytes) -> LineKind:
-    """Returns what a backend's line says."""
+    """Return the kind of a backend's line."""
     return LINE_KINDS.get(line.split(b" ", 1)[0], LineKind.OTHER)
 
 
 def parse_load(line: bytes) -> float | None:
-    """Returns the X of a LOAD X line; None where it makes no sense."""
+    """Return the number in a LOAD line; None if it is missing, malformed or out of range."""
     try:
         load = float(line.split(b" ", 1)[1])
     except (IndexError, ValueError):
@@ -170,27 +178,27 @@
 
 
 def parse_load_report(line: bytes, fields: tuple[str, ...]) -> tuple[float, ...]:
-    """Returns the values of these fields in a backend's answer to `STATS`; empty where one is missing.
+    """Return the values of the given fields in a backend's reply to `STATS`; empty if any of them is missing.
 
-    Raises LineError where it is no such answer.
+    Raise LineError if the line is not a valid reply.
     """
     try:
         first, _, rest = line.decode("ascii").partition(" ")
     except UnicodeDecodeError:
-        raise LineError("an answer to a probe that is not ASCII") from None
+        raise LineError("the reply to a probe is not ASCII") from None
     if first != "PONG":
-        raise LineError(f"{line[:60]!r} as an answer to a probe")
+        raise LineError(f"the reply to a probe does not begin with PONG: {line[:60]!r}")
     values: dict[str, float] = {}
     for part in rest.replace(" ", ",").split(",") if rest else ():
         name, _, value = part.partition("=")
         if not DECIMAL.fullmatch(value):
-            raise LineError(f"{line[:60]!r}, a load report that makes no sense")
+            raise LineError(f"the load report in the reply to a probe is malformed: {line[:60]!r}")
         values[name] = float(value)
     return tuple(values[name] for name in fields) if values.keys() >= set(fields) else ()
 
 
 class LineSplitter:
-    """Cuts a stream into lines without their ends; what is no whole line yet is kept."""
+    """Splits a byte stream into lines without their CRLF; the incomplete last line is kept in `rest`."""
 
     __slots__ = ("rest",)
 
@@ -198,15 +206,15 @@
         self.rest = b""
 
     def feed(self, data: bytes) -> list[bytes]:
-        """Returns the lines that these bytes complete. Raises LineError where one is too long."""
+        """Return the lines that these bytes complete. Raise LineError if a line exceeds MAX_LINE_BYTES."""
         if self.rest:
             data = self.rest + data
         *lines, self.rest = data.split(CRLF)
         if len(self.rest) > MAX_LINE_BYTES or any(len(line) > MAX_LINE_BYTES for line in lines):
-            raise LineError("a line that is too long")
+            raise LineError(f"a line longer than {MAX_LINE_BYTES} bytes")
         return lines
 
     @property
     def at_boundary(self) -> bool:
-        """Whether the stream stands between two lines."""
+        """Whether the last byte of the stream ended a line."""
         return not self.rest
--- a/yarrowspindle/protocol/message_codec.py
+++ b/yarrowspindle/protocol/message_codec.py
@@ -1,4 +1,7 @@
-"""Bytes of messages between processes: a version, the kind and a compressed MessagePack body, bounded and checked."""
+"""Binary form of messages between processes: a version, a type number and a compressed MessagePack body.
+
+The size of the body is bounded, and decoded values are checked against bounds.
+"""
 
 from __future__ import annotations
 
@@ -9,7 +12,7 @@
 import msgspec
 
 MAX_MESSAGE_BYTES = 1 << 20  # of a decompressed body
-HEADER_BYTES = 2  # the version and the number of the kind
+HEADER_BYTES = 2  # the version and the type number
 COMPRESSION_LEVEL = 1
 DECODE_ERRORS = (msgspec.DecodeError, msgspec.ValidationError, ValueError, zlib.error, OverflowError)
 
@@ -17,14 +20,17 @@
 
 
 class InvalidMessageError(Exception):
-    """The received bytes are not a valid message; the text gives the reason in a few words."""
+    """The received bytes are not a valid message; the text gives the reason."""
 
 
 class MessageCodec:
     """Encodes and decodes a fixed set of message types.
 
-    The position of a type in `message_types`, counted from 1, is its number on the wire. `check_bounds` receives the
-    replicated state that a decoded message carries, or None, and raises InvalidMessageError for one out of bounds.
+    Args:
+        version: The version of the messages' form; messages of another version are rejected.
+        message_types: The types. The position of a type, counted from 1, is its number on the wire.
+        check_bounds: Receives the replicated state that a decoded message carries, or None, and raises
+            InvalidMessageError if it is out of bounds.
     """
 
     def __init__(self, version: int, message_types: Sequence[Any], check_bounds: Callable[[Any], None]) -> None:
@@ -43,24 +49,24 @@
         return header + zlib.compress(_encode_body(message), COMPRESSION_LEVEL)
 
     def decode(self, data: bytes) -> Any:
-        """Return the message that the bytes hold. Raises InvalidMessageError where they hold none."""
+        """Return the message that the bytes hold. Raise InvalidMessageError if they do not hold one."""
         if len(data) <= HEADER_BYTES or data[0] != self.version:
-            raise InvalidMessageError("another version")
+            raise InvalidMessageError("another version of the message format, or no body")
         decoder = self.decoders.get(data[1])
         if decoder is None:
-            raise InvalidMessageError("an unknown kind")
+            raise InvalidMessageError(f"an unknown message type: {data[1]}")
         try:
             message = decoder.decode(_decompress(data[HEADER_BYTES:]))
         except DECODE_ERRORS:
-            raise InvalidMessageError("nonsense") from None
+            raise InvalidMessageError("a body that cannot be decoded") from None
         self.check_bounds(getattr(message, "state", None) or getattr(message, "newer", None))
         return message
 
 
 def _decompress(compressed: bytes) -> bytes:
-    """Return the body, of at most MAX_MESSAGE_BYTES. Raises InvalidMessageError where it is longer or cut off."""
+    """Return the body. Raise InvalidMessageError if it exceeds MAX_MESSAGE_BYTES or is truncated."""
     decompressor = zlib.decompressobj()
     body = decompressor.decompress(compressed, MAX_MESSAGE_BYTES)
     if not decompressor.eof:
-        raise InvalidMessageError("too long")
+        raise InvalidMessageError(f"a body that is truncated, or too long: more than {MAX_MESSAGE_BYTES} bytes")
     return body
--- a/yarrowspindle/protocol/platform_settings.py
+++ b/yarrowspindle/protocol/platform_settings.py
@@ -1,4 +1,4 @@
-"""Reading the settings of an instance, in the deployment's names, into the library's own type."""
+"""Conversion of an instance's settings, under the platform's names, to the library's `Settings`."""
 
 from __future__ import annotations
 
@@ -14,26 +14,26 @@
 
 
 class SettingsError(Exception):
-    """A setting is missing and needed, or makes no sense."""
+    """A required setting is missing, or a setting is invalid."""
 
 
 class SettingsReader:
-    """Typed reading of the path=value settings. Each reader raises SettingsError where the value is not of its type."""
+    """Typed access to path=value settings. Each method raises SettingsError if the value is not of its type."""
 
     def __init__(self, pairs: dict[str, str]) -> None:
         self.pairs = pairs
 
     def text(self, path: str, default: str | None = None) -> str:
-        """Returns the value as it came; the default where it is absent or null."""
+        """Return the text of the value; the default if it is absent or null."""
         value = self.pairs.get(path, default)
-        if value == "null":  # stated as absent
+        if value == "null":  # how a flattened JSON null is written
             value = default
         if value is None:
             raise SettingsError(f"setting {path} is missing")
         return value
 
     def number(self, path: str, default: float | None = None) -> float:
-        """Returns a finite number."""
+        """Return a finite number."""
         value = self.text(path, None if default is None else repr(default))
         try:
             number = float(value)
@@ -44,32 +44,32 @@
         return number
 
     def integer(self, path: str, default: int | None = None) -> int:
-        """Returns a whole number."""
+        """Return an integer."""
         value = float(self.number(path, default))
         if not value.is_integer():
-            raise SettingsError(f"setting {path} is not a whole number")
+            raise SettingsError(f"setting {path} is not an integer: {value}")
         return int(value)
 
     def flag(self, path: str, default: bool = False) -> bool:
-        """Returns a truth value."""
+        """Return a truth value."""
         value = self.text(path, "true" if default else "false")
         if value not in ("true", "false"):
             raise SettingsError(f"setting {path} is neither true nor false: {value!r}")
         return value == "true"
 
     def name_list(self, path: str) -> list[str]:
-        """Returns names that commas separate."""
+        """Return comma-separated names."""
         return [v for v in self.text(path, "").split(",") if v]
 
     def number_list(self, path: str) -> list[float]:
-        """Returns numbers that commas separate; 0 for null."""
+        """Return comma-separated numbers; 0 for each null."""
         try:
             return [0.0 if v == "null" else float(v) for v in self.name_list(path)]
         except ValueError:
             raise SettingsError(f"setting {path} is not a list of numbers: {self.text(path)!r}") from None
 
     def choice(self, path: str, table: Mapping[str, T], default: str) -> T:
-        """Returns what the table has under the value."""
+        """Return the entry of the table under the value."""
         value = self.text(path, default)
         if value not in table:
             raise SettingsError(f"setting {path} has an unknown value: {value!r}")
@@ -77,7 +77,7 @@
 
 
 def read_settings(pairs: dict[str, str]) -> Settings:
-    """Returns the library's settings from path=value pairs; unknown keys are passed over. Raises SettingsError."""
+    """Return the library's settings from path=value pairs. Ignore unknown keys. Raise SettingsError if invalid."""
     reader = SettingsReader(pairs)
     message_objectives = reader.number_list("family_info.message_aim_ms")
     classes = tuple(
@@ -93,7 +93,7 @@
         for i in range(reader.integer("categories.count"))
     )
     if not classes or any(c.deadline_ms <= 0.0 or not math.isfinite(c.deadline_ms) for c in classes):
-        raise SettingsError("each class needs a deadline over 0, and there is at least one class")
+        raise SettingsError("settings need at least one category, each with a finite deadline_ms greater than 0")
     quota = reader.number_list("family_info.tenant_quota_connections")
     tenants = tuple(
         Tenant(
@@ -104,7 +104,7 @@
         for i in range(reader.integer("realms.count", 0))
     )
     if reader.integer("limits.max_attempts") <= 0:
-        raise SettingsError("limits.max_attempts is not over 0")
+        raise SettingsError("setting limits.max_attempts is not greater than 0")
     return Settings(
         classes=classes,
         zone=reader.integer("zone", 0),
