--- a/tests/protocol/test_fragments.py
+++ b/tests/protocol/test_fragments.py
@@ -25,11 +25,11 @@
     now, messages = 0.0, list[bytes]()
     for _ in range(20):
         for fragment in wire:
-            found, _ = receiver.on_datagram(now, "sender", fragment)
-            messages += [found] if found is not None else []
+            message, _ = receiver.on_datagram(now, "sender", fragment)
+            messages += [message] if message is not None else []
         now += REQUEST_INTERVAL_MS
-        asked = [sender.on_datagram(now, "receiver", wanted)[1] for _, wanted in receiver.requests_due(now)]
-        wire = [fragment for back in asked for fragment in back if random.random() > 0.4]
+        replies = [sender.on_datagram(now, "receiver", request)[1] for _, request in receiver.requests_due(now)]
+        wire = [fragment for reply in replies for fragment in reply if random.random() > 0.4]
     assert messages == [data], "delivered once, and unchanged"
     assert (
         receiver.on_datagram(now, "sender", b"nonsense") == FragmentResult()
--- a/tests/protocol/test_protocol.py
+++ b/tests/protocol/test_protocol.py
@@ -41,7 +41,7 @@
 
 
 @pytest.mark.parametrize(
-    "bad",
+    "invalid",
     [
         "",
         "OPEN",
@@ -62,46 +62,46 @@
         "OPEN \xe9",
     ],
 )
-def test_a_bad_open_line_is_told_from_a_good_one(bad: str) -> None:
+def test_a_bad_open_line_is_told_from_a_good_one(invalid: str) -> None:
     with pytest.raises(LineError):
-        parse_open(bad.encode("latin-1"))
+        parse_open(invalid.encode("latin-1"))
 
 
 @settings(derandomize=True, max_examples=60)
 @given(st.lists(st.text("ab ", max_size=5), max_size=6), st.lists(st.integers(0, 40), max_size=5))
 def test_lines_are_the_same_wherever_the_stream_is_cut(texts: list[str], cuts: list[int]) -> None:
-    data, cutter, found, at = "".join(t + "\r\n" for t in texts).encode() + b"rest", LineSplitter(), [], 0
+    data, splitter, found, offset = "".join(t + "\r\n" for t in texts).encode() + b"rest", LineSplitter(), [], 0
     for cut in [*sorted(cuts), len(data)]:
-        found += cutter.feed(data[at:cut])
-        at = max(at, cut)
-    assert found == [t.encode() for t in texts] and cutter.rest == b"rest" and not cutter.at_boundary
+        found += splitter.feed(data[offset:cut])
+        offset = max(offset, cut)
+    assert found == [t.encode() for t in texts] and splitter.rest == b"rest" and not splitter.at_boundary
 
 
 @settings(derandomize=True, max_examples=60)
 @given(st.integers(0, 6), st.integers(1, 40), st.sampled_from(["", "x", "\r\n", LINE + "\r\n"]))
-def test_an_opening_is_the_same_wherever_it_is_cut_and_holds_one_line(probes: int, size: int, behind: str) -> None:
-    data, opening = ("PING\r\nSTATS\r\n" * probes + LINE + "\r\n" + behind).encode(), OpeningReader()
-    answers, opened, refused = b"", None, False
-    for at in range(0, len(data), size):
+def test_an_opening_is_the_same_wherever_it_is_cut_and_holds_one_line(probes: int, size: int, trailing: str) -> None:
+    data, opening = ("PING\r\nSTATS\r\n" * probes + LINE + "\r\n" + trailing).encode(), OpeningReader()
+    answers, opened, rejected = b"", None, False
+    for offset in range(0, len(data), size):
         try:
-            more, opened = opening.feed(data[at : at + size])
+            more, opened = opening.feed(data[offset : offset + size])
         except LineError:
-            refused = True
+            rejected = True
             break
         answers += more
         if opened is not None:
-            refused = at + size < len(data)  # the side takes what follows as out of turn
+            rejected = offset + size < len(data)  # the side takes what follows as out of turn
             break
-    assert refused == (2 * probes > lines.MAX_PROBES or bool(behind))
-    assert refused or (opened == parse_open(LINE.encode()) and answers == b"PONG\r\nNO\r\n" * probes)
+    assert rejected == (2 * probes > lines.MAX_PROBES or bool(trailing))
+    assert rejected or (opened == parse_open(LINE.encode()) and answers == b"PONG\r\nNO\r\n" * probes)
 
 
 @pytest.mark.parametrize(
-    "bad", [b"x" * lines.MAX_LINE_BYTES, b"x" * lines.MAX_LINE_BYTES + b"\r\n", b"PING\n", b"\r\n", b"\0\r\n"]
+    "invalid", [b"x" * lines.MAX_LINE_BYTES, b"x" * lines.MAX_LINE_BYTES + b"\r\n", b"PING\n", b"\r\n", b"\0\r\n"]
 )
-def test_an_opening_that_is_too_long_or_ends_oddly_is_refused_at_once(bad: bytes) -> None:
+def test_an_opening_that_is_too_long_or_ends_oddly_is_refused_at_once(invalid: bytes) -> None:
     with pytest.raises(LineError):
-        OpeningReader().feed(bad)
+        OpeningReader().feed(invalid)
 
 
 def test_words_loads_and_notices() -> None:
@@ -123,19 +123,19 @@
 
 @settings(derandomize=True, max_examples=30)
 @given(st.integers(1, 60), st.integers(1, 60))
-def test_a_watch_is_read_wherever_it_is_cut_and_however_it_is_indented(first: int, then: int) -> None:
-    indented = json.dumps(json.loads(LIST) | {"note": 'a "{" in a string, \\"'}, indent=first % 3).encode() + b"\n"
+def test_a_watch_is_read_wherever_it_is_cut_and_however_it_is_indented(first_size: int, second_size: int) -> None:
+    indented = json.dumps(json.loads(LIST) | {"note": 'a "{" in a string, \\"'}, indent=first_size % 3).encode() + b"\n"
     body = b"".join(b"%x\r\n%s\r\n" % (len(p), p) for p in (LIST[:30], LIST[30:], b"\n", indented))
-    data, answer, told = (
+    data, answer, updates = (
         HEAD + body,
         WatchResponse(ZoneAndKindNames(["a", "b"], ["m1", "m2"])),
         list[EndpointsUpdated](),
     )
-    for at in range(0, len(data), first + then):
-        told += answer.feed(data[at : at + first])
-        told += answer.feed(data[at + first : at + first + then])
-    assert len(told) == 2 and told[0].kind is ListKind.FULL and told[0].version == 41 and not answer.ended
-    (m,) = told[0].endpoints
+    for offset in range(0, len(data), first_size + second_size):
+        updates += answer.feed(data[offset : offset + first_size])
+        updates += answer.feed(data[offset + first_size : offset + first_size + second_size])
+    assert len(updates) == 2 and updates[0].kind is ListKind.FULL and updates[0].version == 41 and not answer.ended
+    (m,) = updates[0].endpoints
     assert (m.name, m.address, m.state, m.zone, m.kind, m.cell, m.capacity, m.started_ms) == (
         "s-5be2a07c",
         ("10.1.0.18", 3000),
@@ -149,7 +149,7 @@
 
 
 @pytest.mark.parametrize(
-    "bad, why",
+    "invalid, reason",
     [
         (b"HTTP/1.1 503 Busy\r\n\r\n", "HTTP status 503 instead of 200"),
         (b"nonsense\r\n\r\n", "response is not HTTP"),
@@ -159,9 +159,9 @@
         (HEAD + b"%x\r\n%s\r\n" % (len(LIST) - 5, LIST.replace(b":3000", b"")), "not an address"),
     ],
 )
-def test_an_answer_that_makes_no_sense_fails_the_watch_and_says_why(bad: bytes, why: str) -> None:
-    with pytest.raises(ListError, match=why):
-        WatchResponse(ZoneAndKindNames()).feed(bad)
+def test_an_answer_that_makes_no_sense_fails_the_watch_and_says_why(invalid: bytes, reason: str) -> None:
+    with pytest.raises(ListError, match=reason):
+        WatchResponse(ZoneAndKindNames()).feed(invalid)
 
 
 def test_settings_are_flattened_as_the_simulator_writes_them() -> None:
@@ -180,9 +180,9 @@
     quic = f'[quic]\nlisten = "127.0.0.1:4433"\nid_key = "{"00" * 16}"\nreset_key = "{"11" * 32}"\nidle_s = 5\n'
     assert read_operator("").quic is None
     assert read_operator(quic).quic == QuicConfig(("127.0.0.1", 4433), bytes(16), b"\x11" * 32, idle_s=5)
-    for bad in ("[quic]\n", quic.replace("00", "0"), quic + "x = 1\n", "nonsense", quic.replace('"127', '1"127')):
+    for invalid in ("[quic]\n", quic.replace("00", "0"), quic + "x = 1\n", "nonsense", quic.replace('"127', '1"127')):
         with pytest.raises(ConfigError):
-            read_operator(bad)
+            read_operator(invalid)
 
 
 def test_graphite_has_one_plain_line_for_each_value() -> None:
@@ -190,19 +190,19 @@
 
 
 def parts(packet: bytes) -> list[tuple[int, bytes]]:
-    found, at = [], 0
-    while at < len(packet):
-        kind, length = struct.unpack_from(">HH", packet, at)
-        found.append((kind, packet[at + 4 : at + length]))
-        at += length
+    found, offset = [], 0
+    while offset < len(packet):
+        kind, length = struct.unpack_from(">HH", packet, offset)
+        found.append((kind, packet[offset + 4 : offset + length]))
+        offset += length
     return found
 
 
 def test_collectd_packets_hold_all_values_in_parts_and_stay_small() -> None:
     counters = {f"c{i}": i for i in range(100)}
-    made = list(collectd.packets("n0", counters, {"g": 2.5}, 10.5, 10.0))
-    assert len(made) > 1 and max(map(len, made)) <= collectd.MAX_PACKET_BYTES
-    assert all(parts(p)[0] == (0, b"n0\0") and parts(p)[1] == (8, struct.pack(">Q", 21 << 29)) for p in made)
-    values = [body for p in made for kind, body in parts(p) if kind == collectd.VALUES]
+    packets = list(collectd.packets("n0", counters, {"g": 2.5}, 10.5, 10.0))
+    assert len(packets) > 1 and max(map(len, packets)) <= collectd.MAX_PACKET_BYTES
+    assert all(parts(p)[0] == (0, b"n0\0") and parts(p)[1] == (8, struct.pack(">Q", 21 << 29)) for p in packets)
+    values = [body for p in packets for kind, body in parts(p) if kind == collectd.VALUES]
     assert values[7] == b"\0\1\2" + (7).to_bytes(8, "big") and values[-1] == b"\0\1\1" + struct.pack("<d", 2.5)
     assert len(values) == 101
--- a/tests/transport/test_callback_order.py
+++ b/tests/transport/test_callback_order.py
@@ -14,10 +14,10 @@
 
 FOLDERS = [Path(package.__path__[0]) for package in (yarrowspindle.transport, yarrowspindle.operator_api)]
 CALLBACKS = frozenset(("on_datagram", "on_refused", "failed", "protocol_factory", "make_room", "_callback", "call"))
-HARMLESS = frozenset(("ready", "log_warning"))  # methods of sinks that only answer, or only log
+SAFE_METHODS = frozenset(("ready", "log_warning"))  # methods of sinks that only answer, or only log
 
 # Method: why what it does after a call is sound.
-LOOKS_ANEW = {
+RECHECKS_STATE = {
     "BackendConnection._report": "looks whether it is closing before each report",
     "BackendConnection.connection_lost": "`_end` looks whether its end was reported",
     "ClientConnection._on_first_line_timeout": "sets the timer only where nothing was reported",
@@ -47,7 +47,7 @@
         if not isinstance(call, ast.Call):
             continue
         called = ast.unparse(call.func).split(".")
-        if called[:2] == ["self", "sink"] and called[2] not in HARMLESS:
+        if called[:2] == ["self", "sink"] and called[2] not in SAFE_METHODS:
             yield "out"
         elif len(called) == 2 and called[0] == "self":
             yield "out" if called[1] in CALLBACKS else called[1]
@@ -55,38 +55,40 @@
             yield "out"
 
 
-def calling_out(cls: str) -> set[str]:
+def methods_calling_out(cls: str) -> set[str]:
     """The class's methods that call out, themselves or by way of others."""
     calls = {method.name: set(own_calls(method)) for owner, method in methods() if owner == cls}
     found = {"out"}
-    while more := {name for name, made in calls.items() if made & found} - found:
-        found |= more
+    while added := {name for name, called in calls.items() if called & found} - found:
+        found |= added
     return found
 
 
-def followed(block: list[ast.stmt], last: bool, out: set[str]) -> Iterator[ast.stmt]:
+def calls_out_with_successor(block: list[ast.stmt], last: bool, out: set[str]) -> Iterator[ast.stmt]:
     """Statements that call out and are followed by more than a return. last: nothing follows the block."""
     for position, statement in enumerate(block):
         rest = block[position + 1 :]
         is_last = last and all(isinstance(after, ast.Return) and not set(own_calls(after)) for after in rest)
         is_last = is_last or (bool(rest) and isinstance(rest[0], ast.Return) and not set(own_calls(rest[0])))
-        yield from followed_within(statement, is_last, out)
+        yield from nested_calls_out_with_successor(statement, is_last, out)
 
 
-def followed_within(statement: ast.stmt, is_last: bool, out: set[str]) -> Iterator[ast.stmt]:
+def nested_calls_out_with_successor(statement: ast.stmt, is_last: bool, out: set[str]) -> Iterator[ast.stmt]:
     if isinstance(statement, ast.If):
         yield from (statement for _ in set(own_calls(statement.test)) & out)
-        yield from followed(statement.body, is_last, out)
-        yield from followed(statement.orelse, is_last, out)
+        yield from calls_out_with_successor(statement.body, is_last, out)
+        yield from calls_out_with_successor(statement.orelse, is_last, out)
     elif isinstance(statement, ast.For | ast.While | ast.AsyncFor):
-        yield from followed(statement.body, False, out)
+        yield from calls_out_with_successor(statement.body, False, out)
     elif isinstance(statement, ast.With | ast.AsyncWith):
-        yield from followed(statement.body, is_last, out)
+        yield from calls_out_with_successor(statement.body, is_last, out)
     elif isinstance(statement, ast.Try):
-        yield from followed(statement.body, is_last and not statement.orelse and not statement.finalbody, out)
+        yield from calls_out_with_successor(
+            statement.body, is_last and not statement.orelse and not statement.finalbody, out
+        )
         for handler in statement.handlers:
-            yield from followed(handler.body, is_last and not statement.finalbody, out)
-        yield from followed(statement.orelse, is_last and not statement.finalbody, out)
+            yield from calls_out_with_successor(handler.body, is_last and not statement.finalbody, out)
+        yield from calls_out_with_successor(statement.orelse, is_last and not statement.finalbody, out)
     elif isinstance(statement, ast.FunctionDef | ast.AsyncFunctionDef | ast.ClassDef):
         return
     elif set(own_calls(statement)) & out and not is_last and not isinstance(statement, ast.Return):
@@ -97,6 +99,8 @@
     """Guards against using a connection after a call that may have ended it: resets overtook MOVE."""
     found: dict[str, list[str]] = {}
     for cls, method in methods():
-        for statement in followed(method.body, True, calling_out(cls)):
+        for statement in calls_out_with_successor(method.body, True, methods_calling_out(cls)):
             found.setdefault(f"{cls}.{method.name}", []).append(f"{statement.lineno}: {ast.unparse(statement)}")
-    assert found.keys() == LOOKS_ANEW.keys(), {name: found.get(name) for name in found.keys() ^ LOOKS_ANEW.keys()}
+    assert found.keys() == RECHECKS_STATE.keys(), {
+        name: found.get(name) for name in found.keys() ^ RECHECKS_STATE.keys()
+    }
--- a/tests/transport/test_callback_reentrancy.py
+++ b/tests/transport/test_callback_reentrancy.py
@@ -50,9 +50,9 @@
     """Connects the protocol; the other end of its connection."""
     with socket.create_server(("127.0.0.1", 0)) as listening:
         await asyncio.get_running_loop().create_connection(lambda: protocol, *listening.getsockname())
-        far, _ = listening.accept()
-    far.setblocking(False)
-    return far
+        peer, _ = listening.accept()
+    peer.setblocking(False)
+    return peer
 
 
 def reset(sock: socket.socket) -> None:
@@ -66,9 +66,9 @@
         sock.send(data)
 
 
-async def until(true: Callable[[], bool]) -> None:
+async def wait_until(condition: Callable[[], bool]) -> None:
     for _ in range(int(WAIT_S / STEP_S)):
-        if true():
+        if condition():
             return
         await asyncio.sleep(STEP_S)
     raise AssertionError("it did not come about")
@@ -80,38 +80,38 @@
 class Pair:
     """Both sides with a sink that counts what it is told, and strikes once, at the call of this number."""
 
-    def __init__(self, strike_at: int, strike: Callable[[Pair], None]) -> None:
-        self.strike_at, self.strike = strike_at, strike
+    def __init__(self, act_at: int, action: Callable[[Pair], None]) -> None:
+        self.act_at, self.action = act_at, action
         self.calls: list[str] = []
         self.client = ClientConnection(cast(Any, self))
         self.backend = BackendConnection(cast(Any, self), 7, 0)
         self.lost: set[LineConnection] = set()
 
-    def _told(self, name: str) -> None:
+    def _record(self, name: str) -> None:
         self.calls.append(name)
-        if len(self.calls) - 1 == self.strike_at:
-            self.strike(self)
+        if len(self.calls) - 1 == self.act_at:
+            self.action(self)
 
     def __getattr__(self, name: str) -> Callable[..., None]:
-        return lambda *what: self._told(name)
+        return lambda *args: self._record(name)
 
     def ready(self) -> bool:
         return True
 
     def request_received(self, side: ClientConnection, opened: OpenRequest) -> None:
         side.request = 7
-        self._told("request_received")
+        self._record("request_received")
 
     def client_connection_lost(self, side: ClientConnection) -> None:
         self.lost.add(side)
-        self._told("client_connection_lost")
+        self._record("client_connection_lost")
 
     def backend_connection_lost(self, side: BackendConnection) -> None:
         self.lost.add(side)
-        self._told("backend_connection_lost")
+        self._record("backend_connection_lost")
 
     def backend_accepted(self, side: BackendConnection) -> None:
-        self._told("backend_accepted")
+        self._record("backend_accepted")
         if not self.client.closing and not self.backend.end_reported:
             self.client.start_relaying(self.backend, self.backend.up_line)
             self.backend.forward_early_data()
@@ -145,7 +145,7 @@
             side.transport.abort()
 
 
-STRIKES = (finish_both, abort_both, move, drop_the_attempt, answer_the_client, reset_transports)
+ACTIONS = (finish_both, abort_both, move, drop_the_attempt, answer_the_client, reset_transports)
 
 Script = Callable[[socket.socket, socket.socket], Awaitable[None]]
 
@@ -192,9 +192,9 @@
 SCRIPTS = (served_to_its_end, cut_by_its_client, ended_by_its_client, reset_by_its_backend, rejected, nonsense)
 
 
-async def play(script: Script, strike_at: int, strike: Callable[[Pair], None]) -> Pair:
+async def run_script(script: Script, act_at: int, action: Callable[[Pair], None]) -> Pair:
     """Plays a script; all sockets are closed at its end."""
-    pair = Pair(strike_at, strike)
+    pair = Pair(act_at, action)
     client = await connected(pair.client)
     send(client, OPEN)
     backend = await connected(pair.backend)
@@ -204,22 +204,22 @@
     await asyncio.sleep(2.0 * STEP_S)
     client.close()
     backend.close()
-    await until(lambda: len(pair.lost) == 2)
+    await wait_until(lambda: len(pair.lost) == 2)
     return pair
 
 
 @LOOPS
-@pytest.mark.parametrize("strike", STRIKES, ids=lambda strike: strike.__name__)
+@pytest.mark.parametrize("action", ACTIONS, ids=lambda action: action.__name__)
 @pytest.mark.parametrize("script", SCRIPTS, ids=lambda script: script.__name__)
-def test_a_connection_may_be_ended_by_any_call_that_it_makes(script: Script, strike: Any, loop: Run) -> None:
+def test_a_connection_may_be_ended_by_any_call_that_it_makes(script: Script, action: Any, loop: Run) -> None:
     """Guards against using a connection after a call that may have ended it: uvloop drops a transport that raises."""
 
     async def body() -> None:
         with no_callback_raises():
-            calls = (await play(script, -1, strike)).calls
+            calls = (await run_script(script, -1, action)).calls
             assert len(calls) >= 5, calls
             for number in range(len(calls)):
-                pair = await play(script, number, strike)
+                pair = await run_script(script, number, action)
                 assert pair.calls.count("attempt_ended") <= 1 and pair.calls.count("client_disconnected") <= 1
 
     loop(body())
@@ -228,18 +228,18 @@
 # --- connections of one side ----------------------------------------------------------------------
 
 
-class Told:
+class EndingSink:
     """A sink that notes what it is told, and ends the connection in its first call of this name."""
 
     def __init__(self, name: str, end: Callable[[Any], None]) -> None:
         self.name, self.end = name, end
         self.calls: list[str] = []
-        self.after_the_end: list[str] = []
+        self.calls_after_end: list[str] = []
 
     def __getattr__(self, name: str) -> Callable[..., None]:
-        def told(side: Any, *what: Any) -> None:
+        def told(side: Any, *args: Any) -> None:
             if self.name in self.calls:
-                self.after_the_end.append(name)
+                self.calls_after_end.append(name)
             self.calls.append(name)
             if name == self.name and self.calls.count(name) == 1:
                 self.end(side)
@@ -262,7 +262,7 @@
     """Guards against telling lists of a watch that was given up in the call before."""
 
     async def body() -> None:
-        sink = Told(name, lambda watch: watch.end("by its sink"))
+        sink = EndingSink(name, lambda watch: watch.end("by its sink"))
         with no_callback_raises():
             watch = WatchConnection(cast(Any, sink), ZoneAndKindNames(), ("127.0.0.1", 1), 0)
             watch.start_first_list_timer()
@@ -272,10 +272,10 @@
             send(service, json_list(4) + last)
             await asyncio.sleep(STEP_S)
             service.close()
-            await until(lambda: watch.ended)
+            await wait_until(lambda: watch.ended)
             await asyncio.sleep(STEP_S)
         assert sink.calls.count("watch_ended") == 1
-        assert set(sink.after_the_end) <= {"watch_ended"}
+        assert set(sink.calls_after_end) <= {"watch_ended"}
 
     loop(body())
 
@@ -289,7 +289,7 @@
     """Guards against reading answers on a connection that was given up in the call before."""
 
     async def body() -> None:
-        sink = Told(name, lambda side: side.end(TerminationReason.NOT_SENT, "by its sink"))
+        sink = EndingSink(name, lambda side: side.end(TerminationReason.NOT_SENT, "by its sink"))
         with no_callback_raises():
             side = HealthCheckConnection(cast(Any, sink), "s-1")
             side.send_probe()
@@ -298,9 +298,9 @@
             send(backend, answer)
             await asyncio.sleep(STEP_S)
             backend.close()
-            await until(lambda: side.ended)
+            await wait_until(lambda: side.ended)
         assert sink.calls.count("health_check_ended") == 1
-        assert set(sink.after_the_end) <= {"health_check_ended"}
+        assert set(sink.calls_after_end) <= {"health_check_ended"}
 
     loop(body())
 
@@ -357,7 +357,7 @@
         calls: list[str] = []
 
         def closes(name: str) -> Callable[..., None]:
-            def called(path: datagrams.BackendPath, *what: Any) -> None:
+            def called(path: datagrams.BackendPath, *args: Any) -> None:
                 calls.append(name)
                 path.close()
 
@@ -376,7 +376,7 @@
                 assert path.transport is not None
                 for _ in range(3):
                     backend.sendto(b"x", path.transport.get_extra_info("sockname"))
-            await until(lambda: path.closed)
+            await wait_until(lambda: path.closed)
             await asyncio.sleep(STEP_S)
         assert calls == [told]
 
@@ -407,7 +407,7 @@
             callers[0].sendall(b"GET / HTTP/1.1\r\n\r\n")
             await asyncio.sleep(10.0 * STEP_S)
             reset(callers[0])
-            await until(lambda: not api.calls)
+            await wait_until(lambda: not api.calls)
         api.close()
         assert not failed
 
@@ -438,7 +438,7 @@
         with no_callback_raises():
             connecting = Connector(Made(), backend.address, failed)
             connecting.start(0.5)
-            await until(lambda: bool(told))
+            await wait_until(lambda: bool(told))
             await asyncio.sleep(5.0 * STEP_S)
         assert told == ["made" if port_is == "open" else "failed"]
         backend.server.close()
--- a/tests/transport/test_connector.py
+++ b/tests/transport/test_connector.py
@@ -20,9 +20,9 @@
 from yarrowspindle.routing.effects import OpenBackendConnection
 from yarrowspindle.runtime import SystemClock
 
-CONNECT_MS = 60.0
-CHARGE = dict(SETTINGS["categories"][0]) | {"name": "charge", "effect": "side_effect"}
-SERVERS = 4
+CONNECT_TIMEOUT_MS = 60.0
+NON_IDEMPOTENT_CLASS = dict(SETTINGS["categories"][0]) | {"name": "charge", "effect": "side_effect"}
+BACKENDS = 4
 
 
 class Backend:
@@ -48,8 +48,8 @@
     ]
     settings = SETTINGS | {
         "zone": 0,
-        "categories": [CHARGE],
-        "limits": SETTINGS["limits"] | {"connect_timeout_ms": CONNECT_MS, "probing": False},
+        "categories": [NON_IDEMPOTENT_CLASS],
+        "limits": SETTINGS["limits"] | {"connect_timeout_ms": CONNECT_TIMEOUT_MS, "probing": False},
     }
     return {
         "name": "n0",
@@ -61,39 +61,39 @@
     }
 
 
-def stall_after(turns: int) -> None:
-    """Holds the event loop for longer than the connect time-out, so many turns from now."""
+def stall_after(iterations: int) -> None:
+    """Holds the event loop for longer than the connect time-out, so many iterations from now."""
     loop = asyncio.get_running_loop()
 
-    def turn(left: int) -> None:
-        if left:
-            loop.call_soon(turn, left - 1)
+    def run_iteration(remaining: int) -> None:
+        if remaining:
+            loop.call_soon(run_iteration, remaining - 1)
         else:
-            time.sleep(2.0 * CONNECT_MS / 1000.0)
+            time.sleep(2.0 * CONNECT_TIMEOUT_MS / 1000.0)
 
-    turn(turns)
+    run_iteration(iterations)
 
 
-async def first_lines_read(turns: int) -> list[bytes]:
+async def first_lines_read(iterations: int) -> list[bytes]:
     """What backends read of one request whose first connection comes up after a stall."""
-    backends = [Backend() for _ in range(SERVERS)]
+    backends = [Backend() for _ in range(BACKENDS)]
     for backend in backends:
         await backend.open()
-    hub = RelayService(read_config(config(backends)), SystemClock())
-    hub.start()
-    front = LineFront(hub, 200).start()
-    hub.serving = True
-    reach = front.effect_handlers[OpenBackendConnection]
-    stalls = iter((turns,))
-
-    def reach_and_stall(effect: OpenBackendConnection) -> None:
-        reach(effect)
+    service = RelayService(read_config(config(backends)), SystemClock())
+    service.start()
+    front = LineFront(service, 200).start()
+    service.serving = True
+    connect = front.effect_handlers[OpenBackendConnection]
+    stalls = iter((iterations,))
+
+    def connect_and_stall(effect: OpenBackendConnection) -> None:
+        connect(effect)
         first = next(stalls, None)
         if first is not None:
             stall_after(first)
 
-    front.effect_handlers[OpenBackendConnection] = reach_and_stall
-    _, writer = await asyncio.open_connection(*hub.config.listen)
+    front.effect_handlers[OpenBackendConnection] = connect_and_stall
+    _, writer = await asyncio.open_connection(*service.config.listen)
     writer.write(b"OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=charge,t=acme,d=900\r\n")
     await asyncio.sleep(0.6)
     writer.close()
@@ -103,11 +103,11 @@
     return [line for backend in backends for line in backend.lines]
 
 
-@pytest.mark.parametrize("turns", range(6))
+@pytest.mark.parametrize("iterations", range(6))
 def test_a_request_that_may_run_once_is_written_once_though_its_connection_comes_up_as_its_time_is_over(
-    turns: int,
+    iterations: int,
 ) -> None:
     async def body() -> None:
-        assert len(await first_lines_read(turns)) <= 1
+        assert len(await first_lines_read(iterations)) <= 1
 
     uvloop.run(body())
--- a/tests/transport/test_inactivity_timer.py
+++ b/tests/transport/test_inactivity_timer.py
@@ -20,7 +20,7 @@
     wait_for_socket_reads,
 )
 
-LIMIT_S = 0.03
+TIMEOUT_S = 0.03
 CLOCK_TICK_S = 0.002  # uvloop's clock counts whole milliseconds, from the start of a turn
 LOOPS: list[Callable[[], asyncio.AbstractEventLoop]] = [asyncio.new_event_loop, uvloop.new_event_loop]
 
@@ -30,19 +30,19 @@
 
     def __init__(self) -> None:
         self.received = b""
-        self.silent_after: float | None = None
+        self.timed_out_after: float | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = transport
-        self.began = time.monotonic()
-        self.timer = InactivityTimer(LIMIT_S, self.silent)
+        self.started_at = time.monotonic()
+        self.timer = InactivityTimer(TIMEOUT_S, self.on_timeout)
 
     def data_received(self, data: bytes) -> None:
         self.received += data
         self.timer.cancel()
 
-    def silent(self) -> None:
-        self.silent_after = time.monotonic() - self.began
+    def on_timeout(self) -> None:
+        self.timed_out_after = time.monotonic() - self.started_at
 
 
 def run(loop: Callable[[], asyncio.AbstractEventLoop], body: Coroutine[Any, Any, None]) -> None:
@@ -51,9 +51,9 @@
 
 
 async def connected() -> tuple[Receiver, socket.socket]:
-    near, far = socket.socketpair()
-    _, receiver = await asyncio.get_running_loop().create_connection(Receiver, sock=near)
-    return receiver, far
+    own_end, peer = socket.socketpair()
+    _, receiver = await asyncio.get_running_loop().create_connection(Receiver, sock=own_end)
+    return receiver, peer
 
 
 @pytest.mark.parametrize("loop", LOOPS)
@@ -61,12 +61,12 @@
     """Guards against a limit that falls due before the loop has polled, over bytes that lie in the kernel."""
 
     async def body() -> None:
-        receiver, far = await connected()
-        time.sleep(2.0 * LIMIT_S)
-        far.send(b"x")
-        await asyncio.sleep(2.0 * LIMIT_S + STALL_EXTENSION_S)
-        assert receiver.received == b"x" and receiver.silent_after is None
-        far.close()
+        receiver, peer = await connected()
+        time.sleep(2.0 * TIMEOUT_S)
+        peer.send(b"x")
+        await asyncio.sleep(2.0 * TIMEOUT_S + STALL_EXTENSION_S)
+        assert receiver.received == b"x" and receiver.timed_out_after is None
+        peer.close()
 
     run(loop, body())
 
@@ -74,10 +74,10 @@
 @pytest.mark.parametrize("loop", LOOPS)
 def test_silence_is_noticed_in_time(loop: Callable[[], asyncio.AbstractEventLoop]) -> None:
     async def body() -> None:
-        receiver, far = await connected()
-        await asyncio.sleep(2.0 * LIMIT_S)
-        assert receiver.silent_after is not None and receiver.silent_after >= LIMIT_S - CLOCK_TICK_S
-        far.close()
+        receiver, peer = await connected()
+        await asyncio.sleep(2.0 * TIMEOUT_S)
+        assert receiver.timed_out_after is not None and receiver.timed_out_after >= TIMEOUT_S - CLOCK_TICK_S
+        peer.close()
 
     run(loop, body())
 
@@ -85,14 +85,17 @@
 @pytest.mark.parametrize("loop", LOOPS)
 def test_after_a_hold_the_peer_gets_a_little_more_time_once(loop: Callable[[], asyncio.AbstractEventLoop]) -> None:
     async def body() -> None:
-        receiver, far = await connected()
-        held_s = LIMIT_S + 1.5 * STALL_EXTENSION_S
-        time.sleep(held_s)
+        receiver, peer = await connected()
+        stall_s = TIMEOUT_S + 1.5 * STALL_EXTENSION_S
+        time.sleep(stall_s)
         await asyncio.sleep(0.5 * STALL_EXTENSION_S)
-        assert receiver.silent_after is None
+        assert receiver.timed_out_after is None
         await asyncio.sleep(STALL_EXTENSION_S)
-        assert receiver.silent_after is not None and receiver.silent_after >= held_s + STALL_EXTENSION_S - CLOCK_TICK_S
-        far.close()
+        assert (
+            receiver.timed_out_after is not None
+            and receiver.timed_out_after >= stall_s + STALL_EXTENSION_S - CLOCK_TICK_S
+        )
+        peer.close()
 
     run(loop, body())
 
@@ -102,28 +105,28 @@
     loop: Callable[[], asyncio.AbstractEventLoop],
 ) -> None:
     async def body() -> None:
-        silent, silent_far = await connected()
-        assert half_close_unless_readable(silent.transport), "nothing has come"
-        receiver, far = await connected()
-        far.send(b"x")
+        idle, idle_peer = await connected()
+        assert half_close_unless_readable(idle.transport), "nothing has come"
+        receiver, peer = await connected()
+        peer.send(b"x")
         assert not half_close_unless_readable(receiver.transport)
         await wait_for_socket_reads()
         assert receiver.received == b"x"
-        far.send(b"y")
+        peer.send(b"y")
         time.sleep(0.01)
         await sleep_then_wait_for_reads(0.001)
         assert receiver.received == b"xy"
-        far.close()
+        peer.close()
         assert not half_close_unless_readable(receiver.transport), "its end is not read"
         await wait_for_socket_reads()
         await asyncio.sleep(0.01)
         assert half_close_unless_readable(receiver.transport) and half_close_unless_readable(None), "it is closed"
-        read, read_far = await connected()
-        read_far.send(b"x")
+        read, read_peer = await connected()
+        read_peer.send(b"x")
         await wait_for_socket_reads()
         assert read.received == b"x" and half_close_unless_readable(read.transport), "all that came is read"
-        silent_far.close()
-        read_far.close()
+        idle_peer.close()
+        read_peer.close()
 
     run(loop, body())
 
@@ -133,14 +136,14 @@
     """Guards against an end that is decided in one turn of the loop and leaves in the next, over what came between."""
 
     async def body() -> None:
-        receiver, far = await connected()
-        far.settimeout(1.0)
-        far.send(b"x")
+        receiver, peer = await connected()
+        peer.settimeout(1.0)
+        peer.send(b"x")
         assert not half_close_unless_readable(receiver.transport)
         await wait_for_socket_reads()
         assert half_close_unless_readable(receiver.transport)
-        assert far.recv(1) == b"", "before the loop's next turn"
-        far.close()
+        assert peer.recv(1) == b"", "before the loop's next turn"
+        peer.close()
         assert half_close_unless_readable(None)
 
     run(loop, body())
@@ -153,10 +156,10 @@
     """Guards against ending a connection whose line came in a hold between the look at its socket and its end."""
 
     async def body() -> None:
-        receiver, far = await connected()
-        looks: list[bool] = []
+        receiver, peer = await connected()
+        poll_results: list[bool] = []
 
-        class HeldPoll:
+        class StalledPoll:
             """Its first look finds nothing, and returns 10 ms later."""
 
             def __init__(self) -> None:
@@ -166,53 +169,53 @@
                 self.poll_object.register(sock, events)
 
             def poll(self, timeout_ms: int) -> list[tuple[int, int]]:
-                found = self.poll_object.poll(timeout_ms)
-                looks.append(bool(found))
-                if len(looks) == 1:
-                    far.send(b"x")
+                events = self.poll_object.poll(timeout_ms)
+                poll_results.append(bool(events))
+                if len(poll_results) == 1:
+                    peer.send(b"x")
                     time.sleep(0.01)
-                return found
+                return events
 
         poll = select.poll
-        monkeypatch.setattr(select, "poll", HeldPoll)
-        assert not half_close_unless_readable(receiver.transport) and looks == [False, True]
+        monkeypatch.setattr(select, "poll", StalledPoll)
+        assert not half_close_unless_readable(receiver.transport) and poll_results == [False, True]
         monkeypatch.undo()
         await wait_for_socket_reads()
         assert receiver.received == b"x"
-        far.close()
+        peer.close()
 
     run(loop, body())
 
 
 @pytest.mark.parametrize("loop", LOOPS)
-@pytest.mark.parametrize("limit_s", (0.0, 0.0004))
-def test_a_limit_of_no_time_calls_back_too(loop: Callable[[], asyncio.AbstractEventLoop], limit_s: float) -> None:
+@pytest.mark.parametrize("timeout_s", (0.0, 0.0004))
+def test_a_limit_of_no_time_calls_back_too(loop: Callable[[], asyncio.AbstractEventLoop], timeout_s: float) -> None:
     """Guards against a limit that never calls back: uvloop has no timer for less than half a millisecond."""
 
     async def body() -> None:
         receiver = Receiver()
         receiver.connection_made(cast(asyncio.BaseTransport, None))
         receiver.timer.cancel()
-        receiver.timer = InactivityTimer(limit_s, receiver.silent)
+        receiver.timer = InactivityTimer(timeout_s, receiver.on_timeout)
         await asyncio.sleep(0.02)
-        assert receiver.silent_after is not None
+        assert receiver.timed_out_after is not None
 
     run(loop, body())
 
 
 def test_a_cancelled_limit_is_over_whichever_step_it_was_at() -> None:
     async def body() -> None:
-        for turns in range(6):
+        for iterations in range(6):
             receiver = Receiver()
             receiver.connection_made(cast(asyncio.BaseTransport, None))
             receiver.timer.cancel()
-            receiver.timer = InactivityTimer(0.0, receiver.silent)
-            for _ in range(turns):
-                if receiver.silent_after is None:
+            receiver.timer = InactivityTimer(0.0, receiver.on_timeout)
+            for _ in range(iterations):
+                if receiver.timed_out_after is None:
                     await asyncio.sleep(0.0)
-            was = receiver.silent_after
+            timed_out_after = receiver.timed_out_after
             receiver.timer.cancel()
             await asyncio.sleep(0.01)
-            assert receiver.silent_after == was
+            assert receiver.timed_out_after == timed_out_after
 
     asyncio.run(body())
--- a/tests/transport/test_line_connections.py
+++ b/tests/transport/test_line_connections.py
@@ -59,28 +59,32 @@
         self.calls: list[tuple[Any, ...]] = []
 
     def __getattr__(self, name: str) -> Callable[..., None]:
-        return lambda *what: self.calls.append((name, *what))
+        return lambda *args: self.calls.append((name, *args))
 
     def request_received(self, side: ClientConnection, opened: object) -> None:
         side.request = 7
 
 
-def pair() -> tuple[RecordingSink, ClientConnection, RecordingTransport, BackendConnection, RecordingTransport]:
-    sink, near, far = RecordingSink(), RecordingTransport(), RecordingTransport()
+def connected_sides() -> tuple[
+    RecordingSink, ClientConnection, RecordingTransport, BackendConnection, RecordingTransport
+]:
+    sink, client_transport, backend_transport = RecordingSink(), RecordingTransport(), RecordingTransport()
     client, backend = ClientConnection(cast(Any, sink)), BackendConnection(cast(Any, sink), 7, 0)
-    client.connection_made(cast(asyncio.BaseTransport, near))
-    backend.connection_made(cast(asyncio.BaseTransport, far))
+    client.connection_made(cast(asyncio.BaseTransport, client_transport))
+    backend.connection_made(cast(asyncio.BaseTransport, backend_transport))
     client.data_received(b"OPEN 000000000000000a 00000000000000ff c=x,d=5\r\n")
     backend.send_request(b"OPEN\r\n")
-    return sink, client, near, backend, far
+    return sink, client, client_transport, backend, backend_transport
 
 
-def joined() -> tuple[RecordingSink, ClientConnection, RecordingTransport, BackendConnection, RecordingTransport]:
-    made = pair()
-    made[3].data_received(b"UP r\r\n")
-    made[1].start_relaying(made[3], made[3].up_line)
-    made[3].forward_early_data()
-    return made
+def relaying_sides() -> tuple[
+    RecordingSink, ClientConnection, RecordingTransport, BackendConnection, RecordingTransport
+]:
+    sides = connected_sides()
+    sides[3].data_received(b"UP r\r\n")
+    sides[1].start_relaying(sides[3], sides[3].up_line)
+    sides[3].forward_early_data()
+    return sides
 
 
 def run(body: Callable[[], None]) -> None:
@@ -92,24 +96,24 @@
 
 def test_a_part_of_a_line_is_passed_on_at_once_and_a_move_waits_for_its_end() -> None:
     def body() -> None:
-        _, client, near, backend, far = joined()
+        _, client, client_transport, backend, backend_transport = relaying_sides()
         backend.data_received(b"hel")
-        assert near.sent == b"UP r\r\nhel"
+        assert client_transport.sent == b"UP r\r\nhel"
         backend.migrate(client)
-        assert not near.eof
+        assert not client_transport.eof
         backend.data_received(b"lo\r\nnext\r\n")
-        assert near.sent == b"UP r\r\nhello\r\nMOVE\r\n" and near.eof and far.eof
+        assert client_transport.sent == b"UP r\r\nhello\r\nMOVE\r\n" and client_transport.eof and backend_transport.eof
 
     run(body)
 
 
 def test_what_comes_with_the_first_lines_is_kept_and_goes_on_in_order() -> None:
     def body() -> None:
-        sink, client, near, backend, far = pair()
+        sink, client, client_transport, backend, backend_transport = connected_sides()
         backend.data_received(b"UP r\r\nLOAD 5\r\nx")
         client.start_relaying(backend, backend.up_line)
         backend.forward_early_data()
-        assert near.sent == b"UP r\r\nLOAD 5\r\nx" and far.sent == b"OPEN\r\n"
+        assert client_transport.sent == b"UP r\r\nLOAD 5\r\nx" and backend_transport.sent == b"OPEN\r\n"
         assert ("backend_load_reported", 7, 5.0) in sink.calls
 
     run(body)
@@ -117,13 +121,13 @@
 
 def test_a_side_that_takes_nothing_holds_the_other_back() -> None:
     def body() -> None:
-        _, client, near, backend, far = joined()
+        _, client, client_transport, backend, backend_transport = relaying_sides()
         client.pause_writing()
-        assert not far.reading
+        assert not backend_transport.reading
         client.resume_writing()
         backend.pause_writing()
-        assert far.reading and not near.reading
-        near.abort()
+        assert backend_transport.reading and not client_transport.reading
+        client_transport.abort()
         backend.resume_writing()  # nothing to resume any more: it must not raise
         backend.data_received(b"late\r\n")
 
@@ -132,19 +136,19 @@
 
 def test_what_comes_before_the_connection_stands_is_told_and_not_kept() -> None:
     def body() -> None:
-        sink, client, _, backend, far = pair()
+        sink, client, _, backend, backend_transport = connected_sides()
         client.data_received(b"x" * 100_000)
         assert sink.calls[-1] == ("unexpected_client_data", 7)
         backend.data_received(b"UP r\r\n")
         client.start_relaying(backend, backend.up_line)
-        assert far.sent == b"OPEN\r\n"
+        assert backend_transport.sent == b"OPEN\r\n"
 
     run(body)
 
 
 def test_a_flood_of_lines_is_told_as_one_count_for_each_piece() -> None:
     def body() -> None:
-        sink, client, _, backend, _ = joined()
+        sink, client, _, backend, _ = relaying_sides()
         client.data_received(b"x\r\n" * 5000)
         backend.data_received(b"y\r\n" * 5000)
         assert sink.calls[-2:] == [("client_data_forwarded", 7, 5000), ("backend_data_forwarded", 7, 5000)]
@@ -171,17 +175,17 @@
 
 def test_what_a_connection_ends_with_says_how_it_ended() -> None:
     def body() -> None:
-        for last, ending in (
+        for last, reason in (
             (b"BYE\r\n", TerminationReason.COMPLETED),
             (b"MOVE\r\n", TerminationReason.BACKEND_DRAINING),
             (b"", TerminationReason.CONNECTION_RESET),
         ):
-            sink, _, _, backend, _ = joined()
+            sink, _, _, backend, _ = relaying_sides()
             backend.data_received(b"hello\r\n" + last)
             backend.eof_received()
             backend.connection_lost(None)
-            assert [t[2] for t in sink.calls if t[0] == "attempt_ended"] == [ending]
-        sink, _, _, backend, _ = pair()
+            assert [t[2] for t in sink.calls if t[0] == "attempt_ended"] == [reason]
+        sink, _, _, backend, _ = connected_sides()
         backend.request_sent = False
         backend.connection_lost(None)
         assert sink.calls[-1] == ("attempt_ended", backend, TerminationReason.CONNECT_FAILED)
--- a/tests/transport/test_listener.py
+++ b/tests/transport/test_listener.py
@@ -37,15 +37,15 @@
 class FailingSocket:
     """The listening socket, whose `accept` fails where the script says so; the connection stays in the queue."""
 
-    def __init__(self, real: socket.socket, fails: Callable[[], bool], error: int) -> None:
-        self.real, self.fails, self.error, self.calls = real, fails, error, 0
+    def __init__(self, real: socket.socket, should_fail: Callable[[], bool], error: int) -> None:
+        self.real, self.should_fail, self.error, self.calls = real, should_fail, error, 0
 
     def __getattr__(self, name: str) -> Any:
         return getattr(self.real, name)
 
     def accept(self) -> Any:
         self.calls += 1
-        if self.fails():
+        if self.should_fail():
             raise OSError(self.error, "by the script")
         return self.real.accept()
 
@@ -58,10 +58,12 @@
         cast(asyncio.Transport, transport).write(b"x")
 
 
-def listener(port: int, fails: Callable[[], bool], error: str) -> tuple[Listener, FailingSocket]:
+def listener_on_failing_socket(
+    port: int, should_fail: Callable[[], bool], error: str
+) -> tuple[Listener, FailingSocket]:
     listening = Listener(("127.0.0.1", port), 1024, AcceptedConnection, lambda: True, lambda text: None)
     listening.loop.remove_reader(listening.sock)
-    failing = FailingSocket(listening.sock, fails, getattr(errno, error))
+    failing = FailingSocket(listening.sock, should_fail, getattr(errno, error))
     listening.sock = cast(socket.socket, failing)
     listening._listen()
     return listening, failing
@@ -73,7 +75,7 @@
 
     async def body() -> None:
         port, number = free_port(), itertools.count()
-        listening, _ = listener(port, lambda: next(number) % 10 < FAILING_CALLS_OF_TEN, error)
+        listening, _ = listener_on_failing_socket(port, lambda: next(number) % 10 < FAILING_CALLS_OF_TEN, error)
         streams = await asyncio.gather(*(asyncio.open_connection("127.0.0.1", port) for _ in range(CLIENTS)))
         answers = asyncio.gather(*(reader.readexactly(1) for reader, _ in streams))
         await asyncio.wait_for(answers, ACCEPT_DEADLINE_S)
@@ -90,7 +92,7 @@
 
     async def body() -> None:
         port, number = free_port(), itertools.count()
-        listening, _ = listener(port, lambda: next(number) % 10 < FAILING_CALLS_OF_TEN, error)
+        listening, _ = listener_on_failing_socket(port, lambda: next(number) % 10 < FAILING_CALLS_OF_TEN, error)
         streams = await asyncio.gather(*(asyncio.open_connection("127.0.0.1", port) for _ in range(CLIENTS // 2)))
         answers = asyncio.gather(*(reader.readexactly(1) for reader, _ in streams))
         await asyncio.wait_for(answers, ACCEPT_DEADLINE_S)
@@ -107,11 +109,11 @@
 
     async def body() -> None:
         port, seconds = free_port(), 0.2
-        listening, failing = listener(port, lambda: True, error)
+        listening, failing = listener_on_failing_socket(port, lambda: True, error)
         _, writer = await asyncio.open_connection("127.0.0.1", port)
         await asyncio.sleep(seconds)
         assert failing.calls <= ACCEPT_BATCH * (seconds / MAX_PAUSE_S + 2)
-        failing.fails = lambda: False
+        failing.should_fail = lambda: False
         before = AcceptedConnection.count
         await asyncio.sleep(5.0 * MAX_PAUSE_S)
         assert AcceptedConnection.count == before + 1, "it is taken in once accept works again"
@@ -127,7 +129,7 @@
 
     async def body() -> None:
         port, number = free_port(), itertools.count()
-        listening, _ = listener(port, lambda: next(number) % 10 < FAILING_CALLS_OF_TEN, error)
+        listening, _ = listener_on_failing_socket(port, lambda: next(number) % 10 < FAILING_CALLS_OF_TEN, error)
         listening.loop.remove_reader(listening.sock)
         streams = await asyncio.gather(*(asyncio.open_connection("127.0.0.1", port) for _ in range(20)))
         await listening.close(listening.loop.time() + 2.0)
--- a/tests/transport/test_slow_readers.py
+++ b/tests/transport/test_slow_readers.py
@@ -11,9 +11,9 @@
 from tests.ports import free_port
 from yarrowspindle.transport.line_connection import LineConnection
 
-LAST = b"MOVE\r\n"
-SEND_BUFFER, RECEIVE_BUFFER = 16 * 1024, 8 * 1024
-TURN_S = 0.05
+LAST_LINE = b"MOVE\r\n"
+SEND_BUFFER_BYTES, RECEIVE_BUFFER_BYTES = 16 * 1024, 8 * 1024
+READ_INTERVAL_S = 0.05
 
 
 class Sender(LineConnection):
@@ -25,43 +25,43 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         super().connection_made(transport)
-        transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SEND_BUFFER)
+        transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SEND_BUFFER_BYTES)
         self.write(b"x" * self.size)
-        self.finish(LAST)
+        self.finish(LAST_LINE)
 
 
-async def read_slowly(port: int, bytes_per_s: int, line_every_s: float = 0.0) -> bytes:
+async def read_slowly(port: int, bytes_per_s: int, line_interval_s: float = 0.0) -> bytes:
     """Reads to the end; says a line now and then, where that is asked for, as clients do on a standing connection."""
     loop = asyncio.get_running_loop()
     reader = socket.socket()
-    reader.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER)
+    reader.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
     reader.setblocking(False)
     await loop.sock_connect(reader, ("127.0.0.1", port))
-    found, said = b"", loop.time()
+    received, sent_at = b"", loop.time()
     try:
-        while piece := await loop.sock_recv(reader, int(bytes_per_s * TURN_S)):
-            found += piece
-            if line_every_s and loop.time() >= said + line_every_s:
-                said = loop.time()
+        while piece := await loop.sock_recv(reader, int(bytes_per_s * READ_INTERVAL_S)):
+            received += piece
+            if line_interval_s and loop.time() >= sent_at + line_interval_s:
+                sent_at = loop.time()
                 await loop.sock_sendall(reader, b"a line\r\n")
-            await asyncio.sleep(TURN_S)
+            await asyncio.sleep(READ_INTERVAL_S)
     except ConnectionError:
         pass
     finally:
         reader.close()
-    return found
+    return received
 
 
-@pytest.mark.parametrize("line_every_s", (0.0, 0.4))
+@pytest.mark.parametrize("line_interval_s", (0.0, 0.4))
 @pytest.mark.parametrize(("size", "bytes_per_s"), ((400_000, 400_000), (150_000, 60_000)))
 def test_the_last_line_reaches_a_slow_reader_behind_all_that_came_before_it(
-    size: int, bytes_per_s: int, line_every_s: float
+    size: int, bytes_per_s: int, line_interval_s: float
 ) -> None:
     async def body() -> None:
         port = free_port()
         server = await asyncio.get_running_loop().create_server(lambda: Sender(size), "127.0.0.1", port)
-        found = await read_slowly(port, bytes_per_s, line_every_s)
-        assert (len(found), found[-len(LAST) :]) == (size + len(LAST), LAST)
+        received = await read_slowly(port, bytes_per_s, line_interval_s)
+        assert (len(received), received[-len(LAST_LINE) :]) == (size + len(LAST_LINE), LAST_LINE)
         server.close()
 
     uvloop.run(body())
@@ -72,17 +72,17 @@
 
     async def body() -> None:
         port, loop = free_port(), asyncio.get_running_loop()
-        sides: list[Sender] = []
+        senders: list[Sender] = []
 
-        def made() -> Sender:
-            sides.append(Sender(4_000_000))
-            return sides[-1]
+        def make_sender() -> Sender:
+            senders.append(Sender(4_000_000))
+            return senders[-1]
 
-        server = await loop.create_server(made, "127.0.0.1", port)
+        server = await loop.create_server(make_sender, "127.0.0.1", port)
         reader = socket.create_connection(("127.0.0.1", port))
-        until = loop.time() + 6.0
-        while not sides or sides[0].open_transport:
-            assert loop.time() < until, "it is still held"
+        deadline = loop.time() + 6.0
+        while not senders or senders[0].open_transport:
+            assert loop.time() < deadline, "it is still held"
             await asyncio.sleep(0.05)
         reader.close()
         server.close()
--- a/yarrowspindle/transport/client.py
+++ b/yarrowspindle/transport/client.py
@@ -10,7 +10,7 @@
 from yarrowspindle.transport.inactivity_timer import InactivityTimer, half_close_unless_readable
 from yarrowspindle.transport.line_connection import LineConnection
 
-FIRST_LINE_S = 2.0  # a connection that has sent no OPEN line by then is ended, whatever else it said
+FIRST_LINE_TIMEOUT_S = 2.0  # a connection that has sent no OPEN line by then is ended, whatever else it said
 
 
 class ClientSink(Protocol):
@@ -70,7 +70,7 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Begins the time in which the first line has to come."""
         super().connection_made(transport)
-        self.first_line_timer = InactivityTimer(FIRST_LINE_S, self._on_first_line_timeout)
+        self.first_line_timer = InactivityTimer(FIRST_LINE_TIMEOUT_S, self._on_first_line_timeout)
         self.sink.client_connected(self)
 
     def data_received(self, data: bytes) -> None:
--- a/yarrowspindle/transport/datagrams.py
+++ b/yarrowspindle/transport/datagrams.py
@@ -8,7 +8,7 @@
 
 from yarrowspindle.routing.address import Address
 
-RETRY_S = 1.0  # an address that is in use is tried again
+BIND_RETRY_S = 1.0  # an address that is in use is tried again
 MAX_PENDING = 32  # datagrams kept until a path's socket is there
 
 
@@ -37,7 +37,7 @@
                 if not reported:
                     on_unavailable(error)
                 reported = True
-                await asyncio.sleep(RETRY_S)
+                await asyncio.sleep(BIND_RETRY_S)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Keeps the transport."""
--- a/yarrowspindle/transport/endpoint_list_watch.py
+++ b/yarrowspindle/transport/endpoint_list_watch.py
@@ -65,10 +65,10 @@
         self.transport = cast(asyncio.Transport, transport)
         self.transport.write(watch_request("{}:{}".format(*self.address), self.version))
 
-    def _set_inactivity_timer(self, within_s: float, reason: str) -> None:
+    def _set_inactivity_timer(self, timeout_s: float, reason: str) -> None:
         if self.inactivity_timer is not None:
             self.inactivity_timer.cancel()
-        self.inactivity_timer = InactivityTimer(within_s, self.end, reason)
+        self.inactivity_timer = InactivityTimer(timeout_s, self.end, reason)
 
     def data_received(self, data: bytes) -> None:
         """Reports the lists that are complete, until a report ends the watch."""
--- a/yarrowspindle/transport/inactivity_timer.py
+++ b/yarrowspindle/transport/inactivity_timer.py
@@ -94,9 +94,9 @@
         else:
             self._next_iteration(ITERATIONS_PER_POLL)
 
-    def _next_iteration(self, turns: int) -> None:
-        if turns:
-            self._handle = asyncio.get_running_loop().call_soon(self._next_iteration, turns - 1)
+    def _next_iteration(self, remaining: int) -> None:
+        if remaining:
+            self._handle = asyncio.get_running_loop().call_soon(self._next_iteration, remaining - 1)
         else:
             self._handle = None
             self._callback(*self._args)
--- a/yarrowspindle/transport/listener.py
+++ b/yarrowspindle/transport/listener.py
@@ -142,11 +142,11 @@
         if self.pause is not None:
             self.pause.cancel()
         self.loop.remove_reader(self.sock)
-        late = {QueueState.MORE: ceil(self.backlog / ACCEPT_BATCH), QueueState.NO_ROOM: MAX_PAUSES_AFTER_DEADLINE}
+        left = {QueueState.MORE: ceil(self.backlog / ACCEPT_BATCH), QueueState.NO_ROOM: MAX_PAUSES_AFTER_DEADLINE}
         while (queue := self._accept(ACCEPT_BATCH)) is not QueueState.EMPTY:
             if self.loop.time() >= deadline:
-                late[queue] -= 1
-                if late[queue] < 0:
+                left[queue] -= 1
+                if left[queue] < 0:
                     break
             await asyncio.sleep(self.pause_s if queue is QueueState.NO_ROOM else 0.0)
         self.sock.close()
