--- a/yarrowspindle/transport/__init__.py
+++ b/yarrowspindle/transport/__init__.py
@@ -1,1 +1,1 @@
-"""asyncio protocol classes. They report what happened, carry out what they are told, and decide nothing."""
+"""asyncio protocol classes. They report events to a sink and carry out its instructions; they make no decisions."""
--- a/yarrowspindle/transport/backend.py
+++ b/yarrowspindle/transport/backend.py
@@ -1,4 +1,4 @@
-"""The backend's side: one attempt, and the established connection that may come of it."""
+"""The connection to a backend: one attempt of a request, which may become an established connection."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from yarrowspindle.transport.inactivity_timer import InactivityTimer
 from yarrowspindle.transport.line_connection import LineConnection
 
-MIGRATION_LINE_TIMEOUT_S = 0.5  # how long a migration waits for the rest of a line that MOVE must not cut
+MIGRATION_LINE_TIMEOUT_S = 0.5  # to receive the rest of a line that MOVE must not interrupt
 
 TERMINATION_REASONS = {
     LineKind.BYE: TerminationReason.COMPLETED,
@@ -22,49 +22,49 @@
 
 
 class BackendSink(Protocol):
-    """What a backend's connection reports to. Any call but `log_warning` may end the connection."""
+    """Receiver of the reports of a backend's connection. Any call except `log_warning` may end the connection."""
 
     def backend_connected(self, side: BackendConnection) -> None:
-        """The connection came up; nothing is sent yet."""
+        """Handle an established TCP connection, on which nothing has been sent yet."""
 
     def backend_accepted(self, side: BackendConnection) -> None:
-        """The backend has answered UP."""
+        """Handle the backend's UP line."""
 
     def backend_data_forwarded(self, request: int, lines: int) -> None:
-        """So many lines that answer the client's were passed on to it."""
+        """Count lines of the backend, other than LOAD lines and its last one, that were forwarded to the client."""
 
     def backend_load_reported(self, request: int, load: float) -> None:
-        """A LOAD line came and was passed on."""
+        """Handle the load in a LOAD line that was forwarded to the client."""
 
     def backend_connection_lost(self, side: BackendConnection) -> None:
-        """The connection is closed; reported once."""
+        """Handle the closing of the connection. Called once."""
 
     def attempt_ended(self, side: BackendConnection, reason: TerminationReason) -> None:
-        """The attempt, or the established connection, has ended by the backend; reported once at most."""
+        """Handle an attempt or established connection that the backend ended or that failed. Called at most once."""
 
     def log_warning(self, text: str) -> None:
-        """Logs what the backend should not have sent."""
+        """Log a violation of the protocol by the backend."""
 
 
 class BackendConnection(LineConnection):
-    """One attempt.
+    """The connection of one attempt to its backend.
 
     Args:
-        sink: receives the reports.
-        request: the number of the request.
-        attempt: the number of the attempt.
-        backend: the backend's name.
+        sink: Receives the reports.
+        request: The number of the request.
+        attempt: The number of the attempt.
+        backend: The backend's name.
 
     Attributes:
-        lines: what has come, cut into lines.
-        up_line: the UP line, as it came.
-        early_data: what came right behind it, until both sides relay.
-        request_sent: whether the request was written.
-        accepted: whether the backend has accepted it.
-        end_reported: whether the sink knows the end, or has asked for it: nothing more is reported.
-        final_reason: what the backend's last line says of the end to come.
-        migrating_client: the client that is sent away, once its line is complete.
-        migration_timer: until the rest of a line is waited for no longer.
+        lines: Splits the backend's data into lines.
+        up_line: The UP line, as received.
+        early_data: Data received after the UP line, until relaying starts.
+        request_sent: Whether the request was written.
+        accepted: Whether the backend has accepted the request.
+        end_reported: Whether the end was reported to the sink or requested by it; nothing more is reported then.
+        final_reason: The termination reason that the backend's last line announces, if any.
+        migrating_client: The client that is being migrated, until it has been sent MOVE.
+        migration_timer: Limits how long a migration waits for the rest of a line.
     """
 
     def __init__(self, sink: BackendSink, request: int, attempt: int, backend: str = "") -> None:
@@ -79,7 +79,7 @@
         self.migration_timer: InactivityTimer | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Reports that the connection is up, unless it was given up meanwhile."""
+        """Report that the connection is established, unless the attempt was dropped in the meantime."""
         super().connection_made(transport)
         if self.end_reported:
             self.abort()
@@ -87,12 +87,12 @@
             self.sink.backend_connected(self)
 
     def send_request(self, line: bytes) -> None:
-        """Sends the request's first line."""
+        """Send the OPEN line of the request."""
         self.request_sent = True
         self.write(line)
 
     def data_received(self, data: bytes) -> None:
-        """Passes lines on to the client, or reads the backend's answer."""
+        """Forward data to the client once the request is accepted; before, read the backend's answer."""
         if self.closing:
             self.discarded_bytes += len(data)
         elif self.accepted:
@@ -104,7 +104,7 @@
         try:
             complete = self.lines.feed(data)
         except LineError as error:
-            self.sink.log_warning(f"an execute node sent {error}")
+            self.sink.log_warning(f"backend {self.backend} sent {error}; closing the connection")
             self._end(TerminationReason.PROTOCOL_ERROR)
             return
         if not complete:
@@ -114,7 +114,9 @@
             self._accept(complete)
             return
         if kind not in TERMINATION_REASONS:
-            self.sink.log_warning(f"an execute node answered {complete[0][:60]!r}")
+            self.sink.log_warning(
+                f"backend {self.backend} answered {complete[0][:60]!r} instead of UP, BUSY, MOVE, ERR or BYE"
+            )
         self._end(TERMINATION_REASONS.get(kind, TerminationReason.PROTOCOL_ERROR))
 
     def _accept(self, complete: list[bytes]) -> None:
@@ -125,7 +127,7 @@
         self.sink.backend_accepted(self)
 
     def forward_early_data(self) -> None:
-        """Passes on what came with the UP line; called once the other side is set."""
+        """Forward the data that followed the UP line. Call it after `start_relaying` of the client's connection."""
         early, self.early_data = self.early_data, b""
         if early:
             self._forward(early)
@@ -141,13 +143,13 @@
         try:
             complete = self.lines.feed(data)
         except LineError as error:
-            self.sink.log_warning(f"an execute node sent {error}")
+            self.sink.log_warning(f"backend {self.backend} sent {error}; closing the connection")
             self._end(TerminationReason.CONNECTION_RESET)
             return
         self._report(complete)
 
     def _report(self, complete: list[bytes]) -> None:
-        """Reports loads, then how many lines answer the client's, until a report ends the connection."""
+        """Report loads, then the number of forwarded lines, unless a report ends the connection before."""
         loads: list[float] = []
         answers = 0
         for line in complete:
@@ -166,7 +168,7 @@
             self.sink.backend_data_forwarded(self.request, answers)
 
     def migrate(self, client: LineConnection) -> None:
-        """Migrates the client: at once if its stream stands between two lines, else behind the line."""
+        """Migrate the client: at once if no line is incomplete, otherwise after the rest of the line."""
         self.migrating_client = client
         if self.lines.at_boundary:
             self._finish_migration()
@@ -182,7 +184,7 @@
             self._finish_migration()
 
     def finish_migration_now(self) -> None:
-        """Waits no longer for the rest of a line, where a migration does."""
+        """Finish a pending migration without waiting for the rest of the line."""
         if self.migrating_client is not None:
             self._finish_migration()
 
@@ -197,24 +199,27 @@
         self.finish()
 
     def report_connect_failure(self, reason: TerminationReason) -> None:
-        """Ends the attempt: its connection has not come up. One that does all the same is closed without a byte."""
+        """End the attempt because its connection was not established.
+
+        If it is established later all the same, it is closed without sending a byte.
+        """
         self.closing = True
         if not self.end_reported:
             self.end_reported = True
             self.sink.attempt_ended(self, reason)
 
     def drop(self) -> None:
-        """Gives the attempt up: ends the connection, and reports nothing more of it."""
+        """End the connection without reporting the end of the attempt."""
         self.end_reported = True
         self.finish()
 
     def eof_received(self) -> bool:
-        """The backend has ended its sending."""
+        """End the connection, as the backend has closed its sending direction."""
         self._end(self._reason_for_end())
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Reports that the connection is closed, and its end where that is not reported yet."""
+        """Report that the connection is closed, and the end of the attempt unless already reported."""
         super().connection_lost(exc)
         was_sent = self.transport is None or self.transport.get_write_buffer_size() == 0
         self.transport = None
--- a/yarrowspindle/transport/client.py
+++ b/yarrowspindle/transport/client.py
@@ -1,4 +1,4 @@
-"""The client's side: its first line, its lines once the connection is established, its end."""
+"""The connection of a client: its first line, its data while the connection is established, its end."""
 
 from __future__ import annotations
 
@@ -10,52 +10,52 @@
 from yarrowspindle.transport.inactivity_timer import InactivityTimer, half_close_unless_readable
 from yarrowspindle.transport.line_connection import LineConnection
 
-FIRST_LINE_TIMEOUT_S = 2.0  # a connection that has sent no OPEN line by then is ended, whatever else it said
+FIRST_LINE_TIMEOUT_S = 2.0  # for a complete OPEN line; probes do not extend it
 
 
 class ClientSink(Protocol):
-    """What a client's connection reports to. Any call but `ready` may end the connection."""
+    """Receiver of the reports of a client's connection. Any call except `ready` may end the connection."""
 
     def ready(self) -> bool:
-        """Returns whether the relay accepts new connections."""
+        """Return whether the relay accepts new requests."""
 
     def client_connected(self, side: ClientConnection) -> None:
-        """The connection was accepted."""
+        """Handle an accepted connection."""
 
     def request_received(self, side: ClientConnection, opened: OpenRequest) -> None:
-        """The OPEN line is complete."""
+        """Handle a complete OPEN line."""
 
     def unexpected_client_data(self, request: int) -> None:
-        """The client sent more before it had its answer."""
+        """Handle data that the client sent before its request was answered; it is discarded."""
 
     def client_data_forwarded(self, request: int, lines: int) -> None:
-        """So many lines of the client were passed on to its backend."""
+        """Count lines of the client that were forwarded to its backend."""
 
     def client_disconnected(self, request: int) -> None:
-        """The client has ended or reset a connection whose request is not over."""
+        """Handle a client that closed or reset the connection before its request ended."""
 
     def client_connection_lost(self, side: ClientConnection) -> None:
-        """The connection is closed; reported once, last of all."""
+        """Handle the closing of the connection. Called once, as the last call."""
 
     def first_line_rejected(self, side: ClientConnection, reason: str) -> None:
-        """The first line makes no sense, and the connection was ended."""
+        """Handle a connection that was ended because of an invalid first line."""
 
     def idle_client_closed(self, side: ClientConnection) -> None:
-        """No first line came, and the connection was ended."""
+        """Handle a connection that was ended because no first line arrived."""
 
 
 class ClientConnection(LineConnection):
-    """One client.
+    """The connection of one client.
 
     Args:
-        sink: receives the reports.
-        may_have_waited: whether the connection may have waited in the kernel for longer than its turn.
+        sink: Receives the reports.
+        may_have_waited: Whether the connection may have waited in the kernel's accept queue.
 
     Attributes:
-        request: its number, set by the sink; 0: no OPEN line so far.
-        opening: the first line, as far as it has come.
-        disconnect_reported: whether the sink knows that the client has left.
-        first_line_timer: until the first line has to be complete.
+        request: The number of the request, set by the sink; 0 before the OPEN line.
+        opening: Parses the data up to the OPEN line.
+        disconnect_reported: Whether the client's disconnect was reported to the sink.
+        first_line_timer: Limits the time until the first line is complete.
     """
 
     def __init__(self, sink: ClientSink, may_have_waited: bool = False) -> None:
@@ -68,19 +68,19 @@
         self.first_line_timer: InactivityTimer | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Begins the time in which the first line has to come."""
+        """Start the time-out of the first line."""
         super().connection_made(transport)
         self.first_line_timer = InactivityTimer(FIRST_LINE_TIMEOUT_S, self._on_first_line_timeout)
         self.sink.client_connected(self)
 
     def data_received(self, data: bytes) -> None:
-        """Passes lines on to the backend, or reads the first one."""
+        """Forward data to the backend while relaying; before, read the first line."""
         if self.closing:
             self.discarded_bytes += len(data)
         elif self.other is not None:
             self.other.write(data)
             self.sink.client_data_forwarded(self.request, data.count(b"\n"))
-        elif self.request:  # it has to wait for its answer; what it sends is neither kept nor passed on
+        elif self.request:  # the client has to wait for the answer; its data is neither buffered nor forwarded
             self.sink.unexpected_client_data(self.request)
         else:
             self._read_first_line(data)
@@ -98,21 +98,26 @@
             self.sink.request_received(self, opened)
 
     def reject_first_line(self, reason: str) -> None:
-        """Ends a connection whose first line makes no sense."""
+        """Answer an invalid first line with ERR and end the connection."""
         self._cancel_first_line_timer()
         self.finish(lines.ERR)
         self.sink.first_line_rejected(self, reason)
 
     def _on_first_line_timeout(self) -> None:
         if self.opening.rest:
-            self.reject_first_line("half a line")
+            self.reject_first_line("the first line is incomplete")
         elif not self.close_if_idle():
-            self.first_line_timer = InactivityTimer(0.0, self._on_first_line_timeout)  # once its bytes are read
+            # Check again once the unread data has been read.
+            self.first_line_timer = InactivityTimer(0.0, self._on_first_line_timeout)
 
     def close_if_idle(self, even_if_unread: bool = False) -> bool:
-        """Ends a connection that has asked for nothing: in order, since its line may be on its way.
+        """End a connection without a request, gracefully, since its first line may be in transit.
 
-        Returns False where it goes on, since the kernel holds bytes of it that were not read.
+        Args:
+            even_if_unread: End it also if the kernel holds unread data of the client.
+
+        Returns:
+            False if the connection continues because of unread data.
         """
         if not half_close_unless_readable(self.open_transport) and not even_if_unread:
             return False
@@ -127,20 +132,20 @@
             self.first_line_timer = None
 
     def start_relaying(self, other: LineConnection, first: bytes) -> None:
-        """Relays both ways from here on, the backend's first line before all else."""
+        """Send the backend's first line, and forward data in both directions from now on."""
         self.write(first)
         self.other, other.other = other, self
 
     def eof_received(self) -> bool:
-        """The client has ended its sending: it counts as gone."""
+        """Treat the client as disconnected, as it has closed its sending direction."""
         if not self.request and not self.closing and self.opening.rest:
-            self.reject_first_line("half a line")
+            self.reject_first_line("the first line is incomplete")
         else:
             self._report_disconnect()
-        return False  # the transport closes once all is written
+        return False  # the transport closes once its buffer is written
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Reports what is not reported yet, and that the connection is closed."""
+        """Report the disconnect unless already reported, and that the connection is closed."""
         super().connection_lost(exc)
         self._cancel_first_line_timer()
         self.transport = None
--- a/yarrowspindle/transport/connector.py
+++ b/yarrowspindle/transport/connector.py
@@ -1,9 +1,9 @@
-"""Opens one outgoing connection within a time, such that "it did not come up" is told only where it is true.
+"""Opens an outgoing connection with a time-out, and never reports a failure for a connection that was established.
 
-A time limit laid round `create_connection` by cancelling it can fall due in the turn of the event loop in which the
-connection comes up: the protocol has then written on a connection that its owner hears was never made. Here whichever
-of the two comes first decides: once the time is up, or the attempt is cancelled, a connection that still comes up is
-closed before the protocol hears of it; once the protocol was connected, the time limit means nothing any more.
+A time-out that cancels `create_connection` can fall due in the iteration of the event loop in which the connection is
+established: the protocol may then have written to a connection that is reported as never established. Here the first of
+the two events decides. After the time-out or a cancellation, a connection that is still established is closed before
+the protocol is notified. After the protocol was connected, the time-out has no effect.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 from yarrowspindle.routing.address import Address
 from yarrowspindle.transport.inactivity_timer import InactivityTimer
 
-# Failures of this machine or of its own network, which say nothing of the other end.
+# Errors of this host or its own network, which say nothing about the peer.
 LOCAL_ERRORS = frozenset(
     (
         errno.EMFILE,
@@ -34,64 +34,67 @@
         errno.EAGAIN,
     )
 )
-
-
 NO_ROUTE_ERRORS = frozenset((errno.EHOSTUNREACH, errno.ETIMEDOUT, errno.EHOSTDOWN))
 
 
 @dataclass(slots=True, frozen=True)
 class ConnectFailure:
-    """Why a connection did not come up. error: None where its time was over."""
+    """Why a connection was not established.
+
+    Attributes:
+        error: The exception; None after a time-out.
+    """
 
     error: BaseException | None = None
 
     @property
     def is_local(self) -> bool:
-        """Whether it says nothing of the other end."""
+        """Whether the cause is on this host, so that the failure says nothing about the peer."""
         return self.error is not None and (self.unexpected or self.errno in LOCAL_ERRORS)
 
     @property
     def no_route(self) -> bool:
-        """Whether the system found no route there: the other end's fault, or that of the own network."""
+        """Whether there was no route to the peer, a fault either of the peer or of this host's network."""
         return self.errno in NO_ROUTE_ERRORS
 
     @property
     def errno(self) -> int:
-        """The system's number for it; 0 where it has none."""
+        """The error number; 0 if the failure has none."""
         return getattr(self.error, "errno", None) or 0
 
     @property
     def unexpected(self) -> bool:
-        """An error that is no error of the network."""
+        """Whether the exception is not an operating system error."""
         return self.error is not None and not isinstance(self.error, OSError)
 
     def __str__(self) -> str:
-        return "no connection in time" if self.error is None else f"no connection: {self.error!r}"
+        return "connect timed out" if self.error is None else f"connect failed: {self.error!r}"
 
 
 class LocalNetworkMonitor:
-    """Tells a backend to which there is no route from an own network that has none to anybody.
+    """Distinguishes a single backend without a route from an outage of this host's own network.
 
-    Of backends that fail so with no connection in between only the first counts as failed.
+    Of several backends that fail for lack of a route, with no connection established in between, only the first counts
+    as failed.
     """
 
     def __init__(self) -> None:
-        self.first_unrouted = ""  # the first backend to which there was no route since a connection came up
+        self.first_unrouted = ""  # the first backend without a route since a connection was last established
 
     def is_local_fault(self, backend: str, failure: ConnectFailure) -> bool:
-        """Returns whether this failure says nothing of the backend."""
+        """Return whether the failure of a connection to the backend says nothing about the backend."""
         if not failure.no_route:
             return failure.is_local
         self.first_unrouted = self.first_unrouted or backend
         return self.first_unrouted != backend
 
     def on_connected(self) -> None:
-        """A connection came up."""
+        """Note that a connection was established, so this host's network works."""
         self.first_unrouted = ""
 
 
 class ConnectState(Enum):
-    """Of one attempt to connect."""
+    """The state of a Connector."""
 
     PENDING = auto()
     CONNECTED = auto()
@@ -99,13 +102,13 @@
 
 
 class PendingProtocol(asyncio.Protocol):
-    """Stands before the protocol until the connection is up; one that comes too late it closes without a byte."""
+    """Replaces the protocol until the connection is established; closes a late connection without sending a byte."""
 
     def __init__(self, connector: Connector) -> None:
         self.connector = connector
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Puts the protocol in its place, or closes a connection that nobody waits for any more."""
+        """Hand the connection over to the protocol, or close it if the connector has ended."""
         stream = cast(asyncio.Transport, transport)
         if self.connector.state is ConnectState.ENDED:
             stream.abort()
@@ -117,10 +120,13 @@
 
 
 class Connector:
-    """One attempt to connect `protocol` to an address (host, port).
+    """One attempt to connect a protocol to an address.
 
-    failed: called once, with the reason, where the connection did not come up; never after `cancel`, nor once the
-    protocol was connected.
+    Args:
+        protocol: The protocol to connect.
+        address: The peer's host and port.
+        failed: Called once, with the reason, if the connection is not established; never after `cancel`, nor after the
+            protocol was connected.
     """
 
     def __init__(self, protocol: asyncio.Protocol, address: Address, failed: Callable[[ConnectFailure], None]) -> None:
@@ -130,19 +136,19 @@
         self.timer: InactivityTimer | None = None
 
     def start(self, timeout_s: float | None = None) -> None:
-        """timeout_s: seconds from now; without it only the system's own limits count."""
+        """Start connecting; without `timeout_s`, in seconds, only the system's own time-outs apply."""
         loop = asyncio.get_running_loop()
         if timeout_s is not None:
             self.timer = InactivityTimer(max(timeout_s, 0.0), self._on_timeout)
         self.task = loop.create_task(self._connect(loop))
 
     def mark_connected(self) -> None:
-        """The protocol is about to be connected: no time limit counts any more."""
+        """Stop the time-out, as the protocol is about to be connected."""
         self.state = ConnectState.CONNECTED
         self._stop_timer()
 
     def cancel(self) -> bool:
-        """Gives the attempt up; whether it was still pending."""
+        """Give up connecting. Return whether the connection was still pending."""
         pending = self.state is ConnectState.PENDING
         self._end()
         return pending
@@ -150,7 +156,7 @@
     async def _connect(self, loop: asyncio.AbstractEventLoop) -> None:
         try:
             await loop.create_connection(lambda: PendingProtocol(self), *self.address)
-        except Exception as error:  # whatever it is, whoever waits for the connection must hear of it
+        except Exception as error:  # the owner must be notified of any error, also an unexpected one
             if self.state is ConnectState.PENDING:
                 self._fail(ConnectFailure(error))
 
--- a/yarrowspindle/transport/datagrams.py
+++ b/yarrowspindle/transport/datagrams.py
@@ -1,4 +1,4 @@
-"""Datagrams: a listening socket, and one socket for each path from a client's address to a backend."""
+"""UDP sockets: a listening socket, and a socket for each path from a client's address to a backend."""
 
 from __future__ import annotations
 
@@ -8,15 +8,15 @@
 
 from yarrowspindle.routing.address import Address
 
-BIND_RETRY_S = 1.0  # an address that is in use is tried again
-MAX_PENDING = 32  # datagrams kept until a path's socket is there
+BIND_RETRY_S = 1.0  # while the address is in use
+MAX_PENDING = 32  # datagrams queued until a path's socket is open
 
 
 class UdpListener(asyncio.DatagramProtocol):
-    """A listening socket.
+    """A UDP socket that is bound to a fixed address.
 
     Args:
-        on_datagram: is given each datagram with its sender's address.
+        on_datagram: Receives each datagram with its sender's address.
     """
 
     def __init__(self, on_datagram: Callable[[bytes, Address], None]) -> None:
@@ -24,52 +24,54 @@
         self.transport: asyncio.DatagramTransport | None = None
 
     async def open(self, listen: Address, on_unavailable: Callable[[Exception], None]) -> None:
-        """Returns once it listens: the process before this one may still have the address.
+        """Bind the socket; retry while the address is in use, as the previous process may not have released it yet.
 
-        on_unavailable: is given once why it does not yet, also where the address makes no sense.
+        Args:
+            listen: The host and port to bind to.
+            on_unavailable: Receives the first error, for example an address in use or an invalid address.
         """
         reported = False
         while True:
             try:
                 await asyncio.get_running_loop().create_datagram_endpoint(lambda: self, local_addr=listen)
                 return
-            except Exception as error:  # whatever it is, somebody waits for the socket
+            except Exception as error:  # retried on any error: the caller waits for the socket
                 if not reported:
                     on_unavailable(error)
                 reported = True
                 await asyncio.sleep(BIND_RETRY_S)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keeps the transport."""
+        """Store the transport."""
         self.transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, addr: Address) -> None:
-        """Passes a datagram on."""
+        """Pass a datagram to `on_datagram`."""
         self.on_datagram(data, (addr[0], addr[1]))
 
     def error_received(self, exc: Exception) -> None:
-        """A client's port is closed; its ids expire by themselves."""
+        """Ignore that a client's port is closed; its connection ids expire on their own."""
 
     def send(self, data: bytes, client: Address) -> None:
-        """Sends a datagram, unless the socket is not open."""
+        """Send a datagram; drop it if the socket is not open."""
         if self.transport is not None and not self.transport.is_closing():
             self.transport.sendto(data, client)
 
 
 class BackendPath(asyncio.DatagramProtocol):
-    """From one address of a client to one backend.
+    """A path from one address of a client to one backend, with a socket of its own.
 
-    The backend sees another address when the client's changes, and checks it as RFC 9000 section 9 has it; answers go
-    to the address that they were meant for.
+    When the client's address changes, the backend sees another source address and validates the new path (RFC 9000,
+    section 9); its replies go to the client address that belongs to the path.
 
     Args:
-        on_datagram: is given each of the backend's datagrams. It may close the path, as may:
-        on_refused: called where the backend's port is closed.
-        client: the client's address.
+        on_datagram: Receives each datagram of the backend; may close the path.
+        on_refused: Called if the backend's port is closed; may close the path.
+        client: The client's address.
 
     Attributes:
-        pending: what waits for the socket.
-        last_used_at: seconds of the event loop at which the path was used last.
+        pending: Datagrams queued until the socket is open.
+        last_used_at: The time at which the path was last used, in seconds of the event loop's clock.
     """
 
     def __init__(
@@ -85,28 +87,28 @@
         self.last_used_at = 0.0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Sends what waits for the socket."""
+        """Store the transport and send the queued datagrams."""
         self.transport = cast(asyncio.DatagramTransport, transport)
         if self.closed:
             self.transport.abort()
             return
         pending, self.pending = self.pending, []
         for data in pending:
-            if not self.closed:  # the event loop may report at once that one was refused
+            if not self.closed:  # sendto may report at once that the previous one was refused, which may close the path
                 self.transport.sendto(data)
 
     def datagram_received(self, data: bytes, addr: Address) -> None:
-        """Passes a datagram on."""
+        """Pass a datagram to `on_datagram`."""
         if not self.closed:
             self.on_datagram(self, data)
 
     def error_received(self, exc: Exception) -> None:
-        """Reports that the backend's port is closed."""
+        """Report that the backend's port is closed."""
         if not self.closed:
             self.on_refused(self)
 
     def send(self, data: bytes) -> None:
-        """Sends a datagram to the backend, as soon as the socket is open."""
+        """Send a datagram to the backend, or queue it until the socket is open."""
         if self.closed:
             return
         if self.transport is not None:
@@ -115,7 +117,7 @@
             self.pending.append(data)
 
     def close(self) -> None:
-        """Closes the socket; nothing more is reported."""
+        """Close the socket. Nothing more is reported."""
         self.closed = True
         self.pending.clear()
         if self.transport is not None:
--- a/yarrowspindle/transport/endpoint_list_watch.py
+++ b/yarrowspindle/transport/endpoint_list_watch.py
@@ -1,4 +1,4 @@
-"""One watch on the endpoint list, over one connection of its own."""
+"""A watch on the endpoint list, over an HTTP connection of its own."""
 
 from __future__ import annotations
 
@@ -10,39 +10,38 @@
 from yarrowspindle.routing.events import EndpointsUpdated
 from yarrowspindle.transport.inactivity_timer import InactivityTimer
 
-# What a silent watch misses counts as notified 6 s after its last update, so these and the waits between calls fit into
-# that.
-# From the opening of the connection to the first list; the service lets a call wait about so long.
-FIRST_LIST_TIMEOUT_S = 2.2
-MAX_INACTIVITY_S = 2.6  # a watch says something every 2 s, an empty line at least; one that does not is broken
+# Changes that an inactive watch misses count as notified 6 s after its last update. Both time-outs and the pauses
+# between requests have to fit into that time.
+FIRST_LIST_TIMEOUT_S = 2.2  # from opening the connection; the service may delay its response for about this long
+MAX_INACTIVITY_S = 2.6  # the service sends at least an empty line every 2 s
 
 
 class WatchSink(Protocol):
-    """What a watch reports to. Any call may end the watch."""
+    """Receiver of the reports of a watch. Any call may end the watch."""
 
     def endpoints_received(self, watch: WatchConnection, update: EndpointsUpdated) -> None:
-        """A list, or changes of it, came."""
+        """Handle a full list or a delta."""
 
     def watch_active(self, watch: WatchConnection) -> None:
-        """Something came on a watch that has brought a list: what it reported so far stands."""
+        """Handle data on a watch that has delivered a list: the reported list is still up to date."""
 
     def watch_ended(self, watch: WatchConnection, reason: str) -> None:
-        """The watch is over; reported once."""
+        """Handle the end of the watch, with a reason for the log. Called once."""
 
 
 class WatchConnection(asyncio.Protocol):
-    """One call for the list, which goes on as a watch.
+    """One request for the endpoint list, whose response continues as a stream of changes.
 
     Args:
-        sink: receives the reports.
-        names: of zones and kinds, as the settings have them.
-        address: of the discovery service.
-        version: the list's changes after this one are asked for; 0: the full list.
+        sink: Receives the reports.
+        names: Names of zones and kinds, from the settings.
+        address: The host and port of the discovery service.
+        version: The version after which changes are requested; 0 for the full list.
 
     Attributes:
-        has_list: whether a list has come.
-        ended: whether the watch has ended.
-        inactivity_timer: until it counts as broken.
+        has_list: Whether a list has been received.
+        ended: Whether the watch has ended.
+        inactivity_timer: Ends the watch unless data arrives in time.
     """
 
     def __init__(self, sink: WatchSink, names: ZoneAndKindNames, address: Address, version: int) -> None:
@@ -54,11 +53,11 @@
         self.has_list = False
 
     def start_first_list_timer(self) -> None:
-        """The call begins: its connection is about to be opened."""
-        self._set_inactivity_timer(FIRST_LIST_TIMEOUT_S, "no list came in time")
+        """Start the time-out of the first list. Call it before the connection is opened."""
+        self._set_inactivity_timer(FIRST_LIST_TIMEOUT_S, f"no endpoint list within {FIRST_LIST_TIMEOUT_S} s")
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Sends the call, unless it was given up while the connection came up."""
+        """Send the request, unless the watch ended while the connection was being established."""
         if self.ended:
             cast(asyncio.Transport, transport).abort()
             return
@@ -71,7 +70,7 @@
         self.inactivity_timer = InactivityTimer(timeout_s, self.end, reason)
 
     def data_received(self, data: bytes) -> None:
-        """Reports the lists that are complete, until a report ends the watch."""
+        """Report the completed lists, until a report ends the watch."""
         if self.ended:
             return
         try:
@@ -86,16 +85,16 @@
         if self.has_list and not self.ended:
             self.sink.watch_active(self)
         if self.response.ended:
-            self.end("the watch ended")
-        elif self.has_list and not self.ended:  # an empty line is no answer to the call
-            self._set_inactivity_timer(MAX_INACTIVITY_S, "nothing came for too long")
+            self.end("the discovery service ended the watch")
+        elif self.has_list and not self.ended:  # empty lines before the first list do not extend its time-out
+            self._set_inactivity_timer(MAX_INACTIVITY_S, f"no data for {MAX_INACTIVITY_S} s")
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Ends the watch."""
-        self.end("the connection ended")
+        """End the watch."""
+        self.end("the connection was closed")
 
     def end(self, reason: str) -> None:
-        """Ends the watch and reports why; without effect on one that has ended."""
+        """End the watch and report the reason. No effect if it has ended."""
         if self.ended:
             return
         self.ended = True
--- a/yarrowspindle/transport/health_check_connection.py
+++ b/yarrowspindle/transport/health_check_connection.py
@@ -1,4 +1,4 @@
-"""One connection to a backend on which its load is asked for, again and again."""
+"""A persistent connection to a backend for its health checks, which request its load."""
 
 from __future__ import annotations
 
@@ -10,22 +10,25 @@
 
 
 class HealthCheckSink(Protocol):
-    """What a connection for health checks reports to. Any call may end the connection."""
+    """Receiver of the reports of a connection for health checks. Any call may end the connection."""
 
     def health_check_answered(self, side: HealthCheckConnection, line: bytes) -> None:
-        """The answer to the question that was out."""
+        """Handle the reply to the pending probe."""
 
     def health_check_ended(self, side: HealthCheckConnection, reason: TerminationReason, text: str) -> None:
-        """The connection is over, for this reason and with this text for the log; reported once."""
+        """Handle the end of the connection, with a reason and a text for the log. Called once."""
 
 
 class HealthCheckConnection(asyncio.Protocol):
-    """Reports to its sink and obeys it; one question is out at a time.
+    """A connection that sends probes on request and reports the replies; one probe is pending at a time.
+
+    Args:
+        sink: Receives the reports.
+        backend: The backend's name.
 
     Attributes:
-        backend: the backend's name.
-        awaiting_reply: whether an answer is awaited.
-        ended: whether nothing more is reported.
+        awaiting_reply: Whether a probe is pending.
+        ended: Whether the connection has ended; nothing more is reported then.
     """
 
     def __init__(self, sink: HealthCheckSink, backend: str) -> None:
@@ -36,7 +39,7 @@
         self.ended = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Asks what is to be asked, unless the connection was given up while it came up."""
+        """Send the pending probe, unless the check ended while the connection was being established."""
         self.transport = cast(asyncio.Transport, transport)
         if self.ended:
             self.transport.abort()
@@ -44,13 +47,13 @@
             self.transport.write(STATS)
 
     def send_probe(self) -> None:
-        """Asks now, or as soon as the connection is up."""
+        """Send a probe now, or as soon as the connection is established."""
         self.awaiting_reply = True
         if self.transport is not None and not self.transport.is_closing():
             self.transport.write(STATS)
 
     def data_received(self, data: bytes) -> None:
-        """Reports an answer; one that nobody asked for ends the connection."""
+        """Report a reply; end the connection if none was pending."""
         if self.ended:
             return
         try:
@@ -60,17 +63,17 @@
             return
         for line in lines:
             if not self.awaiting_reply:
-                self.end(TerminationReason.PROTOCOL_ERROR, f"{line[:60]!r} that nobody asked for")
+                self.end(TerminationReason.PROTOCOL_ERROR, f"unsolicited line: {line[:60]!r}")
             if not self.ended:
                 self.awaiting_reply = False
                 self.sink.health_check_answered(self, line)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Ends the check."""
-        self.end(TerminationReason.CONNECTION_RESET, "the connection ended")
+        """Report the end of the connection."""
+        self.end(TerminationReason.CONNECTION_RESET, "the connection was closed")
 
     def end(self, reason: TerminationReason, text: str) -> None:
-        """Closes the connection and reports why; without effect on one that is over."""
+        """Close the connection and report the reason. No effect if it has ended."""
         if not self.ended:
             self.ended = True
             if self.transport is not None:
--- a/yarrowspindle/transport/inactivity_timer.py
+++ b/yarrowspindle/transport/inactivity_timer.py
@@ -1,8 +1,8 @@
-"""Silence of a peer, told from bytes that this process has not read yet.
+"""Inactivity time-outs that do not mistake unread data for an inactive peer.
 
-A process that was held up (stopped, starved of processor time) finds its timers due before it has read its sockets: the
-event loop runs timers before it polls. What a peer sent in the meantime lies in the kernel then, and the peer was not
-silent. So a time limit on silence counts only once the loop has read all sockets after the time was over.
+A process that was stopped or starved of processor time finds its timers due before it has read its sockets, because the
+event loop runs due timers before it polls. Data that the peer sent in the meantime is then still in the kernel, and the
+peer was not inactive. A time-out therefore takes effect only after the loop has read all sockets once more.
 """
 
 from __future__ import annotations
@@ -13,42 +13,46 @@
 import time
 from collections.abc import Callable
 
-# The first turn may run before the loop polls again; the second runs after what that poll found was handled.
+# The first iteration may run before the loop polls again; the second runs after that poll's events were handled.
 ITERATIONS_PER_POLL = 2
-MAX_POLLS = 8  # at a socket before it is ended
-MAX_POLL_S = 0.0001  # of a process that was not held meanwhile
-STALL_EXTENSION_S = 0.05  # a timer that is so late: the loop stood still, and exchanges under way with it
+MAX_POLLS = 8  # of a socket before its sending direction is closed
+MAX_POLL_S = 0.0001  # a poll that took longer was interrupted by a stall of the process
+STALL_EXTENSION_S = 0.05  # a timer that fires later than this shows a stall of the loop
 
 
 async def wait_for_socket_reads() -> None:
-    """Returns once the event loop has read, at least once, what lay in each of its sockets at the call."""
+    """Wait until the event loop has read at least once the data that each of its sockets held at the call."""
     for _ in range(ITERATIONS_PER_POLL):
         await asyncio.sleep(0.0)
 
 
 async def sleep_then_wait_for_reads(delay_s: float) -> None:
-    """Sleeps, and returns once the sockets have been read since, however late the loop is."""
+    """Sleep, then wait until the sockets have been read since, however late the event loop is."""
     await asyncio.sleep(delay_s)
     await wait_for_socket_reads()
 
 
 def half_close_unless_readable(transport: asyncio.BaseTransport | None) -> bool:
-    """Ends our sending at once, unless the kernel holds what was not read of the peer; returns whether it is silent.
+    """Close the sending direction of a connection at once, unless the kernel holds unread data of the peer.
 
-    The event loop itself ends it in its next turn only, and what the peer sends until then would be lost unread.
+    The transport's own `write_eof` takes effect only in the next iteration of the event loop, and data that the peer
+    sends until then would be lost unread.
+
+    Returns:
+        Whether there was no unread data.
     """
     sock = transport.get_extra_info("socket") if transport is not None else None
     if sock is None:
         return True
     try:
         duplicate = socket.socket(sock.family, sock.type, sock.proto, fileno=sock.fileno())
-    except (OSError, ValueError):  # it is closed just now
+    except (OSError, ValueError):  # the socket is being closed
         return True
     try:
         if _is_readable(duplicate):
             return False
         duplicate.shutdown(socket.SHUT_WR)
-    except OSError:  # it is closed just now
+    except OSError:  # the socket is being closed
         pass
     finally:
         duplicate.detach()
@@ -56,9 +60,10 @@
 
 
 def _is_readable(sock: socket.socket) -> bool:
-    """Returns whether bytes, or an end, lie in the socket at this moment: what arrives before our end is never read.
+    """Return whether the socket holds unread data or the peer's end of stream.
 
-    A process is held most easily as a call of the system returns; a look that took so long is repeated.
+    Data that arrives after this poll and before the sending direction is closed would never be read. A process is most
+    likely to be suspended as a system call returns, so a poll that took longer than MAX_POLL_S is repeated.
     """
     poll = select.poll()
     poll.register(sock, select.POLLIN)
@@ -72,10 +77,11 @@
 
 
 class InactivityTimer:
-    """Calls `callback(*args)` once `delay_s` seconds have passed and the sockets were read since, unless cancelled.
+    """Calls `callback(*args)` once `delay_s` seconds have passed and the sockets have been read since.
 
-    Whoever receives what the timer waits for cancels it; so a callback means that it had not arrived in time. Where the
-    loop stood still at that moment the peer gets STALL_EXTENSION_S more: an exchange of several steps stood still too.
+    The receiver of the expected data cancels the timer, so the callback means that the data had not arrived in time. If
+    the event loop was stalled when the time-out fell due, the peer gets STALL_EXTENSION_S more, once: an exchange of
+    several messages was stalled as well.
     """
 
     __slots__ = ("_callback", "_args", "_due", "_handle")
@@ -102,7 +108,7 @@
             self._callback(*self._args)
 
     def cancel(self) -> None:
-        """Prevents the callback; without effect after it."""
+        """Prevent the callback. No effect after it."""
         if self._handle is not None:
             self._handle.cancel()
             self._handle = None
--- a/yarrowspindle/transport/line_connection.py
+++ b/yarrowspindle/transport/line_connection.py
@@ -1,4 +1,4 @@
-"""What both ends of a relayed connection have in common: a transport, the other side, flow control, an orderly end."""
+"""Base class of the two sides of a relayed connection: transport, flow control and graceful close."""
 
 from __future__ import annotations
 
@@ -12,26 +12,26 @@
 
 from yarrowspindle.transport.inactivity_timer import InactivityTimer
 
-LINGER_INTERVAL_S = 0.5  # after our end of sending, for the peer to end as well, if it sends nothing more
-MAX_DISCARD_S = 5.0  # for a peer that goes on sending: it reads our last line once it has sent all
+LINGER_INTERVAL_S = 0.5  # after closing our sending direction, for a peer that sends nothing to close as well
+MAX_DISCARD_S = 5.0  # for a peer that still sends: it may read our last line only after sending everything
 MAX_DISCARDED_BYTES = 256 << 20
-MAX_STALLED_WRITE_S = 2.0  # a peer that takes none of what is still to be sent for so long is not waited for
-MAX_SLOW_WRITE_S = 60.0  # nor is one that reads ever so slowly, after so long
+MAX_STALLED_WRITE_S = 2.0  # for a peer that reads none of the unsent data
+MAX_SLOW_WRITE_S = 60.0  # for a peer that reads the unsent data, however slowly
 C_INT = struct.Struct("@i")
 
 
 class LineConnection(asyncio.Protocol):
-    """One side of a relayed connection. Times are seconds of the event loop.
+    """One side of a relayed connection. Times are in seconds of the event loop's clock.
 
     Attributes:
-        transport: None before the connection is made and after it is lost.
-        other: the other side, once both sides relay.
-        closing: whether our sending has ended; what still comes in is discarded.
-        discarded_bytes: how much came in since.
-        linger_timer: until the peer is looked at again, after our end.
-        finished_at: when our sending ended.
-        read_at: when the peer was last seen to read.
-        last_unsent: what the peer had not taken yet, when it was looked at last.
+        transport: The transport; None before the connection is made and after it is lost.
+        other: The other side, while both sides relay.
+        closing: Whether our sending direction is closed; received data is discarded then.
+        discarded_bytes: The number of bytes discarded.
+        linger_timer: Runs until the next check of the peer after our sending direction was closed.
+        finished_at: The time at which our sending direction was closed.
+        read_at: The time at which the peer was last seen to read.
+        last_unsent: The number of unsent bytes at the last check.
     """
 
     def __init__(self) -> None:
@@ -44,42 +44,42 @@
         self.last_unsent = -1
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keeps the transport, which sends without delay from here on."""
+        """Store the transport and disable Nagle's algorithm."""
         self.transport = cast(asyncio.Transport, transport)
         sock: Any = transport.get_extra_info("socket")
         if sock is not None and sock.family != socket.AF_UNIX:
-            with suppress(OSError):  # a connection without it is served all the same
+            with suppress(OSError):  # not essential: the connection works without it
                 sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
     @property
     def open_transport(self) -> asyncio.Transport | None:
-        """The transport, while it can still be used: uvloop raises where asyncio's own passes over it."""
+        """The transport, unless it is closing: uvloop raises on calls that asyncio's own transport ignores."""
         return self.transport if self.transport is not None and not self.transport.is_closing() else None
 
     @property
     def peer_address(self) -> str:
-        """As `host:port`; empty where the transport is gone or has none."""
+        """The peer's address as `host:port`; empty if there is no transport or it has no address."""
         address = self.transport.get_extra_info("peername") if self.transport is not None else None
         return "{}:{}".format(*address[:2]) if isinstance(address, tuple) else ""
 
     def write(self, data: bytes) -> None:
-        """Sends bytes, unless our sending has ended."""
+        """Send data, unless our sending direction is closed."""
         transport = self.open_transport
         if transport is not None and not self.closing:
             transport.write(data)
 
     def pause_writing(self) -> None:
-        """Reads nothing more from the other side: this one does not keep up."""
+        """Stop reading from the other side, as the peer of this side does not keep up."""
         if self.other is not None and (transport := self.other.open_transport):
             transport.pause_reading()
 
     def resume_writing(self) -> None:
-        """Reads from the other side again."""
+        """Resume reading from the other side."""
         if self.other is not None and (transport := self.other.open_transport):
             transport.resume_reading()
 
     def finish(self, last: bytes = b"") -> None:
-        """Sends what is left and ends the connection in order; what still comes in is discarded."""
+        """Send `last` and close the connection gracefully; data that is still received is discarded."""
         transport, closing = self.open_transport, self.closing
         self.closing = True
         self.other = None
@@ -88,8 +88,8 @@
         if last:
             transport.write(last)
         transport.resume_reading()
-        # Closing at once would reset the connection if the peer has sent what we have not read, and the
-        # reset would overtake our last line.
+        # Closing at once would reset the connection if it holds unread data of the peer, and the reset could
+        # destroy our last line before the peer reads it.
         if transport.can_write_eof():
             transport.write_eof()
         self.finished_at = self.read_at = asyncio.get_running_loop().time()
@@ -99,9 +99,13 @@
         self.linger_timer = InactivityTimer(LINGER_INTERVAL_S, self._linger, self.discarded_bytes, until)
 
     def _linger(self, discarded_bytes: int, until: float) -> None:
-        """Aborts the connection, unless the peer still sends, or still reads what is left, within bounds.
+        """Abort the connection, unless the peer still sends or still reads the unsent data, within bounds.
 
-        A reset could take our last line from a peer with much to send.
+        A reset would destroy our last line for a peer that is still sending.
+
+        Args:
+            discarded_bytes: The value of `discarded_bytes` at the last check.
+            until: The time until which received data is discarded.
         """
         now = asyncio.get_running_loop().time()
         unsent = self.unsent_bytes()
@@ -116,7 +120,7 @@
             self.abort()
 
     def unsent_bytes(self) -> int:
-        """Returns what the peer has not taken yet: in the transport, and in the system's send buffer."""
+        """Return the number of bytes in the transport's buffer and in the kernel's send buffer."""
         transport = self.open_transport
         if transport is None:
             return 0
@@ -126,19 +130,19 @@
             return waiting
         try:
             (queued,) = C_INT.unpack(fcntl.ioctl(sock.fileno(), termios.TIOCOUTQ, bytes(C_INT.size)))
-        except (OSError, ValueError):  # it is closed just now
+        except (OSError, ValueError):  # the socket is being closed
             return waiting
         return waiting + int(queued)
 
     def abort(self) -> None:
-        """Closes the connection at once; what is left to send is dropped."""
+        """Close the connection at once and drop unsent data."""
         self.closing = True
         self.other = None
         if transport := self.open_transport:
             transport.abort()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Stops the timers."""
+        """Stop the linger timer."""
         if self.linger_timer is not None:
             self.linger_timer.cancel()
             self.linger_timer = None
--- a/yarrowspindle/transport/listener.py
+++ b/yarrowspindle/transport/listener.py
@@ -1,7 +1,6 @@
-"""The listening socket.
+"""A listening TCP socket that accepts in batches, and only while there is room for another connection.
 
-It accepts a few connections at a time, and none while there is no capacity: those wait in the kernel, where a server
-that accepts all would run out of descriptors.
+Connections beyond that wait in the kernel's accept queue. A server that accepted all would run out of descriptors.
 """
 
 from __future__ import annotations
@@ -15,13 +14,13 @@
 
 from yarrowspindle.routing.address import Address
 
-ACCEPT_BATCH = 16  # calls of accept in one turn of the loop
-MAX_SHORTAGES_PER_BATCH = 4  # calls of a turn that fail for want of descriptors or memory
-# Pauses while nothing can be taken in, each twice the last: a shortage of a moment costs little time, a lasting one
-# little work.
+ACCEPT_BATCH = 16  # calls of accept per iteration of the event loop
+MAX_SHORTAGES_PER_BATCH = 4  # calls per batch that fail for lack of descriptors or memory
+# Pauses while nothing can be accepted, each twice the last: a short shortage causes little delay, a long one little
+# work.
 MIN_PAUSE_S, MAX_PAUSE_S = 0.001, 0.01
-MAX_PAUSES_AFTER_DEADLINE = 5  # at the end, once its time is over
-# Errors of one connection in the queue, by accept(2): the next call is for the next connection.
+MAX_PAUSES_AFTER_DEADLINE = 5  # of `close`
+# Errors of a single connection in the queue, see accept(2); the next call is for the next connection.
 CONNECTION_ERRORS = frozenset(
     (
         errno.ECONNABORTED,
@@ -40,28 +39,31 @@
 
 
 class QueueState(Enum):
-    """What is known of the connections that wait in the kernel."""
+    """The state of the kernel's accept queue after a batch of accepts."""
 
-    EMPTY = "nobody waits in the kernel"
-    MORE = "more may wait"
-    NO_ROOM = "nobody can be taken in just now"
+    EMPTY = "no connection waits"
+    MORE = "more connections may wait"
+    NO_ROOM = "no connection can be accepted now"
 
 
 class Listener:
-    """Accepts connections from the moment on that it is made.
+    """Listens and accepts connections, from its construction on.
 
     Args:
-        address: where it listens. Raises OSError where that cannot be had.
-        backlog: how many the kernel keeps waiting.
-        protocol_factory: makes the protocol of each connection.
-        make_room: returns whether one more may be accepted.
-        log_warning: is given a text on each call of accept that failed.
+        address: The host and port to listen on.
+        backlog: The size of the kernel's accept queue.
+        protocol_factory: Creates the protocol of each connection.
+        make_room: Returns whether one more connection may be accepted; may close others for it.
+        log_warning: Receives a text for each failed call of accept.
 
     Attributes:
-        backlogged: whether the queue was not emptied last time: who is accepted next may have waited.
-        may_have_waited: whether the connection for which `protocol_factory` is called may have waited so.
-        pause: until accept is called again, while nothing can be accepted.
-        pause_s: the next such pause.
+        backlogged: Whether the last batch left connections in the queue, so that the next ones may have waited.
+        may_have_waited: Whether the connection for which `protocol_factory` is being called may have waited.
+        pause: The timer of the pause while nothing can be accepted.
+        pause_s: The length of the next pause in seconds.
+
+    Raises:
+        OSError: The address is not available.
     """
 
     def __init__(
@@ -75,7 +77,7 @@
         self.protocol_factory, self.make_room, self.log_warning = protocol_factory, make_room, log_warning
         self.backlog = backlog
         self.loop = asyncio.get_running_loop()
-        # A second process of the same relay, an upgrade, listens at the same address while this one still serves.
+        # During an upgrade a second process of the same relay listens on the same address while this one still serves.
         self.sock = socket.create_server(address, backlog=backlog, reuse_port=hasattr(socket, "SO_REUSEPORT"))
         self.sock.setblocking(False)
         self.pause: asyncio.TimerHandle | None = None
@@ -97,7 +99,7 @@
             self.pause = self.loop.call_later(self.pause_s, self._listen)
 
     def _accept(self, most: int) -> QueueState:
-        """Takes in what waits, with `most` calls; where all of them fail there is no room either: it must not spin."""
+        """Accept waiting connections with up to `most` calls; if none succeeds, report NO_ROOM to avoid a busy loop."""
         tasks = len(self.tasks)
         queue = self._accept_batch(most)
         accepted = len(self.tasks) > tasks
@@ -114,9 +116,9 @@
             except BlockingIOError:
                 return QueueState.EMPTY
             except OSError as error:
-                self.log_warning(f"no connection can be taken in: {error}")
+                self.log_warning(f"accept failed: {error}; retrying")
                 shortages += error.errno not in CONNECTION_ERRORS
-                if shortages >= MAX_SHORTAGES_PER_BATCH:  # no descriptors or no memory: no reason to spin, nor to end
+                if shortages >= MAX_SHORTAGES_PER_BATCH:  # pause and retry, without a busy loop
                     return QueueState.NO_ROOM
                 continue
             sock.setblocking(False)
@@ -128,16 +130,18 @@
     async def _hand_over(self, sock: socket.socket, may_have_waited: bool) -> None:
         try:
             self.may_have_waited = may_have_waited
-            await self.loop.connect_accepted_socket(self.protocol_factory, sock)  # which it calls at once
+            await self.loop.connect_accepted_socket(self.protocol_factory, sock)  # calls protocol_factory at once
         except OSError as error:
             sock.close()
-            self.log_warning(f"a connection was lost while it was taken in: {error}")
+            self.log_warning(f"an accepted connection was lost before it could be served: {error}")
 
     async def close(self, deadline: float) -> None:
-        """Takes in what the kernel holds first: it has said yes to those, and a close would reset them.
+        """Accept the connections in the queue, which closing would reset, then close the socket.
 
-        deadline: a time of the loop. After it `backlog` more are still taken in, as many as may have waited for a
-        process that was held up, but room is hardly waited for any more.
+        Args:
+            deadline: A time of the event loop's clock. After it up to `backlog` more connections are accepted, as many
+                as may have queued up while the process was stalled, with at most MAX_PAUSES_AFTER_DEADLINE pauses for
+                lack of room.
         """
         if self.pause is not None:
             self.pause.cancel()
--- a/yarrowspindle/transport/metrics_senders.py
+++ b/yarrowspindle/transport/metrics_senders.py
@@ -1,6 +1,6 @@
-"""Where metrics are sent: a Graphite receiver over TCP, a collectd receiver over UDP.
+"""Senders of metrics: over TCP to a Graphite server, over UDP to a collectd server.
 
-A receiver that is slow or lost costs nothing but its own values: what it has not taken is discarded.
+A slow or unreachable server has no effect other than the loss of metrics: reports that cannot be sent are discarded.
 """
 
 from __future__ import annotations
@@ -17,12 +17,12 @@
 
 
 class TcpMetricsSender(asyncio.Protocol):
-    """One TCP receiver; connects when there is something to send, with a backoff after a failure.
+    """Sends reports over TCP; connects when there is something to send, with a backoff after a failure.
 
     Attributes:
-        retry_at: seconds of the event loop from which on it may connect again.
-        backoff_s: the next pause.
-        discarded_reports: how many reports were.
+        retry_at: The earliest time of the next connect, in seconds of the event loop's clock.
+        backoff_s: The pause in seconds after the next failure.
+        discarded_reports: The number of discarded reports.
     """
 
     def __init__(self, address: Address) -> None:
@@ -33,23 +33,23 @@
         self.discarded_reports = 0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keeps the transport."""
+        """Store the transport and reset the backoff."""
         self.transport = cast(asyncio.Transport, transport)
         self.connector = None
         self.backoff_s = MIN_BACKOFF_S
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Forgets the transport."""
+        """Clear the transport."""
         self.transport = None
 
     def send(self, data: bytes) -> None:
-        """Sends a report, or discards it and connects."""
+        """Send a report; without a connection that has room for it, discard it and connect or reconnect."""
         loop = asyncio.get_running_loop()
         if self.transport is not None and self.transport.get_write_buffer_size() + len(data) <= MAX_UNSENT_BYTES:
             self.transport.write(data)
             return
         self.discarded_reports += 1
-        if self.transport is not None:  # it takes nothing any more
+        if self.transport is not None:  # the server does not keep up
             self.transport.abort()
         elif self.connector is None and loop.time() >= self.retry_at:
             self.connector = Connector(self, self.address, self._on_connect_failure)
@@ -62,19 +62,19 @@
 
 
 class UdpMetricsSender(asyncio.DatagramProtocol):
-    """One UDP receiver."""
+    """Sends reports over UDP."""
 
     def __init__(self) -> None:
         self.transport: asyncio.DatagramTransport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keeps the transport."""
+        """Store the transport."""
         self.transport = cast(asyncio.DatagramTransport, transport)
 
     def error_received(self, exc: Exception) -> None:
-        """Nobody listens there just now."""
+        """Ignore that the server's port is closed."""
 
     def send(self, data: bytes) -> None:
-        """Sends a report."""
+        """Send a report."""
         if self.transport is not None and not self.transport.is_closing():
             self.transport.sendto(data)
--- a/yarrowspindle/transport/tcp_info.py
+++ b/yarrowspindle/transport/tcp_info.py
@@ -1,4 +1,4 @@
-"""What the kernel knows of a TCP connection (TCP_INFO of tcp(7))."""
+"""The kernel's state of a TCP connection (TCP_INFO, tcp(7))."""
 
 from __future__ import annotations
 
@@ -6,23 +6,23 @@
 import socket
 import struct
 
-LAST_DATA_RECEIVED_OFFSET = 52  # of tcpi_last_data_recv, milliseconds, in struct tcp_info of linux/tcp.h
+LAST_DATA_RECEIVED_OFFSET = 52  # of tcpi_last_data_recv, in milliseconds, in struct tcp_info of linux/tcp.h
 MILLISECONDS = struct.Struct("@I")
 TCP_INFO_BYTES = LAST_DATA_RECEIVED_OFFSET + MILLISECONDS.size
-CLOCK_TICK_MS = 10.0  # the kernel counts in ticks of its own, of 10 ms at the most
+CLOCK_TICK_MS = 10.0  # the kernel counts in clock ticks of at most 10 ms
 
 
 def last_data_age_ms(transport: asyncio.BaseTransport | None) -> float:
-    """Returns how many milliseconds ago the newest data of the peer arrived; 0 where the system does not tell.
+    """Return the milliseconds since data of the peer last arrived; 0 if the system does not report it.
 
-    An age of a clock tick or less counts as 0.
+    An age of up to one clock tick counts as 0.
     """
     sock = transport.get_extra_info("socket") if transport is not None else None
     if sock is None or sock.family == socket.AF_UNIX:
         return 0.0
     try:
         info = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, TCP_INFO_BYTES)
-    except (OSError, AttributeError):  # it is closed just now, or another system
+    except (OSError, AttributeError):  # the socket is being closed, or the system has no TCP_INFO
         return 0.0
     if len(info) < TCP_INFO_BYTES:
         return 0.0
