--- a/tests/protocol/test_protocol.py
+++ b/tests/protocol/test_protocol.py
@@ -34,7 +34,7 @@
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 
-def test_the_open_line_goes_on_as_it_came_but_for_the_time_left() -> None:
+def test_the_open_line_is_forwarded_unchanged_except_for_the_remaining_time() -> None:
     opened = parse_open(LINE.encode())
     assert opened.forward(1234.9).decode() == LINE.replace("d=2000", "d=1234") + "\r\n"
     assert opened.key == 0x7F3A9C21E0B4D655 and opened.get("t") == "acme" and opened.number("h") == 0.0
@@ -62,33 +62,35 @@
         "OPEN \xe9",
     ],
 )
-def test_a_bad_open_line_is_told_from_a_good_one(invalid: str) -> None:
+def test_an_invalid_open_line_is_rejected(invalid: str) -> None:
     with pytest.raises(LineError):
         parse_open(invalid.encode("latin-1"))
 
 
 @settings(derandomize=True, max_examples=60)
 @given(st.lists(st.text("ab ", max_size=5), max_size=6), st.lists(st.integers(0, 40), max_size=5))
-def test_lines_are_the_same_wherever_the_stream_is_cut(texts: list[str], cuts: list[int]) -> None:
-    data, splitter, found, offset = "".join(t + "\r\n" for t in texts).encode() + b"rest", LineSplitter(), [], 0
+def test_lines_do_not_depend_on_chunk_boundaries(texts: list[str], cuts: list[int]) -> None:
+    data, splitter, split_lines, offset = "".join(t + "\r\n" for t in texts).encode() + b"rest", LineSplitter(), [], 0
     for cut in [*sorted(cuts), len(data)]:
-        found += splitter.feed(data[offset:cut])
+        split_lines += splitter.feed(data[offset:cut])
         offset = max(offset, cut)
-    assert found == [t.encode() for t in texts] and splitter.rest == b"rest" and not splitter.at_boundary
+    assert split_lines == [t.encode() for t in texts] and splitter.rest == b"rest" and not splitter.at_boundary
 
 
 @settings(derandomize=True, max_examples=60)
 @given(st.integers(0, 6), st.integers(1, 40), st.sampled_from(["", "x", "\r\n", LINE + "\r\n"]))
-def test_an_opening_is_the_same_wherever_it_is_cut_and_holds_one_line(probes: int, size: int, trailing: str) -> None:
+def test_the_opening_does_not_depend_on_chunk_boundaries_and_allows_one_open_line(
+    probes: int, size: int, trailing: str
+) -> None:
     data, opening = ("PING\r\nSTATS\r\n" * probes + LINE + "\r\n" + trailing).encode(), OpeningReader()
     answers, opened, rejected = b"", None, False
     for offset in range(0, len(data), size):
         try:
-            more, opened = opening.feed(data[offset : offset + size])
+            replies, opened = opening.feed(data[offset : offset + size])
         except LineError:
             rejected = True
             break
-        answers += more
+        answers += replies
         if opened is not None:
             rejected = offset + size < len(data)  # the side takes what follows as out of turn
             break
@@ -99,12 +101,12 @@
 @pytest.mark.parametrize(
     "invalid", [b"x" * lines.MAX_LINE_BYTES, b"x" * lines.MAX_LINE_BYTES + b"\r\n", b"PING\n", b"\r\n", b"\0\r\n"]
 )
-def test_an_opening_that_is_too_long_or_ends_oddly_is_refused_at_once(invalid: bytes) -> None:
+def test_an_opening_that_is_too_long_or_malformed_is_rejected_at_once(invalid: bytes) -> None:
     with pytest.raises(LineError):
         OpeningReader().feed(invalid)
 
 
-def test_words_loads_and_notices() -> None:
+def test_line_kinds_loads_and_rejection_lines() -> None:
     assert [parse_line_kind(w) for w in (b"UP r", b"BYE", b"MOVE", b"ERR", b"BUSY 3", b"LOAD 2", b"UPS", b"")] == [
         LineKind.UP,
         LineKind.BYE,
@@ -123,7 +125,7 @@
 
 @settings(derandomize=True, max_examples=30)
 @given(st.integers(1, 60), st.integers(1, 60))
-def test_a_watch_is_read_wherever_it_is_cut_and_however_it_is_indented(first_size: int, second_size: int) -> None:
+def test_a_watch_does_not_depend_on_chunk_boundaries_or_indentation(first_size: int, second_size: int) -> None:
     indented = json.dumps(json.loads(LIST) | {"note": 'a "{" in a string, \\"'}, indent=first_size % 3).encode() + b"\n"
     body = b"".join(b"%x\r\n%s\r\n" % (len(p), p) for p in (LIST[:30], LIST[30:], b"\n", indented))
     data, answer, updates = (
@@ -135,8 +137,17 @@
         updates += answer.feed(data[offset : offset + first_size])
         updates += answer.feed(data[offset + first_size : offset + first_size + second_size])
     assert len(updates) == 2 and updates[0].kind is ListKind.FULL and updates[0].version == 41 and not answer.ended
-    (m,) = updates[0].endpoints
-    assert (m.name, m.address, m.state, m.zone, m.kind, m.cell, m.capacity, m.started_ms) == (
+    (endpoint,) = updates[0].endpoints
+    assert (
+        endpoint.name,
+        endpoint.address,
+        endpoint.state,
+        endpoint.zone,
+        endpoint.kind,
+        endpoint.cell,
+        endpoint.capacity,
+        endpoint.started_ms,
+    ) == (
         "s-5be2a07c",
         ("10.1.0.18", 3000),
         EndpointState.DRAINING,
@@ -159,12 +170,12 @@
         (HEAD + b"%x\r\n%s\r\n" % (len(LIST) - 5, LIST.replace(b":3000", b"")), "not an address"),
     ],
 )
-def test_an_answer_that_makes_no_sense_fails_the_watch_and_says_why(invalid: bytes, reason: str) -> None:
+def test_an_invalid_response_fails_the_watch_with_the_reason(invalid: bytes, reason: str) -> None:
     with pytest.raises(ListError, match=reason):
         WatchResponse(ZoneAndKindNames()).feed(invalid)
 
 
-def test_settings_are_flattened_as_the_simulator_writes_them() -> None:
+def test_settings_are_flattened_like_the_simulators() -> None:
     nested = {"a": {"b": [1.0, 2.0], "c": None}, "list": [{"x": True}, {"x": "y"}], "none": []}
     assert dict(flatten(nested)) == {
         "a.b": "1.0,2.0",
@@ -185,17 +196,17 @@
             read_operator(invalid)
 
 
-def test_graphite_has_one_plain_line_for_each_value() -> None:
+def test_graphite_has_one_line_per_value() -> None:
     assert graphite.plaintext("ys.n 0", {"a.b": 3.0, "c/d": 0.5}, 17.9) == b"ys.n_0.a.b 3 17\nys.n_0.c_d 0.5 17\n"
 
 
 def parts(packet: bytes) -> list[tuple[int, bytes]]:
-    found, offset = [], 0
+    parsed, offset = [], 0
     while offset < len(packet):
         kind, length = struct.unpack_from(">HH", packet, offset)
-        found.append((kind, packet[offset + 4 : offset + length]))
+        parsed.append((kind, packet[offset + 4 : offset + length]))
         offset += length
-    return found
+    return parsed
 
 
 def test_collectd_packets_hold_all_values_in_parts_and_stay_small() -> None:
--- a/tests/transport/test_callback_order.py
+++ b/tests/transport/test_callback_order.py
@@ -95,7 +95,7 @@
         yield statement
 
 
-def test_a_transport_calls_out_last_or_looks_anew_afterwards() -> None:
+def test_callbacks_come_last_or_state_is_rechecked_afterwards() -> None:
     """Guards against using a connection after a call that may have ended it: resets overtook MOVE."""
     found: dict[str, list[str]] = {}
     for cls, method in methods():
--- a/tests/transport/test_callback_reentrancy.py
+++ b/tests/transport/test_callback_reentrancy.py
@@ -211,7 +211,7 @@
 @LOOPS
 @pytest.mark.parametrize("action", ACTIONS, ids=lambda action: action.__name__)
 @pytest.mark.parametrize("script", SCRIPTS, ids=lambda script: script.__name__)
-def test_a_connection_may_be_ended_by_any_call_that_it_makes(script: Script, action: Any, loop: Run) -> None:
+def test_any_callback_may_end_a_relayed_connection(script: Script, action: Any, loop: Run) -> None:
     """Guards against using a connection after a call that may have ended it: uvloop drops a transport that raises."""
 
     async def body() -> None:
@@ -237,14 +237,14 @@
         self.calls_after_end: list[str] = []
 
     def __getattr__(self, name: str) -> Callable[..., None]:
-        def told(side: Any, *args: Any) -> None:
+        def record(side: Any, *args: Any) -> None:
             if self.name in self.calls:
                 self.calls_after_end.append(name)
             self.calls.append(name)
             if name == self.name and self.calls.count(name) == 1:
                 self.end(side)
 
-        return told
+        return record
 
 
 def json_list(version: int) -> bytes:
@@ -258,7 +258,7 @@
 @LOOPS
 @pytest.mark.parametrize("name", ("endpoints_received", "watch_active", "watch_ended"))
 @pytest.mark.parametrize("last", (b"", b"0\r\n\r\n", b"1\r\n{\r\n0\r\n\r\n", b"nonsense"), ids=repr)
-def test_a_watch_may_be_ended_by_any_call_that_it_makes(last: bytes, name: str, loop: Run) -> None:
+def test_any_callback_may_end_a_watch(last: bytes, name: str, loop: Run) -> None:
     """Guards against telling lists of a watch that was given up in the call before."""
 
     async def body() -> None:
@@ -285,7 +285,7 @@
 @pytest.mark.parametrize(
     "answer", (b"PONG x=1\r\n", b"PONG x=1\r\nPONG x=1\r\n", b"\xff" * 5000), ids=("one", "two", "none")
 )
-def test_a_health_check_may_be_ended_by_any_call_that_it_makes(answer: bytes, name: str, loop: Run) -> None:
+def test_any_callback_may_end_a_health_check(answer: bytes, name: str, loop: Run) -> None:
     """Guards against reading answers on a connection that was given up in the call before."""
 
     async def body() -> None:
@@ -307,16 +307,16 @@
 
 @LOOPS
 @pytest.mark.parametrize("next_check", ("leaves the other", "makes room by closing the other"))
-def test_health_checks_that_are_cancelled_together_may_change_the_others(next_check: str, loop: Run) -> None:
+def test_the_report_on_a_cancelled_health_check_may_end_other_health_checks(next_check: str, loop: Run) -> None:
     """Guards against a KeyError where the report on one cancelled check ends another that is about to be cancelled."""
 
     async def body() -> None:
         idle = [await QuietBackend().open() for _ in range(2)]
-        over: list[str] = []
+        completed_backends: list[str] = []
 
-        def told(completed: HealthCheckCompleted) -> None:
-            over.append(completed.backend)
-            if len(over) > 1:
+        def on_completed(completed: HealthCheckCompleted) -> None:
+            completed_backends.append(completed.backend)
+            if len(completed_backends) > 1:
                 return
             if next_check.startswith("leaves"):
                 checker.disconnect({"s-0", "s-1"})
@@ -326,7 +326,7 @@
                         checker.backends[name].side.awaiting_reply = False  # its answer has come
                 checker.probe(CheckHealth("s-2", idle[0].address, 500.0))
 
-        checker = HealthChecker((), 10.0, told, lambda text: None, max_connections=2)
+        checker = HealthChecker((), 10.0, on_completed, lambda text: None, max_connections=2)
         for number, backend in enumerate(idle):
             checker.probe(CheckHealth(f"s-{number}", backend.address, 500.0))
         checker.max_connections = 1
@@ -349,8 +349,8 @@
 
 
 @LOOPS
-@pytest.mark.parametrize("told", ("came", "refused"))
-def test_a_datagram_path_may_be_closed_by_any_call_that_it_makes(told: str, loop: Run) -> None:
+@pytest.mark.parametrize("event", ("received", "refused"))
+def test_any_callback_may_close_a_datagram_path(event: str, loop: Run) -> None:
     """Guards against sending what waits for a path that the report on the first datagram has closed."""
 
     async def body() -> None:
@@ -366,19 +366,19 @@
         with no_callback_raises(), socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as backend:
             backend.bind(("127.0.0.1", 0))
             address = backend.getsockname()
-            if told == "refused":
+            if event == "refused":
                 backend.close()
-            path = datagrams.BackendPath(closes("came"), closes("refused"), ("127.0.0.1", 1))
+            path = datagrams.BackendPath(closes("received"), closes("refused"), ("127.0.0.1", 1))
             for number in range(5):
                 path.send(b"%d" % number)
             await asyncio.get_running_loop().create_datagram_endpoint(lambda: path, remote_addr=address)
-            if told == "came":
+            if event == "received":
                 assert path.transport is not None
                 for _ in range(3):
                     backend.sendto(b"x", path.transport.get_extra_info("sockname"))
             await wait_until(lambda: path.closed)
             await asyncio.sleep(STEP_S)
-        assert calls == [told]
+        assert calls == [event]
 
     loop(body())
 
@@ -386,7 +386,7 @@
 @LOOPS
 @pytest.mark.parametrize("size", (10, 10_000_000), ids=("a short answer", "an answer larger than the buffers"))
 @pytest.mark.parametrize("ended_by", ("its route", "its caller", "nobody"))
-def test_a_call_of_the_operators_api_may_end_in_what_it_calls(ended_by: str, size: int, loop: Run) -> None:
+def test_a_call_of_the_operator_api_may_be_closed_by_its_handler_or_caller(ended_by: str, size: int, loop: Run) -> None:
     """Guards against answering a call that the route itself has closed, or whose caller is gone."""
 
     async def body() -> None:
@@ -416,20 +416,20 @@
 
 @LOOPS
 @pytest.mark.parametrize("port_is", ("open", "closed"))
-def test_an_attempt_to_connect_may_be_cancelled_by_any_call_that_it_makes(port_is: str, loop: Run) -> None:
+def test_any_callback_may_cancel_a_connector(port_is: str, loop: Run) -> None:
     """Guards against a second report on an attempt that its first one has ended."""
 
     async def body() -> None:
-        told: list[str] = []
+        events: list[str] = []
 
         class Made(asyncio.Protocol):
             def connection_made(self, transport: asyncio.BaseTransport) -> None:
-                told.append("made")
+                events.append("made")
                 connecting.cancel()
                 cast(asyncio.Transport, transport).abort()
 
         def failed(failure: ConnectFailure) -> None:
-            told.append("failed")
+            events.append("failed")
             connecting.cancel()
 
         backend = await QuietBackend().open()
@@ -438,9 +438,9 @@
         with no_callback_raises():
             connecting = Connector(Made(), backend.address, failed)
             connecting.start(0.5)
-            await wait_until(lambda: bool(told))
+            await wait_until(lambda: bool(events))
             await asyncio.sleep(5.0 * STEP_S)
-        assert told == ["made" if port_is == "open" else "failed"]
+        assert events == ["made" if port_is == "open" else "failed"]
         backend.server.close()
 
     loop(body())
--- a/tests/transport/test_connector.py
+++ b/tests/transport/test_connector.py
@@ -104,7 +104,7 @@
 
 
 @pytest.mark.parametrize("iterations", range(6))
-def test_a_request_that_may_run_once_is_written_once_though_its_connection_comes_up_as_its_time_is_over(
+def test_a_non_idempotent_request_is_written_once_if_its_connection_is_established_at_its_time_out(
     iterations: int,
 ) -> None:
     async def body() -> None:
--- a/tests/transport/test_inactivity_timer.py
+++ b/tests/transport/test_inactivity_timer.py
@@ -57,7 +57,7 @@
 
 
 @pytest.mark.parametrize("loop", LOOPS)
-def test_what_came_while_the_loop_stood_still_is_no_silence(loop: Callable[[], asyncio.AbstractEventLoop]) -> None:
+def test_data_received_during_a_stall_is_not_inactivity(loop: Callable[[], asyncio.AbstractEventLoop]) -> None:
     """Guards against a limit that falls due before the loop has polled, over bytes that lie in the kernel."""
 
     async def body() -> None:
@@ -72,7 +72,7 @@
 
 
 @pytest.mark.parametrize("loop", LOOPS)
-def test_silence_is_noticed_in_time(loop: Callable[[], asyncio.AbstractEventLoop]) -> None:
+def test_inactivity_is_detected_in_time(loop: Callable[[], asyncio.AbstractEventLoop]) -> None:
     async def body() -> None:
         receiver, peer = await connected()
         await asyncio.sleep(2.0 * TIMEOUT_S)
@@ -83,7 +83,7 @@
 
 
 @pytest.mark.parametrize("loop", LOOPS)
-def test_after_a_hold_the_peer_gets_a_little_more_time_once(loop: Callable[[], asyncio.AbstractEventLoop]) -> None:
+def test_after_a_stall_the_time_out_is_extended_once(loop: Callable[[], asyncio.AbstractEventLoop]) -> None:
     async def body() -> None:
         receiver, peer = await connected()
         stall_s = TIMEOUT_S + 1.5 * STALL_EXTENSION_S
@@ -101,7 +101,7 @@
 
 
 @pytest.mark.parametrize("loop", LOOPS)
-def test_unread_bytes_and_an_end_are_seen_before_the_loop_reads_them(
+def test_unread_data_and_end_of_stream_are_detected_before_the_loop_reads_them(
     loop: Callable[[], asyncio.AbstractEventLoop],
 ) -> None:
     async def body() -> None:
@@ -132,7 +132,7 @@
 
 
 @pytest.mark.parametrize("loop", LOOPS)
-def test_the_end_of_sending_leaves_at_once_or_not_at_all(loop: Callable[[], asyncio.AbstractEventLoop]) -> None:
+def test_the_sending_direction_is_closed_at_once_or_not_at_all(loop: Callable[[], asyncio.AbstractEventLoop]) -> None:
     """Guards against an end that is decided in one turn of the loop and leaves in the next, over what came between."""
 
     async def body() -> None:
@@ -150,7 +150,7 @@
 
 
 @pytest.mark.parametrize("loop", LOOPS)
-def test_a_line_that_comes_while_the_look_at_the_socket_is_held_is_read(
+def test_data_that_arrives_during_a_stalled_poll_is_read(
     loop: Callable[[], asyncio.AbstractEventLoop], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Guards against ending a connection whose line came in a hold between the look at its socket and its end."""
@@ -189,7 +189,7 @@
 
 @pytest.mark.parametrize("loop", LOOPS)
 @pytest.mark.parametrize("timeout_s", (0.0, 0.0004))
-def test_a_limit_of_no_time_calls_back_too(loop: Callable[[], asyncio.AbstractEventLoop], timeout_s: float) -> None:
+def test_a_time_out_of_zero_calls_back(loop: Callable[[], asyncio.AbstractEventLoop], timeout_s: float) -> None:
     """Guards against a limit that never calls back: uvloop has no timer for less than half a millisecond."""
 
     async def body() -> None:
@@ -203,7 +203,7 @@
     run(loop, body())
 
 
-def test_a_cancelled_limit_is_over_whichever_step_it_was_at() -> None:
+def test_a_cancelled_timer_never_calls_back() -> None:
     async def body() -> None:
         for iterations in range(6):
             receiver = Receiver()
--- a/tests/transport/test_line_connections.py
+++ b/tests/transport/test_line_connections.py
@@ -94,7 +94,7 @@
     asyncio.run(inside())
 
 
-def test_a_part_of_a_line_is_passed_on_at_once_and_a_move_waits_for_its_end() -> None:
+def test_an_incomplete_line_is_forwarded_at_once_and_a_migration_waits_for_its_end() -> None:
     def body() -> None:
         _, client, client_transport, backend, backend_transport = relaying_sides()
         backend.data_received(b"hel")
@@ -107,7 +107,7 @@
     run(body)
 
 
-def test_what_comes_with_the_first_lines_is_kept_and_goes_on_in_order() -> None:
+def test_data_received_with_the_up_line_is_forwarded_in_order() -> None:
     def body() -> None:
         sink, client, client_transport, backend, backend_transport = connected_sides()
         backend.data_received(b"UP r\r\nLOAD 5\r\nx")
@@ -119,7 +119,7 @@
     run(body)
 
 
-def test_a_side_that_takes_nothing_holds_the_other_back() -> None:
+def test_back_pressure_pauses_the_other_side() -> None:
     def body() -> None:
         _, client, client_transport, backend, backend_transport = relaying_sides()
         client.pause_writing()
@@ -134,7 +134,7 @@
     run(body)
 
 
-def test_what_comes_before_the_connection_stands_is_told_and_not_kept() -> None:
+def test_client_data_before_the_connection_is_established_is_reported_and_discarded() -> None:
     def body() -> None:
         sink, client, _, backend, backend_transport = connected_sides()
         client.data_received(b"x" * 100_000)
@@ -146,7 +146,7 @@
     run(body)
 
 
-def test_a_flood_of_lines_is_told_as_one_count_for_each_piece() -> None:
+def test_lines_are_reported_as_one_count_per_chunk() -> None:
     def body() -> None:
         sink, client, _, backend, _ = relaying_sides()
         client.data_received(b"x\r\n" * 5000)
@@ -156,7 +156,7 @@
     run(body)
 
 
-def test_a_refused_client_is_heard_out_while_it_sends_and_no_longer() -> None:
+def test_a_rejected_client_may_finish_sending_before_the_connection_is_aborted() -> None:
     async def inside() -> None:
         wire = RecordingTransport()
         client = ClientConnection(cast(Any, RecordingSink()))
@@ -173,7 +173,7 @@
     asyncio.run(inside())
 
 
-def test_what_a_connection_ends_with_says_how_it_ended() -> None:
+def test_the_last_line_determines_the_termination_reason() -> None:
     def body() -> None:
         for last, reason in (
             (b"BYE\r\n", TerminationReason.COMPLETED),
@@ -193,7 +193,7 @@
     run(body)
 
 
-def test_a_connection_that_comes_up_after_it_was_given_up_is_closed() -> None:
+def test_a_connection_established_after_its_attempt_was_dropped_is_closed() -> None:
     def body() -> None:
         sink, wire = RecordingSink(), RecordingTransport()
         backend = BackendConnection(cast(Any, sink), 7, 0)
--- a/tests/transport/test_listener.py
+++ b/tests/transport/test_listener.py
@@ -70,7 +70,7 @@
 
 
 @pytest.mark.parametrize("error", CONNECTION_ERRORS)
-def test_a_queue_is_taken_in_before_its_deadlines_though_most_accepts_fail(error: str) -> None:
+def test_the_queue_is_accepted_before_its_deadlines_though_most_accepts_fail(error: str) -> None:
     """Guards against a pause at each failing accept, behind which requests waited for longer than their time."""
 
     async def body() -> None:
@@ -87,7 +87,7 @@
 
 
 @pytest.mark.parametrize("error", SHORTAGES)
-def test_a_queue_is_taken_in_before_its_deadlines_though_descriptors_are_short_at_most_calls(error: str) -> None:
+def test_the_queue_is_accepted_before_its_deadlines_though_most_accepts_lack_descriptors(error: str) -> None:
     """Guards against a pause for each call that fails in a shortage, of which the next may find the end."""
 
     async def body() -> None:
@@ -104,7 +104,7 @@
 
 
 @pytest.mark.parametrize("error", (*SHORTAGES, "EPERM"))
-def test_accepts_that_all_fail_do_not_spin(error: str) -> None:
+def test_no_busy_loop_if_all_accepts_fail(error: str) -> None:
     """One batch of calls for each pause at the most, whichever error it is."""
 
     async def body() -> None:
@@ -124,7 +124,7 @@
 
 
 @pytest.mark.parametrize("error", ("EPERM", "EMFILE"))
-def test_the_queue_is_emptied_at_the_end_though_most_accepts_fail(error: str) -> None:
+def test_close_empties_the_queue_though_most_accepts_fail(error: str) -> None:
     """Guards against a listening socket that is closed over connections that the kernel had taken in."""
 
     async def body() -> None:
--- a/tests/transport/test_slow_readers.py
+++ b/tests/transport/test_slow_readers.py
@@ -54,7 +54,7 @@
 
 @pytest.mark.parametrize("line_interval_s", (0.0, 0.4))
 @pytest.mark.parametrize(("size", "bytes_per_s"), ((400_000, 400_000), (150_000, 60_000)))
-def test_the_last_line_reaches_a_slow_reader_behind_all_that_came_before_it(
+def test_a_slow_reader_receives_all_data_up_to_the_last_line(
     size: int, bytes_per_s: int, line_interval_s: float
 ) -> None:
     async def body() -> None:
@@ -67,7 +67,7 @@
     uvloop.run(body())
 
 
-def test_a_reader_that_reads_nothing_is_cut_off_within_bounds() -> None:
+def test_a_peer_that_reads_nothing_is_disconnected() -> None:
     """However much is left for it: it must not hold its descriptor for good."""
 
     async def body() -> None:
