--- a/tests/protocol/test_fragments.py
+++ b/tests/protocol/test_fragments.py
@@ -1,4 +1,4 @@
-"""Fragments that are lost, duplicated and reordered."""
+"""Reassembly of messages whose fragments are lost, duplicated and reordered."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
         now += REQUEST_INTERVAL_MS
         replies = [sender.on_datagram(now, "receiver", request)[1] for _, request in receiver.requests_due(now)]
         wire = [fragment for reply in replies for fragment in reply if random.random() > 0.4]
-    assert messages == [data], "delivered once, and unchanged"
+    assert messages == [data], "the message is delivered once and unchanged"
     assert (
         receiver.on_datagram(now, "sender", b"nonsense") == FragmentResult()
         and receiver.on_datagram(now, "elsewhere", fragments[0]) == FragmentResult()
--- a/tests/protocol/test_protocol.py
+++ b/tests/protocol/test_protocol.py
@@ -1,4 +1,4 @@
-"""LineSplitter, the machine list, Graphite and collectd: bytes in, bytes out."""
+"""Parsers and encoders of the line protocol, the endpoint list, the settings, Graphite and collectd."""
 
 from __future__ import annotations
 
@@ -92,7 +92,7 @@
             break
         answers += replies
         if opened is not None:
-            rejected = offset + size < len(data)  # the side takes what follows as out of turn
+            rejected = offset + size < len(data)  # the connection handles further data as sent too early
             break
     assert rejected == (2 * probes > lines.MAX_PROBES or bool(trailing))
     assert rejected or (opened == parse_open(LINE.encode()) and answers == b"PONG\r\nNO\r\n" * probes)
--- a/tests/transport/test_callback_order.py
+++ b/tests/transport/test_callback_order.py
@@ -1,6 +1,6 @@
-"""Any call to a sink or a callback may end the connection that makes it: so it comes last in what a transport does.
+"""Calls to sinks and callbacks come last in the methods of a transport, as any of them may end the connection.
 
-What follows one all the same stands below, with what it looks at first.
+Methods with code after such a call are listed in RECHECKS_STATE, with the reason why that code is safe.
 """
 
 from __future__ import annotations
@@ -14,20 +14,20 @@
 
 FOLDERS = [Path(package.__path__[0]) for package in (yarrowspindle.transport, yarrowspindle.operator_api)]
 CALLBACKS = frozenset(("on_datagram", "on_refused", "failed", "protocol_factory", "make_room", "_callback", "call"))
-SAFE_METHODS = frozenset(("ready", "log_warning"))  # methods of sinks that only answer, or only log
+SAFE_METHODS = frozenset(("ready", "log_warning"))  # methods of sinks that only return a value or log
 
-# Method: why what it does after a call is sound.
+# Why the code after a call is safe, by method.
 RECHECKS_STATE = {
-    "BackendConnection._report": "looks whether it is closing before each report",
-    "BackendConnection.connection_lost": "`_end` looks whether its end was reported",
-    "ClientConnection._on_first_line_timeout": "sets the timer only where nothing was reported",
-    "ClientConnection.connection_lost": "its transport is gone, and what it had left is the sink's",
-    "HealthCheckConnection.data_received": "looks whether it is over before each report",
-    "WatchConnection.data_received": "looks whether it is over before each report and each timer",
-    "Listener._ready": "only `close` ends it, and no call leads there",
-    "Listener._accept": "the same",
-    "Listener._accept_batch": "the same",
-    "Call.on_message_complete": "`answer` looks whether the call is done and its transport closing",
+    "BackendConnection._report": "checks `closing` before each report",
+    "BackendConnection.connection_lost": "`_end` checks whether the end was reported",
+    "ClientConnection._on_first_line_timeout": "sets the timer only if nothing was reported",
+    "ClientConnection.connection_lost": "has cleared its transport, and only reports to the sink",
+    "HealthCheckConnection.data_received": "checks `ended` before each report",
+    "WatchConnection.data_received": "checks `ended` before each report and each timer",
+    "Listener._ready": "only `close` ends the listener, and no call leads to it",
+    "Listener._accept": "as for `Listener._ready`",
+    "Listener._accept_batch": "as for `Listener._ready`",
+    "Call.on_message_complete": "`answer` checks whether the call is done or its transport is closing",
 }
 
 
@@ -42,7 +42,7 @@
 
 
 def own_calls(node: ast.AST) -> Iterator[str]:
-    """Names of the methods of its own that the code calls, and "out" for each call out of the object."""
+    """Yield the names of the object's own methods that the code calls, and "out" for each call out of the object."""
     for call in ast.walk(node):
         if not isinstance(call, ast.Call):
             continue
@@ -56,7 +56,7 @@
 
 
 def methods_calling_out(cls: str) -> set[str]:
-    """The class's methods that call out, themselves or by way of others."""
+    """Return the methods of a class that call out, directly or through other methods."""
     calls = {method.name: set(own_calls(method)) for owner, method in methods() if owner == cls}
     found = {"out"}
     while added := {name for name, called in calls.items() if called & found} - found:
@@ -65,7 +65,7 @@
 
 
 def calls_out_with_successor(block: list[ast.stmt], last: bool, out: set[str]) -> Iterator[ast.stmt]:
-    """Statements that call out and are followed by more than a return. last: nothing follows the block."""
+    """Yield statements that call out and are followed by more than a return; `last`: nothing follows the block."""
     for position, statement in enumerate(block):
         rest = block[position + 1 :]
         is_last = last and all(isinstance(after, ast.Return) and not set(own_calls(after)) for after in rest)
@@ -96,7 +96,7 @@
 
 
 def test_callbacks_come_last_or_state_is_rechecked_afterwards() -> None:
-    """Guards against using a connection after a call that may have ended it: resets overtook MOVE."""
+    """Guards against using a connection after a call that may have ended it: resets overtook the MOVE line."""
     found: dict[str, list[str]] = {}
     for cls, method in methods():
         for statement in calls_out_with_successor(method.body, True, methods_calling_out(cls)):
--- a/tests/transport/test_callback_reentrancy.py
+++ b/tests/transport/test_callback_reentrancy.py
@@ -1,7 +1,7 @@
-"""Sinks that end the connection within the very call in which it tells them of something, on real sockets.
+"""Sinks that end a connection within one of its callbacks, on real sockets.
 
-Any call to a sink, a service or a callback may end the connection that makes it: no callback may raise for it, nothing
-more is told of what has ended, and both sockets are closed in the end.
+Any call to a sink, a service or a callback may end the connection that makes it. No callback may raise because of that,
+nothing more is reported of an ended connection, and both sockets are closed in the end.
 """
 
 from __future__ import annotations
@@ -47,7 +47,7 @@
 
 
 async def connected(protocol: asyncio.Protocol) -> socket.socket:
-    """Connects the protocol; the other end of its connection."""
+    """Connect the protocol. Return the other end of the connection."""
     with socket.create_server(("127.0.0.1", 0)) as listening:
         await asyncio.get_running_loop().create_connection(lambda: protocol, *listening.getsockname())
         peer, _ = listening.accept()
@@ -62,7 +62,7 @@
 
 
 def send(sock: socket.socket, data: bytes) -> None:
-    with suppress(OSError):  # the relay's side has ended it
+    with suppress(OSError):  # the relay has closed the connection
         sock.send(data)
 
 
@@ -71,14 +71,14 @@
         if condition():
             return
         await asyncio.sleep(STEP_S)
-    raise AssertionError("it did not come about")
+    raise AssertionError("the condition did not become true in time")
 
 
 # --- the two sides of a relayed connection --------------------------------------------------------
 
 
 class Pair:
-    """Both sides with a sink that counts what it is told, and strikes once, at the call of this number."""
+    """Both sides of a connection, with a sink that records its calls and runs an action once, in call `act_at`."""
 
     def __init__(self, act_at: int, action: Callable[[Pair], None]) -> None:
         self.act_at, self.action = act_at, action
@@ -193,7 +193,7 @@
 
 
 async def run_script(script: Script, act_at: int, action: Callable[[Pair], None]) -> Pair:
-    """Plays a script; all sockets are closed at its end."""
+    """Run a script, then check that all sockets are closed."""
     pair = Pair(act_at, action)
     client = await connected(pair.client)
     send(client, OPEN)
@@ -229,7 +229,7 @@
 
 
 class EndingSink:
-    """A sink that notes what it is told, and ends the connection in its first call of this name."""
+    """A sink that records its calls, and ends the connection in its first call of the given name."""
 
     def __init__(self, name: str, end: Callable[[Any], None]) -> None:
         self.name, self.end = name, end
@@ -259,7 +259,7 @@
 @pytest.mark.parametrize("name", ("endpoints_received", "watch_active", "watch_ended"))
 @pytest.mark.parametrize("last", (b"", b"0\r\n\r\n", b"1\r\n{\r\n0\r\n\r\n", b"nonsense"), ids=repr)
 def test_any_callback_may_end_a_watch(last: bytes, name: str, loop: Run) -> None:
-    """Guards against telling lists of a watch that was given up in the call before."""
+    """Guards against reporting lists of a watch that the previous report has ended."""
 
     async def body() -> None:
         sink = EndingSink(name, lambda watch: watch.end("by its sink"))
@@ -286,7 +286,7 @@
     "answer", (b"PONG x=1\r\n", b"PONG x=1\r\nPONG x=1\r\n", b"\xff" * 5000), ids=("one", "two", "none")
 )
 def test_any_callback_may_end_a_health_check(answer: bytes, name: str, loop: Run) -> None:
-    """Guards against reading answers on a connection that was given up in the call before."""
+    """Guards against reading replies on a connection that the previous report has ended."""
 
     async def body() -> None:
         sink = EndingSink(name, lambda side: side.end(TerminationReason.NOT_SENT, "by its sink"))
@@ -308,7 +308,7 @@
 @LOOPS
 @pytest.mark.parametrize("next_check", ("leaves the other", "makes room by closing the other"))
 def test_the_report_on_a_cancelled_health_check_may_end_other_health_checks(next_check: str, loop: Run) -> None:
-    """Guards against a KeyError where the report on one cancelled check ends another that is about to be cancelled."""
+    """Guards against a KeyError if the report on a cancelled check ends another that is about to be cancelled."""
 
     async def body() -> None:
         idle = [await QuietBackend().open() for _ in range(2)]
@@ -323,7 +323,7 @@
             else:
                 for name in ("s-0", "s-1"):
                     if name in checker.backends:
-                        checker.backends[name].side.awaiting_reply = False  # its answer has come
+                        checker.backends[name].side.awaiting_reply = False  # its reply has been received
                 checker.probe(CheckHealth("s-2", idle[0].address, 500.0))
 
         checker = HealthChecker((), 10.0, on_completed, lambda text: None, max_connections=2)
@@ -340,7 +340,7 @@
 
 
 class QuietBackend:
-    """Accepts connections, and says nothing."""
+    """Accepts connections and sends nothing."""
 
     async def open(self) -> QuietBackend:
         self.server = await asyncio.get_running_loop().create_server(asyncio.Protocol, "127.0.0.1", 0)
@@ -351,7 +351,7 @@
 @LOOPS
 @pytest.mark.parametrize("event", ("received", "refused"))
 def test_any_callback_may_close_a_datagram_path(event: str, loop: Run) -> None:
-    """Guards against sending what waits for a path that the report on the first datagram has closed."""
+    """Guards against sending queued datagrams on a path that the report on the first datagram has closed."""
 
     async def body() -> None:
         calls: list[str] = []
@@ -387,7 +387,7 @@
 @pytest.mark.parametrize("size", (10, 10_000_000), ids=("a short answer", "an answer larger than the buffers"))
 @pytest.mark.parametrize("ended_by", ("its route", "its caller", "nobody"))
 def test_a_call_of_the_operator_api_may_be_closed_by_its_handler_or_caller(ended_by: str, size: int, loop: Run) -> None:
-    """Guards against answering a call that the route itself has closed, or whose caller is gone."""
+    """Guards against answering a call that its handler has closed, or whose caller has disconnected."""
 
     async def body() -> None:
         failed: list[str] = []
@@ -417,7 +417,7 @@
 @LOOPS
 @pytest.mark.parametrize("port_is", ("open", "closed"))
 def test_any_callback_may_cancel_a_connector(port_is: str, loop: Run) -> None:
-    """Guards against a second report on an attempt that its first one has ended."""
+    """Guards against a second report on a connector that its first report has cancelled."""
 
     async def body() -> None:
         events: list[str] = []
--- a/tests/transport/test_connector.py
+++ b/tests/transport/test_connector.py
@@ -1,6 +1,6 @@
-"""A connection that comes up in the turn of the loop in which its time-out falls due, on real sockets and uvloop.
+"""A connection that is established in the loop iteration in which its time-out falls due, on real sockets and uvloop.
 
-Nothing may have been written on a connection that is reported as never reached: the request is repeated elsewhere.
+Nothing may be written to a connection that is reported as not established, as the request is retried elsewhere.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 
 class Backend:
-    """Keeps the first lines that it reads, and answers none."""
+    """A backend that records the first line of each connection and answers none."""
 
     def __init__(self) -> None:
         self.port = free_port()
@@ -62,7 +62,7 @@
 
 
 def stall_after(iterations: int) -> None:
-    """Holds the event loop for longer than the connect time-out, so many iterations from now."""
+    """Block the event loop for longer than the connect time-out, after this number of iterations."""
     loop = asyncio.get_running_loop()
 
     def run_iteration(remaining: int) -> None:
@@ -75,7 +75,7 @@
 
 
 async def first_lines_read(iterations: int) -> list[bytes]:
-    """What backends read of one request whose first connection comes up after a stall."""
+    """Return the first lines that backends read of one request whose first connection is established after a stall."""
     backends = [Backend() for _ in range(BACKENDS)]
     for backend in backends:
         await backend.open()
--- a/tests/transport/test_inactivity_timer.py
+++ b/tests/transport/test_inactivity_timer.py
@@ -1,4 +1,4 @@
-"""Time limits on silence where the event loop stood still while the peer spoke, on real sockets and on both loops."""
+"""Inactivity time-outs if the event loop was stalled while the peer sent data, on real sockets and both loops."""
 
 from __future__ import annotations
 
@@ -21,12 +21,12 @@
 )
 
 TIMEOUT_S = 0.03
-CLOCK_TICK_S = 0.002  # uvloop's clock counts whole milliseconds, from the start of a turn
+CLOCK_TICK_S = 0.002  # uvloop's clock has whole milliseconds and is read at the start of an iteration
 LOOPS: list[Callable[[], asyncio.AbstractEventLoop]] = [asyncio.new_event_loop, uvloop.new_event_loop]
 
 
 class Receiver(asyncio.Protocol):
-    """Ends the time limit with the first byte."""
+    """Cancels its time-out when data arrives."""
 
     def __init__(self) -> None:
         self.received = b""
@@ -58,7 +58,7 @@
 
 @pytest.mark.parametrize("loop", LOOPS)
 def test_data_received_during_a_stall_is_not_inactivity(loop: Callable[[], asyncio.AbstractEventLoop]) -> None:
-    """Guards against a limit that falls due before the loop has polled, over bytes that lie in the kernel."""
+    """Guards against a time-out that takes effect before the loop has polled, with unread data in the kernel."""
 
     async def body() -> None:
         receiver, peer = await connected()
@@ -106,7 +106,7 @@
 ) -> None:
     async def body() -> None:
         idle, idle_peer = await connected()
-        assert half_close_unless_readable(idle.transport), "nothing has come"
+        assert half_close_unless_readable(idle.transport), "there is no unread data"
         receiver, peer = await connected()
         peer.send(b"x")
         assert not half_close_unless_readable(receiver.transport)
@@ -117,14 +117,16 @@
         await sleep_then_wait_for_reads(0.001)
         assert receiver.received == b"xy"
         peer.close()
-        assert not half_close_unless_readable(receiver.transport), "its end is not read"
+        assert not half_close_unless_readable(receiver.transport), "the end of the stream is unread"
         await wait_for_socket_reads()
         await asyncio.sleep(0.01)
-        assert half_close_unless_readable(receiver.transport) and half_close_unless_readable(None), "it is closed"
+        assert half_close_unless_readable(receiver.transport) and half_close_unless_readable(None), (
+            "the transport is closed"
+        )
         read, read_peer = await connected()
         read_peer.send(b"x")
         await wait_for_socket_reads()
-        assert read.received == b"x" and half_close_unless_readable(read.transport), "all that came is read"
+        assert read.received == b"x" and half_close_unless_readable(read.transport), "all data has been read"
         idle_peer.close()
         read_peer.close()
 
@@ -133,7 +135,7 @@
 
 @pytest.mark.parametrize("loop", LOOPS)
 def test_the_sending_direction_is_closed_at_once_or_not_at_all(loop: Callable[[], asyncio.AbstractEventLoop]) -> None:
-    """Guards against an end that is decided in one turn of the loop and leaves in the next, over what came between."""
+    """Guards against closing one iteration after the check for unread data, which loses data that arrived meanwhile."""
 
     async def body() -> None:
         receiver, peer = await connected()
@@ -142,7 +144,7 @@
         assert not half_close_unless_readable(receiver.transport)
         await wait_for_socket_reads()
         assert half_close_unless_readable(receiver.transport)
-        assert peer.recv(1) == b"", "before the loop's next turn"
+        assert peer.recv(1) == b"", "the end of the stream is sent before the next iteration"
         peer.close()
         assert half_close_unless_readable(None)
 
@@ -153,14 +155,14 @@
 def test_data_that_arrives_during_a_stalled_poll_is_read(
     loop: Callable[[], asyncio.AbstractEventLoop], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Guards against ending a connection whose line came in a hold between the look at its socket and its end."""
+    """Guards against closing a connection whose data arrived in a stall between the poll and the close."""
 
     async def body() -> None:
         receiver, peer = await connected()
         poll_results: list[bool] = []
 
         class StalledPoll:
-            """Its first look finds nothing, and returns 10 ms later."""
+            """A poll whose first call finds nothing and returns 10 ms late."""
 
             def __init__(self) -> None:
                 self.poll_object = poll()
@@ -190,7 +192,7 @@
 @pytest.mark.parametrize("loop", LOOPS)
 @pytest.mark.parametrize("timeout_s", (0.0, 0.0004))
 def test_a_time_out_of_zero_calls_back(loop: Callable[[], asyncio.AbstractEventLoop], timeout_s: float) -> None:
-    """Guards against a limit that never calls back: uvloop has no timer for less than half a millisecond."""
+    """Guards against a timer that never calls back: uvloop has no timers below half a millisecond."""
 
     async def body() -> None:
         receiver = Receiver()
--- a/tests/transport/test_line_connections.py
+++ b/tests/transport/test_line_connections.py
@@ -1,4 +1,4 @@
-"""The two sides of a connection, on transports that only keep books."""
+"""The two sides of a relayed connection, on transports that only record calls."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 
 
 class RecordingTransport:
-    """A transport; as uvloop's it takes nothing more once it closes."""
+    """A transport that records calls; like uvloop's it accepts no calls once it is closing."""
 
     def __init__(self) -> None:
         self.sent, self.reading, self.closed, self.eof = b"", True, False, False
 
     def __getattr__(self, name: str) -> Callable[..., None]:
-        raise AssertionError(f"not expected: {name}")
+        raise AssertionError(f"unexpected call: {name}")
 
     def get_extra_info(self, name: str) -> None:
         return None
@@ -53,7 +53,7 @@
 
 
 class RecordingSink:
-    """Both sinks at once: keeps what it is calls."""
+    """A sink of both sides that records its calls."""
 
     def __init__(self) -> None:
         self.calls: list[tuple[Any, ...]] = []
@@ -128,7 +128,7 @@
         backend.pause_writing()
         assert backend_transport.reading and not client_transport.reading
         client_transport.abort()
-        backend.resume_writing()  # nothing to resume any more: it must not raise
+        backend.resume_writing()  # must not raise although there is nothing to resume
         backend.data_received(b"late\r\n")
 
     run(body)
@@ -166,7 +166,7 @@
         until = asyncio.get_running_loop().time() + 60.0
         client.data_received(b"x" * 5000)
         client._linger(0, until)
-        assert not wire.closed, "it still sends: a reset could take its answer"
+        assert not wire.closed, "the peer still sends, so a reset could destroy its answer"
         client._linger(client.discarded_bytes, until)
         assert wire.closed
 
--- a/tests/transport/test_listener.py
+++ b/tests/transport/test_listener.py
@@ -1,4 +1,4 @@
-"""The listening socket where `accept` fails as accept(2) says it may."""
+"""The listening socket if `accept` fails with the errors listed in accept(2)."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from tests.ports import free_port
 from yarrowspindle.transport.listener import ACCEPT_BATCH, MAX_PAUSE_S, Listener
 
-# Errors that belong to the connection at the head of the queue, and shortages of the system.
+# Errors of the connection at the head of the queue; below, shortages of system resources.
 CONNECTION_ERRORS = (
     "ECONNABORTED",
     "EPERM",
@@ -30,12 +30,12 @@
 )
 SHORTAGES = ("EMFILE", "ENFILE", "ENOBUFS", "ENOMEM")
 CLIENTS = 200
-FAILING_CALLS_OF_TEN = 7  # calls of each ten, before the three that succeed
+FAILING_CALLS_OF_TEN = 7  # of every ten calls the first seven fail
 ACCEPT_DEADLINE_S = 0.3
 
 
 class FailingSocket:
-    """The listening socket, whose `accept` fails where the script says so; the connection stays in the queue."""
+    """The listening socket, with an `accept` that fails while `should_fail`; the connection stays in the queue."""
 
     def __init__(self, real: socket.socket, should_fail: Callable[[], bool], error: int) -> None:
         self.real, self.should_fail, self.error, self.calls = real, should_fail, error, 0
@@ -46,7 +46,7 @@
     def accept(self) -> Any:
         self.calls += 1
         if self.should_fail():
-            raise OSError(self.error, "by the script")
+            raise OSError(self.error, "simulated")
         return self.real.accept()
 
 
@@ -71,7 +71,7 @@
 
 @pytest.mark.parametrize("error", CONNECTION_ERRORS)
 def test_the_queue_is_accepted_before_its_deadlines_though_most_accepts_fail(error: str) -> None:
-    """Guards against a pause at each failing accept, behind which requests waited for longer than their time."""
+    """Guards against a pause after each failing accept, during which requests waited past their deadlines."""
 
     async def body() -> None:
         port, number = free_port(), itertools.count()
@@ -88,7 +88,7 @@
 
 @pytest.mark.parametrize("error", SHORTAGES)
 def test_the_queue_is_accepted_before_its_deadlines_though_most_accepts_lack_descriptors(error: str) -> None:
-    """Guards against a pause for each call that fails in a shortage, of which the next may find the end."""
+    """Guards against a pause after each call that fails in a shortage, which may have ended by the next call."""
 
     async def body() -> None:
         port, number = free_port(), itertools.count()
@@ -105,7 +105,7 @@
 
 @pytest.mark.parametrize("error", (*SHORTAGES, "EPERM"))
 def test_no_busy_loop_if_all_accepts_fail(error: str) -> None:
-    """One batch of calls for each pause at the most, whichever error it is."""
+    """At most one batch of calls per pause, for any error."""
 
     async def body() -> None:
         port, seconds = free_port(), 0.2
@@ -116,7 +116,7 @@
         failing.should_fail = lambda: False
         before = AcceptedConnection.count
         await asyncio.sleep(5.0 * MAX_PAUSE_S)
-        assert AcceptedConnection.count == before + 1, "it is taken in once accept works again"
+        assert AcceptedConnection.count == before + 1, "the connection is accepted once accept works again"
         writer.close()
         await listening.close(listening.loop.time())
 
@@ -125,7 +125,7 @@
 
 @pytest.mark.parametrize("error", ("EPERM", "EMFILE"))
 def test_close_empties_the_queue_though_most_accepts_fail(error: str) -> None:
-    """Guards against a listening socket that is closed over connections that the kernel had taken in."""
+    """Guards against closing the listening socket while connections wait in the kernel's accept queue."""
 
     async def body() -> None:
         port, number = free_port(), itertools.count()
--- a/tests/transport/test_slow_readers.py
+++ b/tests/transport/test_slow_readers.py
@@ -1,4 +1,4 @@
-"""What is still to be written when a side is finished reaches a peer that reads slowly, on real sockets."""
+"""Unsent data of a connection that is being closed reaches a peer that reads slowly, on real sockets."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class Sender(LineConnection):
-    """Writes all it has as soon as it is connected, and finishes."""
+    """Writes `size` bytes as soon as it is connected, and closes the connection gracefully."""
 
     def __init__(self, size: int) -> None:
         super().__init__()
@@ -31,7 +31,7 @@
 
 
 async def read_slowly(port: int, bytes_per_s: int, line_interval_s: float = 0.0) -> bytes:
-    """Reads to the end; says a line now and then, where that is asked for, as clients do on a standing connection."""
+    """Read up to the end of the stream; send a line at an interval, if one is given, as connected clients do."""
     loop = asyncio.get_running_loop()
     reader = socket.socket()
     reader.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
@@ -68,7 +68,7 @@
 
 
 def test_a_peer_that_reads_nothing_is_disconnected() -> None:
-    """However much is left for it: it must not hold its descriptor for good."""
+    """Guards against a peer that occupies a descriptor for ever because unsent data is left for it."""
 
     async def body() -> None:
         port, loop = free_port(), asyncio.get_running_loop()
@@ -82,7 +82,7 @@
         reader = socket.create_connection(("127.0.0.1", port))
         deadline = loop.time() + 6.0
         while not senders or senders[0].open_transport:
-            assert loop.time() < deadline, "it is still held"
+            assert loop.time() < deadline, "the connection is still open"
             await asyncio.sleep(0.05)
         reader.close()
         server.close()
