--- a/yarrowspindle/protocol/lines.py
+++ b/yarrowspindle/protocol/lines.py
@@ -31,12 +31,12 @@
 
     Attributes:
         id: The request's id, chosen by the client: 16 hexadecimal digits.
-        affinity_key: The key for backend affinity: 16 hexadecimal digits.
+        client_key: The key that identifies the client: 16 hexadecimal digits.
         pairs: The `name=value` parameters in their order on the wire.
     """
 
     id: str
-    affinity_key: str
+    client_key: str
     pairs: dict[str, str]
 
     def get(self, name: str, default: str = "") -> str:
@@ -66,14 +66,14 @@
 
     @property
     def key(self) -> int:
-        """The affinity key as an integer."""
-        return int(self.affinity_key, 16)
+        """The client key as an integer."""
+        return int(self.client_key, 16)
 
-    def forward(self, left_ms: float) -> bytes:
+    def forward(self, remaining_ms: float) -> bytes:
         """Return the OPEN line for a backend: unchanged, except that `d` becomes the remaining time in milliseconds."""
-        left = str(max(1, int(left_ms)))
-        listed = ",".join(f"{name}={left if name == 'd' else value}" for name, value in self.pairs.items())
-        return f"OPEN {self.id} {self.affinity_key} {listed}".encode() + CRLF
+        remaining = str(max(1, int(remaining_ms)))
+        pair_list = ",".join(f"{name}={remaining if name == 'd' else value}" for name, value in self.pairs.items())
+        return f"OPEN {self.id} {self.client_key} {pair_list}".encode() + CRLF
 
 
 def parse_open(line: bytes) -> OpenRequest:
@@ -123,29 +123,29 @@
         Raises:
             LineError: The data violates the protocol.
         """
-        data, self.rest, at, answers = self.rest + data, b"", 0, b""
-        while (end := data.find(b"\n", at, at + MAX_LINE_BYTES)) >= 0:
-            line, at = data[at : end + 1], end + 1
+        data, self.rest, offset, answers = self.rest + data, b"", 0, b""
+        while (end := data.find(b"\n", offset, offset + MAX_LINE_BYTES)) >= 0:
+            line, offset = data[offset : end + 1], end + 1
             if not line.endswith(CRLF):
                 raise LineError("a line of the client does not end with CRLF")
             line = line[:-2]
             if line not in PROBES:
-                if at < len(data):
+                if offset < len(data):
                     raise LineError("the client sent data after its first line without waiting for the answer")
                 return answers, parse_open(line)
             self.probes += 1
             if self.probes > MAX_PROBES:
                 raise LineError(f"the client sent more than {MAX_PROBES} probes before its OPEN line")
             answers += PROBES[line] if ready or line != b"PING" else NO
-        if len(data) - at >= MAX_LINE_BYTES:
+        if len(data) - offset >= MAX_LINE_BYTES:
             raise LineError(f"the first line is longer than {MAX_LINE_BYTES} bytes")
-        self.rest = data[at:]
+        self.rest = data[offset:]
         return answers, None
 
 
-def rejection_line(after_ms: float) -> bytes:
+def rejection_line(retry_after_ms: float) -> bytes:
     """Return the BUSY line that rejects a request, with the time in milliseconds after which to retry, if any."""
-    return b"BUSY %d\r\n" % round(after_ms) if after_ms >= MIN_RETRY_AFTER_MS else b"BUSY\r\n"
+    return b"BUSY %d\r\n" % round(retry_after_ms) if retry_after_ms >= MIN_RETRY_AFTER_MS else b"BUSY\r\n"
 
 
 class LineKind(Enum):
--- a/yarrowspindle/transport/connector.py
+++ b/yarrowspindle/transport/connector.py
@@ -49,7 +49,10 @@
 
     @property
     def is_local(self) -> bool:
-        """Whether the cause is on this host, so that the failure says nothing about the peer."""
+        """Whether the cause is on this host, so that the failure says nothing about the peer.
+
+        An unexpected exception counts as local.
+        """
         return self.error is not None and (self.unexpected or self.errno in LOCAL_ERRORS)
 
     @property
--- a/yarrowspindle/transport/listener.py
+++ b/yarrowspindle/transport/listener.py
@@ -19,7 +19,7 @@
 # Pauses while nothing can be accepted, each twice the last: a short shortage causes little delay, a long one little
 # work.
 MIN_PAUSE_S, MAX_PAUSE_S = 0.001, 0.01
-MAX_PAUSES_AFTER_DEADLINE = 5  # of `close`
+MAX_PAUSES_AFTER_DEADLINE = 5  # pauses for lack of room, after the deadline of `close`
 # Errors of a single connection in the queue, see accept(2); the next call is for the next connection.
 CONNECTION_ERRORS = frozenset(
     (
@@ -98,17 +98,17 @@
             self.loop.remove_reader(self.sock)
             self.pause = self.loop.call_later(self.pause_s, self._listen)
 
-    def _accept(self, most: int) -> QueueState:
-        """Accept waiting connections with up to `most` calls; if none succeeds, report NO_ROOM to avoid a busy loop."""
+    def _accept(self, max_calls: int) -> QueueState:
+        """Accept waiting connections; if every call fails, return NO_ROOM to avoid a busy loop."""
         tasks = len(self.tasks)
-        queue = self._accept_batch(most)
+        queue = self._accept_batch(max_calls)
         accepted = len(self.tasks) > tasks
         self.pause_s = MIN_PAUSE_S if accepted else min(2.0 * self.pause_s, MAX_PAUSE_S)
         return QueueState.NO_ROOM if queue is QueueState.MORE and not accepted else queue
 
-    def _accept_batch(self, most: int) -> QueueState:
+    def _accept_batch(self, max_calls: int) -> QueueState:
         shortages = 0
-        for _ in range(most):
+        for _ in range(max_calls):
             if not self.make_room():
                 return QueueState.NO_ROOM
             try:
