--- a/yarrowspindle/protocol/message_codec.py
+++ b/yarrowspindle/protocol/message_codec.py
@@ -20,7 +20,11 @@
 
 
 class InvalidMessageError(Exception):
-    """The received bytes are not a valid message; the text gives the reason."""
+    """The received bytes are not a valid message; the text gives the reason.
+
+    The text is part of a metric's name: configuration/link.py counts `dropped_` and the text, with underscores instead
+    of spaces. It must not change, and must not contain a value.
+    """
 
 
 class MessageCodec:
@@ -51,14 +55,14 @@
     def decode(self, data: bytes) -> Any:
         """Return the message that the bytes hold. Raise InvalidMessageError if they do not hold one."""
         if len(data) <= HEADER_BYTES or data[0] != self.version:
-            raise InvalidMessageError("another version of the message format, or no body")
+            raise InvalidMessageError("another version")
         decoder = self.decoders.get(data[1])
         if decoder is None:
-            raise InvalidMessageError(f"an unknown message type: {data[1]}")
+            raise InvalidMessageError("an unknown kind")
         try:
             message = decoder.decode(_decompress(data[HEADER_BYTES:]))
         except DECODE_ERRORS:
-            raise InvalidMessageError("a body that cannot be decoded") from None
+            raise InvalidMessageError("nonsense") from None
         self.check_bounds(getattr(message, "state", None) or getattr(message, "newer", None))
         return message
 
@@ -68,5 +72,5 @@
     decompressor = zlib.decompressobj()
     body = decompressor.decompress(compressed, MAX_MESSAGE_BYTES)
     if not decompressor.eof:
-        raise InvalidMessageError(f"a body that is truncated, or too long: more than {MAX_MESSAGE_BYTES} bytes")
+        raise InvalidMessageError("too long")
     return body
