--- a/benchmarks/library.py
+++ b/benchmarks/library.py
@@ -151,7 +151,7 @@
                 time.sleep(random.uniform(0.2, 0.45))
                 stalled_until = loop.time()
         await asyncio.gather(*tasks)
-        found["leaked_jobs"] = len(placer.reducer.requests) + len(placer.placements) + len(placer.inside)
+        found["leaked_jobs"] = len(placer.reducer.requests) + len(placer.placements) + len(placer.entered)
         found["stalls"] = placer.counters().get("stalls", 0)
     return found
 
--- a/examples/asgi_host.py
+++ b/examples/asgi_host.py
@@ -13,7 +13,7 @@
 App = Callable[
     [MutableMapping[str, Any], Callable[[], Awaitable[Message]], Callable[[Message], Awaitable[None]]], Awaitable[None]
 ]
-MAX_HEAD, MAX_BODY = 32_768, 1 << 20
+MAX_HEAD_BYTES, MAX_BODY_BYTES = 32_768, 1 << 20
 
 
 class HostConnection(asyncio.Protocol):
@@ -37,7 +37,7 @@
     def data_received(self, data: bytes) -> None:
         self.size += len(data)
         try:
-            if self.size > MAX_HEAD + MAX_BODY:
+            if self.size > MAX_HEAD_BYTES + MAX_BODY_BYTES:
                 raise httptools.HttpParserError("too much")
             self.parser.feed_data(data)
         except httptools.HttpParserError:
@@ -102,17 +102,17 @@
             return
         if message["type"] == "http.response.start":
             self.started = True
-            headers = [(bytes(k), bytes(v)) for k, v in message.get("headers", ())]
-            self.chunked = all(k.lower() != b"content-length" for k, _ in headers)
+            headers = [(bytes(name), bytes(value)) for name, value in message.get("headers", ())]
+            self.chunked = all(name.lower() != b"content-length" for name, _ in headers)
             headers += [(b"connection", b"close")] + [(b"transfer-encoding", b"chunked")] * self.chunked
-            lines = b"".join(k + b": " + v + b"\r\n" for k, v in headers)
+            lines = b"".join(name + b": " + value + b"\r\n" for name, value in headers)
             self.transport.write(b"HTTP/1.1 %d OK\r\n%s\r\n" % (message["status"], lines))
         elif message["type"] == "http.response.body":
-            body, more = message.get("body", b""), message.get("more_body", False)
+            body, more_body = message.get("body", b""), message.get("more_body", False)
             if self.chunked:
-                body = (b"%x\r\n%s\r\n" % (len(body), body) if body else b"") + (b"" if more else b"0\r\n\r\n")
+                body = (b"%x\r\n%s\r\n" % (len(body), body) if body else b"") + (b"" if more_body else b"0\r\n\r\n")
             self.transport.write(body)
-            if not more:
+            if not more_body:
                 self.transport.close()
 
 
@@ -137,8 +137,8 @@
     async def _run(self, scope: MutableMapping[str, Any]) -> None:
         await self.app(scope, self.inbox.get, self.outbox.put)
 
-    async def _lifespan(self, what: str) -> None:
-        await self.inbox.put({"type": what})
+    async def _lifespan(self, event_type: str) -> None:
+        await self.inbox.put({"type": event_type})
         message = await self.outbox.get()
         if message["type"].endswith(".failed"):
             raise RuntimeError(message.get("message", "the application did not start"))
--- a/examples/plan_status.py
+++ b/examples/plan_status.py
@@ -25,21 +25,21 @@
     """An execute node: sends a line of a plan's status several times a second."""
 
     def __init__(self, name: str) -> None:
-        self.name, self.held = name, 0
+        self.name, self.connections = name, 0
         self.tasks: set[asyncio.Task[None]] = set()
 
     async def open(self) -> Endpoint:
-        def came(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        def accept(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             task = asyncio.ensure_future(self._serve(writer))
             self.tasks.add(task)
             task.add_done_callback(self.tasks.discard)
 
-        self.server = await asyncio.start_server(came, "127.0.0.1", 0)
+        self.server = await asyncio.start_server(accept, "127.0.0.1", 0)
         host, port = self.server.sockets[0].getsockname()[:2]
         return Endpoint(self.name, (host, port))
 
     async def _serve(self, writer: asyncio.StreamWriter) -> None:
-        self.held += 1
+        self.connections += 1
         try:
             for number in itertools.count(1):
                 writer.write(f"{self.name}: instalment {number} is due\r\n".encode())
@@ -48,7 +48,7 @@
         except ConnectionError:
             pass
         finally:
-            self.held -= 1
+            self.connections -= 1
             writer.close()
 
     async def stop(self) -> None:
@@ -72,7 +72,7 @@
     return PlacementMiddleware(api, placer, key=key, group=key)
 
 
-async def client(number: int, port: int, seen: Counter[str]) -> None:
+async def run_client(number: int, port: int, counts: Counter[str]) -> None:
     """Reads its stream and comes again after each end, as an EventSource does."""
     while True:
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
@@ -81,55 +81,60 @@
         try:
             while line := (await reader.readline()).decode():
                 if line.startswith("data: ") and ":" in line[6:]:
-                    seen["messages"] += 1
-                    now = line[6:].split(":")[0]
-                    if now != backend:
-                        print(f"  client {number} is at {now}")
-                        backend = now
+                    counts["messages"] += 1
+                    line_backend = line[6:].split(":")[0]
+                    if line_backend != backend:
+                        print(f"  client {number} is at {line_backend}")
+                        backend = line_backend
                 elif line.startswith("event: moved"):
-                    seen["moves"] += 1
+                    counts["moves"] += 1
                     print(f"  client {number} is told to come again")
                 elif line.startswith("HTTP/1.1 503"):
-                    seen["refused"] += 1
+                    counts["refused"] += 1
         finally:
             writer.close()
         await asyncio.sleep(0.4)
 
 
-async def show(seconds: float, clients: int, seed: int | None = None) -> Counter[str]:
+async def run_demo(seconds: float, clients: int, seed: int | None = None) -> Counter[str]:
     """seed: of the draws; drawn by the system where it is left out."""
-    backends = [StandInBackend(f"node-{n}") for n in range(3)]
-    machines = [await backend.open() for backend in backends]
-    source = StaticList(machines)
+    backends = [StandInBackend(f"node-{number}") for number in range(3)]
+    endpoints = [await backend.open() for backend in backends]
+    source = StaticList(endpoints)
     placer = Placer(LibrarySettings(classes=(ConnectionClass("plan-status"),)), source, seed=seed)
-    seen: Counter[str] = Counter()
+    counts: Counter[str] = Counter()
     async with AsgiHost(make_app(placer)) as host:
         print(f"serving at http://127.0.0.1:{host.port}/plans/1 (Accept: text/event-stream)")
-        tasks = [asyncio.ensure_future(client(n + 1, host.port, seen)) for n in range(clients)]
+        tasks = [asyncio.ensure_future(run_client(number + 1, host.port, counts)) for number in range(clients)]
         await asyncio.sleep(seconds / 3.0)
         print("node-0 drains: it keeps what it holds and gets nothing new")
-        source.change([replace(m, state=EndpointState.DRAINING) if m.name == "node-0" else m for m in machines])
+        source.change(
+            [
+                replace(endpoint, state=EndpointState.DRAINING) if endpoint.name == "node-0" else endpoint
+                for endpoint in endpoints
+            ]
+        )
         await asyncio.sleep(seconds / 3.0)
         print("node-0 is gone: its clients are moved")
-        source.change(machines[1:])
+        source.change(endpoints[1:])
         await asyncio.sleep(seconds / 3.0)
-        print("held at the end:", {backend.name: backend.held for backend in backends})
+        print("held at the end:", {backend.name: backend.connections for backend in backends})
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
     for backend in backends:
         await backend.stop()
     print("placer:", dict(sorted(placer.counters().items())))
-    return seen
+    return counts
 
 
 def main() -> None:
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seconds", type=float, default=12.0)
     parser.add_argument("--clients", type=int, default=6)
-    chosen = parser.parse_args()
-    seen = asyncio.run(show(chosen.seconds, chosen.clients))
-    print("clients:", dict(sorted(seen.items())))
+    arguments = parser.parse_args()
+    counts = asyncio.run(run_demo(arguments.seconds, arguments.clients))
+    print("clients:", dict(sorted(counts.items())))
 
 
 if __name__ == "__main__":
--- a/tests/library/test_library.py
+++ b/tests/library/test_library.py
@@ -13,7 +13,7 @@
 import pytest
 
 from benchmarks.library import both, record, stalling
-from examples.plan_status import show
+from examples.plan_status import run_demo
 from tests.stand_ins import Server
 from yarrowspindle.decisions.events import EndpointState, ListKind
 from yarrowspindle.library import (
@@ -36,7 +36,7 @@
 from yarrowspindle.routing.termination import TerminationReason
 from yarrowspindle.runtime import SystemClock, Timers
 
-MACHINES = [Endpoint(f"s-{i}", ("127.0.0.1", 3000 + i)) for i in (1, 2, 3)]
+ENDPOINTS = [Endpoint(f"s-{i}", ("127.0.0.1", 3000 + i)) for i in (1, 2, 3)]
 SETTINGS = LibrarySettings(classes=(ConnectionClass("chat", aim_s=0.1, deadline_s=0.4),), tenants=("acme",))
 
 
@@ -44,28 +44,28 @@
     """The system's clock, and jumps: a loop that stood still for so long."""
 
     def __init__(self) -> None:
-        self.system, self.jumped = SystemClock(), 0.0
+        self.system, self.jumped_ms = SystemClock(), 0.0
 
     def now(self) -> float:
-        return self.system.now() + self.jumped
+        return self.system.now() + self.jumped_ms
 
 
 def run(
     body: Callable[[Placer], Awaitable[None]],
-    machines: list[Endpoint] | None = None,
+    endpoints: list[Endpoint] | None = None,
     settings: LibrarySettings = SETTINGS,
     clock: Any = None,
 ) -> None:
-    async def inside() -> None:
-        found = MACHINES if machines is None else machines
-        placer = Placer(settings, StaticList(found), seed=3, clock=clock)
+    async def main() -> None:
+        all_endpoints = ENDPOINTS if endpoints is None else endpoints
+        placer = Placer(settings, StaticList(all_endpoints), seed=3, clock=clock)
         async with placer:
             await body(placer)
-        assert not placer.reducer.requests and not placer.placements and not placer.inside
-        assert all(s.connections == 0 for s in placer.reducer.balancer.backends.values())
+        assert not placer.reducer.requests and not placer.placements and not placer.entered
+        assert all(backend.connections == 0 for backend in placer.reducer.balancer.backends.values())
         assert not placer.runtime.owners and not placer.runtime.timers.current
 
-    asyncio.run(inside())
+    asyncio.run(main())
 
 
 def test_a_request_is_placed_counted_and_tries_another_backend_when_one_fails() -> None:
@@ -73,15 +73,15 @@
         async with placer.place(key=7, tenant="acme") as placement:
             first = placement.backend
             await placement.failed()
-            assert placement.backend != first and placement.address in [m.address for m in MACHINES]
+            assert placement.backend != first and placement.address in [endpoint.address for endpoint in ENDPOINTS]
             placement.up()
             placement.load(20.0)
             assert placer.counters()["up"] == 1
-        with pytest.raises(Rejected) as refused:
+        with pytest.raises(Rejected) as rejection:
             async with placer.place() as placement:
                 for _ in range(3):
                     await placement.failed(TerminationReason.REJECTED)
-        assert 1.0 <= refused.value.retry_after <= 2.0
+        assert 1.0 <= rejection.value.retry_after <= 2.0
         async with placer.place():
             pass  # served in one go
 
@@ -89,64 +89,68 @@
 
 
 @pytest.mark.parametrize("stalled_ms", [300.0, 2000.0, 10_000.0])
-def test_a_stall_answers_once_blames_no_backend_and_is_counted(stalled_ms: float) -> None:
+def test_a_stall_of_the_event_loop_answers_once_counts_no_backend_failure_and_is_counted(stalled_ms: float) -> None:
     clock = JumpingClock()
 
     async def body(placer: Placer) -> None:
         seen: list[Event] = []
         placer.runtime.event_observers.append(lambda now, event: seen.append(event))
-        async with placer.place() as standing, placer.place() as reaching:
-            standing.up()
-            standing.asked()  # a message is on its way as the loop stands still
-            reaching.reached()
-            clock.jumped += stalled_ms
-            standing.answered()
-            assert isinstance(next(e for e in seen if isinstance(e, EventLoopStalled)), EventLoopStalled)
-            assert not standing.moved.is_set() and not standing.over
+        async with placer.place() as established, placer.place() as connecting:
+            established.up()
+            established.asked()  # a message is on its way as the loop stands still
+            connecting.reached()
+            clock.jumped_ms += stalled_ms
+            established.answered()
+            assert isinstance(next(event for event in seen if isinstance(event, EventLoopStalled)), EventLoopStalled)
+            assert not established.moved.is_set() and not established.over
             backends = placer.reducer.backends.values()
-            assert all(not n.reported_slow for n in backends), "what waited in our own socket took no time at the node"
+            assert all(not backend.reported_slow for backend in backends), (
+                "what waited in our own socket took no time at the node"
+            )
             servers = placer.reducer.balancer.backends.values()
-            assert all(s.consecutive_failures == 0 for s in servers), "no node is passed over for our own stall"
+            assert all(server.consecutive_failures == 0 for server in servers), (
+                "no node is passed over for our own stall"
+            )
             if stalled_ms > 400.0:
-                assert reaching.moved.is_set()
+                assert connecting.moved.is_set()
                 with pytest.raises(Rejected):
-                    reaching.up()
+                    connecting.up()
                 assert placer.counters()["refused"] == 1
             else:
-                reaching.up()
+                connecting.up()
         assert placer.counters()["stalls"] == 1
 
     run(body, clock=clock)
 
 
 def test_many_stalls_leave_every_request_with_one_answer() -> None:
-    found = asyncio.run(stalling(11, 8))
-    assert {k: v for k, v in found.items() if k not in ("jobs", "stalls")} == dict.fromkeys(
+    counts = asyncio.run(stalling(11, 8))
+    assert {name: count for name, count in counts.items() if name not in ("jobs", "stalls")} == dict.fromkeys(
         ("second_answers", "unanswered", "late_after_stall", "leaked_jobs"), 0
     )
-    assert found["jobs"] == 80 and found["stalls"] >= 8
+    assert counts["jobs"] == 80 and counts["stalls"] >= 8
 
 
-def test_timers_that_fell_due_together_run_in_their_order_and_before_what_came_in() -> None:
+def test_timers_that_are_due_together_run_in_their_order() -> None:
     async def body() -> None:
         clock = JumpingClock()
         timers, ran = Timers(clock), list[object]()
         timers.on_due = ran.append
-        for delay, what in ((300.0, "c"), (100.0, "a"), (100.0, "b"), (200.0, "gone"), (5000.0, "later")):
-            timers.set(delay, what)
+        for delay, timer in ((300.0, "c"), (100.0, "a"), (100.0, "b"), (200.0, "gone"), (5000.0, "later")):
+            timers.set(delay, timer)
         timers.cancel("gone")
-        clock.jumped += 1000.0
+        clock.jumped_ms += 1000.0
         timers.run_due()
         assert ran == ["a", "b", "c"]
 
     asyncio.run(body())
 
 
-def test_a_close_moves_who_stands_answers_who_waits_and_cuts_who_is_deaf() -> None:
+def test_close_migrates_established_requests_answers_waiting_ones_and_cancels_the_rest() -> None:
     async def body() -> None:
-        source = StaticList(MACHINES)
+        source = StaticList(ENDPOINTS)
         placer = Placer(SETTINGS, source, seed=3)
-        ends: dict[str, str] = {}
+        outcomes: dict[str, str] = {}
 
         async def request(name: str) -> None:
             try:
@@ -154,12 +158,12 @@
                     if name != "attempt":
                         placement.up()
                     await (asyncio.Event() if name == "deaf" else placement.moved).wait()
-                    ends[name] = "moved"
+                    outcomes[name] = "moved"
             except (PlacerClosed, asyncio.CancelledError) as error:
-                ends[name] = type(error).__name__
+                outcomes[name] = type(error).__name__
 
         await placer.start()
-        tasks = [asyncio.ensure_future(request(n)) for n in ("polite", "deaf", "attempt")]
+        tasks = [asyncio.ensure_future(request(name)) for name in ("polite", "deaf", "attempt")]
         await asyncio.sleep(0)
         source.change([])
         tasks.append(asyncio.ensure_future(request("waiting")))
@@ -169,20 +173,20 @@
         with pytest.raises(PlacerClosed):
             async with placer.place():
                 pass
-        begun = asyncio.get_running_loop().time()
+        started = asyncio.get_running_loop().time()
         await placer.close(0.05)  # a second SIGINT
         await asyncio.gather(closing, *tasks)
-        assert asyncio.get_running_loop().time() - begun < 1.0
-        assert ends == {"polite": "moved", "deaf": "CancelledError", "attempt": "moved", "waiting": "PlacerClosed"}
-        assert not placer.reducer.requests and not placer.inside
+        assert asyncio.get_running_loop().time() - started < 1.0
+        assert outcomes == {"polite": "moved", "deaf": "CancelledError", "attempt": "moved", "waiting": "PlacerClosed"}
+        assert not placer.reducer.requests and not placer.entered
         with pytest.raises(PlacerClosed):
             await placer.start()
 
     asyncio.run(body())
 
 
-@pytest.mark.parametrize("machines", [MACHINES, []])
-def test_cancelling_a_request_at_any_point_leaves_nothing_behind(machines: list[Endpoint]) -> None:
+@pytest.mark.parametrize("endpoints", [ENDPOINTS, []])
+def test_cancelling_a_request_at_any_point_leaves_nothing_behind(endpoints: list[Endpoint]) -> None:
     async def body(placer: Placer) -> None:
         async def request() -> None:
             async with placer.place() as placement:
@@ -199,12 +203,12 @@
                 await asyncio.sleep(0)
             task.cancel()
             await asyncio.gather(task, return_exceptions=True)
-            assert not placer.reducer.requests and not placer.inside, f"after {steps} steps"
+            assert not placer.reducer.requests and not placer.entered, f"after {steps} steps"
         with pytest.raises(TimeoutError):
             async with asyncio.timeout(0.0), placer.place() as placement:
                 await placement.moved.wait()
 
-    run(body, machines)
+    run(body, endpoints)
 
 
 def test_a_backend_that_drains_before_the_request_was_sent_may_not_be_used() -> None:
@@ -213,7 +217,12 @@
         async with placer.place() as placement:
             first = placement.backend
             placer.source.change(
-                [Endpoint(m.name, m.address, EndpointState.DRAINING) if m.name == first else m for m in MACHINES]
+                [
+                    Endpoint(endpoint.name, endpoint.address, EndpointState.DRAINING)
+                    if endpoint.name == first
+                    else endpoint
+                    for endpoint in ENDPOINTS
+                ]
             )
             assert placement.moved.is_set()
             with pytest.raises(BackendDropped):
@@ -226,21 +235,21 @@
 
 
 @pytest.mark.parametrize("late_ms", [398.0, 2000.0], ids=("no time to send it", "answered at the deadline"))
-def test_a_request_that_ends_in_the_call_that_says_its_backend_is_reached_is_not_sent(late_ms: float) -> None:
+def test_a_request_that_ends_within_the_call_of_reached_is_not_sent(late_ms: float) -> None:
     """Guards against a host that sends a request which the very call before it had rejected or taken back."""
     clock = JumpingClock()
 
     async def body(placer: Placer) -> None:
         with pytest.raises((Rejected, BackendDropped)):
             async with placer.place() as placement:
-                clock.jumped += late_ms
+                clock.jumped_ms += late_ms
                 placement.reached()
 
     run(body, clock=clock)
 
 
 def test_use_before_the_start_after_the_close_or_elsewhere_is_a_clear_error() -> None:
-    placer = Placer(SETTINGS, StaticList(MACHINES))
+    placer = Placer(SETTINGS, StaticList(ENDPOINTS))
 
     async def place() -> str:
         try:
@@ -253,11 +262,11 @@
         assert "has not been started" in await place()
         async with placer:
             assert await place() == "placed"
-            found: list[str] = []
-            thread = threading.Thread(target=lambda: found.append(asyncio.run(place())))
+            messages: list[str] = []
+            thread = threading.Thread(target=lambda: messages.append(asyncio.run(place())))
             thread.start()
             thread.join()
-            assert "another thread" in found[0]
+            assert "another thread" in messages[0]
             placer.process = os.getpid() + 1  # as a fork sees it
             assert "another process" in await place()
             placer.process = os.getpid()
@@ -268,15 +277,15 @@
     assert "another event loop" in asyncio.run(place())
 
 
-def test_ten_thousand_at_once_and_one_more() -> None:
+def test_a_request_above_the_limit_of_ten_thousand_is_rejected() -> None:
     async def body(placer: Placer) -> None:
         placer.max_requests = 10_000
-        go = asyncio.Event()
+        may_end = asyncio.Event()
 
         async def request() -> None:
             async with placer.place() as placement:
                 placement.up()
-                await go.wait()
+                await may_end.wait()
 
         tasks = [asyncio.ensure_future(request()) for _ in range(10_000)]
         while placer.counters().get("up", 0) < 10_000:
@@ -284,59 +293,59 @@
         with pytest.raises(Rejected):
             async with placer.place():
                 pass
-        go.set()
+        may_end.set()
         await asyncio.gather(*tasks)
 
     run(body)
 
 
-def test_a_callback_that_fails_leaves_the_old_list_and_is_asked_again() -> None:
+def test_a_callback_that_fails_keeps_the_old_list_and_is_called_again() -> None:
     async def body() -> None:
-        failing, calls = False, 0
+        is_failing, calls = False, 0
 
         async def fetch() -> list[Endpoint]:
             nonlocal calls
             calls += 1
-            if failing:
+            if is_failing:
                 raise OSError("the service is down")
-            return MACHINES
+            return ENDPOINTS
 
         source = CallbackList(fetch, every_s=0.001)
         async with Placer(SETTINGS, source, seed=1) as placer:
             while placer.counters().get("lists", 0) < 2:
                 await asyncio.sleep(0)
-            failing = True
+            is_failing = True
             while placer.reducer.balancer.discovery.failures == 0:
                 await asyncio.sleep(0.001)
             async with placer.place() as placement:
                 placement.up()
-            failing, before = False, calls
+            is_failing, calls_before = False, calls
             source.ask(0)  # as the module does by its own wait
-            while calls == before or placer.reducer.balancer.discovery.failures:
+            while calls == calls_before or placer.reducer.balancer.discovery.failures:
                 await asyncio.sleep(0.001)
 
     asyncio.run(body())
 
 
-def test_a_minute_without_the_list_leaves_the_old_one_and_asks_now_and_then() -> None:
-    clock, asked = JumpingClock(), 0
+def test_a_minute_of_failed_list_requests_keeps_the_old_list_and_retries_with_backoff() -> None:
+    clock, ask_count = JumpingClock(), 0
 
-    class Down(StaticList):
+    class FailingList(StaticList):
         def ask(self, version: int) -> None:
-            nonlocal asked
-            asked += 1
+            nonlocal ask_count
+            ask_count += 1
             assert self.on_update is not None
             self.on_update(EndpointsUpdated(ListKind.FAILED))
 
     async def body() -> None:
-        async with Placer(SETTINGS, Down(MACHINES), seed=3, clock=clock) as placer:
+        async with Placer(SETTINGS, FailingList(ENDPOINTS), seed=3, clock=clock) as placer:
             placer.post(EndpointsUpdated(ListKind.FAILED))
             for _ in range(120):
-                clock.jumped += 500.0
+                clock.jumped_ms += 500.0
                 placer.runtime.timers.run_due()
                 async with placer.place() as placement:
                     placement.up()
-            assert 3 <= asked <= 30, "later each time, and never a storm"
+            assert 3 <= ask_count <= 30, "later each time, and never a storm"
             assert placer.counters()["up"] == 120
 
     asyncio.run(body())
@@ -388,51 +397,55 @@
 def test_daemon_and_library_choose_alike_on_a_recorded_sequence(tmp_path: Path) -> None:
     path = tmp_path / "sequence.jsonl"
     assert record(path, 20261201, 4000) >= 4000
-    same, played = both(path)
-    assert same["identical"] and same["daemon"] == same["library"] and same["library"]["second"] == 0
-    assert same["choices"] > 500 and len({a for answers in played.answers.values() for a in answers}) >= 2
+    comparison, played = both(path)
+    assert (
+        comparison["identical"]
+        and comparison["daemon"] == comparison["library"]
+        and comparison["library"]["second"] == 0
+    )
+    assert comparison["choices"] > 500 and len({a for answers in played.answers.values() for a in answers}) >= 2
 
 
 def test_a_placer_is_recorded_and_replayed_the_same() -> None:
-    out, reached = io.BytesIO(), list[str]()
+    out, backends = io.BytesIO(), list[str]()
 
     async def body() -> None:
-        placer = Placer(SETTINGS, StaticList(MACHINES), seed=9)
+        placer = Placer(SETTINGS, StaticList(ENDPOINTS), seed=9)
         placer.runtime.event_observers.append(Recorder(out, placer.core, 9, placer.clock.now()).event)
         async with placer:
             for key in range(20):
                 async with placer.place(key=key) as placement:
-                    reached.append(placement.backend)
+                    backends.append(placement.backend)
                     if key % 3 == 0:
                         await placement.failed()
-                        reached.append(placement.backend)
+                        backends.append(placement.backend)
                     placement.up()
 
     asyncio.run(body())
     out.seek(0)
     played = play_library(*read_sequence(out))
-    assert [choice[3] for choice in played.choices if choice[0] == "reach"] == reached
+    assert [choice[3] for choice in played.choices if choice[0] == "reach"] == backends
     assert all(answers == ["up"] for answers in played.answers.values())
 
 
 @pytest.mark.parametrize(
-    "damage, words",
+    "damage, message",
     [
-        (lambda t: b"{}\n" + t, "line 1 is no header"),
-        (lambda t: t.replace(b'"version":1', b'"version":9', 1), "not known"),
-        (lambda t: t + b'[9e12,"Nobody",{}]\n', "line 3: 'Nobody' is no event"),
-        (lambda t: t + b"[9e12,", "line 3 cannot"),
-        (lambda t: t + b'[1.0,"Stalled",{"for_ms":1.0}]\n', "line 3: the time goes back"),
+        (lambda data: b"{}\n" + data, "line 1 is no header"),
+        (lambda data: data.replace(b'"version":1', b'"version":9', 1), "not known"),
+        (lambda data: data + b'[9e12,"Nobody",{}]\n', "line 3: 'Nobody' is no event"),
+        (lambda data: data + b"[9e12,", "line 3 cannot"),
+        (lambda data: data + b'[1.0,"Stalled",{"for_ms":1.0}]\n', "line 3: the time goes back"),
     ],
 )
-def test_a_damaged_sequence_is_refused_with_its_line(damage: Callable[[bytes], bytes], words: str) -> None:
+def test_a_damaged_sequence_is_rejected_with_its_line(damage: Callable[[bytes], bytes], message: str) -> None:
     out = io.BytesIO()
     recorder = Recorder(out, SETTINGS.core(), 1, 5000.0)
     recorder.event(6000.0, EventLoopStalled(1.0))
-    with pytest.raises(SequenceError, match=words):
+    with pytest.raises(SequenceError, match=message):
         list(read_sequence(io.BytesIO(damage(out.getvalue())))[1])
 
 
 def test_the_example_shows_a_drain_and_a_move() -> None:
-    seen = asyncio.run(show(1.5, 6, seed=5))  # by other seeds one in many leaves nobody at the node that drains
-    assert seen["messages"] > 6 and seen["moves"] >= 1 and seen["refused"] == 0
+    counts = asyncio.run(run_demo(1.5, 6, seed=5))  # by other seeds one in many leaves nobody at the node that drains
+    assert counts["messages"] > 6 and counts["moves"] >= 1 and counts["refused"] == 0
--- a/tests/middleware/test_middleware.py
+++ b/tests/middleware/test_middleware.py
@@ -34,7 +34,7 @@
 STREAM = [(b"accept", b"text/event-stream")]
 
 
-def machines(*states: EndpointState) -> list[Endpoint]:
+def endpoints(*states: EndpointState) -> list[Endpoint]:
     return [Endpoint(f"s-{i}", ("127.0.0.1", 3000 + i), state) for i, state in enumerate(states, 1)]
 
 
@@ -65,28 +65,28 @@
 
 
 def run(body: Callable[[Any, Placer, dict[str, Any]], Awaitable[None]], *states: EndpointState, **options: Any) -> None:
-    async def inside() -> None:
+    async def main() -> None:
         placer = Placer(
             settings(classes=(RequestClass(100.0, 400.0),), clients_heed_retry_after=True, max_retry_after_ms=2000.0),
-            StaticList(machines(*states)),
+            StaticList(endpoints(*states)),
             seed=3,
         )
         await placer.start()
-        go: dict[str, Any] = {"end": asyncio.Event(), "unreachable": set(), "tried": []}
+        controls: dict[str, Any] = {"end": asyncio.Event(), "unreachable": set(), "tried": []}
         api = FastAPI()
 
         @api.get("/plan")
         async def plan(request: Request) -> StreamingResponse:
             placement: Placement = request.scope["yarrowspindle"]
-            go["tried"].append(placement.backend)
-            if placement.backend in go["unreachable"]:
+            controls["tried"].append(placement.backend)
+            if placement.backend in controls["unreachable"]:
                 raise placement.unreachable()
-            go["placement"] = placement
+            controls["placement"] = placement
 
             async def stream() -> AsyncIterator[str]:
                 yield placement.backend
-                ends = [asyncio.ensure_future(e.wait()) for e in (go["end"], placement.moved)]
-                await asyncio.wait(ends, return_when=asyncio.FIRST_COMPLETED)
+                waits = [asyncio.ensure_future(event.wait()) for event in (controls["end"], placement.moved)]
+                await asyncio.wait(waits, return_when=asyncio.FIRST_COMPLETED)
 
             return StreamingResponse(stream())
 
@@ -94,58 +94,60 @@
         async def plain(request: Request) -> bool:
             return "yarrowspindle" in request.scope
 
-        await body(PlacementMiddleware(api, placer), placer, go)
-        assert not placer.reducer.requests and not placer.placements and not placer.inside
-        assert all(s.connections == 0 for s in placer.reducer.balancer.backends.values())
+        await body(PlacementMiddleware(api, placer), placer, controls)
+        assert not placer.reducer.requests and not placer.placements and not placer.entered
+        assert all(backend.connections == 0 for backend in placer.reducer.balancer.backends.values())
 
-    asyncio.run(inside())
+    asyncio.run(main())
 
 
-def test_a_stream_is_placed_counted_and_let_go_of() -> None:
-    async def body(app: Any, placer: Placer, go: dict[str, Any]) -> None:
+def test_a_stream_is_placed_counted_and_released() -> None:
+    async def body(app: Any, placer: Placer, controls: dict[str, Any]) -> None:
         client = Client(app)
         assert (await client.next())["status"] == 200
         backend = (await client.next())["body"].decode()
-        assert [s.connections for s in placer.reducer.balancer.backends.values()].count(1) == 1 and backend in (
+        assert [server.connections for server in placer.reducer.balancer.backends.values()].count(
+            1
+        ) == 1 and backend in (
             "s-1",
             "s-2",
         )
-        go["end"].set()
+        controls["end"].set()
         await client.task
 
     run(body, EndpointState.READY, EndpointState.READY)
 
 
-def test_a_backend_that_is_not_reached_costs_an_attempt_and_not_the_request() -> None:
-    async def body(app: Any, placer: Placer, go: dict[str, Any]) -> None:
-        go["unreachable"] = {"s-1"}
-        go["end"].set()
+def test_an_unreachable_backend_fails_the_attempt_but_not_the_request() -> None:
+    async def body(app: Any, placer: Placer, controls: dict[str, Any]) -> None:
+        controls["unreachable"] = {"s-1"}
+        controls["end"].set()
         for _ in range(6):
             client = Client(app)
             assert (await client.next())["status"] == 200
             assert (await client.next())["body"] == b"s-2"
             await client.task
-        assert "s-1" in go["tried"]
+        assert "s-1" in controls["tried"]
 
     run(body, EndpointState.READY, EndpointState.READY)
 
 
-def test_a_refusal_is_503_with_retry_after_and_closes_a_websocket() -> None:
-    async def body(app: Any, placer: Placer, go: dict[str, Any]) -> None:
+def test_a_rejection_is_503_with_retry_after_and_closes_a_websocket() -> None:
+    async def body(app: Any, placer: Placer, controls: dict[str, Any]) -> None:
         start = await Client(app).next()
         headers = dict(start["headers"])
         assert start["status"] == 503 and headers[b"retry-after"] in (b"1", b"2")
         socket = await Client(app, type="websocket", scheme="ws").next()
         assert (socket["type"], socket["code"]) == ("websocket.close", 1013)
-        able = Client(app, type="websocket", scheme="ws", extensions={"websocket.http.response": {}})
-        start = await able.next()
+        with_response_extension = Client(app, type="websocket", scheme="ws", extensions={"websocket.http.response": {}})
+        start = await with_response_extension.next()
         assert (start["type"], start["status"]) == ("websocket.http.response.start", 503)
 
     run(body, EndpointState.DRAINING)
 
 
 def test_a_client_that_leaves_while_it_waits_is_forgotten() -> None:
-    async def body(app: Any, placer: Placer, go: dict[str, Any]) -> None:
+    async def body(app: Any, placer: Placer, controls: dict[str, Any]) -> None:
         client = Client(app)
         while not placer.reducer.requests:
             await asyncio.sleep(0)
@@ -157,18 +159,18 @@
 
 
 def test_a_backend_that_is_gone_ends_its_streams() -> None:
-    async def body(app: Any, placer: Placer, go: dict[str, Any]) -> None:
+    async def body(app: Any, placer: Placer, controls: dict[str, Any]) -> None:
         client = Client(app)
         await client.next()
         assert isinstance(placer.source, StaticList)
-        placer.source.change(machines(EndpointState.GONE))
+        placer.source.change(endpoints(EndpointState.GONE))
         await client.task
 
     run(body, EndpointState.READY)
 
 
-def test_short_requests_are_left_alone() -> None:
-    async def body(app: Any, placer: Placer, go: dict[str, Any]) -> None:
+def test_short_requests_are_not_placed() -> None:
+    async def body(app: Any, placer: Placer, controls: dict[str, Any]) -> None:
         client = Client(app, path="/plain", raw_path=b"/plain", headers=[])
         assert (await client.next())["status"] == 200 and (await client.next())["body"] == b"false"
         await client.task
@@ -177,7 +179,7 @@
 
 
 def test_a_websocket_is_placed_before_it_is_accepted() -> None:
-    async def body(app: Any, placer: Placer, go: dict[str, Any]) -> None:
+    async def body(app: Any, placer: Placer, controls: dict[str, Any]) -> None:
         async def endpoint(websocket: WebSocket) -> None:
             await websocket.accept()
             await websocket.send_text(websocket.scope["yarrowspindle"].backend)
@@ -194,7 +196,7 @@
 
 
 def test_an_application_that_fails_before_its_response_leaves_no_request_and_after_it_ends_one() -> None:
-    async def body(app: Any, placer: Placer, go: dict[str, Any]) -> None:
+    async def body(app: Any, placer: Placer, controls: dict[str, Any]) -> None:
         for started in (False, True):
 
             async def broken(scope: Any, receive: Any, send: Any, started: bool = started) -> None:
@@ -211,7 +213,7 @@
 
 
 def test_an_error_page_of_the_application_counts_for_no_backend() -> None:
-    async def body(app: Any, placer: Placer, go: dict[str, Any]) -> None:
+    async def body(app: Any, placer: Placer, controls: dict[str, Any]) -> None:
         client = Client(app, path="/none", raw_path=b"/none")
         assert (await client.next())["status"] == 404
         await client.task
@@ -220,24 +222,29 @@
     run(body, EndpointState.READY)
 
 
-def test_what_a_host_reads_from_the_request_reaches_the_core_and_a_wrong_class_is_a_400() -> None:
-    async def body(app: Any, placer: Placer, go: dict[str, Any]) -> None:
+def test_extracted_arguments_reach_the_reducer_and_an_unknown_class_is_a_400() -> None:
+    async def body(app: Any, placer: Placer, controls: dict[str, Any]) -> None:
         seen: list[Any] = []
         placer.runtime.event_observers.append(lambda now, event: seen.append(event))
         wrapped = PlacementMiddleware(
-            app, placer, key=lambda s: 7, group=lambda s: 9, deadline=lambda s: 0.3, returned=lambda s: True
+            app,
+            placer,
+            key=lambda scope: 7,
+            group=lambda scope: 9,
+            deadline=lambda scope: 0.3,
+            returned=lambda scope: True,
         )
         client = Client(wrapped)
-        go["end"].set()
+        controls["end"].set()
         await client.task
         arrived = seen[0]
         assert (arrived.key, arrived.group, arrived.remaining_ms, arrived.returned) == (7, 9, 300.0, True)
-        wrong = Client(PlacementMiddleware(app, placer, cls=lambda s: "nobody"))
-        assert (await wrong.next())["status"] == 400
-        socket = Client(PlacementMiddleware(app, placer, cls=lambda s: 3), type="websocket", scheme="ws")
+        unknown_class = Client(PlacementMiddleware(app, placer, cls=lambda scope: "nobody"))
+        assert (await unknown_class.next())["status"] == 400
+        socket = Client(PlacementMiddleware(app, placer, cls=lambda scope: 3), type="websocket", scheme="ws")
         assert (await socket.next())["code"] == 1008
         with pytest.raises(TypeError, match="clas"):
-            PlacementMiddleware(app, placer, clas=lambda s: 0)
+            PlacementMiddleware(app, placer, clas=lambda scope: 0)
 
     run(body, EndpointState.READY)
 
@@ -261,7 +268,7 @@
 
 @pytest.mark.parametrize("end, code", [("moved", 1012), ("node", 1000), ("client", 0)])
 def test_a_websocket_is_relayed_until_one_side_ends_or_it_is_moved(end: str, code: int) -> None:
-    async def body(app: Any, placer: Placer, go: dict[str, Any]) -> None:
+    async def body(app: Any, placer: Placer, controls: dict[str, Any]) -> None:
         link, refused = FakeLink(), ["s-1"]
 
         async def open_link(address: Any) -> FakeLink:
@@ -307,13 +314,13 @@
 
 
 @pytest.mark.parametrize("late_ms", [298.0, 2000.0], ids=("no time to send it", "answered at the deadline"))
-def test_a_link_is_closed_where_the_request_ends_in_the_call_that_says_it_is_there(late_ms: float) -> None:
+def test_a_link_is_closed_if_the_request_ends_while_it_is_opened(late_ms: float) -> None:
     """Guards against a link that stays open, and carries the request, though the request was rejected meanwhile."""
 
     async def body() -> None:
         clock, links = JumpingClock(), list[FakeLink]()
         classes = LibrarySettings(classes=(ConnectionClass("chat", aim_s=0.1, deadline_s=0.3),))
-        async with Placer(classes, StaticList(machines(EndpointState.READY)), seed=3, clock=clock) as placer:
+        async with Placer(classes, StaticList(endpoints(EndpointState.READY)), seed=3, clock=clock) as placer:
 
             async def open_link(address: Any) -> FakeLink:
                 links.append(FakeLink())
@@ -335,14 +342,14 @@
     order: list[str] = []
 
     @asynccontextmanager
-    async def own(app: FastAPI) -> AsyncIterator[None]:
+    async def app_lifespan(app: FastAPI) -> AsyncIterator[None]:
         order.append("app starts")
         yield
         order.append("app ends")
 
     async def body() -> None:
-        for app in (unaware, FastAPI(lifespan=own)):
-            placer = Placer(settings(), StaticList(machines(EndpointState.READY)), seed=1)
+        for app in (unaware, FastAPI(lifespan=app_lifespan)):
+            placer = Placer(settings(), StaticList(endpoints(EndpointState.READY)), seed=1)
             client = Client(PlacementMiddleware(app, placer), type="lifespan")
             client.inbox.put_nowait({"type": "lifespan.startup"})
             assert (await client.next())["type"] == "lifespan.startup.complete" and placer.state == "open"
@@ -354,19 +361,19 @@
     asyncio.run(body())
 
 
-def test_a_stream_that_ignores_its_move_is_ended_politely_at_the_close() -> None:
+def test_a_stream_that_ignores_its_migration_is_ended_at_the_close() -> None:
     async def body() -> None:
-        placer = Placer(settings(), StaticList(machines(EndpointState.READY)), seed=1)
+        placer = Placer(settings(), StaticList(endpoints(EndpointState.READY)), seed=1)
         await placer.start()
 
-        async def deaf(scope: Any, receive: Any, send: Any) -> None:
-            kind = "websocket.accept" if scope["type"] == "websocket" else "http.response.start"
-            await send({"type": kind, "status": 200, "headers": []})
+        async def ignore_migration(scope: Any, receive: Any, send: Any) -> None:
+            message_type = "websocket.accept" if scope["type"] == "websocket" else "http.response.start"
+            await send({"type": message_type, "status": 200, "headers": []})
             await asyncio.Event().wait()
 
         clients = [
-            Client(PlacementMiddleware(deaf, placer)),
-            Client(PlacementMiddleware(deaf, placer), type="websocket", scheme="ws"),
+            Client(PlacementMiddleware(ignore_migration, placer)),
+            Client(PlacementMiddleware(ignore_migration, placer), type="websocket", scheme="ws"),
         ]
         for client in clients:
             await client.next()
@@ -375,22 +382,22 @@
         assert (await clients[1].next())["code"] == 1012
         for client in clients:
             await client.task
-        refused = Client(PlacementMiddleware(deaf, placer))
-        assert (await refused.next())["status"] == 503
+        rejected = Client(PlacementMiddleware(ignore_migration, placer))
+        assert (await rejected.next())["status"] == 503
         assert placer.counters()["cut"] == 2 and not placer.reducer.requests
 
     asyncio.run(body())
 
 
 def test_a_client_that_leaves_at_any_await_point_leaves_no_request() -> None:
-    async def body(app: Any, placer: Placer, go: dict[str, Any]) -> None:
+    async def body(app: Any, placer: Placer, controls: dict[str, Any]) -> None:
         for steps in range(12):
             client = Client(app)
             for _ in range(steps):
                 await asyncio.sleep(0)
             client.task.cancel()
             await asyncio.gather(client.task, return_exceptions=True)
-            assert not placer.reducer.requests and not placer.inside, f"after {steps} steps"
+            assert not placer.reducer.requests and not placer.entered, f"after {steps} steps"
 
     run(body, EndpointState.READY, EndpointState.READY)
 
@@ -401,14 +408,14 @@
         await websocket.send_text(websocket.scope["yarrowspindle"].backend)
         await websocket.close()
 
-    placer = Placer(settings(), StaticList(machines(EndpointState.READY)), seed=1)
+    placer = Placer(settings(), StaticList(endpoints(EndpointState.READY)), seed=1)
     app = PlacementMiddleware(Starlette(routes=[WebSocketRoute("/plan", socket)]), placer)
     with TestClient(app) as client, client.websocket_connect("/plan") as connection:
         assert connection.receive_text() == "s-1"
     assert placer.state == "closed" and placer.counters()["up"] == 1
 
-    async def body(app: Any, placer: Placer, go: dict[str, Any]) -> None:
-        go["end"].set()
+    async def body(app: Any, placer: Placer, controls: dict[str, Any]) -> None:
+        controls["end"].set()
         transport = httpx.ASGITransport(app=app)
         async with httpx.AsyncClient(transport=transport, base_url="http://t") as client:
             answer = await client.get("/plan", headers={"accept": "text/event-stream"})
--- a/tests/simulator/test_wire.py
+++ b/tests/simulator/test_wire.py
@@ -69,12 +69,12 @@
     return struct.pack("<HI", code, len(body)) + body
 
 
-def instance(who: int) -> bytes:
-    return record(1120, struct.pack("<I", who))
+def instance(number: int) -> bytes:
+    return record(1120, struct.pack("<I", number))
 
 
 def create(pairs: dict[str, str], seed: int = 5) -> bytes:
-    text = "\n".join(f"{k}={v}" for k, v in pairs.items()).encode()
+    text = "\n".join(f"{path}={value}" for path, value in pairs.items()).encode()
     return record(1000, struct.pack("<QI", seed, len(text)) + text)
 
 
@@ -98,7 +98,7 @@
     assert serve(EMPTY) == EMPTY_REPLY
 
 
-def test_members_is_read_as_the_wire_page_has_it() -> None:
+def test_a_members_record_is_read_as_specified() -> None:
     event = read(MEMBERS)
     assert isinstance(event, EndpointList) and (event.kind, event.version) == (ListKind.CACHED, 41)
     first, second = event.entries
@@ -112,18 +112,18 @@
     assert (second.backend, second.zone, second.capacity, second.started_ms) == (0x2C9011F2, 1, 1.5, 6100.0)
 
 
-def test_demand_is_read_as_the_wire_page_has_it() -> None:
+def test_a_demand_record_is_read_as_specified() -> None:
     key, group = 0x91F03B7C55D20A64, 0x2B8E6401D9F37C10
     assert read(DEMAND) == RequestReceived(0x5D3A91C4, 0, 0, key, 240.0, 12.0, group)
 
 
-def test_a_hint_that_is_not_valid_is_no_hint() -> None:
+def test_a_load_hint_without_its_flag_is_ignored() -> None:
     event = read(DEMAND[:-2] + b"\x1e\x00")
     assert isinstance(event, RequestReceived) and event.load == 0.0
     assert event.repeated and event.mid_flow and event.returned
 
 
-def test_done_is_read_as_the_wire_page_has_it() -> None:
+def test_a_done_record_is_read_as_specified() -> None:
     done = bytes.fromhex("1004 16000000 c4913a5d 0000 074a1203 01 6400 0000000000803240 00")
     assert read(done) == AttemptEnded(0x5D3A91C4, 0, 0x03124A07, Outcome.OK, True, 18.5)
 
@@ -168,7 +168,7 @@
         (LogMessage("two servers known"), "3804 13000000 1100 74776f2073657276657273206b6e6f776e"),
     ],
 )
-def test_actions_are_written_as_the_wire_page_has_them(action: object, expected: str) -> None:
+def test_actions_are_written_as_specified(action: object, expected: str) -> None:
     assert adapter.encode(action) == bytes.fromhex(expected)  # type: ignore[arg-type]
 
 
@@ -188,7 +188,7 @@
     assert reply.count(bytes.fromhex("c4913a5d")) == 2
 
 
-def test_settings_are_renamed_and_unknown_ones_passed_over() -> None:
+def test_settings_are_renamed_and_unknown_ones_ignored() -> None:
     pairs = BASIC | {
         "azs": "a,b",
         "zone": "1",
@@ -202,21 +202,31 @@
         "deductions.cross_zone": "0.12",
         "family_info.tenant_quota_connections": "null",
     }
-    s = settings.read_settings(pairs)
-    assert (s.zone, s.zones, s.polls_discovery, s.initial_capacity_fraction, s.cross_zone_price) == (
+    parsed = settings.read_settings(pairs)
+    assert (
+        parsed.zone,
+        parsed.zones,
+        parsed.polls_discovery,
+        parsed.initial_capacity_fraction,
+        parsed.cross_zone_price,
+    ) == (
         1,
         2,
         True,
         0.12,
         0.12,
     )
-    cls = s.classes[0]
-    assert (cls.idempotency, cls.deduplication_scope, cls.message_latency_objective_ms) == (
+    request_class = parsed.classes[0]
+    assert (
+        request_class.idempotency,
+        request_class.deduplication_scope,
+        request_class.message_latency_objective_ms,
+    ) == (
         Idempotency.KEYED,
         DeduplicationScope.CELL,
         90.0,
     )
-    assert s.tenants[0].share == 0.5 and s.tenants[0].quota_connections == 0.0
+    assert parsed.tenants[0].share == 0.5 and parsed.tenants[0].quota_connections == 0.0
 
 
 BAD = {
@@ -238,29 +248,29 @@
 
 
 @pytest.mark.parametrize("name", sorted(BAD))
-def test_bad_input_raises_what_ends_the_adapter(name: str) -> None:
+def test_bad_input_raises_an_error_that_ends_the_adapter(name: str) -> None:
     with pytest.raises((wire.WireError, settings.SettingsError)):
         serve(BAD[name])
 
 
 @pytest.mark.parametrize("name", ["cut frame", "setting missing"])
 def test_bad_input_ends_the_adapter_with_one_plain_line(name: str) -> None:
-    done = subprocess.run(
+    process = subprocess.run(
         [sys.executable, "-B", "-m", "yarrowspindle.simulator.adapter"],
         input=BAD[name],
         cwd=ROOT,
         capture_output=True,
         check=False,
     )
-    assert done.returncode != 0
-    assert done.stderr.decode().count("\n") == 1 and done.stderr.startswith(b"adapter: ")
+    assert process.returncode != 0
+    assert process.stderr.decode().count("\n") == 1 and process.stderr.startswith(b"adapter: ")
 
 
-def test_an_unknown_record_is_passed_over_by_its_length() -> None:
+def test_an_unknown_record_is_skipped_by_its_length() -> None:
     plain = serve(frame(1, 6e4, instance(1), create(BASIC), MEMBERS, DEMAND))
     assert serve(frame(1, 6e4, instance(1), create(BASIC), MEMBERS, record(1999, b"abc"), DEMAND)) == plain
 
 
-def test_an_exception_in_the_module_goes_out_as_a_fault_with_its_text() -> None:
+def test_an_exception_in_a_balancer_is_reported_with_its_text() -> None:
     reply = serve(frame(1, 6e4, instance(1), create(BASIC), MEMBERS, DEMAND, DEMAND))
     assert b"ValueError: request" in reply and reply[22:24] == (1000).to_bytes(2, "little")
--- a/yarrowspindle/library/__init__.py
+++ b/yarrowspindle/library/__init__.py
@@ -66,6 +66,6 @@
     """Gives what a deprecated name stands for, with a `DeprecationWarning`."""
     if name not in _DEPRECATED:
         raise AttributeError(f"module {__name__!r} has no attribute {name!r}")
-    found, current = _DEPRECATED[name]
-    warnings.warn(f"{__name__}.{name} is now called {current}", DeprecationWarning, stacklevel=2)
-    return found
+    target, current_name = _DEPRECATED[name]
+    warnings.warn(f"{__name__}.{name} is now called {current_name}", DeprecationWarning, stacklevel=2)
+    return target
--- a/yarrowspindle/library/placement.py
+++ b/yarrowspindle/library/placement.py
@@ -34,7 +34,7 @@
 if TYPE_CHECKING:
     from yarrowspindle.library.placer import Placer
 
-NOWHERE: Address = ("", 0)
+NO_ADDRESS: Address = ("", 0)
 NO_ATTEMPT = -1
 
 
@@ -61,7 +61,7 @@
 
     request = 0
     backend = ""
-    address = NOWHERE
+    address = NO_ADDRESS
     attempt = NO_ATTEMPT
     is_moved = False
     is_up = False
@@ -114,8 +114,8 @@
         """
         self._check_usable()
         if not self.is_up and not self.over:
-            connected = BackendConnected(self.request, self.attempt)
-            self.placer.runtime.post_both(connected, BackendAccepted(self.request, self.attempt))
+            event = BackendConnected(self.request, self.attempt)
+            self.placer.runtime.post_both(event, BackendAccepted(self.request, self.attempt))
             if not self.is_up:  # the deadline, or the backend's drain, came first
                 self._check_usable()
 
@@ -177,7 +177,7 @@
 
     def finish(self, clean: bool) -> None:
         """The host is done with it. `clean`: without an error."""
-        self.placer.inside.discard(self)
+        self.placer.entered.discard(self)
         if self.over:
             return
         if self.ending is not None:
@@ -207,12 +207,12 @@
 
     def carry_out(self, effect: Effect) -> None:
         """Carries out an effect, as the runtime's front of this one request."""
-        _EFFECTS[type(effect)](self, effect)
+        _EFFECT_HANDLERS[type(effect)](self, effect)
 
     def _on_open(self, effect: OpenBackendConnection) -> None:
         self.dropped = False
         self.next = effect
-        self._wake()
+        self._resume_host()
 
     def _on_answer(self, effect: RejectRequest | FailRequest) -> None:
         self.answer = effect
@@ -220,7 +220,7 @@
         self.next = None
         self.placer.counts["refused" if isinstance(effect, RejectRequest) else "failed"] += 1
         self.placer.forget(self)
-        if not self._wake():  # the host is still busy with an attempt whose time is up
+        if not self._resume_host():  # the host is still busy with an attempt whose time is up
             self.ask_to_end(TerminationReason.DEADLINE_EXCEEDED)
 
     def _on_established(self, effect: StartRelaying) -> None:
@@ -252,17 +252,17 @@
         if self.next is None:
             self.raise_answer()
             raise PlacerClosed("the placer is closing")
-        opened, self.next = self.next, None
-        self.backend = opened.backend
-        self.address = opened.address
-        self.attempt = opened.attempt
+        effect, self.next = self.next, None
+        self.backend = effect.backend
+        self.address = effect.address
+        self.attempt = effect.attempt
         if self.is_moved:
             self.is_moved = False
             self.reason = None
             if self._moved is not None:
                 self._moved.clear()
 
-    def _wake(self) -> bool:
+    def _resume_host(self) -> bool:
         """Resumes the host where it waits. Returns whether it does."""
         if self.waiting is None:
             return False
@@ -279,7 +279,7 @@
                 self._moved.set()
 
 
-_EFFECTS: dict[type, Callable[[Placement, Any], None]] = {
+_EFFECT_HANDLERS: dict[type, Callable[[Placement, Any], None]] = {
     OpenBackendConnection: Placement._on_open,
     RejectRequest: Placement._on_answer,
     FailRequest: Placement._on_answer,
--- a/yarrowspindle/library/placer.py
+++ b/yarrowspindle/library/placer.py
@@ -34,11 +34,11 @@
 from yarrowspindle.runtime import Clock, Runtime, SystemClock, Timers
 
 log = logging.getLogger("yarrowspindle")
-LEVELS = {"info": logging.INFO, "warning": logging.WARNING, "error": logging.ERROR}
-CLOSE_S = 3.3
-CANCEL_S = 1.0  # for bodies that are cancelled at the end of a close
-CLOSE_POLL_S = 0.02
-CANCEL_POLL_S = 0.005
+LOG_LEVELS = {"info": logging.INFO, "warning": logging.WARNING, "error": logging.ERROR}
+DEFAULT_CLOSE_TIMEOUT_S = 3.3
+CANCEL_TIMEOUT_S = 1.0  # for bodies that are cancelled at the end of a close
+CLOSE_POLL_INTERVAL_S = 0.02
+CANCEL_POLL_INTERVAL_S = 0.005
 SEED_BITS = 63
 DEFAULT_MAX_REQUESTS = 100_000
 
@@ -53,7 +53,7 @@
     CLOSED = "closed"
 
 
-class Placing:
+class PlacementContext:
     """What `place` returns: enter it for the Placement, leave it and the request is over."""
 
     def __init__(self, placer: Placer, event: RequestReceived) -> None:
@@ -66,10 +66,10 @@
         return self.placement
 
     async def __aexit__(
-        self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
+        self, error_type: type[BaseException] | None, error: BaseException | None, traceback: TracebackType | None
     ) -> None:
         if self.placement is not None:
-            self.placement.finish(kind is None)
+            self.placement.finish(error_type is None)
 
 
 class Placer:
@@ -99,7 +99,11 @@
         self.source = source
         self.clock = clock or SystemClock()
         self.seed = SystemRandom().getrandbits(SEED_BITS) if seed is None else seed
-        self.class_names = [c.name for c in self.settings.classes] if self.settings else _numbered_names(self.core)
+        self.class_names = (
+            [connection_class.name for connection_class in self.settings.classes]
+            if self.settings
+            else _numbered_names(self.core)
+        )
         self.max_requests = self.settings.jobs_most if self.settings else DEFAULT_MAX_REQUESTS
         self.runtime = Runtime(Reducer(self.core, self.seed, self.clock.now()), self.clock, self._log, timers)
         self.runtime.watch_endpoints = self._watch
@@ -108,14 +112,14 @@
         self.post: Callable[[Event], None] = self.runtime.post
         self.runtime.fronts.append(self)
         self.placements: dict[int, Placement] = {}
-        self.inside: set[Placement] = set()  # whose bodies are running, also when their requests are over
+        self.entered: set[Placement] = set()  # whose bodies are running, also when their requests are over
         self.counts: Counter[str] = Counter()
         self.loop: asyncio.AbstractEventLoop | None = None
         self.thread = 0
         self.process = 0
         self.state = PlacerState.NEW
-        self.closing: asyncio.Task[None] | None = None
-        self.close_at = 0.0
+        self.close_task: asyncio.Task[None] | None = None
+        self.close_deadline = 0.0
 
     @property
     def reducer(self) -> Reducer:
@@ -146,7 +150,7 @@
         if self.source is not None:
             self.source.open(self._on_endpoints, lambda reason: log.warning("endpoint list: %s", reason))
 
-    async def close(self, within_s: float = CLOSE_S) -> None:
+    async def close(self, within_s: float = DEFAULT_CLOSE_TIMEOUT_S) -> None:
         """Ends it within this time and a second more.
 
         Nobody new is placed, a host that waits gets PlacerClosed, and established connections are migrated, spread
@@ -159,11 +163,11 @@
         self.check(closing=True)
         loop = asyncio.get_running_loop()
         end = loop.time() + max(within_s, 0.0)
-        self.close_at = end if self.closing is None else min(self.close_at, end)
-        if self.closing is None:
+        self.close_deadline = end if self.close_task is None else min(self.close_deadline, end)
+        if self.close_task is None:
             self._begin_close(within_s)
-            self.closing = loop.create_task(self._close(loop, asyncio.current_task()))
-        await asyncio.shield(self.closing)
+            self.close_task = loop.create_task(self._close(loop, asyncio.current_task()))
+        await asyncio.shield(self.close_task)
 
     def _begin_close(self, within_s: float) -> None:
         self.state = PlacerState.CLOSING
@@ -175,23 +179,23 @@
                 placement.leave()
         self.runtime.post(ShutdownRequested(within_s * 1000.0))
 
-    async def _close(self, loop: asyncio.AbstractEventLoop, closer: asyncio.Task[Any] | None) -> None:
-        while self.inside and loop.time() < self.close_at:
-            await asyncio.sleep(min(CLOSE_POLL_S, max(self.close_at - loop.time(), 0.0)))
-        for placement in list(self.inside):  # they were asked to end and have not, or were not asked yet
-            self._cancel(placement, closer)
-        end = loop.time() + CANCEL_S
-        while self.inside and loop.time() < end:
-            await asyncio.sleep(CANCEL_POLL_S)
+    async def _close(self, loop: asyncio.AbstractEventLoop, close_caller: asyncio.Task[Any] | None) -> None:
+        while self.entered and loop.time() < self.close_deadline:
+            await asyncio.sleep(min(CLOSE_POLL_INTERVAL_S, max(self.close_deadline - loop.time(), 0.0)))
+        for placement in list(self.entered):  # they were asked to end and have not, or were not asked yet
+            self._cancel(placement, close_caller)
+        end = loop.time() + CANCEL_TIMEOUT_S
+        while self.entered and loop.time() < end:
+            await asyncio.sleep(CANCEL_POLL_INTERVAL_S)
         for placement in list(self.placements.values()):
             placement.leave()
         self.state = PlacerState.CLOSED
         self.runtime.close()
 
-    def _cancel(self, placement: Placement, closer: asyncio.Task[Any] | None) -> None:
+    def _cancel(self, placement: Placement, close_caller: asyncio.Task[Any] | None) -> None:
         placement.leave()
         placement.ask_to_end(TerminationReason.MIGRATED)
-        if placement.task is not None and placement.task is not closer:
+        if placement.task is not None and placement.task is not close_caller:
             self.counts["cut"] += 1
             placement.cut = True
             placement.task.cancel()
@@ -214,12 +218,12 @@
 
     # --- placing ----------------------------------------------------------------------------------
 
-    def place(self, **request: Any) -> Placing:
+    def place(self, **request: Any) -> PlacementContext:
         """Places a request: `async with placer.place(key=7) as placement`; takes what `arrival` takes.
 
         Entering raises Rejected, Failed or PlacerClosed.
         """
-        return Placing(self, self.arrival(**request))
+        return PlacementContext(self, self.arrival(**request))
 
     def arrival(
         self,
@@ -243,11 +247,11 @@
             deadline: seconds until the client gives up; the class's where it is left out.
             returned: whether the client was migrated or cut off before.
         """
-        number = index_of(self.class_names, cls, "cls") if cls else 0
+        class_number = index_of(self.class_names, cls, "cls") if cls else 0
         tenants = self.settings.tenants if self.settings else ()
         tenant_number = index_of(tenants, tenant, "tenant") if tenant else 0
-        left_ms = self.core.classes[number].deadline_ms if deadline is None else max(deadline, 0.0) * 1000.0
-        return RequestReceived(0, left_ms, number, tenant_number, key, load, group, False, returned)
+        remaining_ms = self.core.classes[class_number].deadline_ms if deadline is None else max(deadline, 0.0) * 1000.0
+        return RequestReceived(0, remaining_ms, class_number, tenant_number, key, load, group, False, returned)
 
     async def begin(self, event: RequestReceived) -> Placement:
         """Returns a request at its first backend; whoever calls it ends the request.
@@ -265,7 +269,7 @@
             placement.use_next()
         else:
             await self.attempt(placement, None)
-        self.inside.add(placement)
+        self.entered.add(placement)
         return placement
 
     def arrive(self, placement: Placement, event: RequestReceived) -> None:
@@ -305,7 +309,11 @@
     def carry_out(self, effect: Effect) -> None:
         """Carries out an effect that concerns no request, as a front of the runtime."""
         if isinstance(effect, BackendRemoved):
-            for placement in [p for p in self.placements.values() if p.backend == effect.backend and p.is_up]:
+            for placement in [
+                candidate
+                for candidate in self.placements.values()
+                if candidate.backend == effect.backend and candidate.is_up
+            ]:
                 placement.ask_to_end(TerminationReason.BACKEND_REMOVED)
 
     # --- the endpoint list, the log, counters -----------------------------------------------------
@@ -320,7 +328,7 @@
             self.source.ask(effect.version)
 
     def _log(self, level: str, text: str) -> None:
-        log.log(LEVELS[level], text, exc_info=level == "error")
+        log.log(LOG_LEVELS[level], text, exc_info=level == "error")
 
     def counters(self) -> dict[str, int]:
         """Returns requests, answers, migrations, stalls and lists since the start; the names are stable."""
--- a/yarrowspindle/library/settings.py
+++ b/yarrowspindle/library/settings.py
@@ -10,8 +10,8 @@
 
 from yarrowspindle.decisions.settings import RequestClass, Settings, Tenant
 
-MAX_S = 3600.0  # of any time that is set
-MAX_CONNECT_S = 60.0
+MAX_DURATION_S = 3600.0  # of any time that is set
+MAX_CONNECT_TIMEOUT_S = 60.0
 MAX_ATTEMPTS = 100
 
 
@@ -19,10 +19,10 @@
     """The value of a field is invalid; the text begins with its name."""
 
 
-def need(ok: bool, name: str, wanted: str, value: object) -> None:
+def require(is_valid: bool, name: str, expected: str, value: object) -> None:
     """Raises SettingError for this field unless `ok`. `wanted`: what is allowed, in words."""
-    if not ok:
-        raise SettingError(f"{name} is {value!r}: {wanted}")
+    if not is_valid:
+        raise SettingError(f"{name} is {value!r}: {expected}")
 
 
 @dataclass(slots=True, frozen=True)
@@ -42,16 +42,18 @@
     message_aim_s: float = 0.15
 
     def __post_init__(self) -> None:
-        need(bool(self.name), "ConnectionClass.name", "a name is wanted", self.name)
-        need(0.0 < self.aim_s <= MAX_S, "ConnectionClass.aim_s", "seconds above 0, 3600 at most", self.aim_s)
-        need(
-            self.aim_s <= self.deadline_s <= MAX_S,
+        require(bool(self.name), "ConnectionClass.name", "a name is wanted", self.name)
+        require(
+            0.0 < self.aim_s <= MAX_DURATION_S, "ConnectionClass.aim_s", "seconds above 0, 3600 at most", self.aim_s
+        )
+        require(
+            self.aim_s <= self.deadline_s <= MAX_DURATION_S,
             "ConnectionClass.deadline_s",
             "seconds, aim_s at least",
             self.deadline_s,
         )
-        need(
-            0.0 <= self.message_aim_s <= MAX_S,
+        require(
+            0.0 <= self.message_aim_s <= MAX_DURATION_S,
             "ConnectionClass.message_aim_s",
             "seconds, 0 for none",
             self.message_aim_s,
@@ -98,29 +100,40 @@
     names: dict[str, int] = field(default_factory=dict, init=False, compare=False)
 
     def __post_init__(self) -> None:
-        need(len(self.classes) > 0, "classes", "one class at least", self.classes)
-        need(len({c.name for c in self.classes}) == len(self.classes), "classes", "each name once", self.classes)
-        need(self.relays >= 1, "relays", "1 at least", self.relays)
-        need(0 <= self.number < self.relays, "number", f"from 0 to relays - 1 = {self.relays - 1}", self.number)
-        need(not self.zone or self.zone in self.zones, "zone", f"one of zones {self.zones}", self.zone)
-        need(1 <= self.attempts <= MAX_ATTEMPTS, "attempts", "from 1 to 100", self.attempts)
-        need(0.0 <= self.retry_after_s <= MAX_S, "retry_after_s", "seconds from 0 to 3600", self.retry_after_s)
-        need(0.0 < self.connect_s <= MAX_CONNECT_S, "connect_s", "seconds above 0, 60 at most", self.connect_s)
-        need(0.0 <= self.cold_s <= MAX_S, "cold_s", "seconds from 0 to 3600", self.cold_s)
-        need(0.0 < self.cold_share <= 1.0, "cold_share", "above 0, 1 at most", self.cold_share)
-        need(self.fall_multiple > 0.0, "fall_multiple", "above 0", self.fall_multiple)
-        need(0.0 < self.fall_s <= MAX_S, "fall_s", "seconds above 0, 3600 at most", self.fall_s)
-        need(self.jobs_most >= 1, "jobs_most", "1 at least", self.jobs_most)
-        self.names.update({c.name: i for i, c in enumerate(self.classes)})
+        require(len(self.classes) > 0, "classes", "one class at least", self.classes)
+        require(
+            len({connection_class.name for connection_class in self.classes}) == len(self.classes),
+            "classes",
+            "each name once",
+            self.classes,
+        )
+        require(self.relays >= 1, "relays", "1 at least", self.relays)
+        require(0 <= self.number < self.relays, "number", f"from 0 to relays - 1 = {self.relays - 1}", self.number)
+        require(not self.zone or self.zone in self.zones, "zone", f"one of zones {self.zones}", self.zone)
+        require(1 <= self.attempts <= MAX_ATTEMPTS, "attempts", "from 1 to 100", self.attempts)
+        require(
+            0.0 <= self.retry_after_s <= MAX_DURATION_S, "retry_after_s", "seconds from 0 to 3600", self.retry_after_s
+        )
+        require(
+            0.0 < self.connect_s <= MAX_CONNECT_TIMEOUT_S, "connect_s", "seconds above 0, 60 at most", self.connect_s
+        )
+        require(0.0 <= self.cold_s <= MAX_DURATION_S, "cold_s", "seconds from 0 to 3600", self.cold_s)
+        require(0.0 < self.cold_share <= 1.0, "cold_share", "above 0, 1 at most", self.cold_share)
+        require(self.fall_multiple > 0.0, "fall_multiple", "above 0", self.fall_multiple)
+        require(0.0 < self.fall_s <= MAX_DURATION_S, "fall_s", "seconds above 0, 3600 at most", self.fall_s)
+        require(self.jobs_most >= 1, "jobs_most", "1 at least", self.jobs_most)
+        self.names.update({connection_class.name: number for number, connection_class in enumerate(self.classes)})
 
     def core(self) -> Settings:
         """Returns the balancer's settings."""
         return Settings(
             classes=tuple(
                 RequestClass(
-                    c.aim_s * 1000.0, c.deadline_s * 1000.0, message_latency_objective_ms=c.message_aim_s * 1000.0
+                    connection_class.aim_s * 1000.0,
+                    connection_class.deadline_s * 1000.0,
+                    message_latency_objective_ms=connection_class.message_aim_s * 1000.0,
                 )
-                for c in self.classes
+                for connection_class in self.classes
             ),
             zone=self.zones.index(self.zone) if self.zone else 0,
             zones=max(1, len(self.zones)),
@@ -140,12 +153,12 @@
         )
 
 
-def index_of(names: Sequence[str], value: int | str, what: str) -> int:
+def index_of(names: Sequence[str], value: int | str, field_name: str) -> int:
     """Returns the number of a class or tenant that is given by name or number. Raises SettingError."""
     if isinstance(value, str):
         if value not in names:
-            raise SettingError(f"{what} is {value!r}: one of {', '.join(names) or 'none'} is known")
+            raise SettingError(f"{field_name} is {value!r}: one of {', '.join(names) or 'none'} is known")
         return names.index(value)
     if not 0 <= value < max(len(names), 1):
-        raise SettingError(f"{what} is {value!r}: from 0 to {max(len(names), 1) - 1}")
+        raise SettingError(f"{field_name} is {value!r}: from 0 to {max(len(names), 1) - 1}")
     return value
--- a/yarrowspindle/library/sources.py
+++ b/yarrowspindle/library/sources.py
@@ -21,12 +21,12 @@
 class Source(Protocol):
     """Reports the endpoint list to one placer."""
 
-    def open(self, told: OnUpdate, failed: OnFailure) -> None:
+    def open(self, on_update: OnUpdate, on_failure: OnFailure) -> None:
         """Starts it; called once, inside the event loop.
 
         Args:
-            told: takes each list, and an update of the kind FAILED where none could be had.
-            failed: takes a reason for the log.
+            on_update: takes each list, and an update of the kind FAILED where none could be had.
+            on_failure: takes a reason for the log.
         """
 
     def ask(self, version: int) -> None:
@@ -45,9 +45,9 @@
         self.version = 1
         self.on_update: OnUpdate | None = None
 
-    def open(self, told: OnUpdate, failed: OnFailure) -> None:
+    def open(self, on_update: OnUpdate, on_failure: OnFailure) -> None:
         """Reports the list at once."""
-        self.on_update = told
+        self.on_update = on_update
         self._report()
 
     def change(self, endpoints: Iterable[Endpoint]) -> None:
@@ -75,11 +75,11 @@
         self.address: Address = parse_address(address)
         self.names = ZoneAndKindNames(list(zones), list(kinds))
 
-    def open(self, told: OnUpdate, failed: OnFailure) -> None:
+    def open(self, on_update: OnUpdate, on_failure: OnFailure) -> None:
         """Opens the watch."""
         from yarrowspindle.runtime.endpoint_watch import EndpointWatch  # needs httptools
 
-        self.watch = EndpointWatch(self.names, told, failed)
+        self.watch = EndpointWatch(self.names, on_update, on_failure)
         self.watch.open(0, self.address)
 
     def ask(self, version: int) -> None:
@@ -99,17 +99,17 @@
         self.every_s = every_s
         self.version = 0
         self.task: asyncio.Task[None] | None = None
-        self.asked = asyncio.Event()
+        self.fetch_requested = asyncio.Event()
 
-    def open(self, told: OnUpdate, failed: OnFailure) -> None:
+    def open(self, on_update: OnUpdate, on_failure: OnFailure) -> None:
         """Fetches the list from now on."""
-        self.on_update = told
-        self.on_failure = failed
+        self.on_update = on_update
+        self.on_failure = on_failure
         self.task = asyncio.get_running_loop().create_task(self._run())
 
     def ask(self, version: int) -> None:
         """Fetches the list next, without waiting for the interval."""
-        self.asked.set()
+        self.fetch_requested.set()
 
     def close(self) -> None:
         """Fetches nothing more."""
@@ -118,15 +118,15 @@
 
     async def _run(self) -> None:
         while True:
-            self.asked.clear()
+            self.fetch_requested.clear()
             try:
                 endpoints = list(await asyncio.wait_for(self.fetch(), FETCH_TIMEOUT_S))
             except Exception as error:  # whatever the host's function raises: the old list stays in force
                 self.on_failure(f"the endpoint list could not be fetched: {error!r}")
                 self.on_update(EndpointsUpdated(ListKind.FAILED))
-                await self.asked.wait()  # the balancer asks again, with a backoff
+                await self.fetch_requested.wait()  # the balancer asks again, with a backoff
                 continue
             self.version += 1
             self.on_update(EndpointsUpdated(ListKind.FULL, endpoints, self.version))
             with suppress(TimeoutError):
-                await asyncio.wait_for(self.asked.wait(), self.every_s)
+                await asyncio.wait_for(self.fetch_requested.wait(), self.every_s)
--- a/yarrowspindle/middleware/asgi.py
+++ b/yarrowspindle/middleware/asgi.py
@@ -37,10 +37,10 @@
 WS_POLICY_VIOLATION = 1008
 WS_SERVICE_RESTART = 1012
 WS_TRY_AGAIN_LATER = 1013
-MAX_WS_REASON = 100  # characters of a close reason
+MAX_WS_REASON_CHARACTERS = 100  # characters of a close reason
 FIRST_ERROR_STATUS = 400
 DEFAULT_RETRY_AFTER_S = 1.0
-NOT_PLACED = b"no execute node has room\n"  # a published text
+REJECTION_BODY = b"no execute node has room\n"  # a published text
 PLACE_ARGUMENTS = frozenset(("key", "group", "load", "deadline", "cls", "tenant", "returned"))
 
 
@@ -52,8 +52,9 @@
         placer: places its scopes.
         long_lived: which scopes are placed; by default all websockets and event streams.
         lifespan: whether the placer is started and closed with the application's lifespan.
-        taken: functions of the scope for what `Placer.place` takes under the same names (key, group, load, deadline,
-            cls, tenant, returned); a ValueError of theirs (an unknown class, say) is answered with 400, or 1008.
+        extractors: functions of the scope for what `Placer.place` takes under the same names (key, group, load,
+            deadline, cls, tenant, returned); a ValueError of theirs (an unknown class, say) is answered with 400, or
+            1008.
     """
 
     def __init__(
@@ -63,15 +64,15 @@
         *,
         long_lived: Callable[[Scope], bool] | None = None,
         lifespan: bool = True,
-        **taken: Callable[[Scope], Any],
+        **extractors: Callable[[Scope], Any],
     ) -> None:
-        unknown = taken.keys() - PLACE_ARGUMENTS
+        unknown = extractors.keys() - PLACE_ARGUMENTS
         if unknown:
             raise TypeError(f"not known: {', '.join(sorted(unknown))}")
         self.app = app
         self.placer = placer
-        self.taken = taken
-        self.long_lived = long_lived or wants_stream
+        self.extractors = extractors
+        self.long_lived = long_lived or is_websocket_or_event_stream
         self.lifespan = lifespan
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
@@ -85,71 +86,71 @@
 
     async def _place(self, scope: Scope, receive: Receive, send: Send) -> None:
         try:
-            event = self.placer.arrival(**{name: take(scope) for name, take in self.taken.items()})
+            event = self.placer.arrival(**{name: extract(scope) for name, extract in self.extractors.items()})
         except (SettingError, ValueError) as error:
-            await answer(scope, send, 400, WS_POLICY_VIOLATION, f"{error}\n".encode(), [])
+            await send_response(scope, send, 400, WS_POLICY_VIOLATION, f"{error}\n".encode(), [])
             return
         try:
             placement = await self.placer.begin(event)
         except PlacementError as error:
-            await reject(scope, send, error)
+            await send_rejection(scope, send, error)
             return
-        answers = Answers(scope, send, placement)
-        clean = False
+        interceptor = ResponseInterceptor(scope, send, placement)
+        has_succeeded = False
         try:
-            await self._run(scope, receive, answers)
-            clean = True
+            await self._run(scope, receive, interceptor)
+            has_succeeded = True
         except asyncio.CancelledError:
             task = asyncio.current_task()
             if not placement.cut or task is None or task.uncancel() > 0:
                 raise
-            await answers.close()  # it ignored `moved` until the placer's close was over
+            await interceptor.close()  # it ignored `moved` until the placer's close was over
         finally:
-            placement.finish(clean)
+            placement.finish(has_succeeded)
 
     async def _run(  # noqa: C901  # one branch for each way in which an application may fail
-        self, scope: Scope, receive: Receive, answers: Answers
+        self, scope: Scope, receive: Receive, interceptor: ResponseInterceptor
     ) -> None:
         """Runs the application at one backend after the other until one is reached or none is left."""
-        placement = answers.placement
+        placement = interceptor.placement
         while True:
             placement.ending = None
             try:
-                await self.app({**scope, SCOPE_KEY: placement}, receive, answers.send)
-                if answers.started or answers.error is None:
+                await self.app({**scope, SCOPE_KEY: placement}, receive, interceptor.send)
+                if interceptor.started or interceptor.error is None:
                     return
             except (BackendUnreachable, BackendDropped):
-                if answers.started:
+                if interceptor.started:
                     placement.ending = TerminationReason.CONNECTION_RESET
                     raise
             except (Rejected, Failed, PlacerClosed) as error:
-                if answers.started:
+                if interceptor.started:
                     raise
-                answers.error = error
+                interceptor.error = error
             except Exception:
-                if answers.started:
+                if interceptor.started:
                     placement.ending = TerminationReason.BACKEND_ERROR
                     raise
-                if answers.error is None:  # the framework has turned our own error into one of its own
+                if interceptor.error is None:  # the framework has turned our own error into one of its own
                     raise
-            if not isinstance(answers.error, Rejected | Failed | PlacerClosed):
+            if not isinstance(interceptor.error, Rejected | Failed | PlacerClosed):
                 try:
                     ending, placement.ending = placement.ending or TerminationReason.CONNECT_FAILED, None
                     await placement.failed(ending)
-                    answers.error = None
+                    interceptor.error = None
                     continue
                 except PlacementError as error:
-                    answers.error = error
-            await reject(scope, answers.outer, answers.error)
+                    interceptor.error = error
+            await send_rejection(scope, interceptor.server_send, interceptor.error)
             return
 
 
-class Answers:
+class ResponseInterceptor:
     """What the application sends, on its way out: the start of a response is the request's final answer."""
 
-    def __init__(self, scope: Scope, outer: Send, placement: Placement) -> None:
+    def __init__(self, scope: Scope, server_send: Send, placement: Placement) -> None:
         self.scope = scope
-        self.outer = outer
+        self.server_send = server_send
         self.placement = placement
         self.started = False
         self.ended = False
@@ -157,25 +158,29 @@
 
     async def send(self, message: Message) -> None:
         """Passes a message on, or holds it back where another backend is tried."""
-        kind = message["type"]
+        message_type = message["type"]
         if not self.started:
             if self.error is None and self.placement.ending is TerminationReason.CONNECT_FAILED:
                 self.error = BackendUnreachable(self.placement.backend)
             if self.error is not None:
                 return  # an error page of the framework, for an attempt that has another after it
-            if kind == "websocket.accept" or (kind == "http.response.start" and message["status"] < FIRST_ERROR_STATUS):
+            if message_type == "websocket.accept" or (
+                message_type == "http.response.start" and message["status"] < FIRST_ERROR_STATUS
+            ):
                 try:
                     self.placement.up()
                 except PlacementError as error:
                     self.error = error
                     raise
                 self.started = True
-            elif kind in ("http.response.start", "websocket.close", "websocket.http.response.start"):
+            elif message_type in ("http.response.start", "websocket.close", "websocket.http.response.start"):
                 self.placement.leave()  # the application rejects its client itself
                 self.started = True
-        if kind == "websocket.close" or (kind == "http.response.body" and not message.get("more_body", False)):
+        if message_type == "websocket.close" or (
+            message_type == "http.response.body" and not message.get("more_body", False)
+        ):
             self.ended = True
-        await self.outer(message)
+        await self.server_send(message)
 
     async def close(self) -> None:
         """Ends the response in the way that tells the client to connect again."""
@@ -183,11 +188,11 @@
             return
         self.ended = True
         if not self.started:
-            await reject(self.scope, self.outer, PlacerClosed("the placer is closing"))
+            await send_rejection(self.scope, self.server_send, PlacerClosed("the placer is closing"))
         elif self.scope["type"] == "websocket":
-            await self.outer({"type": "websocket.close", "code": WS_SERVICE_RESTART, "reason": "come again"})
+            await self.server_send({"type": "websocket.close", "code": WS_SERVICE_RESTART, "reason": "come again"})
         else:
-            await self.outer({"type": "http.response.body", "body": b"", "more_body": False})
+            await self.server_send({"type": "http.response.body", "body": b"", "more_body": False})
 
 
 class Lifespan:
@@ -198,60 +203,60 @@
 
     def __init__(self, placer: Placer, receive: Receive, send: Send) -> None:
         self.placer = placer
-        self.outer_receive = receive
-        self.outer_send = send
-        self.seen = ""  # the type of the last message from the server
-        self.answered = ""  # and of the last one to it
+        self.server_receive = receive
+        self.server_send = send
+        self.last_received = ""  # the type of the last message from the server
+        self.last_sent = ""  # and of the last one to it
 
     async def run(self, app: App, scope: Scope) -> None:
         """Runs the application's lifespan."""
         try:
             await app(scope, self.receive, self.send)
         except Exception:
-            if self.answered:
+            if self.last_sent:
                 raise
             log.debug("the application knows no lifespan", exc_info=True)
-        if not self.answered:
-            if not self.seen:
+        if not self.last_sent:
+            if not self.last_received:
                 await self.receive()
             await self.send({"type": "lifespan.startup.complete"})
-        if self.seen != "lifespan.shutdown":
+        if self.last_received != "lifespan.shutdown":
             await self.receive()
             await self.send({"type": "lifespan.shutdown.complete"})
 
     async def receive(self) -> Message:
         """Starts or closes the placer before the application hears of it."""
-        message = await self.outer_receive()
-        self.seen = message["type"]
-        if self.seen == "lifespan.startup":
+        message = await self.server_receive()
+        self.last_received = message["type"]
+        if self.last_received == "lifespan.startup":
             await self.placer.start()
-        elif self.seen == "lifespan.shutdown":
+        elif self.last_received == "lifespan.shutdown":
             await self.placer.close()
         return message
 
     async def send(self, message: Message) -> None:
         """Passes a message on; closes the placer where the application's start has failed."""
-        self.answered = message["type"]
-        if self.answered == "lifespan.startup.failed":
+        self.last_sent = message["type"]
+        if self.last_sent == "lifespan.startup.failed":
             await self.placer.close(0.0)
-        await self.outer_send(message)
+        await self.server_send(message)
 
 
-def wants_stream(scope: Scope) -> bool:
+def is_websocket_or_event_stream(scope: Scope) -> bool:
     """Returns whether the scope is a websocket, or its client accepts an event stream."""
     if scope["type"] == "websocket":
         return True
     return any(name == b"accept" and b"text/event-stream" in value for name, value in scope["headers"])
 
 
-async def reject(scope: Scope, send: Send, error: Exception | None) -> None:
+async def send_rejection(scope: Scope, send: Send, error: Exception | None) -> None:
     """Answers a scope that is not placed, with the error's Retry-After where it has one."""
     retry_after_s = error.retry_after if isinstance(error, Rejected) else DEFAULT_RETRY_AFTER_S
     headers = [(b"retry-after", b"%d" % max(1, ceil(retry_after_s)))]
-    await answer(scope, send, 503, WS_TRY_AGAIN_LATER, NOT_PLACED, headers)
+    await send_response(scope, send, 503, WS_TRY_AGAIN_LATER, REJECTION_BODY, headers)
 
 
-async def answer(
+async def send_response(
     scope: Scope, send: Send, status: int, code: int, body: bytes, headers: list[tuple[bytes, bytes]]
 ) -> None:
     """Answers a scope in place of the application.
@@ -264,13 +269,13 @@
         body: a text.
         headers: besides the content type.
     """
-    kind = "http.response"
+    message_type = "http.response"
     if scope["type"] == "websocket":
         if "websocket.http.response" not in (scope.get("extensions") or {}):  # the server can only close it
-            reason = body.decode(errors="replace").strip()[:MAX_WS_REASON]
+            reason = body.decode(errors="replace").strip()[:MAX_WS_REASON_CHARACTERS]
             await send({"type": "websocket.close", "code": code, "reason": reason})
             return
-        kind = "websocket.http.response"
+        message_type = "websocket.http.response"
     headers = [(b"content-type", b"text/plain; charset=utf-8"), *headers]
-    await send({"type": f"{kind}.start", "status": status, "headers": headers})
-    await send({"type": f"{kind}.body", "body": body})
+    await send({"type": f"{message_type}.start", "status": status, "headers": headers})
+    await send({"type": f"{message_type}.body", "body": body})
--- a/yarrowspindle/middleware/streams.py
+++ b/yarrowspindle/middleware/streams.py
@@ -18,10 +18,10 @@
 
 CONNECT_TIMEOUT_S = 0.25
 MAX_LINE_BYTES = 65_536
-RECONNECT_MS = 400  # what an event stream tells its client to wait before it connects again
+EVENT_STREAM_RECONNECT_MS = 400  # what an event stream tells its client to wait before it connects again
 WS_NORMAL_CLOSURE = 1000
 WS_INTERNAL_ERROR = 1011
-NO_CLOSE = 0  # the client has closed the websocket itself
+ALREADY_CLOSED = 0  # the client has closed the websocket itself
 
 
 class Link(Protocol):
@@ -106,15 +106,15 @@
     try:
         await websocket.accept()
 
-        async def from_client() -> tuple[int, TerminationReason]:
+        async def relay_from_client() -> tuple[int, TerminationReason]:
             while True:
                 message = await websocket.receive()
                 if message["type"] == "websocket.disconnect":
-                    return NO_CLOSE, TerminationReason.CLIENT_DISCONNECTED
+                    return ALREADY_CLOSED, TerminationReason.CLIENT_DISCONNECTED
                 placement.asked()
                 await link.write(message.get("text") or (message.get("bytes") or b"").decode("utf-8", "replace"))
 
-        async def from_backend() -> tuple[int, TerminationReason]:
+        async def relay_from_backend() -> tuple[int, TerminationReason]:
             while True:
                 try:
                     message = await link.read()
@@ -125,15 +125,15 @@
                 placement.answered()
                 await websocket.send_text(message)
 
-        async def moved() -> tuple[int, TerminationReason]:
+        async def wait_until_moved() -> tuple[int, TerminationReason]:
             await placement.moved.wait()
             return WS_SERVICE_RESTART, TerminationReason.MIGRATED
 
-        code, ending = await first_of(from_client(), from_backend(), moved())
+        close_code, ending = await first_result(relay_from_client(), relay_from_backend(), wait_until_moved())
         if not placement.over:
             placement.ending = ending
-        if code != NO_CLOSE:
-            await websocket.close(code)
+        if close_code != ALREADY_CLOSED:
+            await websocket.close(close_code)
     finally:
         await link.close()
 
@@ -143,17 +143,17 @@
 
     A migration ends them with `retry:`, so that the client connects again by itself.
     """
-    moved = asyncio.ensure_future(placement.moved.wait())
-    reading: asyncio.Future[str | None] | None = None
+    moved_task = asyncio.ensure_future(placement.moved.wait())
+    read_task: asyncio.Future[str | None] | None = None
     try:
         while True:
-            reading = asyncio.ensure_future(link.read())
-            await asyncio.wait((moved, reading), return_when=asyncio.FIRST_COMPLETED)
-            if not reading.done():
-                yield b"retry: %d\nevent: moved\ndata:\n\n" % RECONNECT_MS
+            read_task = asyncio.ensure_future(link.read())
+            await asyncio.wait((moved_task, read_task), return_when=asyncio.FIRST_COMPLETED)
+            if not read_task.done():
+                yield b"retry: %d\nevent: moved\ndata:\n\n" % EVENT_STREAM_RECONNECT_MS
                 return
             try:
-                message = reading.result()
+                message = read_task.result()
             except OSError:
                 placement.ending = TerminationReason.CONNECTION_RESET
                 return
@@ -161,13 +161,13 @@
                 return
             yield b"data: " + message.encode() + b"\n\n"
     finally:
-        for task in (moved, reading):
+        for task in (moved_task, read_task):
             if task is not None and not task.done():
                 task.cancel()
         await link.close()
 
 
-async def first_of(*awaitables: Awaitable[tuple[int, TerminationReason]]) -> tuple[int, TerminationReason]:
+async def first_result(*awaitables: Awaitable[tuple[int, TerminationReason]]) -> tuple[int, TerminationReason]:
     """Returns what the first one returns; the others are cancelled, and what they raise meanwhile is ignored."""
     tasks = [asyncio.ensure_future(awaitable) for awaitable in awaitables]
     try:
--- a/yarrowspindle/replay/__main__.py
+++ b/yarrowspindle/replay/__main__.py
@@ -24,29 +24,29 @@
     parser.add_argument("file")
     parser.add_argument("--by", choices=("daemon", "library"), default="daemon")
     parser.add_argument("--choices", action="store_true", help="print each choice as a line of JSON")
-    chosen = parser.parse_args()
-    started = time.perf_counter()
+    arguments = parser.parse_args()
+    started_s = time.perf_counter()
     try:
-        with Path(chosen.file).open("rb") as source:
-            header, events = read_sequence(source)
-            played = (play_daemon if chosen.by == "daemon" else play_library)(header, events)
+        with Path(arguments.file).open("rb") as file:
+            header, events = read_sequence(file)
+            result = (play_daemon if arguments.by == "daemon" else play_library)(header, events)
     except (OSError, SequenceError) as error:
-        print(f"{chosen.file}: {error}", file=sys.stderr)
+        print(f"{arguments.file}: {error}", file=sys.stderr)
         return 2
     digest = hashlib.sha256()
-    for choice in played.choices:
+    for choice in result.choices:
         line = msgspec.json.encode(choice)
         digest.update(line + b"\n")
-        if chosen.choices:
+        if arguments.choices:
             print(line.decode())
-    answers = played.counts()
+    answers = result.counts()
     summary = {
-        "by": chosen.by,
-        "jobs": len(played.answers),
-        "choices": len(played.choices),
+        "by": arguments.by,
+        "jobs": len(result.answers),
+        "choices": len(result.choices),
         "digest": digest.hexdigest(),
         "answers": answers,
-        "took_s": round(time.perf_counter() - started, 2),
+        "took_s": round(time.perf_counter() - started_s, 2),
     }
     print(msgspec.json.encode(summary).decode())
     return 1 if answers["second"] else 0
--- a/yarrowspindle/replay/player.py
+++ b/yarrowspindle/replay/player.py
@@ -28,19 +28,19 @@
 
 Choice = tuple[object, ...]
 
-NOWHERE = ("127.0.0.1", 1)
-UNLIMITED = 1 << 62
+UNUSED_ADDRESS = ("127.0.0.1", 1)
+UNLIMITED_REQUESTS = 1 << 62
 
 
 class RecordedClock:
     """The time of the event that is being played, in milliseconds."""
 
-    def __init__(self, started: float) -> None:
-        self.at = started
+    def __init__(self, start_ms: float) -> None:
+        self.time_ms = start_ms
 
     def now(self) -> float:
         """Returns the recorded time."""
-        return self.at
+        return self.time_ms
 
 
 @dataclass(slots=True)
@@ -56,7 +56,7 @@
         if choice is not None:
             self.choices.append(choice)
         if isinstance(effect, StartRelaying | RejectRequest | FailRequest):
-            self.answers[effect.request].append(ANSWERS[type(effect)])
+            self.answers[effect.request].append(ANSWER_NAMES[type(effect)])
 
     def event(self, event: Event) -> None:
         """Records a new request, and a client that left."""
@@ -67,13 +67,13 @@
 
     def counts(self) -> dict[str, int]:
         """Returns how often each answer was given, and how many requests had a second one or none."""
-        found: Counter[str] = Counter(a for answers in self.answers.values() for a in answers)
-        found["second"] = sum(1 for answers in self.answers.values() if len(answers) > 1)
-        found["none"] = sum(1 for answers in self.answers.values() if not answers)
-        return dict(found)
+        counts: Counter[str] = Counter(answer for answers in self.answers.values() for answer in answers)
+        counts["second"] = sum(1 for answers in self.answers.values() if len(answers) > 1)
+        counts["none"] = sum(1 for answers in self.answers.values() if not answers)
+        return dict(counts)
 
 
-ANSWERS = {StartRelaying: "up", RejectRequest: "refused", FailRequest: "failed"}
+ANSWER_NAMES = {StartRelaying: "up", RejectRequest: "refused", FailRequest: "failed"}
 
 
 def choice_of(effect: Effect) -> Choice | None:
@@ -98,8 +98,8 @@
 
     played = Played()
     clock = RecordedClock(header.started)
-    known = EndpointsUpdated(ListKind.DELTA)  # not posted: the sequence has the lists
-    config = Config("replay", NOWHERE, NOWHERE, header.seed, header.settings, known)
+    no_endpoints = EndpointsUpdated(ListKind.DELTA)  # not posted: the sequence has the lists
+    config = Config("replay", UNUSED_ADDRESS, UNUSED_ADDRESS, header.seed, header.settings, no_endpoints)
     service = RelayService(config, clock, timers=NoTimers(clock))
     service.runtime.watch_endpoints = lambda effect: None
     front = _RecordingFront(played)
@@ -109,7 +109,7 @@
             _check_id(event.request, service.new_request(front))
         service.post(event)
 
-    return _feed(played, clock, events, post)
+    return _play_events(played, clock, events, post)
 
 
 class _RecordingFront:
@@ -127,9 +127,9 @@
     played = Played()
     clock = RecordedClock(header.started)
     placer = Placer(header.settings, seed=header.seed, clock=clock, timers=NoTimers(clock))
-    placer.max_requests = UNLIMITED
-    asyncio.run(_open(placer))
-    placer.runtime.stall_deadline = inf  # the sequence has the stalls
+    placer.max_requests = UNLIMITED_REQUESTS
+    asyncio.run(_start(placer))
+    placer.runtime.late_at = inf  # the sequence has the stalls
     placer.runtime.effect_observer = played.effect
 
     def post(event: Event) -> None:
@@ -142,23 +142,23 @@
         else:
             placer.post(event)
 
-    return _feed(played, clock, events, post)
+    return _play_events(played, clock, events, post)
 
 
-def _check_id(recorded: int, given: int) -> None:
-    if given != recorded:
-        raise ValueError(f"request {recorded} is out of order: {given} would be next")
+def _check_id(recorded: int, assigned: int) -> None:
+    if assigned != recorded:
+        raise ValueError(f"request {recorded} is out of order: {assigned} would be next")
 
 
-async def _open(placer: Placer) -> None:
+async def _start(placer: Placer) -> None:
     await placer.start()
 
 
-def _feed(
+def _play_events(
     played: Played, clock: RecordedClock, events: Iterable[tuple[float, Event]], post: Callable[[Event], None]
 ) -> Played:
-    for now, event in events:
-        clock.at = max(clock.at, now)
+    for time_ms, event in events:
+        clock.time_ms = max(clock.time_ms, time_ms)
         played.event(event)
         post(event)
     return played
--- a/yarrowspindle/replay/recorded_form.py
+++ b/yarrowspindle/replay/recorded_form.py
@@ -140,8 +140,11 @@
 def to_recorded(value: Any) -> Any:
     """A value as builtins under the recorded names, for the JSON encoder."""
     if is_dataclass(value) and not isinstance(value, type):
-        names = FIELDS.get(type(value), _NO_FIELDS)
-        return {names.get(f.name, f.name): to_recorded(getattr(value, f.name)) for f in fields(value)}
+        recorded_names = FIELDS.get(type(value), _NO_FIELDS)
+        return {
+            recorded_names.get(data_field.name, data_field.name): to_recorded(getattr(value, data_field.name))
+            for data_field in fields(value)
+        }
     if isinstance(value, TerminationReason):
         return ENDINGS[value]
     if isinstance(value, list | tuple):
@@ -152,12 +155,12 @@
 def from_recorded(kind: Any, data: Any) -> Any:
     """The decoded JSON of a value of this type, under the names of the code; its types are checked by the caller."""
     if get_origin(kind) in (Union, UnionType):
-        kind = next((one for one in get_args(kind) if is_dataclass(one)), kind)
+        kind = next((member for member in get_args(kind) if is_dataclass(member)), kind)
     if isinstance(data, dict) and is_dataclass(kind) and isinstance(kind, type):
-        names: dict[str, str] = _code_names(kind)
-        hints = _hints(kind)
-        found = {names.get(str(name), str(name)): item for name, item in data.items()}
-        return {name: from_recorded(hints.get(name), item) for name, item in found.items()}
+        code_names: dict[str, str] = _code_names(kind)
+        hints = _type_hints(kind)
+        renamed = {code_names.get(str(name), str(name)): item for name, item in data.items()}
+        return {name: from_recorded(hints.get(name), item) for name, item in renamed.items()}
     if kind is TerminationReason and isinstance(data, str):
         return ENDINGS_BY_TEXT.get(data, data)
     if isinstance(data, list) and get_origin(kind) in (list, tuple):
@@ -171,5 +174,5 @@
 
 
 @cache
-def _hints(kind: Any) -> dict[str, Any]:
+def _type_hints(kind: Any) -> dict[str, Any]:
     return get_type_hints(kind)
--- a/yarrowspindle/replay/sequence.py
+++ b/yarrowspindle/replay/sequence.py
@@ -17,7 +17,7 @@
 from yarrowspindle.routing.events import Event
 
 FORM, VERSION = "yarrowspindle-sequence", 1
-MAX_LINE = 16 << 20  # a machine list of tens of thousands of nodes fits
+MAX_LINE_BYTES = 16 << 20  # a machine list of tens of thousands of nodes fits
 
 
 class SequenceError(ValueError):
@@ -34,7 +34,7 @@
     version: int = VERSION
 
 
-LINE = msgspec.json.Decoder(tuple[float, str, Any])
+LINE_DECODER = msgspec.json.Decoder(tuple[float, str, Any])
 
 
 class Recorder:
@@ -57,9 +57,9 @@
 def read_sequence(source: BinaryIO) -> tuple[Header, Iterator[tuple[float, Event]]]:
     """The header, and the events with their times as they are read. Raises SequenceError."""
     try:
-        read = msgspec.json.decode(source.readline(MAX_LINE), type=dict[str, Any])
-        settings = from_recorded(Settings, read.get("settings"))
-        header = msgspec.convert(read | {"settings": settings}, Header, str_keys=True)
+        raw_header = msgspec.json.decode(source.readline(MAX_LINE_BYTES), type=dict[str, Any])
+        settings = from_recorded(Settings, raw_header.get("settings"))
+        header = msgspec.convert(raw_header | {"settings": settings}, Header, str_keys=True)
     except (msgspec.MsgspecError, ValueError) as error:
         raise SequenceError(f"line 1 is no header of a sequence: {error}") from error
     if header.form != FORM or header.version != VERSION:
@@ -68,22 +68,22 @@
 
 
 def _events(source: BinaryIO) -> Iterator[tuple[float, Event]]:
-    number, last = 1, 0.0
-    while line := source.readline(MAX_LINE):
-        number += 1
+    line_number, previous_ms = 1, 0.0
+    while line := source.readline(MAX_LINE_BYTES):
+        line_number += 1
         try:
-            now, name, recorded = LINE.decode(line)
-            kind = EVENTS.get(name)
-            if kind is None:
-                raise SequenceError(f"line {number}: {name!r} is no event")
-            event: Any = msgspec.convert(from_recorded(kind, recorded), kind, str_keys=True)
+            time_ms, name, recorded = LINE_DECODER.decode(line)
+            event_type = EVENTS.get(name)
+            if event_type is None:
+                raise SequenceError(f"line {line_number}: {name!r} is no event")
+            event: Any = msgspec.convert(from_recorded(event_type, recorded), event_type, str_keys=True)
         except msgspec.MsgspecError as error:
-            raise SequenceError(f"line {number} cannot be read: {error}") from error
-        if now < last:
-            raise SequenceError(f"line {number}: the time goes back from {last} to {now}")
-        last = now
+            raise SequenceError(f"line {line_number} cannot be read: {error}") from error
+        if time_ms < previous_ms:
+            raise SequenceError(f"line {line_number}: the time goes back from {previous_ms} to {time_ms}")
+        previous_ms = time_ms
         if isinstance(event, events.TimerFired) and isinstance(event.timer, list):
             event.timer = tuple(event.timer)  # JSON has no tuples
         if isinstance(event, RecordedRebalance):
             event = events.RebalancingConfigured(event.settings, event.seed)
-        yield now, event
+        yield time_ms, event
--- a/yarrowspindle/simulator/adapter.py
+++ b/yarrowspindle/simulator/adapter.py
@@ -55,10 +55,10 @@
     307: Outcome.NOT_SENT,
 }
 # Bits of a request's flags.
-HINT = 1
-REPEATED = 2
-MID_FLOW = 8
-RETURNED = 16
+FLAG_LOAD_HINT = 1
+FLAG_REPEATED = 2
+FLAG_MID_FLOW = 8
+FLAG_RETURNED = 16
 
 # What a signal tells.
 SIGNAL_LOAD = 1
@@ -88,102 +88,113 @@
     if isinstance(action, WatchEndpoints):
         return wire.LISTEN.pack(wire.LISTEN_CODE, 1, int(action.on))
     if isinstance(action, LogMessage):
-        return wire.text_action(wire.JOURNAL_LINE_CODE, action.text)
+        return wire.pack_text(wire.JOURNAL_LINE_CODE, action.text)
     raise TypeError(f"no such action: {action!r}")
 
 
-def lookup(table: Mapping[int, T], code: int, what: str) -> T:
+def lookup(table: Mapping[int, T], code: int, description: str) -> T:
     """Returns what a code stands for. Raises WireError that names `what` for an unknown one."""
     try:
         return table[code]
     except KeyError:
-        raise wire.WireError(f"unknown {what}: {code}") from None
+        raise wire.WireError(f"unknown {description}: {code}") from None
 
 
-def read_members(body: bytes, at: int, end: int) -> Event:
+def read_members(body: bytes, offset: int, end: int) -> Event:
     """Reads an endpoint list."""
-    how, version, count = wire.fields(wire.MEMBERS_HEAD, body, at, end)
-    at += wire.MEMBERS_HEAD.size
-    if at + count * wire.ENTRY.size > end:
+    list_kind, version, count = wire.unpack_fields(wire.MEMBERS_HEADER, body, offset, end)
+    offset += wire.MEMBERS_HEADER.size
+    if offset + count * wire.MEMBERS_ENTRY.size > end:
         raise wire.WireError("a server list is cut off")
     entries = [
-        Endpoint(backend, zone, cell, lookup(STATES, state, "server state"), capacity, started, kind)
-        for backend, zone, kind, cell, state, capacity, started in wire.ENTRY.iter_unpack(
-            body[at : at + count * wire.ENTRY.size]
+        Endpoint(backend, zone, cell, lookup(STATES, state, "server state"), capacity, started_ms, kind)
+        for backend, zone, kind, cell, state, capacity, started_ms in wire.MEMBERS_ENTRY.iter_unpack(
+            body[offset : offset + count * wire.MEMBERS_ENTRY.size]
         )
     ]
-    return EndpointList(lookup(LIST_KINDS, how, "kind of list"), entries, version)
+    return EndpointList(lookup(LIST_KINDS, list_kind, "kind of list"), entries, version)
 
 
-def read_demand(body: bytes, at: int, end: int) -> Event:
+def read_demand(body: bytes, offset: int, end: int) -> Event:
     """Reads a new request."""
-    request, cls, tenant, key, left, hint, group, bits = wire.fields(wire.DEMAND_BODY, body, at, end)
+    request, cls, tenant, key, remaining_ms, load_hint, group, flags = wire.unpack_fields(
+        wire.DEMAND_BODY, body, offset, end
+    )
     return RequestReceived(
         request,
         cls,
         tenant,
         key,
-        left,
-        hint if bits & HINT else 0.0,
+        remaining_ms,
+        load_hint if flags & FLAG_LOAD_HINT else 0.0,
         group,
-        bool(bits & REPEATED),
-        bool(bits & MID_FLOW),
-        bool(bits & RETURNED),
+        bool(flags & FLAG_REPEATED),
+        bool(flags & FLAG_MID_FLOW),
+        bool(flags & FLAG_RETURNED),
     )
 
 
-def read_adopted(body: bytes, at: int, end: int) -> Event:
+def read_adopted(body: bytes, offset: int, end: int) -> Event:
     """Reads a connection that was open at the start."""
-    request, hint, _, key, backend, group, tenant, bits, cls = wire.fields(wire.ADOPTED_BODY, body, at, end)
-    return ExistingConnection(request, backend, cls, tenant, key, hint if bits & HINT else 0.0, group)
+    request, load_hint, _, key, backend, group, tenant, flags, cls = wire.unpack_fields(
+        wire.ADOPTED_BODY, body, offset, end
+    )
+    return ExistingConnection(request, backend, cls, tenant, key, load_hint if flags & FLAG_LOAD_HINT else 0.0, group)
 
 
-def read_started(body: bytes, at: int, end: int) -> Event:
+def read_started(body: bytes, offset: int, end: int) -> Event:
     """Reads that an attempt is established."""
-    request, attempt, latency, backend = wire.fields(wire.STARTED_BODY, body, at, end)
-    return ConnectionEstablished(request, attempt, backend, latency)
+    request, attempt, latency_ms, backend = wire.unpack_fields(wire.STARTED_BODY, body, offset, end)
+    return ConnectionEstablished(request, attempt, backend, latency_ms)
 
 
-def read_done(body: bytes, at: int, end: int) -> Event:
+def read_done(body: bytes, offset: int, end: int) -> Event:
     """Reads how an attempt ended."""
-    request, attempt, backend, finished, code, latency, n = wire.fields(wire.DONE_BODY, body, at, end)
-    wire.report(body, at + wire.DONE_BODY.size, end, n)  # not used; one that is cut off is an error all the same
-    return AttemptEnded(request, attempt, backend, lookup(OUTCOMES, code, "outcome"), bool(finished), latency)
+    request, attempt, backend, finished, code, latency_ms, value_count = wire.unpack_fields(
+        wire.DONE_BODY, body, offset, end
+    )
+    wire.unpack_load_report(
+        body, offset + wire.DONE_BODY.size, end, value_count
+    )  # not used; one that is cut off is an error all the same
+    return AttemptEnded(request, attempt, backend, lookup(OUTCOMES, code, "outcome"), bool(finished), latency_ms)
 
 
-def read_gone(body: bytes, at: int, end: int) -> Event:
+def read_timed_out_client(body: bytes, offset: int, end: int) -> Event:
     """Reads that a client has left."""
-    return ClientDisconnected(wire.fields(wire.U32, body, at, end)[0])
+    return ClientDisconnected(wire.unpack_fields(wire.U32, body, offset, end)[0])
 
 
-def read_wakeup(body: bytes, at: int, end: int) -> Event:
+def read_wakeup(body: bytes, offset: int, end: int) -> Event:
     """Reads that a timer has fired."""
-    return TimerFired(wire.fields(wire.U32, body, at, end)[0])
+    return TimerFired(wire.unpack_fields(wire.U32, body, offset, end)[0])
 
 
-def read_health(body: bytes, at: int, end: int) -> Event:
+def read_health(body: bytes, offset: int, end: int) -> Event:
     """Reads the result of a health check."""
-    backend, code, latency, n = wire.fields(wire.HEALTH_BODY, body, at, end)
+    backend, code, latency_ms, value_count = wire.unpack_fields(wire.HEALTH_BODY, body, offset, end)
     return HealthCheckCompleted(
-        backend, lookup(OUTCOMES, code, "outcome"), latency, wire.report(body, at + wire.HEALTH_BODY.size, end, n)
+        backend,
+        lookup(OUTCOMES, code, "outcome"),
+        latency_ms,
+        wire.unpack_load_report(body, offset + wire.HEALTH_BODY.size, end, value_count),
     )
 
 
-def read_message(body: bytes, at: int, end: int) -> Event:
+def read_message(body: bytes, offset: int, end: int) -> Event:
     """Reads a message of another balancer."""
-    sender, n = wire.fields(wire.MESSAGE_HEAD, body, at, end)
-    at += wire.MESSAGE_HEAD.size
-    if at + n > end:
+    sender, size = wire.unpack_fields(wire.MESSAGE_HEADER, body, offset, end)
+    offset += wire.MESSAGE_HEADER.size
+    if offset + size > end:
         raise wire.WireError("a peer message is cut off")
-    return PeerMessage(sender, body[at : at + n])
+    return PeerMessage(sender, body[offset : offset + size])
 
 
-def read_signal(body: bytes, at: int, end: int) -> Event | None:
+def read_signal(body: bytes, offset: int, end: int) -> Event | None:
     """Reads a load or a slow message; None for a signal of another sort."""
-    request, backend, sort, amount, _ = wire.fields(wire.SIGNAL_BODY, body, at, end)
-    if sort == SIGNAL_LOAD:
-        return LoadChanged(request, backend, amount / MICROSECONDS_PER_MS)  # comes in microseconds a second
-    return SlowMessageObserved(request, backend, amount) if sort == SIGNAL_SLOW_MESSAGE else None
+    request, backend, signal_kind, value, _ = wire.unpack_fields(wire.SIGNAL_BODY, body, offset, end)
+    if signal_kind == SIGNAL_LOAD:
+        return LoadChanged(request, backend, value / MICROSECONDS_PER_MS)  # comes in microseconds a second
+    return SlowMessageObserved(request, backend, value) if signal_kind == SIGNAL_SLOW_MESSAGE else None
 
 
 READERS: dict[int, Callable[[bytes, int, int], Event | None]] = {
@@ -191,7 +202,7 @@
     wire.DEMAND: read_demand,
     wire.STARTED: read_started,
     wire.DONE: read_done,
-    wire.TIMED_OUT_CLIENT: read_gone,
+    wire.TIMED_OUT_CLIENT: read_timed_out_client,
     wire.WAKEUP: read_wakeup,
     wire.HEALTH: read_health,
     wire.MESSAGE: read_message,
@@ -212,70 +223,70 @@
         self.balancers: dict[int, Balancer] = {}
         self.current = 0
 
-    def handle_frame(self, now: float, body: bytes, count: int) -> list[bytes]:
+    def handle_frame(self, now_ms: float, body: bytes, count: int) -> list[bytes]:
         """Handles the records of a frame. Returns the records of the reply.
 
         Raises WireError or SettingsError on records that do not follow the wire, and what a balancer raises.
         """
-        out: list[bytes] = []
+        reply_records: list[bytes] = []
         instance = NO_INSTANCE
-        answered = NO_INSTANCE  # the instance whose actions were written last
+        reply_instance = NO_INSTANCE  # the instance whose actions were written last
         balancer: Balancer | None = None
         self.current = 0
-        for code, at, end in wire.records(body, count):
+        for code, offset, end in wire.iterate_records(body, count):
             if code == wire.INSTANCE:
-                instance = wire.fields(wire.U32, body, at, end)[0]
+                instance = wire.unpack_fields(wire.U32, body, offset, end)[0]
                 self.current = instance
                 balancer = self.balancers.get(instance)
                 continue
             reader = READERS.get(code)
             if reader is None:
                 if code == wire.CREATE:
-                    balancer = self._create(now, instance, body, at, end)
+                    balancer = self._create(now_ms, instance, body, offset, end)
                 elif code == wire.KILL:
                     self.balancers.pop(instance, None)
                     balancer = None
                 continue  # any other record is of a newer wire and is skipped by its length
             if balancer is None:
                 raise wire.WireError(f"event {code} for instance {instance}, which has not been created")
-            event = reader(body, at, end)
-            actions = balancer.handle(now, event) if event is not None else ()
+            event = reader(body, offset, end)
+            actions = balancer.handle(now_ms, event) if event is not None else ()
             if actions:
-                if answered != instance:
-                    out.append(wire.SPEAKING.pack(wire.SPEAKING_CODE, 4, instance))
-                    answered = instance
-                out.extend(map(encode, actions))
-        return out
-
-    def _create(self, now: float, instance: int, body: bytes, at: int, end: int) -> Balancer:
-        create = wire.read_create(body, at, end)
+                if reply_instance != instance:
+                    reply_records.append(wire.SPEAKING.pack(wire.SPEAKING_CODE, 4, instance))
+                    reply_instance = instance
+                reply_records.extend(map(encode, actions))
+        return reply_records
+
+    def _create(self, now_ms: float, instance: int, body: bytes, offset: int, end: int) -> Balancer:
+        create = wire.read_create(body, offset, end)
         try:
             settings = read_settings(create.settings)
         except ValueError as error:
             raise SettingsError(str(error)) from error
-        balancer = self.balancers[instance] = Balancer(settings, create.seed, now)
+        balancer = self.balancers[instance] = Balancer(settings, create.seed, now_ms)
         return balancer
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
     """Answers frames until the source ends. Raises WireError or SettingsError on a frame that cannot be answered."""
     instances = Instances()
-    while head := source.read(wire.HEAD.size):
-        if len(head) < wire.HEAD.size:
+    while header := source.read(wire.FRAME_HEADER.size):
+        if len(header) < wire.FRAME_HEADER.size:
             raise wire.WireError("a frame's header is cut off")
-        number, size, count, now = wire.HEAD.unpack(head)
+        number, size, count, now_ms = wire.FRAME_HEADER.unpack(header)
         body = source.read(size)
         if len(body) < size:
             raise wire.WireError("a frame is cut off")
         try:
-            parts = instances.handle_frame(now, body, count)
+            parts = instances.handle_frame(now_ms, body, count)
         except (wire.WireError, SettingsError):
             raise
         except Exception as error:  # a balancer has failed, which the wire has a record for
             text = f"{type(error).__name__}: {error}"
             speaking = wire.SPEAKING.pack(wire.SPEAKING_CODE, 4, instances.current)
-            parts = [speaking, wire.text_action(wire.BAIL_OUT_CODE, text)]
-        sink.write(wire.reply(number, parts))
+            parts = [speaking, wire.pack_text(wire.BAIL_OUT_CODE, text)]
+        sink.write(wire.pack_reply(number, parts))
         sink.flush()
 
 
--- a/yarrowspindle/simulator/wire.py
+++ b/yarrowspindle/simulator/wire.py
@@ -7,9 +7,9 @@
 from dataclasses import dataclass
 from typing import Any
 
-HEAD = struct.Struct("<IIId")
-REPLY_HEAD = struct.Struct("<III")
-RECORD = struct.Struct("<HI")
+FRAME_HEADER = struct.Struct("<IIId")
+REPLY_HEADER = struct.Struct("<III")
+RECORD_HEADER = struct.Struct("<HI")
 
 # Events.
 CREATE, MEMBERS, DEMAND, STARTED, DONE, TIMED_OUT_CLIENT = 1000, 1010, 1020, 1030, 1040, 1050
@@ -18,13 +18,13 @@
 # Fixed parts of the events' bodies.
 U32 = struct.Struct("<I")
 U64_U32 = struct.Struct("<QI")
-MEMBERS_HEAD = struct.Struct("<BII")
-ENTRY = struct.Struct("<IBBHBfd")
+MEMBERS_HEADER = struct.Struct("<BII")
+MEMBERS_ENTRY = struct.Struct("<IBBHBfd")
 DEMAND_BODY = struct.Struct("<IHIQddQH")
 STARTED_BODY = struct.Struct("<IHdI")
 DONE_BODY = struct.Struct("<IHIBHdB")
 HEALTH_BODY = struct.Struct("<IHdB")
-MESSAGE_HEAD = struct.Struct("<HH")
+MESSAGE_HEADER = struct.Struct("<HH")
 ADOPTED_BODY = struct.Struct("<IddQIQIHH")
 SIGNAL_BODY = struct.Struct("<IIBfH")
 
@@ -43,7 +43,7 @@
 
 
 MAX_TEXT_BYTES = 1000
-MAX_QUOTED = 60  # characters of a wrong line in an error's text
+MAX_QUOTED_CHARACTERS = 60  # characters of a wrong line in an error's text
 FLOAT_BYTES = 4
 
 
@@ -59,45 +59,45 @@
     settings: dict[str, str]
 
 
-def records(body: bytes, count: int) -> Iterator[tuple[int, int, int]]:
+def iterate_records(body: bytes, count: int) -> Iterator[tuple[int, int, int]]:
     """Yields the records of a frame as (code, start of the fields, end of the fields). Raises WireError."""
-    at = 0
+    offset = 0
     size = len(body)
     for _ in range(count):
-        if at + RECORD.size > size:
+        if offset + RECORD_HEADER.size > size:
             raise WireError("a record's head is cut off")
-        code, length = RECORD.unpack_from(body, at)
-        at += RECORD.size
-        if at + length > size:
+        code, length = RECORD_HEADER.unpack_from(body, offset)
+        offset += RECORD_HEADER.size
+        if offset + length > size:
             raise WireError(f"record {code} is longer than its frame")
-        yield code, at, at + length
-        at += length
-    if at != size:
+        yield code, offset, offset + length
+        offset += length
+    if offset != size:
         raise WireError("bytes are left over behind the last record")
 
 
-def fields(layout: struct.Struct, body: bytes, at: int, end: int) -> tuple[Any, ...]:
+def unpack_fields(layout: struct.Struct, body: bytes, offset: int, end: int) -> tuple[Any, ...]:
     """Returns a record's fixed fields; fields that follow them are ignored. Raises WireError."""
-    if at + layout.size > end:
+    if offset + layout.size > end:
         raise WireError("a record is too short for its fields")
-    return layout.unpack_from(body, at)
+    return layout.unpack_from(body, offset)
 
 
-def report(body: bytes, at: int, end: int, n: int) -> tuple[float, ...]:
+def unpack_load_report(body: bytes, offset: int, end: int, value_count: int) -> tuple[float, ...]:
     """Returns the n values of a load report. Raises WireError."""
-    if at + FLOAT_BYTES * n > end:
+    if offset + FLOAT_BYTES * value_count > end:
         raise WireError("a load report is cut off")
-    return struct.unpack_from(f"<{n}f", body, at)
+    return struct.unpack_from(f"<{value_count}f", body, offset)
 
 
-def read_create(body: bytes, at: int, end: int) -> Create:
+def read_create(body: bytes, offset: int, end: int) -> Create:
     """Reads what creates an instance. Raises WireError."""
-    seed, size = fields(U64_U32, body, at, end)
-    at += U64_U32.size
-    if at + size > end:
+    seed, size = unpack_fields(U64_U32, body, offset, end)
+    offset += U64_U32.size
+    if offset + size > end:
         raise WireError("the settings are cut off")
     try:
-        text = body[at : at + size].decode("utf-8")
+        text = body[offset : offset + size].decode("utf-8")
     except UnicodeDecodeError as error:
         raise WireError("the settings are not UTF-8") from error
     pairs = {}
@@ -105,18 +105,18 @@
         if line.strip():
             path, equals, value = line.partition("=")
             if not equals:
-                raise WireError(f"a line of the settings has no '=': {line[:MAX_QUOTED]!r}")
+                raise WireError(f"a line of the settings has no '=': {line[:MAX_QUOTED_CHARACTERS]!r}")
             pairs[path.strip()] = value.strip()
     return Create(seed, pairs)
 
 
-def text_action(code: int, text: str) -> bytes:
+def pack_text(code: int, text: str) -> bytes:
     """Returns a record with a text, cut to MAX_TEXT_BYTES."""
-    raw = text.encode("utf-8")[:MAX_TEXT_BYTES]
-    return TEXT.pack(code, 2 + len(raw), len(raw)) + raw
+    encoded = text.encode("utf-8")[:MAX_TEXT_BYTES]
+    return TEXT.pack(code, 2 + len(encoded), len(encoded)) + encoded
 
 
-def reply(number: int, parts: list[bytes]) -> bytes:
+def pack_reply(number: int, reply_records: list[bytes]) -> bytes:
     """Returns the frame that answers the frame of this number."""
-    body = b"".join(parts)
-    return REPLY_HEAD.pack(number, len(body), len(parts)) + body
+    body = b"".join(reply_records)
+    return REPLY_HEADER.pack(number, len(body), len(reply_records)) + body
