--- a/yarrowspindle/library/__init__.py
+++ b/yarrowspindle/library/__init__.py
@@ -1,4 +1,4 @@
-"""The library: places connections from inside a host application. `docs/library.md` shows how."""
+"""Library that places connections from inside a host application. `docs/library.md` shows its use."""
 
 import warnings
 
@@ -32,7 +32,7 @@
 
 
 class _Ending:
-    """The members of `Ending` in version 0.1.0."""
+    """The members that the enum `Ending` had in version 0.1.0, and their current equivalents."""
 
     SERVED = TerminationReason.COMPLETED
     SENT_AWAY = TerminationReason.BACKEND_DRAINING
@@ -51,7 +51,7 @@
     NEVER_SENT = TerminationReason.NOT_SENT
 
 
-# Names of version 0.1.0, which the next version no longer has: old name -> what it stands for, and its current name.
+# Names of version 0.1.0, to be removed in the next version: deprecated name -> its object and its current name.
 _DEPRECATED: dict[str, tuple[type, str]] = {
     "Closing": (PlacerClosed, "PlacerClosed"),
     "Ending": (_Ending, "TerminationReason"),
@@ -63,7 +63,11 @@
 
 
 def __getattr__(name: str) -> type:
-    """Gives what a deprecated name stands for, with a `DeprecationWarning`."""
+    """Return the object of a deprecated name and issue a `DeprecationWarning`.
+
+    Raises:
+        AttributeError: The module has no such name.
+    """
     if name not in _DEPRECATED:
         raise AttributeError(f"module {__name__!r} has no attribute {name!r}")
     target, current_name = _DEPRECATED[name]
--- a/yarrowspindle/library/errors.py
+++ b/yarrowspindle/library/errors.py
@@ -1,17 +1,17 @@
-"""The errors that a host application may have to handle."""
+"""Errors that a host application may have to handle."""
 
 from __future__ import annotations
 
 
 class PlacementError(Exception):
-    """The base of all that a `Placer` raises."""
+    """Base class of the errors that a `Placer` raises."""
 
 
 class Rejected(PlacementError):
-    """No backend has capacity; trying again is harmless.
+    """No backend has capacity. The request was not run, so that it may safely be retried.
 
     Attributes:
-        retry_after: seconds to wait before; 0: no advice.
+        retry_after: Seconds to wait before the retry; 0 if there is no advice.
     """
 
     def __init__(self, retry_after: float = 0.0) -> None:
@@ -20,26 +20,26 @@
 
 
 class Failed(PlacementError):
-    """The request has failed; nothing is promised on whether it ran."""
+    """The request has failed; a backend may or may not have run it."""
 
     def __init__(self) -> None:
-        super().__init__("the request could not be placed")
+        super().__init__("the request failed; a backend may have run it")
 
 
 class BackendDropped(PlacementError):
-    """The backend drains or is gone, or the attempt's time is up: `await placement.failed()` for another."""
+    """The backend is draining or removed, or the attempt timed out. `await placement.failed()` tries another one."""
 
 
 class PlacerClosed(PlacementError):
-    """The placer is not open: not started yet, about to close, or closed."""
+    """The placer is not open: it has not been started, is closing, or is closed."""
 
 
 class WrongContext(PlacementError):
-    """A placer belongs to the event loop, the thread and the process that started it; make one for each."""
+    """A placer was used outside the event loop, thread or process that started it; each needs a placer of its own."""
 
 
 class BackendUnreachable(Exception):
-    """Raised by an application before its response starts: the middleware tries another backend.
+    """Raised by an application before its response starts, so that the middleware tries another backend.
 
-    A framework may make an error page of it, which the middleware does not pass on.
+    A framework may turn it into an error page, which the middleware discards.
     """
--- a/yarrowspindle/library/placement.py
+++ b/yarrowspindle/library/placement.py
@@ -1,4 +1,4 @@
-"""One request of a host application, from its first backend to its end."""
+"""One request of a host application, from its first attempt to its end."""
 
 from __future__ import annotations
 
@@ -39,24 +39,25 @@
 
 
 class Placement:
-    """One request at its backend. `backend` and `address` change when another backend is tried.
+    """One request and the backend of its current attempt, which changes when another backend is tried.
 
     Attributes:
-        request: the id of the request; 0: not begun.
-        backend: the name of the backend.
-        address: where it listens.
-        attempt: the number of the attempt there.
-        is_moved: whether the connection to the backend should end and the client be told to connect again.
-        reason: why it should.
-        is_up: whether the connection is established: the request has its final answer.
-        over: whether nothing more is owed.
-        dropped: whether the backend of this attempt may not be used any more.
-        ending: set by the host to say how the backend ended the connection.
-        answer: the final answer, where it is a rejection or failure.
-        next: where the balancer would try next, while the host is still at the last backend.
-        waiting: resolved with the next backend or the final answer, while the host waits for it.
-        task: the host's task.
-        cut: whether that task was cancelled at the end of a close.
+        request: The id of the request; 0 before it has one.
+        backend: The name of the backend.
+        address: The host and port on which the backend listens.
+        attempt: The number of the attempt; -1 before the first one.
+        is_moved: Whether the host should close the connection to the backend and have the client reconnect.
+        reason: The reason why `is_moved` is set.
+        is_up: Whether the connection is established, which is the final answer of the request.
+        over: Whether the request has ended, so that the host has nothing more to report.
+        dropped: Whether the backend of this attempt may no longer be used.
+        ending: The reason why the backend connection ended; set by the host.
+        answer: The final answer if it is a rejection or a failure.
+        next: The backend that the balancer has chosen for the next attempt while the host still uses the last one.
+        waiting: The future that resolves when there is a next backend or a final answer; None if the host is not
+            waiting.
+        task: The host's task.
+        cut: Whether the placer cancelled that task at the end of its close.
     """
 
     request = 0
@@ -74,14 +75,14 @@
     waiting: asyncio.Future[None] | None = None
     task: asyncio.Task[Any] | None = None
     cut = False
-    _moved: asyncio.Event | None = None  # made when somebody asks for it
+    _moved: asyncio.Event | None = None  # created on first access
 
     def __init__(self, placer: Placer) -> None:
         self.placer = placer
 
     @property
     def moved(self) -> asyncio.Event:
-        """Set when the connection to the backend should end and the client be told to connect again."""
+        """An event that is set when the host should close the backend connection and have the client reconnect."""
         if self._moved is None:
             self._moved = asyncio.Event()
             if self.is_moved:
@@ -90,40 +91,53 @@
 
     @property
     def node(self) -> str:
-        """Deprecated name of `backend`."""
+        """The name of the backend, under the deprecated name of `backend`."""
         warnings.warn("Placement.node is now called backend", DeprecationWarning, stacklevel=2)
         return self.backend
 
-    # --- what the host reports --------------------------------------------------------------------
+    # --- reports of the host -----------------------------------------------------------------------
 
     def reached(self) -> None:
-        """The connection to the backend is established and the request is about to be sent: it may run from here on.
+        """Report that the backend is connected and the request is about to be sent, after which it may run.
 
-        Raises as `up` does, and then the request must not be sent.
+        If this raises, the request must not be sent.
+
+        Raises:
+            Rejected: The request was rejected in the meantime, for example at its deadline.
+            Failed: The request has failed in the meantime.
+            BackendDropped: The backend may no longer be used.
         """
         self._check_usable()
         if not self.is_up:
             self.placer.post(BackendConnected(self.request, self.attempt))
-            self._check_usable()  # its time may have ended in this very call
+            self._check_usable()  # the call above may have ended the attempt, for example at its deadline
 
     def up(self) -> None:
-        """The backend has accepted the request, which is its final answer.
+        """Report that the backend has accepted the request, which is the request's final answer.
 
-        Raises Rejected or Failed where the answer was given before, at the deadline, and BackendDropped where the
-        backend may not be used any more.
+        Raises:
+            Rejected: The request was rejected before, for example at its deadline.
+            Failed: The request has failed before.
+            BackendDropped: The backend may no longer be used.
         """
         self._check_usable()
         if not self.is_up and not self.over:
             event = BackendConnected(self.request, self.attempt)
             self.placer.runtime.post_both(event, BackendAccepted(self.request, self.attempt))
-            if not self.is_up:  # the deadline, or the backend's drain, came first
+            if not self.is_up:  # the deadline passed or the backend began to drain before
                 self._check_usable()
 
     async def failed(self, ending: TerminationReason = TerminationReason.CONNECT_FAILED) -> None:
-        """The backend could not be used: tries another, whose address stands here afterwards.
+        """Report that the backend could not be used, and switch to another one; `address` is then that backend's.
+
+        After `up`, the request ends instead, and the client has to reconnect.
+
+        Args:
+            ending: The reason why the attempt ended.
 
-        Raises Rejected or Failed where none is left. After `up` it ends the request, and the client has to connect
-        again.
+        Raises:
+            Rejected: No other backend is available.
+            Failed: The request may not be tried again.
         """
         self.placer.check()
         self.raise_answer()
@@ -131,34 +145,40 @@
             return
         if self.is_up:
             self.end(ending)
-        elif self.next is not None:  # another was named in the meantime
+        elif self.next is not None:  # the balancer has already chosen another backend
             self.use_next()
         else:
             event = None if self.dropped else AttemptEnded(self.request, self.attempt, ending)
             await self.placer.attempt(self, event)
 
     def unreachable(self) -> BackendUnreachable:
-        """Returns what an application under the middleware raises before its response starts: another is tried."""
+        """Return the error that an application raises before its response starts, so that another backend is tried."""
         self.ending = TerminationReason.CONNECT_FAILED
         return BackendUnreachable(self.backend)
 
     def load(self, load: float) -> None:
-        """The connection's load now, in milliseconds of work a second."""
+        """Report the current load of the connection, in milliseconds of work per second."""
         if self.is_up and not self.over:
             self.placer.post(LoadReported(self.request, load))
 
     def asked(self, messages: int = 1) -> None:
-        """The client sent messages that the backend is to answer."""
+        """Report that the client has sent this number of messages, each of which the backend should answer."""
         if self.is_up and not self.over:
             self.placer.post(ClientDataForwarded(self.request, messages))
 
     def answered(self, messages: int = 1) -> None:
-        """The backend answered messages."""
+        """Report that the backend has answered this number of messages."""
         if self.is_up and not self.over:
             self.placer.post(BackendDataForwarded(self.request, messages))
 
     def end(self, ending: TerminationReason = TerminationReason.COMPLETED) -> None:
-        """The request is over; called by the context manager where the host has not."""
+        """End the request; the context manager calls this if the host has not.
+
+        A request whose connection is not established ends as if its client had disconnected.
+
+        Args:
+            ending: The reason why the connection ended.
+        """
         if self.over:
             return
         if not self.is_up:
@@ -169,14 +189,18 @@
         self.placer.forget(self)
 
     def leave(self) -> None:
-        """The client has left, or the host has failed: nothing is owed any more."""
+        """End the request because its client disconnected or the host failed."""
         if not self.over:
             self.over = True
             self.placer.post(ClientDisconnected(self.request))
             self.placer.forget(self)
 
     def finish(self, clean: bool) -> None:
-        """The host is done with it. `clean`: without an error."""
+        """End the request when the host leaves the context.
+
+        Args:
+            clean: Whether the host left it without an exception.
+        """
         self.placer.entered.discard(self)
         if self.over:
             return
@@ -186,27 +210,27 @@
             self.leave()
         else:
             if not self.is_up and not self.dropped and self.next is None:
-                self.up()  # served in one go
+                self.up()  # the host served the request without reporting that it was accepted
             self.end()
 
     def raise_answer(self) -> None:
-        """Raises Rejected or Failed where that is the final answer."""
+        """Raise the final answer of the request if it is Rejected or Failed."""
         if isinstance(self.answer, RejectRequest):
             raise Rejected(self.answer.retry_after_ms / 1000.0)
         if isinstance(self.answer, FailRequest):
             raise Failed
 
     def _check_usable(self) -> None:
-        """Raises where this attempt may not go on."""
+        """Raise the reason if this attempt may not continue."""
         self.placer.check(closing=True)
         self.raise_answer()
         if self.dropped or self.next is not None:
-            raise BackendDropped(f"{self.backend} is not to be used any more")
+            raise BackendDropped(f"backend {self.backend} may no longer be used; await placement.failed() for another")
 
     # --- effects on this request ------------------------------------------------------------------
 
     def carry_out(self, effect: Effect) -> None:
-        """Carries out an effect, as the runtime's front of this one request."""
+        """Carry out an effect on this request; the runtime treats a placement as the front of its request."""
         _EFFECT_HANDLERS[type(effect)](self, effect)
 
     def _on_open(self, effect: OpenBackendConnection) -> None:
@@ -220,7 +244,7 @@
         self.next = None
         self.placer.counts["refused" if isinstance(effect, RejectRequest) else "failed"] += 1
         self.placer.forget(self)
-        if not self._resume_host():  # the host is still busy with an attempt whose time is up
+        if not self._resume_host():  # the host is still using a backend whose attempt has ended
             self.ask_to_end(TerminationReason.DEADLINE_EXCEEDED)
 
     def _on_established(self, effect: StartRelaying) -> None:
@@ -245,10 +269,16 @@
         self.ask_to_end(reason)
 
     def _on_forward(self, effect: ForwardRequest) -> None:
-        """Does nothing: the host sends the request itself."""
+        """Do nothing, because the host sends the request itself."""
 
     def use_next(self) -> None:
-        """Goes to the backend that was named last, or raises the answer that was given instead."""
+        """Switch to the backend that the balancer chose for the next attempt.
+
+        Raises:
+            Rejected: The request was rejected instead.
+            Failed: The request failed instead.
+            PlacerClosed: The placer began to close.
+        """
         if self.next is None:
             self.raise_answer()
             raise PlacerClosed("the placer is closing")
@@ -263,7 +293,7 @@
                 self._moved.clear()
 
     def _resume_host(self) -> bool:
-        """Resumes the host where it waits. Returns whether it does."""
+        """Resume the host if it is waiting for a backend. Return whether it was."""
         if self.waiting is None:
             return False
         if not self.waiting.done():
@@ -271,7 +301,10 @@
         return True
 
     def ask_to_end(self, reason: TerminationReason) -> None:
-        """Sets `moved`, unless the host waits for a backend or was asked before."""
+        """Ask the host to end the connection by setting `moved`.
+
+        Does nothing while the host waits for a backend, or if it was asked before.
+        """
         if self.waiting is None and not self.is_moved:
             self.reason = reason
             self.is_moved = True
--- a/yarrowspindle/library/placer.py
+++ b/yarrowspindle/library/placer.py
@@ -1,12 +1,12 @@
-"""Places connections from inside a host application, by the same reducer and balancer as the daemon.
+"""Place connections from inside a host application, with the same reducer and balancer as the daemon.
 
     async with Placer(LibrarySettings(), StaticList(endpoints)) as placer:
         async with placer.place(key=7) as placement:
             reader, writer = await asyncio.open_connection(*placement.address)
             placement.up()
-            ...                          # until `placement.moved` is set, or the work is done
+            ...                          # until the work is done or `placement.moved` is set
 
-A request has exactly one final answer: `up()` was called, or `Rejected`, `Failed` or `PlacerClosed` was raised.
+Each request has exactly one final answer: either `up()` succeeds, or `Rejected`, `Failed` or `PlacerClosed` is raised.
 """
 
 from __future__ import annotations
@@ -36,7 +36,7 @@
 log = logging.getLogger("yarrowspindle")
 LOG_LEVELS = {"info": logging.INFO, "warning": logging.WARNING, "error": logging.ERROR}
 DEFAULT_CLOSE_TIMEOUT_S = 3.3
-CANCEL_TIMEOUT_S = 1.0  # for bodies that are cancelled at the end of a close
+CANCEL_TIMEOUT_S = 1.0  # for tasks to end after `close` has cancelled them
 CLOSE_POLL_INTERVAL_S = 0.02
 CANCEL_POLL_INTERVAL_S = 0.005
 SEED_BITS = 63
@@ -45,7 +45,7 @@
 
 @unique
 class PlacerState(StrEnum):
-    """Where a placer stands between its start and its end."""
+    """The states of a placer's life cycle."""
 
     NEW = "new"
     OPEN = "open"
@@ -54,7 +54,7 @@
 
 
 class PlacementContext:
-    """What `place` returns: enter it for the Placement, leave it and the request is over."""
+    """The context manager of one request: entering it returns the Placement, and leaving it ends the request."""
 
     def __init__(self, placer: Placer, event: RequestReceived) -> None:
         self.placer = placer
@@ -73,16 +73,16 @@
 
 
 class Placer:
-    """One relay inside a host application: it belongs to the loop, thread and process that start it.
+    """A relay inside a host application, bound to the event loop, thread and process that start it.
 
-    Raises WrongContext on use elsewhere, and PlacerClosed on use while it is not open.
+    Use from anywhere else raises WrongContext; use while it is not open raises PlacerClosed.
 
     Args:
-        settings: LibrarySettings, or the balancer's own Settings.
-        source: where the endpoint list comes from.
-        seed: of the random source; drawn by the system where it is left out.
-        clock: the source of time; the system's where it is left out.
-        timers: timers that are driven by hand; the event loop's where they are left out.
+        settings: The settings of the library, or those of the balancer itself.
+        source: The source of the endpoint list.
+        seed: The seed of the random source; drawn from the operating system if omitted.
+        clock: The source of time; the system clock if omitted.
+        timers: The timers, for a caller that drives them itself; those of the event loop if omitted.
     """
 
     def __init__(
@@ -112,7 +112,7 @@
         self.post: Callable[[Event], None] = self.runtime.post
         self.runtime.fronts.append(self)
         self.placements: dict[int, Placement] = {}
-        self.entered: set[Placement] = set()  # whose bodies are running, also when their requests are over
+        self.entered: set[Placement] = set()  # their `async with` blocks are running; the request may have ended
         self.counts: Counter[str] = Counter()
         self.loop: asyncio.AbstractEventLoop | None = None
         self.thread = 0
@@ -123,10 +123,10 @@
 
     @property
     def reducer(self) -> Reducer:
-        """The core that decides."""
+        """The reducer, which makes all decisions."""
         return self.runtime.reducer
 
-    # --- from start to close ----------------------------------------------------------------------
+    # --- start and close --------------------------------------------------------------------------
 
     async def __aenter__(self) -> Placer:
         await self.start()
@@ -136,12 +136,17 @@
         await self.close()
 
     async def start(self) -> None:
-        """Opens it in this loop; a second call does nothing while it is open. Raises PlacerClosed after `close`."""
+        """Open the placer in the running event loop. Do nothing if it is open.
+
+        Raises:
+            PlacerClosed: The placer was closed before.
+            WrongContext: The placer was started in another event loop, thread or process.
+        """
         if self.state is PlacerState.OPEN:
             self.check()
             return
         if self.state is not PlacerState.NEW:
-            raise PlacerClosed("this placer was closed; make a new one")
+            raise PlacerClosed("this placer was closed and cannot be started again; create a new one")
         self.loop = asyncio.get_running_loop()
         self.thread = threading.get_ident()
         self.process = os.getpid()
@@ -151,11 +156,12 @@
             self.source.open(self._on_endpoints, lambda reason: log.warning("endpoint list: %s", reason))
 
     async def close(self, within_s: float = DEFAULT_CLOSE_TIMEOUT_S) -> None:
-        """Ends it within this time and a second more.
+        """Close the placer within `within_s` seconds, plus one second for cancelled tasks to end.
 
-        Nobody new is placed, a host that waits gets PlacerClosed, and established connections are migrated, spread
-        over the time as at a planned restart of the daemon. A body that ignores `moved` is cancelled at its end. A
-        second call with a shorter time (a second SIGINT, say) cuts it short.
+        No new requests are placed, and hosts that wait for a backend get PlacerClosed. Established connections are
+        migrated at times spread over the interval, as in a planned restart of the daemon. At the end of the interval,
+        the tasks that have ignored `moved` are cancelled. A second call, for example at a second SIGINT, may shorten
+        the interval.
         """
         if self.state in (PlacerState.NEW, PlacerState.CLOSED):
             self.state = PlacerState.CLOSED
@@ -182,7 +188,7 @@
     async def _close(self, loop: asyncio.AbstractEventLoop, close_caller: asyncio.Task[Any] | None) -> None:
         while self.entered and loop.time() < self.close_deadline:
             await asyncio.sleep(min(CLOSE_POLL_INTERVAL_S, max(self.close_deadline - loop.time(), 0.0)))
-        for placement in list(self.entered):  # they were asked to end and have not, or were not asked yet
+        for placement in list(self.entered):  # they have not ended, or were not asked to end yet
             self._cancel(placement, close_caller)
         end = loop.time() + CANCEL_TIMEOUT_S
         while self.entered and loop.time() < end:
@@ -201,27 +207,37 @@
             placement.task.cancel()
 
     def check(self, closing: bool = False) -> None:
-        """Raises WrongContext or PlacerClosed where a call may not be made here. `closing`: it may while it closes."""
+        """Raise an error unless the placer is open and belongs to the calling event loop, thread and process.
+
+        Args:
+            closing: Whether the call is also allowed while the placer is closing and after its close.
+
+        Raises:
+            PlacerClosed: The placer is not open.
+            WrongContext: Another event loop, thread or process started the placer.
+        """
         is_open = self.state is PlacerState.OPEN
         if is_open and self.loop is asyncio.get_running_loop() and self.process == os.getpid():
             return
         if self.state is PlacerState.NEW:
-            raise PlacerClosed("this placer has not been started: use it as `async with`, or await its start()")
+            raise PlacerClosed("this placer has not been started: use `async with placer`, or await placer.start()")
         if os.getpid() != self.process:
-            raise WrongContext("this placer was started by another process; each worker makes its own, numbered one")
+            raise WrongContext(
+                "this placer was started by another process; create one in each worker, with a number of its own"
+            )
         if threading.get_ident() != self.thread:
-            raise WrongContext("this placer belongs to another thread; use loop.call_soon_threadsafe")
+            raise WrongContext("this placer belongs to another thread; call it through loop.call_soon_threadsafe")
         if asyncio.get_running_loop() is not self.loop:
-            raise WrongContext("this placer belongs to another event loop")
+            raise WrongContext("this placer belongs to another event loop; create one for each loop")
         if not is_open and not closing:
             raise PlacerClosed("the placer is closing")
 
     # --- placing ----------------------------------------------------------------------------------
 
     def place(self, **request: Any) -> PlacementContext:
-        """Places a request: `async with placer.place(key=7) as placement`; takes what `arrival` takes.
+        """Return the context manager that places a request: `async with placer.place(key=7) as placement`.
 
-        Entering raises Rejected, Failed or PlacerClosed.
+        Takes the arguments of `arrival`. Entering the context raises the errors of `begin`.
         """
         return PlacementContext(self, self.arrival(**request))
 
@@ -236,16 +252,19 @@
         deadline: float | None = None,
         returned: bool = False,
     ) -> RequestReceived:
-        """Returns a request as `begin` takes it. Raises SettingError on an invalid value.
+        """Return the event of a new request, to be passed to `begin`.
 
         Args:
-            key: names the client; 0: none.
-            cls: the class, by name or number.
-            tenant: by name or number.
-            group: names the client's group; 0: none.
-            load: a hint, in milliseconds of work a second; 0: none.
-            deadline: seconds until the client gives up; the class's where it is left out.
-            returned: whether the client was migrated or cut off before.
+            key: The id of the client; 0 if it has none.
+            cls: The name or number of the connection class.
+            tenant: The name or number of the tenant.
+            group: The id of the client's group; 0 if it has none.
+            load: The expected load in milliseconds of work per second; 0 if it is not known.
+            deadline: The time in seconds after which the client gives up; that of the class if omitted.
+            returned: Whether the client reconnects after a migration or a broken connection.
+
+        Raises:
+            SettingError: The class or tenant is unknown.
         """
         class_number = index_of(self.class_names, cls, "cls") if cls else 0
         tenants = self.settings.tenants if self.settings else ()
@@ -254,18 +273,22 @@
         return RequestReceived(0, remaining_ms, class_number, tenant_number, key, load, group, False, returned)
 
     async def begin(self, event: RequestReceived) -> Placement:
-        """Returns a request at its first backend; whoever calls it ends the request.
+        """Return a request with its first backend. The caller has to end it with `Placement.finish`.
 
-        Raises Rejected, Failed or PlacerClosed.
+        Raises:
+            Rejected: No backend has capacity, or the placer has its maximum number of requests.
+            Failed: The request has failed.
+            PlacerClosed: The placer is not open, or closes while the request waits.
+            WrongContext: The placer was started in another event loop, thread or process.
         """
         self.check()
-        if len(self.placements) >= self.max_requests:  # a bound on memory, whatever the host does
+        if len(self.placements) >= self.max_requests:  # bounds the memory
             self.counts["over_bound"] += 1
             raise Rejected(self.core.max_retry_after_ms / 1000.0)
         placement = Placement(self)
         placement.task = asyncio.current_task()
         self.arrive(placement, event)
-        if placement.next is not None:  # the usual case: a backend was named at once
+        if placement.next is not None:  # the usual case: the balancer has chosen a backend at once
             placement.use_next()
         else:
             await self.attempt(placement, None)
@@ -273,14 +296,20 @@
         return placement
 
     def arrive(self, placement: Placement, event: RequestReceived) -> None:
-        """Accepts a new request; its effects go to the placement."""
+        """Post a new request; the placement receives its effects."""
         placement.request = event.request = self.runtime.new_request(placement)
         self.placements[placement.request] = placement
         self.counts["jobs"] += 1
         self.post(event)
 
     async def attempt(self, placement: Placement, event: AttemptEnded | None) -> None:
-        """Posts the event and waits for the next backend. Raises Rejected, Failed or PlacerClosed."""
+        """Post the end of the last attempt, if any, and wait for the next backend.
+
+        Raises:
+            Rejected: The request was rejected instead.
+            Failed: The request failed instead.
+            PlacerClosed: The placer closes.
+        """
         if event is not None:
             self.post(event)
         if placement.next is None and placement.answer is None:
@@ -297,17 +326,17 @@
             raise
         finally:
             if placement.waiting.done() and not placement.waiting.cancelled():
-                # Retrieved, also where the wait was cancelled in the same moment.
+                # Mark the exception as retrieved, as the wait may have been cancelled at the same time.
                 placement.waiting.exception()
             placement.waiting = None
 
     def forget(self, placement: Placement) -> None:
-        """Forgets a request that is over."""
+        """Remove a request that has ended."""
         self.placements.pop(placement.request, None)
         self.runtime.forget(placement.request)
 
     def carry_out(self, effect: Effect) -> None:
-        """Carries out an effect that concerns no request, as a front of the runtime."""
+        """Carry out an effect that concerns no request; the placer is a front of the runtime."""
         if isinstance(effect, BackendRemoved):
             for placement in [
                 candidate
@@ -316,7 +345,7 @@
             ]:
                 placement.ask_to_end(TerminationReason.BACKEND_REMOVED)
 
-    # --- the endpoint list, the log, counters -----------------------------------------------------
+    # --- endpoint list, log and counters ----------------------------------------------------------
 
     def _on_endpoints(self, update: EndpointsUpdated) -> None:
         if self.state is PlacerState.OPEN:
@@ -331,10 +360,10 @@
         log.log(LOG_LEVELS[level], text, exc_info=level == "error")
 
     def counters(self) -> dict[str, int]:
-        """Returns requests, answers, migrations, stalls and lists since the start; the names are stable."""
+        """Return the numbers of requests, answers, migrations, stalls and lists since the start, under stable names."""
         return {**self.counts, **self.runtime.counts, "open": len(self.placements)}
 
 
 def _numbered_names(settings: Settings) -> list[str]:
-    """Returns names for classes that have none: their numbers."""
+    """Return the numbers of the classes as names, for settings without class names."""
     return [str(number) for number in range(len(settings.classes))]
--- a/yarrowspindle/library/settings.py
+++ b/yarrowspindle/library/settings.py
@@ -1,4 +1,4 @@
-"""The library's settings: dataclasses with checks that name the wrong field.
+"""Settings of the library: dataclasses that raise an error naming the field whose value is invalid.
 
 LibrarySettings(classes=(ConnectionClass("chat", deadline_s=4.8),), tenants=("acme",), relays=2, number=0)
 """
@@ -10,30 +10,40 @@
 
 from yarrowspindle.decisions.settings import RequestClass, Settings, Tenant
 
-MAX_DURATION_S = 3600.0  # of any time that is set
+MAX_DURATION_S = 3600.0  # for every setting that is a duration, except `connect_s`
 MAX_CONNECT_TIMEOUT_S = 60.0
 MAX_ATTEMPTS = 100
 
 
 class SettingError(ValueError):
-    """The value of a field is invalid; the text begins with its name."""
+    """The value of a field is invalid; the message begins with the name of the field."""
 
 
 def require(is_valid: bool, name: str, expected: str, value: object) -> None:
-    """Raises SettingError for this field unless `ok`. `wanted`: what is allowed, in words."""
+    """Check a field.
+
+    Args:
+        is_valid: Whether the value is valid.
+        name: The name of the field.
+        expected: A description of the valid values.
+        value: The value of the field.
+
+    Raises:
+        SettingError: The value is not valid.
+    """
     if not is_valid:
-        raise SettingError(f"{name} is {value!r}: {expected}")
+        raise SettingError(f"{name} is {value!r}; expected {expected}")
 
 
 @dataclass(slots=True, frozen=True)
 class ConnectionClass:
-    """One class of connections.
+    """A class of connections with common latency objectives.
 
     Attributes:
-        name: of the class.
-        aim_s: the set-up latency objective, in seconds.
-        deadline_s: a request that is not established by then has failed.
-        message_aim_s: the latency objective of messages, in seconds; 0: none.
+        name: The name of the class.
+        aim_s: The objective of the set-up latency, in seconds.
+        deadline_s: The time in seconds within which a request has to be established.
+        message_aim_s: The objective of the message latency, in seconds; 0 for none.
     """
 
     name: str
@@ -42,44 +52,45 @@
     message_aim_s: float = 0.15
 
     def __post_init__(self) -> None:
-        require(bool(self.name), "ConnectionClass.name", "a name is wanted", self.name)
+        require(bool(self.name), "ConnectionClass.name", "a name that is not empty", self.name)
         require(
-            0.0 < self.aim_s <= MAX_DURATION_S, "ConnectionClass.aim_s", "seconds above 0, 3600 at most", self.aim_s
+            0.0 < self.aim_s <= MAX_DURATION_S, "ConnectionClass.aim_s", "seconds above 0, at most 3600", self.aim_s
         )
         require(
             self.aim_s <= self.deadline_s <= MAX_DURATION_S,
             "ConnectionClass.deadline_s",
-            "seconds, aim_s at least",
+            "seconds, at least aim_s and at most 3600",
             self.deadline_s,
         )
         require(
             0.0 <= self.message_aim_s <= MAX_DURATION_S,
             "ConnectionClass.message_aim_s",
-            "seconds, 0 for none",
+            "seconds from 0 to 3600; 0 for no objective",
             self.message_aim_s,
         )
 
 
 @dataclass(slots=True, frozen=True)
 class LibrarySettings:
-    """What a placer is configured with.
+    """The settings of a placer.
 
     Attributes:
-        classes: of connections; the first one is the default.
-        tenants: their names.
-        relays: how many placers and daemons place on the same backends. Each worker process is a relay of its own.
-        number: which of them this one is, from 0.
-        zone: the zone that this placer is in.
-        zones: the names of all zones.
-        kinds: the names of machine kinds.
-        attempts: for one request.
-        retry_after_s: the longest Retry-After of rejected clients, in seconds; 0: none is given.
-        connect_s: for a connection to a backend, in seconds.
-        cold_s: how long a started backend warms up, in seconds.
-        cold_share: the fraction of its capacity that it has at its start.
-        fall_multiple: a backend that gets so many times its present capacity is overloaded ...
-        fall_s: ... after so many seconds.
-        jobs_most: requests and connections at once.
+        classes: The connection classes; the first one is the default.
+        tenants: The names of the tenants.
+        relays: The number of placers and daemons that share the backends; each worker process is a relay of its own.
+        number: The number of this placer among them, from 0.
+        zone: The name of the zone in which this placer runs; empty if there are no zones.
+        zones: The names of all zones.
+        kinds: The names of the kinds of machines.
+        attempts: The maximum number of attempts for each request.
+        retry_after_s: The maximum Retry-After for rejected clients, in seconds; 0 to send none.
+        connect_s: The timeout for a connection to a backend, in seconds.
+        cold_s: The warm-up time of a backend after its start, in seconds.
+        cold_share: The fraction of its capacity that a backend has at the beginning of its warm-up.
+        fall_multiple: The load at which a backend is overloaded, as a multiple of its current capacity.
+        fall_s: The time in seconds after which a backend with that load is overloaded.
+        jobs_most: The maximum number of concurrent requests and connections.
+        names: The number of each class by its name.
     """
 
     classes: tuple[ConnectionClass, ...] = (ConnectionClass("default"),)
@@ -100,32 +111,32 @@
     names: dict[str, int] = field(default_factory=dict, init=False, compare=False)
 
     def __post_init__(self) -> None:
-        require(len(self.classes) > 0, "classes", "one class at least", self.classes)
+        require(len(self.classes) > 0, "classes", "at least one class", self.classes)
         require(
             len({connection_class.name for connection_class in self.classes}) == len(self.classes),
             "classes",
-            "each name once",
+            "names that differ",
             self.classes,
         )
-        require(self.relays >= 1, "relays", "1 at least", self.relays)
-        require(0 <= self.number < self.relays, "number", f"from 0 to relays - 1 = {self.relays - 1}", self.number)
-        require(not self.zone or self.zone in self.zones, "zone", f"one of zones {self.zones}", self.zone)
-        require(1 <= self.attempts <= MAX_ATTEMPTS, "attempts", "from 1 to 100", self.attempts)
+        require(self.relays >= 1, "relays", "at least 1", self.relays)
+        require(0 <= self.number < self.relays, "number", f"0 to relays - 1 = {self.relays - 1}", self.number)
+        require(not self.zone or self.zone in self.zones, "zone", f"one of the names in zones, {self.zones}", self.zone)
+        require(1 <= self.attempts <= MAX_ATTEMPTS, "attempts", "a number from 1 to 100", self.attempts)
         require(
             0.0 <= self.retry_after_s <= MAX_DURATION_S, "retry_after_s", "seconds from 0 to 3600", self.retry_after_s
         )
         require(
-            0.0 < self.connect_s <= MAX_CONNECT_TIMEOUT_S, "connect_s", "seconds above 0, 60 at most", self.connect_s
+            0.0 < self.connect_s <= MAX_CONNECT_TIMEOUT_S, "connect_s", "seconds above 0, at most 60", self.connect_s
         )
         require(0.0 <= self.cold_s <= MAX_DURATION_S, "cold_s", "seconds from 0 to 3600", self.cold_s)
-        require(0.0 < self.cold_share <= 1.0, "cold_share", "above 0, 1 at most", self.cold_share)
-        require(self.fall_multiple > 0.0, "fall_multiple", "above 0", self.fall_multiple)
-        require(0.0 < self.fall_s <= MAX_DURATION_S, "fall_s", "seconds above 0, 3600 at most", self.fall_s)
-        require(self.jobs_most >= 1, "jobs_most", "1 at least", self.jobs_most)
+        require(0.0 < self.cold_share <= 1.0, "cold_share", "a fraction above 0, at most 1", self.cold_share)
+        require(self.fall_multiple > 0.0, "fall_multiple", "a number above 0", self.fall_multiple)
+        require(0.0 < self.fall_s <= MAX_DURATION_S, "fall_s", "seconds above 0, at most 3600", self.fall_s)
+        require(self.jobs_most >= 1, "jobs_most", "at least 1", self.jobs_most)
         self.names.update({connection_class.name: number for number, connection_class in enumerate(self.classes)})
 
     def core(self) -> Settings:
-        """Returns the balancer's settings."""
+        """Return the equivalent settings of the balancer."""
         return Settings(
             classes=tuple(
                 RequestClass(
@@ -154,7 +165,16 @@
 
 
 def index_of(names: Sequence[str], value: int | str, field_name: str) -> int:
-    """Returns the number of a class or tenant that is given by name or number. Raises SettingError."""
+    """Return the number of a class or tenant that is given by name or number.
+
+    Args:
+        names: The names of all classes or tenants.
+        value: The name or number.
+        field_name: The name of the field or argument, for the error.
+
+    Raises:
+        SettingError: There is no such class or tenant.
+    """
     if isinstance(value, str):
         if value not in names:
             raise SettingError(f"{field_name} is {value!r}: one of {', '.join(names) or 'none'} is known")
--- a/yarrowspindle/library/sources.py
+++ b/yarrowspindle/library/sources.py
@@ -1,4 +1,4 @@
-"""Where a placer has its endpoint list from. A source is asked for it by the balancer, and reports what it has."""
+"""Sources of the endpoint list of a placer. The balancer requests the list from its source, which reports updates."""
 
 from __future__ import annotations
 
@@ -12,33 +12,33 @@
 from yarrowspindle.routing.address import Address
 from yarrowspindle.routing.events import Endpoint, EndpointsUpdated
 
-FETCH_TIMEOUT_S = 5.0  # a callback that has not answered by then has failed
+FETCH_TIMEOUT_S = 5.0  # for a call of `CallbackList.fetch`
 
 OnUpdate = Callable[[EndpointsUpdated], None]
 OnFailure = Callable[[str], None]
 
 
 class Source(Protocol):
-    """Reports the endpoint list to one placer."""
+    """The source of the endpoint list of one placer."""
 
     def open(self, on_update: OnUpdate, on_failure: OnFailure) -> None:
-        """Starts it; called once, inside the event loop.
+        """Start the source. It is called once, inside the event loop.
 
         Args:
-            on_update: takes each list, and an update of the kind FAILED where none could be had.
-            on_failure: takes a reason for the log.
+            on_update: Called with each list, and with an update of the kind FAILED if the list cannot be fetched.
+            on_failure: Called with the reason of a failure, for the log.
         """
 
     def ask(self, version: int) -> None:
-        """Asks for the list, or for the changes after this version."""
+        """Request the list, or its changes since this version."""
 
     def close(self) -> None:
-        """Reports nothing more."""
+        """Stop the source, which then reports no more updates."""
         ...
 
 
 class StaticList:
-    """A fixed list; `change` replaces it, and an endpoint that is left out counts as gone."""
+    """A list that the application sets. Endpoints that `change` leaves out count as removed."""
 
     def __init__(self, endpoints: Iterable[Endpoint]) -> None:
         self.endpoints = list(endpoints)
@@ -46,12 +46,12 @@
         self.on_update: OnUpdate | None = None
 
     def open(self, on_update: OnUpdate, on_failure: OnFailure) -> None:
-        """Reports the list at once."""
+        """Report the list at once."""
         self.on_update = on_update
         self._report()
 
     def change(self, endpoints: Iterable[Endpoint]) -> None:
-        """Replaces the list."""
+        """Replace the list and report it."""
         self.endpoints = list(endpoints)
         self.version += 1
         self._report()
@@ -61,38 +61,43 @@
             self.on_update(EndpointsUpdated(ListKind.FULL, list(self.endpoints), self.version))
 
     def ask(self, version: int) -> None:
-        """Does nothing: the list was reported when it changed."""
+        """Do nothing, because each change is reported when it is made."""
 
     def close(self) -> None:
-        """Reports nothing more."""
+        """Stop reporting the list."""
         self.on_update = None
 
 
 class WatchedList:
-    """The discovery service that the daemon watches: `WatchedList("10.2.0.1:8500", zones=[...], kinds=[...])`."""
+    """The list of the daemon's discovery service: `WatchedList("10.2.0.1:8500", zones=[...], kinds=[...])`."""
 
     def __init__(self, address: str, zones: Iterable[str] = (), kinds: Iterable[str] = ()) -> None:
         self.address: Address = parse_address(address)
         self.names = ZoneAndKindNames(list(zones), list(kinds))
 
     def open(self, on_update: OnUpdate, on_failure: OnFailure) -> None:
-        """Opens the watch."""
+        """Open the watch."""
         from yarrowspindle.runtime.endpoint_watch import EndpointWatch  # needs httptools
 
         self.watch = EndpointWatch(self.names, on_update, on_failure)
         self.watch.open(0, self.address)
 
     def ask(self, version: int) -> None:
-        """Opens a watch from this version on, where none is open."""
+        """Open a watch from this version on if none is open."""
         self.watch.open(version, self.address)
 
     def close(self) -> None:
-        """Closes the watch."""
+        """Close the watch."""
         self.watch.close()
 
 
 class CallbackList:
-    """Calls `fetch` for the whole list when the balancer asks and every `every_s` seconds; one call at a time."""
+    """The list that a function of the application returns.
+
+    `fetch` is called every `every_s` seconds and when the balancer requests the list, with one call at a time. While it
+    fails or takes longer than FETCH_TIMEOUT_S, it is only called when the balancer requests the list again, which it
+    does with a backoff.
+    """
 
     def __init__(self, fetch: Callable[[], Awaitable[Iterable[Endpoint]]], every_s: float = 2.0) -> None:
         self.fetch = fetch
@@ -102,17 +107,17 @@
         self.fetch_requested = asyncio.Event()
 
     def open(self, on_update: OnUpdate, on_failure: OnFailure) -> None:
-        """Fetches the list from now on."""
+        """Start fetching the list."""
         self.on_update = on_update
         self.on_failure = on_failure
         self.task = asyncio.get_running_loop().create_task(self._run())
 
     def ask(self, version: int) -> None:
-        """Fetches the list next, without waiting for the interval."""
+        """Fetch the list without waiting for the end of the interval."""
         self.fetch_requested.set()
 
     def close(self) -> None:
-        """Fetches nothing more."""
+        """Stop fetching the list."""
         if self.task is not None:
             self.task.cancel()
 
@@ -121,10 +126,10 @@
             self.fetch_requested.clear()
             try:
                 endpoints = list(await asyncio.wait_for(self.fetch(), FETCH_TIMEOUT_S))
-            except Exception as error:  # whatever the host's function raises: the old list stays in force
-                self.on_failure(f"the endpoint list could not be fetched: {error!r}")
+            except Exception as error:  # of any type, as `fetch` is the application's; the last list stays in use
+                self.on_failure(f"the application's fetch function failed: {error!r}; the last list stays in use")
                 self.on_update(EndpointsUpdated(ListKind.FAILED))
-                await self.fetch_requested.wait()  # the balancer asks again, with a backoff
+                await self.fetch_requested.wait()  # the balancer requests the list again, with a backoff
                 continue
             self.version += 1
             self.on_update(EndpointsUpdated(ListKind.FULL, endpoints, self.version))
