--- a/yarrowspindle/middleware/__init__.py
+++ b/yarrowspindle/middleware/__init__.py
@@ -1,4 +1,4 @@
-"""ASGI middleware on the library, for applications that pass long-lived connections on to backends."""
+"""ASGI middleware, built on the library, for applications that relay long-lived connections to backends."""
 
 from yarrowspindle.middleware.asgi import PlacementMiddleware
 from yarrowspindle.middleware.streams import LineLink, Link, open_line_link, reach, relay_events, relay_websocket
--- a/yarrowspindle/middleware/asgi.py
+++ b/yarrowspindle/middleware/asgi.py
@@ -1,7 +1,8 @@
-"""Places each long-lived scope of an ASGI application (Starlette, FastAPI, any other) on a backend.
+"""Place each long-lived scope of an ASGI application (Starlette, FastAPI or any other) on a backend.
 
-The application finds its Placement in `scope["yarrowspindle"]` and connects to the backend itself. A scope that is not
-placed is answered with 503 and Retry-After; a websocket that is not placed is closed with 1013 before it is accepted.
+The application gets its Placement from `scope["yarrowspindle"]` and connects to the backend itself. A scope that cannot
+be placed is answered with 503 and Retry-After; a websocket is closed with 1013 before it is accepted if the server does
+not support a response in its place.
 """
 
 from __future__ import annotations
@@ -33,28 +34,28 @@
 
 log = logging.getLogger("yarrowspindle")
 SCOPE_KEY = "yarrowspindle"
-# Close codes of websockets, as IANA registers them.
+# Close codes of websockets from the registry of IANA.
 WS_POLICY_VIOLATION = 1008
 WS_SERVICE_RESTART = 1012
 WS_TRY_AGAIN_LATER = 1013
-MAX_WS_REASON_CHARACTERS = 100  # characters of a close reason
+MAX_WS_REASON_CHARACTERS = 100
 FIRST_ERROR_STATUS = 400
 DEFAULT_RETRY_AFTER_S = 1.0
-REJECTION_BODY = b"no execute node has room\n"  # a published text
+REJECTION_BODY = b"no execute node has room\n"  # published: clients may match it
 PLACE_ARGUMENTS = frozenset(("key", "group", "load", "deadline", "cls", "tenant", "returned"))
 
 
 class PlacementMiddleware:
-    """Wraps an application.
+    """Wrap an application and place its long-lived scopes.
 
     Args:
-        app: the application.
-        placer: places its scopes.
-        long_lived: which scopes are placed; by default all websockets and event streams.
-        lifespan: whether the placer is started and closed with the application's lifespan.
-        extractors: functions of the scope for what `Placer.place` takes under the same names (key, group, load,
-            deadline, cls, tenant, returned); a ValueError of theirs (an unknown class, say) is answered with 400, or
-            1008.
+        app: The application.
+        placer: The placer of its scopes.
+        long_lived: Returns whether a scope is placed; by default, all websockets and event streams are.
+        lifespan: Whether the placer is started and closed with the application's lifespan.
+        extractors: Functions that return an argument of `Placer.place` from the scope, by the name of the argument
+            (key, group, load, deadline, cls, tenant, returned). If one raises ValueError, or its class or tenant is
+            unknown, the scope is answered with 400, a websocket closed with 1008.
     """
 
     def __init__(
@@ -68,7 +69,9 @@
     ) -> None:
         unknown = extractors.keys() - PLACE_ARGUMENTS
         if unknown:
-            raise TypeError(f"not known: {', '.join(sorted(unknown))}")
+            raise TypeError(
+                f"unknown arguments: {', '.join(sorted(unknown))}; known are {', '.join(sorted(PLACE_ARGUMENTS))}"
+            )
         self.app = app
         self.placer = placer
         self.extractors = extractors
@@ -76,7 +79,7 @@
         self.lifespan = lifespan
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
-        """Serves one scope."""
+        """Serve one scope."""
         if scope["type"] == "lifespan" and self.lifespan:
             await Lifespan(self.placer, receive, send).run(self.app, scope)
         elif scope["type"] in ("http", "websocket") and self.long_lived(scope):
@@ -104,14 +107,14 @@
             task = asyncio.current_task()
             if not placement.cut or task is None or task.uncancel() > 0:
                 raise
-            await interceptor.close()  # it ignored `moved` until the placer's close was over
+            await interceptor.close()  # the application ignored `moved` until the end of the placer's close
         finally:
             placement.finish(has_succeeded)
 
-    async def _run(  # noqa: C901  # one branch for each way in which an application may fail
+    async def _run(  # noqa: C901  # a branch for each way in which an application may fail
         self, scope: Scope, receive: Receive, interceptor: ResponseInterceptor
     ) -> None:
-        """Runs the application at one backend after the other until one is reached or none is left."""
+        """Run the application with one backend after the other until it responds or no backend is left."""
         placement = interceptor.placement
         while True:
             placement.ending = None
@@ -131,7 +134,7 @@
                 if interceptor.started:
                     placement.ending = TerminationReason.BACKEND_ERROR
                     raise
-                if interceptor.error is None:  # the framework has turned our own error into one of its own
+                if interceptor.error is None:  # else the framework has replaced our error with one of its own
                     raise
             if not isinstance(interceptor.error, Rejected | Failed | PlacerClosed):
                 try:
@@ -146,7 +149,13 @@
 
 
 class ResponseInterceptor:
-    """What the application sends, on its way out: the start of a response is the request's final answer."""
+    """Intercept the messages from the application to the server; the start of a response answers the request.
+
+    Attributes:
+        started: Whether a response has started.
+        ended: Whether a response has ended.
+        error: The reason why the response of this attempt is discarded; None if it is not.
+    """
 
     def __init__(self, scope: Scope, server_send: Send, placement: Placement) -> None:
         self.scope = scope
@@ -154,16 +163,20 @@
         self.placement = placement
         self.started = False
         self.ended = False
-        self.error: Exception | None = None  # why this attempt's response is held back
+        self.error: Exception | None = None
 
     async def send(self, message: Message) -> None:
-        """Passes a message on, or holds it back where another backend is tried."""
+        """Forward a message, or discard it if another backend is to be tried.
+
+        Raises:
+            PlacementError: The response would start, but the backend of this attempt may no longer be used.
+        """
         message_type = message["type"]
         if not self.started:
             if self.error is None and self.placement.ending is TerminationReason.CONNECT_FAILED:
                 self.error = BackendUnreachable(self.placement.backend)
             if self.error is not None:
-                return  # an error page of the framework, for an attempt that has another after it
+                return  # the error page of the framework for an attempt that is followed by another
             if message_type == "websocket.accept" or (
                 message_type == "http.response.start" and message["status"] < FIRST_ERROR_STATUS
             ):
@@ -174,7 +187,7 @@
                     raise
                 self.started = True
             elif message_type in ("http.response.start", "websocket.close", "websocket.http.response.start"):
-                self.placement.leave()  # the application rejects its client itself
+                self.placement.leave()  # the application itself rejects the client
                 self.started = True
         if message_type == "websocket.close" or (
             message_type == "http.response.body" and not message.get("more_body", False)
@@ -183,7 +196,7 @@
         await self.server_send(message)
 
     async def close(self) -> None:
-        """Ends the response in the way that tells the client to connect again."""
+        """End the response such that the client reconnects."""
         if self.ended:
             return
         self.ended = True
@@ -196,26 +209,32 @@
 
 
 class Lifespan:
-    """Starts the placer before the application's own start, and closes it before the application's own end.
+    """Start the placer before the application starts up, and close it before the application shuts down.
+
+    If the application does not support the lifespan protocol, this class answers the server in its place.
 
-    Does both by itself where the application knows no lifespan.
+    Attributes:
+        last_received: The type of the last message from the server.
+        last_sent: The type of the last message to the server.
     """
 
     def __init__(self, placer: Placer, receive: Receive, send: Send) -> None:
         self.placer = placer
         self.server_receive = receive
         self.server_send = send
-        self.last_received = ""  # the type of the last message from the server
-        self.last_sent = ""  # and of the last one to it
+        self.last_received = ""
+        self.last_sent = ""
 
     async def run(self, app: App, scope: Scope) -> None:
-        """Runs the application's lifespan."""
+        """Run the application for its lifespan scope."""
         try:
             await app(scope, self.receive, self.send)
         except Exception:
             if self.last_sent:
                 raise
-            log.debug("the application knows no lifespan", exc_info=True)
+            log.debug(
+                "the application does not support the lifespan protocol; the middleware answers for it", exc_info=True
+            )
         if not self.last_sent:
             if not self.last_received:
                 await self.receive()
@@ -225,7 +244,7 @@
             await self.send({"type": "lifespan.shutdown.complete"})
 
     async def receive(self) -> Message:
-        """Starts or closes the placer before the application hears of it."""
+        """Receive a message, and start or close the placer before the application gets it."""
         message = await self.server_receive()
         self.last_received = message["type"]
         if self.last_received == "lifespan.startup":
@@ -235,7 +254,7 @@
         return message
 
     async def send(self, message: Message) -> None:
-        """Passes a message on; closes the placer where the application's start has failed."""
+        """Forward a message; close the placer first if the startup of the application has failed."""
         self.last_sent = message["type"]
         if self.last_sent == "lifespan.startup.failed":
             await self.placer.close(0.0)
@@ -243,14 +262,20 @@
 
 
 def is_websocket_or_event_stream(scope: Scope) -> bool:
-    """Returns whether the scope is a websocket, or its client accepts an event stream."""
+    """Return whether the scope is a websocket or its client accepts an event stream."""
     if scope["type"] == "websocket":
         return True
     return any(name == b"accept" and b"text/event-stream" in value for name, value in scope["headers"])
 
 
 async def send_rejection(scope: Scope, send: Send, error: Exception | None) -> None:
-    """Answers a scope that is not placed, with the error's Retry-After where it has one."""
+    """Answer a scope that was not placed.
+
+    Args:
+        scope: The scope of the client.
+        send: The server's function that sends a message.
+        error: The reason, whose `retry_after` is sent if it is Rejected.
+    """
     retry_after_s = error.retry_after if isinstance(error, Rejected) else DEFAULT_RETRY_AFTER_S
     headers = [(b"retry-after", b"%d" % max(1, ceil(retry_after_s)))]
     await send_response(scope, send, 503, WS_TRY_AGAIN_LATER, REJECTION_BODY, headers)
@@ -259,19 +284,19 @@
 async def send_response(
     scope: Scope, send: Send, status: int, code: int, body: bytes, headers: list[tuple[bytes, bytes]]
 ) -> None:
-    """Answers a scope in place of the application.
+    """Answer a scope in place of the application.
 
     Args:
-        scope: of the client.
-        send: to the server.
-        status: of the HTTP response; also for a websocket, where the server can send one.
-        code: with which a websocket is closed where it cannot.
-        body: a text.
-        headers: besides the content type.
+        scope: The scope of the client.
+        send: The server's function that sends a message.
+        status: The status of the HTTP response, which a websocket gets too if the server supports that.
+        code: The close code of the websocket if the server does not.
+        body: The body of the response, in UTF-8.
+        headers: The headers of the response, without its content type.
     """
     message_type = "http.response"
     if scope["type"] == "websocket":
-        if "websocket.http.response" not in (scope.get("extensions") or {}):  # the server can only close it
+        if "websocket.http.response" not in (scope.get("extensions") or {}):  # the server can only close the websocket
             reason = body.decode(errors="replace").strip()[:MAX_WS_REASON_CHARACTERS]
             await send({"type": "websocket.close", "code": code, "reason": reason})
             return
--- a/yarrowspindle/middleware/fastapi.py
+++ b/yarrowspindle/middleware/fastapi.py
@@ -1,4 +1,4 @@
-"""A FastAPI dependency that hands a handler its Placement.
+"""FastAPI dependency that passes a route its Placement.
 
 @app.get("/plan")
 async def plan(placement: Placed) -> StreamingResponse: ...
@@ -16,10 +16,14 @@
 
 
 def placement_of(connection: HTTPConnection) -> Placement:
-    """Returns the placement of a scope. Raises LookupError where it was not placed: `long_lived` says which are."""
+    """Return the placement of the scope of a connection.
+
+    Raises:
+        LookupError: The middleware did not place the scope, because it is not installed or `long_lived` excludes it.
+    """
     placement = connection.scope.get(SCOPE_KEY)
     if not isinstance(placement, Placement):
-        raise LookupError("this scope was not placed: add PlacementMiddleware, and see its long_lived")
+        raise LookupError("this scope was not placed: add PlacementMiddleware, or have its long_lived select the scope")
     return placement
 
 
--- a/yarrowspindle/middleware/streams.py
+++ b/yarrowspindle/middleware/streams.py
@@ -1,6 +1,7 @@
-"""Passes messages between a client (websocket or server-sent events) and its backend, and reports message times.
+"""Relay messages between a client (websocket or server-sent events) and its backend, and report their latency.
 
-A link to a backend speaks lines here; another protocol brings an `open_link` of its own that returns a `Link`.
+The default link to a backend carries a line for each message; for another protocol, pass an `open_link` that returns a
+`Link`.
 """
 
 from __future__ import annotations
@@ -18,42 +19,50 @@
 
 CONNECT_TIMEOUT_S = 0.25
 MAX_LINE_BYTES = 65_536
-EVENT_STREAM_RECONNECT_MS = 400  # what an event stream tells its client to wait before it connects again
+EVENT_STREAM_RECONNECT_MS = 400  # the delay that an event stream sets for its client to reconnect
 WS_NORMAL_CLOSURE = 1000
 WS_INTERNAL_ERROR = 1011
-ALREADY_CLOSED = 0  # the client has closed the websocket itself
+ALREADY_CLOSED = 0  # stands for a close code: the client has closed the websocket itself
 
 
 class Link(Protocol):
-    """A connection to a backend that carries messages."""
+    """A connection to a backend that carries messages in both directions."""
 
     async def read(self) -> str | None:
-        """Returns the next message; None where the backend has closed the connection. Raises OSError on a reset."""
+        """Return the next message; None if the backend has closed the connection.
+
+        Raises:
+            OSError: The connection was reset.
+        """
 
     async def write(self, message: str) -> None:
-        """Sends a message. Raises OSError on a reset."""
+        """Send a message.
+
+        Raises:
+            OSError: The connection was reset.
+        """
 
     async def close(self) -> None:
         """Closes the connection."""
 
 
 class LineLink:
-    """A link on which a message is a line of UTF-8, MAX_LINE_BYTES at most."""
+    """A link on which each message is a line of UTF-8 of at most MAX_LINE_BYTES."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader = reader
         self.writer = writer
 
     async def read(self) -> str | None:
-        """Returns the next line without its end; see `Link.read`."""
+        """Return the next line without its terminator; see `Link.read`."""
         try:
             line = await self.reader.readline()
         except ValueError as error:
-            raise ConnectionError("the backend sent a line without end") from error
+            raise ConnectionError(f"the backend sent a line of more than {MAX_LINE_BYTES} bytes") from error
         return line.decode("utf-8", "replace").rstrip("\r\n") if line else None
 
     async def write(self, message: str) -> None:
-        """Sends a message as one line; line ends within it become spaces."""
+        """Send a message as one line; line breaks within it become spaces."""
         self.writer.write(message.replace("\r", " ").replace("\n", " ").encode() + b"\r\n")
         await self.writer.drain()
 
@@ -66,26 +75,33 @@
 
 
 async def open_line_link(address: Address) -> Link:
-    """Connects to a backend that speaks lines. Raises OSError, TimeoutError among it."""
+    """Connect to a backend that exchanges lines.
+
+    Raises:
+        OSError: The backend cannot be reached; TimeoutError if it did not accept within CONNECT_TIMEOUT_S.
+    """
     return LineLink(*await asyncio.wait_for(asyncio.open_connection(*address, limit=MAX_LINE_BYTES), CONNECT_TIMEOUT_S))
 
 
 async def reach(placement: Placement, open_link: OpenLink = open_line_link) -> Link:
-    """Returns a link to the placement's backend, or to the next one that can be reached.
+    """Return a link to the placement's backend, or to the next backend that can be reached.
 
-    Raises Rejected, Failed or PlacerClosed where none is left.
+    Raises:
+        Rejected: No other backend is available.
+        Failed: The request has failed.
+        PlacerClosed: The placer closes.
     """
     while True:
         try:
             link = await open_link(placement.address)
-        except OSError:  # TimeoutError among it
+        except OSError:  # includes TimeoutError
             await placement.failed(TerminationReason.CONNECT_FAILED)
             continue
-        with suppress(PlacementError):  # an answer is raised again below, where no other backend is tried
+        with suppress(PlacementError):  # `failed` below raises a final answer again
             if not placement.moved.is_set():
                 placement.reached()
                 return link
-        # The backend drained, or the deadline passed, while the connection came up.
+        # The backend began to drain or the deadline passed while the link was being opened.
         await link.close()
         await placement.failed(TerminationReason.NOT_SENT)
 
@@ -93,14 +109,15 @@
 async def relay_websocket(  # noqa: C901  # both directions share the link and the websocket
     websocket: Any, placement: Placement, open_link: OpenLink = open_line_link
 ) -> None:
-    """Passes messages both ways until one side closes or the connection is migrated.
+    """Relay messages in both directions until one side closes or the connection is migrated.
 
-    A migration closes the websocket with 1012, the backend's close with 1000, a reset of the backend with 1011.
+    The websocket is closed with 1012 for a migration, with 1000 if the backend closes its connection, and with 1011 if
+    the backend resets it.
 
     Args:
-        websocket: Starlette's, not accepted yet.
-        placement: of its scope.
-        open_link: connects to a backend.
+        websocket: The websocket of Starlette, which has not been accepted yet.
+        placement: The placement of its scope.
+        open_link: Connects to a backend.
     """
     link = await reach(placement, open_link)
     try:
@@ -139,9 +156,9 @@
 
 
 async def relay_events(placement: Placement, link: Link) -> AsyncIterator[bytes]:
-    """Yields server-sent events from a link that `reach` has opened.
+    """Yield the messages of a link that `reach` has opened as server-sent events.
 
-    A migration ends them with `retry:`, so that the client connects again by itself.
+    A migration ends the stream with an event that has a `retry:` field, after which the client reconnects by itself.
     """
     moved_task = asyncio.ensure_future(placement.moved.wait())
     read_task: asyncio.Future[str | None] | None = None
@@ -168,7 +185,7 @@
 
 
 async def first_result(*awaitables: Awaitable[tuple[int, TerminationReason]]) -> tuple[int, TerminationReason]:
-    """Returns what the first one returns; the others are cancelled, and what they raise meanwhile is ignored."""
+    """Return the result of the awaitable that completes first; cancel the others and ignore their exceptions."""
     tasks = [asyncio.ensure_future(awaitable) for awaitable in awaitables]
     try:
         done, _ = await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
