--- a/tests/library/test_library.py
+++ b/tests/library/test_library.py
@@ -431,11 +431,11 @@
 @pytest.mark.parametrize(
     "damage, message",
     [
-        (lambda data: b"{}\n" + data, "line 1 is no header"),
-        (lambda data: data.replace(b'"version":1', b'"version":9', 1), "not known"),
-        (lambda data: data + b'[9e12,"Nobody",{}]\n', "line 3: 'Nobody' is no event"),
-        (lambda data: data + b"[9e12,", "line 3 cannot"),
-        (lambda data: data + b'[1.0,"Stalled",{"for_ms":1.0}]\n', "line 3: the time goes back"),
+        (lambda data: b"{}\n" + data, "line 1 is not a valid header"),
+        (lambda data: data.replace(b'"version":1', b'"version":9', 1), "line 1: unsupported format"),
+        (lambda data: data + b'[9e12,"Nobody",{}]\n', "line 3: unknown event 'Nobody'"),
+        (lambda data: data + b"[9e12,", "line 3 cannot be decoded"),
+        (lambda data: data + b'[1.0,"Stalled",{"for_ms":1.0}]\n', "line 3: the time decreases"),
     ],
 )
 def test_a_damaged_sequence_is_rejected_with_its_line(damage: Callable[[bytes], bytes], message: str) -> None:
--- a/yarrowspindle/replay/__init__.py
+++ b/yarrowspindle/replay/__init__.py
@@ -1,4 +1,4 @@
-"""Recorded sequences of the events of a reducer, and its choices when the same events are played again."""
+"""Record the sequence of events of a reducer, replay it, and compare the choices that the reducer makes."""
 
 from yarrowspindle.replay.player import Played, play_daemon, play_library
 from yarrowspindle.replay.sequence import Header, Recorder, SequenceError, read_sequence
--- a/yarrowspindle/replay/__main__.py
+++ b/yarrowspindle/replay/__main__.py
@@ -1,7 +1,7 @@
-"""`python -m yarrowspindle.replay FILE [--by daemon|library] [--choices]`: prints the choices, then a summary.
+"""Replay a recorded sequence: `python -m yarrowspindle.replay FILE [--by daemon|library] [--choices]`.
 
-The exit status is 0 where each request had at most one final answer, 1 where one had two, 2 where the file cannot be
-read.
+Prints the choices if `--choices` is given, then a summary. The exit status is 0 if each request had at most one final
+answer, 1 if a request had more, and 2 if the file cannot be read.
 """
 
 from __future__ import annotations
@@ -19,8 +19,8 @@
 
 
 def main() -> int:
-    """Plays the sequence and prints what was chosen. Returns the exit status."""
-    parser = argparse.ArgumentParser(prog="python -m yarrowspindle.replay", description="Play a recorded sequence.")
+    """Replay the sequence and print the choices and the summary. Return the exit status."""
+    parser = argparse.ArgumentParser(prog="python -m yarrowspindle.replay", description="Replay a recorded sequence.")
     parser.add_argument("file")
     parser.add_argument("--by", choices=("daemon", "library"), default="daemon")
     parser.add_argument("--choices", action="store_true", help="print each choice as a line of JSON")
--- a/yarrowspindle/replay/player.py
+++ b/yarrowspindle/replay/player.py
@@ -1,4 +1,4 @@
-"""Plays a recorded sequence to the daemon's wiring or to the library, and records their choices and answers."""
+"""Replay a recorded sequence through the daemon's relay service or the library, and record choices and answers."""
 
 from __future__ import annotations
 
@@ -33,25 +33,30 @@
 
 
 class RecordedClock:
-    """The time of the event that is being played, in milliseconds."""
+    """A clock that shows the time of the event that is being replayed, in milliseconds."""
 
     def __init__(self, start_ms: float) -> None:
         self.time_ms = start_ms
 
     def now(self) -> float:
-        """Returns the recorded time."""
+        """Return the recorded time in milliseconds."""
         return self.time_ms
 
 
 @dataclass(slots=True)
 class Played:
-    """Choices in their order; for each request its final answers (up, refused, failed, left)."""
+    """The result of a replay.
+
+    Attributes:
+        choices: The choices in their order.
+        answers: The final answers of each request by its id: "up", "refused", "failed" or "left".
+    """
 
     choices: list[Choice] = field(default_factory=list)
     answers: dict[int, list[str]] = field(default_factory=dict)
 
     def effect(self, effect: Effect) -> None:
-        """Records what the core asked for."""
+        """Record an effect that the reducer emitted."""
         choice = choice_of(effect)
         if choice is not None:
             self.choices.append(choice)
@@ -59,14 +64,14 @@
             self.answers[effect.request].append(ANSWER_NAMES[type(effect)])
 
     def event(self, event: Event) -> None:
-        """Records a new request, and a client that left."""
+        """Record an event if it is a new request or the disconnection of a client."""
         if isinstance(event, RequestReceived):
             self.answers[event.request] = []
         elif isinstance(event, ClientDisconnected) and self.answers.get(event.request) == []:
             self.answers[event.request].append("left")
 
     def counts(self) -> dict[str, int]:
-        """Returns how often each answer was given, and how many requests had a second one or none."""
+        """Return the number of each answer, and the numbers of requests with more than one answer or none."""
         counts: Counter[str] = Counter(answer for answers in self.answers.values() for answer in answers)
         counts["second"] = sum(1 for answers in self.answers.values() if len(answers) > 1)
         counts["none"] = sum(1 for answers in self.answers.values() if not answers)
@@ -77,7 +82,7 @@
 
 
 def choice_of(effect: Effect) -> Choice | None:
-    """Returns what the core chose; None for effects that concern timers, the endpoint list or the log."""
+    """Return the choice that an effect expresses; None for an effect on timers, the endpoint list or the log."""
     if isinstance(effect, OpenBackendConnection):
         return ("reach", effect.request, effect.attempt, effect.backend, effect.timeout_ms)
     if isinstance(effect, RejectRequest):
@@ -92,13 +97,21 @@
 
 
 def play_daemon(header: Header, events: Iterable[tuple[float, Event]]) -> Played:
-    """Plays to the daemon's wiring, with clock and timers taken from the sequence. Raises ValueError on odd ids."""
+    """Replay a sequence through the daemon's relay service, with the clock and the timers of the sequence.
+
+    Args:
+        header: The header of the sequence.
+        events: The events of the sequence, with their times in milliseconds.
+
+    Raises:
+        ValueError: The ids of the requests are not consecutive.
+    """
     from yarrowspindle.daemon.config import Config
     from yarrowspindle.daemon.relay_service import RelayService
 
     played = Played()
     clock = RecordedClock(header.started)
-    no_endpoints = EndpointsUpdated(ListKind.DELTA)  # not posted: the sequence has the lists
+    no_endpoints = EndpointsUpdated(ListKind.DELTA)  # not posted, as the sequence contains the lists
     config = Config("replay", UNUSED_ADDRESS, UNUSED_ADDRESS, header.seed, header.settings, no_endpoints)
     service = RelayService(config, clock, timers=NoTimers(clock))
     service.runtime.watch_endpoints = lambda effect: None
@@ -113,7 +126,7 @@
 
 
 class _RecordingFront:
-    """Records the effects on requests in place of carrying them out."""
+    """A front that records the effects on requests instead of carrying them out."""
 
     def __init__(self, played: Played) -> None:
         self.played = played
@@ -123,13 +136,21 @@
 
 
 def play_library(header: Header, events: Iterable[tuple[float, Event]]) -> Played:
-    """Plays to the library's Placer, with clock and timers taken from the sequence. Raises ValueError on odd ids."""
+    """Replay a sequence through the library's Placer, with the clock and the timers of the sequence.
+
+    Args:
+        header: The header of the sequence.
+        events: The events of the sequence, with their times in milliseconds.
+
+    Raises:
+        ValueError: The ids of the requests are not consecutive.
+    """
     played = Played()
     clock = RecordedClock(header.started)
     placer = Placer(header.settings, seed=header.seed, clock=clock, timers=NoTimers(clock))
     placer.max_requests = UNLIMITED_REQUESTS
     asyncio.run(_start(placer))
-    placer.runtime.late_at = inf  # the sequence has the stalls
+    placer.runtime.late_at = inf  # detects no stalls, as the sequence contains them
     placer.runtime.effect_observer = played.effect
 
     def post(event: Event) -> None:
@@ -147,7 +168,7 @@
 
 def _check_id(recorded: int, assigned: int) -> None:
     if assigned != recorded:
-        raise ValueError(f"request {recorded} is out of order: {assigned} would be next")
+        raise ValueError(f"the sequence has request {recorded} where the next id is {assigned}")
 
 
 async def _start(placer: Placer) -> None:
--- a/yarrowspindle/replay/recorded_form.py
+++ b/yarrowspindle/replay/recorded_form.py
@@ -1,7 +1,7 @@
-"""The names that a recorded sequence uses for events and their fields, mapped to the names of the code.
+"""Mapping between the names of events and fields in a recorded sequence and their names in the code.
 
-A sequence is stored data: what an older build recorded has to be read by this one, so the recorded names stay whatever
-the classes and fields are called.
+A sequence is stored data. This build has to read sequences that older builds recorded, so that the recorded names do
+not change when a class or field is renamed.
 """
 
 from __future__ import annotations
@@ -21,7 +21,10 @@
 
 @dataclass(slots=True)
 class RecordedRebalance:
-    """As `events.Rebalance`, whose settings the platform does not import."""
+    """The fields of `events.RebalancingConfigured`, whose module imports RebalanceSettings for type checking only.
+
+    Decoding needs that type at run time.
+    """
 
     settings: RebalanceSettings | None
     seed: int = 0
@@ -52,7 +55,7 @@
     events.RebalancingConfigured: "Rebalance"
 }
 
-# Type -> name of a field in the code -> its recorded name, where the two differ.
+# By type, the recorded names of the fields whose names in the code differ.
 FIELDS: Mapping[type, Mapping[str, str]] = {
     Settings: {
         "backend_reports_latency": "tells_delay",
@@ -112,7 +115,7 @@
     events.PeerLoadsUpdated: {"loads": "others"},
 }
 
-# The texts by which a sequence records why an attempt ended.
+# The texts that stand for the termination reasons of attempts in a sequence.
 ENDINGS: Mapping[TerminationReason, str] = {
     TerminationReason.COMPLETED: "the execute node served it to its end",
     TerminationReason.BACKEND_DRAINING: "the execute node asked the submitter to come again",
@@ -138,7 +141,7 @@
 
 
 def to_recorded(value: Any) -> Any:
-    """A value as builtins under the recorded names, for the JSON encoder."""
+    """Return a value as builtin types under the recorded names, for the JSON encoder."""
     if is_dataclass(value) and not isinstance(value, type):
         recorded_names = FIELDS.get(type(value), _NO_FIELDS)
         return {
@@ -153,7 +156,12 @@
 
 
 def from_recorded(kind: Any, data: Any) -> Any:
-    """The decoded JSON of a value of this type, under the names of the code; its types are checked by the caller."""
+    """Return decoded JSON under the names of the code, for conversion to a type.
+
+    Args:
+        kind: The type of the value; the caller checks that the data has it.
+        data: The decoded JSON under the recorded names.
+    """
     if get_origin(kind) in (Union, UnionType):
         kind = next((member for member in get_args(kind) if is_dataclass(member)), kind)
     if isinstance(data, dict) and is_dataclass(kind) and isinstance(kind, type):
--- a/yarrowspindle/replay/sequence.py
+++ b/yarrowspindle/replay/sequence.py
@@ -1,4 +1,4 @@
-"""The form of a recorded sequence: JSON Lines, a header and then one event a line. `docs/library.md` describes it.
+"""The format of a recorded sequence: JSON Lines with a header and then an event on each line; see `docs/library.md`.
 
 {"form":"yarrowspindle-sequence","version":1,"seed":7,"started":1700000000000.0,"settings":{...}}
 [1700000000000.0,"ListTold",{"kind":2,"machines":[...],"version":1}]
@@ -17,15 +17,23 @@
 from yarrowspindle.routing.events import Event
 
 FORM, VERSION = "yarrowspindle-sequence", 1
-MAX_LINE_BYTES = 16 << 20  # a machine list of tens of thousands of nodes fits
+MAX_LINE_BYTES = 16 << 20  # enough for an endpoint list of tens of thousands of backends
 
 
 class SequenceError(ValueError):
-    """The file is not a sequence, or breaks off; the text names the line."""
+    """The file is not a sequence, or is truncated; the message names the line."""
 
 
 class Header(msgspec.Struct, frozen=True):
-    """The first line of a sequence. `started`: Unix milliseconds."""
+    """The first line of a sequence.
+
+    Attributes:
+        seed: The seed of the reducer's random source.
+        started: The time at which the recording started, in Unix milliseconds.
+        settings: The settings of the balancer.
+        form: The name of the format.
+        version: The version of the format.
+    """
 
     seed: int
     started: float
@@ -38,7 +46,14 @@
 
 
 class Recorder:
-    """Writes a sequence; give `event` to `Runtime.event_observers`, or call it with each event and its time."""
+    """Write a sequence: append `event` to `Runtime.seen`, or call it with each event and its time.
+
+    Args:
+        out: The binary file to which the sequence is written.
+        settings: The settings of the balancer.
+        seed: The seed of the reducer's random source.
+        started: The time at which the recording starts, in Unix milliseconds.
+    """
 
     def __init__(self, out: BinaryIO, settings: Settings, seed: int, started: float) -> None:
         self.out = out
@@ -48,22 +63,26 @@
         out.write(self.encoder.encode(header) + b"\n")
 
     def event(self, now: float, event: Event) -> None:
-        """Writes an event with its time in milliseconds."""
+        """Write an event with its time in Unix milliseconds."""
         name = EVENT_NAMES[type(event)]
         self.out.write(self.encoder.encode((now, name, to_recorded(event))) + b"\n")
         self.events += 1
 
 
 def read_sequence(source: BinaryIO) -> tuple[Header, Iterator[tuple[float, Event]]]:
-    """The header, and the events with their times as they are read. Raises SequenceError."""
+    """Return the header of a sequence, and an iterator that reads its events with their times in Unix milliseconds.
+
+    Raises:
+        SequenceError: The file is not a sequence; while iterating, a line is damaged.
+    """
     try:
         raw_header = msgspec.json.decode(source.readline(MAX_LINE_BYTES), type=dict[str, Any])
         settings = from_recorded(Settings, raw_header.get("settings"))
         header = msgspec.convert(raw_header | {"settings": settings}, Header, str_keys=True)
     except (msgspec.MsgspecError, ValueError) as error:
-        raise SequenceError(f"line 1 is no header of a sequence: {error}") from error
+        raise SequenceError(f"line 1 is not a valid header of a sequence: {error}") from error
     if header.form != FORM or header.version != VERSION:
-        raise SequenceError(f"line 1: {header.form} {header.version} is not known; {FORM} {VERSION} is")
+        raise SequenceError(f"line 1: unsupported format {header.form} {header.version}; expected {FORM} {VERSION}")
     return header, _events(source)
 
 
@@ -75,15 +94,15 @@
             time_ms, name, recorded = LINE_DECODER.decode(line)
             event_type = EVENTS.get(name)
             if event_type is None:
-                raise SequenceError(f"line {line_number}: {name!r} is no event")
+                raise SequenceError(f"line {line_number}: unknown event {name!r}")
             event: Any = msgspec.convert(from_recorded(event_type, recorded), event_type, str_keys=True)
         except msgspec.MsgspecError as error:
-            raise SequenceError(f"line {line_number} cannot be read: {error}") from error
+            raise SequenceError(f"line {line_number} cannot be decoded: {error}") from error
         if time_ms < previous_ms:
-            raise SequenceError(f"line {line_number}: the time goes back from {previous_ms} to {time_ms}")
+            raise SequenceError(f"line {line_number}: the time decreases from {previous_ms} to {time_ms}")
         previous_ms = time_ms
         if isinstance(event, events.TimerFired) and isinstance(event.timer, list):
-            event.timer = tuple(event.timer)  # JSON has no tuples
+            event.timer = tuple(event.timer)  # timers are tuples, which JSON does not have
         if isinstance(event, RecordedRebalance):
             event = events.RebalancingConfigured(event.settings, event.seed)
         yield time_ms, event
