--- a/yarrowspindle/simulator/__init__.py
+++ b/yarrowspindle/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""The balancer on the simulator's wire."""
+"""Adapter between the simulator's wire format and the balancer."""
--- a/yarrowspindle/simulator/adapter.py
+++ b/yarrowspindle/simulator/adapter.py
@@ -1,4 +1,7 @@
-"""The simulator's wire on one side, many isolated balancers on the other: frames and names only, no decisions."""
+"""Adapter between the simulator's wire format and isolated balancers, one for each of its instances.
+
+It translates frames and records only; all decisions are those of the balancers.
+"""
 
 from __future__ import annotations
 
@@ -54,13 +57,13 @@
     306: Outcome.CANCELLED,
     307: Outcome.NOT_SENT,
 }
-# Bits of a request's flags.
+# Flags of a DEMAND or ADOPTED record.
 FLAG_LOAD_HINT = 1
 FLAG_REPEATED = 2
 FLAG_MID_FLOW = 8
 FLAG_RETURNED = 16
 
-# What a signal tells.
+# Kinds of SIGNAL records.
 SIGNAL_LOAD = 1
 SIGNAL_SLOW_MESSAGE = 2
 MICROSECONDS_PER_MS = 1000.0
@@ -69,8 +72,8 @@
 NO_INSTANCE = -1
 
 
-def encode(action: Action) -> bytes:  # noqa: PLR0911  # one return for each action
-    """Returns an action as a record of the wire."""
+def encode(action: Action) -> bytes:  # noqa: PLR0911  # a return for each action
+    """Return an action as a record."""
     if isinstance(action, StartAttempt):
         return wire.ROUTE.pack(wire.ROUTE_CODE, 16, action.request, action.backend, action.timeout_ms)
     if isinstance(action, SetTimer):
@@ -93,7 +96,16 @@
 
 
 def lookup(table: Mapping[int, T], code: int, description: str) -> T:
-    """Returns what a code stands for. Raises WireError that names `what` for an unknown one."""
+    """Return the value of a code.
+
+    Args:
+        table: The values by their codes.
+        code: The code.
+        description: The kind of code, for the error.
+
+    Raises:
+        WireError: The code is unknown.
+    """
     try:
         return table[code]
     except KeyError:
@@ -101,22 +113,22 @@
 
 
 def read_members(body: bytes, offset: int, end: int) -> Event:
-    """Reads an endpoint list."""
+    """Decode a MEMBERS record, an endpoint list."""
     list_kind, version, count = wire.unpack_fields(wire.MEMBERS_HEADER, body, offset, end)
     offset += wire.MEMBERS_HEADER.size
     if offset + count * wire.MEMBERS_ENTRY.size > end:
-        raise wire.WireError("a server list is cut off")
+        raise wire.WireError(f"MEMBERS record truncated: {end - offset} bytes for {count} entries")
     entries = [
-        Endpoint(backend, zone, cell, lookup(STATES, state, "server state"), capacity, started_ms, kind)
+        Endpoint(backend, zone, cell, lookup(STATES, state, "endpoint state"), capacity, started_ms, kind)
         for backend, zone, kind, cell, state, capacity, started_ms in wire.MEMBERS_ENTRY.iter_unpack(
             body[offset : offset + count * wire.MEMBERS_ENTRY.size]
         )
     ]
-    return EndpointList(lookup(LIST_KINDS, list_kind, "kind of list"), entries, version)
+    return EndpointList(lookup(LIST_KINDS, list_kind, "kind of endpoint list"), entries, version)
 
 
 def read_demand(body: bytes, offset: int, end: int) -> Event:
-    """Reads a new request."""
+    """Decode a DEMAND record, a new request."""
     request, cls, tenant, key, remaining_ms, load_hint, group, flags = wire.unpack_fields(
         wire.DEMAND_BODY, body, offset, end
     )
@@ -135,7 +147,7 @@
 
 
 def read_adopted(body: bytes, offset: int, end: int) -> Event:
-    """Reads a connection that was open at the start."""
+    """Decode an ADOPTED record, a connection that existed when the instance started."""
     request, load_hint, _, key, backend, group, tenant, flags, cls = wire.unpack_fields(
         wire.ADOPTED_BODY, body, offset, end
     )
@@ -143,34 +155,34 @@
 
 
 def read_started(body: bytes, offset: int, end: int) -> Event:
-    """Reads that an attempt is established."""
+    """Decode a STARTED record, an established attempt."""
     request, attempt, latency_ms, backend = wire.unpack_fields(wire.STARTED_BODY, body, offset, end)
     return ConnectionEstablished(request, attempt, backend, latency_ms)
 
 
 def read_done(body: bytes, offset: int, end: int) -> Event:
-    """Reads how an attempt ended."""
+    """Decode a DONE record, the end of an attempt."""
     request, attempt, backend, finished, code, latency_ms, value_count = wire.unpack_fields(
         wire.DONE_BODY, body, offset, end
     )
     wire.unpack_load_report(
         body, offset + wire.DONE_BODY.size, end, value_count
-    )  # not used; one that is cut off is an error all the same
+    )  # checks that it is complete; its values are not used
     return AttemptEnded(request, attempt, backend, lookup(OUTCOMES, code, "outcome"), bool(finished), latency_ms)
 
 
 def read_timed_out_client(body: bytes, offset: int, end: int) -> Event:
-    """Reads that a client has left."""
+    """Decode a TIMED_OUT_CLIENT record, a client that disconnected."""
     return ClientDisconnected(wire.unpack_fields(wire.U32, body, offset, end)[0])
 
 
 def read_wakeup(body: bytes, offset: int, end: int) -> Event:
-    """Reads that a timer has fired."""
+    """Decode a WAKEUP record, a timer that fired."""
     return TimerFired(wire.unpack_fields(wire.U32, body, offset, end)[0])
 
 
 def read_health(body: bytes, offset: int, end: int) -> Event:
-    """Reads the result of a health check."""
+    """Decode a HEALTH record, the result of a health check."""
     backend, code, latency_ms, value_count = wire.unpack_fields(wire.HEALTH_BODY, body, offset, end)
     return HealthCheckCompleted(
         backend,
@@ -181,19 +193,19 @@
 
 
 def read_message(body: bytes, offset: int, end: int) -> Event:
-    """Reads a message of another balancer."""
+    """Decode a MESSAGE record, a message from another balancer."""
     sender, size = wire.unpack_fields(wire.MESSAGE_HEADER, body, offset, end)
     offset += wire.MESSAGE_HEADER.size
     if offset + size > end:
-        raise wire.WireError("a peer message is cut off")
+        raise wire.WireError(f"MESSAGE record truncated: got {end - offset} of {size} bytes")
     return PeerMessage(sender, body[offset : offset + size])
 
 
 def read_signal(body: bytes, offset: int, end: int) -> Event | None:
-    """Reads a load or a slow message; None for a signal of another sort."""
+    """Decode a SIGNAL record, a load or a slow message; return None for any other kind of signal."""
     request, backend, signal_kind, value, _ = wire.unpack_fields(wire.SIGNAL_BODY, body, offset, end)
     if signal_kind == SIGNAL_LOAD:
-        return LoadChanged(request, backend, value / MICROSECONDS_PER_MS)  # comes in microseconds a second
+        return LoadChanged(request, backend, value / MICROSECONDS_PER_MS)  # sent in microseconds of work per second
     return SlowMessageObserved(request, backend, value) if signal_kind == SIGNAL_SLOW_MESSAGE else None
 
 
@@ -212,11 +224,11 @@
 
 
 class Instances:
-    """All instances of one process; each has a balancer of its own, and they share nothing.
+    """All instances of one process, which have a balancer each and share no state.
 
     Attributes:
-        balancers: by the instance's number.
-        current: the instance whose events are being handled.
+        balancers: The balancers by the number of their instance.
+        current: The number of the instance whose events are being handled.
     """
 
     def __init__(self) -> None:
@@ -224,13 +236,21 @@
         self.current = 0
 
     def handle_frame(self, now_ms: float, body: bytes, count: int) -> list[bytes]:
-        """Handles the records of a frame. Returns the records of the reply.
+        """Handle the records of a frame and return the records of the reply.
 
-        Raises WireError or SettingsError on records that do not follow the wire, and what a balancer raises.
+        Args:
+            now_ms: The simulator's time in milliseconds.
+            body: The records.
+            count: The number of records.
+
+        Raises:
+            WireError: A record is malformed, or for an instance that does not exist.
+            SettingsError: The settings of a new instance are invalid.
+            Exception: Any exception of a balancer.
         """
         reply_records: list[bytes] = []
         instance = NO_INSTANCE
-        reply_instance = NO_INSTANCE  # the instance whose actions were written last
+        reply_instance = NO_INSTANCE  # the instance of the last actions in the reply
         balancer: Balancer | None = None
         self.current = 0
         for code, offset, end in wire.iterate_records(body, count):
@@ -246,7 +266,7 @@
                 elif code == wire.KILL:
                     self.balancers.pop(instance, None)
                     balancer = None
-                continue  # any other record is of a newer wire and is skipped by its length
+                continue  # skip any other record by its length: it belongs to a newer version of the wire format
             if balancer is None:
                 raise wire.WireError(f"event {code} for instance {instance}, which has not been created")
             event = reader(body, offset, end)
@@ -269,20 +289,25 @@
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    """Answers frames until the source ends. Raises WireError or SettingsError on a frame that cannot be answered."""
+    """Answer frames until the source ends.
+
+    Raises:
+        WireError: A frame is malformed.
+        SettingsError: The settings of a new instance are invalid.
+    """
     instances = Instances()
     while header := source.read(wire.FRAME_HEADER.size):
         if len(header) < wire.FRAME_HEADER.size:
-            raise wire.WireError("a frame's header is cut off")
+            raise wire.WireError(f"frame header truncated: got {len(header)} of {wire.FRAME_HEADER.size} bytes")
         number, size, count, now_ms = wire.FRAME_HEADER.unpack(header)
         body = source.read(size)
         if len(body) < size:
-            raise wire.WireError("a frame is cut off")
+            raise wire.WireError(f"frame {number} truncated: got {len(body)} of {size} bytes")
         try:
             parts = instances.handle_frame(now_ms, body, count)
         except (wire.WireError, SettingsError):
             raise
-        except Exception as error:  # a balancer has failed, which the wire has a record for
+        except Exception as error:  # a balancer has failed: report it in a BAIL_OUT record
             text = f"{type(error).__name__}: {error}"
             speaking = wire.SPEAKING.pack(wire.SPEAKING_CODE, 4, instances.current)
             parts = [speaking, wire.pack_text(wire.BAIL_OUT_CODE, text)]
@@ -291,7 +316,7 @@
 
 
 def main() -> int:
-    """Serves standard input and output. Returns the process's exit status."""
+    """Serve standard input and output. Return the exit status of the process."""
     gc.freeze()
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
--- a/yarrowspindle/simulator/wire.py
+++ b/yarrowspindle/simulator/wire.py
@@ -1,4 +1,7 @@
-"""The simulator's wire: frames and records to plain values and back. Names and codes are those of its page."""
+"""Wire format of the simulator: decode frames and records, and encode replies.
+
+Names and codes are those of its specification.
+"""
 
 from __future__ import annotations
 
@@ -11,11 +14,11 @@
 REPLY_HEADER = struct.Struct("<III")
 RECORD_HEADER = struct.Struct("<HI")
 
-# Events.
+# Codes of the events.
 CREATE, MEMBERS, DEMAND, STARTED, DONE, TIMED_OUT_CLIENT = 1000, 1010, 1020, 1030, 1040, 1050
 WAKEUP, HEALTH, MESSAGE, KILL, ADOPTED, SIGNAL, INSTANCE = 1060, 1070, 1080, 1090, 1100, 1110, 1120
 
-# Fixed parts of the events' bodies.
+# Layouts of the fixed parts of the events.
 U32 = struct.Struct("<I")
 U64_U32 = struct.Struct("<QI")
 MEMBERS_HEADER = struct.Struct("<BII")
@@ -28,7 +31,7 @@
 ADOPTED_BODY = struct.Struct("<IddQIQIHH")
 SIGNAL_BODY = struct.Struct("<IIBfH")
 
-# Actions: code and the layout of the whole record, head included.
+# Actions: the layouts of whole records, with their headers, and their codes.
 SPEAKING = struct.Struct("<HII")
 ROUTE = struct.Struct("<HIIId")
 BOUNCE = struct.Struct("<HIId")
@@ -43,80 +46,111 @@
 
 
 MAX_TEXT_BYTES = 1000
-MAX_QUOTED_CHARACTERS = 60  # characters of a wrong line in an error's text
+MAX_QUOTED_CHARACTERS = 60  # of an invalid line in an error message
 FLOAT_BYTES = 4
 
 
 class WireError(Exception):
-    """A frame or record does not follow the wire."""
+    """A frame or record is malformed."""
 
 
 @dataclass(slots=True, frozen=True)
 class Create:
-    """What creates an instance: the seed of its random source, and its settings as path=value pairs."""
+    """The content of a CREATE record.
+
+    Attributes:
+        seed: The seed of the instance's random source.
+        settings: The settings of the instance, by their paths.
+    """
 
     seed: int
     settings: dict[str, str]
 
 
 def iterate_records(body: bytes, count: int) -> Iterator[tuple[int, int, int]]:
-    """Yields the records of a frame as (code, start of the fields, end of the fields). Raises WireError."""
+    """Yield the records of a frame as (code, start of the fields, end of the fields).
+
+    Args:
+        body: The frame without its header.
+        count: The number of records.
+
+    Raises:
+        WireError: The records do not fill the body.
+    """
     offset = 0
     size = len(body)
     for _ in range(count):
         if offset + RECORD_HEADER.size > size:
-            raise WireError("a record's head is cut off")
+            raise WireError(f"record header truncated: got {size - offset} of {RECORD_HEADER.size} bytes")
         code, length = RECORD_HEADER.unpack_from(body, offset)
         offset += RECORD_HEADER.size
         if offset + length > size:
-            raise WireError(f"record {code} is longer than its frame")
+            raise WireError(f"record {code} truncated: got {size - offset} of {length} bytes")
         yield code, offset, offset + length
         offset += length
     if offset != size:
-        raise WireError("bytes are left over behind the last record")
+        raise WireError(f"{size - offset} bytes after the last record of the frame")
 
 
 def unpack_fields(layout: struct.Struct, body: bytes, offset: int, end: int) -> tuple[Any, ...]:
-    """Returns a record's fixed fields; fields that follow them are ignored. Raises WireError."""
+    """Return the fixed fields of a record; fields that follow them are ignored.
+
+    Args:
+        layout: The layout of the fields.
+        body: The frame without its header.
+        offset: The start of the fields.
+        end: The end of the record.
+
+    Raises:
+        WireError: The record is too short.
+    """
     if offset + layout.size > end:
-        raise WireError("a record is too short for its fields")
+        raise WireError(f"record truncated: got {end - offset} of {layout.size} bytes of its fields")
     return layout.unpack_from(body, offset)
 
 
 def unpack_load_report(body: bytes, offset: int, end: int, value_count: int) -> tuple[float, ...]:
-    """Returns the n values of a load report. Raises WireError."""
+    """Return the values of a load report.
+
+    Raises:
+        WireError: The load report is truncated.
+    """
     if offset + FLOAT_BYTES * value_count > end:
-        raise WireError("a load report is cut off")
+        raise WireError(f"load report truncated: {end - offset} bytes for {value_count} values")
     return struct.unpack_from(f"<{value_count}f", body, offset)
 
 
 def read_create(body: bytes, offset: int, end: int) -> Create:
-    """Reads what creates an instance. Raises WireError."""
+    """Decode a CREATE record.
+
+    Raises:
+        WireError: The record is truncated, or its settings are not lines of path=value in UTF-8.
+    """
     seed, size = unpack_fields(U64_U32, body, offset, end)
     offset += U64_U32.size
     if offset + size > end:
-        raise WireError("the settings are cut off")
+        raise WireError(f"settings truncated: got {end - offset} of {size} bytes")
     try:
         text = body[offset : offset + size].decode("utf-8")
     except UnicodeDecodeError as error:
-        raise WireError("the settings are not UTF-8") from error
+        raise WireError(f"settings are not UTF-8: {error}") from error
     pairs = {}
     for line in text.splitlines():
         if line.strip():
             path, equals, value = line.partition("=")
             if not equals:
-                raise WireError(f"a line of the settings has no '=': {line[:MAX_QUOTED_CHARACTERS]!r}")
+                raise WireError(f"settings line {line[:MAX_QUOTED_CHARACTERS]!r} has no '='; expected path=value")
             pairs[path.strip()] = value.strip()
     return Create(seed, pairs)
 
 
 def pack_text(code: int, text: str) -> bytes:
-    """Returns a record with a text, cut to MAX_TEXT_BYTES."""
+    """Return a record with a text, truncated to MAX_TEXT_BYTES bytes."""
     encoded = text.encode("utf-8")[:MAX_TEXT_BYTES]
     return TEXT.pack(code, 2 + len(encoded), len(encoded)) + encoded
 
 
 def pack_reply(number: int, reply_records: list[bytes]) -> bytes:
-    """Returns the frame that answers the frame of this number."""
+    """Return the frame that answers the frame with this number."""
     body = b"".join(reply_records)
     return REPLY_HEADER.pack(number, len(body), len(reply_records)) + body
