--- a/examples/__init__.py
+++ b/examples/__init__.py
@@ -1,1 +1,1 @@
-"""Examples that run by themselves; not part of the package."""
+"""Runnable examples, which are not part of the package."""
--- a/examples/asgi_host.py
+++ b/examples/asgi_host.py
@@ -1,4 +1,4 @@
-"""A small ASGI host on httptools, for the example and the tests: HTTP/1.1, streams, lifespan. Not for service."""
+"""A minimal ASGI server on httptools for the example: HTTP/1.1, streams and lifespan. Not for production."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class HostConnection(asyncio.Protocol):
-    """One request, then the connection ends with its response."""
+    """A connection that carries one request and is closed after its response."""
 
     def __init__(self, host: AsgiHost) -> None:
         self.host = host
@@ -38,7 +38,9 @@
         self.size += len(data)
         try:
             if self.size > MAX_HEAD_BYTES + MAX_BODY_BYTES:
-                raise httptools.HttpParserError("too much")
+                raise httptools.HttpParserError(
+                    f"request of {self.size} bytes; at most {MAX_HEAD_BYTES + MAX_BODY_BYTES} are accepted"
+                )
             self.parser.feed_data(data)
         except httptools.HttpParserError:
             self.transport.write(b"HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")
@@ -117,7 +119,10 @@
 
 
 class AsgiHost:
-    """`async with AsgiHost(app) as host` serves at `host.port` on loopback and runs the application's lifespan."""
+    """A server on `host.port` of the loopback interface that runs the application's lifespan.
+
+    Use it as `async with AsgiHost(app) as host`.
+    """
 
     def __init__(self, app: App) -> None:
         self.app, self.port = app, 0
@@ -141,10 +146,10 @@
         await self.inbox.put({"type": event_type})
         message = await self.outbox.get()
         if message["type"].endswith(".failed"):
-            raise RuntimeError(message.get("message", "the application did not start"))
+            raise RuntimeError(message.get("message", f"the application failed at {event_type}"))
 
     async def __aexit__(self, *_: object) -> None:
-        """The listener closes first, then the lifespan ends, and with it what stands."""
+        """Close the listener, shut down the application, which ends its streams, and cancel the remaining requests."""
         self.server.close()
         await self._lifespan("lifespan.shutdown")
         await self.lifespan
--- a/examples/plan_status.py
+++ b/examples/plan_status.py
@@ -1,4 +1,4 @@
-"""A live plan-status stream on FastAPI: stand-in nodes, the middleware, a few clients, a drain and a move.
+"""Stream the status of plans with FastAPI: stand-in backends, the middleware, clients, a drain and a migration.
 
 python -m examples.plan_status [--seconds 12] [--clients 6]
 """
@@ -22,7 +22,7 @@
 
 
 class StandInBackend:
-    """An execute node: sends a line of a plan's status several times a second."""
+    """A backend that sends a line with the status of a plan five times per second to each connection."""
 
     def __init__(self, name: str) -> None:
         self.name, self.connections = name, 0
@@ -73,7 +73,7 @@
 
 
 async def run_client(number: int, port: int, counts: Counter[str]) -> None:
-    """Reads its stream and comes again after each end, as an EventSource does."""
+    """Read the event stream of a plan, and reconnect whenever it ends, as an EventSource does."""
     while True:
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         writer.write(f"GET /plans/{number} HTTP/1.1\r\nHost: x\r\nAccept: text/event-stream\r\n\r\n".encode())
@@ -84,11 +84,11 @@
                     counts["messages"] += 1
                     line_backend = line[6:].split(":")[0]
                     if line_backend != backend:
-                        print(f"  client {number} is at {line_backend}")
+                        print(f"  client {number} is connected to {line_backend}")
                         backend = line_backend
                 elif line.startswith("event: moved"):
                     counts["moves"] += 1
-                    print(f"  client {number} is told to come again")
+                    print(f"  client {number} is asked to reconnect")
                 elif line.startswith("HTTP/1.1 503"):
                     counts["refused"] += 1
         finally:
@@ -97,7 +97,13 @@
 
 
 async def run_demo(seconds: float, clients: int, seed: int | None = None) -> Counter[str]:
-    """seed: of the draws; drawn by the system where it is left out."""
+    """Run the example and return the counters of its clients.
+
+    Args:
+        seconds: The duration in seconds; a backend begins to drain after a third of it, and is removed after two.
+        clients: The number of clients.
+        seed: The seed of the placer; drawn from the operating system if omitted.
+    """
     backends = [StandInBackend(f"node-{number}") for number in range(3)]
     endpoints = [await backend.open() for backend in backends]
     source = StaticList(endpoints)
@@ -107,7 +113,7 @@
         print(f"serving at http://127.0.0.1:{host.port}/plans/1 (Accept: text/event-stream)")
         tasks = [asyncio.ensure_future(run_client(number + 1, host.port, counts)) for number in range(clients)]
         await asyncio.sleep(seconds / 3.0)
-        print("node-0 drains: it keeps what it holds and gets nothing new")
+        print("node-0 is draining: it keeps its connections and gets no new ones")
         source.change(
             [
                 replace(endpoint, state=EndpointState.DRAINING) if endpoint.name == "node-0" else endpoint
@@ -115,10 +121,10 @@
             ]
         )
         await asyncio.sleep(seconds / 3.0)
-        print("node-0 is gone: its clients are moved")
+        print("node-0 is removed from the endpoint list: its clients are migrated")
         source.change(endpoints[1:])
         await asyncio.sleep(seconds / 3.0)
-        print("held at the end:", {backend.name: backend.connections for backend in backends})
+        print("connections at the end:", {backend.name: backend.connections for backend in backends})
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
