--- a/tests/library/test_library.py
+++ b/tests/library/test_library.py
@@ -1,4 +1,4 @@
-"""The library: one final answer for each job, whatever the host does to its loop, its tasks and its end."""
+"""The library gives each request one final answer, also if the host blocks its loop, cancels tasks or closes early."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 
 
 class JumpingClock:
-    """The system's clock, and jumps: a loop that stood still for so long."""
+    """The system clock with jumps, each of which simulates an event loop that was blocked for that time."""
 
     def __init__(self) -> None:
         self.system, self.jumped_ms = SystemClock(), 0.0
@@ -83,7 +83,7 @@
                     await placement.failed(TerminationReason.REJECTED)
         assert 1.0 <= rejection.value.retry_after <= 2.0
         async with placer.place():
-            pass  # served in one go
+            pass  # the host does not report that the backend accepted
 
     run(body)
 
@@ -97,7 +97,7 @@
         placer.runtime.event_observers.append(lambda now, event: seen.append(event))
         async with placer.place() as established, placer.place() as connecting:
             established.up()
-            established.asked()  # a message is on its way as the loop stands still
+            established.asked()  # a message is unanswered while the loop is blocked
             connecting.reached()
             clock.jumped_ms += stalled_ms
             established.answered()
@@ -105,11 +105,11 @@
             assert not established.moved.is_set() and not established.over
             backends = placer.reducer.backends.values()
             assert all(not backend.reported_slow for backend in backends), (
-                "what waited in our own socket took no time at the node"
+                "a delay in this process is not a latency of the backend"
             )
             servers = placer.reducer.balancer.backends.values()
             assert all(server.consecutive_failures == 0 for server in servers), (
-                "no node is passed over for our own stall"
+                "a stall of this process is not a failure of a backend"
             )
             if stalled_ms > 400.0:
                 assert connecting.moved.is_set()
@@ -174,7 +174,7 @@
             async with placer.place():
                 pass
         started = asyncio.get_running_loop().time()
-        await placer.close(0.05)  # a second SIGINT
+        await placer.close(0.05)  # as at a second SIGINT
         await asyncio.gather(closing, *tasks)
         assert asyncio.get_running_loop().time() - started < 1.0
         assert outcomes == {"polite": "moved", "deaf": "CancelledError", "attempt": "moved", "waiting": "PlacerClosed"}
@@ -236,7 +236,7 @@
 
 @pytest.mark.parametrize("late_ms", [398.0, 2000.0], ids=("no time to send it", "answered at the deadline"))
 def test_a_request_that_ends_within_the_call_of_reached_is_not_sent(late_ms: float) -> None:
-    """Guards against a host that sends a request which the very call before it had rejected or taken back."""
+    """Guards against a host that sends a request although `reached` has just found that it was rejected or aborted."""
     clock = JumpingClock()
 
     async def body(placer: Placer) -> None:
@@ -267,7 +267,7 @@
             thread.start()
             thread.join()
             assert "another thread" in messages[0]
-            placer.process = os.getpid() + 1  # as a fork sees it
+            placer.process = os.getpid() + 1  # as in a forked process
             assert "another process" in await place()
             placer.process = os.getpid()
         assert "closing" in await place()
@@ -320,7 +320,7 @@
             async with placer.place() as placement:
                 placement.up()
             is_failing, calls_before = False, calls
-            source.ask(0)  # as the module does by its own wait
+            source.ask(0)  # as the balancer does after its backoff
             while calls == calls_before or placer.reducer.balancer.discovery.failures:
                 await asyncio.sleep(0.001)
 
@@ -345,7 +345,7 @@
                 placer.runtime.timers.run_due()
                 async with placer.place() as placement:
                     placement.up()
-            assert 3 <= ask_count <= 30, "later each time, and never a storm"
+            assert 3 <= ask_count <= 30, "the retries back off"
             assert placer.counters()["up"] == 120
 
     asyncio.run(body())
@@ -447,5 +447,5 @@
 
 
 def test_the_example_shows_a_drain_and_a_move() -> None:
-    counts = asyncio.run(run_demo(1.5, 6, seed=5))  # by other seeds one in many leaves nobody at the node that drains
+    counts = asyncio.run(run_demo(1.5, 6, seed=5))  # with some other seeds the draining backend has no clients
     assert counts["messages"] > 6 and counts["moves"] >= 1 and counts["refused"] == 0
--- a/tests/middleware/test_middleware.py
+++ b/tests/middleware/test_middleware.py
@@ -1,4 +1,4 @@
-"""The middleware under Starlette and FastAPI, spoken to as a server speaks to an application."""
+"""The middleware with Starlette and FastAPI applications; the tests act as the ASGI server."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 
 
 class Client:
-    """One scope, from the server's side."""
+    """One scope of a client, as the server handles it."""
 
     def __init__(self, app: Any, **scope: Any) -> None:
         self.sent: asyncio.Queue[dict[str, Any]] = asyncio.Queue()
@@ -202,7 +202,7 @@
             async def broken(scope: Any, receive: Any, send: Any, started: bool = started) -> None:
                 if started:
                     await send({"type": "http.response.start", "status": 200, "headers": []})
-                raise LookupError("a fault of the host")
+                raise LookupError("an error of the application")
 
             client = Client(PlacementMiddleware(broken, placer))
             with pytest.raises(LookupError):
@@ -250,7 +250,7 @@
 
 
 class FakeLink:
-    """A node on the other side of `relay_websocket`."""
+    """The link of `relay_websocket` to a backend that echoes each message."""
 
     def __init__(self) -> None:
         self.out: asyncio.Queue[str | None] = asyncio.Queue()
@@ -287,7 +287,7 @@
         client.inbox.put_nowait({"type": "websocket.receive", "text": "hello"})
         assert (await client.next())["text"] == "echo hello"
         (request,) = placer.reducer.requests.values()
-        assert not request.unanswered, "the message and its answer were counted"
+        assert not request.unanswered, "the message and its answer are reported"
         if end == "moved":
             assert isinstance(placer.source, StaticList)
             placer.source.change([])
@@ -304,7 +304,7 @@
 
 
 class JumpingClock:
-    """The system's clock, and jumps: a loop that stood still for so long."""
+    """The system clock with jumps, each of which simulates an event loop that was blocked for that time."""
 
     def __init__(self) -> None:
         self.system, self.jumped_ms = SystemClock(), 0.0
@@ -315,7 +315,7 @@
 
 @pytest.mark.parametrize("late_ms", [298.0, 2000.0], ids=("no time to send it", "answered at the deadline"))
 def test_a_link_is_closed_if_the_request_ends_while_it_is_opened(late_ms: float) -> None:
-    """Guards against a link that stays open, and carries the request, though the request was rejected meanwhile."""
+    """Guards against a link that stays open and carries a request that was rejected while the link was being opened."""
 
     async def body() -> None:
         clock, links = JumpingClock(), list[FakeLink]()
@@ -337,7 +337,7 @@
 
 def test_the_lifespan_starts_and_closes_the_placer_with_and_without_the_applications_help() -> None:
     async def unaware(scope: Any, receive: Any, send: Any) -> None:
-        raise RuntimeError("knows no lifespan")
+        raise RuntimeError("the lifespan protocol is not supported")
 
     order: list[str] = []
 
--- a/tests/simulator/test_wire.py
+++ b/tests/simulator/test_wire.py
@@ -1,4 +1,4 @@
-"""The adapter against bytes worked out by hand from the wire's tables."""
+"""The adapter reads and writes bytes that were derived by hand from the specification of the wire format."""
 
 from __future__ import annotations
 
@@ -150,9 +150,9 @@
     assert read(record(1030, struct.pack("<IHdI", 9, 1, 2.5, 7))) == ConnectionEstablished(9, 1, 7, 2.5)
     assert read(record(1110, struct.pack("<IIBfH", 9, 7, 1, 2500.0, 0))) == LoadChanged(9, 7, 2.5)
     assert read(record(1110, struct.pack("<IIBfH", 9, 7, 2, 80.0, 0))) == SlowMessageObserved(9, 7, 80.0)
-    assert read(record(1110, struct.pack("<IIBfH", 9, 7, 3, 80.0, 0))) is None  # a sort we do not know
+    assert read(record(1110, struct.pack("<IIBfH", 9, 7, 3, 80.0, 0))) is None  # an unknown kind of signal
     longer = record(1030, struct.pack("<IHdI", 9, 1, 2.5, 7) + b"new")
-    assert read(longer) == ConnectionEstablished(9, 1, 7, 2.5)  # trailing fields are passed over
+    assert read(longer) == ConnectionEstablished(9, 1, 7, 2.5)  # fields after those it knows are ignored
 
 
 @pytest.mark.parametrize(
--- a/tests/test_deprecated_names.py
+++ b/tests/test_deprecated_names.py
@@ -1,4 +1,4 @@
-"""The public names of version 0.1.0 are importable for one version more, and say what they are called now."""
+"""Public names of version 0.1.0 are importable for one more version, with a warning that has the current name."""
 
 from __future__ import annotations
 
--- a/tests/test_forms.py
+++ b/tests/test_forms.py
@@ -1,5 +1,7 @@
-"""The forms that reach bytes are those of `tests/forms/`, recorded before the names in the code changed: what older
-builds sent, stored or published is understood, and this build's bytes are the same."""
+"""Encoded forms are compatible with older builds, whose bytes and names are recorded in `tests/forms/`.
+
+This build encodes the same bytes, and decodes what older builds sent, stored or published.
+"""
 
 from __future__ import annotations
 
