--- a/tests/library/test_library.py
+++ b/tests/library/test_library.py
@@ -157,13 +157,13 @@
                 async with placer.place() as placement:
                     if name != "attempt":
                         placement.up()
-                    await (asyncio.Event() if name == "deaf" else placement.moved).wait()
+                    await (asyncio.Event() if name == "unresponsive" else placement.moved).wait()
                     outcomes[name] = "moved"
             except (PlacerClosed, asyncio.CancelledError) as error:
                 outcomes[name] = type(error).__name__
 
         await placer.start()
-        tasks = [asyncio.ensure_future(request(name)) for name in ("polite", "deaf", "attempt")]
+        tasks = [asyncio.ensure_future(request(name)) for name in ("established", "unresponsive", "attempt")]
         await asyncio.sleep(0)
         source.change([])
         tasks.append(asyncio.ensure_future(request("waiting")))
@@ -177,7 +177,12 @@
         await placer.close(0.05)  # as at a second SIGINT
         await asyncio.gather(closing, *tasks)
         assert asyncio.get_running_loop().time() - started < 1.0
-        assert outcomes == {"polite": "moved", "deaf": "CancelledError", "attempt": "moved", "waiting": "PlacerClosed"}
+        assert outcomes == {
+            "established": "moved",
+            "unresponsive": "CancelledError",
+            "attempt": "moved",
+            "waiting": "PlacerClosed",
+        }
         assert not placer.reducer.requests and not placer.entered
         with pytest.raises(PlacerClosed):
             await placer.start()
--- a/yarrowspindle/library/placer.py
+++ b/yarrowspindle/library/placer.py
@@ -168,8 +168,8 @@
             return
         self.check(closing=True)
         loop = asyncio.get_running_loop()
-        end = loop.time() + max(within_s, 0.0)
-        self.close_deadline = end if self.close_task is None else min(self.close_deadline, end)
+        deadline = loop.time() + max(within_s, 0.0)
+        self.close_deadline = deadline if self.close_task is None else min(self.close_deadline, deadline)
         if self.close_task is None:
             self._begin_close(within_s)
             self.close_task = loop.create_task(self._close(loop, asyncio.current_task()))
@@ -190,8 +190,8 @@
             await asyncio.sleep(min(CLOSE_POLL_INTERVAL_S, max(self.close_deadline - loop.time(), 0.0)))
         for placement in list(self.entered):  # they have not ended, or were not asked to end yet
             self._cancel(placement, close_caller)
-        end = loop.time() + CANCEL_TIMEOUT_S
-        while self.entered and loop.time() < end:
+        cancel_deadline = loop.time() + CANCEL_TIMEOUT_S
+        while self.entered and loop.time() < cancel_deadline:
             await asyncio.sleep(CANCEL_POLL_INTERVAL_S)
         for placement in list(self.placements.values()):
             placement.leave()
--- a/yarrowspindle/replay/player.py
+++ b/yarrowspindle/replay/player.py
@@ -166,9 +166,9 @@
     return _play_events(played, clock, events, post)
 
 
-def _check_id(recorded: int, assigned: int) -> None:
-    if assigned != recorded:
-        raise ValueError(f"the sequence has request {recorded} where the next id is {assigned}")
+def _check_id(recorded_id: int, assigned_id: int) -> None:
+    if assigned_id != recorded_id:
+        raise ValueError(f"the sequence has request {recorded_id} where the next id is {assigned_id}")
 
 
 async def _start(placer: Placer) -> None:
--- a/yarrowspindle/replay/recorded_form.py
+++ b/yarrowspindle/replay/recorded_form.py
@@ -51,7 +51,7 @@
     "Rebalance": RecordedRebalance,
 }
 
-EVENT_NAMES: Mapping[type, str] = {kind: name for name, kind in EVENTS.items()} | {
+EVENT_NAMES: Mapping[type, str] = {event_type: name for name, event_type in EVENTS.items()} | {
     events.RebalancingConfigured: "Rebalance"
 }
 
@@ -155,32 +155,32 @@
     return value
 
 
-def from_recorded(kind: Any, data: Any) -> Any:
+def from_recorded(value_type: Any, data: Any) -> Any:
     """Return decoded JSON under the names of the code, for conversion to a type.
 
     Args:
-        kind: The type of the value; the caller checks that the data has it.
+        value_type: The type of the value; the caller checks that the data has it.
         data: The decoded JSON under the recorded names.
     """
-    if get_origin(kind) in (Union, UnionType):
-        kind = next((member for member in get_args(kind) if is_dataclass(member)), kind)
-    if isinstance(data, dict) and is_dataclass(kind) and isinstance(kind, type):
-        code_names: dict[str, str] = _code_names(kind)
-        hints = _type_hints(kind)
+    if get_origin(value_type) in (Union, UnionType):
+        value_type = next((member for member in get_args(value_type) if is_dataclass(member)), value_type)
+    if isinstance(data, dict) and is_dataclass(value_type) and isinstance(value_type, type):
+        code_names: dict[str, str] = _code_names(value_type)
+        hints = _type_hints(value_type)
         renamed = {code_names.get(str(name), str(name)): item for name, item in data.items()}
         return {name: from_recorded(hints.get(name), item) for name, item in renamed.items()}
-    if kind is TerminationReason and isinstance(data, str):
+    if value_type is TerminationReason and isinstance(data, str):
         return ENDINGS_BY_TEXT.get(data, data)
-    if isinstance(data, list) and get_origin(kind) in (list, tuple):
-        return [from_recorded(get_args(kind)[0], item) for item in data]
+    if isinstance(data, list) and get_origin(value_type) in (list, tuple):
+        return [from_recorded(get_args(value_type)[0], item) for item in data]
     return data
 
 
 @cache
-def _code_names(kind: Any) -> dict[str, str]:
-    return {recorded: name for name, recorded in FIELDS.get(kind, _NO_FIELDS).items()}
+def _code_names(value_type: Any) -> dict[str, str]:
+    return {recorded: name for name, recorded in FIELDS.get(value_type, _NO_FIELDS).items()}
 
 
 @cache
-def _type_hints(kind: Any) -> dict[str, Any]:
-    return get_type_hints(kind)
+def _type_hints(value_type: Any) -> dict[str, Any]:
+    return get_type_hints(value_type)
--- a/yarrowspindle/simulator/adapter.py
+++ b/yarrowspindle/simulator/adapter.py
@@ -304,14 +304,14 @@
         if len(body) < size:
             raise wire.WireError(f"frame {number} truncated: got {len(body)} of {size} bytes")
         try:
-            parts = instances.handle_frame(now_ms, body, count)
+            reply_records = instances.handle_frame(now_ms, body, count)
         except (wire.WireError, SettingsError):
             raise
         except Exception as error:  # a balancer has failed: report it in a BAIL_OUT record
             text = f"{type(error).__name__}: {error}"
             speaking = wire.SPEAKING.pack(wire.SPEAKING_CODE, 4, instances.current)
-            parts = [speaking, wire.pack_text(wire.BAIL_OUT_CODE, text)]
-        sink.write(wire.pack_reply(number, parts))
+            reply_records = [speaking, wire.pack_text(wire.BAIL_OUT_CODE, text)]
+        sink.write(wire.pack_reply(number, reply_records))
         sink.flush()
 
 
--- a/yarrowspindle/simulator/wire.py
+++ b/yarrowspindle/simulator/wire.py
@@ -82,12 +82,12 @@
     for _ in range(count):
         if offset + RECORD_HEADER.size > size:
             raise WireError(f"record header truncated: got {size - offset} of {RECORD_HEADER.size} bytes")
-        code, length = RECORD_HEADER.unpack_from(body, offset)
+        code, record_size = RECORD_HEADER.unpack_from(body, offset)
         offset += RECORD_HEADER.size
-        if offset + length > size:
-            raise WireError(f"record {code} truncated: got {size - offset} of {length} bytes")
-        yield code, offset, offset + length
-        offset += length
+        if offset + record_size > size:
+            raise WireError(f"record {code} truncated: got {size - offset} of {record_size} bytes")
+        yield code, offset, offset + record_size
+        offset += record_size
     if offset != size:
         raise WireError(f"{size - offset} bytes after the last record of the frame")
 
@@ -126,22 +126,22 @@
     Raises:
         WireError: The record is truncated, or its settings are not lines of path=value in UTF-8.
     """
-    seed, size = unpack_fields(U64_U32, body, offset, end)
+    seed, text_size = unpack_fields(U64_U32, body, offset, end)
     offset += U64_U32.size
-    if offset + size > end:
-        raise WireError(f"settings truncated: got {end - offset} of {size} bytes")
+    if offset + text_size > end:
+        raise WireError(f"settings truncated: got {end - offset} of {text_size} bytes")
     try:
-        text = body[offset : offset + size].decode("utf-8")
+        text = body[offset : offset + text_size].decode("utf-8")
     except UnicodeDecodeError as error:
         raise WireError(f"settings are not UTF-8: {error}") from error
-    pairs = {}
+    settings = {}
     for line in text.splitlines():
         if line.strip():
             path, equals, value = line.partition("=")
             if not equals:
                 raise WireError(f"settings line {line[:MAX_QUOTED_CHARACTERS]!r} has no '='; expected path=value")
-            pairs[path.strip()] = value.strip()
-    return Create(seed, pairs)
+            settings[path.strip()] = value.strip()
+    return Create(seed, settings)
 
 
 def pack_text(code: int, text: str) -> bytes:
