--- a/yarrowspindle/library/placement.py
+++ b/yarrowspindle/library/placement.py
@@ -138,6 +138,7 @@
         Raises:
             Rejected: No other backend is available.
             Failed: The request may not be tried again.
+            PlacerClosed: The placer is not open, or closes while the request waits.
         """
         self.placer.check()
         self.raise_answer()
@@ -210,7 +211,7 @@
             self.leave()
         else:
             if not self.is_up and not self.dropped and self.next is None:
-                self.up()  # the host served the request without reporting that it was accepted
+                self.up()  # the host served the request without a call of `up`
             self.end()
 
     def raise_answer(self) -> None:
--- a/yarrowspindle/library/placer.py
+++ b/yarrowspindle/library/placer.py
@@ -112,7 +112,7 @@
         self.post: Callable[[Event], None] = self.runtime.post
         self.runtime.fronts.append(self)
         self.placements: dict[int, Placement] = {}
-        self.entered: set[Placement] = set()  # their `async with` blocks are running; the request may have ended
+        self.entered: set[Placement] = set()  # from `begin` to `finish`, also if the request has ended before
         self.counts: Counter[str] = Counter()
         self.loop: asyncio.AbstractEventLoop | None = None
         self.thread = 0
@@ -230,7 +230,7 @@
         if asyncio.get_running_loop() is not self.loop:
             raise WrongContext("this placer belongs to another event loop; create one for each loop")
         if not is_open and not closing:
-            raise PlacerClosed("the placer is closing")
+            raise PlacerClosed("this placer is closing or closed and places no more requests")
 
     # --- placing ----------------------------------------------------------------------------------
 
--- a/yarrowspindle/middleware/asgi.py
+++ b/yarrowspindle/middleware/asgi.py
@@ -1,8 +1,8 @@
 """Place each long-lived scope of an ASGI application (Starlette, FastAPI or any other) on a backend.
 
 The application gets its Placement from `scope["yarrowspindle"]` and connects to the backend itself. A scope that cannot
-be placed is answered with 503 and Retry-After; a websocket is closed with 1013 before it is accepted if the server does
-not support a response in its place.
+be placed is answered with 503 and Retry-After. A websocket is closed with 1013 before it is accepted if the server does
+not support the ASGI extension `websocket.http.response`.
 """
 
 from __future__ import annotations
@@ -41,7 +41,7 @@
 MAX_WS_REASON_CHARACTERS = 100
 FIRST_ERROR_STATUS = 400
 DEFAULT_RETRY_AFTER_S = 1.0
-REJECTION_BODY = b"no execute node has room\n"  # published: clients may match it
+REJECTION_BODY = b"no execute node has room\n"  # published, so that it does not change
 PLACE_ARGUMENTS = frozenset(("key", "group", "load", "deadline", "cls", "tenant", "returned"))
 
 
@@ -114,7 +114,7 @@
     async def _run(  # noqa: C901  # a branch for each way in which an application may fail
         self, scope: Scope, receive: Receive, interceptor: ResponseInterceptor
     ) -> None:
-        """Run the application with one backend after the other until it responds or no backend is left."""
+        """Run the application for one backend after the other until it responds or no backend is left."""
         placement = interceptor.placement
         while True:
             placement.ending = None
@@ -149,7 +149,9 @@
 
 
 class ResponseInterceptor:
-    """Intercept the messages from the application to the server; the start of a response answers the request.
+    """Forward the messages of the application to the server, unless another backend is to be tried.
+
+    The start of a response with a status below 400, or an accepted websocket, is the final answer of the request.
 
     Attributes:
         started: Whether a response has started.
@@ -289,14 +291,14 @@
     Args:
         scope: The scope of the client.
         send: The server's function that sends a message.
-        status: The status of the HTTP response, which a websocket gets too if the server supports that.
+        status: The status of the HTTP response, which a websocket also gets if the server supports the extension.
         code: The close code of the websocket if the server does not.
         body: The body of the response, in UTF-8.
         headers: The headers of the response, without its content type.
     """
     message_type = "http.response"
     if scope["type"] == "websocket":
-        if "websocket.http.response" not in (scope.get("extensions") or {}):  # the server can only close the websocket
+        if "websocket.http.response" not in (scope.get("extensions") or {}):  # the server cannot send a response
             reason = body.decode(errors="replace").strip()[:MAX_WS_REASON_CHARACTERS]
             await send({"type": "websocket.close", "code": code, "reason": reason})
             return
--- a/yarrowspindle/replay/sequence.py
+++ b/yarrowspindle/replay/sequence.py
@@ -21,7 +21,7 @@
 
 
 class SequenceError(ValueError):
-    """The file is not a sequence, or is truncated; the message names the line."""
+    """The file is not a sequence, or is damaged; the message names the line."""
 
 
 class Header(msgspec.Struct, frozen=True):
--- a/yarrowspindle/simulator/wire.py
+++ b/yarrowspindle/simulator/wire.py
@@ -75,7 +75,7 @@
         count: The number of records.
 
     Raises:
-        WireError: The records do not fill the body.
+        WireError: A record is truncated, or bytes follow the last one.
     """
     offset = 0
     size = len(body)
