--- a/tests/middleware/test_middleware.py
+++ b/tests/middleware/test_middleware.py
@@ -266,7 +266,7 @@
         self.closed = True
 
 
-@pytest.mark.parametrize("end, code", [("moved", 1012), ("node", 1000), ("client", 0)])
+@pytest.mark.parametrize("end, code", [("moved", 1012), ("backend", 1000), ("client", 0)])
 def test_a_websocket_is_relayed_until_one_side_ends_or_it_is_moved(end: str, code: int) -> None:
     async def body(app: Any, placer: Placer, controls: dict[str, Any]) -> None:
         link, refused = FakeLink(), ["s-1"]
@@ -291,7 +291,7 @@
         if end == "moved":
             assert isinstance(placer.source, StaticList)
             placer.source.change([])
-        elif end == "node":
+        elif end == "backend":
             link.out.put_nowait(None)
         else:
             client.inbox.put_nowait({"type": "websocket.disconnect", "code": 1001})
