--- a/yarrowspindle/library/sources.py
+++ b/yarrowspindle/library/sources.py
@@ -126,8 +126,8 @@
             self.fetch_requested.clear()
             try:
                 endpoints = list(await asyncio.wait_for(self.fetch(), FETCH_TIMEOUT_S))
-            except Exception as error:  # of any type, as `fetch` is the application's; the last list stays in use
-                self.on_failure(f"the application's fetch function failed: {error!r}; the last list stays in use")
+            except Exception as error:  # of any type, as `fetch` is the application's; an earlier list stays in use
+                self.on_failure(f"the application's fetch function failed: {error!r}; an earlier list stays in use")
                 self.on_update(EndpointsUpdated(ListKind.FAILED))
                 await self.fetch_requested.wait()  # the balancer requests the list again, with a backoff
                 continue
