--- a/yarrowspindle/replay/player.py
+++ b/yarrowspindle/replay/player.py
@@ -150,7 +150,7 @@
     placer = Placer(header.settings, seed=header.seed, clock=clock, timers=NoTimers(clock))
     placer.max_requests = UNLIMITED_REQUESTS
     asyncio.run(_start(placer))
-    placer.runtime.late_at = inf  # detects no stalls, as the sequence contains them
+    placer.runtime.stall_deadline = inf  # detects no stalls, as the sequence contains them
     placer.runtime.effect_observer = played.effect
 
     def post(event: Event) -> None:
