--- a/benchmarks/soak/__main__.py
+++ b/benchmarks/soak/__main__.py
@@ -13,82 +13,87 @@
 import uvloop
 
 from benchmarks.common import machine_size
-from benchmarks.soak.plan import NEEDS_SHIM, TROUBLES, all_pairs, plan_of
+from benchmarks.soak.plan import FAULTS, NEEDS_SHIM, fault_pairs, make_plan
 from benchmarks.soak.planted import DEFECTS
-from benchmarks.soak.play import RULES, Report, play
+from benchmarks.soak.seed_run import RULES, Report, run_plan
 from benchmarks.soak.shim import build
 
 MIN_RELAYS, MAX_RELAYS = 10, 40
 
 
-def arguments() -> argparse.Namespace:
+def parse_arguments() -> argparse.Namespace:
     parser = argparse.ArgumentParser(prog="python -m benchmarks.soak", description="a randomized fault soak")
     parser.add_argument("--seed", type=int, default=1, help="the first seed; the same plays the same schedule again")
     parser.add_argument("--seeds", type=int, default=1, help="how many, one after another")
     parser.add_argument("--processes", type=int, default=MIN_RELAYS, help="relays, 10 to 40")
     parser.add_argument("--seconds", type=float, default=12.0, help="of each seed, at least 8")
-    parser.add_argument("--faults", default="", help=f"words out of: {', '.join(TROUBLES)}")
+    parser.add_argument("--faults", default="", help=f"words out of: {', '.join(FAULTS)}")
     parser.add_argument("--planted", default="", choices=("", *DEFECTS), help="a defect that has to be found")
     parser.add_argument("--logs", type=Path, default=None, help="a folder that keeps the relays' logs")
     parser.add_argument("--json", action="store_true", help="the last line is one JSON object")
-    found = parser.parse_args()
-    if not MIN_RELAYS <= found.processes <= MAX_RELAYS or found.seconds < 8.0 or found.seeds < 1:
+    options = parser.parse_args()
+    if not MIN_RELAYS <= options.processes <= MAX_RELAYS or options.seconds < 8.0 or options.seeds < 1:
         parser.error(f"--processes {MIN_RELAYS} to {MAX_RELAYS}, --seconds at least 8, --seeds at least 1")
-    unknown = sorted(set(words_of(found.faults)) - TROUBLES.keys())
+    unknown = sorted(set(split_kinds(options.faults)) - FAULTS.keys())
     if unknown:
         parser.error(f"no such faults: {', '.join(unknown)}")
-    return found
+    return options
 
 
-def words_of(text: str) -> list[str]:
-    return [word for word in text.split(",") if word]
+def split_kinds(text: str) -> list[str]:
+    return [kind for kind in text.split(",") if kind]
 
 
-def run_seed(seed: int, given: argparse.Namespace, words: list[str], library: Path | None, logs: Path) -> Report:
-    plan = plan_of(seed, given.processes, given.seconds, words)
-    return uvloop.run(play(plan, logs / str(seed), library, given.planted))
+def run_seed(seed: int, options: argparse.Namespace, kinds: list[str], shim_library: Path | None, logs: Path) -> Report:
+    plan = make_plan(seed, options.processes, options.seconds, kinds)
+    return uvloop.run(run_plan(plan, logs / str(seed), shim_library, options.planted))
 
 
 def main() -> int:
-    given, started = arguments(), time.perf_counter()
+    options, started_at = parse_arguments(), time.perf_counter()
     totals: Counter[str] = Counter(dict.fromkeys(RULES, 0))
     pairs: set[frozenset[str]] = set()
     faults: Counter[str] = Counter()
     requests = 0
-    broken = False
+    any_violation = False
     with tempfile.TemporaryDirectory(prefix="soak-") as temporary:
         folder = Path(temporary)
-        library = build(folder)
-        words = words_of(given.faults) or list(TROUBLES)
-        if library is None:
-            words = [word for word in words if word not in NEEDS_SHIM]
+        shim_library = build(folder)
+        kinds = split_kinds(options.faults) or list(FAULTS)
+        if shim_library is None:
+            kinds = [kind for kind in kinds if kind not in NEEDS_SHIM]
             print(f"no C compiler: without {', '.join(sorted(NEEDS_SHIM))}")
-        for seed in range(given.seed, given.seed + given.seeds):
-            report = run_seed(seed, given, words, library, given.logs or folder)
+        for seed in range(options.seed, options.seed + options.seeds):
+            report = run_seed(seed, options, kinds, shim_library, options.logs or folder)
             print("\n".join(report.lines()), flush=True)
             requests += report.requests
             pairs |= report.plan.pairs()
-            faults.update(trouble.word for trouble in report.plan.troubles)
+            faults.update(fault.kind for fault in report.plan.faults)
             totals.update(violation.rule.value for violation in report.violations)
-            broken = broken or bool(report.violations)
-    possible = len(all_pairs(words))
+            any_violation = any_violation or bool(report.violations)
+    possible_pairs = len(fault_pairs(kinds))
     found = ", ".join(f"{rule} {count}" for rule, count in totals.items() if count) or "none"
-    covered = f"{len(pairs)} of {possible} pairs of troubles overlapped"
-    print(f"{given.seeds} seeds, {requests} requests, {covered}; violations: {found}")
-    whole = {
-        "seeds": given.seeds,
-        "processes": given.processes,
+    coverage = f"{len(pairs)} of {possible_pairs} pairs of troubles overlapped"
+    print(f"{options.seeds} seeds, {requests} requests, {coverage}; violations: {found}")
+    result = {
+        "seeds": options.seeds,
+        "processes": options.processes,
         "requests": requests,
         "faults": dict(faults),
         "pairs_covered": len(pairs),
         "pairs": sorted("+".join(sorted(pair)) for pair in pairs),
         "violations": {rule: totals[rule] for rule in RULES},
     } | {rule: totals[rule] for rule in RULES}
-    whole |= {"seed": given.seed, "seconds": given.seconds, "planted": given.planted, "pairs_possible": possible}
-    whole |= machine_size() | {"took_s": round(time.perf_counter() - started, 1)}
-    if given.json:
-        print(json.dumps(whole))
-    return 1 if broken else 0
+    result |= {
+        "seed": options.seed,
+        "seconds": options.seconds,
+        "planted": options.planted,
+        "pairs_possible": possible_pairs,
+    }
+    result |= machine_size() | {"took_s": round(time.perf_counter() - started_at, 1)}
+    if options.json:
+        print(json.dumps(result))
+    return 1 if any_violation else 0
 
 
 if __name__ == "__main__":
--- a/benchmarks/soak/clients.py
+++ b/benchmarks/soak/clients.py
@@ -11,22 +11,25 @@
 from benchmarks.soak.connection import Connection
 from benchmarks.soak.oracle import Request
 from benchmarks.soak.relays import Relay
-from benchmarks.soak.world import World
+from benchmarks.soak.run_context import RunContext
 
-FOLLOW_S = 0.3  # for so long after SIGTERM connections go on coming
+FRONT_DELAY_S = 0.3  # for so long after SIGTERM connections go on coming
 CLASS_WEIGHTS = (3, 1, 1)  # most requests are of the class that may run once
-LEAVING, RUDE = 0.06, 0.03  # at all times
-RESTING, RESTING_AT_END = 0.1, 0.5  # of the connections rest before they ask; of those that come to a relay that ends
-LOOK_S, LOOK_AT_END_S = 0.05, 0.01
-MAX_REST_S = 2.3  # beyond the time that a relay leaves them
-LAST_MOMENT_S = 0.15  # around the moment in which a relay that was told to end answers those who wait
-LAST_INSTANT = 20.0  # half of these come that many times closer to it
-PATIENCE_S = 6.0  # over its time, until a client that was not answered gives up
-CONNECT_S = 3.0
-SPEAK_S = 0.15  # between two lines of a client whose connection stands
-SECOND_ANSWER_S = 0.3  # for so long after its answer a client would hear another
-PROMPT_S = 0.02  # a connection that has stood for longer without a line has rested, however late we are ourselves
-NONSENSE = (
+LEAVE_SHARE, MALFORMED_SHARE = 0.06, 0.03  # at all times
+IDLE_SHARE, IDLE_SHARE_AT_SHUTDOWN = (
+    0.1,
+    0.5,
+)  # of the connections rest before they ask; of those that come to a relay that ends
+IDLE_POLL_S, SHUTDOWN_POLL_S = 0.05, 0.01
+MAX_IDLE_S = 2.3  # beyond the time that a relay leaves them
+FINAL_ANSWERS_SPREAD_S = 0.15  # around the moment in which a relay that was told to end answers those who wait
+NARROW_SPREAD_FACTOR = 20.0  # half of these come that many times closer to it
+GIVE_UP_AFTER_S = 6.0  # over its time, until a client that was not answered gives up
+CONNECT_TIMEOUT_S = 3.0
+LINE_INTERVAL_S = 0.15  # between two lines of a client whose connection stands
+SECOND_ANSWER_WAIT_S = 0.3  # for so long after its answer a client would hear another
+IDLE_AFTER_S = 0.02  # a connection that has stood for longer without a line has rested, however late we are ourselves
+MALFORMED_INPUTS = (
     b"\x00" * 200,
     b"GET / HTTP/1.1\r\nHost: x\r\n\r\n",
     b"OPEN x y z\r\n",
@@ -38,15 +41,15 @@
 )
 
 
-class Conversation:
+class Exchange:
     """One request on its connection: what its client has asked and heard."""
 
     def __init__(self, now: Callable[[], float], request: Request) -> None:
         self.now, self.request = now, request
         self.connection = Connection(now, self._on_line)
-        self.greetings = 0  # lines that came before the request was sent
+        self.early_lines = 0  # lines that came before the request was sent
 
-    def ask(self, last: bytes) -> None:
+    def send(self, last: bytes) -> None:
         """Sends the last part of the first line, and looks at once whether the relay had ended a rested connection.
 
         On loopback the line is in the relay's socket when the call returns. So an end that is not there by then comes
@@ -54,18 +57,18 @@
         rested, until the line or until the end before it, the kernel tells.
         """
         request, connection = self.request, self.connection
-        ended_at = connection.ended_at()
-        request.sent = connection.send(last)
-        rested_until = min(request.sent, ended_at)
-        request.rested = request.rested or rested_until > connection.connected_at + PROMPT_S
-        request.crossed = request.rested and (ended_at < inf or connection.end_is_there(instant=True))
+        peer_closed_at = connection.peer_closed_at()
+        request.sent_at = connection.send(last)
+        idle_until = min(request.sent_at, peer_closed_at)
+        request.was_idle = request.was_idle or idle_until > connection.connected_at + IDLE_AFTER_S
+        request.raced_close = request.was_idle and (peer_closed_at < inf or connection.peer_has_closed(race=True))
 
     def _on_line(self, line: bytes, at: float) -> None:
         request = self.request
         if not line:
-            request.ended = min(request.ended, at)
-        elif request.sent == inf:
-            self.greetings += 1
+            request.ended_at = min(request.ended_at, at)
+        elif request.sent_at == inf:
+            self.early_lines += 1
         else:
             self._on_answer(line.split()[0].decode("ascii", "replace") if line.split() else "", at)
 
@@ -73,7 +76,7 @@
         request = self.request
         if word in ("MOVE", "BYE"):
             request.moved = True
-            request.ended = min(request.ended, at)
+            request.ended_at = min(request.ended_at, at)
         elif not request.answers or (word in ("BUSY", "ERR") and request.answers[0][1] != "UP"):
             request.answers.append((at, word if word in ("UP", "BUSY") else "ERR"))
 
@@ -81,141 +84,153 @@
 class Clients:
     """leaving: the share of clients that leave early; rude: of those that make no sense."""
 
-    def __init__(self, world: World, relays: list[Relay]) -> None:
-        self.world, self.relays = world, relays
-        self.random = Random(f"clients {world.plan.seed}")
-        self.leaving, self.rude, self.piecewise = LEAVING, RUDE, 0.0
-        self.resting = Random(f"resting {world.plan.seed}")
-        self.number = self.random.getrandbits(62)
-        self.asked = 0
+    def __init__(self, context: RunContext, relays: list[Relay]) -> None:
+        self.context, self.relays = context, relays
+        self.random = Random(f"clients {context.plan.seed}")
+        self.leave_share, self.malformed_share, self.split_share = LEAVE_SHARE, MALFORMED_SHARE, 0.0
+        self.idle_random = Random(f"resting {context.plan.seed}")
+        self.next_id = self.random.getrandbits(62)
+        self.requests_sent = 0
         self.stopped = False
 
     async def run(self) -> None:
         """Asks at a steady mean rate, by chance."""
-        rate = self.world.plan.per_relay_s * len(self.relays)
+        rate = self.context.plan.requests_per_relay_s * len(self.relays)
         while not self.stopped:
             await asyncio.sleep(self.random.expovariate(rate))
-            serving = [relay for relay in self.relays if relay.takes(self.world.now(), FOLLOW_S)]
+            serving = [relay for relay in self.relays if relay.accepts_connections(self.context.now(), FRONT_DELAY_S)]
             if not serving:
                 continue
             relay = self.random.choice(serving)
-            if self.random.random() < self.rude:
-                self.world.start(self._rude(relay))
+            if self.random.random() < self.malformed_share:
+                self.context.start_task(self._send_malformed(relay))
             else:
-                self.world.start(self._ask(relay))
+                self.context.start_task(self._ask(relay))
 
     def _request(self, relay: Relay) -> tuple[Request, bytes]:
-        settings = self.world.plan.settings
-        cls = self.random.choices(settings["categories"], CLASS_WEIGHTS)[0]
-        self.number += 1
-        name = f"{self.number & (1 << 64) - 1:016x}"
-        wait_ms = cls["deadline_ms"] * self.random.choice((1.0, 1.0, 1.0, 0.5))
+        settings = self.context.plan.settings
+        request_class = self.random.choices(settings["categories"], CLASS_WEIGHTS)[0]
+        self.next_id += 1
+        name = f"{self.next_id & (1 << 64) - 1:016x}"
+        deadline_ms = request_class["deadline_ms"] * self.random.choice((1.0, 1.0, 1.0, 0.5))
         request = Request(
-            name, relay.instance, cls["name"], cls["effect"], cls["group"], cls["window_ms"] / 1000.0, wait_ms / 1000.0
+            name,
+            relay.instance,
+            request_class["name"],
+            request_class["effect"],
+            request_class["group"],
+            request_class["window_ms"] / 1000.0,
+            deadline_ms / 1000.0,
         )
         tenant = self.random.choice(("acme", "zeta"))
-        line = f"OPEN {name} {self.random.getrandbits(64):016x} c={cls['name']},t={tenant},d={wait_ms:.0f}"
+        line = (
+            f"OPEN {name} {self.random.getrandbits(64):016x} c={request_class['name']},t={tenant},d={deadline_ms:.0f}"
+        )
         if settings["family_info"]["groups"]:
             line += f",g={self.random.randrange(1, 40):x}"
         return request, f"{line}\r\n".encode()
 
     async def _ask(self, relay: Relay) -> None:
         request, line = self._request(relay)
-        conversation = Conversation(self.world.now, request)
-        connection = conversation.connection
-        if not await connection.open(relay.address, CONNECT_S):
+        exchange = Exchange(self.context.now, request)
+        connection = exchange.connection
+        if not await connection.open(relay.address, CONNECT_TIMEOUT_S):
             return
         request.relay, request.client = relay.instance_at(connection.connected_at), connection.address()
-        self.asked += 1
-        self.world.oracle.requests[request.name] = request
-        relay.open[request] = connection
+        self.requests_sent += 1
+        self.context.oracle.requests[request.name] = request
+        relay.open_requests[request] = connection
         try:
-            if self.resting.random() < (RESTING_AT_END if relay.ending else RESTING):
-                request.rested = True
-                if not await self._rest(relay, conversation):
+            if self.idle_random.random() < (IDLE_SHARE_AT_SHUTDOWN if relay.shutting_down else IDLE_SHARE):
+                request.was_idle = True
+                if not await self._stay_idle(relay, exchange):
                     return
-            await self._say(conversation, line)
-            await self._hear(conversation)
+            await self._send_first_line(exchange, line)
+            await self._await_answer(exchange)
         except ConnectionError:
-            request.ended = min(request.ended, self.world.now())
+            request.ended_at = min(request.ended_at, self.context.now())
         finally:
-            del relay.open[request]
+            del relay.open_requests[request]
             connection.close()
 
-    async def _rest(self, relay: Relay, conversation: Conversation) -> bool:
+    async def _stay_idle(self, relay: Relay, exchange: Exchange) -> bool:
         """The connection rests; half of them, and all that come to a relay that ends, until it ends them.
 
         Returns False where the relay has ended it meanwhile.
         """
-        instance, connection = relay.instance, conversation.connection
-        if self.resting.random() < 0.5:
+        instance, connection = relay.instance, exchange.connection
+        if self.idle_random.random() < 0.5:
             connection.send(b"PING\r\n")
-            while not conversation.greetings and not connection.ended:
-                await connection.wait(LOOK_S)
-        asks_at = self.world.now() + self.resting.uniform(0.0, MAX_REST_S)
-        until_the_end = self.resting.random() < 0.5 or relay.ending
-        while not connection.ended and (left_s := asks_at - self.world.now()) > 0.0:
-            if until_the_end and relay.ending and relay.instance == instance:
-                await self._rest_until_the_end(relay, connection)
+            while not exchange.early_lines and not connection.peer_closed:
+                await connection.wait(IDLE_POLL_S)
+        sends_at = self.context.now() + self.idle_random.uniform(0.0, MAX_IDLE_S)
+        until_shutdown = self.idle_random.random() < 0.5 or relay.shutting_down
+        while not connection.peer_closed and (left_s := sends_at - self.context.now()) > 0.0:
+            if until_shutdown and relay.shutting_down and relay.instance == instance:
+                await self._stay_idle_until_shutdown(relay, connection)
                 break
-            await connection.wait(min(left_s, LOOK_S))
-        return not connection.ended
+            await connection.wait(min(left_s, IDLE_POLL_S))
+        return not connection.peer_closed
 
-    async def _rest_until_the_end(self, relay: Relay, connection: Connection) -> None:
+    async def _stay_idle_until_shutdown(self, relay: Relay, connection: Connection) -> None:
         """Rests until about the moment in which the relay answers those who wait, or is held before that."""
-        moment_s = self.resting.uniform(-LAST_MOMENT_S, LAST_MOMENT_S) / self.resting.choice((1.0, LAST_INSTANT))
-        asks_in_a_hold = self.resting.random() < 0.5
-        asks_at = relay.told_to_end + relay.answers_last_s + moment_s
-        while not connection.ended and (left_s := asks_at - self.world.now()) > 0.0:
-            if asks_in_a_hold and relay.stopped_at is not None:
+        offset_s = self.idle_random.uniform(-FINAL_ANSWERS_SPREAD_S, FINAL_ANSWERS_SPREAD_S) / self.idle_random.choice(
+            (1.0, NARROW_SPREAD_FACTOR)
+        )
+        sends_when_suspended = self.idle_random.random() < 0.5
+        sends_at = relay.sigterm_at + relay.final_answers_s + offset_s
+        while not connection.peer_closed and (left_s := sends_at - self.context.now()) > 0.0:
+            if sends_when_suspended and relay.suspended_at is not None:
                 return  # the line lies in its socket when it goes on
-            await connection.wait(min(left_s, LOOK_AT_END_S))
+            await connection.wait(min(left_s, SHUTDOWN_POLL_S))
 
-    async def _say(self, conversation: Conversation, line: bytes) -> None:
-        if self.random.random() >= 0.08 + self.piecewise:
-            conversation.ask(line)
+    async def _send_first_line(self, exchange: Exchange, line: bytes) -> None:
+        if self.random.random() >= 0.08 + self.split_share:
+            exchange.send(line)
             return
-        conversation.request.rested = True
+        exchange.request.was_idle = True
         at = self.random.randrange(1, len(line))
-        conversation.connection.send(line[:at])
+        exchange.connection.send(line[:at])
         await asyncio.sleep(self.random.uniform(0.001, 0.06))
-        conversation.ask(line[at:])
-
-    async def _hear(self, conversation: Conversation) -> None:
-        request, connection = conversation.request, conversation.connection
-        gone = self.random.uniform(0.0, 0.3) if self.random.random() < self.leaving else None
-        until = request.sent + (gone if gone is not None else request.deadline_s + PATIENCE_S)
-        spoken = request.sent
-        while not connection.ended and not request.moved:
-            await connection.wait(min(until - self.world.now(), SPEAK_S))
+        exchange.send(line[at:])
+
+    async def _await_answer(self, exchange: Exchange) -> None:
+        request, connection = exchange.request, exchange.connection
+        leaves_after_s = self.random.uniform(0.0, 0.3) if self.random.random() < self.leave_share else None
+        until = request.sent_at + (
+            leaves_after_s if leaves_after_s is not None else request.deadline_s + GIVE_UP_AFTER_S
+        )
+        last_line_at = request.sent_at
+        while not connection.peer_closed and not request.moved:
+            await connection.wait(min(until - self.context.now(), LINE_INTERVAL_S))
             connection.read()  # what is there by now, however late this process is
-            now = self.world.now()
+            now = self.context.now()
             if request.answers and request.answers[0][1] != "UP":
-                until = min(until, request.answers[-1][0] + SECOND_ANSWER_S)
-            if connection.ended or request.moved:
+                until = min(until, request.answers[-1][0] + SECOND_ANSWER_WAIT_S)
+            if connection.peer_closed or request.moved:
                 return
             if now >= until:
-                self._leave(conversation, gone is not None)
+                self._leave(exchange, leaves_after_s is not None)
                 return
-            if request.answers and now > spoken + SPEAK_S:
-                spoken = now
+            if request.answers and now > last_line_at + LINE_INTERVAL_S:
+                last_line_at = now
                 with suppress(BlockingIOError):
                     connection.send(b"a line\r\n")
 
-    def _leave(self, conversation: Conversation, early: bool) -> None:
+    def _leave(self, exchange: Exchange, early: bool) -> None:
         how = self.random.randrange(3) if early else 0
         if how == 2:
-            conversation.connection.end_sending()
+            exchange.connection.half_close()
         else:
-            conversation.connection.close(reset=how == 1)
-        conversation.request.left = self.world.now()
+            exchange.connection.close(reset=how == 1)
+        exchange.request.left_at = self.context.now()
 
-    async def _rude(self, relay: Relay) -> None:
+    async def _send_malformed(self, relay: Relay) -> None:
         try:
-            reader, writer = await asyncio.wait_for(asyncio.open_connection(*relay.address), CONNECT_S)
+            reader, writer = await asyncio.wait_for(asyncio.open_connection(*relay.address), CONNECT_TIMEOUT_S)
         except (OSError, TimeoutError):
             return
         with suppress(ConnectionError, TimeoutError):
-            writer.write(self.random.choice(NONSENSE))
+            writer.write(self.random.choice(MALFORMED_INPUTS))
             await asyncio.wait_for(reader.read(1000), self.random.uniform(0.2, 4.0))
         writer.close()
--- a/benchmarks/soak/connection.py
+++ b/benchmarks/soak/connection.py
@@ -10,13 +10,19 @@
 from contextlib import suppress
 from math import inf
 
-from benchmarks.soak.arrivals import CLOCK_TICK_S, end_age_s, last_sent_age_s, note_arrivals, read_first_byte
+from benchmarks.soak.kernel_timestamps import (
+    CLOCK_TICK_S,
+    close_age_s,
+    enable_receive_timestamps,
+    last_sent_age_s,
+    read_byte_with_age,
+)
 
 READ_BYTES = 1 << 16
-INSTANT_MS = 1  # between a relay's last look at a socket and its end of it
-RESETS = select.POLLHUP | select.POLLERR
-ENDS = select.POLLRDHUP | RESETS
-RESET_AT_CLOSE = b"\x01\x00\x00\x00\x00\x00\x00\x00"  # SO_LINGER with no time
+CLOSE_RACE_MS = 1  # between a relay's last look at a socket and its end of it
+RESET_EVENTS = select.POLLHUP | select.POLLERR
+CLOSE_EVENTS = select.POLLRDHUP | RESET_EVENTS
+RESET_ON_CLOSE = b"\x01\x00\x00\x00\x00\x00\x00\x00"  # SO_LINGER with no time
 
 
 class Connection:
@@ -31,21 +37,21 @@
         self.sock = socket.socket()
         self.sock.setblocking(False)
         self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)  # what is sent leaves at once
-        note_arrivals(self.sock)
-        self.rest = b""
-        self.ended = self.closed = False
+        enable_receive_timestamps(self.sock)
+        self.buffer = b""
+        self.peer_closed = self.closed = False
         self.connected_at = 0.0
-        self.changed = asyncio.Event()  # something was reported
+        self.reported = asyncio.Event()  # something was reported
 
-    async def open(self, address: tuple[str, int], within_s: float) -> bool:
+    async def open(self, address: tuple[str, int], timeout_s: float) -> bool:
         """Connects; whether it came up."""
         loop, called_at = asyncio.get_running_loop(), self.now()
         try:
-            await asyncio.wait_for(loop.sock_connect(self.sock, address), within_s)
+            await asyncio.wait_for(loop.sock_connect(self.sock, address), timeout_s)
         except (OSError, TimeoutError):
             self.close()
             return False
-        self.connected_at = max(called_at, self._before_now(last_sent_age_s))
+        self.connected_at = max(called_at, self._kernel_time(last_sent_age_s))
         loop.add_reader(self.sock, self.read)
         return True
 
@@ -62,28 +68,28 @@
             raise ConnectionResetError
         called_at = self.now()
         self.sock.send(data)
-        return max(called_at, self._before_now(last_sent_age_s))
+        return max(called_at, self._kernel_time(last_sent_age_s))
 
-    def end_is_there(self, instant: bool = False) -> bool:
+    def peer_has_closed(self, race: bool = False) -> bool:
         """Whether the peer's end has arrived, read or not. instant: or arrives within INSTANT_MS."""
-        return self.ended or self.closed or bool(self._ends(INSTANT_MS if instant else 0))
+        return self.peer_closed or self.closed or bool(self._poll_close_events(CLOSE_RACE_MS if race else 0))
 
-    def ended_at(self) -> float:
+    def peer_closed_at(self) -> float:
         """When the peer's end arrived, by the kernel, where nothing was sent since; inf: it has not, or we have closed.
 
         The kernel keeps no time of a reset, which counts as one of this moment.
         """
-        if self.closed or not self.end_is_there():
+        if self.closed or not self.peer_has_closed():
             return inf
-        return self.now() if self._ends(0) & RESETS else self._before_now(end_age_s)
+        return self.now() if self._poll_close_events(0) & RESET_EVENTS else self._kernel_time(close_age_s)
 
-    def _ends(self, within_ms: int) -> int:
+    def _poll_close_events(self, within_ms: int) -> int:
         """The events of ENDS that poll(2) finds."""
         poll = select.poll()
-        poll.register(self.sock, ENDS)
+        poll.register(self.sock, CLOSE_EVENTS)
         return sum(events for _, events in poll.poll(within_ms))
 
-    def _before_now(self, age_s: Callable[[socket.socket], float]) -> float:
+    def _kernel_time(self, age_s: Callable[[socket.socket], float]) -> float:
         """The moment of which the kernel tells the age. A reading in which this process was held is repeated."""
         while True:
             now = self.now()
@@ -93,9 +99,9 @@
 
     def read(self) -> None:
         """Reads all that has arrived."""
-        while not self.ended and not self.closed:
+        while not self.peer_closed and not self.closed:
             try:
-                data, age_s = read_first_byte(self.sock)
+                data, age_s = read_byte_with_age(self.sock)
             except BlockingIOError:
                 return
             except OSError:  # a reset
@@ -108,21 +114,21 @@
 
     def _report(self, data: bytes, at: float) -> None:
         if not data:
-            self.ended = True
+            self.peer_closed = True
             asyncio.get_running_loop().remove_reader(self.sock)
             self.on_line(b"", at)
-        *lines, self.rest = (self.rest + data).split(b"\n")
+        *lines, self.buffer = (self.buffer + data).split(b"\n")
         for line in lines:
             self.on_line(line + b"\n", at)
-        self.changed.set()
+        self.reported.set()
 
-    async def wait(self, within_s: float) -> None:
+    async def wait(self, timeout_s: float) -> None:
         """Returns once something was reported, or after this time."""
-        self.changed.clear()
+        self.reported.clear()
         with suppress(TimeoutError):
-            await asyncio.wait_for(self.changed.wait(), max(0.0, within_s))
+            await asyncio.wait_for(self.reported.wait(), max(0.0, timeout_s))
 
-    def end_sending(self) -> None:
+    def half_close(self) -> None:
         """Half-closes it."""
         with suppress(OSError):
             self.sock.shutdown(socket.SHUT_WR)
@@ -135,5 +141,5 @@
         asyncio.get_running_loop().remove_reader(self.sock)
         if reset:
             with suppress(OSError):
-                self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_AT_CLOSE)
+                self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
         self.sock.close()
--- a/benchmarks/soak/discovery.py
+++ b/benchmarks/soak/discovery.py
@@ -9,10 +9,10 @@
 from typing import Any
 
 from benchmarks.soak.backends import Backend
-from benchmarks.soak.world import World
+from benchmarks.soak.run_context import RunContext
 
-EMPTY_S = 2.0
-HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+KEEPALIVE_S = 2.0
+RESPONSE_HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 
 def chunk(text: str) -> bytes:
@@ -28,29 +28,29 @@
 class Discovery:
     """behaviour: "", "down", "refuse", "slow", "hang"; `hush` makes the watches that are open fall silent."""
 
-    def __init__(self, world: World, backends: list[Backend]) -> None:
-        self.world, self.backends = world, backends
+    def __init__(self, context: RunContext, backends: list[Backend]) -> None:
+        self.context, self.backends = context, backends
         self.version, self.behaviour = 1, ""
-        self.pushed = world.plan.settings["discovery"] == "automatic"
+        self.pushed = context.plan.settings["discovery"] == "automatic"
         self.watches: set[Watch] = set()
         self.servers: dict[tuple[str, int], asyncio.AbstractServer] = {}
         self.relays: dict[tuple[str, int], str] = {}  # address -> the process that asks there now
-        self.random = Random(f"discovery {world.plan.seed}")
-        self.gone: set[str] = set()
+        self.random = Random(f"discovery {context.plan.seed}")
+        self.removed: set[str] = set()
         self.down_since: float | None = None
 
     async def open(self, address: tuple[str, int], relay: str) -> None:
         self.relays[address] = relay
         if address not in self.servers and self.behaviour != "down":
-            self.servers[address] = await asyncio.start_server(self._take(address), *address)
+            self.servers[address] = await asyncio.start_server(self._connection_handler(address), *address)
 
-    def _take(self, address: tuple[str, int]) -> Any:
-        async def take(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    def _connection_handler(self, address: tuple[str, int]) -> Any:
+        async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             with suppress(ConnectionError, asyncio.IncompleteReadError, TimeoutError):
                 await self._serve(self.relays[address], reader, writer)
             writer.close()
 
-        return take
+        return handle
 
     async def _serve(self, relay: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readuntil(b"\r\n\r\n")
@@ -64,63 +64,63 @@
                 writer.write(b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
             return
         watch = Watch(relay, writer)
-        self._write(watch, HEAD + chunk(self._indented(self.whole())), self.backends)
+        self._write(watch, RESPONSE_HEAD + chunk(self._encode(self.snapshot())), self.backends)
         self.watches.add(watch)
         try:
             while not writer.is_closing():
                 with suppress(TimeoutError):
-                    if not await asyncio.wait_for(reader.read(1), EMPTY_S):
+                    if not await asyncio.wait_for(reader.read(1), KEEPALIVE_S):
                         return
                 if not watch.silent:
                     writer.write(b"1\r\n\n\r\n")
         finally:
             self.watches.discard(watch)
 
-    def _indented(self, told: dict[str, Any]) -> str:
-        return json.dumps(told, indent=1 if self.random.random() < 0.3 else None)
+    def _encode(self, update: dict[str, Any]) -> str:
+        return json.dumps(update, indent=1 if self.random.random() < 0.3 else None)
 
-    def whole(self) -> dict[str, Any]:
-        members = [backend.entry() for backend in self.backends if backend.name not in self.gone]
+    def snapshot(self) -> dict[str, Any]:
+        members = [backend.endpoint_entry() for backend in self.backends if backend.name not in self.removed]
         return {"revision": self.version, "complete": True, "members": members}
 
-    def change(self, backend: Backend, phase: str) -> None:
+    def publish(self, backend: Backend, phase: str) -> None:
         """Discovery has it from now on, and tells those whose watches are open."""
         backend.phase = phase
         self.version += 1
-        (self.gone.add if phase == "gone" else self.gone.discard)(backend.name)
-        told = {"revision": self.version, "complete": False, "members": [backend.entry()]}
-        began = self.world.now()
+        (self.removed.add if phase == "gone" else self.removed.discard)(backend.name)
+        update = {"revision": self.version, "complete": False, "members": [backend.endpoint_entry()]}
+        began = self.context.now()
         for watch in list(self.watches):
             if not watch.silent and not watch.writer.is_closing():
-                self._write(watch, chunk(self._indented(told)), [backend])
+                self._write(watch, chunk(self._encode(update)), [backend])
         if self.down_since is not None:
             return
-        at = self._counts_from(backend, began)
-        self.world.oracle.changes.setdefault(backend.name, []).append((at, phase == "ready"))
+        at = self._effective_at(backend, began)
+        self.context.oracle.state_changes.setdefault(backend.name, []).append((at, phase == "ready"))
         if self.pushed:
             for relay in self.relays.values():
-                self._note(relay, backend, at)
+                self._record_update(relay, backend, at)
 
-    def _counts_from(self, backend: Backend, began: float) -> float:
+    def _effective_at(self, backend: Backend, began: float) -> float:
         """When what was written since this time counts: a relay may use a ready backend as soon as it reads of it, and
         must not know of a drain before it is written, however late this process is."""
-        return began if backend.phase == "ready" else self.world.now()
+        return began if backend.phase == "ready" else self.context.now()
 
     def _write(self, watch: Watch, data: bytes, backends: list[Backend]) -> None:
-        began = self.world.now()
+        began = self.context.now()
         watch.writer.write(data)
         for backend in backends:
-            self._note(watch.relay, backend, self._counts_from(backend, began))
+            self._record_update(watch.relay, backend, self._effective_at(backend, began))
 
-    def _note(self, relay: str, backend: Backend, now: float) -> None:
-        oracle, pair = self.world.oracle, (relay, backend.name)
-        oracle.told.setdefault(pair, []).append((now, backend.phase == "ready"))
+    def _record_update(self, relay: str, backend: Backend, at: float) -> None:
+        oracle, pair = self.context.oracle, (relay, backend.name)
+        oracle.endpoint_updates.setdefault(pair, []).append((at, backend.phase == "ready"))
         if backend.start_ms:
-            oracle.start_told.setdefault(pair, []).append(now)
+            oracle.start_updates.setdefault(pair, []).append(at)
 
     # --- troubles ---------------------------------------------------------------------------------
 
-    def hush(self) -> None:
+    def silence_watches(self) -> None:
         """All watches that are open say nothing any more; new ones work."""
         for watch in self.watches:
             watch.silent = True
@@ -130,27 +130,27 @@
             watch.writer.transport.abort()
 
     def go_down(self) -> None:
-        self.behaviour, self.down_since = "down", self.world.now()
+        self.behaviour, self.down_since = "down", self.context.now()
         for server in self.servers.values():
             server.close()
         self.servers.clear()
         self.break_watches()
 
-    async def come_back(self) -> None:
+    async def recover(self) -> None:
         if self.down_since is not None:
             down_since = self.down_since
             self.behaviour, self.down_since = "", None
-            began = self.world.now()
+            began = self.context.now()
             for address, relay in self.relays.items():
                 await self.open(address, relay)
-            self.world.oracle.down.append((down_since, self.world.now()))
+            self.context.oracle.discovery_outages.append((down_since, self.context.now()))
             for backend in self.backends:
-                changes = self.world.oracle.changes.setdefault(backend.name, [(0.0, True)])
+                changes = self.context.oracle.state_changes.setdefault(backend.name, [(0.0, True)])
                 ready = backend.phase == "ready"
-                at = self._counts_from(backend, began)
+                at = self._effective_at(backend, began)
                 if changes[-1][1] != ready:
                     changes.append((at, ready))
                 if self.pushed:
                     for relay in self.relays.values():
-                        self._note(relay, backend, at)
+                        self._record_update(relay, backend, at)
         self.behaviour = ""
--- a/benchmarks/soak/arrivals.py
+++ b/benchmarks/soak/kernel_timestamps.py
@@ -13,12 +13,12 @@
 # left; since the newest data came; since the newest segment of any kind came.
 LAST_DATA_SENT_OFFSET = 44
 LAST_DATA_RECEIVED_OFFSET, LAST_ACK_RECEIVED_OFFSET = 52, 56
-MILLISECONDS = struct.Struct("@I")
-TCP_INFO_BYTES = LAST_ACK_RECEIVED_OFFSET + MILLISECONDS.size
+UINT32 = struct.Struct("@I")
+TCP_INFO_BYTES = LAST_ACK_RECEIVED_OFFSET + UINT32.size
 CLOCK_TICK_S = 0.01  # at the most, of the kernel's clock behind these
 
 
-def note_arrivals(sock: socket.socket) -> None:
+def enable_receive_timestamps(sock: socket.socket) -> None:
     """Lets `read_first_byte` know when a byte arrived.
 
     The kernel begins to note times a little after the first socket on the machine asks for it, and ends with the last.
@@ -26,7 +26,7 @@
     sock.setsockopt(socket.SOL_SOCKET, SO_TIMESTAMPNS, 1)
 
 
-def read_first_byte(sock: socket.socket) -> tuple[bytes, float]:
+def read_byte_with_age(sock: socket.socket) -> tuple[bytes, float]:
     """Reads one byte; returns it with its age in seconds. Raises OSError as `recv` does; b"" is the peer's end."""
     data, ancillary, _, _ = sock.recvmsg(1, ANCILLARY_BYTES)
     for level, kind, value in ancillary:
@@ -41,12 +41,12 @@
 
     So what is read as it arrives keeps the order in which it is read.
     """
-    return _over_a_tick(_age_s(sock, LAST_DATA_RECEIVED_OFFSET))
+    return _zero_within_tick(_age_s(sock, LAST_DATA_RECEIVED_OFFSET))
 
 
-def end_age_s(sock: socket.socket | None) -> float:
+def close_age_s(sock: socket.socket | None) -> float:
     """The same of the peer's end, where nothing was sent since it came."""
-    return _over_a_tick(_age_s(sock, LAST_ACK_RECEIVED_OFFSET))
+    return _zero_within_tick(_age_s(sock, LAST_ACK_RECEIVED_OFFSET))
 
 
 def last_sent_age_s(sock: socket.socket) -> float:
@@ -54,7 +54,7 @@
     return _age_s(sock, LAST_DATA_SENT_OFFSET)
 
 
-def _over_a_tick(age_s: float) -> float:
+def _zero_within_tick(age_s: float) -> float:
     return age_s if age_s > CLOCK_TICK_S else 0.0
 
 
@@ -67,4 +67,4 @@
         return 0.0
     if len(info) < TCP_INFO_BYTES:
         return 0.0
-    return int(MILLISECONDS.unpack_from(info, offset)[0]) / 1000.0
+    return int(UINT32.unpack_from(info, offset)[0]) / 1000.0
--- a/benchmarks/soak/oracle.py
+++ b/benchmarks/soak/oracle.py
@@ -14,14 +14,14 @@
 from enum import Enum, unique
 from math import inf, sqrt
 
-from benchmarks.soak.arrivals import CLOCK_TICK_S
+from benchmarks.soak.kernel_timestamps import CLOCK_TICK_S
 
-LIMIT_SLACK_S = 0.05  # each time limit on sockets is longer by this
-HELD_UP_S = 0.15  # a relay may be held up for so long between reading its clock and writing
-LOST_S = 0.5  # an answer so long after the client's time only earns nothing; later the request is lost
-GONE_S = 0.1  # an attempt that begins so long after the client has gone is for nobody
-TOLD_S = 6.0  # a change counts as told so long after discovery had it and could be reached
-START_SHARE = 2 / 3  # of what a cold backend got, from relays that were told of its start
+TIMEOUT_SLACK_S = 0.05  # each time limit on sockets is longer by this
+MAX_HOLD_S = 0.15  # a relay may be held up for so long between reading its clock and writing
+LOST_AFTER_S = 0.5  # an answer so long after the client's time only earns nothing; later the request is lost
+CANCEL_SLACK_S = 0.1  # an attempt that begins so long after the client has gone is for nobody
+PROPAGATION_S = 6.0  # a change counts as told so long after discovery had it and could be reached
+INFORMED_SHARE = 2 / 3  # of what a cold backend got, from relays that were told of its start
 
 
 @unique
@@ -47,11 +47,11 @@
     backend: str
     zone: str
     cell: int
-    first_byte: float
-    whole: float = inf  # when the line's last byte had come
-    answered: str = ""  # the backend's first line
-    over: float = inf  # when the relay's side had ended
-    ended_there: float = inf  # when the backend or the wire had ended it
+    first_byte_at: float
+    received_at: float = inf  # when the line's last byte had come
+    reply: str = ""  # the backend's first line
+    relay_closed_at: float = inf  # when the relay's side had ended
+    backend_closed_at: float = inf  # when the backend or the wire had ended it
 
 
 @dataclass(slots=True, eq=False)
@@ -60,18 +60,18 @@
 
     name: str
     relay: str
-    cls: str
+    request_class: str
     effect: str
     group: str
     window_s: float
     deadline_s: float
-    sent: float = inf  # its line's last byte
-    left: float = inf  # when the client closed or cancelled
-    ended: float = inf  # when the relay's side ended
+    sent_at: float = inf  # its line's last byte
+    left_at: float = inf  # when the client closed or cancelled
+    ended_at: float = inf  # when the relay's side ended
     answers: list[tuple[float, str]] = field(default_factory=list)
-    broken_by_kill: bool = False
-    rested: bool = False  # its connection had rested, whole or with a part of the line, before the last byte was sent
-    crossed: bool = False  # and the relay's end of it was there when that byte was
+    relay_killed: bool = False
+    was_idle: bool = False  # its connection had rested, whole or with a part of the line, before the last byte was sent
+    raced_close: bool = False  # and the relay's end of it was there when that byte was
     moved: bool = False
     client: str = ""  # the client's own address
 
@@ -82,161 +82,169 @@
 
     rule: Rule
     request: str
-    what: str
-    rows: tuple[str, ...] = ()
+    description: str
+    details: tuple[str, ...] = ()
 
 
 @dataclass(slots=True, frozen=True)
 class Crash:
     """A relay's process that failed. rows: of its log."""
 
-    what: str
-    rows: tuple[str, ...] = ()
+    description: str
+    log_lines: tuple[str, ...] = ()
 
 
 @dataclass(slots=True, frozen=True)
-class Budget:
+class SlowStartBudget:
     """Of a cold backend, as the settings state it."""
 
-    cold_s: float
-    cold_share: float
-    fall_multiple: float
-    fall_s: float
-    rate: float  # requests a second that a warm backend can take
+    warm_up_s: float
+    initial_share: float
+    multiple: float
+    window_s: float
+    warm_rate: float  # requests a second that a warm backend can take
 
     def allowed(self, age_s: float) -> float:
-        ramp = min(1.0, self.cold_share + (1.0 - self.cold_share) * age_s / self.cold_s)
-        calls = self.fall_multiple * ramp * self.rate * self.fall_s
+        ramp = min(1.0, self.initial_share + (1.0 - self.initial_share) * age_s / self.warm_up_s)
+        calls = self.multiple * ramp * self.warm_rate * self.window_s
         chance = 3.0 * sqrt(calls) + 3.0 if calls < 30.0 else 2.0 * sqrt(calls) + 2.0
         return calls + chance
 
 
 class Oracle:
-    def __init__(self, grace_s: float) -> None:
-        self.grace_s = grace_s
+    def __init__(self, drain_grace_s: float) -> None:
+        self.drain_grace_s = drain_grace_s
         self.requests: dict[str, Request] = {}
         self.attempts: dict[str, list[Attempt]] = {}
-        self.asleep: dict[str, list[tuple[float, float]]] = {}  # relay -> when it was stopped
-        self.killed: dict[str, list[float]] = {}
-        self.told: dict[tuple[str, str], list[tuple[float, bool]]] = {}  # relay, backend -> when, whether ready
-        self.changes: dict[str, list[tuple[float, bool]]] = {}  # backend -> when discovery had it, whether ready
-        self.down: list[tuple[float, float]] = []  # when discovery could not be reached
-        self.starts: dict[str, list[float]] = {}  # backend -> when it started anew
-        self.start_told: dict[tuple[str, str], list[float]] = {}
-        self.starved: dict[str, list[tuple[float, float]]] = {}  # relay -> when, and how long it waited for a processor
-        self.lags: list[tuple[float, float]] = []  # when this process was late, and by how much, for the report
+        self.suspensions: dict[str, list[tuple[float, float]]] = {}  # relay -> when it was stopped
+        self.kills: dict[str, list[float]] = {}
+        self.endpoint_updates: dict[
+            tuple[str, str], list[tuple[float, bool]]
+        ] = {}  # relay, backend -> when, whether ready
+        self.state_changes: dict[str, list[tuple[float, bool]]] = {}  # backend -> when discovery had it, whether ready
+        self.discovery_outages: list[tuple[float, float]] = []  # when discovery could not be reached
+        self.backend_starts: dict[str, list[float]] = {}  # backend -> when it started anew
+        self.start_updates: dict[tuple[str, str], list[float]] = {}
+        self.cpu_waits: dict[
+            str, list[tuple[float, float]]
+        ] = {}  # relay -> when, and how long it waited for a processor
+        self.loop_lags: list[tuple[float, float]] = []  # when this process was late, and by how much, for the report
         self.crashes: list[Crash] = []
         self.violations: list[Violation] = []
 
     # --- spans that count for nobody --------------------------------------------------------------
 
-    def slept(self, relay: str, since: float, until: float) -> float:
+    def suspended_s(self, relay: str, since: float, until: float) -> float:
         """For how long of this time the relay was stopped."""
-        spans = self.asleep.get(relay, ())
+        spans = self.suspensions.get(relay, ())
         return sum(max(0.0, min(end, until) - max(start, since)) for start, end in spans)
 
-    def waited(self, relay: str, since: float, until: float) -> float:
+    def cpu_wait_s(self, relay: str, since: float, until: float) -> float:
         """For how long of this time the relay could have run, but got no processor."""
-        samples = self.starved.get(relay)
+        samples = self.cpu_waits.get(relay)
         if not samples:
             return 0.0
         first, last = bisect_right(samples, (since, inf)) - 1, bisect_left(samples, (until, -inf))
         return samples[min(last, len(samples) - 1)][1] - (samples[first][1] if first >= 0 else 0.0)
 
-    def slack(self, relay: str, since: float, until: float) -> float:
+    def held_s(self, relay: str, since: float, until: float) -> float:
         """For how long of this time the relay was held, by whomever."""
-        return self.slept(relay, since, until) + self.waited(relay, since, until)
+        return self.suspended_s(relay, since, until) + self.cpu_wait_s(relay, since, until)
 
     # --- the judgement ----------------------------------------------------------------------------
 
-    def judge(self, until: float, budget: Budget) -> list[Violation]:
+    def judge(self, until: float, budget: SlowStartBudget) -> list[Violation]:
         for request in self.requests.values():
-            if request.sent < inf:
-                self._answers(request, until)
+            if request.sent_at < inf:
+                self._check_answers(request, until)
                 attempts = self.attempts.get(request.name, [])
-                self._cancelled(request, attempts)
-                self._late(request, attempts)
-                self._repeats(request, attempts)
-                self._drains(request, attempts)
-        for backend, starts in self.starts.items():
+                self._check_cancellation(request, attempts)
+                self._check_deadline(request, attempts)
+                self._check_duplicates(request, attempts)
+                self._check_drains(request, attempts)
+        for backend, starts in self.backend_starts.items():
             for start in starts:
-                self._cold(backend, start, budget)
+                self._check_slow_start(backend, start, budget)
         for crash in self.crashes:
-            self.violations.append(Violation(Rule.CRASHED, "", crash.what, crash.rows))
+            self.violations.append(Violation(Rule.CRASHED, "", crash.description, crash.log_lines))
         return self.violations
 
-    def broken(self, rule: Rule, request: str, what: str) -> None:
+    def add_violation(self, rule: Rule, request: str, description: str) -> None:
         """Adds a violation."""
-        self.violations.append(Violation(rule, request, what))
+        self.violations.append(Violation(rule, request, description))
 
-    def _answers(self, request: Request, until: float) -> None:
+    def _check_answers(self, request: Request, until: float) -> None:
         if len([word for _, word in request.answers if word in ("UP", "BUSY", "ERR")]) > 1:
-            self.broken(Rule.ANSWERS, request.name, f"answered {request.answers}")
-        due = request.sent + request.deadline_s + LIMIT_SLACK_S
-        due += self.slack(request.relay, request.sent, min(request.ended, due + 5.0))
+            self.add_violation(Rule.ANSWERS, request.name, f"answered {request.answers}")
+        due = request.sent_at + request.deadline_s + TIMEOUT_SLACK_S
+        due += self.held_s(request.relay, request.sent_at, min(request.ended_at, due + 5.0))
         if request.answers:
             at = request.answers[0][0]
-            if at > due + LOST_S:
-                self.broken(Rule.LOST, request.name, f"answered {at - request.sent:.3f} s after it was sent")
-            self._cut(request)
+            if at > due + LOST_AFTER_S:
+                self.add_violation(Rule.LOST, request.name, f"answered {at - request.sent_at:.3f} s after it was sent")
+            self._check_cut_off(request)
             return
-        if request.left < min(request.ended, due + LOST_S) or self._killed(request):
+        if request.left_at < min(request.ended_at, due + LOST_AFTER_S) or self._relay_was_killed(request):
             return
-        if request.ended < inf:
-            if request.crossed:
+        if request.ended_at < inf:
+            if request.raced_close:
                 return
-            after = request.ended - request.sent
-            self.broken(Rule.UNANSWERED, request.name, f"closed with no answer {after:.3f} s after it was sent")
-        elif until > due + LOST_S:
-            self.broken(Rule.LOST, request.name, f"no answer {until - request.sent:.3f} s after it was sent")
+            after = request.ended_at - request.sent_at
+            self.add_violation(Rule.UNANSWERED, request.name, f"closed with no answer {after:.3f} s after it was sent")
+        elif until > due + LOST_AFTER_S:
+            self.add_violation(Rule.LOST, request.name, f"no answer {until - request.sent_at:.3f} s after it was sent")
 
-    def _killed(self, request: Request) -> bool:
+    def _relay_was_killed(self, request: Request) -> bool:
         """Whether its process was killed while it was open, or as it came."""
-        return request.broken_by_kill or any(at <= request.ended for at in self.killed.get(request.relay, ()))
+        return request.relay_killed or any(at <= request.ended_at for at in self.kills.get(request.relay, ()))
 
-    def _cut(self, request: Request) -> None:
+    def _check_cut_off(self, request: Request) -> None:
         """A connection that stood is ended by its backend, its client, or with MOVE."""
-        if request.answers[0][1] != "UP" or request.moved or self._killed(request) or request.ended == inf:
+        if request.answers[0][1] != "UP" or request.moved or self._relay_was_killed(request) or request.ended_at == inf:
             return
         attempts = self.attempts.get(request.name, [])
-        if request.left > request.ended and all(a.ended_there > request.ended for a in attempts):
-            at = request.ended - request.sent
-            self.broken(Rule.LOST, request.name, f"cut off without MOVE {at:.3f} s after it was sent")
+        if request.left_at > request.ended_at and all(a.backend_closed_at > request.ended_at for a in attempts):
+            at = request.ended_at - request.sent_at
+            self.add_violation(Rule.LOST, request.name, f"cut off without MOVE {at:.3f} s after it was sent")
 
-    def _cancelled(self, request: Request, attempts: list[Attempt]) -> None:
+    def _check_cancellation(self, request: Request, attempts: list[Attempt]) -> None:
         for attempt in attempts:
-            late = attempt.first_byte - request.left
-            if late > GONE_S + CLOCK_TICK_S + self.slack(request.relay, request.left, attempt.first_byte):
-                what = f"an attempt at {attempt.backend} begins {late:.3f} s after the client left"
-                self.broken(Rule.AFTER_CANCEL, request.name, what)
-
-    def _late(self, request: Request, attempts: list[Attempt]) -> None:
-        due = request.sent + request.deadline_s + LIMIT_SLACK_S + HELD_UP_S
+            late = attempt.first_byte_at - request.left_at
+            if late > CANCEL_SLACK_S + CLOCK_TICK_S + self.held_s(
+                request.relay, request.left_at, attempt.first_byte_at
+            ):
+                description = f"an attempt at {attempt.backend} begins {late:.3f} s after the client left"
+                self.add_violation(Rule.AFTER_CANCEL, request.name, description)
+
+    def _check_deadline(self, request: Request, attempts: list[Attempt]) -> None:
+        due = request.sent_at + request.deadline_s + TIMEOUT_SLACK_S + MAX_HOLD_S
         for attempt in attempts:
-            if attempt.first_byte > due + self.slack(request.relay, request.sent, attempt.first_byte):
-                after = attempt.first_byte - request.sent
-                what = f"an attempt at {attempt.backend} begins {after:.3f} s after it was sent"
-                self.broken(Rule.DEADLINE, request.name, what)
-
-    def _repeats(self, request: Request, attempts: list[Attempt]) -> None:
-        made = sorted((a for a in attempts if a.whole < inf), key=lambda attempt: attempt.whole)
-        ran = next((attempt for attempt in made if attempt.answered != "BUSY"), None)  # the first that may have run
-        for number, attempt in enumerate(made):
-            for earlier in made[:number]:
-                if earlier.answered == "BUSY" and earlier.over <= attempt.first_byte + LIMIT_SLACK_S:
+            if attempt.first_byte_at > due + self.held_s(request.relay, request.sent_at, attempt.first_byte_at):
+                after = attempt.first_byte_at - request.sent_at
+                description = f"an attempt at {attempt.backend} begins {after:.3f} s after it was sent"
+                self.add_violation(Rule.DEADLINE, request.name, description)
+
+    def _check_duplicates(self, request: Request, attempts: list[Attempt]) -> None:
+        received = sorted((a for a in attempts if a.received_at < inf), key=lambda attempt: attempt.received_at)
+        first_run = next(
+            (attempt for attempt in received if attempt.reply != "BUSY"), None
+        )  # the first that may have run
+        for number, attempt in enumerate(received):
+            for earlier in received[:number]:
+                if earlier.reply == "BUSY" and earlier.relay_closed_at <= attempt.first_byte_at + TIMEOUT_SLACK_S:
                     continue
-                if earlier.over > attempt.whole + LIMIT_SLACK_S and not earlier.answered:
-                    self.broken(
+                if earlier.relay_closed_at > attempt.received_at + TIMEOUT_SLACK_S and not earlier.reply:
+                    self.add_violation(
                         Rule.DUPLICATE,
                         request.name,
                         f"two attempts are out, at {earlier.backend} and {attempt.backend}",
                     )
-                elif earlier.answered != "BUSY" and not self._may_repeat(request, ran or earlier, attempt):
-                    after = attempt.whole - earlier.whole
-                    self.broken(
+                elif earlier.reply != "BUSY" and not self._may_repeat(request, first_run or earlier, attempt):
+                    after = attempt.received_at - earlier.received_at
+                    self.add_violation(
                         Rule.DUPLICATE,
                         request.name,
-                        f"runs at {earlier.backend} ({earlier.answered or 'no'} "
+                        f"runs at {earlier.backend} ({earlier.reply or 'no'} "
                         f"answer) and {after:.3f} s later at {attempt.backend}",
                     )
                     return
@@ -246,57 +254,68 @@
             return True
         if request.effect == "side_effect":
             return False
-        within = request.window_s + LIMIT_SLACK_S + HELD_UP_S + self.slack(request.relay, first.whole, attempt.whole)
-        same = {"all": True, "zone": first.zone == attempt.zone, "cell": first.cell == attempt.cell}[request.group]
-        return same and attempt.first_byte - first.whole <= within
+        within = (
+            request.window_s
+            + TIMEOUT_SLACK_S
+            + MAX_HOLD_S
+            + self.held_s(request.relay, first.received_at, attempt.received_at)
+        )
+        same_group = {"all": True, "zone": first.zone == attempt.zone, "cell": first.cell == attempt.cell}[
+            request.group
+        ]
+        return same_group and attempt.first_byte_at - first.received_at <= within
 
-    def _drains(self, request: Request, attempts: list[Attempt]) -> None:
+    def _check_drains(self, request: Request, attempts: list[Attempt]) -> None:
         for attempt in attempts:
-            told = self._not_ready_since(request.relay, attempt.backend, attempt.first_byte)
-            if told is None:
+            informed = self._not_ready_since(request.relay, attempt.backend, attempt.first_byte_at)
+            if informed is None:
                 continue
-            late = attempt.first_byte - told
-            if late > self.grace_s + LIMIT_SLACK_S + self.slack(request.relay, told, attempt.first_byte):
-                what = f"sent to {attempt.backend} {late:.3f} s after its drain or end counts as told"
-                self.broken(Rule.DRAIN, request.name, what)
+            late = attempt.first_byte_at - informed
+            if late > self.drain_grace_s + TIMEOUT_SLACK_S + self.held_s(
+                request.relay, informed, attempt.first_byte_at
+            ):
+                description = f"sent to {attempt.backend} {late:.3f} s after its drain or end counts as told"
+                self.add_violation(Rule.DRAIN, request.name, description)
 
     def _not_ready_since(self, relay: str, backend: str, at: float) -> float | None:
         """Since when the relay counts as told that the backend is not ready; None: it does not."""
-        found = None
-        for when, ready in self.told.get((relay, backend), ()):
+        known_since = None
+        for when, ready in self.endpoint_updates.get((relay, backend), ()):
             if when <= at:
-                found = None if ready else (when if found is None else found)
-        changes = [(when, ready) for when, ready in self.changes.get(backend, ()) if when <= at]
+                known_since = None if ready else (when if known_since is None else known_since)
+        changes = [(when, ready) for when, ready in self.state_changes.get(backend, ()) if when <= at]
         if not changes or changes[-1][1]:
-            return found if not changes else None
-        begins = len(changes) - 1
-        while begins and not changes[begins - 1][1]:
-            begins -= 1
-        when = changes[begins][0]
-        for start, end in self.down:
-            if start - TOLD_S <= when <= end:
+            return known_since if not changes else None
+        index = len(changes) - 1
+        while index and not changes[index - 1][1]:
+            index -= 1
+        when = changes[index][0]
+        for start, end in self.discovery_outages:
+            if start - PROPAGATION_S <= when <= end:
                 when = max(when, end)
-        return min(found, when + TOLD_S) if found is not None else when + TOLD_S
+        return min(known_since, when + PROPAGATION_S) if known_since is not None else when + PROPAGATION_S
 
-    def _cold(self, backend: str, start: float, budget: Budget) -> None:
+    def _check_slow_start(self, backend: str, start: float, budget: SlowStartBudget) -> None:
         sent = sorted(
-            (attempt.whole, self.requests[attempt.request].relay)
+            (attempt.received_at, self.requests[attempt.request].relay)
             for attempts in self.attempts.values()
             for attempt in attempts
-            if attempt.backend == backend and start <= attempt.whole < start + budget.cold_s
+            if attempt.backend == backend and start <= attempt.received_at < start + budget.warm_up_s
         )
         for number, (at, _) in enumerate(sent):
-            window = [one for one in sent[: number + 1] if one[0] > at - budget.fall_s]
+            window = [sending for sending in sent[: number + 1] if sending[0] > at - budget.window_s]
             if len(window) <= budget.allowed(at - start):
                 continue
-            told = [
-                one
-                for one in window
-                if any(start <= when <= one[0] for when in self.start_told.get((one[1], backend), ()))
+            informed = [
+                sending
+                for sending in window
+                if any(start <= when <= sending[0] for when in self.start_updates.get((sending[1], backend), ()))
             ]
-            if len(told) > START_SHARE * len(window):
-                what = f"{backend} got {len(window)} in {budget.fall_s:g} s, {at - start:.2f} s after its start, "
-                self.broken(Rule.SLOW_START, "", what + f"{budget.allowed(at - start):.1f} at most")
+            if len(informed) > INFORMED_SHARE * len(window):
+                description = (
+                    f"{backend} got {len(window)} in {budget.window_s:g} s, {at - start:.2f} s after its start, "
+                )
+                self.add_violation(Rule.SLOW_START, "", description + f"{budget.allowed(at - start):.1f} at most")
                 return
 
     # --- reports ----------------------------------------------------------------------------------
@@ -308,26 +327,27 @@
             return []
         rows = [
             (
-                request.sent,
-                f"sent to {request.relay} by {request.client} class={request.cls} deadline {request.deadline_s:.3f} s"
-                f"{' on a connection that had rested' if request.rested else ''}"
-                f"{', whose end was there' if request.crossed else ''}",
+                request.sent_at,
+                f"sent to {request.relay} by {request.client} class={request.request_class} "
+                f"deadline {request.deadline_s:.3f} s"
+                f"{' on a connection that had been idle' if request.was_idle else ''}"
+                f"{', whose end was there' if request.raced_close else ''}",
             ),
-            (request.left, "the client leaves"),
-            (request.ended, "the relay ends the connection"),
+            (request.left_at, "the client leaves"),
+            (request.ended_at, "the relay ends the connection"),
         ]
         rows += [(at, f"answer {word}") for at, word in request.answers]
         for attempt in self.attempts.get(name, []):
             rows += [
-                (attempt.first_byte, f"first byte at {attempt.backend}"),
-                (attempt.whole, f"whole at {attempt.backend}, which answers {attempt.answered or 'nothing'}"),
-                (attempt.over, f"the attempt at {attempt.backend} is over"),
+                (attempt.first_byte_at, f"first byte at {attempt.backend}"),
+                (attempt.received_at, f"whole at {attempt.backend}, which answers {attempt.reply or 'nothing'}"),
+                (attempt.relay_closed_at, f"the attempt at {attempt.backend} is over"),
             ]
-        for start, end in self.asleep.get(request.relay, ()):
+        for start, end in self.suspensions.get(request.relay, ()):
             rows += [(start, f"{request.relay} is stopped"), (end, f"{request.relay} goes on")]
-        rows += [(at, f"{request.relay} is killed") for at in self.killed.get(request.relay, ())]
-        near = [row for row in rows if request.sent - 1.0 <= row[0] <= request.sent + 6.0]
-        return [f"{at:8.3f} {what}" for at, what in sorted(near)]
+        rows += [(at, f"{request.relay} is killed") for at in self.kills.get(request.relay, ())]
+        near = [row for row in rows if request.sent_at - 1.0 <= row[0] <= request.sent_at + 6.0]
+        return [f"{at:8.3f} {description}" for at, description in sorted(near)]
 
     def counts(self) -> Counter[str]:
         return Counter(violation.rule.value for violation in self.violations)
--- a/benchmarks/soak/plan.py
+++ b/benchmarks/soak/plan.py
@@ -7,7 +7,7 @@
 from random import Random
 from typing import Any
 
-TROUBLES = {
+FAULTS = {
     "term": "a relay is told to end (SIGTERM), and starts again",
     "hup": "relays read their configuration again (SIGHUP), with another address of discovery or other deadlines",
     "kill": "a relay is killed (SIGKILL), and starts again",
@@ -28,28 +28,28 @@
     "rude": "clients send nonsense, floods, halves, or rest",
 }
 NEEDS_SHIM = frozenset(("clock", "calls", "pieces"))
-RATES_EACH = (14.0, 14.0, 40.0)  # requests a second to each relay
-MAX_RATE = 420.0  # of all together: what one process of stand-ins serves without being late itself
-FIRST_S, REST_S = 1.2, 3.0  # before the first trouble, and after the last
-CROWD_SHARE = 0.25  # of the seeds
-CROWD_SOCKETS = 200
+RELAY_RATES = (14.0, 14.0, 40.0)  # requests a second to each relay
+MAX_TOTAL_RATE = 420.0  # of all together: what one process of stand-ins serves without being late itself
+WARM_UP_S, COOL_DOWN_S = 1.2, 3.0  # before the first trouble, and after the last
+IDLE_CLIENTS_SHARE = 0.25  # of the seeds
+IDLE_CLIENTS_DESCRIPTORS = 200
 
 
 @dataclass(slots=True, frozen=True)
-class Trouble:
+class Fault:
     """at_s, for_s: from the start of the run. number: draws what it does in detail."""
 
-    word: str
-    at_s: float
-    for_s: float
-    number: int
+    kind: str
+    start_s: float
+    duration_s: float
+    seed: int
 
     @property
-    def ends_s(self) -> float:
-        return self.at_s + self.for_s
+    def end_s(self) -> float:
+        return self.start_s + self.duration_s
 
     def __str__(self) -> str:
-        return f"{self.at_s:6.2f} to {self.ends_s:6.2f} s  {self.word} ({self.number})"
+        return f"{self.start_s:6.2f} to {self.end_s:6.2f} s  {self.kind} ({self.seed})"
 
 
 @dataclass(slots=True, frozen=True)
@@ -61,28 +61,30 @@
     backends: int
     seconds: float
     settings: dict[str, Any]
-    troubles: tuple[Trouble, ...]
-    stepped_ms: int  # of the wall clock of every other relay, from its start
-    per_relay_s: float
-    sockets: int = 0  # descriptors that each relay is told it has, for a run with a crowd; 0: as many as there are
+    faults: tuple[Fault, ...]
+    clock_step_ms: int  # of the wall clock of every other relay, from its start
+    requests_per_relay_s: float
+    descriptors: int = 0  # descriptors that each relay is told it has, for a run with a crowd; 0: as many as there are
 
     def pairs(self) -> set[frozenset[str]]:
         """Words of troubles that overlap in time."""
         return {
-            frozenset((one.word, other.word))
-            for one, other in combinations(self.troubles, 2)
-            if one.word != other.word and one.at_s < other.ends_s and other.at_s < one.ends_s
+            frozenset((fault.kind, other_fault.kind))
+            for fault, other_fault in combinations(self.faults, 2)
+            if fault.kind != other_fault.kind
+            and fault.start_s < other_fault.end_s
+            and other_fault.start_s < fault.end_s
         }
 
 
-def all_pairs(words: list[str]) -> list[tuple[str, str]]:
-    return list(combinations(sorted(words), 2))
+def fault_pairs(kinds: list[str]) -> list[tuple[str, str]]:
+    return list(combinations(sorted(kinds), 2))
 
 
-def settings_of(random: Random, backends: int, relays: int) -> dict[str, Any]:
+def draw_settings(random: Random, backends: int, relays: int) -> dict[str, Any]:
     """In the shape of the platform's, of either deployment: classes that may and may not be repeated, short windows and
     deadlines, groups, quotas, lists that are pushed or asked for, probes."""
-    watched = random.random() < 0.6
+    subscribes = random.random() < 0.6
     classes = [
         {
             "name": "charge",
@@ -110,13 +112,13 @@
             "points": 1.0,
         },
     ]
-    for one in classes:
-        one.setdefault("window_ms", 0.0)
-        one["stream"] = True
+    for request_class in classes:
+        request_class.setdefault("window_ms", 0.0)
+        request_class["stream"] = True
     return {
         "azs": ["a", "b"],
         "skus": ["m"],
-        "discovery": "subscribe" if watched else "automatic",
+        "discovery": "subscribe" if subscribes else "automatic",
         "step_ms": 2.0,
         "balancers": relays,
         "categories": classes,
@@ -133,9 +135,9 @@
             "retry_after": random.random() < 0.7,
             "max_retry_after_ms": 400.0,
             "connect_timeout_ms": random.choice((40.0, 60.0, 60.0, 120.0, 250.0, 1200.0)),
-            "probing": not watched,
+            "probing": not subscribes,
         },
-        "stats": {"source": "probe", "columns": ["x0", "rif"]} if not watched else {"source": "none"},
+        "stats": {"source": "probe", "columns": ["x0", "rif"]} if not subscribes else {"source": "none"},
         "obligations": {
             "drain_grace_ms": random.choice((400.0, 800.0)),
             "answer_slack_ms": 8.0,
@@ -148,23 +150,23 @@
     }
 
 
-def plan_of(seed: int, relays: int, seconds: float, words: list[str]) -> Plan:
+def make_plan(seed: int, relays: int, seconds: float, kinds: list[str]) -> Plan:
     """Two sets of three troubles, each set at one time. The pairs that a seed's sets start from go round all pairs of
     words as seeds go up, so that so many seeds in a row cover each pair."""
     random = Random(f"soak {seed}")
     backends = max(8, relays)
-    settings = settings_of(random, backends, relays)
-    pairs = all_pairs(words)
-    length = (seconds - FIRST_S - REST_S) / 2.0
-    troubles: list[Trouble] = []
-    for part in range(2):
-        first, second = pairs[(2 * seed + part) % len(pairs)] if pairs else (words[0], words[0])
-        third = random.choice(words)
-        for word in dict.fromkeys((first, second, third)):
-            begins = FIRST_S + part * length + random.uniform(0.0, 0.25) * length
-            troubles.append(Trouble(word, begins, length * random.uniform(0.55, 0.75), random.getrandbits(30)))
-    stepped = random.choice((0, 0, -3_600_000, 3_600_000, -4000, 4000)) if "clock" in words else 0
-    troubles.sort(key=lambda trouble: trouble.at_s)
-    rate = min(random.choice(RATES_EACH), MAX_RATE / relays)
-    sockets = CROWD_SOCKETS if Random(f"crowd of {seed}").random() < CROWD_SHARE else 0
-    return Plan(seed, relays, backends, seconds, settings, tuple(troubles), stepped, rate, sockets)
+    settings = draw_settings(random, backends, relays)
+    pairs = fault_pairs(kinds)
+    half_s = (seconds - WARM_UP_S - COOL_DOWN_S) / 2.0
+    faults: list[Fault] = []
+    for half in range(2):
+        first, second = pairs[(2 * seed + half) % len(pairs)] if pairs else (kinds[0], kinds[0])
+        third = random.choice(kinds)
+        for kind in dict.fromkeys((first, second, third)):
+            start_s = WARM_UP_S + half * half_s + random.uniform(0.0, 0.25) * half_s
+            faults.append(Fault(kind, start_s, half_s * random.uniform(0.55, 0.75), random.getrandbits(30)))
+    clock_step_ms = random.choice((0, 0, -3_600_000, 3_600_000, -4000, 4000)) if "clock" in kinds else 0
+    faults.sort(key=lambda fault: fault.start_s)
+    rate = min(random.choice(RELAY_RATES), MAX_TOTAL_RATE / relays)
+    descriptors = IDLE_CLIENTS_DESCRIPTORS if Random(f"crowd of {seed}").random() < IDLE_CLIENTS_SHARE else 0
+    return Plan(seed, relays, backends, seconds, settings, tuple(faults), clock_step_ms, rate, descriptors)
--- a/benchmarks/soak/planted.py
+++ b/benchmarks/soak/planted.py
@@ -24,12 +24,12 @@
 from yarrowspindle.routing.termination import OUTCOMES, TerminationReason
 from yarrowspindle.transport import client, connector
 
-BLIND_S = 0.02  # between look and end
+CLOSE_DELAY_S = 0.02  # between look and end
 
 
 def repeat_what_ran() -> None:
     """A class that may run once is repeated as any other."""
-    gate.retry_window_ms = lambda *given: inf
+    gate.retry_window_ms = lambda *arguments: inf
 
 
 def reset_never_ran() -> None:
@@ -41,14 +41,14 @@
     """A keyed request is repeated after its window."""
     real = gate.retry_window_ms
 
-    def within(
+    def keyed_without_limit(
         idempotency: Idempotency, may_have_run_at: float | None, window_ms: float, margin_ms: float, now: float
     ) -> float:
         if idempotency is Idempotency.KEYED:
             return inf
         return real(idempotency, may_have_run_at, window_ms, margin_ms, now)
 
-    gate.retry_window_ms = within
+    gate.retry_window_ms = keyed_without_limit
 
 
 def ignore_drains() -> None:
@@ -73,14 +73,14 @@
     """One request in fifty is taken and never looked at again."""
     real = line_front.LineFront.request_received
 
-    def came(self: line_front.LineFront, side: Any, first_line: Any) -> None:
+    def request_received(self: line_front.LineFront, side: Any, first_line: Any) -> None:
         if first_line.key % 50:
             real(self, side, first_line)
         else:
             self.limiter.on_request(side)
             side.request = self.service.new_request(self)
 
-    line_front.LineFront.request_received = came  # type: ignore[method-assign]
+    line_front.LineFront.request_received = request_received  # type: ignore[method-assign]
 
 
 def close_unanswered() -> None:
@@ -97,18 +97,20 @@
     """Servers that have just started get whatever comes, while there is one."""
     gate.slow_start_rejection = lambda probability, draw: None
 
-    def feed(self: Placement) -> Any:
+    def draw_warming_up_backend(self: Placement) -> Any:
         state = self.state
-        found = self.slow_start.draw_candidates(state.now, state.settings, state.fleet_ring, False, state.connections)
-        return next((backend for backend in found if backend.ready), None)
+        candidates = self.slow_start.draw_candidates(
+            state.now, state.settings, state.fleet_ring, False, state.connections
+        )
+        return next((backend for backend in candidates if backend.ready), None)
 
-    Placement._warming_up_backend = feed  # type: ignore[method-assign]
+    Placement._warming_up_backend = draw_warming_up_backend  # type: ignore[method-assign]
 
 
 def late_connections() -> None:
     """The time limit of a connection cancels it, as before the hunt: what was written counts as never sent."""
 
-    class Late(connector.Connector):
+    class CancellingConnect(connector.Connector):
         async def _connect(self, loop: asyncio.AbstractEventLoop) -> None:
             try:
                 connect = loop.create_connection(lambda: self.protocol, *self.address)
@@ -120,7 +122,7 @@
             self.timeout_s = timeout_s
             super().start(None)
 
-    setattr(line_front, "Connector", Late)  # noqa: B010  # it is imported there by name
+    setattr(line_front, "Connector", CancellingConnect)  # noqa: B010  # it is imported there by name
 
 
 def end_without_looking() -> None:
@@ -130,7 +132,7 @@
     def close_if_idle(self: client.ClientConnection, even_if_unread: bool = False) -> bool:
         if not self.closing:
             self.closing = True
-            asyncio.get_running_loop().call_later(BLIND_S, end, self)
+            asyncio.get_running_loop().call_later(CLOSE_DELAY_S, end, self)
         return True
 
     def end(side: client.ClientConnection) -> None:
--- a/benchmarks/soak/relays.py
+++ b/benchmarks/soak/relays.py
@@ -19,24 +19,29 @@
 from benchmarks.soak.connection import Connection
 from benchmarks.soak.discovery import Discovery
 from benchmarks.soak.oracle import Crash, Request
+from benchmarks.soak.run_context import RunContext
 from benchmarks.soak.shim import Field, Page
-from benchmarks.soak.world import World
 
 ROOT = Path(__file__).resolve().parents[2]
-READY_S, ASK_S = 10.0, 0.05
-STARVATION_INTERVAL_S = 0.025
-LOG_BAD = ("Traceback (most recent call last)", " invariant ", "Exception in callback")
-LOG_LINE = re.compile(r"\d\d:\d\d:\d\d\.\d\d\d [A-Z]+ ")  # what the relay's own lines begin with
-ROWS_BEFORE, MAX_ROWS_AFTER = 20, 80
+READY_TIMEOUT_S, READY_POLL_S = 10.0, 0.05
+CPU_WAIT_SAMPLE_S = 0.025
+FAILURE_MARKS = ("Traceback (most recent call last)", " invariant ", "Exception in callback")
+LOG_LINE_START = re.compile(r"\d\d:\d\d:\d\d\.\d\d\d [A-Z]+ ")  # what the relay's own lines begin with
+LINES_BEFORE, MAX_LINES_AFTER = 20, 80
 
 
-def failure_in(log: list[str]) -> Crash | None:
+def find_failure(log: list[str]) -> Crash | None:
     """The first failure that a relay's log tells of: the whole traceback, and the lines before it."""
     for number, line in enumerate(log):
-        if any(bad in line for bad in LOG_BAD):
-            after = log[number + 1 : number + 1 + MAX_ROWS_AFTER]
-            own = next((count for count, row in enumerate(after) if LOG_LINE.match(row)), len(after))
-            return Crash(f"logged: {line[-300:]}", tuple(log[max(0, number - ROWS_BEFORE) : number + 1] + after[:own]))
+        if any(mark in line for mark in FAILURE_MARKS):
+            after = log[number + 1 : number + 1 + MAX_LINES_AFTER]
+            traceback_lines = next(
+                (count for count, following in enumerate(after) if LOG_LINE_START.match(following)), len(after)
+            )
+            return Crash(
+                f"logged: {line[-300:]}",
+                tuple(log[max(0, number - LINES_BEFORE) : number + 1] + after[:traceback_lines]),
+            )
     return None
 
 
@@ -45,88 +50,88 @@
     return str(tomllib.loads(text)["run"])
 
 
-async def watch_starvation(relays: list[Relay]) -> None:
+async def watch_cpu_waits(relays: list[Relay]) -> None:
     """Notes of each relay, again and again, for how long it was kept from a processor."""
     while True:
         for relay in relays:
-            relay.note_starvation()
-        await asyncio.sleep(STARVATION_INTERVAL_S)
+            relay.record_cpu_wait()
+        await asyncio.sleep(CPU_WAIT_SAMPLE_S)
 
 
 class Relay:
     """One relay, as often as its process is started. planted: a defect of the soak's own build, for its tests."""
 
-    def __init__(self, world: World, number: int, discovery: Discovery, planted: str) -> None:
-        self.world, self.number, self.discovery, self.planted = world, number, discovery, planted
-        self.name, self.life = f"r{number}", 0
-        self.started_at: list[float] = []  # each life, in order
-        self.address = world.port(number % 90)
-        self.discoveries = [world.port(number % 90) for _ in range(2)]
-        self.at = 0  # which of them the configuration names
-        self.random = Random(f"relay {world.plan.seed} {number}")
+    def __init__(self, context: RunContext, number: int, discovery: Discovery, planted: str) -> None:
+        self.context, self.number, self.discovery, self.planted = context, number, discovery, planted
+        self.name, self.incarnation = f"r{number}", 0
+        self.start_times: list[float] = []  # each life, in order
+        self.address = context.allocate_address(number % 90)
+        self.discovery_addresses = [context.allocate_address(number % 90) for _ in range(2)]
+        self.discovery_index = 0  # which of them the configuration names
+        self.random = Random(f"relay {context.plan.seed} {number}")
         self.process: asyncio.subprocess.Process | None = None
         self.page: Page | None = None
-        self.serves = self.ending = False
-        self.told_to_end = 0.0
-        self.open: dict[Request, Connection] = {}  # of the clients whose requests are not over
-        self.longest_s = max(c["deadline_ms"] for c in world.plan.settings["categories"]) / 1000.0
-        self.answers_last_s = min(self.longest_s, 3.0) + 0.3  # after SIGTERM, when it answers those who wait
-        self.stepped_ms = world.plan.stepped_ms if number % 2 else 0
-        self.known: dict[str, Any] | None = None
-        self.stopped_at: float | None = None
-        self.busy = asyncio.Lock()  # one signal's story at a time
+        self.serving = self.shutting_down = False
+        self.sigterm_at = 0.0
+        self.open_requests: dict[Request, Connection] = {}  # of the clients whose requests are not over
+        self.max_deadline_s = max(c["deadline_ms"] for c in context.plan.settings["categories"]) / 1000.0
+        self.final_answers_s = min(self.max_deadline_s, 3.0) + 0.3  # after SIGTERM, when it answers those who wait
+        self.clock_step_ms = context.plan.clock_step_ms if number % 2 else 0
+        self.initial_endpoints: dict[str, Any] | None = None
+        self.suspended_at: float | None = None
+        self.signal_lock = asyncio.Lock()  # one signal's story at a time
 
     @property
     def instance(self) -> str:
-        return f"{self.name}.{self.life}"
+        return f"{self.name}.{self.incarnation}"
 
     def instance_at(self, at: float) -> str:
         """The process that listened at this time, though it may have ended since."""
-        return f"{self.name}.{max(1, bisect_right(self.started_at, at))}"
+        return f"{self.name}.{max(1, bisect_right(self.start_times, at))}"
 
-    def takes(self, now: float, follow_s: float) -> bool:
+    def accepts_connections(self, now: float, front_delay_s: float) -> bool:
         """Whether the front sends connections here."""
-        return self.serves and (not self.ending or now < self.told_to_end + follow_s)
+        return self.serving and (not self.shutting_down or now < self.sigterm_at + front_delay_s)
 
     def log_path(self) -> Path:
-        return self.world.folder / f"{self.instance}.log"
+        return self.context.folder / f"{self.instance}.log"
 
     def write_config(self) -> Path:
-        settings = self.world.plan.settings | {"zone": self.number % 2, "slot_no": self.number}
-        if self.known is None or self.random.random() < 0.5:
-            self.known = self.discovery.whole()
+        settings = self.context.plan.settings | {"zone": self.number % 2, "slot_no": self.number}
+        if self.initial_endpoints is None or self.random.random() < 0.5:
+            self.initial_endpoints = self.discovery.snapshot()
         config = {
             "name": self.name,
             "listen": "{}:{}".format(*self.address),
-            "discovery": "{}:{}".format(*self.discoveries[self.at]),
-            "seed": f"{self.world.plan.seed * 1000 + self.number * 10 + self.life:x}",
+            "discovery": "{}:{}".format(*self.discovery_addresses[self.discovery_index]),
+            "seed": f"{self.context.plan.seed * 1000 + self.number * 10 + self.incarnation:x}",
             "settings": settings,
-            "known": self.known | {"revision": 1},
-            "limits": {"sockets": self.world.plan.sockets},
+            "known": self.initial_endpoints | {"revision": 1},
+            "limits": {"sockets": self.context.plan.descriptors},
         }
-        path = self.world.folder / f"{self.name}.json"
+        path = self.context.folder / f"{self.name}.json"
         new = path.with_suffix(".new")
         new.write_text(json.dumps(config))
         new.replace(path)
         return path
 
     async def start(self) -> None:
-        self.life += 1
-        self.started_at.append(self.world.now() if self.life > 1 else 0.0)
-        self.ending = False
-        for address in self.discoveries:
+        self.incarnation += 1
+        self.start_times.append(self.context.now() if self.incarnation > 1 else 0.0)
+        self.shutting_down = False
+        for address in self.discovery_addresses:
             await self.discovery.open(address, self.instance)
-        operator = self.world.folder / "operator.toml"
+        operator = self.context.folder / "operator.toml"
         operator.write_text('[log]\nlevel = "DEBUG"\n')
         env = {key: value for key, value in os.environ.items() if not key.startswith("ROUTER_")}
         env |= {"ROUTER_CONFIG": str(self.write_config()), "YARROWSPINDLE_OPERATOR": str(operator)}
-        if self.world.library is not None:
-            self.page = Page(self.world.folder / f"{self.instance}.page")
-            self.page.set(Field.WALL_NS, self.stepped_ms * 1_000_000)
+        if self.context.shim_library is not None:
+            self.page = Page(self.context.folder / f"{self.instance}.page")
+            self.page.set(Field.WALL_NS, self.clock_step_ms * 1_000_000)
             env |= {
-                "LD_PRELOAD": str(self.world.library),
+                "LD_PRELOAD": str(self.context.shim_library),
                 "SOAK_SHIM_PAGE": str(self.page.path),
-                "SOAK_SHIM_FOLDER": str(self.world.folder / "kept"),
+                "SOAK_SHIM_FOLDER": str(self.context.folder / "kept"),
             }
         command = run_command()
         if self.planted:
@@ -135,10 +140,10 @@
             self.process = await asyncio.create_subprocess_exec(
                 "/bin/sh", "-c", command, cwd=ROOT, env=env, stderr=log, stdout=log
             )
-        await self._ready()
+        await self._wait_until_ready()
 
-    async def _ready(self) -> None:
-        until = time.monotonic() + READY_S
+    async def _wait_until_ready(self) -> None:
+        until = time.monotonic() + READY_TIMEOUT_S
         while time.monotonic() < until:
             with suppress(OSError, TimeoutError):
                 reader, writer = await asyncio.wait_for(asyncio.open_connection(*self.address), 1.0)
@@ -146,75 +151,77 @@
                 answer = await asyncio.wait_for(reader.readline(), 1.0)
                 writer.close()
                 if answer == b"PONG\r\n":
-                    self.serves = True
+                    self.serving = True
                     return
-            await asyncio.sleep(ASK_S)
-        self.world.oracle.crashes.append(Crash(f"{self.instance} is not ready after {READY_S:g} s"))
+            await asyncio.sleep(READY_POLL_S)
+        self.context.oracle.crashes.append(Crash(f"{self.instance} is not ready after {READY_TIMEOUT_S:g} s"))
 
     @property
     def alive(self) -> bool:
         return self.process is not None and self.process.returncode is None
 
-    def send(self, number: signal.Signals) -> None:
+    def send_signal(self, signal_number: signal.Signals) -> None:
         if self.alive and self.process is not None:
             with suppress(ProcessLookupError):
-                self.process.send_signal(number)
+                self.process.send_signal(signal_number)
 
-    async def stop(self, for_s: float) -> None:
+    async def suspend(self, duration_s: float) -> None:
         """It stands still for so long."""
-        async with self.busy:
-            began, instance = self.world.now(), self.instance
-            self.stopped_at = began
-            self.send(signal.SIGSTOP)
-            await asyncio.sleep(for_s)
-            self.send(signal.SIGCONT)
-            self.stopped_at = None
-            self.world.oracle.asleep.setdefault(instance, []).append((began, self.world.now()))
-
-    def stopped_s(self) -> float:
+        async with self.signal_lock:
+            began, instance = self.context.now(), self.instance
+            self.suspended_at = began
+            self.send_signal(signal.SIGSTOP)
+            await asyncio.sleep(duration_s)
+            self.send_signal(signal.SIGCONT)
+            self.suspended_at = None
+            self.context.oracle.suspensions.setdefault(instance, []).append((began, self.context.now()))
+
+    def suspended_s(self) -> float:
         """For how long it has been stopped now; 0 where it goes on."""
-        return self.world.now() - self.stopped_at if self.stopped_at is not None else 0.0
+        return self.context.now() - self.suspended_at if self.suspended_at is not None else 0.0
 
     async def kill(self) -> None:
         """Once the present hold, if any, is over."""
-        async with self.busy:
+        async with self.signal_lock:
             await self.kill_at_once()
             self._read_log()
 
     async def kill_at_once(self) -> None:
         """Nothing is owed to whoever is served then, nor to those who come as it dies."""
-        self.serves = False
-        self.world.oracle.killed.setdefault(self.instance, []).append(self.world.now())
-        for request in self.open:
-            request.broken_by_kill = True
-        self.send(signal.SIGKILL)
+        self.serving = False
+        self.context.oracle.kills.setdefault(self.instance, []).append(self.context.now())
+        for request in self.open_requests:
+            request.relay_killed = True
+        self.send_signal(signal.SIGKILL)
         if self.process is not None:
             await self.process.wait()
 
-    def has_ended(self) -> None:
+    def record_exit(self) -> None:
         """After SIGTERM, whether by itself or killed: how it ended."""
-        self.serves = False
+        self.serving = False
         if self.process is not None and self.process.returncode not in (0, -signal.SIGKILL, None):
-            self.world.oracle.crashes.append(Crash(f"{self.instance} ended with {self.process.returncode}"))
+            self.context.oracle.crashes.append(Crash(f"{self.instance} ended with {self.process.returncode}"))
         self._read_log()
 
     def _read_log(self) -> None:
-        failure = failure_in(self.log_path().read_text("utf-8", "replace").splitlines())
+        failure = find_failure(self.log_path().read_text("utf-8", "replace").splitlines())
         if failure is not None:
-            self.world.oracle.crashes.append(Crash(f"{self.instance} {failure.what}", failure.rows))
+            self.context.oracle.crashes.append(Crash(f"{self.instance} {failure.description}", failure.log_lines))
 
-    def note_starvation(self) -> None:
+    def record_cpu_wait(self) -> None:
         """Notes for how long the process has waited for a processor so far (the second figure of schedstat)."""
         if not self.alive or self.process is None:
             return
         with suppress(OSError, IndexError):  # it has ended just now
-            figures = Path(f"/proc/{self.process.pid}/schedstat").read_text(encoding="ascii").split()
-            self.world.oracle.starved.setdefault(self.instance, []).append((self.world.now(), int(figures[1]) / 1e9))
+            fields = Path(f"/proc/{self.process.pid}/schedstat").read_text(encoding="ascii").split()
+            self.context.oracle.cpu_waits.setdefault(self.instance, []).append(
+                (self.context.now(), int(fields[1]) / 1e9)
+            )
 
-    def look(self) -> None:
+    def check_unexpected_exit(self) -> None:
         """Whether it has ended by itself."""
-        if self.serves and not self.ending and not self.alive and not self.busy.locked():
-            self.serves = False
+        if self.serving and not self.shutting_down and not self.alive and not self.signal_lock.locked():
+            self.serving = False
             code = self.process.returncode if self.process is not None else None
-            self.world.oracle.crashes.append(Crash(f"{self.instance} ended by itself with {code}"))
+            self.context.oracle.crashes.append(Crash(f"{self.instance} ended by itself with {code}"))
             self._read_log()
--- a/benchmarks/soak/shim.c
+++ b/benchmarks/soak/shim.c
@@ -21,16 +21,16 @@
 
 enum field { WALL_NS, ACCEPT_ERRNO, ACCEPT_PERMILLE, SOCKET_ERRNO, SOCKET_PERMILLE, CONNECT_ERRNO, CONNECT_PERMILLE,
              SHORT_READ_PERMILLE, SHORT_WRITE_PERMILLE, EINTR_PERMILLE, DISK_ERRNO, DISK_PERMILLE, DISK_KILL, FIELDS };
-#define FILES 4096
+#define MAX_FILES 4096
 
 static volatile int64_t *page;
 static const char *folder;
 static uint64_t state = 88172645463325252ull;
-static unsigned char on_disk[FILES];
+static unsigned char is_tracked[MAX_FILES];
 
 #define REAL(name) ({ static __typeof__(&name) real; if (!real) real = (__typeof__(&name))dlsym(RTLD_NEXT, #name); real; })
 
-__attribute__((constructor)) static void begin(void)
+__attribute__((constructor)) static void map_page(void)
 {
     const char *path = getenv("SOAK_SHIM_PAGE");
     folder = getenv("SOAK_SHIM_FOLDER");
@@ -46,22 +46,22 @@
     state ^= (uint64_t)getpid() * 0x9E3779B97F4A7C15ull;
 }
 
-static int64_t told(enum field field) { return page ? page[field] : 0; }
+static int64_t field_value(enum field field) { return page ? page[field] : 0; }
 
-static int drawn(enum field permille)
+static int draw(enum field permille)
 {
-    int64_t part = told(permille);
-    if (part <= 0)
+    int64_t share = field_value(permille);
+    if (share <= 0)
         return 0;
     state ^= state << 13, state ^= state >> 7, state ^= state << 17;
-    return (int64_t)(state % 1000) < part;
+    return (int64_t)(state % 1000) < share;
 }
 
-static int fails(enum field number, enum field permille)
+static int inject_error(enum field error, enum field permille)
 {
-    if (!drawn(permille))
+    if (!draw(permille))
         return 0;
-    errno = (int)told(number);
+    errno = (int)field_value(error);
     return 1;
 }
 
@@ -78,7 +78,7 @@
 {
     int done = REAL(clock_gettime)(clock, at);
     if (done == 0 && (clock == CLOCK_REALTIME || clock == CLOCK_REALTIME_COARSE)) {
-        int64_t whole = at->tv_sec * 1000000000ll + at->tv_nsec + told(WALL_NS);
+        int64_t whole = at->tv_sec * 1000000000ll + at->tv_nsec + field_value(WALL_NS);
         at->tv_sec = whole / 1000000000ll;
         at->tv_nsec = whole % 1000000000ll;
     }
@@ -108,91 +108,91 @@
 
 int accept(int file, struct sockaddr *restrict from, socklen_t *restrict size)
 {
-    return fails(ACCEPT_ERRNO, ACCEPT_PERMILLE) ? -1 : REAL(accept)(file, from, size);
+    return inject_error(ACCEPT_ERRNO, ACCEPT_PERMILLE) ? -1 : REAL(accept)(file, from, size);
 }
 
 int accept4(int file, struct sockaddr *restrict from, socklen_t *restrict size, int flags)
 {
-    return fails(ACCEPT_ERRNO, ACCEPT_PERMILLE) ? -1 : REAL(accept4)(file, from, size, flags);
+    return inject_error(ACCEPT_ERRNO, ACCEPT_PERMILLE) ? -1 : REAL(accept4)(file, from, size, flags);
 }
 
 int socket(int domain, int kind, int protocol)
 {
-    if (domain != AF_UNIX && fails(SOCKET_ERRNO, SOCKET_PERMILLE))
+    if (domain != AF_UNIX && inject_error(SOCKET_ERRNO, SOCKET_PERMILLE))
         return -1;
     return REAL(socket)(domain, kind, protocol);
 }
 
 int connect(int file, const struct sockaddr *to, socklen_t size)
 {
-    return fails(CONNECT_ERRNO, CONNECT_PERMILLE) ? -1 : REAL(connect)(file, to, size);
+    return inject_error(CONNECT_ERRNO, CONNECT_PERMILLE) ? -1 : REAL(connect)(file, to, size);
 }
 
-static size_t some(size_t size) { return size > 1 ? 1 + state % (size > 7 ? 7 : size - 1) : size; }
+static size_t shortened(size_t size) { return size > 1 ? 1 + state % (size > 7 ? 7 : size - 1) : size; }
 
 ssize_t read(int file, void *into, size_t size)
 {
     if (page && is_stream(file)) {
-        if (drawn(EINTR_PERMILLE)) {
+        if (draw(EINTR_PERMILLE)) {
             errno = EINTR;
             return -1;
         }
-        if (drawn(SHORT_READ_PERMILLE))
-            size = some(size);
-    } else if (page && file >= 0 && file < FILES && on_disk[file] && fails(DISK_ERRNO, DISK_PERMILLE))
+        if (draw(SHORT_READ_PERMILLE))
+            size = shortened(size);
+    } else if (page && file >= 0 && file < MAX_FILES && is_tracked[file] && inject_error(DISK_ERRNO, DISK_PERMILLE))
         return -1;
     return REAL(read)(file, into, size);
 }
 
 ssize_t recv(int file, void *into, size_t size, int flags)
 {
-    if (page && drawn(SHORT_READ_PERMILLE))
-        size = some(size);
+    if (page && draw(SHORT_READ_PERMILLE))
+        size = shortened(size);
     return REAL(recv)(file, into, size, flags);
 }
 
 ssize_t write(int file, const void *from, size_t size)
 {
-    if (page && file >= 0 && file < FILES && on_disk[file]) {
-        if (told(DISK_KILL)) {
+    if (page && file >= 0 && file < MAX_FILES && is_tracked[file]) {
+        if (field_value(DISK_KILL)) {
             REAL(write)(file, from, size / 2);
             _exit(137);
         }
-        if (fails(DISK_ERRNO, DISK_PERMILLE))
+        if (inject_error(DISK_ERRNO, DISK_PERMILLE))
             return -1;
     } else if (page && is_stream(file)) {
-        if (drawn(EINTR_PERMILLE)) {
+        if (draw(EINTR_PERMILLE)) {
             errno = EINTR;
             return -1;
         }
-        if (drawn(SHORT_WRITE_PERMILLE))
-            size = some(size);
+        if (draw(SHORT_WRITE_PERMILLE))
+            size = shortened(size);
     }
     return REAL(write)(file, from, size);
 }
 
 ssize_t writev(int file, const struct iovec *parts, int count)
 {
-    if (page && count > 0 && is_stream(file) && drawn(SHORT_WRITE_PERMILLE))
-        return REAL(write)(file, parts[0].iov_base, some(parts[0].iov_len));
+    if (page && count > 0 && is_stream(file) && draw(SHORT_WRITE_PERMILLE))
+        return REAL(write)(file, parts[0].iov_base, shortened(parts[0].iov_len));
     return REAL(writev)(file, parts, count);
 }
 
 ssize_t sendmsg(int file, const struct msghdr *message, int flags)
 {
-    if (page && message->msg_iovlen > 0 && message->msg_controllen == 0 && is_stream(file) && drawn(SHORT_WRITE_PERMILLE))
-        return REAL(write)(file, message->msg_iov[0].iov_base, some(message->msg_iov[0].iov_len));
+    if (page && message->msg_iovlen > 0 && message->msg_controllen == 0 && is_stream(file) && draw(SHORT_WRITE_PERMILLE))
+        return REAL(write)(file, message->msg_iov[0].iov_base, shortened(message->msg_iov[0].iov_len));
     return REAL(sendmsg)(file, message, flags);
 }
 
 /* --- the disk, below one folder --- */
 
-static int below(const char *path) { return folder && path && strncmp(path, folder, strlen(folder)) == 0; }
+static int is_in_folder(const char *path) { return folder && path && strncmp(path, folder, strlen(folder)) == 0; }
 
-static int opened(int file, const char *path)
+static int track_file(int file, const char *path)
 {
-    if (file >= 0 && file < FILES)
-        on_disk[file] = (unsigned char)below(path);
+    if (file >= 0 && file < MAX_FILES)
+        is_tracked[file] = (unsigned char)is_in_folder(path);
     return file;
 }
 
@@ -203,30 +203,30 @@
         va_start(more, flags);                                                \
         mode_t mode = flags & (O_CREAT | O_TMPFILE) ? va_arg(more, mode_t) : 0; \
         va_end(more);                                                         \
-        if (below(path) && fails(DISK_ERRNO, DISK_PERMILLE))                  \
+        if (is_in_folder(path) && inject_error(DISK_ERRNO, DISK_PERMILLE))    \
             return -1;                                                        \
-        return opened(REAL(name)(path, flags, mode), path);                   \
+        return track_file(REAL(name)(path, flags, mode), path);               \
     }
 OPEN(open)
 OPEN(open64)
 
 int close(int file)
 {
-    if (file >= 0 && file < FILES)
-        on_disk[file] = 0;
+    if (file >= 0 && file < MAX_FILES)
+        is_tracked[file] = 0;
     return REAL(close)(file);
 }
 
 int fsync(int file)
 {
-    if (file >= 0 && file < FILES && on_disk[file] && fails(DISK_ERRNO, DISK_PERMILLE))
+    if (file >= 0 && file < MAX_FILES && is_tracked[file] && inject_error(DISK_ERRNO, DISK_PERMILLE))
         return -1;
     return REAL(fsync)(file);
 }
 
 int rename(const char *from, const char *to)
 {
-    if (below(from) && fails(DISK_ERRNO, DISK_PERMILLE))
+    if (is_in_folder(from) && inject_error(DISK_ERRNO, DISK_PERMILLE))
         return -1;
     return REAL(rename)(from, to);
 }
--- a/benchmarks/soak/shim.py
+++ b/benchmarks/soak/shim.py
@@ -15,7 +15,7 @@
 from pathlib import Path
 
 SOURCE = Path(__file__).with_name("shim.c")
-WIDTH = 8  # bytes of a field
+FIELD_BYTES = 8  # bytes of a field
 
 
 class Field(IntEnum):
@@ -66,18 +66,18 @@
 
     def __init__(self, path: Path) -> None:
         self.path = path
-        path.write_bytes(bytes(WIDTH * len(Field)))
+        path.write_bytes(bytes(FIELD_BYTES * len(Field)))
         with path.open("r+b") as file:
             self.map = mmap.mmap(file.fileno(), 0)
 
     def set(self, field: Field, value: int) -> None:
-        self.map[field * WIDTH : (field + 1) * WIDTH] = value.to_bytes(WIDTH, "little", signed=True)
+        self.map[field * FIELD_BYTES : (field + 1) * FIELD_BYTES] = value.to_bytes(FIELD_BYTES, "little", signed=True)
 
-    def fail(self, number: Field, permille: Field, error: int, share: int) -> None:
-        self.set(number, error)
-        self.set(permille, share)
+    def fail(self, errno_field: Field, permille_field: Field, error: int, permille: int) -> None:
+        self.set(errno_field, error)
+        self.set(permille_field, permille)
 
-    def calm(self) -> None:
+    def clear_faults(self) -> None:
         """Nothing fails any more; a stepped clock stays stepped."""
         for field in Field:
             if field is not Field.WALL_NS:
--- a/tests/benchmarks/test_soak.py
+++ b/tests/benchmarks/test_soak.py
@@ -15,37 +15,37 @@
 
 from benchmarks.soak.backends import Backend
 from benchmarks.soak.discovery import Discovery, Watch
-from benchmarks.soak.oracle import Attempt, Budget, Oracle, Request, Rule
-from benchmarks.soak.plan import TROUBLES, all_pairs, plan_of
-from benchmarks.soak.relays import failure_in
+from benchmarks.soak.oracle import Attempt, Oracle, Request, Rule, SlowStartBudget
+from benchmarks.soak.plan import FAULTS, fault_pairs, make_plan
+from benchmarks.soak.relays import find_failure
+from benchmarks.soak.run_context import RunContext
 from benchmarks.soak.shim import SOURCE, Field
-from benchmarks.soak.world import World
 from tests.stand_ins import ROOT
 
-BUDGET = Budget(3.0, 0.25, 2.0, 1.0, 20.0)
-GRACE_S = 0.4
+BUDGET = SlowStartBudget(3.0, 0.25, 2.0, 1.0, 20.0)
+DRAIN_GRACE_S = 0.4
 
 
-def test_the_same_seed_plays_the_same_schedule_and_seeds_in_a_row_cover_all_pairs_of_troubles() -> None:
-    words = list(TROUBLES)
-    assert plan_of(5, 10, 12.0, words) == plan_of(5, 10, 12.0, words) != plan_of(6, 10, 12.0, words)
-    wanted = {frozenset(pair) for pair in all_pairs(words)}
+def test_a_seed_gives_the_same_plan_and_consecutive_seeds_cover_all_pairs_of_faults() -> None:
+    kinds = list(FAULTS)
+    assert make_plan(5, 10, 12.0, kinds) == make_plan(5, 10, 12.0, kinds) != make_plan(6, 10, 12.0, kinds)
+    wanted = {frozenset(pair) for pair in fault_pairs(kinds)}
     covered = set[frozenset[str]]()
     for seed in range(1, 1 + (len(wanted) + 1) // 2):
-        plan = plan_of(seed, 10, 12.0, words)
-        assert all(trouble.ends_s < plan.seconds for trouble in plan.troubles)
+        plan = make_plan(seed, 10, 12.0, kinds)
+        assert all(fault.end_s < plan.seconds for fault in plan.faults)
         covered |= plan.pairs()
     assert covered == wanted
 
 
-def test_the_fields_of_the_shims_page_stand_in_the_order_of_its_source() -> None:
+def test_the_fields_of_the_shims_page_have_the_order_of_its_source() -> None:
     text = SOURCE.read_text(encoding="utf-8")
     named = text[text.index("enum field {") + len("enum field {") : text.index("FIELDS }")]
     assert [name.strip() for name in named.split(",") if name.strip()] == [field.name for field in Field]
 
 
-def request(name: str = "a", effect: str = "side_effect", **changes: float) -> Request:
-    made = Request(name, "r0.1", "charge", effect, "cell", 0.4, 1.0, sent=1.0, ended=1.2)
+def make_request(name: str = "a", effect: str = "side_effect", **changes: float) -> Request:
+    made = Request(name, "r0.1", "charge", effect, "cell", 0.4, 1.0, sent_at=1.0, ended_at=1.2)
     made.answers.append((1.1, "UP"))
     made.moved = True
     for key, value in changes.items():
@@ -53,225 +53,235 @@
     return made
 
 
-def attempt(backend: str, at: float, answered: str = "UP", over: float | None = None, cell: int = 1) -> Attempt:
-    return Attempt("a", backend, "a", cell, at, at, answered, at + 0.05 if over is None else over)
+def make_attempt(
+    backend: str, at: float, reply: str = "UP", relay_closed_at: float | None = None, cell: int = 1
+) -> Attempt:
+    return Attempt("a", backend, "a", cell, at, at, reply, at + 0.05 if relay_closed_at is None else relay_closed_at)
 
 
-def unanswered(oracle: Oracle) -> None:
+def close_unanswered(oracle: Oracle) -> None:
     oracle.requests["a"].answers.clear()
 
 
-def never_ended(oracle: Oracle) -> None:
+def never_answer(oracle: Oracle) -> None:
     oracle.requests["a"].answers.clear()
-    oracle.requests["a"].ended = inf
+    oracle.requests["a"].ended_at = inf
 
 
-def killed(oracle: Oracle) -> None:
+def kill_relay(oracle: Oracle) -> None:
     oracle.requests["a"].answers.clear()
-    oracle.requests["a"].broken_by_kill = True
+    oracle.requests["a"].relay_killed = True
 
 
-def killed_as_it_came(oracle: Oracle) -> None:
+def kill_relay_before_request(oracle: Oracle) -> None:
     oracle.requests["a"].answers.clear()
-    oracle.killed["r0.1"] = [0.99]
+    oracle.kills["r0.1"] = [0.99]
 
 
-def another_killed(oracle: Oracle) -> None:
+def kill_other_relay(oracle: Oracle) -> None:
     oracle.requests["a"].answers.clear()
-    oracle.killed["r0.2"] = [0.99]
+    oracle.kills["r0.2"] = [0.99]
 
 
-def answered_at(at: float) -> Callable[[Oracle], None]:
+def answer_at(at: float) -> Callable[[Oracle], None]:
     def change(oracle: Oracle) -> None:
         oracle.requests["a"].answers[:] = [(at, "BUSY")]
 
     return change
 
 
-def attempts(*made: Attempt, effect: str = "side_effect", left: float = inf) -> Callable[[Oracle], None]:
+def with_attempts(*made: Attempt, effect: str = "side_effect", left: float = inf) -> Callable[[Oracle], None]:
     def change(oracle: Oracle) -> None:
-        oracle.requests["a"].effect, oracle.requests["a"].left = effect, left
+        oracle.requests["a"].effect, oracle.requests["a"].left_at = effect, left
         oracle.attempts["a"] = list(made)
 
     return change
 
 
-def drained(at: float, sent: float, told: bool = True, down: float | None = None) -> Callable[[Oracle], None]:
+def send_to_drained_backend(
+    at: float, sent: float, told: bool = True, down: float | None = None
+) -> Callable[[Oracle], None]:
     def change(oracle: Oracle) -> None:
-        oracle.requests["a"].sent, oracle.requests["a"].deadline_s = sent - 0.1, 30.0
+        oracle.requests["a"].sent_at, oracle.requests["a"].deadline_s = sent - 0.1, 30.0
         oracle.requests["a"].answers[:] = [(sent + 0.1, "UP")]
-        oracle.requests["a"].ended = sent + 0.2
-        oracle.changes["s-1"] = [(at, False)]
+        oracle.requests["a"].ended_at = sent + 0.2
+        oracle.state_changes["s-1"] = [(at, False)]
         if told:
-            oracle.told["r0.1", "s-1"] = [(at, False)]
+            oracle.endpoint_updates["r0.1", "s-1"] = [(at, False)]
         if down is not None:
-            oracle.down.append((at - 1.0, down))
-        oracle.attempts["a"] = [attempt("s-1", sent)]
+            oracle.discovery_outages.append((at - 1.0, down))
+        oracle.attempts["a"] = [make_attempt("s-1", sent)]
 
     return change
 
 
-def cold(count: int, told: bool = True) -> Callable[[Oracle], None]:
+def send_to_cold_backend(count: int, told: bool = True) -> Callable[[Oracle], None]:
     def change(oracle: Oracle) -> None:
-        oracle.starts["s-1"] = [10.0]
+        oracle.backend_starts["s-1"] = [10.0]
         if told:
-            oracle.start_told["r0.1", "s-1"] = [10.0]
+            oracle.start_updates["r0.1", "s-1"] = [10.0]
         made = [Attempt("a", "s-1", "a", 1, 10.5, 10.5 + 0.001 * n, "BUSY", 10.5 + 0.001 * n) for n in range(count)]
-        oracle.requests["a"] = request(effect="pure", sent=10.4, ended=10.9, deadline_s=5.0)
+        oracle.requests["a"] = make_request(effect="pure", sent_at=10.4, ended_at=10.9, deadline_s=5.0)
         oracle.requests["a"].answers[:] = [(10.8, "UP")]
         oracle.attempts["a"] = made
 
     return change
 
 
-def stopped(oracle: Oracle) -> None:
+def suspend_relay(oracle: Oracle) -> None:
     oracle.requests["a"].answers[:] = [(3.4, "BUSY")]
-    oracle.requests["a"].ended = 3.5
-    oracle.asleep["r0.1"] = [(1.5, 3.0)]
+    oracle.requests["a"].ended_at = 3.5
+    oracle.suspensions["r0.1"] = [(1.5, 3.0)]
 
 
-def cut_off(oracle: Oracle) -> None:
+def cut_off_connection(oracle: Oracle) -> None:
     oracle.requests["a"].moved = False
-    oracle.attempts["a"] = [attempt("s-1", 1.0, over=1.3)]
+    oracle.attempts["a"] = [make_attempt("s-1", 1.0, relay_closed_at=1.3)]
 
 
-def ended_by_its_backend(oracle: Oracle) -> None:
-    cut_off(oracle)
-    oracle.attempts["a"][0].ended_there = 1.15
+def close_by_backend(oracle: Oracle) -> None:
+    cut_off_connection(oracle)
+    oracle.attempts["a"][0].backend_closed_at = 1.15
 
 
-def rested(ended_after_s: float, crossed: bool) -> Callable[[Oracle], None]:
+def close_after_idle(ended_after_s: float, raced_close: bool) -> Callable[[Oracle], None]:
     def change(oracle: Oracle) -> None:
         made = oracle.requests["a"]
-        made.rested, made.crossed, made.ended = True, crossed, made.sent + ended_after_s
+        made.was_idle, made.raced_close, made.ended_at = True, raced_close, made.sent_at + ended_after_s
         made.answers.clear()
 
     return change
 
 
-def kept_from_a_processor(relay: str) -> Callable[[Oracle], None]:
+def wait_for_cpu(relay: str) -> Callable[[Oracle], None]:
     def change(oracle: Oracle) -> None:
         oracle.requests["a"].answers[:] = [(3.4, "BUSY")]
-        oracle.requests["a"].ended = 3.5
-        oracle.starved[relay] = [(0.5, 0.2), (1.5, 0.2), (3.3, 1.7), (3.6, 1.9)]
+        oracle.requests["a"].ended_at = 3.5
+        oracle.cpu_waits[relay] = [(0.5, 0.2), (1.5, 0.2), (3.3, 1.7), (3.6, 1.9)]
 
     return change
 
 
 CASES: dict[str, tuple[Callable[[Oracle], None], Rule | None]] = {
-    "served": (attempts(attempt("s-1", 1.01)), None),
-    "closed with no answer": (unanswered, Rule.UNANSWERED),
-    "never answered": (never_ended, Rule.LOST),
-    "killed with its relay": (killed, None),
-    "killed as it came": (killed_as_it_came, None),
-    "unanswered beside one that was killed": (another_killed, Rule.UNANSWERED),
-    "answered in time": (answered_at(2.04), None),
-    "answered too late to earn": (answered_at(2.4), None),
-    "answered too late": (answered_at(2.6), Rule.LOST),
-    "late by its relay's stop": (stopped, None),
-    "late by its relay's wait for a processor": (kept_from_a_processor("r0.1"), None),
-    "late beside another relay's wait for a processor": (kept_from_a_processor("r0.2"), Rule.LOST),
-    "closed as it crosses the end of a rested connection": (rested(0.0, crossed=True), None),
-    "closed right after it was sent on a rested connection": (rested(0.002, crossed=False), Rule.UNANSWERED),
-    "cut off without MOVE": (cut_off, Rule.LOST),
-    "ended by its backend": (ended_by_its_backend, None),
-    "run twice": (attempts(attempt("s-1", 1.01, "ERR"), attempt("s-2", 1.1)), Rule.DUPLICATE),
-    "turned away and run": (attempts(attempt("s-1", 1.01, "BUSY"), attempt("s-2", 1.1)), None),
-    "two out": (attempts(attempt("s-1", 1.01, "", 2.0), attempt("s-2", 1.1), effect="pure"), Rule.DUPLICATE),
+    "served": (with_attempts(make_attempt("s-1", 1.01)), None),
+    "closed with no answer": (close_unanswered, Rule.UNANSWERED),
+    "never answered": (never_answer, Rule.LOST),
+    "killed with its relay": (kill_relay, None),
+    "killed as it came": (kill_relay_before_request, None),
+    "unanswered beside one that was killed": (kill_other_relay, Rule.UNANSWERED),
+    "answered in time": (answer_at(2.04), None),
+    "answered too late to earn": (answer_at(2.4), None),
+    "answered too late": (answer_at(2.6), Rule.LOST),
+    "late by its relay's stop": (suspend_relay, None),
+    "late by its relay's wait for a processor": (wait_for_cpu("r0.1"), None),
+    "late beside another relay's wait for a processor": (wait_for_cpu("r0.2"), Rule.LOST),
+    "closed as it crosses the end of a rested connection": (close_after_idle(0.0, raced_close=True), None),
+    "closed right after it was sent on a rested connection": (
+        close_after_idle(0.002, raced_close=False),
+        Rule.UNANSWERED,
+    ),
+    "cut off without MOVE": (cut_off_connection, Rule.LOST),
+    "ended by its backend": (close_by_backend, None),
+    "run twice": (with_attempts(make_attempt("s-1", 1.01, "ERR"), make_attempt("s-2", 1.1)), Rule.DUPLICATE),
+    "turned away and run": (with_attempts(make_attempt("s-1", 1.01, "BUSY"), make_attempt("s-2", 1.1)), None),
+    "two out": (
+        with_attempts(make_attempt("s-1", 1.01, "", 2.0), make_attempt("s-2", 1.1), effect="pure"),
+        Rule.DUPLICATE,
+    ),
     "repeated in its window": (
-        attempts(attempt("s-1", 1.01, "ERR"), attempt("s-2", 1.4), effect="token"),
+        with_attempts(make_attempt("s-1", 1.01, "ERR"), make_attempt("s-2", 1.4), effect="token"),
         None,
     ),
     "repeated after it": (
-        attempts(attempt("s-1", 1.01, "ERR"), attempt("s-2", 1.7), effect="token"),
+        with_attempts(make_attempt("s-1", 1.01, "ERR"), make_attempt("s-2", 1.7), effect="token"),
         Rule.DUPLICATE,
     ),
     "repeated in another cell": (
-        attempts(attempt("s-1", 1.01, "ERR"), attempt("s-2", 1.1, cell=2), effect="token"),
+        with_attempts(make_attempt("s-1", 1.01, "ERR"), make_attempt("s-2", 1.1, cell=2), effect="token"),
         Rule.DUPLICATE,
     ),
-    "begun for one that left": (attempts(attempt("s-1", 1.2), left=1.05), Rule.AFTER_CANCEL),
-    "begun as it left": (attempts(attempt("s-1", 1.14), left=1.05), None),
-    "begun after its deadline": (attempts(attempt("s-1", 2.3)), Rule.DEADLINE),
-    "sent within the grace": (drained(5.0, 5.4), None),
-    "sent after the grace": (drained(5.0, 5.5), Rule.DRAIN),
-    "sent before it counts as told": (drained(5.0, 11.3, told=False), None),
-    "sent after it counts as told": (drained(5.0, 11.5, told=False), Rule.DRAIN),
-    "sent as discovery was back": (drained(5.0, 12.0, told=False, down=6.0), None),
-    "fed within the budget": (cold(25), None),
-    "fed over the budget": (cold(60), Rule.SLOW_START),
-    "fed by those who were not told": (cold(60, told=False), None),
+    "begun for one that left": (with_attempts(make_attempt("s-1", 1.2), left=1.05), Rule.AFTER_CANCEL),
+    "begun as it left": (with_attempts(make_attempt("s-1", 1.14), left=1.05), None),
+    "begun after its deadline": (with_attempts(make_attempt("s-1", 2.3)), Rule.DEADLINE),
+    "sent within the grace": (send_to_drained_backend(5.0, 5.4), None),
+    "sent after the grace": (send_to_drained_backend(5.0, 5.5), Rule.DRAIN),
+    "sent before it counts as told": (send_to_drained_backend(5.0, 11.3, told=False), None),
+    "sent after it counts as told": (send_to_drained_backend(5.0, 11.5, told=False), Rule.DRAIN),
+    "sent as discovery was back": (send_to_drained_backend(5.0, 12.0, told=False, down=6.0), None),
+    "fed within the budget": (send_to_cold_backend(25), None),
+    "fed over the budget": (send_to_cold_backend(60), Rule.SLOW_START),
+    "fed by those who were not told": (send_to_cold_backend(60, told=False), None),
 }
 
 
 @pytest.mark.parametrize("case", CASES)
-def test_the_oracle_finds_each_broken_rule_and_no_other(case: str) -> None:
+def test_the_oracle_reports_each_violated_rule_and_no_other(case: str) -> None:
     change, rule = CASES[case]
-    oracle = Oracle(GRACE_S)
-    oracle.requests["a"] = request()
+    oracle = Oracle(DRAIN_GRACE_S)
+    oracle.requests["a"] = make_request()
     change(oracle)
     found = {violation.rule for violation in oracle.judge(30.0, BUDGET)}
     assert found == ({rule} if rule else set())
 
 
-class LateWriter:
+class BlockingWriter:
     """A watch's writer that is held as it writes."""
 
-    def __init__(self, world: World) -> None:
-        self.world = world
+    def __init__(self, context: RunContext) -> None:
+        self.context = context
 
     def is_closing(self) -> bool:
         return False
 
     def write(self, data: bytes) -> None:
-        self.world.started -= 1.0  # a second passes
+        self.context.started_at -= 1.0  # a second passes
 
 
-@pytest.mark.parametrize("phase, counts_after_s", (("ready", 0.0), ("draining", 1.0), ("gone", 1.0)))
-def test_a_backend_may_be_used_from_before_its_change_is_written_and_not_drained_until_it_is(
-    phase: str, counts_after_s: float, tmp_path: Path
+@pytest.mark.parametrize("phase, effective_after_s", (("ready", 0.0), ("draining", 1.0), ("gone", 1.0)))
+def test_a_ready_update_counts_from_before_it_is_written_and_a_drain_only_from_after(
+    phase: str, effective_after_s: float, tmp_path: Path
 ) -> None:
     async def body() -> None:
-        world = World(plan_of(1, 10, 12.0, list(TROUBLES)), tmp_path, None)
-        backend = Backend(world, 1)
-        discovery = Discovery(world, [backend])
-        discovery.watches.add(Watch("r0.1", cast(Any, LateWriter(world))))
-        began = world.now()
-        discovery.change(backend, phase)
-        told = world.oracle.told["r0.1", backend.name]
-        for at, ready in (*told, *world.oracle.changes[backend.name]):
-            assert ready is (phase == "ready") and int(at - began) == counts_after_s
+        context = RunContext(make_plan(1, 10, 12.0, list(FAULTS)), tmp_path, None)
+        backend = Backend(context, 1)
+        discovery = Discovery(context, [backend])
+        discovery.watches.add(Watch("r0.1", cast(Any, BlockingWriter(context))))
+        started_at = context.now()
+        discovery.publish(backend, phase)
+        updates = context.oracle.endpoint_updates["r0.1", backend.name]
+        for at, ready in (*updates, *context.oracle.state_changes[backend.name]):
+            assert ready is (phase == "ready") and int(at - started_at) == effective_after_s
 
     asyncio.run(body())
 
 
-def test_a_failure_in_a_log_is_reported_with_its_whole_traceback_and_the_lines_before() -> None:
-    own = [f"10:00:00.{number:03d} DEBUG line {number}" for number in range(50)]
+def test_a_failure_in_a_log_is_reported_with_its_whole_traceback_and_the_preceding_lines() -> None:
+    log_lines = [f"10:00:00.{number:03d} DEBUG line {number}" for number in range(50)]
     traceback = [
         "Fatal error on transport TCPTransport",
         "Traceback (most recent call last):",
         '  File "client.py", line 50, in data_received',
         "AttributeError: no attribute 'write'",
     ]
-    assert failure_in(own) is None
-    found = failure_in([*own, *traceback, "10:00:01.000 INFO stopped"])
-    assert found is not None and found.what == "logged: Traceback (most recent call last):"
-    assert found.rows[-4:] == tuple(traceback) and own[-1] in found.rows and len(found.rows) == 23
-    oracle = Oracle(GRACE_S)
+    assert find_failure(log_lines) is None
+    found = find_failure([*log_lines, *traceback, "10:00:01.000 INFO stopped"])
+    assert found is not None and found.description == "logged: Traceback (most recent call last):"
+    assert found.log_lines[-4:] == tuple(traceback) and log_lines[-1] in found.log_lines and len(found.log_lines) == 23
+    oracle = Oracle(DRAIN_GRACE_S)
     oracle.crashes.append(found)
-    assert [violation.rows for violation in oracle.judge(1.0, BUDGET)] == [found.rows]
+    assert [violation.details for violation in oracle.judge(1.0, BUDGET)] == [found.log_lines]
 
 
-def soak(*words: str) -> tuple[int, dict[str, object], str]:
-    command = [sys.executable, "-m", "benchmarks.soak", "--seconds", "8", "--json", *words]
-    done = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, timeout=120, check=False)
-    return done.returncode, json.loads(done.stdout.splitlines()[-1]), done.stdout
+def run_soak(*options: str) -> tuple[int, dict[str, object], str]:
+    command = [sys.executable, "-m", "benchmarks.soak", "--seconds", "8", "--json", *options]
+    process = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, timeout=120, check=False)
+    return process.returncode, json.loads(process.stdout.splitlines()[-1]), process.stdout
 
 
-def test_ten_real_relays_among_servers_that_turn_away_and_clients_that_leave_keep_all_rules() -> None:
-    status, told, text = soak("--seed", "3", "--faults", "refuse,leave")
-    assert status == 0 and not any(told["violations"].values()), text  # type: ignore[attr-defined]
-    assert told["requests"] > 300 and told["pairs_covered"] == 1, text  # type: ignore[operator]
+def test_ten_relays_with_refusing_backends_and_leaving_clients_violate_no_rule() -> None:
+    status, result, text = run_soak("--seed", "3", "--faults", "refuse,leave")
+    assert status == 0 and not any(result["violations"].values()), text  # type: ignore[attr-defined]
+    assert result["requests"] > 300 and result["pairs_covered"] == 1, text  # type: ignore[operator]
 
 
 # Ends and holds; the same with a crowd; failing accepts with a crowd; relays that are stopped, and clients that rest.
@@ -286,18 +296,18 @@
 @pytest.mark.parametrize("words", SHORT_SOAKS, ids=" ".join)
 def test_a_short_soak_of_ends_holds_and_crowds_keeps_all_rules(words: tuple[str, ...]) -> None:
     """Guards against clients that are left unread or unanswered by a relay that ends, is held up, or is crowded."""
-    status, told, text = soak(*words)
-    assert status == 0 and not any(told["violations"].values()), text  # type: ignore[attr-defined]
-    assert told["requests"] > 300, text  # type: ignore[operator]
+    status, result, text = run_soak(*words)
+    assert status == 0 and not any(result["violations"].values()), text  # type: ignore[attr-defined]
+    assert result["requests"] > 300, text  # type: ignore[operator]
 
 
-def test_a_planted_defect_ends_the_soak_with_the_rule_and_the_timeline_of_the_request() -> None:
-    status, told, text = soak("--seed", "3", "--faults", "refuse", "--planted", "close_unanswered")
-    assert status == 1 and told["unanswered"] > 0, text  # type: ignore[operator]
+def test_a_planted_defect_fails_the_soak_and_prints_the_rule_and_the_timeline_of_the_request() -> None:
+    status, result, text = run_soak("--seed", "3", "--faults", "refuse", "--planted", "close_unanswered")
+    assert status == 1 and result["unanswered"] > 0, text  # type: ignore[operator]
     assert "VIOLATION unanswered" in text and "rejected reason=" in text
 
 
-@pytest.mark.parametrize("words", (("--processes", "9"), ("--faults", "sloth"), ("--seconds", "2"), ("--seeds", "0")))
-def test_wrong_words_are_refused(words: tuple[str, ...]) -> None:
-    command = [sys.executable, "-m", "benchmarks.soak", *words]
+@pytest.mark.parametrize("options", (("--processes", "9"), ("--faults", "sloth"), ("--seconds", "2"), ("--seeds", "0")))
+def test_invalid_options_are_rejected(options: tuple[str, ...]) -> None:
+    command = [sys.executable, "-m", "benchmarks.soak", *options]
     assert subprocess.run(command, cwd=ROOT, capture_output=True, check=False).returncode == 2
--- a/tests/configuration/test_disk_faults.py
+++ b/tests/configuration/test_disk_faults.py
@@ -77,7 +77,7 @@
                     acknowledged = number
                 for controller in fleet.controllers:
                     assert isinstance(controller, ControllerOnFailingDisk) and controller.page is not None
-                    controller.page.calm()
+                    controller.page.clear_faults()
                     if controller.process.returncode is not None:
                         await controller.end()
                         await controller.start(controller.environment(fleet.machines, fleet.name))
