--- a/benchmarks/soak/__init__.py
+++ b/benchmarks/soak/__init__.py
@@ -1,4 +1,6 @@
-"""A randomized fault soak: real relays on loopback among stand-ins that misbehave, judged from outside by what passed.
+"""Randomized fault-injection soak test: real relays on loopback, with simulated clients, backends and discovery.
 
-`python -m benchmarks.soak --help`; the operators' page is docs/soak.md.
+The peers and the system misbehave by a seeded plan; an oracle judges each request from the traffic alone.
+
+Run `python -m benchmarks.soak --help` for the options; docs/soak.md is the operators' page.
 """
--- a/benchmarks/soak/__main__.py
+++ b/benchmarks/soak/__main__.py
@@ -1,4 +1,4 @@
-"""The command line of the soak: seeds one after another, a table, and with --json one object on the last line."""
+"""Command line of the soak: runs seeds in sequence, prints a report of each, and with --json a final JSON object."""
 
 from __future__ import annotations
 
@@ -22,21 +22,30 @@
 
 
 def parse_arguments() -> argparse.Namespace:
-    parser = argparse.ArgumentParser(prog="python -m benchmarks.soak", description="a randomized fault soak")
-    parser.add_argument("--seed", type=int, default=1, help="the first seed; the same plays the same schedule again")
-    parser.add_argument("--seeds", type=int, default=1, help="how many, one after another")
-    parser.add_argument("--processes", type=int, default=MIN_RELAYS, help="relays, 10 to 40")
-    parser.add_argument("--seconds", type=float, default=12.0, help="of each seed, at least 8")
-    parser.add_argument("--faults", default="", help=f"words out of: {', '.join(FAULTS)}")
-    parser.add_argument("--planted", default="", choices=("", *DEFECTS), help="a defect that has to be found")
-    parser.add_argument("--logs", type=Path, default=None, help="a folder that keeps the relays' logs")
-    parser.add_argument("--json", action="store_true", help="the last line is one JSON object")
+    parser = argparse.ArgumentParser(
+        prog="python -m benchmarks.soak", description="randomized fault-injection soak test"
+    )
+    parser.add_argument("--seed", type=int, default=1, help="first seed; a seed always gives the same plan")
+    parser.add_argument("--seeds", type=int, default=1, help="number of consecutive seeds to run")
+    parser.add_argument("--processes", type=int, default=MIN_RELAYS, help="number of relay processes, 10 to 40")
+    parser.add_argument("--seconds", type=float, default=12.0, help="duration of each seed, at least 8")
+    parser.add_argument(
+        "--faults", default="", help=f"comma-separated kinds of faults (default: all): {', '.join(FAULTS)}"
+    )
+    parser.add_argument(
+        "--planted",
+        default="",
+        choices=("", *DEFECTS),
+        help="defect to plant in the relays, which the oracle must detect",
+    )
+    parser.add_argument("--logs", type=Path, default=None, help="directory in which the relays' logs are kept")
+    parser.add_argument("--json", action="store_true", help="print the results as one JSON object on the last line")
     options = parser.parse_args()
     if not MIN_RELAYS <= options.processes <= MAX_RELAYS or options.seconds < 8.0 or options.seeds < 1:
         parser.error(f"--processes {MIN_RELAYS} to {MAX_RELAYS}, --seconds at least 8, --seeds at least 1")
     unknown = sorted(set(split_kinds(options.faults)) - FAULTS.keys())
     if unknown:
-        parser.error(f"no such faults: {', '.join(unknown)}")
+        parser.error(f"unknown kinds of faults: {', '.join(unknown)}")
     return options
 
 
@@ -62,7 +71,7 @@
         kinds = split_kinds(options.faults) or list(FAULTS)
         if shim_library is None:
             kinds = [kind for kind in kinds if kind not in NEEDS_SHIM]
-            print(f"no C compiler: without {', '.join(sorted(NEEDS_SHIM))}")
+            print(f"no C compiler found: leaving out the faults {', '.join(sorted(NEEDS_SHIM))}")
         for seed in range(options.seed, options.seed + options.seeds):
             report = run_seed(seed, options, kinds, shim_library, options.logs or folder)
             print("\n".join(report.lines()), flush=True)
@@ -73,7 +82,7 @@
             any_violation = any_violation or bool(report.violations)
     possible_pairs = len(fault_pairs(kinds))
     found = ", ".join(f"{rule} {count}" for rule, count in totals.items() if count) or "none"
-    coverage = f"{len(pairs)} of {possible_pairs} pairs of troubles overlapped"
+    coverage = f"{len(pairs)} of {possible_pairs} pairs of faults overlapped"
     print(f"{options.seeds} seeds, {requests} requests, {coverage}; violations: {found}")
     result = {
         "seeds": options.seeds,
--- a/benchmarks/soak/backends.py
+++ b/benchmarks/soak/backends.py
@@ -1,4 +1,4 @@
-"""Backends, and the wires on which relays reach them: a proxy with faults before each backend."""
+"""Backends, and a proxy in front of each that injects faults into its connections from relays."""
 
 from __future__ import annotations
 
@@ -15,15 +15,22 @@
 from benchmarks.soak.run_context import LINE_END, RunContext
 
 MAX_HEAD_BYTES = 8192
-CONNECTION_S = (0.05, 0.6)  # for how long a connection that is up is served
-LONG_SHARE, LONG_CONNECTION_S = (
-    0.05,
-    (2.0, 9.0),
-)  # the share that is served for longer, so that it stands when a relay ends
+CONNECTION_S = (0.05, 0.6)  # lifetime of an established connection
+# Fraction of the connections that last longer, so that they are open when a relay shuts down, and their lifetime.
+LONG_SHARE, LONG_CONNECTION_S = 0.05, (2.0, 9.0)
 
 
 class Backend:
-    """One server: its behaviour, its address before the wire and behind it, and what discovery tells of it."""
+    """One backend: its server, the proxy in front of it, their present faults, and its state in discovery.
+
+    Attributes:
+        address: the proxy's address, which discovery publishes.
+        server_address: the server's own address.
+        behaviour: the kind of fault of the server: "refuse", "break" or "hang"; empty for none.
+        link_fault: the fault of the proxy: "cut", "late", "reset", "reset late" or "pieces"; empty for none.
+        full_listener: a listening socket whose accept queue is full; in place of the proxy.
+        queue_fillers: the connections that fill the queue.
+    """
 
     def __init__(self, context: RunContext, number: int) -> None:
         self.context, self.number, self.name = context, number, f"s-{number}"
@@ -34,15 +41,16 @@
         )
         self.random = Random(f"backend {context.plan.seed} {number}")
         self.phase, self.start_ms = "ready", 0.0
-        self.behaviour = ""  # the word of a trouble
-        self.link_fault = ""  # "cut", "late", "reset", "reset late", "pieces"
+        self.behaviour = ""
+        self.link_fault = ""
         self.server: asyncio.AbstractServer | None = None
         self.proxy: asyncio.AbstractServer | None = None
-        self.full_listener: socket.socket | None = None  # a listening socket whose queue is full
+        self.full_listener: socket.socket | None = None
         self.queue_fillers: list[socket.socket] = []
         self.connections: set[ProxyConnection] = set()
 
     async def listen(self) -> None:
+        """Start the server and the proxy if they do not listen yet."""
         loop = asyncio.get_running_loop()
         if self.server is None:
             self.server = await loop.create_server(lambda: ServerConnection(self), *self.server_address)
@@ -50,13 +58,13 @@
             self.proxy = await loop.create_server(lambda: ProxyConnection(self), *self.address, backlog=512)
 
     async def restart(self) -> None:
-        """A new process listens, under a new start."""
+        """Listen again as a new process with a new start time."""
         self.start_ms = time.time() * 1000.0
         await self.listen()
         self.context.oracle.backend_starts.setdefault(self.name, []).append(self.context.now())
 
     def crash(self) -> None:
-        """The process ends: what it held is reset, and nobody listens."""
+        """Stop listening and reset all connections."""
         for server in (self.server, self.proxy):
             if server is not None:
                 server.close()
@@ -65,7 +73,7 @@
             connection.reset()
 
     def fill_accept_queue(self) -> None:
-        """New connections come up late: the queue of those to be accepted is full, and nobody accepts."""
+        """Delay new connections: the accept queue is full, and none is accepted."""
         if self.proxy is None:
             return
         self.proxy.close()
@@ -88,7 +96,7 @@
             self.queue_fillers.append(filler)
 
     async def release_accept_queue(self) -> None:
-        """They are accepted again: those that wait come up now or with their next try."""
+        """Accept connections again; waiting ones are established now or at the next retransmission of their SYN."""
         listener, self.full_listener = self.full_listener, None
         for filler in self.queue_fillers:
             filler.close()
@@ -97,6 +105,7 @@
             self.proxy = await asyncio.get_running_loop().create_server(lambda: ProxyConnection(self), sock=listener)
 
     def endpoint_entry(self, offset_ms: float = 0.0) -> dict[str, Any]:
+        """Return the backend's entry in the endpoint list. offset_ms: is added to the start time."""
         return {
             "id": self.name,
             "host_port": "{}:{}".format(*self.address),
@@ -110,7 +119,16 @@
 
 
 class ProxyConnection(asyncio.Protocol):
-    """The relay's end of the wire: what comes from the relay is seen here first."""
+    """The proxy's connection from a relay, which records the request's attempt and applies link faults.
+
+    Attributes:
+        upstream: the proxy's connection to the server; None until it is established.
+        head: data received before the request's line is complete.
+        pending: data for `upstream` while that is not established.
+        silent: nothing is forwarded any more, in either direction.
+        next_to_relay_at: the loop time at which the last delayed data is forwarded to the relay.
+        next_to_backend_at: the same time for data to the backend.
+    """
 
     def __init__(self, backend: Backend) -> None:
         self.backend, self.context = backend, backend.context
@@ -119,9 +137,9 @@
         self.head = b""
         self.first_at = 0.0
         self.attempt: Attempt | None = None
-        self.pending = b""  # for the inner connection
+        self.pending = b""
         self.silent = False
-        self.next_to_relay_at = self.next_to_backend_at = 0.0  # when the last piece that is late goes on, each way
+        self.next_to_relay_at = self.next_to_backend_at = 0.0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
@@ -164,7 +182,7 @@
             self.send_to_backend(data)
 
     def _parse_request(self, arrived: float) -> None:
-        """Whether a request has come whole."""
+        """Record an attempt once the line of a request is complete."""
         while LINE_END in self.head and self.attempt is None:
             line, _, self.head = self.head.partition(LINE_END)
             words = line.split(b" ")
@@ -174,13 +192,14 @@
                 self.context.oracle.attempts.setdefault(name, []).append(self.attempt)
 
     def send_to_backend(self, data: bytes) -> None:
+        """Forward data to the server, or queue it until the connection is established."""
         if self.upstream is not None:
             self.upstream.write(data)
         else:
             self.pending += data
 
     def send_to_relay(self, data: bytes) -> None:
-        """From the backend to the relay."""
+        """Forward data from the server to the relay, subject to the link fault."""
         link_fault, loop = self.backend.link_fault, asyncio.get_running_loop()
         if self.silent or link_fault == "cut":
             self.silent = True
@@ -195,7 +214,7 @@
             self.write(data)
 
     def _write_at(self, at: float, data: bytes) -> None:
-        """In the order in which it came, however late."""
+        """Write at a loop time, but after all data that was delayed before."""
         self.next_to_relay_at = max(at, self.next_to_relay_at + 1e-6)
         asyncio.get_running_loop().call_at(self.next_to_relay_at, self.write, data)
 
@@ -204,7 +223,7 @@
             self.transport.write(data)
 
     def backend_closed(self) -> None:
-        """The backend has ended its side."""
+        """The server has closed its side: close the relay's, later if the link has a fault."""
         if self.attempt is not None:
             self.attempt.backend_closed_at = min(self.attempt.backend_closed_at, self.context.now())
         if self.transport is not None and not self.transport.is_closing() and not self.silent:
@@ -244,7 +263,7 @@
 
 
 class UpstreamConnection(asyncio.Protocol):
-    """The wire's connection to the backend."""
+    """The proxy's connection to the server. downstream: its connection from the relay."""
 
     def __init__(self, connection: ProxyConnection) -> None:
         self.downstream = connection
@@ -261,7 +280,7 @@
             self.transport.write(data)
 
     def close(self) -> None:
-        """The relay has ended its side."""
+        """The relay has closed its side."""
         self.closed = True
         if self.transport is not None and not self.transport.is_closing():
             self.transport.close()
@@ -275,7 +294,12 @@
 
 
 class ServerConnection(asyncio.Protocol):
-    """The backend itself: one connection that it serves, or does not."""
+    """The server's side of one connection.
+
+    Attributes:
+        established: the request was accepted; further lines are echoed.
+        decided: the outcome of the request has been drawn.
+    """
 
     def __init__(self, backend: Backend) -> None:
         self.backend, self.random = backend, backend.random
@@ -318,7 +342,7 @@
             self.transport.abort()
 
     def _decide(self, name: str) -> None:
-        """What becomes of a request. What it does to the request is noted, whatever the wire lets through."""
+        """Draw the outcome of a request; it is recorded even if the link does not deliver the answer."""
         later, draw = asyncio.get_running_loop().call_later, self.random.random()
         choice = self.backend.behaviour if draw < 0.7 else ""
         if self.backend.phase != "ready" and self.random.random() < 0.8:
@@ -334,7 +358,7 @@
             later(self.random.uniform(0.001, 0.015), self._accept, name)
 
     def _record_answer(self, name: str, answer: str) -> None:
-        """In the books of the attempt that this connection is."""
+        """Record the answer on this backend's latest attempt of the request that has none."""
         for attempt in reversed(self.backend.context.oracle.attempts.get(name, [])):
             if attempt.backend == self.backend.name and not attempt.reply:
                 attempt.reply = answer
@@ -347,6 +371,7 @@
         self.close()
 
     def _misbehave(self, name: str) -> None:
+        """Reset the connection, or answer in violation of the protocol."""
         later, choice = asyncio.get_running_loop().call_later, self.random.randrange(6)
         self._record_answer(name, ("reset", "half", "twice", "endless", "nonsense", "late reset")[choice])
         if choice == 0:
--- a/benchmarks/soak/clients.py
+++ b/benchmarks/soak/clients.py
@@ -1,4 +1,4 @@
-"""Clients, and the front that deals their connections out among the relays that serve."""
+"""Clients, and the front that distributes their connections over the serving relays."""
 
 from __future__ import annotations
 
@@ -13,22 +13,20 @@
 from benchmarks.soak.relays import Relay
 from benchmarks.soak.run_context import RunContext
 
-FRONT_DELAY_S = 0.3  # for so long after SIGTERM connections go on coming
-CLASS_WEIGHTS = (3, 1, 1)  # most requests are of the class that may run once
-LEAVE_SHARE, MALFORMED_SHARE = 0.06, 0.03  # at all times
-IDLE_SHARE, IDLE_SHARE_AT_SHUTDOWN = (
-    0.1,
-    0.5,
-)  # of the connections rest before they ask; of those that come to a relay that ends
+FRONT_DELAY_S = 0.3  # the front still sends connections to a relay for this time after SIGTERM
+CLASS_WEIGHTS = (3, 1, 1)  # most requests are of the class that may run only once
+LEAVE_SHARE, MALFORMED_SHARE = 0.06, 0.03  # of the clients, while no fault raises it
+# Fractions of the connections that are idle before their request: of all, and of those to a relay that shuts down.
+IDLE_SHARE, IDLE_SHARE_AT_SHUTDOWN = 0.1, 0.5
 IDLE_POLL_S, SHUTDOWN_POLL_S = 0.05, 0.01
-MAX_IDLE_S = 2.3  # beyond the time that a relay leaves them
-FINAL_ANSWERS_SPREAD_S = 0.15  # around the moment in which a relay that was told to end answers those who wait
-NARROW_SPREAD_FACTOR = 20.0  # half of these come that many times closer to it
-GIVE_UP_AFTER_S = 6.0  # over its time, until a client that was not answered gives up
+MAX_IDLE_S = 2.3  # longer than a relay keeps an idle connection open
+FINAL_ANSWERS_SPREAD_S = 0.15  # either way of the time of a relay's final answers after SIGTERM
+NARROW_SPREAD_FACTOR = 20.0  # for half of these clients the spread is smaller by this factor
+GIVE_UP_AFTER_S = 6.0  # after its deadline, a client without an answer disconnects
 CONNECT_TIMEOUT_S = 3.0
-LINE_INTERVAL_S = 0.15  # between two lines of a client whose connection stands
-SECOND_ANSWER_WAIT_S = 0.3  # for so long after its answer a client would hear another
-IDLE_AFTER_S = 0.02  # a connection that has stood for longer without a line has rested, however late we are ourselves
+LINE_INTERVAL_S = 0.15  # between two lines of a client on an established connection
+SECOND_ANSWER_WAIT_S = 0.3  # how long a client waits for an illegal second answer
+IDLE_AFTER_S = 0.02  # a connection without data counts as idle from this age on, also if this process is late
 MALFORMED_INPUTS = (
     b"\x00" * 200,
     b"GET / HTTP/1.1\r\nHost: x\r\n\r\n",
@@ -42,19 +40,23 @@
 
 
 class Exchange:
-    """One request on its connection: what its client has asked and heard."""
+    """One request on its connection, and the answers to it.
+
+    Attributes:
+        early_lines: the number of lines that arrived before the request was sent.
+    """
 
     def __init__(self, now: Callable[[], float], request: Request) -> None:
         self.now, self.request = now, request
         self.connection = Connection(now, self._on_line)
-        self.early_lines = 0  # lines that came before the request was sent
+        self.early_lines = 0
 
     def send(self, last: bytes) -> None:
-        """Sends the last part of the first line, and looks at once whether the relay had ended a rested connection.
+        """Send the last part of the request's line, and record whether the relay had already closed an idle connection.
 
-        On loopback the line is in the relay's socket when the call returns. So an end that is not there by then comes
-        from a relay that could have read the line, whatever time passes until it is seen. How long the connection had
-        rested, until the line or until the end before it, the kernel tells.
+        On loopback the line is in the relay's socket buffer when the call returns. If the relay's close has not arrived
+        by then, the relay could have read the line before it closed, even if the close is noticed late. The kernel's
+        timestamps show how long the connection was idle until the line, or until an earlier close.
         """
         request, connection = self.request, self.connection
         peer_closed_at = connection.peer_closed_at()
@@ -82,7 +84,14 @@
 
 
 class Clients:
-    """leaving: the share of clients that leave early; rude: of those that make no sense."""
+    """All clients of a run.
+
+    Attributes:
+        leave_share: the fraction of the clients that disconnect early.
+        malformed_share: the fraction that sends malformed input.
+        split_share: the fraction, added to a fixed one, that sends its line in two parts.
+        requests_sent: the number of requests whose connection was established.
+    """
 
     def __init__(self, context: RunContext, relays: list[Relay]) -> None:
         self.context, self.relays = context, relays
@@ -94,7 +103,7 @@
         self.stopped = False
 
     async def run(self) -> None:
-        """Asks at a steady mean rate, by chance."""
+        """Send requests to random serving relays, as a Poisson process of constant rate."""
         rate = self.context.plan.requests_per_relay_s * len(self.relays)
         while not self.stopped:
             await asyncio.sleep(self.random.expovariate(rate))
@@ -154,9 +163,10 @@
             connection.close()
 
     async def _stay_idle(self, relay: Relay, exchange: Exchange) -> bool:
-        """The connection rests; half of them, and all that come to a relay that ends, until it ends them.
+        """Leave the connection idle, and return False if the relay has closed it in the meantime.
 
-        Returns False where the relay has ended it meanwhile.
+        Half of the clients, and all that connect to a relay that shuts down, wait for the time of its final answers if
+        the relay shuts down.
         """
         instance, connection = relay.instance, exchange.connection
         if self.idle_random.random() < 0.5:
@@ -173,7 +183,7 @@
         return not connection.peer_closed
 
     async def _stay_idle_until_shutdown(self, relay: Relay, connection: Connection) -> None:
-        """Rests until about the moment in which the relay answers those who wait, or is held before that."""
+        """Stay idle until about the time of the relay's final answers, or until an earlier suspension of it."""
         offset_s = self.idle_random.uniform(-FINAL_ANSWERS_SPREAD_S, FINAL_ANSWERS_SPREAD_S) / self.idle_random.choice(
             (1.0, NARROW_SPREAD_FACTOR)
         )
@@ -181,7 +191,7 @@
         sends_at = relay.sigterm_at + relay.final_answers_s + offset_s
         while not connection.peer_closed and (left_s := sends_at - self.context.now()) > 0.0:
             if sends_when_suspended and relay.suspended_at is not None:
-                return  # the line lies in its socket when it goes on
+                return  # the line is in its socket buffer when it is resumed
             await connection.wait(min(left_s, SHUTDOWN_POLL_S))
 
     async def _send_first_line(self, exchange: Exchange, line: bytes) -> None:
@@ -203,7 +213,7 @@
         last_line_at = request.sent_at
         while not connection.peer_closed and not request.moved:
             await connection.wait(min(until - self.context.now(), LINE_INTERVAL_S))
-            connection.read()  # what is there by now, however late this process is
+            connection.read()  # data that has arrived by now, also if this process is late
             now = self.context.now()
             if request.answers and request.answers[0][1] != "UP":
                 until = min(until, request.answers[-1][0] + SECOND_ANSWER_WAIT_S)
--- a/benchmarks/soak/connection.py
+++ b/benchmarks/soak/connection.py
@@ -1,5 +1,8 @@
-"""A client's connection on a plain socket: what it sends is in the relay's socket when the call returns, and what
-arrives has the kernel's time, so that neither depends on how late this process is."""
+"""A client connection on a plain non-blocking socket, whose timestamps do not depend on delays of this process.
+
+On loopback, data is in the relay's socket buffer when the system call that sends it returns; the times of sending and
+receiving come from the kernel.
+"""
 
 from __future__ import annotations
 
@@ -19,32 +22,36 @@
 )
 
 READ_BYTES = 1 << 16
-CLOSE_RACE_MS = 1  # between a relay's last look at a socket and its end of it
+CLOSE_RACE_MS = 1  # time between a relay's last check of a socket for data and its close of it
 RESET_EVENTS = select.POLLHUP | select.POLLERR
 CLOSE_EVENTS = select.POLLRDHUP | RESET_EVENTS
-RESET_ON_CLOSE = b"\x01\x00\x00\x00\x00\x00\x00\x00"  # SO_LINGER with no time
+RESET_ON_CLOSE = b"\x01\x00\x00\x00\x00\x00\x00\x00"  # struct linger {1, 0}: close() sends a reset
 
 
 class Connection:
-    """Reports each line with the seconds of `now` at which it arrived, and at last b"" when the end was read.
+    """Client connection that reports each line with its arrival time, and finally b"" when the peer has closed.
 
     Attributes:
-        connected_at: when it came up, by the kernel.
+        now: returns the present time in seconds; all times are on this clock.
+        connected_at: the time at which the connection was established, by the kernel.
+        reported: set when a line or the close was reported.
     """
 
     def __init__(self, now: Callable[[], float], on_line: Callable[[bytes, float], None]) -> None:
         self.now, self.on_line = now, on_line
         self.sock = socket.socket()
         self.sock.setblocking(False)
-        self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)  # what is sent leaves at once
+        self.sock.setsockopt(
+            socket.IPPROTO_TCP, socket.TCP_NODELAY, 1
+        )  # data is sent without waiting for acknowledgements
         enable_receive_timestamps(self.sock)
         self.buffer = b""
         self.peer_closed = self.closed = False
         self.connected_at = 0.0
-        self.reported = asyncio.Event()  # something was reported
+        self.reported = asyncio.Event()
 
     async def open(self, address: tuple[str, int], timeout_s: float) -> bool:
-        """Connects; whether it came up."""
+        """Connect, and return whether the connection was established within the time limit."""
         loop, called_at = asyncio.get_running_loop(), self.now()
         try:
             await asyncio.wait_for(loop.sock_connect(self.sock, address), timeout_s)
@@ -56,14 +63,18 @@
         return True
 
     def address(self) -> str:
-        """Our own, as the relay's log has it; empty where the connection is gone."""
+        """Return the local address in the format of the relay's log; empty if the socket is closed."""
         try:
             return "{}:{}".format(*self.sock.getsockname())
         except OSError:
             return ""
 
     def send(self, data: bytes) -> float:
-        """By one call of the system; returns when it left. Raises ConnectionError where the connection is gone."""
+        """Send the data with one system call, and return the time at which it was sent.
+
+        Raises:
+            ConnectionError: the connection is closed or was reset.
+        """
         if self.closed:
             raise ConnectionResetError
         called_at = self.now()
@@ -71,26 +82,30 @@
         return max(called_at, self._kernel_time(last_sent_age_s))
 
     def peer_has_closed(self, race: bool = False) -> bool:
-        """Whether the peer's end has arrived, read or not. instant: or arrives within INSTANT_MS."""
+        """Return whether the peer's close has arrived, read or not; race: or arrives within CLOSE_RACE_MS."""
         return self.peer_closed or self.closed or bool(self._poll_close_events(CLOSE_RACE_MS if race else 0))
 
     def peer_closed_at(self) -> float:
-        """When the peer's end arrived, by the kernel, where nothing was sent since; inf: it has not, or we have closed.
+        """Return the time at which the peer's close arrived; inf if it has not, or if this side has closed.
 
-        The kernel keeps no time of a reset, which counts as one of this moment.
+        Valid only if nothing was sent after the close. For a reset, whose time the kernel does not keep, the present
+        time is returned.
         """
         if self.closed or not self.peer_has_closed():
             return inf
         return self.now() if self._poll_close_events(0) & RESET_EVENTS else self._kernel_time(close_age_s)
 
     def _poll_close_events(self, within_ms: int) -> int:
-        """The events of ENDS that poll(2) finds."""
+        """Return the events of CLOSE_EVENTS that poll(2) reports."""
         poll = select.poll()
         poll.register(self.sock, CLOSE_EVENTS)
         return sum(events for _, events in poll.poll(within_ms))
 
     def _kernel_time(self, age_s: Callable[[socket.socket], float]) -> float:
-        """The moment of which the kernel tells the age. A reading in which this process was held is repeated."""
+        """Return the present time minus an age that the kernel reports.
+
+        The two clocks are read again if this process was suspended between the readings.
+        """
         while True:
             now = self.now()
             at = now - age_s(self.sock)
@@ -98,7 +113,7 @@
                 return at
 
     def read(self) -> None:
-        """Reads all that has arrived."""
+        """Read and report all data that has arrived."""
         while not self.peer_closed and not self.closed:
             try:
                 data, age_s = read_byte_with_age(self.sock)
@@ -108,7 +123,7 @@
                 data, age_s = b"", 0.0
             at = self.now() - age_s
             if data:
-                with suppress(OSError):  # nothing more, or a reset, which the next read finds
+                with suppress(OSError):  # no more data, or a reset, which the next read reports
                     data += self.sock.recv(READ_BYTES)
             self._report(data, at)
 
@@ -123,18 +138,18 @@
         self.reported.set()
 
     async def wait(self, timeout_s: float) -> None:
-        """Returns once something was reported, or after this time."""
+        """Wait until a line or the close is reported, or until the time limit."""
         self.reported.clear()
         with suppress(TimeoutError):
             await asyncio.wait_for(self.reported.wait(), max(0.0, timeout_s))
 
     def half_close(self) -> None:
-        """Half-closes it."""
+        """Close the sending side only."""
         with suppress(OSError):
             self.sock.shutdown(socket.SHUT_WR)
 
     def close(self, reset: bool = False) -> None:
-        """Closes it; reset: the relay sees no end, but a reset."""
+        """Close the connection; reset: by a TCP reset in place of an orderly close."""
         if self.closed:
             return
         self.closed = True
--- a/benchmarks/soak/discovery.py
+++ b/benchmarks/soak/discovery.py
@@ -1,4 +1,4 @@
-"""Discovery: one service, asked by each relay at an address of its own, so that it is known who was told what."""
+"""The discovery service. Each relay asks it at addresses of its own, which shows what each relay was informed of."""
 
 from __future__ import annotations
 
@@ -11,22 +11,33 @@
 from benchmarks.soak.backends import Backend
 from benchmarks.soak.run_context import RunContext
 
-KEEPALIVE_S = 2.0
+KEEPALIVE_S = 2.0  # between two empty lines on an idle watch
 RESPONSE_HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 
 def chunk(text: str) -> bytes:
+    """Return a line as a chunk of HTTP's chunked encoding."""
     line = text.encode() + b"\n"
     return f"{len(line):x}\r\n".encode() + line + b"\r\n"
 
 
 class Watch:
+    """A relay process's open request for the endpoint list and its changes. silent: nothing more is sent on it."""
+
     def __init__(self, relay: str, writer: asyncio.StreamWriter) -> None:
         self.relay, self.writer, self.silent = relay, writer, False
 
 
 class Discovery:
-    """behaviour: "", "down", "refuse", "slow", "hang"; `hush` makes the watches that are open fall silent."""
+    """Discovery with its endpoint list, watches and faults.
+
+    Attributes:
+        behaviour: the present fault: "down", "refuse", "slow" or "hang"; empty for none.
+        pushed: an agent delivers changes to each relay; a change then counts as known without a watch.
+        relays: address -> the relay process that uses it now.
+        removed: the backends that are not in the list any more.
+        down_since: the start of the present outage, or None.
+    """
 
     def __init__(self, context: RunContext, backends: list[Backend]) -> None:
         self.context, self.backends = context, backends
@@ -34,12 +45,13 @@
         self.pushed = context.plan.settings["discovery"] == "automatic"
         self.watches: set[Watch] = set()
         self.servers: dict[tuple[str, int], asyncio.AbstractServer] = {}
-        self.relays: dict[tuple[str, int], str] = {}  # address -> the process that asks there now
+        self.relays: dict[tuple[str, int], str] = {}
         self.random = Random(f"discovery {context.plan.seed}")
         self.removed: set[str] = set()
         self.down_since: float | None = None
 
     async def open(self, address: tuple[str, int], relay: str) -> None:
+        """Serve a relay process at this address, unless discovery is down."""
         self.relays[address] = relay
         if address not in self.servers and self.behaviour != "down":
             self.servers[address] = await asyncio.start_server(self._connection_handler(address), *address)
@@ -80,11 +92,12 @@
         return json.dumps(update, indent=1 if self.random.random() < 0.3 else None)
 
     def snapshot(self) -> dict[str, Any]:
+        """Return the complete endpoint list as a message."""
         members = [backend.endpoint_entry() for backend in self.backends if backend.name not in self.removed]
         return {"revision": self.version, "complete": True, "members": members}
 
     def publish(self, backend: Backend, phase: str) -> None:
-        """Discovery has it from now on, and tells those whose watches are open."""
+        """Change a backend's phase in the list, and send the change on all open watches."""
         backend.phase = phase
         self.version += 1
         (self.removed.add if phase == "gone" else self.removed.discard)(backend.name)
@@ -102,8 +115,11 @@
                 self._record_update(relay, backend, at)
 
     def _effective_at(self, backend: Backend, began: float) -> float:
-        """When what was written since this time counts: a relay may use a ready backend as soon as it reads of it, and
-        must not know of a drain before it is written, however late this process is."""
+        """Return the time from which an update counts that was written between `began` and now.
+
+        A relay may use a ready backend as soon as it reads of it, which is possible from `began` on. It need not know
+        of a drain before the write has returned, so that delays of this process do not count against it.
+        """
         return began if backend.phase == "ready" else self.context.now()
 
     def _write(self, watch: Watch, data: bytes, backends: list[Backend]) -> None:
@@ -118,18 +134,20 @@
         if backend.start_ms:
             oracle.start_updates.setdefault(pair, []).append(at)
 
-    # --- troubles ---------------------------------------------------------------------------------
+    # --- faults -----------------------------------------------------------------------------------
 
     def silence_watches(self) -> None:
-        """All watches that are open say nothing any more; new ones work."""
+        """Send nothing more on the watches that are open; new ones work."""
         for watch in self.watches:
             watch.silent = True
 
     def break_watches(self) -> None:
+        """Reset all open watches."""
         for watch in list(self.watches):
             watch.writer.transport.abort()
 
     def go_down(self) -> None:
+        """Stop listening, and reset all watches."""
         self.behaviour, self.down_since = "down", self.context.now()
         for server in self.servers.values():
             server.close()
@@ -137,6 +155,7 @@
         self.break_watches()
 
     async def recover(self) -> None:
+        """End any fault; after an outage, record it and the changes that were made during it."""
         if self.down_since is not None:
             down_since = self.down_since
             self.behaviour, self.down_since = "", None
--- a/benchmarks/soak/idle_clients.py
+++ b/benchmarks/soak/idle_clients.py
@@ -1,4 +1,4 @@
-"""A crowd: idle clients that fill a relay's descriptors, and come again when they are sent away."""
+"""Many idle clients that use up a relay's descriptors, and reconnect when the relay closes their connections."""
 
 from __future__ import annotations
 
@@ -9,20 +9,20 @@
 from benchmarks.soak.relays import Relay
 from benchmarks.soak.run_context import RunContext
 
-IDLE_FRACTION = 0.4  # of a relay's descriptors: twice of what idlers may have
-RECONNECT_S = (0.2, 0.8)  # until an idler that was sent away comes again
+IDLE_FRACTION = 0.4  # of a relay's descriptors: twice the part that it grants to idle clients
+RECONNECT_S = (0.2, 0.8)  # delay before a client reconnects
 FIRST_BYTES = (b"", b"", b"OPEN 0000", b"PING\r\n")
 
 
 class IdleClients:
-    """Idle clients at some relays, for a part of the run."""
+    """Idle clients of half of the relays, for a part of the run."""
 
     def __init__(self, context: RunContext, relays: list[Relay]) -> None:
         self.context, self.relays = context, relays
         self.random = Random(f"crowd {context.plan.seed}")
 
     async def run(self) -> None:
-        """Comes in the first third of the run, and stays for half of it."""
+        """Connect within the first third of the run, and stay for half of its duration."""
         seconds = self.context.plan.seconds
         await asyncio.sleep(self.random.uniform(0.1, 0.3) * seconds)
         until = self.context.now() + 0.5 * seconds
@@ -43,6 +43,6 @@
         try:
             writer.write(self.random.choice(FIRST_BYTES))
             until = max(0.0, until - self.context.now())
-            await asyncio.wait_for(reader.read(), until)  # until the relay ends it
+            await asyncio.wait_for(reader.read(), until)  # until the relay closes it
         finally:
             writer.close()
--- a/benchmarks/soak/kernel_timestamps.py
+++ b/benchmarks/soak/kernel_timestamps.py
@@ -1,4 +1,7 @@
-"""When the peer's bytes or end arrived in this machine's kernel, and when ours left, however late this process is."""
+"""Kernel timestamps of sockets: when the peer's data or close arrived and when the last data was sent.
+
+They do not depend on how late this process reads or writes.
+"""
 
 from __future__ import annotations
 
@@ -6,28 +9,34 @@
 import struct
 import time
 
-SO_TIMESTAMPNS = 35  # of asm-generic/socket.h: the kernel notes the wall clock's time of what arrives
+SO_TIMESTAMPNS = 35  # of asm-generic/socket.h: receive timestamps by the wall clock
 TIMESPEC = struct.Struct("@qq")
 ANCILLARY_BYTES = 128
-# Of struct tcp_info in linux/tcp.h: milliseconds since the newest data left, or the connection came up where none has
-# left; since the newest data came; since the newest segment of any kind came.
+# Fields of struct tcp_info in linux/tcp.h, in milliseconds: tcpi_last_data_sent (since the last data was sent, or since
+# the connection was established if none was), tcpi_last_data_recv and tcpi_last_ack_recv (since the last segment of any
+# kind was received).
 LAST_DATA_SENT_OFFSET = 44
 LAST_DATA_RECEIVED_OFFSET, LAST_ACK_RECEIVED_OFFSET = 52, 56
 UINT32 = struct.Struct("@I")
 TCP_INFO_BYTES = LAST_ACK_RECEIVED_OFFSET + UINT32.size
-CLOCK_TICK_S = 0.01  # at the most, of the kernel's clock behind these
+CLOCK_TICK_S = 0.01  # longest tick of the kernel clock (jiffies) from which tcp_info is read
 
 
 def enable_receive_timestamps(sock: socket.socket) -> None:
-    """Lets `read_first_byte` know when a byte arrived.
+    """Enable receive timestamps, which `read_byte_with_age` needs.
 
-    The kernel begins to note times a little after the first socket on the machine asks for it, and ends with the last.
+    The kernel starts to take timestamps shortly after the first socket on the machine enables them, and stops when the
+    last such socket is closed.
     """
     sock.setsockopt(socket.SOL_SOCKET, SO_TIMESTAMPNS, 1)
 
 
 def read_byte_with_age(sock: socket.socket) -> tuple[bytes, float]:
-    """Reads one byte; returns it with its age in seconds. Raises OSError as `recv` does; b"" is the peer's end."""
+    """Return one byte, b"" if the peer has closed, and the seconds since it arrived; 0 if the kernel took no timestamp.
+
+    Raises:
+        OSError: as by `recv`.
+    """
     data, ancillary, _, _ = sock.recvmsg(1, ANCILLARY_BYTES)
     for level, kind, value in ancillary:
         if level == socket.SOL_SOCKET and kind == SO_TIMESTAMPNS:
@@ -37,20 +46,26 @@
 
 
 def data_age_s(sock: socket.socket | None) -> float:
-    """How long ago the newest data arrived, to a tick of the kernel; 0 where that is less than a tick, or not known.
+    """Return the seconds since the last data arrived; 0 if that is unknown or within one tick of the kernel clock.
 
-    So what is read as it arrives keeps the order in which it is read.
+    The 0 preserves the order of reads for data that is read as it arrives.
     """
     return _zero_within_tick(_age_s(sock, LAST_DATA_RECEIVED_OFFSET))
 
 
 def close_age_s(sock: socket.socket | None) -> float:
-    """The same of the peer's end, where nothing was sent since it came."""
+    """Return the seconds since the peer's close arrived; 0 if that is unknown or within one tick of the kernel clock.
+
+    Valid only if nothing was sent after the close: the acknowledgement of sent data resets the time.
+    """
     return _zero_within_tick(_age_s(sock, LAST_ACK_RECEIVED_OFFSET))
 
 
 def last_sent_age_s(sock: socket.socket) -> float:
-    """How long ago our newest data left, or the connection came up where none has left; to a tick of the kernel."""
+    """Return the seconds since data was last sent, or since the connection was established if none was.
+
+    The resolution is one tick of the kernel clock; 0 if the time is unknown.
+    """
     return _age_s(sock, LAST_DATA_SENT_OFFSET)
 
 
--- a/benchmarks/soak/oracle.py
+++ b/benchmarks/soak/oracle.py
@@ -1,9 +1,9 @@
-"""Judges a run by what passed on wires: who sent what, when, on the one monotonic clock of the stand-ins.
+"""The oracle: judges a run by the traffic that clients, backends and discovery saw, on the soak's one monotonic clock.
 
-It sees no relay from inside. What happened to relays' processes (stopped, killed, told to end) it knows, since the soak
-did that, and for how long each waited for a processor the system tells. The slacks are those of the operators' pages.
-How late this process is itself adds to none of them: what arrives has the kernel's time (`arrivals.py`), what is sent
-is noted once the system's call has returned.
+It observes no relay from inside. It knows when the soak suspended, killed or shut down a relay's process, and for how
+long each process waited for a CPU, which the system reports. The tolerances are those of the operators' pages. They
+contain nothing for delays of the soak's own process: received data has the kernel's time (`kernel_timestamps.py`), and
+sent data is recorded once the system call has returned.
 """
 
 from __future__ import annotations
@@ -16,17 +16,17 @@
 
 from benchmarks.soak.kernel_timestamps import CLOCK_TICK_S
 
-TIMEOUT_SLACK_S = 0.05  # each time limit on sockets is longer by this
-MAX_HOLD_S = 0.15  # a relay may be held up for so long between reading its clock and writing
-LOST_AFTER_S = 0.5  # an answer so long after the client's time only earns nothing; later the request is lost
-CANCEL_SLACK_S = 0.1  # an attempt that begins so long after the client has gone is for nobody
-PROPAGATION_S = 6.0  # a change counts as told so long after discovery had it and could be reached
-INFORMED_SHARE = 2 / 3  # of what a cold backend got, from relays that were told of its start
+TIMEOUT_SLACK_S = 0.05  # tolerance on each time limit of a relay's sockets
+MAX_HOLD_S = 0.15  # longest permitted delay of a relay between reading its clock and writing
+LOST_AFTER_S = 0.5  # an answer up to this long after the deadline only earns nothing; later the request is lost
+CANCEL_SLACK_S = 0.1  # an attempt that begins later than this after the client has left is a violation
+PROPAGATION_S = 6.0  # a change counts as known to relays this long after discovery had it and could be reached
+INFORMED_SHARE = 2 / 3  # of the requests of a cold backend, from relays that knew of its start
 
 
 @unique
 class Rule(Enum):
-    """The value is the name in reports."""
+    """A rule that relays must keep; the value is the violation's name in reports."""
 
     LOST = "lost"
     DUPLICATE = "duplicate"
@@ -41,22 +41,43 @@
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One connection of a relay to a backend on which a request came; seconds of the run."""
+    """One connection of a relay to a backend on which a request was received; times are seconds of the run.
+
+    Attributes:
+        first_byte_at: when the first byte of the request's line arrived.
+        received_at: when the last byte of that line arrived.
+        reply: the first word of the backend's answer, or how it misbehaved.
+        relay_closed_at: when the relay closed its side.
+        backend_closed_at: when the backend or the link to it closed the connection.
+    """
 
     request: str
     backend: str
     zone: str
     cell: int
     first_byte_at: float
-    received_at: float = inf  # when the line's last byte had come
-    reply: str = ""  # the backend's first line
-    relay_closed_at: float = inf  # when the relay's side had ended
-    backend_closed_at: float = inf  # when the backend or the wire had ended it
+    received_at: float = inf
+    reply: str = ""
+    relay_closed_at: float = inf
+    backend_closed_at: float = inf
 
 
 @dataclass(slots=True, eq=False)
 class Request:
-    """One client's connection."""
+    """One request on a client's connection of its own; times are seconds of the run.
+
+    Attributes:
+        relay: the relay process that accepted the connection.
+        sent_at: when the last byte of the request's line was sent.
+        left_at: when the client closed the connection or cancelled.
+        ended_at: when the relay closed the connection, or announced it (MOVE, BYE).
+        answers: the first words of the answers with their times.
+        relay_killed: the relay was killed while the request was open.
+        was_idle: the connection was idle, or had only a part of the line, before the last byte was sent.
+        raced_close: it was idle, and the relay's close had already arrived when the last byte was sent.
+        moved: the relay or the backend announced the end (MOVE, BYE).
+        client: the client's own address.
+    """
 
     name: str
     relay: str
@@ -65,20 +86,20 @@
     group: str
     window_s: float
     deadline_s: float
-    sent_at: float = inf  # its line's last byte
-    left_at: float = inf  # when the client closed or cancelled
-    ended_at: float = inf  # when the relay's side ended
+    sent_at: float = inf
+    left_at: float = inf
+    ended_at: float = inf
     answers: list[tuple[float, str]] = field(default_factory=list)
     relay_killed: bool = False
-    was_idle: bool = False  # its connection had rested, whole or with a part of the line, before the last byte was sent
-    raced_close: bool = False  # and the relay's end of it was there when that byte was
+    was_idle: bool = False
+    raced_close: bool = False
     moved: bool = False
-    client: str = ""  # the client's own address
+    client: str = ""
 
 
 @dataclass(slots=True, frozen=True)
 class Violation:
-    """rows: what is known of it besides the request's timeline, for the report."""
+    """A violated rule. request: empty if it is of no single request; details: lines for the report."""
 
     rule: Rule
     request: str
@@ -88,7 +109,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Crash:
-    """A relay's process that failed. rows: of its log."""
+    """A failure of a relay's process. log_lines: the lines of its log that show it."""
 
     description: str
     log_lines: tuple[str, ...] = ()
@@ -96,15 +117,24 @@
 
 @dataclass(slots=True, frozen=True)
 class SlowStartBudget:
-    """Of a cold backend, as the settings state it."""
+    """The slow-start budget of a backend, from the settings.
+
+    Attributes:
+        warm_up_s: the duration of the slow start.
+        initial_share: the part of its capacity at the start.
+        multiple: the permitted multiple of the warm rate.
+        window_s: the window over which requests are counted.
+        warm_rate: requests per second that a warm backend can take.
+    """
 
     warm_up_s: float
     initial_share: float
     multiple: float
     window_s: float
-    warm_rate: float  # requests a second that a warm backend can take
+    warm_rate: float
 
     def allowed(self, age_s: float) -> float:
+        """Return how many requests a backend of this age may get per window, with a tolerance for chance."""
         ramp = min(1.0, self.initial_share + (1.0 - self.initial_share) * age_s / self.warm_up_s)
         calls = self.multiple * ramp * self.warm_rate * self.window_s
         chance = 3.0 * sqrt(calls) + 3.0 if calls < 30.0 else 2.0 * sqrt(calls) + 2.0
@@ -112,35 +142,45 @@
 
 
 class Oracle:
+    """Records of one run, and the judgement on them; times are seconds of the run.
+
+    Attributes:
+        suspensions: relay process -> spans in which it was suspended (SIGSTOP).
+        kills: relay process -> when it was killed.
+        endpoint_updates: (relay process, backend) -> when discovery informed it, and whether the backend was ready.
+        state_changes: backend -> when discovery published a state, and whether it was ready.
+        discovery_outages: spans in which discovery could not be reached.
+        backend_starts: backend -> when it was restarted.
+        start_updates: (relay process, backend) -> when discovery informed it of a start time.
+        cpu_waits: relay process -> samples of the time, and how long it had waited for a CPU in total by then.
+        loop_lags: when the soak's event loop was late, and by how much; for the report only.
+    """
+
     def __init__(self, drain_grace_s: float) -> None:
         self.drain_grace_s = drain_grace_s
         self.requests: dict[str, Request] = {}
         self.attempts: dict[str, list[Attempt]] = {}
-        self.suspensions: dict[str, list[tuple[float, float]]] = {}  # relay -> when it was stopped
+        self.suspensions: dict[str, list[tuple[float, float]]] = {}
         self.kills: dict[str, list[float]] = {}
-        self.endpoint_updates: dict[
-            tuple[str, str], list[tuple[float, bool]]
-        ] = {}  # relay, backend -> when, whether ready
-        self.state_changes: dict[str, list[tuple[float, bool]]] = {}  # backend -> when discovery had it, whether ready
-        self.discovery_outages: list[tuple[float, float]] = []  # when discovery could not be reached
-        self.backend_starts: dict[str, list[float]] = {}  # backend -> when it started anew
+        self.endpoint_updates: dict[tuple[str, str], list[tuple[float, bool]]] = {}
+        self.state_changes: dict[str, list[tuple[float, bool]]] = {}
+        self.discovery_outages: list[tuple[float, float]] = []
+        self.backend_starts: dict[str, list[float]] = {}
         self.start_updates: dict[tuple[str, str], list[float]] = {}
-        self.cpu_waits: dict[
-            str, list[tuple[float, float]]
-        ] = {}  # relay -> when, and how long it waited for a processor
-        self.loop_lags: list[tuple[float, float]] = []  # when this process was late, and by how much, for the report
+        self.cpu_waits: dict[str, list[tuple[float, float]]] = {}
+        self.loop_lags: list[tuple[float, float]] = []
         self.crashes: list[Crash] = []
         self.violations: list[Violation] = []
 
-    # --- spans that count for nobody --------------------------------------------------------------
+    # --- time that does not count against a relay -------------------------------------------------
 
     def suspended_s(self, relay: str, since: float, until: float) -> float:
-        """For how long of this time the relay was stopped."""
+        """Return for how many seconds of the span the relay was suspended."""
         spans = self.suspensions.get(relay, ())
         return sum(max(0.0, min(end, until) - max(start, since)) for start, end in spans)
 
     def cpu_wait_s(self, relay: str, since: float, until: float) -> float:
-        """For how long of this time the relay could have run, but got no processor."""
+        """Return for how many seconds of the span the relay was runnable but had no CPU."""
         samples = self.cpu_waits.get(relay)
         if not samples:
             return 0.0
@@ -148,12 +188,13 @@
         return samples[min(last, len(samples) - 1)][1] - (samples[first][1] if first >= 0 else 0.0)
 
     def held_s(self, relay: str, since: float, until: float) -> float:
-        """For how long of this time the relay was held, by whomever."""
+        """Return for how many seconds of the span the relay could not run, for either reason."""
         return self.suspended_s(relay, since, until) + self.cpu_wait_s(relay, since, until)
 
     # --- the judgement ----------------------------------------------------------------------------
 
     def judge(self, until: float, budget: SlowStartBudget) -> list[Violation]:
+        """Check all rules, and return the violations. until: the end of the run."""
         for request in self.requests.values():
             if request.sent_at < inf:
                 self._check_answers(request, until)
@@ -170,7 +211,7 @@
         return self.violations
 
     def add_violation(self, rule: Rule, request: str, description: str) -> None:
-        """Adds a violation."""
+        """Add a violation."""
         self.violations.append(Violation(rule, request, description))
 
     def _check_answers(self, request: Request, until: float) -> None:
@@ -195,11 +236,11 @@
             self.add_violation(Rule.LOST, request.name, f"no answer {until - request.sent_at:.3f} s after it was sent")
 
     def _relay_was_killed(self, request: Request) -> bool:
-        """Whether its process was killed while it was open, or as it came."""
+        """Return whether the relay's process was killed before the connection had ended."""
         return request.relay_killed or any(at <= request.ended_at for at in self.kills.get(request.relay, ()))
 
     def _check_cut_off(self, request: Request) -> None:
-        """A connection that stood is ended by its backend, its client, or with MOVE."""
+        """Check that an established connection was ended by its backend, its client, or with MOVE."""
         if request.answers[0][1] != "UP" or request.moved or self._relay_was_killed(request) or request.ended_at == inf:
             return
         attempts = self.attempts.get(request.name, [])
@@ -226,9 +267,7 @@
 
     def _check_duplicates(self, request: Request, attempts: list[Attempt]) -> None:
         received = sorted((a for a in attempts if a.received_at < inf), key=lambda attempt: attempt.received_at)
-        first_run = next(
-            (attempt for attempt in received if attempt.reply != "BUSY"), None
-        )  # the first that may have run
+        first_run = next((attempt for attempt in received if attempt.reply != "BUSY"), None)  # may have run
         for number, attempt in enumerate(received):
             for earlier in received[:number]:
                 if earlier.reply == "BUSY" and earlier.relay_closed_at <= attempt.first_byte_at + TIMEOUT_SLACK_S:
@@ -237,7 +276,7 @@
                     self.add_violation(
                         Rule.DUPLICATE,
                         request.name,
-                        f"two attempts are out, at {earlier.backend} and {attempt.backend}",
+                        f"two attempts are in flight, at {earlier.backend} and {attempt.backend}",
                     )
                 elif earlier.reply != "BUSY" and not self._may_repeat(request, first_run or earlier, attempt):
                     after = attempt.received_at - earlier.received_at
@@ -274,11 +313,16 @@
             if late > self.drain_grace_s + TIMEOUT_SLACK_S + self.held_s(
                 request.relay, informed, attempt.first_byte_at
             ):
-                description = f"sent to {attempt.backend} {late:.3f} s after its drain or end counts as told"
+                description = (
+                    f"sent to {attempt.backend} {late:.3f} s after the relay must know of its drain or removal"
+                )
                 self.add_violation(Rule.DRAIN, request.name, description)
 
     def _not_ready_since(self, relay: str, backend: str, at: float) -> float | None:
-        """Since when the relay counts as told that the backend is not ready; None: it does not."""
+        """Return the time by which the relay must know that the backend is not ready.
+
+        None is returned if it need not know.
+        """
         known_since = None
         for when, ready in self.endpoint_updates.get((relay, backend), ()):
             if when <= at:
@@ -321,7 +365,7 @@
     # --- reports ----------------------------------------------------------------------------------
 
     def timeline(self, name: str) -> list[str]:
-        """All that is known of one request, in order."""
+        """Return all recorded events of one request in order of time, as lines for the report."""
         request = self.requests.get(name)
         if request is None:
             return []
@@ -331,23 +375,27 @@
                 f"sent to {request.relay} by {request.client} class={request.request_class} "
                 f"deadline {request.deadline_s:.3f} s"
                 f"{' on a connection that had been idle' if request.was_idle else ''}"
-                f"{', whose end was there' if request.raced_close else ''}",
+                f"{', which the relay had already closed' if request.raced_close else ''}",
             ),
-            (request.left_at, "the client leaves"),
+            (request.left_at, "the client disconnects"),
             (request.ended_at, "the relay ends the connection"),
         ]
         rows += [(at, f"answer {word}") for at, word in request.answers]
         for attempt in self.attempts.get(name, []):
             rows += [
                 (attempt.first_byte_at, f"first byte at {attempt.backend}"),
-                (attempt.received_at, f"whole at {attempt.backend}, which answers {attempt.reply or 'nothing'}"),
-                (attempt.relay_closed_at, f"the attempt at {attempt.backend} is over"),
+                (
+                    attempt.received_at,
+                    f"request received by {attempt.backend}, which answers {attempt.reply or 'nothing'}",
+                ),
+                (attempt.relay_closed_at, f"the relay closes its connection to {attempt.backend}"),
             ]
         for start, end in self.suspensions.get(request.relay, ()):
-            rows += [(start, f"{request.relay} is stopped"), (end, f"{request.relay} goes on")]
+            rows += [(start, f"{request.relay} is suspended"), (end, f"{request.relay} is resumed")]
         rows += [(at, f"{request.relay} is killed") for at in self.kills.get(request.relay, ())]
         near = [row for row in rows if request.sent_at - 1.0 <= row[0] <= request.sent_at + 6.0]
         return [f"{at:8.3f} {description}" for at, description in sorted(near)]
 
     def counts(self) -> Counter[str]:
+        """Return the number of violations by name."""
         return Counter(violation.rule.value for violation in self.violations)
--- a/benchmarks/soak/plan.py
+++ b/benchmarks/soak/plan.py
@@ -1,4 +1,4 @@
-"""What a seed means: the settings of its relays, its troubles and their times. Pure: the same seed, the same plan."""
+"""The plan of a seed: the settings of its relays and its faults with their times. The same seed gives the same plan."""
 
 from __future__ import annotations
 
@@ -8,36 +8,43 @@
 from typing import Any
 
 FAULTS = {
-    "term": "a relay is told to end (SIGTERM), and starts again",
-    "hup": "relays read their configuration again (SIGHUP), with another address of discovery or other deadlines",
-    "kill": "a relay is killed (SIGKILL), and starts again",
-    "stop": "a relay stands still for 20 to 140 ms, again and again (SIGSTOP, SIGCONT)",
-    "freeze": "a relay stands still once, for 0.3 to 1.5 s",
-    "clock": "a relay's wall clock is stepped by -3600 to 3600 s; it may start so",
-    "calls": "accept, socket and connect fail in a relay as Linux documents it",
-    "pieces": "reads and writes of a relay are short, or interrupted",
-    "refuse": "backends turn requests away, err, or close",
-    "break": "backends reset connections, answer half, answer twice, or without end",
-    "hang": "backends answer late, or not at all",
-    "crash": "backends end; nobody listens, until they start again under a new start",
-    "full": "connections to backends come up late: their accept queues are full",
-    "wire": "the wire to backends is cut, late, or resets under requests",
-    "drain": "backends drain, and are gone; others come back cold",
-    "list": "discovery is down, silent, refuses, or resets its watches",
-    "leave": "clients leave early, by an end, a half-close or a reset",
-    "rude": "clients send nonsense, floods, halves, or rest",
+    "term": "relays are shut down (SIGTERM) and restarted",
+    "hup": "relays reload their configuration (SIGHUP), some with another discovery address or after a truncated file",
+    "kill": "relays are killed (SIGKILL) and restarted",
+    "stop": "relays are suspended repeatedly for 20 to 140 ms (SIGSTOP, SIGCONT)",
+    "freeze": "relays are suspended once for 0.3 to 1.5 s",
+    "clock": "the wall clock of relays is stepped by -3600 to 3600 s, for some from their start",
+    "calls": "accept, socket and connect fail in relays with errors that Linux documents",
+    "pieces": "reads and writes of relays are short or interrupted (EINTR)",
+    "refuse": "backends reject requests, answer with an error, or close the connection",
+    "break": "backends reset connections, or send a partial, a second, an endless or a malformed answer",
+    "hang": "backends answer late or not at all",
+    "crash": "backends crash and stop listening until they are restarted with a new start time",
+    "full": "connections to backends are established late, since accept queues are full",
+    "wire": "links to backends are cut, delay data, split it, or reset connections with requests",
+    "drain": "backends drain; some are removed and return cold",
+    "list": "discovery is down, silent or slow, rejects requests, or resets its watches",
+    "leave": "clients disconnect early, by a close, a half-close or a reset",
+    "rude": "clients send malformed, oversized or partial input, or nothing",
 }
 NEEDS_SHIM = frozenset(("clock", "calls", "pieces"))
-RELAY_RATES = (14.0, 14.0, 40.0)  # requests a second to each relay
-MAX_TOTAL_RATE = 420.0  # of all together: what one process of stand-ins serves without being late itself
-WARM_UP_S, COOL_DOWN_S = 1.2, 3.0  # before the first trouble, and after the last
-IDLE_CLIENTS_SHARE = 0.25  # of the seeds
-IDLE_CLIENTS_DESCRIPTORS = 200
+RELAY_RATES = (14.0, 14.0, 40.0)  # requests per second and relay; one is drawn
+MAX_TOTAL_RATE = 420.0  # requests per second of all relays; above it the soak's single process falls behind
+WARM_UP_S, COOL_DOWN_S = 1.2, 3.0  # before the first fault, and after the last
+IDLE_CLIENTS_SHARE = 0.25  # fraction of the seeds that run with idle clients
+IDLE_CLIENTS_DESCRIPTORS = 200  # the relays' descriptor limit in such a run
 
 
 @dataclass(slots=True, frozen=True)
 class Fault:
-    """at_s, for_s: from the start of the run. number: draws what it does in detail."""
+    """One fault of a plan.
+
+    Attributes:
+        kind: a key of FAULTS.
+        start_s: seconds from the start of the run.
+        duration_s: the duration in seconds.
+        seed: the seed of the random source for the fault's details.
+    """
 
     kind: str
     start_s: float
@@ -54,7 +61,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Plan:
-    """One seed's run."""
+    """The run of one seed.
+
+    Attributes:
+        clock_step_ms: offset of the wall clock of every other relay from its start.
+        requests_per_relay_s: the mean rate of requests per relay.
+        descriptors: the descriptor limit that the relays are configured with in a run with idle clients; 0: no limit
+            is configured, and there are none.
+    """
 
     seed: int
     relays: int
@@ -62,12 +76,12 @@
     seconds: float
     settings: dict[str, Any]
     faults: tuple[Fault, ...]
-    clock_step_ms: int  # of the wall clock of every other relay, from its start
+    clock_step_ms: int
     requests_per_relay_s: float
-    descriptors: int = 0  # descriptors that each relay is told it has, for a run with a crowd; 0: as many as there are
+    descriptors: int = 0
 
     def pairs(self) -> set[frozenset[str]]:
-        """Words of troubles that overlap in time."""
+        """Return the pairs of kinds of faults that overlap in time."""
         return {
             frozenset((fault.kind, other_fault.kind))
             for fault, other_fault in combinations(self.faults, 2)
@@ -82,8 +96,11 @@
 
 
 def draw_settings(random: Random, backends: int, relays: int) -> dict[str, Any]:
-    """In the shape of the platform's, of either deployment: classes that may and may not be repeated, short windows and
-    deadlines, groups, quotas, lists that are pushed or asked for, probes."""
+    """Return settings in the platform's format, for one of the two deployments.
+
+    They have request classes that may and may not be retried, short idempotency windows and deadlines, groups and
+    quotas; the endpoint list is either subscribed to, or delivered automatically, in which case backends are probed.
+    """
     subscribes = random.random() < 0.6
     classes = [
         {
@@ -151,8 +168,11 @@
 
 
 def make_plan(seed: int, relays: int, seconds: float, kinds: list[str]) -> Plan:
-    """Two sets of three troubles, each set at one time. The pairs that a seed's sets start from go round all pairs of
-    words as seeds go up, so that so many seeds in a row cover each pair."""
+    """Return the plan of a seed: two sets of up to three faults, each set at one time.
+
+    Each set contains one pair of kinds. Consecutive seeds step through all pairs of kinds, so that half as many seeds
+    as there are pairs cover each pair.
+    """
     random = Random(f"soak {seed}")
     backends = max(8, relays)
     settings = draw_settings(random, backends, relays)
--- a/benchmarks/soak/planted.py
+++ b/benchmarks/soak/planted.py
@@ -1,7 +1,7 @@
-"""A relay with one planted defect, for the soak's own tests: the oracle has to find each of them.
+"""A relay with one planted defect, to verify the soak itself: the oracle has to detect each defect.
 
-`python -m benchmarks.soak.planted NAME` starts the product with that part of it replaced. Nothing of it is in the
-product: the replacement is made in this process, before the relay begins.
+`python -m benchmarks.soak.planted NAME` starts the relay with one of its functions replaced. The product contains none
+of this: the replacement is made in this process before the relay starts.
 """
 
 from __future__ import annotations
@@ -24,21 +24,21 @@
 from yarrowspindle.routing.termination import OUTCOMES, TerminationReason
 from yarrowspindle.transport import client, connector
 
-CLOSE_DELAY_S = 0.02  # between look and end
+CLOSE_DELAY_S = 0.02  # between the check for unread data and the close
 
 
 def repeat_what_ran() -> None:
-    """A class that may run once is repeated as any other."""
+    """Retry requests of classes that may run only once."""
     gate.retry_window_ms = lambda *arguments: inf
 
 
 def reset_never_ran() -> None:
-    """A connection that broke after the request was written counts as one that never came up."""
+    """Treat a connection that was reset after the request was written as one that was never established."""
     OUTCOMES[TerminationReason.CONNECTION_RESET] = Outcome.CONNECT_FAILED
 
 
 def repeat_late() -> None:
-    """A keyed request is repeated after its window."""
+    """Retry keyed requests after the end of their idempotency window."""
     real = gate.retry_window_ms
 
     def keyed_without_limit(
@@ -52,7 +52,7 @@
 
 
 def ignore_drains() -> None:
-    """A backend that drains is taken for a ready one."""
+    """Treat draining backends as ready."""
     real = EndpointHandlers.on_endpoints_updated
 
     def updated(self: EndpointHandlers, event: Any, log_changes: bool = True) -> None:
@@ -65,12 +65,12 @@
 
 
 def go_on_after_leaving() -> None:
-    """That a client has left while its request waits is not noticed."""
+    """Ignore the disconnect of a client whose request waits."""
     client.ClientConnection._report_disconnect = lambda self: None  # type: ignore[method-assign]
 
 
 def forget_a_request() -> None:
-    """One request in fifty is taken and never looked at again."""
+    """Accept one request in fifty without ever processing it."""
     real = line_front.LineFront.request_received
 
     def request_received(self: line_front.LineFront, side: Any, first_line: Any) -> None:
@@ -84,7 +84,7 @@
 
 
 def close_unanswered() -> None:
-    """Whoever is refused hears nothing: the connection is ended."""
+    """Close the connection of a rejected request without an answer."""
     real = line_front.LineFront._answer
 
     def answer(self: line_front.LineFront, request: int, line: bytes) -> None:
@@ -94,7 +94,7 @@
 
 
 def flood_cold_servers() -> None:
-    """Servers that have just started get whatever comes, while there is one."""
+    """Send all requests to backends in slow start while there are any."""
     gate.slow_start_rejection = lambda probability, draw: None
 
     def draw_warming_up_backend(self: Placement) -> Any:
@@ -108,7 +108,7 @@
 
 
 def late_connections() -> None:
-    """The time limit of a connection cancels it, as before the hunt: what was written counts as never sent."""
+    """Cancel the connecting at its time limit, although the request may have been written: it counts as never sent."""
 
     class CancellingConnect(connector.Connector):
         async def _connect(self, loop: asyncio.AbstractEventLoop) -> None:
@@ -122,12 +122,12 @@
             self.timeout_s = timeout_s
             super().start(None)
 
-    setattr(line_front, "Connector", CancellingConnect)  # noqa: B010  # it is imported there by name
+    setattr(line_front, "Connector", CancellingConnect)  # noqa: B010  # line_front imports it by name
 
 
 def end_without_looking() -> None:
-    """A connection that rests is ended a while after the look at its socket; what it sends meanwhile is not read."""
-    real = client.ClientConnection.close_if_idle
+    """Close an idle connection some time after the check for unread data; data that arrives in between is not read."""
+    real = client.ClientConnection.end_if_silent
 
     def close_if_idle(self: client.ClientConnection, even_if_unread: bool = False) -> bool:
         if not self.closing:
@@ -143,7 +143,7 @@
 
 
 def end_newcomers() -> None:
-    """One connection in ten is ended as it comes, whatever its client is about to send."""
+    """Close one connection in ten as it is accepted, without regard to what its client sends."""
     real, numbers = client.ClientConnection.connection_made, count(1)
 
     def connection_made(self: client.ClientConnection, transport: asyncio.BaseTransport) -> None:
@@ -155,7 +155,7 @@
 
 
 def end_at_once() -> None:
-    """At SIGTERM the process ends without a word to anybody."""
+    """End the process at SIGTERM without informing any client."""
     line_front.LineFront.shut_down = lambda self, deadline_s: asyncio.sleep(0)  # type: ignore[method-assign]
     from yarrowspindle.daemon.relay_service import RelayService
 
@@ -163,7 +163,7 @@
 
 
 def answer_late() -> None:
-    """The deadline is taken for twice as long."""
+    """Extend each deadline by 900 ms."""
     real = RequestHandlers.on_request_received
 
     def received(self: RequestHandlers, event: Any) -> None:
--- a/benchmarks/soak/relay_shutdown.py
+++ b/benchmarks/soak/relay_shutdown.py
@@ -1,4 +1,7 @@
-"""The end of a relay, as hard as the operators' page allows: signals in a series, holds, SIGKILL at its earliest."""
+"""Shutdown of a relay under the worst conditions that the operators' page permits.
+
+Signals arrive in quick succession, the process is suspended, and SIGKILL follows at the earliest permitted time.
+"""
 
 from __future__ import annotations
 
@@ -10,17 +13,17 @@
 from benchmarks.soak.oracle import MAX_HOLD_S, Crash, Request, Rule
 from benchmarks.soak.relays import Relay
 
-MAX_DEADLINE_S, KILL_MARGIN_S = 3.0, 0.7  # SIGKILL comes no sooner after SIGTERM than the longest deadline and this
-HOLD_WINDOW_S = 1.0  # of the time until the kill, in which holds strike
-FINAL_ANSWERS_S = (0.25, 0.42)  # before the kill: when a relay answers those who wait, and ends those who rest
-TOTAL_HOLD_S = 0.14  # of all holds together: no more than a relay has to bear
+MAX_DEADLINE_S, KILL_MARGIN_S = 3.0, 0.7  # SIGKILL follows SIGTERM after the longest deadline plus this margin
+HOLD_WINDOW_S = 1.0  # before the kill: window in which the process is suspended
+FINAL_ANSWERS_S = (0.25, 0.42)  # before the kill: when a relay gives final answers and closes idle connections
+TOTAL_HOLD_S = 0.14  # total of all suspensions; a relay must tolerate this much
 POLL_S = 0.005
-NEGLIGIBLE_HOLD_S = 0.01  # a relay that was held for less has to have ended
-STOPPED_LOG_MARK = b" stopped: "  # in the log of a relay that has served its last client
+NEGLIGIBLE_HOLD_S = 0.01  # a relay that was delayed by less must have ended before the kill
+STOPPED_LOG_MARK = b" stopped: "  # logged by a relay that has finished serving
 
 
 async def shut_down(relay: Relay) -> None:
-    """Tells a relay to end, and kills it when the page allows that; judges what it still held then."""
+    """Send SIGTERM, kill the relay at the earliest permitted time, and judge the requests that it had open then."""
     random = Random(f"end {relay.context.plan.seed} {relay.instance}")
     relay.shutting_down = True
     relay.send_signal(signal.SIGTERM)
@@ -53,7 +56,7 @@
 
 
 async def _kill_and_judge(relay: Relay) -> None:
-    """Whoever has neither its answer nor MOVE by now is lost, unless the relay was held for longer than it may be."""
+    """Kill the relay; requests without answer or MOVE are lost, unless it was delayed for longer than MAX_HOLD_S."""
     oracle, sigterm_at, now = relay.context.oracle, relay.sigterm_at, relay.context.now()
     connections = relay.open_requests.copy()
     for connection in connections.values():
@@ -67,20 +70,20 @@
     serving = STOPPED_LOG_MARK not in relay.log_path().read_bytes()
     await relay.kill_at_once()
     for connection in connections.values():
-        connection.read()  # what the relay wrote before the kill
+        connection.read()  # data that the relay wrote before the kill
     if held_s > MAX_HOLD_S:
         return
     elapsed = f"{now - sigterm_at:.3f} s after SIGTERM"
     for request in unfinished:
         attempts = oracle.attempts.get(request.name, [])
         if is_unfinished(request) and all(attempt.backend_closed_at > now for attempt in attempts):
-            oracle.add_violation(Rule.LOST, request.name, f"still held at SIGKILL, {elapsed}")
+            oracle.add_violation(Rule.LOST, request.name, f"still open at SIGKILL, {elapsed}")
     if serving and held_s < NEGLIGIBLE_HOLD_S:
-        oracle.crashes.append(Crash(f"{relay.instance} still serves {elapsed}, when SIGKILL comes"))
+        oracle.crashes.append(Crash(f"{relay.instance} was still serving at SIGKILL, {elapsed}"))
 
 
 def is_unfinished(request: Request) -> bool:
-    """Whether the client waits for its answer, or uses a connection that stands."""
+    """Return whether the client waits for its answer, or its connection is established and not ended."""
     if request.sent_at == inf or request.left_at < inf:
         return False
     return not request.answers or (request.answers[0][1] == "UP" and not request.moved)
--- a/benchmarks/soak/relays.py
+++ b/benchmarks/soak/relays.py
@@ -1,4 +1,4 @@
-"""Relays: real processes by the deploy file's `run`, with the shim loaded, steered by signals."""
+"""Relays: real processes, started by the `run` command of the deploy file with the shim preloaded."""
 
 from __future__ import annotations
 
@@ -26,12 +26,12 @@
 READY_TIMEOUT_S, READY_POLL_S = 10.0, 0.05
 CPU_WAIT_SAMPLE_S = 0.025
 FAILURE_MARKS = ("Traceback (most recent call last)", " invariant ", "Exception in callback")
-LOG_LINE_START = re.compile(r"\d\d:\d\d:\d\d\.\d\d\d [A-Z]+ ")  # what the relay's own lines begin with
+LOG_LINE_START = re.compile(r"\d\d:\d\d:\d\d\.\d\d\d [A-Z]+ ")  # start of each line that the relay logs itself
 LINES_BEFORE, MAX_LINES_AFTER = 20, 80
 
 
 def find_failure(log: list[str]) -> Crash | None:
-    """The first failure that a relay's log tells of: the whole traceback, and the lines before it."""
+    """Return the first failure in a relay's log, with its whole traceback and the lines before it, or None."""
     for number, line in enumerate(log):
         if any(mark in line for mark in FAILURE_MARKS):
             after = log[number + 1 : number + 1 + MAX_LINES_AFTER]
@@ -46,12 +46,13 @@
 
 
 def run_command() -> str:
+    """Return the command that starts a relay, from the deploy file."""
     text = (ROOT / "deploy" / "balancer.toml").read_text(encoding="utf-8")
     return str(tomllib.loads(text)["run"])
 
 
 async def watch_cpu_waits(relays: list[Relay]) -> None:
-    """Notes of each relay, again and again, for how long it was kept from a processor."""
+    """Sample at intervals how long each relay has waited for a CPU."""
     while True:
         for relay in relays:
             relay.record_cpu_wait()
@@ -59,44 +60,61 @@
 
 
 class Relay:
-    """One relay, as often as its process is started. planted: a defect of the soak's own build, for its tests."""
+    """One relay over all incarnations of its process.
+
+    Args:
+        context: the shared state of the run.
+        number: the relay's number.
+        discovery: the discovery service that the relay asks.
+        planted: the name of a defect to plant in it (see `planted.py`); empty for none.
+
+    Attributes:
+        start_times: the start of each incarnation.
+        serving: the relay has answered a PING since its start, and its process was not ended since.
+        sigterm_at: when SIGTERM was sent.
+        open_requests: the clients' connections by unfinished request.
+        final_answers_s: seconds from SIGTERM until the relay answers the requests that still wait.
+        signal_lock: held for the duration of a suspension or a kill.
+    """
 
     def __init__(self, context: RunContext, number: int, discovery: Discovery, planted: str) -> None:
         self.context, self.number, self.discovery, self.planted = context, number, discovery, planted
         self.name, self.incarnation = f"r{number}", 0
-        self.start_times: list[float] = []  # each life, in order
+        self.start_times: list[float] = []
         self.address = context.allocate_address(number % 90)
         self.discovery_addresses = [context.allocate_address(number % 90) for _ in range(2)]
-        self.discovery_index = 0  # which of them the configuration names
+        self.discovery_index = 0  # of the address that the configuration names
         self.random = Random(f"relay {context.plan.seed} {number}")
         self.process: asyncio.subprocess.Process | None = None
         self.page: Page | None = None
         self.serving = self.shutting_down = False
         self.sigterm_at = 0.0
-        self.open_requests: dict[Request, Connection] = {}  # of the clients whose requests are not over
+        self.open_requests: dict[Request, Connection] = {}
         self.max_deadline_s = max(c["deadline_ms"] for c in context.plan.settings["categories"]) / 1000.0
-        self.final_answers_s = min(self.max_deadline_s, 3.0) + 0.3  # after SIGTERM, when it answers those who wait
+        self.final_answers_s = min(self.max_deadline_s, 3.0) + 0.3
         self.clock_step_ms = context.plan.clock_step_ms if number % 2 else 0
         self.initial_endpoints: dict[str, Any] | None = None
         self.suspended_at: float | None = None
-        self.signal_lock = asyncio.Lock()  # one signal's story at a time
+        self.signal_lock = asyncio.Lock()
 
     @property
     def instance(self) -> str:
+        """The name of the present process."""
         return f"{self.name}.{self.incarnation}"
 
     def instance_at(self, at: float) -> str:
-        """The process that listened at this time, though it may have ended since."""
+        """Return the name of the process that was listening at this time; it may have ended since."""
         return f"{self.name}.{max(1, bisect_right(self.start_times, at))}"
 
     def accepts_connections(self, now: float, front_delay_s: float) -> bool:
-        """Whether the front sends connections here."""
+        """Return whether the front sends connections to this relay; it stops `front_delay_s` after SIGTERM."""
         return self.serving and (not self.shutting_down or now < self.sigterm_at + front_delay_s)
 
     def log_path(self) -> Path:
         return self.context.folder / f"{self.instance}.log"
 
     def write_config(self) -> Path:
+        """Replace the relay's configuration file with the present settings, and return its path."""
         settings = self.context.plan.settings | {"zone": self.number % 2, "slot_no": self.number}
         if self.initial_endpoints is None or self.random.random() < 0.5:
             self.initial_endpoints = self.discovery.snapshot()
@@ -116,6 +134,7 @@
         return path
 
     async def start(self) -> None:
+        """Start the process, and wait until it serves; a failure to do so is recorded."""
         self.incarnation += 1
         self.start_times.append(self.context.now() if self.incarnation > 1 else 0.0)
         self.shutting_down = False
@@ -154,7 +173,7 @@
                     self.serving = True
                     return
             await asyncio.sleep(READY_POLL_S)
-        self.context.oracle.crashes.append(Crash(f"{self.instance} is not ready after {READY_TIMEOUT_S:g} s"))
+        self.context.oracle.crashes.append(Crash(f"{self.instance} did not answer PING within {READY_TIMEOUT_S:g} s"))
 
     @property
     def alive(self) -> bool:
@@ -166,7 +185,7 @@
                 self.process.send_signal(signal_number)
 
     async def suspend(self, duration_s: float) -> None:
-        """It stands still for so long."""
+        """Suspend the process for this time, and record the span."""
         async with self.signal_lock:
             began, instance = self.context.now(), self.instance
             self.suspended_at = began
@@ -177,17 +196,20 @@
             self.context.oracle.suspensions.setdefault(instance, []).append((began, self.context.now()))
 
     def suspended_s(self) -> float:
-        """For how long it has been stopped now; 0 where it goes on."""
+        """Return for how many seconds the process has been suspended; 0 if it is running."""
         return self.context.now() - self.suspended_at if self.suspended_at is not None else 0.0
 
     async def kill(self) -> None:
-        """Once the present hold, if any, is over."""
+        """Kill the process after any suspension in progress has ended, and check its log."""
         async with self.signal_lock:
             await self.kill_at_once()
             self._read_log()
 
     async def kill_at_once(self) -> None:
-        """Nothing is owed to whoever is served then, nor to those who come as it dies."""
+        """Kill the process, and wait for its exit.
+
+        No violation is counted for the requests that are open then, nor for those that arrive while it dies.
+        """
         self.serving = False
         self.context.oracle.kills.setdefault(self.instance, []).append(self.context.now())
         for request in self.open_requests:
@@ -197,10 +219,12 @@
             await self.process.wait()
 
     def record_exit(self) -> None:
-        """After SIGTERM, whether by itself or killed: how it ended."""
+        """Check the exit code and the log of a process that has ended after SIGTERM, by itself or by SIGKILL."""
         self.serving = False
         if self.process is not None and self.process.returncode not in (0, -signal.SIGKILL, None):
-            self.context.oracle.crashes.append(Crash(f"{self.instance} ended with {self.process.returncode}"))
+            self.context.oracle.crashes.append(
+                Crash(f"{self.instance} ended with exit status {self.process.returncode} after SIGTERM")
+            )
         self._read_log()
 
     def _read_log(self) -> None:
@@ -209,19 +233,19 @@
             self.context.oracle.crashes.append(Crash(f"{self.instance} {failure.description}", failure.log_lines))
 
     def record_cpu_wait(self) -> None:
-        """Notes for how long the process has waited for a processor so far (the second figure of schedstat)."""
+        """Record for how long the process has waited for a CPU in total (the second field of schedstat)."""
         if not self.alive or self.process is None:
             return
-        with suppress(OSError, IndexError):  # it has ended just now
+        with suppress(OSError, IndexError):  # the process has just ended
             fields = Path(f"/proc/{self.process.pid}/schedstat").read_text(encoding="ascii").split()
             self.context.oracle.cpu_waits.setdefault(self.instance, []).append(
                 (self.context.now(), int(fields[1]) / 1e9)
             )
 
     def check_unexpected_exit(self) -> None:
-        """Whether it has ended by itself."""
+        """Record a failure if the process has ended without a signal of the soak."""
         if self.serving and not self.shutting_down and not self.alive and not self.signal_lock.locked():
             self.serving = False
             code = self.process.returncode if self.process is not None else None
-            self.context.oracle.crashes.append(Crash(f"{self.instance} ended by itself with {code}"))
+            self.context.oracle.crashes.append(Crash(f"{self.instance} ended unexpectedly with exit status {code}"))
             self._read_log()
--- a/benchmarks/soak/run_context.py
+++ b/benchmarks/soak/run_context.py
@@ -1,4 +1,4 @@
-"""What all parties of a run share: its clock, its oracle, its random numbers, and addresses that nobody else has."""
+"""State that all parts of a run share: plan, clock, oracle, background tasks, and unique loopback addresses."""
 
 from __future__ import annotations
 
@@ -17,6 +17,14 @@
 
 
 class RunContext:
+    """Shared state of one run.
+
+    Args:
+        plan: the plan of the run.
+        folder: the directory for configurations and logs.
+        shim_library: the shared library of the system-call shim; None if it could not be built.
+    """
+
     def __init__(self, plan: Plan, folder: Path, shim_library: Path | None) -> None:
         self.plan, self.folder, self.shim_library = plan, folder, shim_library
         self.started_at = time.monotonic()
@@ -27,14 +35,19 @@
         self.ports_used = 0
 
     def now(self) -> float:
+        """Return the seconds since the start of the run."""
         return time.monotonic() - self.started_at
 
     def allocate_address(self, host: int) -> tuple[str, int]:
-        """An address of the run's own part of loopback, below the ports that Linux gives out by itself."""
+        """Return an unused address on a loopback network of this process.
+
+        The ports are below Linux's range of ephemeral ports.
+        """
         self.ports_used += 1
         return f"{self.network}.{1 + host}", FIRST_PORT + self.ports_used
 
     def start_task(self, coroutine: object) -> None:
+        """Run a coroutine in the background; an exception of it is raised in the event loop."""
         task = asyncio.ensure_future(coroutine)  # type: ignore[call-overload]
         self.tasks.add(task)
         task.add_done_callback(self._on_task_done)
@@ -47,7 +60,7 @@
             raise error
 
     async def watch_loop_lag(self) -> None:
-        """How late this process is itself: the oracle cannot judge closer than that."""
+        """Record by how much the event loop of this process is late; the report states the worst value."""
         while True:
             due = time.monotonic() + LAG_SAMPLE_S
             await asyncio.sleep(LAG_SAMPLE_S)
--- a/benchmarks/soak/seed_run.py
+++ b/benchmarks/soak/seed_run.py
@@ -1,4 +1,4 @@
-"""One seed's run: all parties, the troubles at their times, and the judgement."""
+"""The run of one seed: starts all parts, injects the faults at their times, and reports the oracle's judgement."""
 
 from __future__ import annotations
 
@@ -25,13 +25,13 @@
 from benchmarks.soak.run_context import RunContext
 from benchmarks.soak.shim import Field
 
-AFFECTED_SHARE = 0.5  # of the backends that a trouble befalls
-MAX_SHOWN = 12
+AFFECTED_SHARE = 0.5  # fraction of the backends that a fault affects
+MAX_SHOWN = 12  # violations, and relay logs, in the report
 
 
 @dataclass(slots=True)
 class Report:
-    """What came of one seed."""
+    """The results of one seed."""
 
     plan: Plan
     requests: int = 0
@@ -44,12 +44,13 @@
     timelines: dict[str, list[str]] = field(default_factory=dict)
 
     def lines(self) -> list[str]:
+        """Return the report as lines of text."""
         plan = self.plan
-        crowd = "a crowd, " if plan.descriptors else ""
+        crowd = "with idle clients, " if plan.descriptors else ""
         head = (
             f"seed {plan.seed}: {crowd}{plan.relays} relays, {plan.backends} backends, {self.requests} requests, "
             f"{self.attempts} attempts, {self.retried} retried, {self.served} served, "
-            f"{self.answered} answered, late by {1000 * self.worst_lag_s:.0f} ms at most"
+            f"{self.answered} answered, event loop late by {1000 * self.worst_lag_s:.0f} ms at most"
         )
         lines = [head] + [f"  {fault}" for fault in plan.faults]
         for violation in self.violations[:MAX_SHOWN]:
@@ -61,9 +62,15 @@
 
 
 class SeedRun:
+    """All parts of one run, and a handler for each kind of fault.
+
+    Attributes:
+        finished: the run is over: relays are not restarted any more.
+    """
+
     def __init__(self, plan: Plan, folder: Path, shim_library: Path | None, planted: str = "") -> None:
         self.plan, self.planted = plan, planted
-        self.finished = False  # whether nothing starts any more
+        self.finished = False
         self.context = RunContext(plan, folder, shim_library)
         self.backends = [Backend(self.context, number) for number in range(plan.backends)]
         self.discovery = Discovery(self.context, self.backends)
@@ -91,10 +98,10 @@
         }
 
     async def run(self) -> Report:
+        """Run the plan, and return its report."""
         with socket.socket() as timestamping:
-            enable_receive_timestamps(
-                timestamping
-            )  # while the relays start, so that it is in force for the first client
+            # The kernel starts to take timestamps with a delay: enabled now, they are in force for the first client.
+            enable_receive_timestamps(timestamping)
             return await self._run()
 
     async def _run(self) -> Report:
@@ -116,7 +123,7 @@
         await asyncio.wait_for(asyncio.gather(*faults), 30.0)
         for relay in self.relays:
             relay.check_unexpected_exit()
-        # The clients go on until the last relay is gone.
+        # The clients continue to send requests until the last relay has ended.
         await asyncio.gather(
             *(relay_shutdown.shut_down(relay) for relay in self.relays if relay.alive and not relay.shutting_down)
         )
@@ -158,7 +165,7 @@
         return report
 
     def _add_log(self, name: str, report: Report) -> None:
-        """The relay's own lines on the request, and on its client where no request of it came."""
+        """Add the relay's log lines on the request, and on its client as an idle one if the relay read no request."""
         request = self.context.oracle.requests[name]
         path, client = self.context.folder / f"{request.relay}.log", f"idle client {request.client} "
         if path.exists():
@@ -166,9 +173,10 @@
             matching = [line for line in log if name in line or client in line]
             report.timelines[name] += [f"log {line}" for line in matching]
 
-    # --- troubles ---------------------------------------------------------------------------------
+    # --- faults -----------------------------------------------------------------------------------
 
     async def _run_fault(self, fault: Fault) -> None:
+        """Wait for the fault's start, and call its handler."""
         await asyncio.sleep(max(0.0, fault.start_s - self.context.now()))
         await self.handlers[fault.kind](fault, Random(fault.seed))
 
@@ -176,6 +184,7 @@
         await asyncio.sleep(max(0.0, fault.end_s - self.context.now()))
 
     def _sample_relays(self, random: Random, most: int) -> list[Relay]:
+        """Return 1 to `most` random relays that serve and do not shut down."""
         serving = [relay for relay in self.relays if relay.serving and not relay.shutting_down]
         return random.sample(serving, min(len(serving), random.randint(1, most)))
 
@@ -229,7 +238,7 @@
         async def suspend_repeatedly(relay: Relay) -> None:
             while self.context.now() < fault.end_s and relay.alive and not relay.shutting_down:
                 await relay.suspend(random.uniform(0.02, 0.14))
-                # Often so soon that what came meanwhile is just being sent on.
+                # Often suspended again while the relay still forwards the data that arrived in the meantime.
                 await asyncio.sleep(random.choice((random.uniform(0.0005, 0.01), random.uniform(0.01, 0.08))))
 
         await asyncio.gather(*(suspend_repeatedly(relay) for relay in self._sample_relays(random, len(self.relays))))
@@ -305,7 +314,7 @@
         await self._restart_backends(fault, random, crash=True)
 
     async def _restart_backends(self, fault: Fault, random: Random, crash: bool) -> None:
-        """Backends end, and come back under a new start; discovery tells the new start once they are there."""
+        """Crash backends and restart them; discovery publishes the new start times once they listen."""
         backends = [backend for backend in self._sample_backends(random, 0.25) if backend.phase == "ready"]
         for backend in backends:
             backend.crash()
@@ -340,7 +349,7 @@
             self.discovery.behaviour = "" if kind == "break" else kind
             self.discovery.break_watches()
             if self.discovery.pushed and kind != "break":
-                # An agent that answers nobody has nothing that counts as told: as while discovery is down.
+                # Relays cannot learn changes from an agent that does not answer: counts as a discovery outage.
                 self.discovery.down_since = self.context.now()
         began = self.context.now()
         await self._wait_until_end(fault)
@@ -360,7 +369,7 @@
 
 
 async def run_plan(plan: Plan, folder: Path, shim_library: Path | None, planted: str = "") -> Report:
-    """Plays a plan with its logs in the folder; all processes are ended whatever happens."""
+    """Run a plan with its logs in the folder, and return its report; all processes are killed in any case."""
     folder.mkdir(parents=True, exist_ok=True)
     (folder / "plan.json").write_text(
         json.dumps({"settings": plan.settings, "troubles": [str(t) for t in plan.faults]})
--- a/benchmarks/soak/shim.c
+++ b/benchmarks/soak/shim.c
@@ -1,7 +1,8 @@
-/* System calls that fail as Linux documents it, and a wall clock that is stepped, inside one process of the soak.
+/* Injects errors that Linux documents into system calls of one process, and steps its wall clock.
  *
- * Loaded by LD_PRELOAD into the soak's own relays only. What fails how often stands in a page of 64-bit numbers that the
- * soak maps and changes while the process runs (benchmarks/soak/shim.py names the fields in the same order).
+ * Loaded by LD_PRELOAD into processes of the soak and of tests only. The errors and their rates are read from a page of
+ * 64-bit numbers that the soak maps and changes while the process runs (benchmarks/soak/shim.py has the same fields in
+ * the same order).
  */
 #define _GNU_SOURCE
 #include <dlfcn.h>
@@ -185,7 +186,7 @@
     return REAL(sendmsg)(file, message, flags);
 }
 
-/* --- the disk, below one folder --- */
+/* --- files below one folder --- */
 
 static int is_in_folder(const char *path) { return folder && path && strncmp(path, folder, strlen(folder)) == 0; }
 
--- a/benchmarks/soak/shim.py
+++ b/benchmarks/soak/shim.py
@@ -1,8 +1,7 @@
-"""The soak's shim of system calls: built from shim.c, loaded into a relay's process, steered by a mapped page.
+"""Shim that injects faults into system calls: built from shim.c, preloaded into processes, controlled by a mapped page.
 
-Where the machine has no C compiler nothing is built and the faults that need it are left out (`Shim.build` returns
-None): the report says so. What a start-up hook in Python could do instead cannot reach uvloop, which makes its system
-calls in C.
+If the machine has no C compiler, `build` returns None, and the faults that need the shim are left out; the soak prints
+that. A start-up hook in Python could not replace it, since uvloop makes its system calls in C.
 """
 
 from __future__ import annotations
@@ -15,11 +14,11 @@
 from pathlib import Path
 
 SOURCE = Path(__file__).with_name("shim.c")
-FIELD_BYTES = 8  # bytes of a field
+FIELD_BYTES = 8
 
 
 class Field(IntEnum):
-    """The page's numbers, in the order of shim.c. `*_PERMILLE`: of the calls that fail; `*_ERRNO`: how."""
+    """The fields of the page, in the order of shim.c. `*_PERMILLE`: share of calls that fail; `*_ERRNO`: the error."""
 
     WALL_NS = 0
     ACCEPT_ERRNO = 1
@@ -51,7 +50,7 @@
 
 
 def build(folder: Path) -> Path | None:
-    """The shared library; None where there is no compiler."""
+    """Build the shared library, and return its path; None if there is no C compiler."""
     compiler = shutil.which("cc") or shutil.which("gcc")
     if compiler is None:
         return None
@@ -62,7 +61,7 @@
 
 
 class Page:
-    """One process's numbers; it reads them at each call."""
+    """The mapped page of one process, which reads it at each system call."""
 
     def __init__(self, path: Path) -> None:
         self.path = path
@@ -74,11 +73,12 @@
         self.map[field * FIELD_BYTES : (field + 1) * FIELD_BYTES] = value.to_bytes(FIELD_BYTES, "little", signed=True)
 
     def fail(self, errno_field: Field, permille_field: Field, error: int, permille: int) -> None:
+        """Let this share of calls, per thousand, fail with this error."""
         self.set(errno_field, error)
         self.set(permille_field, permille)
 
     def clear_faults(self) -> None:
-        """Nothing fails any more; a stepped clock stays stepped."""
+        """End all faults, except for the offset of the wall clock."""
         for field in Field:
             if field is not Field.WALL_NS:
                 self.set(field, 0)
--- a/tests/benchmarks/test_soak.py
+++ b/tests/benchmarks/test_soak.py
@@ -1,4 +1,4 @@
-"""The soak itself: its plans cover all pairs, its oracle finds each broken rule and no other, it runs real relays."""
+"""The soak: its plans cover all pairs of faults, its oracle reports each violated rule, real relays violate none."""
 
 from __future__ import annotations
 
@@ -166,51 +166,60 @@
     "served": (with_attempts(make_attempt("s-1", 1.01)), None),
     "closed with no answer": (close_unanswered, Rule.UNANSWERED),
     "never answered": (never_answer, Rule.LOST),
-    "killed with its relay": (kill_relay, None),
-    "killed as it came": (kill_relay_before_request, None),
-    "unanswered beside one that was killed": (kill_other_relay, Rule.UNANSWERED),
+    "unanswered since its relay is killed": (kill_relay, None),
+    "unanswered since its relay was killed just before it": (kill_relay_before_request, None),
+    "unanswered while another relay is killed": (kill_other_relay, Rule.UNANSWERED),
     "answered in time": (answer_at(2.04), None),
-    "answered too late to earn": (answer_at(2.4), None),
+    "answered after the deadline but not lost": (answer_at(2.4), None),
     "answered too late": (answer_at(2.6), Rule.LOST),
-    "late by its relay's stop": (suspend_relay, None),
-    "late by its relay's wait for a processor": (wait_for_cpu("r0.1"), None),
-    "late beside another relay's wait for a processor": (wait_for_cpu("r0.2"), Rule.LOST),
-    "closed as it crosses the end of a rested connection": (close_after_idle(0.0, raced_close=True), None),
-    "closed right after it was sent on a rested connection": (
+    "late by the suspension of its relay": (suspend_relay, None),
+    "late by its relay's wait for a CPU": (wait_for_cpu("r0.1"), None),
+    "late during another relay's wait for a CPU": (wait_for_cpu("r0.2"), Rule.LOST),
+    "sent on an idle connection that the relay had already closed": (close_after_idle(0.0, raced_close=True), None),
+    "closed right after it was sent on an idle connection": (
         close_after_idle(0.002, raced_close=False),
         Rule.UNANSWERED,
     ),
     "cut off without MOVE": (cut_off_connection, Rule.LOST),
     "ended by its backend": (close_by_backend, None),
     "run twice": (with_attempts(make_attempt("s-1", 1.01, "ERR"), make_attempt("s-2", 1.1)), Rule.DUPLICATE),
-    "turned away and run": (with_attempts(make_attempt("s-1", 1.01, "BUSY"), make_attempt("s-2", 1.1)), None),
-    "two out": (
+    "rejected by one backend and run by another": (
+        with_attempts(make_attempt("s-1", 1.01, "BUSY"), make_attempt("s-2", 1.1)),
+        None,
+    ),
+    "two attempts in flight": (
         with_attempts(make_attempt("s-1", 1.01, "", 2.0), make_attempt("s-2", 1.1), effect="pure"),
         Rule.DUPLICATE,
     ),
-    "repeated in its window": (
+    "retried within its idempotency window": (
         with_attempts(make_attempt("s-1", 1.01, "ERR"), make_attempt("s-2", 1.4), effect="token"),
         None,
     ),
-    "repeated after it": (
+    "retried after its idempotency window": (
         with_attempts(make_attempt("s-1", 1.01, "ERR"), make_attempt("s-2", 1.7), effect="token"),
         Rule.DUPLICATE,
     ),
-    "repeated in another cell": (
+    "retried in another cell": (
         with_attempts(make_attempt("s-1", 1.01, "ERR"), make_attempt("s-2", 1.1, cell=2), effect="token"),
         Rule.DUPLICATE,
     ),
-    "begun for one that left": (with_attempts(make_attempt("s-1", 1.2), left=1.05), Rule.AFTER_CANCEL),
-    "begun as it left": (with_attempts(make_attempt("s-1", 1.14), left=1.05), None),
-    "begun after its deadline": (with_attempts(make_attempt("s-1", 2.3)), Rule.DEADLINE),
-    "sent within the grace": (send_to_drained_backend(5.0, 5.4), None),
-    "sent after the grace": (send_to_drained_backend(5.0, 5.5), Rule.DRAIN),
-    "sent before it counts as told": (send_to_drained_backend(5.0, 11.3, told=False), None),
-    "sent after it counts as told": (send_to_drained_backend(5.0, 11.5, told=False), Rule.DRAIN),
-    "sent as discovery was back": (send_to_drained_backend(5.0, 12.0, told=False, down=6.0), None),
-    "fed within the budget": (send_to_cold_backend(25), None),
-    "fed over the budget": (send_to_cold_backend(60), Rule.SLOW_START),
-    "fed by those who were not told": (send_to_cold_backend(60, told=False), None),
+    "attempt begun after the client left": (with_attempts(make_attempt("s-1", 1.2), left=1.05), Rule.AFTER_CANCEL),
+    "attempt begun within the tolerance after the client left": (
+        with_attempts(make_attempt("s-1", 1.14), left=1.05),
+        None,
+    ),
+    "attempt begun after the deadline": (with_attempts(make_attempt("s-1", 2.3)), Rule.DEADLINE),
+    "sent within the drain grace": (send_to_drained_backend(5.0, 5.4), None),
+    "sent after the drain grace": (send_to_drained_backend(5.0, 5.5), Rule.DRAIN),
+    "sent before the relay must know of the drain": (send_to_drained_backend(5.0, 11.3, told=False), None),
+    "sent after the relay must know of the drain": (send_to_drained_backend(5.0, 11.5, told=False), Rule.DRAIN),
+    "sent just after a discovery outage": (send_to_drained_backend(5.0, 12.0, told=False, down=6.0), None),
+    "cold backend within the slow-start budget": (send_to_cold_backend(25), None),
+    "cold backend above the slow-start budget": (send_to_cold_backend(60), Rule.SLOW_START),
+    "cold backend above the budget by relays that do not know of its start": (
+        send_to_cold_backend(60, told=False),
+        None,
+    ),
 }
 
 
@@ -225,7 +234,7 @@
 
 
 class BlockingWriter:
-    """A watch's writer that is held as it writes."""
+    """A watch's writer whose write takes one second."""
 
     def __init__(self, context: RunContext) -> None:
         self.context = context
@@ -234,7 +243,7 @@
         return False
 
     def write(self, data: bytes) -> None:
-        self.context.started_at -= 1.0  # a second passes
+        self.context.started_at -= 1.0  # one second passes
 
 
 @pytest.mark.parametrize("phase, effective_after_s", (("ready", 0.0), ("draining", 1.0), ("gone", 1.0)))
@@ -284,7 +293,8 @@
     assert result["requests"] > 300 and result["pairs_covered"] == 1, text  # type: ignore[operator]
 
 
-# Ends and holds; the same with a crowd; failing accepts with a crowd; relays that are stopped, and clients that rest.
+# Shutdowns and suspensions; the same with many idle clients; failing accepts with many idle clients; suspended relays
+# and idle connections.
 SHORT_SOAKS = (
     ("--seed", "9106", "--faults", "term,stop,hup"),
     ("--seed", "9103", "--faults", "term,kill,freeze"),
@@ -295,7 +305,10 @@
 
 @pytest.mark.parametrize("words", SHORT_SOAKS, ids=" ".join)
 def test_a_short_soak_of_ends_holds_and_crowds_keeps_all_rules(words: tuple[str, ...]) -> None:
-    """Guards against clients that are left unread or unanswered by a relay that ends, is held up, or is crowded."""
+    """Guards against unanswered requests at relays that shut down, are suspended, or have many idle clients.
+
+    The failure: the request stays unread in the relay's socket, or the connection is closed without an answer.
+    """
     status, result, text = run_soak(*words)
     assert status == 0 and not any(result["violations"].values()), text  # type: ignore[attr-defined]
     assert result["requests"] > 300, text  # type: ignore[operator]
--- a/tests/benchmarks/test_soak_connection.py
+++ b/tests/benchmarks/test_soak_connection.py
@@ -1,4 +1,4 @@
-"""The soak's own ends of connections: times and ends do not depend on how late the soak is."""
+"""The soak's client connections: recorded times and the side that closed first do not depend on process delays."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 from benchmarks.soak.oracle import Request
 
 BLOCKED_S, WAIT_S = 0.2, 10.0
-CLOCK_TOLERANCE_S = BLOCKED_S / 2.0  # by which the two clocks may be read apart on a busy machine
+CLOCK_TOLERANCE_S = BLOCKED_S / 2.0  # the two clocks may be read this far apart on a busy machine
 
 
 def new_exchange() -> Exchange:
@@ -32,7 +32,7 @@
 
 
 async def connect(exchange: Exchange) -> socket.socket:
-    """Connects it; the relay's end."""
+    """Connect the exchange, and return the relay's socket of the connection."""
     with socket.create_server(("127.0.0.1", 0)) as listening:
         assert await exchange.connection.open(listening.getsockname(), 1.0)
         relay, _ = listening.accept()
@@ -50,7 +50,7 @@
 
 @pytest.fixture
 def receive_timestamps_enabled() -> Iterator[None]:
-    """The kernel notes when bytes arrive: it begins a little after the first socket asks for it."""
+    """Receive timestamps of the kernel are in force: it starts them shortly after the first socket enables them."""
     with socket.create_server(("127.0.0.1", 0)) as listening:
         near = socket.create_connection(listening.getsockname())
         far, _ = listening.accept()
@@ -95,7 +95,7 @@
         if is_idle:
             await asyncio.sleep(2.0 * IDLE_AFTER_S)
         else:
-            exchange.connection.connected_at = inf  # however late we are
+            exchange.connection.connected_at = inf  # not idle, also if this process is late
         end(relay)
         try:
             exchange.send(b"OPEN\r\n")
@@ -114,7 +114,7 @@
         relay = await connect(exchange)
         exchange.request.was_idle = True
         exchange.send(b"OPEN\r\n")
-        relay.close()  # with the line unread
+        relay.close()  # the line is unread
         time.sleep(BLOCKED_S)
         exchange.connection.read()
         assert exchange.connection.peer_closed and not exchange.request.raced_close
@@ -123,7 +123,7 @@
 
 
 def test_the_second_part_of_a_line_is_sent_before_the_first_is_acknowledged() -> None:
-    """Guards against Nagle's algorithm: a relay's end acknowledged the first part, and only then the second left."""
+    """Guards against Nagle's algorithm: the second part was sent only after the relay had acknowledged the first."""
 
     async def body() -> None:
         exchange = new_exchange()
@@ -153,27 +153,33 @@
 
 
 async def connect_while_blocked(exchange: Exchange, ended_after_s: float, end: Callable[[socket.socket], None]) -> None:
-    """It comes up; this process is held from then on until long after the relay, so long after that, has ended it."""
+    """Connect while this process is blocked from the establishment until BLOCKED_S after the relay has closed.
+
+    Args:
+        exchange: the exchange to connect.
+        ended_after_s: seconds from the establishment until the relay closes the connection.
+        end: closes the relay's socket.
+    """
 
     def block() -> None:
         relay, _ = listening.accept()
         time.sleep(ended_after_s)
         end(relay)
-        relays.append(relay)  # open until the test is over
+        relays.append(relay)  # stays referenced, and so open, until the test ends
         time.sleep(BLOCKED_S)
 
     loop, relays = asyncio.get_running_loop(), list[socket.socket]()
     with socket.create_server(("127.0.0.1", 0)) as listening:
-        loop.call_soon(loop.call_soon, block)  # in the turn after the one that makes the system's call
+        loop.call_soon(loop.call_soon, block)  # in the loop iteration after the one that calls connect
         assert await exchange.connection.open(listening.getsockname(), 1.0)
-    assert relays and not exchange.connection.peer_closed, "it was held in between"
+    assert relays and not exchange.connection.peer_closed, "the process was blocked after the establishment"
 
 
 @pytest.mark.parametrize("end", (half_close, socket.socket.close))
 def test_idle_time_counts_from_the_establishment_even_if_it_is_noticed_late(
     end: Callable[[socket.socket], None],
 ) -> None:
-    """Guards against counting from the moment of noticing: the relay had ended it for its silence long before."""
+    """Guards against counting from when the establishment is noticed: by then the relay has closed the connection."""
 
     async def body() -> None:
         exchange = new_exchange()
@@ -221,7 +227,7 @@
 
 
 class BlockingSocket:
-    """A client's socket; this process is held before the system's call that sends, or after it."""
+    """A client's socket that calls a function before and after the system call that sends."""
 
     def __init__(self, sock: socket.socket, before: Callable[[], None], after: Callable[[], None]) -> None:
         self.sock, self.before, self.after = sock, before, after
@@ -248,7 +254,7 @@
 def test_a_request_has_the_time_of_its_system_call_even_if_this_process_is_blocked(
     before: Callable[[], None], after: Callable[[], None]
 ) -> None:
-    """Guards against a line counted as prompt, or as late, by the time at which this process did the next step."""
+    """Guards against judging whether a line was sent promptly by the time of this process's next step."""
 
     async def body() -> None:
         exchange = new_exchange()
@@ -266,7 +272,7 @@
 
 
 def check_age(age_s: Callable[[socket.socket | None], float], sock: socket.socket, since: float) -> None:
-    """Of what arrived at this moment of time.monotonic, and again after a while."""
+    """Check the age of data or a close that arrived at `since` (time.monotonic), now and after BLOCKED_S."""
     assert age_s(sock) == 0.0 or time.monotonic() > since + CLOCK_TICK_S
     time.sleep(BLOCKED_S)
     age = age_s(sock)
--- a/tests/benchmarks/test_soak_lateness.py
+++ b/tests/benchmarks/test_soak_lateness.py
@@ -1,4 +1,4 @@
-"""What the soak judges does not depend on the moment in which it comes to notice it."""
+"""The soak's judgement does not depend on when its own process notices an event."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def test_a_request_belongs_to_the_process_that_accepted_it_even_if_it_has_been_replaced(tmp_path: Path) -> None:
-    """Guards against charging a process with a connection that was closed by the one before it."""
+    """Guards against blaming a relay process for a connection that the process before it had accepted and closed."""
 
     async def body() -> None:
         context = context_in(tmp_path)
@@ -40,7 +40,7 @@
         with socket.create_server(("127.0.0.1", 0)) as listening:
             relay.address = listening.getsockname()
             loop = asyncio.get_running_loop()
-            loop.call_soon(loop.call_soon, restart)  # once the system was asked to connect, before that is seen
+            loop.call_soon(loop.call_soon, restart)  # after the system call connect, before its result is noticed
             await clients._ask(relay)
         (request,) = context.oracle.requests.values()
         assert request.relay == "r0.1"
