--- a/benchmarks/soak/backends.py
+++ b/benchmarks/soak/backends.py
@@ -162,10 +162,10 @@
 
     def data_received(self, data: bytes) -> None:
         if self.attempt is None and len(self.head) < MAX_HEAD_BYTES:
-            arrived = self.context.now() - data_age_s(self._socket())
-            self.first_at = self.first_at if self.head else arrived
+            arrived_at = self.context.now() - data_age_s(self._socket())
+            self.first_at = self.first_at if self.head else arrived_at
             self.head += data
-            self._parse_request(arrived)
+            self._parse_request(arrived_at)
         link_fault = self.backend.link_fault
         self.silent = self.silent or link_fault == "cut"
         if self.silent:
@@ -181,14 +181,14 @@
         else:
             self.send_to_backend(data)
 
-    def _parse_request(self, arrived: float) -> None:
+    def _parse_request(self, arrived_at: float) -> None:
         """Record an attempt once the line of a request is complete."""
         while LINE_END in self.head and self.attempt is None:
             line, _, self.head = self.head.partition(LINE_END)
             words = line.split(b" ")
             if words[0] == b"OPEN" and len(words) == 4:
                 name, backend = words[1].decode("ascii", "replace"), self.backend
-                self.attempt = Attempt(name, backend.name, backend.zone, backend.cell, self.first_at, arrived)
+                self.attempt = Attempt(name, backend.name, backend.zone, backend.cell, self.first_at, arrived_at)
                 self.context.oracle.attempts.setdefault(name, []).append(self.attempt)
 
     def send_to_backend(self, data: bytes) -> None:
--- a/benchmarks/soak/clients.py
+++ b/benchmarks/soak/clients.py
@@ -51,7 +51,7 @@
         self.connection = Connection(now, self._on_line)
         self.early_lines = 0
 
-    def send(self, last: bytes) -> None:
+    def send(self, last_part: bytes) -> None:
         """Send the last part of the request's line, and record whether the relay had already closed an idle connection.
 
         On loopback the line is in the relay's socket buffer when the call returns. If the relay's close has not arrived
@@ -60,7 +60,7 @@
         """
         request, connection = self.request, self.connection
         peer_closed_at = connection.peer_closed_at()
-        request.sent_at = connection.send(last)
+        request.sent_at = connection.send(last_part)
         idle_until = min(request.sent_at, peer_closed_at)
         request.was_idle = request.was_idle or idle_until > connection.connected_at + IDLE_AFTER_S
         request.raced_close = request.was_idle and (peer_closed_at < inf or connection.peer_has_closed(race=True))
@@ -90,7 +90,7 @@
         leave_share: the fraction of the clients that disconnect early.
         malformed_share: the fraction that sends malformed input.
         split_share: the fraction, added to a fixed one, that sends its line in two parts.
-        requests_sent: the number of requests whose connection was established.
+        requests_opened: the number of requests whose connection was established.
     """
 
     def __init__(self, context: RunContext, relays: list[Relay]) -> None:
@@ -99,7 +99,7 @@
         self.leave_share, self.malformed_share, self.split_share = LEAVE_SHARE, MALFORMED_SHARE, 0.0
         self.idle_random = Random(f"resting {context.plan.seed}")
         self.next_id = self.random.getrandbits(62)
-        self.requests_sent = 0
+        self.requests_opened = 0
         self.stopped = False
 
     async def run(self) -> None:
@@ -114,9 +114,9 @@
             if self.random.random() < self.malformed_share:
                 self.context.start_task(self._send_malformed(relay))
             else:
-                self.context.start_task(self._ask(relay))
+                self.context.start_task(self._send_request(relay))
 
-    def _request(self, relay: Relay) -> tuple[Request, bytes]:
+    def _new_request(self, relay: Relay) -> tuple[Request, bytes]:
         settings = self.context.plan.settings
         request_class = self.random.choices(settings["categories"], CLASS_WEIGHTS)[0]
         self.next_id += 1
@@ -139,14 +139,14 @@
             line += f",g={self.random.randrange(1, 40):x}"
         return request, f"{line}\r\n".encode()
 
-    async def _ask(self, relay: Relay) -> None:
-        request, line = self._request(relay)
+    async def _send_request(self, relay: Relay) -> None:
+        request, line = self._new_request(relay)
         exchange = Exchange(self.context.now, request)
         connection = exchange.connection
         if not await connection.open(relay.address, CONNECT_TIMEOUT_S):
             return
         request.relay, request.client = relay.instance_at(connection.connected_at), connection.address()
-        self.requests_sent += 1
+        self.requests_opened += 1
         self.context.oracle.requests[request.name] = request
         relay.open_requests[request] = connection
         try:
--- a/benchmarks/soak/discovery.py
+++ b/benchmarks/soak/discovery.py
@@ -102,31 +102,31 @@
         self.version += 1
         (self.removed.add if phase == "gone" else self.removed.discard)(backend.name)
         update = {"revision": self.version, "complete": False, "members": [backend.endpoint_entry()]}
-        began = self.context.now()
+        write_began_at = self.context.now()
         for watch in list(self.watches):
             if not watch.silent and not watch.writer.is_closing():
                 self._write(watch, chunk(self._encode(update)), [backend])
         if self.down_since is not None:
             return
-        at = self._effective_at(backend, began)
+        at = self._effective_at(backend, write_began_at)
         self.context.oracle.state_changes.setdefault(backend.name, []).append((at, phase == "ready"))
         if self.pushed:
             for relay in self.relays.values():
                 self._record_update(relay, backend, at)
 
-    def _effective_at(self, backend: Backend, began: float) -> float:
-        """Return the time from which an update counts that was written between `began` and now.
+    def _effective_at(self, backend: Backend, write_began_at: float) -> float:
+        """Return the time from which an update counts that was written between `write_began_at` and now.
 
-        A relay may use a ready backend as soon as it reads of it, which is possible from `began` on. It need not know
-        of a drain before the write has returned, so that delays of this process do not count against it.
+        A relay may use a ready backend as soon as it reads of it, which is possible once the write has begun. It
+        need not know of a drain before the write has returned, so that delays of this process do not count against it.
         """
-        return began if backend.phase == "ready" else self.context.now()
+        return write_began_at if backend.phase == "ready" else self.context.now()
 
     def _write(self, watch: Watch, data: bytes, backends: list[Backend]) -> None:
-        began = self.context.now()
+        write_began_at = self.context.now()
         watch.writer.write(data)
         for backend in backends:
-            self._record_update(watch.relay, backend, self._effective_at(backend, began))
+            self._record_update(watch.relay, backend, self._effective_at(backend, write_began_at))
 
     def _record_update(self, relay: str, backend: Backend, at: float) -> None:
         oracle, pair = self.context.oracle, (relay, backend.name)
@@ -159,14 +159,14 @@
         if self.down_since is not None:
             down_since = self.down_since
             self.behaviour, self.down_since = "", None
-            began = self.context.now()
+            write_began_at = self.context.now()
             for address, relay in self.relays.items():
                 await self.open(address, relay)
             self.context.oracle.discovery_outages.append((down_since, self.context.now()))
             for backend in self.backends:
                 changes = self.context.oracle.state_changes.setdefault(backend.name, [(0.0, True)])
                 ready = backend.phase == "ready"
-                at = self._effective_at(backend, began)
+                at = self._effective_at(backend, write_began_at)
                 if changes[-1][1] != ready:
                     changes.append((at, ready))
                 if self.pushed:
--- a/benchmarks/soak/oracle.py
+++ b/benchmarks/soak/oracle.py
@@ -136,9 +136,9 @@
     def allowed(self, age_s: float) -> float:
         """Return how many requests a backend of this age may get per window, with a tolerance for chance."""
         ramp = min(1.0, self.initial_share + (1.0 - self.initial_share) * age_s / self.warm_up_s)
-        calls = self.multiple * ramp * self.warm_rate * self.window_s
-        chance = 3.0 * sqrt(calls) + 3.0 if calls < 30.0 else 2.0 * sqrt(calls) + 2.0
-        return calls + chance
+        expected = self.multiple * ramp * self.warm_rate * self.window_s
+        tolerance = 3.0 * sqrt(expected) + 3.0 if expected < 30.0 else 2.0 * sqrt(expected) + 2.0
+        return expected + tolerance
 
 
 class Oracle:
@@ -230,8 +230,10 @@
         if request.ended_at < inf:
             if request.raced_close:
                 return
-            after = request.ended_at - request.sent_at
-            self.add_violation(Rule.UNANSWERED, request.name, f"closed with no answer {after:.3f} s after it was sent")
+            after_s = request.ended_at - request.sent_at
+            self.add_violation(
+                Rule.UNANSWERED, request.name, f"closed with no answer {after_s:.3f} s after it was sent"
+            )
         elif until > due + LOST_AFTER_S:
             self.add_violation(Rule.LOST, request.name, f"no answer {until - request.sent_at:.3f} s after it was sent")
 
@@ -244,29 +246,33 @@
         if request.answers[0][1] != "UP" or request.moved or self._relay_was_killed(request) or request.ended_at == inf:
             return
         attempts = self.attempts.get(request.name, [])
-        if request.left_at > request.ended_at and all(a.backend_closed_at > request.ended_at for a in attempts):
+        if request.left_at > request.ended_at and all(
+            attempt.backend_closed_at > request.ended_at for attempt in attempts
+        ):
             at = request.ended_at - request.sent_at
             self.add_violation(Rule.LOST, request.name, f"cut off without MOVE {at:.3f} s after it was sent")
 
     def _check_cancellation(self, request: Request, attempts: list[Attempt]) -> None:
         for attempt in attempts:
-            late = attempt.first_byte_at - request.left_at
-            if late > CANCEL_SLACK_S + CLOCK_TICK_S + self.held_s(
+            late_s = attempt.first_byte_at - request.left_at
+            if late_s > CANCEL_SLACK_S + CLOCK_TICK_S + self.held_s(
                 request.relay, request.left_at, attempt.first_byte_at
             ):
-                description = f"an attempt at {attempt.backend} begins {late:.3f} s after the client left"
+                description = f"an attempt at {attempt.backend} begins {late_s:.3f} s after the client left"
                 self.add_violation(Rule.AFTER_CANCEL, request.name, description)
 
     def _check_deadline(self, request: Request, attempts: list[Attempt]) -> None:
         due = request.sent_at + request.deadline_s + TIMEOUT_SLACK_S + MAX_HOLD_S
         for attempt in attempts:
             if attempt.first_byte_at > due + self.held_s(request.relay, request.sent_at, attempt.first_byte_at):
-                after = attempt.first_byte_at - request.sent_at
-                description = f"an attempt at {attempt.backend} begins {after:.3f} s after it was sent"
+                after_s = attempt.first_byte_at - request.sent_at
+                description = f"an attempt at {attempt.backend} begins {after_s:.3f} s after it was sent"
                 self.add_violation(Rule.DEADLINE, request.name, description)
 
     def _check_duplicates(self, request: Request, attempts: list[Attempt]) -> None:
-        received = sorted((a for a in attempts if a.received_at < inf), key=lambda attempt: attempt.received_at)
+        received = sorted(
+            (attempt for attempt in attempts if attempt.received_at < inf), key=lambda attempt: attempt.received_at
+        )
         first_run = next((attempt for attempt in received if attempt.reply != "BUSY"), None)  # may have run
         for number, attempt in enumerate(received):
             for earlier in received[:number]:
@@ -278,17 +284,17 @@
                         request.name,
                         f"two attempts are in flight, at {earlier.backend} and {attempt.backend}",
                     )
-                elif earlier.reply != "BUSY" and not self._may_repeat(request, first_run or earlier, attempt):
-                    after = attempt.received_at - earlier.received_at
+                elif earlier.reply != "BUSY" and not self._may_retry(request, first_run or earlier, attempt):
+                    after_s = attempt.received_at - earlier.received_at
                     self.add_violation(
                         Rule.DUPLICATE,
                         request.name,
                         f"runs at {earlier.backend} ({earlier.reply or 'no'} "
-                        f"answer) and {after:.3f} s later at {attempt.backend}",
+                        f"answer) and {after_s:.3f} s later at {attempt.backend}",
                     )
                     return
 
-    def _may_repeat(self, request: Request, first: Attempt, attempt: Attempt) -> bool:
+    def _may_retry(self, request: Request, first: Attempt, attempt: Attempt) -> bool:
         if request.effect == "pure":
             return True
         if request.effect == "side_effect":
@@ -306,15 +312,15 @@
 
     def _check_drains(self, request: Request, attempts: list[Attempt]) -> None:
         for attempt in attempts:
-            informed = self._not_ready_since(request.relay, attempt.backend, attempt.first_byte_at)
-            if informed is None:
+            must_know_at = self._not_ready_since(request.relay, attempt.backend, attempt.first_byte_at)
+            if must_know_at is None:
                 continue
-            late = attempt.first_byte_at - informed
-            if late > self.drain_grace_s + TIMEOUT_SLACK_S + self.held_s(
-                request.relay, informed, attempt.first_byte_at
+            late_s = attempt.first_byte_at - must_know_at
+            if late_s > self.drain_grace_s + TIMEOUT_SLACK_S + self.held_s(
+                request.relay, must_know_at, attempt.first_byte_at
             ):
                 description = (
-                    f"sent to {attempt.backend} {late:.3f} s after the relay must know of its drain or removal"
+                    f"sent to {attempt.backend} {late_s:.3f} s after the relay must know of its drain or removal"
                 )
                 self.add_violation(Rule.DRAIN, request.name, description)
 
@@ -393,8 +399,8 @@
         for start, end in self.suspensions.get(request.relay, ()):
             rows += [(start, f"{request.relay} is suspended"), (end, f"{request.relay} is resumed")]
         rows += [(at, f"{request.relay} is killed") for at in self.kills.get(request.relay, ())]
-        near = [row for row in rows if request.sent_at - 1.0 <= row[0] <= request.sent_at + 6.0]
-        return [f"{at:8.3f} {description}" for at, description in sorted(near)]
+        shown = [row for row in rows if request.sent_at - 1.0 <= row[0] <= request.sent_at + 6.0]
+        return [f"{at:8.3f} {description}" for at, description in sorted(shown)]
 
     def counts(self) -> Counter[str]:
         """Return the number of violations by name."""
--- a/benchmarks/soak/relays.py
+++ b/benchmarks/soak/relays.py
@@ -90,7 +90,9 @@
         self.serving = self.shutting_down = False
         self.sigterm_at = 0.0
         self.open_requests: dict[Request, Connection] = {}
-        self.max_deadline_s = max(c["deadline_ms"] for c in context.plan.settings["categories"]) / 1000.0
+        self.max_deadline_s = (
+            max(request_class["deadline_ms"] for request_class in context.plan.settings["categories"]) / 1000.0
+        )
         self.final_answers_s = min(self.max_deadline_s, 3.0) + 0.3
         self.clock_step_ms = context.plan.clock_step_ms if number % 2 else 0
         self.initial_endpoints: dict[str, Any] | None = None
--- a/benchmarks/soak/seed_run.py
+++ b/benchmarks/soak/seed_run.py
@@ -46,13 +46,13 @@
     def lines(self) -> list[str]:
         """Return the report as lines of text."""
         plan = self.plan
-        crowd = "with idle clients, " if plan.descriptors else ""
-        head = (
-            f"seed {plan.seed}: {crowd}{plan.relays} relays, {plan.backends} backends, {self.requests} requests, "
-            f"{self.attempts} attempts, {self.retried} retried, {self.served} served, "
+        idle_clients = "with idle clients, " if plan.descriptors else ""
+        summary = (
+            f"seed {plan.seed}: {idle_clients}{plan.relays} relays, {plan.backends} backends, "
+            f"{self.requests} requests, {self.attempts} attempts, {self.retried} retried, {self.served} served, "
             f"{self.answered} answered, event loop late by {1000 * self.worst_lag_s:.0f} ms at most"
         )
-        lines = [head] + [f"  {fault}" for fault in plan.faults]
+        lines = [summary] + [f"  {fault}" for fault in plan.faults]
         for violation in self.violations[:MAX_SHOWN]:
             lines.append(f"  VIOLATION {violation.rule.value} {violation.request}: {violation.description}")
             lines += [f"      {row}" for row in (*violation.details, *self.timelines.get(violation.request, []))]
@@ -151,7 +151,7 @@
         first_answers = [request.answers[0][1] for request in oracle.requests.values() if request.answers]
         report = Report(
             self.plan,
-            self.clients.requests_sent,
+            self.clients.requests_opened,
             len(attempts),
             len(first_answers),
             first_answers.count("UP"),
@@ -159,7 +159,9 @@
             max((late for _, late in oracle.loop_lags), default=0.0),
             violations,
         )
-        report.timelines = {v.request: oracle.timeline(v.request) for v in violations if v.request}
+        report.timelines = {
+            violation.request: oracle.timeline(violation.request) for violation in violations if violation.request
+        }
         for name in list(report.timelines)[:MAX_SHOWN]:
             self._add_log(name, report)
         return report
@@ -183,10 +185,10 @@
     async def _wait_until_end(self, fault: Fault) -> None:
         await asyncio.sleep(max(0.0, fault.end_s - self.context.now()))
 
-    def _sample_relays(self, random: Random, most: int) -> list[Relay]:
-        """Return 1 to `most` random relays that serve and do not shut down."""
+    def _sample_relays(self, random: Random, max_count: int) -> list[Relay]:
+        """Return 1 to `max_count` random relays that serve and do not shut down."""
         serving = [relay for relay in self.relays if relay.serving and not relay.shutting_down]
-        return random.sample(serving, min(len(serving), random.randint(1, most)))
+        return random.sample(serving, min(len(serving), random.randint(1, max_count)))
 
     def _sample_backends(self, random: Random, share: float = AFFECTED_SHARE) -> list[Backend]:
         return random.sample(self.backends, max(1, int(share * len(self.backends))))
@@ -372,7 +374,7 @@
     """Run a plan with its logs in the folder, and return its report; all processes are killed in any case."""
     folder.mkdir(parents=True, exist_ok=True)
     (folder / "plan.json").write_text(
-        json.dumps({"settings": plan.settings, "troubles": [str(t) for t in plan.faults]})
+        json.dumps({"settings": plan.settings, "troubles": [str(fault) for fault in plan.faults]})
     )
     seed_run = SeedRun(plan, folder, shim_library, planted)
     try:
--- a/tests/benchmarks/test_soak.py
+++ b/tests/benchmarks/test_soak.py
@@ -45,12 +45,12 @@
 
 
 def make_request(name: str = "a", effect: str = "side_effect", **changes: float) -> Request:
-    made = Request(name, "r0.1", "charge", effect, "cell", 0.4, 1.0, sent_at=1.0, ended_at=1.2)
-    made.answers.append((1.1, "UP"))
-    made.moved = True
+    request = Request(name, "r0.1", "charge", effect, "cell", 0.4, 1.0, sent_at=1.0, ended_at=1.2)
+    request.answers.append((1.1, "UP"))
+    request.moved = True
     for key, value in changes.items():
-        setattr(made, key, value)
-    return made
+        setattr(request, key, value)
+    return request
 
 
 def make_attempt(
@@ -90,40 +90,40 @@
     return change
 
 
-def with_attempts(*made: Attempt, effect: str = "side_effect", left: float = inf) -> Callable[[Oracle], None]:
+def with_attempts(*attempts: Attempt, effect: str = "side_effect", left: float = inf) -> Callable[[Oracle], None]:
     def change(oracle: Oracle) -> None:
         oracle.requests["a"].effect, oracle.requests["a"].left_at = effect, left
-        oracle.attempts["a"] = list(made)
+        oracle.attempts["a"] = list(attempts)
 
     return change
 
 
 def send_to_drained_backend(
-    at: float, sent: float, told: bool = True, down: float | None = None
+    at: float, sent: float, informed: bool = True, outage_end: float | None = None
 ) -> Callable[[Oracle], None]:
     def change(oracle: Oracle) -> None:
         oracle.requests["a"].sent_at, oracle.requests["a"].deadline_s = sent - 0.1, 30.0
         oracle.requests["a"].answers[:] = [(sent + 0.1, "UP")]
         oracle.requests["a"].ended_at = sent + 0.2
         oracle.state_changes["s-1"] = [(at, False)]
-        if told:
+        if informed:
             oracle.endpoint_updates["r0.1", "s-1"] = [(at, False)]
-        if down is not None:
-            oracle.discovery_outages.append((at - 1.0, down))
+        if outage_end is not None:
+            oracle.discovery_outages.append((at - 1.0, outage_end))
         oracle.attempts["a"] = [make_attempt("s-1", sent)]
 
     return change
 
 
-def send_to_cold_backend(count: int, told: bool = True) -> Callable[[Oracle], None]:
+def send_to_cold_backend(count: int, informed: bool = True) -> Callable[[Oracle], None]:
     def change(oracle: Oracle) -> None:
         oracle.backend_starts["s-1"] = [10.0]
-        if told:
+        if informed:
             oracle.start_updates["r0.1", "s-1"] = [10.0]
-        made = [Attempt("a", "s-1", "a", 1, 10.5, 10.5 + 0.001 * n, "BUSY", 10.5 + 0.001 * n) for n in range(count)]
+        attempts = [Attempt("a", "s-1", "a", 1, 10.5, 10.5 + 0.001 * n, "BUSY", 10.5 + 0.001 * n) for n in range(count)]
         oracle.requests["a"] = make_request(effect="pure", sent_at=10.4, ended_at=10.9, deadline_s=5.0)
         oracle.requests["a"].answers[:] = [(10.8, "UP")]
-        oracle.attempts["a"] = made
+        oracle.attempts["a"] = attempts
 
     return change
 
@@ -146,9 +146,9 @@
 
 def close_after_idle(ended_after_s: float, raced_close: bool) -> Callable[[Oracle], None]:
     def change(oracle: Oracle) -> None:
-        made = oracle.requests["a"]
-        made.was_idle, made.raced_close, made.ended_at = True, raced_close, made.sent_at + ended_after_s
-        made.answers.clear()
+        request = oracle.requests["a"]
+        request.was_idle, request.raced_close, request.ended_at = True, raced_close, request.sent_at + ended_after_s
+        request.answers.clear()
 
     return change
 
@@ -211,13 +211,13 @@
     "attempt begun after the deadline": (with_attempts(make_attempt("s-1", 2.3)), Rule.DEADLINE),
     "sent within the drain grace": (send_to_drained_backend(5.0, 5.4), None),
     "sent after the drain grace": (send_to_drained_backend(5.0, 5.5), Rule.DRAIN),
-    "sent before the relay must know of the drain": (send_to_drained_backend(5.0, 11.3, told=False), None),
-    "sent after the relay must know of the drain": (send_to_drained_backend(5.0, 11.5, told=False), Rule.DRAIN),
-    "sent just after a discovery outage": (send_to_drained_backend(5.0, 12.0, told=False, down=6.0), None),
+    "sent before the relay must know of the drain": (send_to_drained_backend(5.0, 11.3, informed=False), None),
+    "sent after the relay must know of the drain": (send_to_drained_backend(5.0, 11.5, informed=False), Rule.DRAIN),
+    "sent just after a discovery outage": (send_to_drained_backend(5.0, 12.0, informed=False, outage_end=6.0), None),
     "cold backend within the slow-start budget": (send_to_cold_backend(25), None),
     "cold backend above the slow-start budget": (send_to_cold_backend(60), Rule.SLOW_START),
     "cold backend above the budget by relays that do not know of its start": (
-        send_to_cold_backend(60, told=False),
+        send_to_cold_backend(60, informed=False),
         None,
     ),
 }
--- a/tests/benchmarks/test_soak_lateness.py
+++ b/tests/benchmarks/test_soak_lateness.py
@@ -41,7 +41,7 @@
             relay.address = listening.getsockname()
             loop = asyncio.get_running_loop()
             loop.call_soon(loop.call_soon, restart)  # after the system call connect, before its result is noticed
-            await clients._ask(relay)
+            await clients._send_request(relay)
         (request,) = context.oracle.requests.values()
         assert request.relay == "r0.1"
 
