--- a/benchmarks/soak/__main__.py
+++ b/benchmarks/soak/__main__.py
@@ -50,15 +50,18 @@
 
 
 def split_kinds(text: str) -> list[str]:
+    """Return the kinds of a comma-separated list."""
     return [kind for kind in text.split(",") if kind]
 
 
 def run_seed(seed: int, options: argparse.Namespace, kinds: list[str], shim_library: Path | None, logs: Path) -> Report:
+    """Run one seed, and return its report."""
     plan = make_plan(seed, options.processes, options.seconds, kinds)
     return uvloop.run(run_plan(plan, logs / str(seed), shim_library, options.planted))
 
 
 def main() -> int:
+    """Run all seeds, print the results, and return the exit status: 1 if a rule was violated."""
     options, started_at = parse_arguments(), time.perf_counter()
     totals: Counter[str] = Counter(dict.fromkeys(RULES, 0))
     pairs: set[frozenset[str]] = set()
--- a/benchmarks/soak/backends.py
+++ b/benchmarks/soak/backends.py
@@ -234,6 +234,7 @@
             self.transport.close()
 
     def reset(self) -> None:
+        """Reset the connection to the relay."""
         if self.attempt is not None:
             self.attempt.backend_closed_at = min(self.attempt.backend_closed_at, self.context.now())
         if self.transport is not None and not self.transport.is_closing():
@@ -253,6 +254,7 @@
             self.upstream.close()
 
     def _record_relay_close(self) -> None:
+        """Record when the relay closed its side."""
         if self.attempt is not None:
             self.attempt.relay_closed_at = min(
                 self.attempt.relay_closed_at, self.context.now() - close_age_s(self._socket())
@@ -365,6 +367,7 @@
                 return
 
     def _answer(self, name: str, line: bytes) -> None:
+        """Answer a request that is not accepted; an empty line closes the connection without an answer."""
         self._record_answer(name, line.decode() or "closed")
         if line:
             self.send_line(line)
@@ -392,6 +395,7 @@
             later(self.random.uniform(0.05, 0.5), self.abort)
 
     def _accept(self, name: str) -> None:
+        """Accept the request, unless the connection was closed in the meantime."""
         if self.transport is None or self.transport.is_closing():
             return
         self._record_answer(name, "UP")
@@ -401,5 +405,6 @@
         asyncio.get_running_loop().call_later(connection_s, self._finish)
 
     def _finish(self) -> None:
+        """End an established connection in order."""
         self.send_line(b"BYE")
         self.close()
--- a/benchmarks/soak/clients.py
+++ b/benchmarks/soak/clients.py
@@ -117,6 +117,7 @@
                 self.context.start_task(self._send_request(relay))
 
     def _new_request(self, relay: Relay) -> tuple[Request, bytes]:
+        """Return a random request for this relay, and its line."""
         settings = self.context.plan.settings
         request_class = self.random.choices(settings["categories"], CLASS_WEIGHTS)[0]
         self.next_id += 1
@@ -140,6 +141,7 @@
         return request, f"{line}\r\n".encode()
 
     async def _send_request(self, relay: Relay) -> None:
+        """Connect, stay idle if so drawn, send one request, and wait for its answer."""
         request, line = self._new_request(relay)
         exchange = Exchange(self.context.now, request)
         connection = exchange.connection
@@ -195,6 +197,7 @@
             await connection.wait(min(left_s, SHUTDOWN_POLL_S))
 
     async def _send_first_line(self, exchange: Exchange, line: bytes) -> None:
+        """Send the request's line, in two parts for some clients."""
         if self.random.random() >= 0.08 + self.split_share:
             exchange.send(line)
             return
@@ -205,6 +208,7 @@
         exchange.send(line[at:])
 
     async def _await_answer(self, exchange: Exchange) -> None:
+        """Wait for the answer and use an established connection, until the relay closes it or the client leaves."""
         request, connection = exchange.request, exchange.connection
         leaves_after_s = self.random.uniform(0.0, 0.3) if self.random.random() < self.leave_share else None
         until = request.sent_at + (
@@ -228,6 +232,7 @@
                     connection.send(b"a line\r\n")
 
     def _leave(self, exchange: Exchange, early: bool) -> None:
+        """Close the connection; early: by a close, a reset or a half-close."""
         how = self.random.randrange(3) if early else 0
         if how == 2:
             exchange.connection.half_close()
@@ -236,6 +241,7 @@
         exchange.request.left_at = self.context.now()
 
     async def _send_malformed(self, relay: Relay) -> None:
+        """Connect, send malformed input, and wait some time for an answer."""
         try:
             reader, writer = await asyncio.wait_for(asyncio.open_connection(*relay.address), CONNECT_TIMEOUT_S)
         except (OSError, TimeoutError):
--- a/benchmarks/soak/discovery.py
+++ b/benchmarks/soak/discovery.py
@@ -65,6 +65,7 @@
         return handle
 
     async def _serve(self, relay: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Answer one request for the endpoint list, and keep it open as a watch."""
         await reader.readuntil(b"\r\n\r\n")
         if self.behaviour == "hang":
             await reader.read()
@@ -129,6 +130,7 @@
             self._record_update(watch.relay, backend, self._effective_at(backend, write_began_at))
 
     def _record_update(self, relay: str, backend: Backend, at: float) -> None:
+        """Record that a relay was informed of a backend's present state."""
         oracle, pair = self.context.oracle, (relay, backend.name)
         oracle.endpoint_updates.setdefault(pair, []).append((at, backend.phase == "ready"))
         if backend.start_ms:
--- a/benchmarks/soak/idle_clients.py
+++ b/benchmarks/soak/idle_clients.py
@@ -32,6 +32,7 @@
         await asyncio.gather(*clients)
 
     async def _keep_connected(self, relay: Relay, until: float) -> None:
+        """Connect, and reconnect whenever the relay closes the connection, until this time of the run."""
         await asyncio.sleep(self.random.uniform(0.0, 1.0))
         while self.context.now() < until:
             with suppress(OSError, TimeoutError):
@@ -39,10 +40,11 @@
             await asyncio.sleep(self.random.uniform(*RECONNECT_S))
 
     async def _hold_connection(self, relay: Relay, until: float) -> None:
+        """Connect, send a partial line or nothing, and wait until the relay closes the connection."""
         reader, writer = await asyncio.wait_for(asyncio.open_connection(*relay.address), 1.0)
         try:
             writer.write(self.random.choice(FIRST_BYTES))
-            until = max(0.0, until - self.context.now())
-            await asyncio.wait_for(reader.read(), until)  # until the relay closes it
+            remaining_s = max(0.0, until - self.context.now())
+            await asyncio.wait_for(reader.read(), remaining_s)  # until the relay closes it
         finally:
             writer.close()
--- a/benchmarks/soak/oracle.py
+++ b/benchmarks/soak/oracle.py
@@ -215,6 +215,7 @@
         self.violations.append(Violation(rule, request, description))
 
     def _check_answers(self, request: Request, until: float) -> None:
+        """Check that the request has exactly one answer, or a valid reason for none, and that it is in time."""
         if len([word for _, word in request.answers if word in ("UP", "BUSY", "ERR")]) > 1:
             self.add_violation(Rule.ANSWERS, request.name, f"answered {request.answers}")
         due = request.sent_at + request.deadline_s + TIMEOUT_SLACK_S
@@ -253,6 +254,7 @@
             self.add_violation(Rule.LOST, request.name, f"cut off without MOVE {at:.3f} s after it was sent")
 
     def _check_cancellation(self, request: Request, attempts: list[Attempt]) -> None:
+        """Check that no attempt begins after the client has left."""
         for attempt in attempts:
             late_s = attempt.first_byte_at - request.left_at
             if late_s > CANCEL_SLACK_S + CLOCK_TICK_S + self.held_s(
@@ -262,6 +264,7 @@
                 self.add_violation(Rule.AFTER_CANCEL, request.name, description)
 
     def _check_deadline(self, request: Request, attempts: list[Attempt]) -> None:
+        """Check that no attempt begins after the deadline."""
         due = request.sent_at + request.deadline_s + TIMEOUT_SLACK_S + MAX_HOLD_S
         for attempt in attempts:
             if attempt.first_byte_at > due + self.held_s(request.relay, request.sent_at, attempt.first_byte_at):
@@ -270,6 +273,7 @@
                 self.add_violation(Rule.DEADLINE, request.name, description)
 
     def _check_duplicates(self, request: Request, attempts: list[Attempt]) -> None:
+        """Check that one attempt is in flight at a time, and that only requests that may be retried run twice."""
         received = sorted(
             (attempt for attempt in attempts if attempt.received_at < inf), key=lambda attempt: attempt.received_at
         )
@@ -295,6 +299,7 @@
                     return
 
     def _may_retry(self, request: Request, first: Attempt, attempt: Attempt) -> bool:
+        """Return whether a request that may have run in the attempt `first` may run again."""
         if request.effect == "pure":
             return True
         if request.effect == "side_effect":
@@ -311,6 +316,7 @@
         return same_group and attempt.first_byte_at - first.received_at <= within
 
     def _check_drains(self, request: Request, attempts: list[Attempt]) -> None:
+        """Check that no attempt begins at a draining or removed backend after the drain grace."""
         for attempt in attempts:
             must_know_at = self._not_ready_since(request.relay, attempt.backend, attempt.first_byte_at)
             if must_know_at is None:
@@ -346,6 +352,7 @@
         return min(known_since, when + PROPAGATION_S) if known_since is not None else when + PROPAGATION_S
 
     def _check_slow_start(self, backend: str, start: float, budget: SlowStartBudget) -> None:
+        """Check that a restarted backend gets no more requests than its slow-start budget per window."""
         sent = sorted(
             (attempt.received_at, self.requests[attempt.request].relay)
             for attempts in self.attempts.values()
--- a/benchmarks/soak/plan.py
+++ b/benchmarks/soak/plan.py
@@ -92,6 +92,7 @@
 
 
 def fault_pairs(kinds: list[str]) -> list[tuple[str, str]]:
+    """Return all pairs of kinds in a fixed order."""
     return list(combinations(sorted(kinds), 2))
 
 
--- a/benchmarks/soak/relay_shutdown.py
+++ b/benchmarks/soak/relay_shutdown.py
@@ -41,12 +41,14 @@
 
 
 async def _send_more_signals(relay: Relay, random: Random) -> None:
+    """Send up to four further signals, SIGTERM or SIGHUP."""
     for _ in range(random.choice((0, 0, 1, 2, 4))):
         await asyncio.sleep(random.choice((0.0, random.uniform(0.0, 0.4))))
         relay.send_signal(random.choice((signal.SIGTERM, signal.SIGHUP)))
 
 
 async def _hold_repeatedly(relay: Relay, kill_at: float, random: Random) -> None:
+    """Suspend the relay one to three times before the kill."""
     holds = random.randint(1, 3)
     spans = [random.choice(((TOTAL_HOLD_S, HOLD_WINDOW_S), FINAL_ANSWERS_S)) for _ in range(holds)]
     for at in sorted(kill_at - random.uniform(*span) for span in spans):
--- a/benchmarks/soak/relays.py
+++ b/benchmarks/soak/relays.py
@@ -113,6 +113,7 @@
         return self.serving and (not self.shutting_down or now < self.sigterm_at + front_delay_s)
 
     def log_path(self) -> Path:
+        """Return the log file of the present process."""
         return self.context.folder / f"{self.instance}.log"
 
     def write_config(self) -> Path:
@@ -164,6 +165,7 @@
         await self._wait_until_ready()
 
     async def _wait_until_ready(self) -> None:
+        """Wait until the relay answers PING; record a failure if it does not within READY_TIMEOUT_S."""
         until = time.monotonic() + READY_TIMEOUT_S
         while time.monotonic() < until:
             with suppress(OSError, TimeoutError):
@@ -182,6 +184,7 @@
         return self.process is not None and self.process.returncode is None
 
     def send_signal(self, signal_number: signal.Signals) -> None:
+        """Send a signal to the process if it is running."""
         if self.alive and self.process is not None:
             with suppress(ProcessLookupError):
                 self.process.send_signal(signal_number)
@@ -230,6 +233,7 @@
         self._read_log()
 
     def _read_log(self) -> None:
+        """Record a failure that the log of the present process shows."""
         failure = find_failure(self.log_path().read_text("utf-8", "replace").splitlines())
         if failure is not None:
             self.context.oracle.crashes.append(Crash(f"{self.instance} {failure.description}", failure.log_lines))
--- a/benchmarks/soak/seed_run.py
+++ b/benchmarks/soak/seed_run.py
@@ -137,6 +137,7 @@
         return self._report(until)
 
     def _report(self, until: float) -> Report:
+        """Judge the run, and return its report. until: the end of the run."""
         oracle, obligations = self.context.oracle, self.plan.settings["obligations"]
         attempts = [attempt for attempts_made in oracle.attempts.values() for attempt in attempts_made]
         warm_rate = self.plan.requests_per_relay_s * self.plan.relays / len(self.backends)
@@ -183,6 +184,7 @@
         await self.handlers[fault.kind](fault, Random(fault.seed))
 
     async def _wait_until_end(self, fault: Fault) -> None:
+        """Wait for the end of the fault."""
         await asyncio.sleep(max(0.0, fault.end_s - self.context.now()))
 
     def _sample_relays(self, random: Random, max_count: int) -> list[Relay]:
@@ -191,6 +193,7 @@
         return random.sample(serving, min(len(serving), random.randint(1, max_count)))
 
     def _sample_backends(self, random: Random, share: float = AFFECTED_SHARE) -> list[Backend]:
+        """Return this fraction of the backends, at random."""
         return random.sample(self.backends, max(1, int(share * len(self.backends))))
 
     async def _term(self, fault: Fault, random: Random) -> None:
@@ -282,6 +285,7 @@
         self.clients.split_share -= 0.5
 
     async def _clear_call_faults(self, fault: Fault, relays: list[Relay]) -> None:
+        """Wait for the end of the fault, and end the faults of these relays' system calls."""
         pages = [relay.page for relay in relays]
         await self._wait_until_end(fault)
         for page in pages:
