--- a/benchmarks/soak/__main__.py
+++ b/benchmarks/soak/__main__.py
@@ -22,6 +22,7 @@
 
 
 def parse_arguments() -> argparse.Namespace:
+    """Return the options; invalid ones end the process with status 2."""
     parser = argparse.ArgumentParser(
         prog="python -m benchmarks.soak", description="randomized fault-injection soak test"
     )
--- a/benchmarks/soak/backends.py
+++ b/benchmarks/soak/backends.py
@@ -127,7 +127,7 @@
         pending: data for `upstream` while that is not established.
         silent: nothing is forwarded any more, in either direction.
         next_to_relay_at: the loop time at which the last delayed data is forwarded to the relay.
-        next_to_backend_at: the same time for data to the backend.
+        next_to_backend_at: the loop time at which the last delayed data is forwarded to the backend.
     """
 
     def __init__(self, backend: Backend) -> None:
@@ -223,7 +223,7 @@
             self.transport.write(data)
 
     def backend_closed(self) -> None:
-        """The server has closed its side: close the relay's, later if the link has a fault."""
+        """Close the connection to the relay after the server has closed its own, later if the link has a fault."""
         if self.attempt is not None:
             self.attempt.backend_closed_at = min(self.attempt.backend_closed_at, self.context.now())
         if self.transport is not None and not self.transport.is_closing() and not self.silent:
@@ -282,7 +282,7 @@
             self.transport.write(data)
 
     def close(self) -> None:
-        """The relay has closed its side."""
+        """Close the connection after the relay has closed its own."""
         self.closed = True
         if self.transport is not None and not self.transport.is_closing():
             self.transport.close()
--- a/benchmarks/soak/connection.py
+++ b/benchmarks/soak/connection.py
@@ -41,9 +41,7 @@
         self.now, self.on_line = now, on_line
         self.sock = socket.socket()
         self.sock.setblocking(False)
-        self.sock.setsockopt(
-            socket.IPPROTO_TCP, socket.TCP_NODELAY, 1
-        )  # data is sent without waiting for acknowledgements
+        self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)  # send without waiting for acknowledgements
         enable_receive_timestamps(self.sock)
         self.buffer = b""
         self.peer_closed = self.closed = False
--- a/benchmarks/soak/plan.py
+++ b/benchmarks/soak/plan.py
@@ -66,8 +66,8 @@
     Attributes:
         clock_step_ms: offset of the wall clock of every other relay from its start.
         requests_per_relay_s: the mean rate of requests per relay.
-        descriptors: the descriptor limit that the relays are configured with in a run with idle clients; 0: no limit
-            is configured, and there are none.
+        descriptors: the configured descriptor limit of the relays in a run with idle clients; 0 configures no limit, in
+            a run without idle clients.
     """
 
     seed: int
--- a/benchmarks/soak/run_context.py
+++ b/benchmarks/soak/run_context.py
@@ -11,7 +11,7 @@
 from benchmarks.soak.oracle import Oracle
 from benchmarks.soak.plan import Plan
 
-LAG_SAMPLE_S, MIN_LAG_S = 0.005, 0.01
+LAG_SAMPLE_S, MIN_LAG_S = 0.005, 0.01  # interval of the samples; shorter delays are not recorded
 LINE_END = b"\r\n"
 FIRST_PORT = 20_000
 
--- a/benchmarks/soak/seed_run.py
+++ b/benchmarks/soak/seed_run.py
@@ -62,7 +62,7 @@
 
 
 class SeedRun:
-    """All parts of one run, and a handler for each kind of fault.
+    """All parts of one run, and a handler for each kind of fault; `plan.FAULTS` describes the kinds.
 
     Attributes:
         finished: the run is over: relays are not restarted any more.
