--- a/benchmarks/soak/planted.py
+++ b/benchmarks/soak/planted.py
@@ -127,7 +127,7 @@
 
 def end_without_looking() -> None:
     """Close an idle connection some time after the check for unread data; data that arrives in between is not read."""
-    real = client.ClientConnection.end_if_silent
+    real = client.ClientConnection.close_if_idle
 
     def close_if_idle(self: client.ClientConnection, even_if_unread: bool = False) -> bool:
         if not self.closing:
