--- a/benchmarks/capacity/stand_in.py
+++ b/benchmarks/capacity/stand_in.py
@@ -19,7 +19,7 @@
 
 import uvloop
 
-from yarrowspindle.lab.processes.parties import Backend, MachineList
+from yarrowspindle.lab.processes.stand_ins import Backend, EndpointListServer
 
 END = b"\r\n"
 GROUP = "5c0f6e1a"  # of the connections that get a line in the same instant
@@ -126,11 +126,11 @@
         for n in range(self.count):
             server = await loop.create_server(lambda: BackendEnd(self.sender), f"127.0.1.{1 + n}", 0, backlog=1024)
             known[f"n{n}"] = Backend(f"n{n}", server.sockets[0].getsockname(), Random(n), 0.0)
-        machines = MachineList(known, lambda relay, backend: known[backend].address)
+        machines = EndpointListServer(known, lambda relay, backend: known[backend].address)
         await machines.open("n0", ("127.0.0.1", 0))
         return {
             "discovery": machines.servers[0].sockets[0].getsockname(),
-            "list": machines.whole("n0"),
+            "list": machines.full_list("n0"),
             "addresses": [backend.address for backend in known.values()],
         }
 
--- a/benchmarks/turns.py
+++ b/benchmarks/turns.py
@@ -27,9 +27,9 @@
 from yarrowspindle.lab.model.exhaustive import STAGES, explore
 from yarrowspindle.lab.model.planted import DEFECTS, SETS
 from yarrowspindle.lab.model.turning import STEPS, Plan, TurnDay, play_turns
+from yarrowspindle.lab.processes.maintenance import MaintenanceReport, MaintenanceWork
+from yarrowspindle.lab.processes.maintenance import run_maintenance as play_real
 from yarrowspindle.lab.processes.run import Run
-from yarrowspindle.lab.processes.turning import TurnReport, Work
-from yarrowspindle.lab.processes.turning import play_turns as play_real
 
 PARTS = ("virtual", "steps", "exhaustive", "defects", "real")
 SEEDS = {"small": 100, "machine": 10_000, "large": 10_000}
@@ -87,7 +87,7 @@
     return found
 
 
-def real_run(size: str, seed: int, words: tuple[str, ...], work: bool) -> TurnReport:
+def real_run(size: str, seed: int, words: tuple[str, ...], work: bool) -> MaintenanceReport:
     big = size != "small"
     voters = (4 if words and seed % 4 == 0 else 5) if big else 3
     run = Run(
@@ -100,26 +100,26 @@
         faults_s=30.0 if big else 6.0,
         stall_s=20.0 if big else 4.0,
         lifetime_s=20.0,
-        line_s=2.0,
-        after_s=2.0,
+        line_interval_s=2.0,
+        recovery_s=2.0,
         voters=voters,
         moves_per_s=50.0,
-        lose_file=seed % 2 == 1,
-        work=work,
+        lose_voter_file=seed % 2 == 1,
+        evacuate=work,
     )
     faulty = bool(words) and big
-    wanted = Work(
-        machines=0 if big else 2,
+    wanted = MaintenanceWork(
+        backends=0 if big else 2,
         reboot=seed % 3 == 0 and faulty,
-        floor=run.backends - 2.0,
-        dies_s=8.0 if faulty and seed % 5 == 0 else -1.0,
-        voter=run.voters < run.relays,
-        within_s=180.0 if big else 90.0,
+        min_ready_backends=run.backends - 2.0,
+        crash_after_s=8.0 if faulty and seed % 5 == 0 else -1.0,
+        replace_voter=run.voters < run.relays,
+        limit_s=180.0 if big else 90.0,
     )
     return uvloop.run(play_real(run, wanted))
 
 
-def real(task: tuple[str, int, tuple[str, ...], bool]) -> tuple[int, tuple[str, ...], bool, TurnReport]:
+def real(task: tuple[str, int, tuple[str, ...], bool]) -> tuple[int, tuple[str, ...], bool, MaintenanceReport]:
     _, seed, words, work = task
     return seed, words, work, real_run(*task)
 
@@ -208,7 +208,7 @@
     count = REAL_SEEDS[size]
     if not count:
         return
-    calm: list[TurnReport] = []
+    calm: list[MaintenanceReport] = []
     pairs = 1 if size == "small" else 3
     tasks = [(size, 1000 * seed + n, REAL_SETS[n % len(REAL_SETS)], True) for n in range(count)]
     quiet = [(size, 1000 * seed + 500 + n, (), work) for n in range(pairs) for work in (True, False)]
@@ -216,22 +216,22 @@
     with ProcessPoolExecutor(2, mp_context=get_context("spawn")) as pool:
         for _, _, work, run in pool.map(real, quiet):
             print(run, flush=True)
-            broken += run.report.broken
+            broken += run.report.violations
             if work:
                 calm.append(run)
             else:
-                off.append(run.report.served)
+                off.append(run.report.served_fraction)
     kept = 0
     with ProcessPoolExecutor(AT_ONCE, mp_context=get_context("spawn")) as pool:
         for number, words, _, run in pool.map(real, tasks):
-            kept += not run.report.broken
-            broken += [f"real seed {number}, {', '.join(words)}: {rule}" for rule in run.report.broken]
-            result["free_then_used"] += run.free_then_used
-            result["floor_broken"] += run.floor_broken
+            kept += not run.report.violations
+            broken += [f"real seed {number}, {', '.join(words)}: {rule}" for rule in run.report.violations]
+            result["free_then_used"] += run.used_while_free
+            result["floor_broken"] += run.floor_violations
             print(run, flush=True)
     print(f"real: {kept} of {count} seeds kept all rules", flush=True)
-    each, least = fmean(run.per_machine_s for run in calm), fmean(run.least_s for run in calm)
-    on = [run.report.served for run in calm]
+    each, least = fmean(run.backend_mean_s for run in calm), fmean(run.min_backend_s for run in calm)
+    on = [run.report.served_fraction for run in calm]
     result |= {
         "per_machine_s": round(each, 2),
         "least_s": round(least, 2),
--- a/tests/configuration/test_fault_simulation.py
+++ b/tests/configuration/test_fault_simulation.py
@@ -26,13 +26,13 @@
 @pytest.mark.parametrize("kind", KINDS)
 def test_a_controller_may_fail_at_each_message(kind: str) -> None:
     for number in (1, 4):
-        faults = [Fault("dies", 1.0, 5.0, parties=(kind, f"{number}")), Fault("loss", 1.0, 5.0, 0.1)]
+        faults = [Fault("dies", 1.0, 5.0, participants=(kind, f"{number}")), Fault("loss", 1.0, 5.0, 0.1)]
         result = play_control(number, faults=faults, fleet=(3, 3, 6))
         assert not result.violations and not result.stuck, (kind, number, result)
 
 
 def test_changes_stop_without_a_majority_and_resume_when_it_is_back() -> None:
-    faults = [Fault("kill", 2.0, 5.0, parties=(name,)) for name in ("c00", "c01")]
+    faults = [Fault("kill", 2.0, 5.0, participants=(name,)) for name in ("c00", "c01")]
     result = play_control(3, faults=faults, fleet=(3, 3, 6), together=False)
     assert not result.violations and not result.stuck and result.counts["versions"] > 3
 
@@ -43,11 +43,11 @@
 SPLITS = [
     LOSS,
     Fault("held", 1.0, 9.0, 0.25, 1500.0),
-    Fault("split", 2.0, 3.0, parties=("c00", *ALL_RELAYS), others=("c01", "c02")),
-    Fault("split", 5.5, 3.0, parties=("c01", *ALL_RELAYS), others=("c00", "c02")),
+    Fault("split", 2.0, 3.0, participants=("c00", *ALL_RELAYS), other_side=("c01", "c02")),
+    Fault("split", 5.5, 3.0, participants=("c01", *ALL_RELAYS), other_side=("c00", "c02")),
 ]
 KILLS = [
-    *(Fault("kill", 2.0 + n * 0.8, 0.4, parties=(f"c{n % 3:02d}",)) for n in range(9)),
+    *(Fault("kill", 2.0 + n * 0.8, 0.4, participants=(f"c{n % 3:02d}",)) for n in range(9)),
     Fault("loss", 1.0, 9.0, 0.2),
     Fault("double", 1.0, 9.0, 0.5, 1500.0),
 ]
@@ -55,10 +55,10 @@
     Fault("reorder", 1.0, 9.0, 0.5, 700.0),
     LOSS,
     DUPLICATES,
-    Fault("oneway", 1.0, 9.0, parties=("c01",), others=("c00",)),
+    Fault("oneway", 1.0, 9.0, participants=("c01",), other_side=("c00",)),
 ]
 STALLS = [
-    *(Fault("stall", 2.0 + n * 1.2, 0.9, parties=(f"c{n % 3:02d}",)) for n in range(6)),
+    *(Fault("stall", 2.0 + n * 1.2, 0.9, participants=(f"c{n % 3:02d}",)) for n in range(6)),
     Fault("loss", 1.0, 9.0, 0.2),
     Fault("late", 1.0, 9.0, delay_ms=300.0),
 ]
@@ -100,38 +100,41 @@
     "older": DefectScenario(
         0,
         SMALL,
-        [Fault("split", 1.5, 7.0, parties=("c01",), others=("c00", "c02")), Fault("kill", 4.0, 2.0, parties=("c00",))],
+        [
+            Fault("split", 1.5, 7.0, participants=("c01",), other_side=("c00", "c02")),
+            Fault("kill", 4.0, 2.0, participants=("c00",)),
+        ],
     ),
     "in force too early": DefectScenario(
-        0, SMALL, [Fault("kill", 3.2 + n * 2.0, 1.3, parties=(f"c{n % 3:02d}",)) for n in range(4)]
+        0, SMALL, [Fault("kill", 3.2 + n * 2.0, 1.3, participants=(f"c{n % 3:02d}",)) for n in range(4)]
     ),
     "forgets who leaves": DefectScenario(99),
     "lies": DefectScenario(
         0,
         SMALL,
         [
-            Fault("lost", 1.2, 2.8, parties=("c02",), others=("c00", "c01")),
-            Fault("file", 4.0, 0.3, parties=("c01",)),
-            Fault("stall", 4.1, 4.0, parties=("c00",)),
+            Fault("lost", 1.2, 2.8, participants=("c02",), other_side=("c00", "c01")),
+            Fault("file", 4.0, 0.3, participants=("c01",)),
+            Fault("stall", 4.1, 4.0, participants=("c00",)),
         ],
     ),
-    "serves on": DefectScenario(0, SMALL, [Fault("old program", 1.0, 8.0, parties=ALL_RELAYS[:3])]),
-    "log over a gap": DefectScenario(2, SMALL, [Fault("kill", 1.2, 8.0, parties=("r0003",))]),
+    "serves on": DefectScenario(0, SMALL, [Fault("old program", 1.0, 8.0, participants=ALL_RELAYS[:3])]),
+    "log over a gap": DefectScenario(2, SMALL, [Fault("kill", 1.2, 8.0, participants=("r0003",))]),
     "gap": DefectScenario(
         26,
         SMALL,
         [
-            Fault("old program", 1.0, 9.0, parties=ALL_RELAYS),
+            Fault("old program", 1.0, 9.0, participants=ALL_RELAYS),
             Fault("held", 1.0, 9.0, 0.3, 1500.0),
-            *(Fault("kill", 1.5 + 0.7 * n, 0.3, parties=(ALL_RELAYS[n % 6],)) for n in range(11)),
+            *(Fault("kill", 1.5 + 0.7 * n, 0.3, participants=(ALL_RELAYS[n % 6],)) for n in range(11)),
         ],
     ),
     "numbers anew": DefectScenario(
         2,
         SMALL,
         [
-            Fault("clock", 2.0, 0.5, parties=("c02",)),
-            Fault("clock", 4.0, 0.5, parties=("c01",)),
+            Fault("clock", 2.0, 0.5, participants=("c02",)),
+            Fault("clock", 4.0, 0.5, participants=("c01",)),
             Fault("late", 1.0, 9.0, delay_ms=500.0),
             Fault("loss", 1.0, 9.0, 0.2),
             Fault("double", 1.0, 9.0, 0.5, 2000.0),
@@ -141,7 +144,7 @@
         7,
         LARGER,
         [
-            Fault("split", 2.0, 4.0, parties=("c00", "c01", *ALL_RELAYS), others=("c02", "c03", "c04")),
+            Fault("split", 2.0, 4.0, participants=("c00", "c01", *ALL_RELAYS), other_side=("c02", "c03", "c04")),
             Fault("double", 1.0, 8.0, 0.5, 200.0),
         ],
     ),
--- a/tests/daemon/test_configuration_daemon.py
+++ b/tests/daemon/test_configuration_daemon.py
@@ -239,7 +239,7 @@
             faulty_network.start(Fault("loss", 0.0, 9.0, 0.3))
             assert await world.run_command(0, "load", str(tmp_path / "settings.json")) == 0
             await wait_until_all_applied(found, 1)
-            faulty_network.start(Fault("cut", 0.0, 9.0, parties=("r0",), others=("r7", "r8")))
+            faulty_network.start(Fault("cut", 0.0, 9.0, participants=("r0",), other_side=("r7", "r8")))
             began = time.monotonic()
             assert await world.run_command(1, "set", deadline_change(900.0)) == 0
             await wait_until_all_applied(found, 2)
--- a/tests/daemon/test_maintenance_daemon.py
+++ b/tests/daemon/test_maintenance_daemon.py
@@ -16,8 +16,8 @@
 from yarrowspindle.commands.maintenance import main
 from yarrowspindle.daemon.voter_file import MaintenanceVoterFile
 from yarrowspindle.lab.faults import Fault
+from yarrowspindle.lab.processes.maintenance import MaintenanceReport, MaintenanceWork, run_maintenance
 from yarrowspindle.lab.processes.run import Run
-from yarrowspindle.lab.processes.turning import TurnReport, Work, play_turns
 
 COLD: dict[str, Any] = {"obligations": SETTINGS["obligations"] | {"cold_ms": 300.0}}
 
@@ -164,9 +164,9 @@
 def test_five_real_relays_evacuate_backends_under_loss_a_partition_a_kill_and_a_stall() -> None:
     faults = [
         Fault("loss", 0.0, 12.0, 0.25),
-        Fault("kill", 2.5, 2.0, parties=("r1",)),
-        Fault("stall", 4.5, 3.0, parties=("r0",)),
-        Fault("cut", 6.0, 4.0, parties=("r2",), others=("r3",)),
+        Fault("kill", 2.5, 2.0, participants=("r1",)),
+        Fault("stall", 4.5, 3.0, participants=("r0",)),
+        Fault("cut", 6.0, 4.0, participants=("r2",), other_side=("r3",)),
     ]
     run = Run(
         5,
@@ -174,14 +174,18 @@
         100,
         21,
         settle_s=2.5,
-        after_s=0.5,
+        recovery_s=0.5,
         lifetime_s=12.0,
         voters=4,
-        cold_s=1.0,
+        slow_start_s=1.0,
         moves_per_s=40.0,
-        lose_file=True,
+        lose_voter_file=True,
+    )
+    found: MaintenanceReport = asyncio.run(
+        run_maintenance(
+            run, MaintenanceWork(backends=2, min_ready_backends=2.0, reboot=True, replace_voter=True), faults
+        )
     )
-    found: TurnReport = asyncio.run(play_turns(run, Work(machines=2, floor=2.0, reboot=True, voter=True), faults))
     print(found)
-    assert not found.report.broken, str(found)
-    assert found.over and found.turns >= 2 and found.most_out == 1 and found.report.datagrams["lost"] > 0
+    assert not found.report.violations, str(found)
+    assert found.completed and found.turns >= 2 and found.max_out_at_once == 1 and found.report.datagrams["lost"] > 0
--- a/tests/lab/test_processes.py
+++ b/tests/lab/test_processes.py
@@ -14,9 +14,9 @@
 from tests.stand_ins import ROOT, relay
 from yarrowspindle.daemon.config import ConfigError
 from yarrowspindle.daemon.operator_config import read_operator
-from yarrowspindle.lab.processes import Run, play
+from yarrowspindle.lab.processes import Run, run_scenario
 from yarrowspindle.lab.processes.__main__ import main
-from yarrowspindle.lab.processes.checker import Checker, Terms
+from yarrowspindle.lab.processes.checker import Checker, Obligations
 
 
 @pytest.mark.parametrize(
@@ -27,11 +27,11 @@
     ],
 )
 def test_five_relays_keep_all_rules_and_agree_again(seed: int, words: tuple[str, ...]) -> None:
-    report = asyncio.run(play(Run(seed=seed, words=words)))
+    report = asyncio.run(run_scenario(Run(seed=seed, fault_kinds=words)))
     print(report)
-    assert not report.broken, str(report)
+    assert not report.violations, str(report)
     assert report.counts["up"] > 300 and report.datagrams["lost"] > 0 and report.agreed_s >= 0.0
-    assert report.served > 0.9, "a fault between relays costs the submitters next to nothing"
+    assert report.served_fraction > 0.9, "a fault between relays costs the submitters next to nothing"
 
 
 def test_the_command_names_bad_arguments(capsys: pytest.CaptureFixture[str]) -> None:
@@ -52,71 +52,75 @@
 
 def checker() -> tuple[Checker, Clock]:
     clock = Clock()
-    return Checker(clock.now, Terms()), clock
+    return Checker(clock.now, Obligations()), clock
 
 
 def test_the_checker_finds_a_second_a_late_and_a_missing_answer() -> None:
     c, clock = checker()
-    client = c.asked("r0", 2.0)
-    c.answered(client, "UP")
-    assert not c.broken
-    c.answered(client, "BUSY")
-    assert "one final answer" in c.broken[-1]
-    client = c.asked("r0", 2.0)
+    client = c.record_request("r0", 2.0)
+    c.record_answer(client, "UP")
+    assert not c.violations
+    c.record_answer(client, "BUSY")
+    assert "one final answer" in c.violations[-1]
+    client = c.record_request("r0", 2.0)
     clock.at = 2.7
-    c.answered(client, "BUSY")
-    assert "in time" in c.broken[-1]
-    c.ended(c.asked("r0", 2.0))
-    assert "had not answered" in c.broken[-1]
-    client = c.asked("r0", 2.0)
+    c.record_answer(client, "BUSY")
+    assert "in time" in c.violations[-1]
+    c.record_end(c.record_request("r0", 2.0))
+    assert "had not answered" in c.violations[-1]
+    client = c.record_request("r0", 2.0)
     clock.at = 6.0
-    assert c.overdue(client) and len(c.broken) == 4
+    assert c.check_overdue(client) and len(c.violations) == 4
 
 
 def test_the_checker_holds_nothing_against_a_relay_that_was_stopped_or_killed() -> None:
     c, clock = checker()
-    client, other = c.asked("r0", 2.0), c.asked("r0", 2.0)
+    client, other = c.record_request("r0", 2.0), c.record_request("r0", 2.0)
     clock.at = 1.0
-    c.sleeps("r0")
+    c.relay_suspended("r0")
     clock.at = 4.0
-    c.wakes("r0")
-    c.answered(client, "UP")
-    c.ended(other)
-    assert not c.broken and c.counts["lost with a relay"] == 1
+    c.relay_resumed("r0")
+    c.record_answer(client, "UP")
+    c.record_end(other)
+    assert not c.violations and c.counts["lost with a relay"] == 1
 
 
 def test_the_checker_finds_two_attempts_a_drain_and_a_cold_backend_pushed_over() -> None:
     c, clock = checker()
-    c.sent("r0", "n0", "1", "first")
-    c.given_up("1", "first")
-    c.sent("r0", "n1", "1", "second")
-    assert not c.broken
-    c.sent("r0", "n2", "1", "third")
-    assert "one attempt out" in c.broken[-1]
-    c.told("r0", "n3", False)
+    c.record_attempt("r0", "n0", "1", "first")
+    c.record_attempt_end("1", "first")
+    c.record_attempt("r0", "n1", "1", "second")
+    assert not c.violations
+    c.record_attempt("r0", "n2", "1", "third")
+    assert "one attempt out" in c.violations[-1]
+    c.record_backend_state("r0", "n3", False)
     clock.at = 0.9
-    c.sent("r0", "n3", "2", "a")
-    assert len(c.broken) == 1, "within the grace"
+    c.record_attempt("r0", "n3", "2", "a")
+    assert len(c.violations) == 1, "within the grace"
     clock.at = 1.2
-    c.sent("r1", "n3", "3", "b")
-    assert len(c.broken) == 1, "that relay was not told"
-    c.sent("r0", "n3", "4", "c")
-    assert "drain" in c.broken[-1]
-    c.started("n4")
+    c.record_attempt("r1", "n3", "3", "b")
+    assert len(c.violations) == 1, "that relay was not told"
+    c.record_attempt("r0", "n3", "4", "c")
+    assert "drain" in c.violations[-1]
+    c.backend_started("n4")
     for n in range(60):
         clock.at += 0.02
-        c.sent("r0", "n4", f"c{n}", n)
-    assert "cold" in c.broken[-1]
+        c.record_attempt("r0", "n4", f"c{n}", n)
+    assert "cold" in c.violations[-1]
 
 
 def test_members_agree_only_where_all_said_the_same_of_late() -> None:
     c, clock = checker()
-    c.viewed("r0", 5)
+    c.record_digest("r0", 5)
     clock.at = 1.0
-    c.viewed("r1", 5)
-    assert c.agree(["r0", "r1"], 0.0) and not c.agree(["r0", "r1"], 0.5) and not c.agree(["r0", "r2"], 0.0)
-    c.viewed("r0", 6)
-    assert not c.agree(["r0", "r1"], 0.0)
+    c.record_digest("r1", 5)
+    assert (
+        c.members_agree(["r0", "r1"], 0.0)
+        and not c.members_agree(["r0", "r1"], 0.5)
+        and not c.members_agree(["r0", "r2"], 0.0)
+    )
+    c.record_digest("r0", 6)
+    assert not c.members_agree(["r0", "r1"], 0.0)
 
 
 # --- the daemon alone -----------------------------------------------------------------------------
--- a/tests/maintenance/test_maintenance_simulation.py
+++ b/tests/maintenance/test_maintenance_simulation.py
@@ -53,11 +53,11 @@
 @pytest.mark.parametrize(
     ("faults", "relays"),
     [
-        ([Fault("split", 2.0, 8.0, parties=("r0", "r1"), others=("r2", "r3", "r4"))], 5),
-        ([Fault("split", 2.0, 8.0, parties=("r0", "r1"), others=("r2", "r3"))], 4),
-        ([Fault("split", 2.0, 8.0, parties=("r0",), others=("r1", "r2"))], 3),
-        ([Fault("oneway", 1.0, 9.0, parties=("r0",), others=("r1",))], 3),
-        ([Fault("stall", 2.0, 20.0, parties=("r0",))], 5),
+        ([Fault("split", 2.0, 8.0, participants=("r0", "r1"), other_side=("r2", "r3", "r4"))], 5),
+        ([Fault("split", 2.0, 8.0, participants=("r0", "r1"), other_side=("r2", "r3"))], 4),
+        ([Fault("split", 2.0, 8.0, participants=("r0",), other_side=("r1", "r2"))], 3),
+        ([Fault("oneway", 1.0, 9.0, participants=("r0",), other_side=("r1",))], 3),
+        ([Fault("stall", 2.0, 20.0, participants=("r0",))], 5),
     ],
     ids=["two and three", "even halves", "one and two", "one way", "stopped for 20 s"],
 )
--- a/tests/membership/test_membership_faults.py
+++ b/tests/membership/test_membership_faults.py
@@ -202,7 +202,7 @@
     assert drawn[0] == drawn[1] and len(drawn[0]) == len(FAULT_KINDS)
     assert all(f.start_s >= 1.0 and f.end_s <= 7.01 for f in drawn[0])
     kill, stall = (next(fault for fault in drawn[0] if fault.kind == kind) for kind in ("kill", "stall"))
-    assert kill.parties != stall.parties
+    assert kill.participants != stall.participants
 
 
 def test_the_faults_of_a_link_do_not_depend_on_other_traffic() -> None:
--- a/yarrowspindle/lab/faults.py
+++ b/yarrowspindle/lab/faults.py
@@ -50,7 +50,7 @@
 OLD_DATAGRAM_DELAY_MS = 5000.0
 DURATION_FRACTIONS = (0.4, 0.8)  # of the time that there is for all faults
 STALL_FRACTIONS = (0.5, 1.0)  # of the longest stall
-LATE_FACTORS = (0.5, 1.5)  # on the delay of a "late" fault, for each datagram
+LATE_DELAY_FACTORS = (0.5, 1.5)  # on the delay of a "late" fault, for each datagram
 
 
 class FaultError(ValueError):
@@ -76,8 +76,8 @@
     duration_s: float
     probability: float = 1.0
     delay_ms: float = 0.0
-    parties: tuple[str, ...] = ()
-    others: tuple[str, ...] = ()
+    participants: tuple[str, ...] = ()
+    other_side: tuple[str, ...] = ()
 
     @property
     def end_s(self) -> float:
@@ -86,11 +86,11 @@
 
     def separates(self, source: str, target: str) -> bool:
         """Whether the two parties are on different sides of it."""
-        forth = source in self.parties and target in self.others
-        return forth or (target in self.parties and source in self.others)
+        forward = source in self.participants and target in self.other_side
+        return forward or (target in self.participants and source in self.other_side)
 
     def __str__(self) -> str:
-        sides = " | ".join(" ".join(side) for side in (self.parties, self.others) if side)
+        sides = " | ".join(" ".join(side) for side in (self.participants, self.other_side) if side)
         amount = ""
         if self.kind in PROBABILITIES:
             amount = f" {self.probability:.2f}"
@@ -130,34 +130,42 @@
     relays: Sequence[str],
     backends: Sequence[str],
     seed: int,
-    from_s: float,
-    for_s: float,
+    window_start_s: float,
+    window_s: float,
     max_stall_s: float = 3.0,
 ) -> list[Fault]:
     """Returns one fault of each kind, drawn from the seed; all are over by `from_s + for_s`."""
     random = Random(f"faults {seed}")
     faults: list[Fault] = []
     for kind in kinds:
-        duration_s = for_s * random.uniform(*DURATION_FRACTIONS)
+        duration_s = window_s * random.uniform(*DURATION_FRACTIONS)
         if kind == "stall":
             duration_s = min(duration_s, max_stall_s * random.uniform(*STALL_FRACTIONS))
-        start_s = from_s + random.uniform(0.0, for_s - duration_s)
+        start_s = window_start_s + random.uniform(0.0, window_s - duration_s)
         order = list(relays)
         random.shuffle(order)
         if kind in PROCESS_FAULTS:
-            order.sort(key=lambda relay: _process_faults(relay, faults))
+            order.sort(key=lambda relay: _count_process_faults(relay, faults))
         probability = random.uniform(*PROBABILITIES[kind]) if kind in PROBABILITIES else 1.0
         delay_ms = _draw_delay_ms(kind, random)
-        parties, others = _draw_sides(kind, order, backends, random)
+        participants, other_side = _draw_sides(kind, order, backends, random)
         faults.append(
-            Fault(kind, round(start_s, 3), round(duration_s, 3), probability, delay_ms, tuple(parties), tuple(others))
+            Fault(
+                kind,
+                round(start_s, 3),
+                round(duration_s, 3),
+                probability,
+                delay_ms,
+                tuple(participants),
+                tuple(other_side),
+            )
         )
     return sorted(faults, key=lambda fault: (fault.start_s, fault.kind))
 
 
-def _process_faults(relay: str, faults: Sequence[Fault]) -> int:
+def _count_process_faults(relay: str, faults: Sequence[Fault]) -> int:
     """Returns how many of these befall the relay's process: none is to have two while another has none."""
-    return sum(relay in fault.parties for fault in faults if fault.kind in PROCESS_FAULTS)
+    return sum(relay in fault.participants for fault in faults if fault.kind in PROCESS_FAULTS)
 
 
 def _draw_delay_ms(kind: str, random: Random) -> float:
@@ -211,7 +219,7 @@
 
     def is_cut(self, source: str, target: str) -> bool:
         """Whether nothing passes from one party to another."""
-        return any(self._cuts(fault, source, target) for fault in self.active)
+        return any(self._blocks(fault, source, target) for fault in self.active)
 
     def deliveries(self, source: str, target: str, data: bytes) -> list[Delivery]:
         """Returns the copies of a datagram between relays that arrive."""
@@ -220,42 +228,42 @@
         active = [fault for fault in self.active if fault.kind in DATAGRAM_FAULTS]
         if not active:
             return [Delivery(0.0, data)]
-        random = self._random(source, target)
-        delay_ms, duplicate_delay_ms = 0.0, list[float]()
+        random = self._pair_random(source, target)
+        delay_ms, duplicate_delays_ms = 0.0, list[float]()
         for fault in active:
-            if not _befalls(fault, data, random):
+            if not _applies_to(fault, data, random):
                 continue
             match fault.kind:
                 case "loss":
                     return []
                 case "late":
-                    delay_ms += fault.delay_ms * random.uniform(*LATE_FACTORS)
+                    delay_ms += fault.delay_ms * random.uniform(*LATE_DELAY_FACTORS)
                 case "old":
                     delay_ms += fault.delay_ms
                 case "reorder" | "held":
                     delay_ms += random.uniform(0.0, fault.delay_ms)
                 case "double":
-                    duplicate_delay_ms = [random.uniform(0.0, fault.delay_ms)]
+                    duplicate_delays_ms = [random.uniform(0.0, fault.delay_ms)]
                 case "corrupt":
                     data = _with_changed_byte(data, random)
-        return [Delivery(delay_ms, data), *(Delivery(delay_ms + later, data) for later in duplicate_delay_ms)]
+        return [Delivery(delay_ms, data), *(Delivery(delay_ms + extra_ms, data) for extra_ms in duplicate_delays_ms)]
 
-    def _random(self, source: str, target: str) -> Random:
+    def _pair_random(self, source: str, target: str) -> Random:
         pair = (source, target)
         if pair not in self._randoms:
             self._randoms[pair] = Random(f"{self.seed} {source} {target}")
         return self._randoms[pair]
 
     @staticmethod
-    def _cuts(fault: Fault, source: str, target: str) -> bool:
+    def _blocks(fault: Fault, source: str, target: str) -> bool:
         if fault.kind == "mute":
             return source[0] == target[0] == "r"
         if fault.kind == "oneway":
-            return source in fault.others and target in fault.parties
+            return source in fault.other_side and target in fault.participants
         return fault.kind in PARTITIONS and fault.separates(source, target)
 
 
-def _befalls(fault: Fault, data: bytes, random: Random) -> bool:
+def _applies_to(fault: Fault, data: bytes, random: Random) -> bool:
     """Draws whether the fault befalls this datagram; one without a byte cannot be corrupted."""
     if fault.kind not in PROBABILITIES:
         return True
--- a/yarrowspindle/lab/model/controlling_days.py
+++ b/yarrowspindle/lab/model/controlling_days.py
@@ -80,7 +80,7 @@
         self.burst = random.choice((1, 2, 6, 40))
         for fault in self.found.faults:
             if fault.kind == "old program":
-                world.old_programs.update(fault.parties)
+                world.old_programs.update(fault.participants)
 
     # --- faults ---------------------------------------------------------------------------------
 
@@ -119,12 +119,12 @@
             one = tuple(random.sample(names[len(machines) :], random.randint(1, 3)))
         elif word == "dies":
             one = random.choice(KINDS), f"{random.randint(1, 12)}"
-        return replace(drawn, kind=word, parties=one, others=other)
+        return replace(drawn, kind=word, participants=one, other_side=other)
 
     def begin(self, fault: Fault) -> None:
         world, word = self.world, fault.kind
         if word in ("kill", "clock", "file", "zone"):
-            for name in fault.parties:
+            for name in fault.participants:
                 self.down(name)
                 if word == "file":
                     world.files.pop(name, None)
@@ -132,20 +132,20 @@
                     world.clock_back.add(name)
                     self.turned_back.add(name)
         elif word == "stall":
-            world.stall(fault.parties[0], 1000.0 * fault.duration_s)
+            world.stall(fault.participants[0], 1000.0 * fault.duration_s)
         elif word == "region":
             world.cut = True
         elif word == "disk":
-            world.full_disks.update(fault.parties)
+            world.full_disks.update(fault.participants)
         elif word == "bad memory":
-            world.bad_memories.update(fault.parties)
+            world.bad_memories.update(fault.participants)
         elif word == "unable":
-            for name in fault.parties:
+            for name in fault.participants:
                 host = world.hosts[name]
                 assert isinstance(host, RelayHost)
                 host.turns_down = world.newest() + self.random.randint(1, 3)
         elif word == "dies":
-            kind, number = fault.parties
+            kind, number = fault.participants
             world.dies_at = (kind, int(number))
         elif word != "old program":
             world.faulty_network.start(fault)
@@ -153,14 +153,14 @@
     def end(self, fault: Fault) -> None:
         world, word = self.world, fault.kind
         if word in ("kill", "clock", "file", "zone"):
-            for name in fault.parties:
+            for name in fault.participants:
                 self.up(name)
         elif word == "region":
             world.cut = False
         elif word == "disk":
-            world.full_disks.difference_update(fault.parties)
+            world.full_disks.difference_update(fault.participants)
         elif word == "bad memory":
-            world.bad_memories.difference_update(fault.parties)
+            world.bad_memories.difference_update(fault.participants)
         elif word == "dies":
             world.dies_at = ("", 0)
         else:
--- a/yarrowspindle/lab/model/lending.py
+++ b/yarrowspindle/lab/model/lending.py
@@ -222,10 +222,10 @@
     for fault in day.faults:
         at, ends = 1000.0 * fault.start_s, 1000.0 * fault.end_s
         if fault.kind == "kill":
-            world.clock.after(at, world.kill, fault.parties[0])
-            world.clock.after(ends, world.start, fault.parties[0])
+            world.clock.after(at, world.kill, fault.participants[0])
+            world.clock.after(ends, world.start, fault.participants[0])
         elif fault.kind == "stall":
-            world.clock.after(at, world.stall, fault.parties[0], ends - at)
+            world.clock.after(at, world.stall, fault.participants[0], ends - at)
         else:
             world.clock.after(at, world.faulty_network.start, fault)
             world.clock.after(ends, world.faulty_network.end, fault)
--- a/yarrowspindle/lab/model/peering.py
+++ b/yarrowspindle/lab/model/peering.py
@@ -153,7 +153,7 @@
         """Sets the faults up, counted from now; `kill` and `start` do what is to be done to a relay."""
         for fault in faults:
             at, ends = 1000.0 * fault.start_s, 1000.0 * fault.end_s
-            index = int(fault.parties[0][1:]) if fault.parties and fault.kind in ("kill", "stall") else 0
+            index = int(fault.participants[0][1:]) if fault.participants and fault.kind in ("kill", "stall") else 0
             if fault.kind == "kill":
                 self.clock.after(at, kill, index)
                 self.clock.after(ends, start, index)
--- a/yarrowspindle/lab/model/turning.py
+++ b/yarrowspindle/lab/model/turning.py
@@ -419,11 +419,11 @@
         for fault in faults:
             at, ends = 1000.0 * fault.start_s, 1000.0 * fault.end_s
             if fault.kind == "kill":
-                self.clock.after(at, self.kill, fault.parties[0], lose)
+                self.clock.after(at, self.kill, fault.participants[0], lose)
                 lose = False  # files of a majority lost at once are more than any agreement bears: an operator's work
-                self.clock.after(ends, self.start, fault.parties[0])
+                self.clock.after(ends, self.start, fault.participants[0])
             elif fault.kind == "stall":
-                self.clock.after(at, self._stall, fault.parties[0], ends - at)
+                self.clock.after(at, self._stall, fault.participants[0], ends - at)
             else:
                 self.clock.after(at, self.faulty_network.start, fault)
                 self.clock.after(ends, self.faulty_network.end, fault)
--- a/yarrowspindle/lab/processes/__main__.py
+++ b/yarrowspindle/lab/processes/__main__.py
@@ -12,8 +12,8 @@
 from pathlib import Path
 
 from yarrowspindle.lab.faults import FAULT_KINDS, FaultError, parse_kinds
+from yarrowspindle.lab.processes.environment import run_scenario
 from yarrowspindle.lab.processes.run import Run
-from yarrowspindle.lab.processes.world import play
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
@@ -35,7 +35,7 @@
     parser.add_argument("--logs", type=Path, help="a folder for the relays' logs")
     chosen = parser.parse_args(arguments)
     try:
-        words = tuple(parse_kinds(chosen.faults))
+        fault_kinds = tuple(parse_kinds(chosen.faults))
     except FaultError as error:
         parser.error(str(error))
     if min(chosen.relays, chosen.nodes, chosen.seeds) < 1 or chosen.submitters < 0 or chosen.relays > 80:
@@ -47,17 +47,17 @@
             chosen.nodes,
             chosen.submitters,
             seed,
-            words,
+            fault_kinds,
             faults_s=chosen.faults_s,
             stall_s=chosen.stall_s,
             peers=not chosen.no_peers,
         )
-        report = asyncio.run(play(run))
+        report = asyncio.run(run_scenario(run))
         print(report, flush=True)
-        broken += bool(report.broken)
+        broken += bool(report.violations)
         if chosen.logs is not None:
             chosen.logs.mkdir(parents=True, exist_ok=True)
-            for name, lines in report.log.items():
+            for name, lines in report.logs.items():
                 (chosen.logs / f"{seed}-{name}.log").write_text("\n".join(lines) + "\n")
     print(f"{chosen.seeds - broken} of {chosen.seeds} runs kept all rules")
     return 1 if broken else 0
--- a/yarrowspindle/lab/processes/checker.py
+++ b/yarrowspindle/lab/processes/checker.py
@@ -11,173 +11,185 @@
 from dataclasses import dataclass, field
 from math import sqrt
 
-CHANCE = 3.0  # standard deviations of a count that are let pass: relays feed cold nodes by chance
-SLACK_S = 0.6  # of this machine, which runs all parties beside the relays
+MAX_DEVIATIONS = 3.0  # standard deviations of a count that are let pass: relays feed cold nodes by chance
+TOLERANCE_S = 0.6  # of this machine, which runs all parties beside the relays
 
 
 @dataclass(slots=True)
-class Client:
+class ClientRequest:
     """One connection of a submitter that was owed one final answer."""
 
     relay: str
-    asked: float
+    sent_s: float
     deadline_s: float
     answers: list[str] = field(default_factory=list)
-    over: bool = False
+    finished: bool = False
 
 
 @dataclass(slots=True)
-class Cold:
+class StartingBackend:
     """A node that has started a moment ago; its guaranteed connections a second, and those that came of late."""
 
-    started: float
-    sent: deque[float] = field(default_factory=deque)
-    worst: float = 0.0
+    started_s: float
+    connection_times_s: deque[float] = field(default_factory=deque)
+    worst_ratio: float = 0.0
 
 
 @dataclass(slots=True, frozen=True)
-class Terms:
+class Obligations:
     """As the relays' settings state them; seconds. capacity: connections that a warm node can carry."""
 
-    grace_s: float = 0.4
-    cold_s: float = 3.0  # shorter than connections live, as at both sites
-    cold_share: float = 0.31
-    fall_multiple: float = 3.0
-    fall_s: float = 1.5
-    capacity: float = 40.0
+    drain_grace_s: float = 0.4
+    slow_start_s: float = 3.0  # shorter than connections live, as at both sites
+    initial_capacity_fraction: float = 0.31
+    overload_multiple: float = 3.0
+    overload_window_s: float = 1.5
+    backend_capacity: float = 40.0
 
 
 class Checker:
-    def __init__(self, now: Callable[[], float], terms: Terms) -> None:
-        self.now, self.terms = now, terms
-        self.broken: list[str] = []
+    def __init__(self, now: Callable[[], float], obligations: Obligations) -> None:
+        self.now, self.obligations = now, obligations
+        self.violations: list[str] = []
         self.counts: Counter[str] = Counter()
         # job -> its attempts that are out, as the relay's side of the wire shows
         self.attempts: dict[str, set[object]] = {}
-        self.drained: dict[tuple[str, str], float] = {}  # relay, node -> when the relay was told
-        self.cold: dict[str, Cold] = {}
-        self.asleep: dict[str, list[list[float]]] = {}  # relay -> from when to when it was stopped, or dead
-        self.views: dict[str, tuple[float, int]] = {}  # relay -> its newest digest of members, and when it was seen
-        self.waits: list[float] = []
+        self.draining_since: dict[tuple[str, str], float] = {}  # relay, node -> when the relay was told
+        self.starting: dict[str, StartingBackend] = {}
+        self.suspensions: dict[str, list[list[float]]] = {}  # relay -> from when to when it was stopped, or dead
+        self.digests: dict[str, tuple[float, int]] = {}  # relay -> its newest digest of members, and when it was seen
+        self.answer_times_s: list[float] = []
 
-    def note(self, rule: str, what: str) -> None:
+    def report_violation(self, rule: str, detail: str) -> None:
         self.counts[f"broken {rule}"] += 1
-        if len(self.broken) < 50:
-            self.broken.append(f"{rule} at {self.now():.3f} s: {what}")
+        if len(self.violations) < 50:
+            self.violations.append(f"{rule} at {self.now():.3f} s: {detail}")
 
     # --- processes ------------------------------------------------------------------------------
 
-    def sleeps(self, relay: str) -> None:
-        self.asleep.setdefault(relay, []).append([self.now(), float("inf")])
+    def relay_suspended(self, relay: str) -> None:
+        self.suspensions.setdefault(relay, []).append([self.now(), float("inf")])
 
-    def wakes(self, relay: str) -> None:
-        if self.asleep.get(relay):
-            self.asleep[relay][-1][1] = self.now()
+    def relay_resumed(self, relay: str) -> None:
+        if self.suspensions.get(relay):
+            self.suspensions[relay][-1][1] = self.now()
 
-    def slept(self, relay: str, since: float) -> float:
+    def suspended_s(self, relay: str, since: float) -> float:
         """For how long of the time since then it could do nothing."""
         now = self.now()
-        return sum(max(0.0, min(end, now) - max(start, since)) for start, end in self.asleep.get(relay, ()))
+        return sum(max(0.0, min(end, now) - max(start, since)) for start, end in self.suspensions.get(relay, ()))
 
     # --- submitters -----------------------------------------------------------------------------
 
-    def asked(self, relay: str, deadline_s: float) -> Client:
+    def record_request(self, relay: str, deadline_s: float) -> ClientRequest:
         self.counts["asked"] += 1
-        return Client(relay, self.now(), deadline_s)
+        return ClientRequest(relay, self.now(), deadline_s)
 
-    def answered(self, client: Client, answer: str) -> None:
+    def record_answer(self, client: ClientRequest, answer: str) -> None:
         """A line that is a final answer."""
         client.answers.append(answer)
         self.counts[answer.lower()] += 1
-        took = self.now() - client.asked
+        elapsed_s = self.now() - client.sent_s
         if len(client.answers) > 1:
-            self.note("one final answer", f"{client.relay} said {' and '.join(client.answers)}")
-        elif took > client.deadline_s + SLACK_S + self.slept(client.relay, client.asked):
-            self.note("in time", f"{client.relay} said {answer} after {took:.2f} s of {client.deadline_s:.2f} s")
-        self.waits.append(took)
-
-    def ended(self, client: Client) -> None:
+            self.report_violation("one final answer", f"{client.relay} said {' and '.join(client.answers)}")
+        elif elapsed_s > client.deadline_s + TOLERANCE_S + self.suspended_s(client.relay, client.sent_s):
+            self.report_violation(
+                "in time", f"{client.relay} said {answer} after {elapsed_s:.2f} s of {client.deadline_s:.2f} s"
+            )
+        self.answer_times_s.append(elapsed_s)
+
+    def record_end(self, client: ClientRequest) -> None:
         """The connection is over; without an answer that is the relay's fault while it lived."""
-        if client.over:
+        if client.finished:
             return
-        client.over = True
+        client.finished = True
         if not client.answers:
-            if self.slept(client.relay, client.asked) > 0.0:
+            if self.suspended_s(client.relay, client.sent_s) > 0.0:
                 self.counts["lost with a relay"] += 1
             else:
-                self.note("one final answer", f"{client.relay} ended a connection that it had not answered")
+                self.report_violation("one final answer", f"{client.relay} ended a connection that it had not answered")
 
-    def overdue(self, client: Client) -> bool:
+    def check_overdue(self, client: ClientRequest) -> bool:
         """Nothing came though it is late; noted, and waited for no longer."""
-        took = self.now() - client.asked
-        if client.answers or took <= client.deadline_s + 2 * SLACK_S + self.slept(client.relay, client.asked):
+        elapsed_s = self.now() - client.sent_s
+        if client.answers or elapsed_s <= client.deadline_s + 2 * TOLERANCE_S + self.suspended_s(
+            client.relay, client.sent_s
+        ):
             return False
-        self.note("one final answer", f"{client.relay} has not answered after {took:.2f} s")
-        client.over = True
+        self.report_violation("one final answer", f"{client.relay} has not answered after {elapsed_s:.2f} s")
+        client.finished = True
         return True
 
     # --- attempts, as the wires between relays and nodes show them --------------------------------
 
-    def sent(self, relay: str, backend: str, request: str, attempt: object) -> None:
+    def record_attempt(self, relay: str, backend: str, request: str, attempt: object) -> None:
         """The last byte of a job's line left the relay for this node."""
         self.counts["attempts"] += 1
-        out = self.attempts.setdefault(request, set())
-        if out:
-            self.note("one attempt out", f"{relay} sent job {request} to {backend} while another attempt was out")
-        out.add(attempt)
-        told = self.drained.get((relay, backend))
-        if told is not None:
-            late = self.now() - told - self.slept(relay, told)
-            if late > self.terms.grace_s + SLACK_S:
-                self.note("drain", f"{relay} sent a job to {backend} {late:.2f} s after it was told")
-        self._fed(backend)
-
-    def given_up(self, request: str, attempt: object) -> None:
+        in_flight = self.attempts.setdefault(request, set())
+        if in_flight:
+            self.report_violation(
+                "one attempt out", f"{relay} sent job {request} to {backend} while another attempt was out"
+            )
+        in_flight.add(attempt)
+        drained_at = self.draining_since.get((relay, backend))
+        if drained_at is not None:
+            overdue_s = self.now() - drained_at - self.suspended_s(relay, drained_at)
+            if overdue_s > self.obligations.drain_grace_s + TOLERANCE_S:
+                self.report_violation("drain", f"{relay} sent a job to {backend} {overdue_s:.2f} s after it was told")
+        self._check_slow_start(backend)
+
+    def record_attempt_end(self, request: str, attempt: object) -> None:
         """The relay's side of the attempt has ended."""
-        out = self.attempts.get(request)
-        if out is not None:
-            out.discard(attempt)
-            if not out:
+        in_flight = self.attempts.get(request)
+        if in_flight is not None:
+            in_flight.discard(attempt)
+            if not in_flight:
                 del self.attempts[request]
 
     # --- nodes and the list ---------------------------------------------------------------------
 
-    def told(self, relay: str, backend: str, ready: bool) -> None:
+    def record_backend_state(self, relay: str, backend: str, ready: bool) -> None:
         if ready:
-            self.drained.pop((relay, backend), None)
+            self.draining_since.pop((relay, backend), None)
         else:
-            self.drained.setdefault((relay, backend), self.now())
+            self.draining_since.setdefault((relay, backend), self.now())
 
     def relay_started(self, relay: str) -> None:
         """A new process has been told nothing yet."""
-        for pair in [pair for pair in self.drained if pair[0] == relay]:
-            del self.drained[pair]
+        for pair in [pair for pair in self.draining_since if pair[0] == relay]:
+            del self.draining_since[pair]
 
-    def started(self, backend: str) -> None:
-        self.cold[backend] = Cold(self.now())
+    def backend_started(self, backend: str) -> None:
+        self.starting[backend] = StartingBackend(self.now())
 
-    def _fed(self, backend: str) -> None:
-        cold, now, terms = self.cold.get(backend), self.now(), self.terms
-        if cold is None or now > cold.started + terms.cold_s:
+    def _check_slow_start(self, backend: str) -> None:
+        starting, now, obligations = self.starting.get(backend), self.now(), self.obligations
+        if starting is None or now > starting.started_s + obligations.slow_start_s:
             return
-        cold.sent.append(now)
-        while cold.sent[0] < now - terms.fall_s:
-            cold.sent.popleft()
-        ramp = terms.cold_share + (1.0 - terms.cold_share) * (now - cold.started) / terms.cold_s
+        starting.connection_times_s.append(now)
+        while starting.connection_times_s[0] < now - obligations.overload_window_s:
+            starting.connection_times_s.popleft()
+        ramp = (
+            obligations.initial_capacity_fraction
+            + (1.0 - obligations.initial_capacity_fraction) * (now - starting.started_s) / obligations.slow_start_s
+        )
         # New connections against what would fill it over its warm-up, as it is now; a little is left to chance.
-        fills = terms.capacity * ramp / terms.cold_s * terms.fall_s
-        most = terms.fall_multiple * fills
-        cold.worst = max(cold.worst, len(cold.sent) / fills)
-        if len(cold.sent) > most + CHANCE * sqrt(most):
-            came = f"{backend} was sent {len(cold.sent)} connections in {terms.fall_s:g} s"
-            self.note("cold", f"{came}, of which {fills:.1f} fill it and {most:.1f} are allowed")
+        expected = obligations.backend_capacity * ramp / obligations.slow_start_s * obligations.overload_window_s
+        allowed = obligations.overload_multiple * expected
+        starting.worst_ratio = max(starting.worst_ratio, len(starting.connection_times_s) / expected)
+        if len(starting.connection_times_s) > allowed + MAX_DEVIATIONS * sqrt(allowed):
+            summary = (
+                f"{backend} was sent {len(starting.connection_times_s)} connections "
+                f"in {obligations.overload_window_s:g} s"
+            )
+            self.report_violation("cold", f"{summary}, of which {expected:.1f} fill it and {allowed:.1f} are allowed")
 
     # --- members, as datagrams show them ----------------------------------------------------------
 
-    def viewed(self, relay: str, view: int) -> None:
-        self.views[relay] = (self.now(), view)
+    def record_digest(self, relay: str, digest: int) -> None:
+        self.digests[relay] = (self.now(), digest)
 
-    def agree(self, relays: list[str], since: float) -> bool:
+    def members_agree(self, relays: list[str], since: float) -> bool:
         """All have said so since then, and the same."""
-        said = [self.views.get(relay, (-1.0, 0)) for relay in relays]
-        return all(at >= since for at, _ in said) and len({view for _, view in said}) == 1
+        reports = [self.digests.get(relay, (-1.0, 0)) for relay in relays]
+        return all(at >= since for at, _ in reports) and len({digest for _, digest in reports}) == 1
--- a/yarrowspindle/lab/processes/lateness.py
+++ b/yarrowspindle/lab/processes/event_loop_lag.py
@@ -9,9 +9,9 @@
 INTERVAL_S = 0.01
 
 
-async def watch_lateness(late: Callable[[float], None]) -> None:
+async def measure_lag(report: Callable[[float], None]) -> None:
     """Reports by how many seconds each of the event loop's short sleeps was late."""
     while True:
         due = time.monotonic() + INTERVAL_S
         await asyncio.sleep(INTERVAL_S)
-        late(max(0.0, time.monotonic() - due))
+        report(max(0.0, time.monotonic() - due))
--- a/yarrowspindle/lab/processes/fleet.py
+++ b/yarrowspindle/lab/processes/fleet.py
@@ -16,22 +16,22 @@
     CommandDone,
     ConnectionEnded,
     EndFault,
+    EventLoopLag,
     KillBackend,
-    Lateness,
     OpenFleet,
+    ProxyAddress,
     Report,
     RequestSent,
     StartBackend,
     StartFault,
-    Wire,
 )
 from yarrowspindle.routing.address import Address
 
 ROOT = Path(__file__).resolve().parents[3]
-ANSWER_S = 15.0  # for the fleet's process to start, or to carry a command out
+COMMAND_TIMEOUT_S = 15.0  # for the fleet's process to start, or to carry a command out
 
 
-class FleetConnection:
+class BackendConnection:
     """One connection from a relay to a backend on which a request came."""
 
     __slots__ = ("relay", "backend", "request")
@@ -40,7 +40,7 @@
         self.relay, self.backend, self.request = relay, backend, request
 
 
-class Fleet:
+class FleetClient:
     """The process of the backends.
 
     Attributes:
@@ -50,17 +50,21 @@
         lateness_s: how late the process was at most.
     """
 
-    def __init__(self, sent: Callable[[FleetConnection], None], ended: Callable[[FleetConnection], None]) -> None:
-        self.sent, self.ended = sent, ended
-        self.connections: dict[int, FleetConnection] = {}
-        self.lateness_s = 0.0
+    def __init__(
+        self, on_request: Callable[[BackendConnection], None], on_end: Callable[[BackendConnection], None]
+    ) -> None:
+        self.on_request, self.on_end = on_request, on_end
+        self.connections: dict[int, BackendConnection] = {}
+        self.max_lag_s = 0.0
         self._encode = msgspec.json.Encoder().encode
         self._decode = msgspec.json.Decoder(Report).decode
         self._process: asyncio.subprocess.Process | None = None
-        self._reading: asyncio.Task[None] | None = None
-        self._answers: deque[asyncio.Future[None]] = deque()
+        self._read_task: asyncio.Task[None] | None = None
+        self._pending: deque[asyncio.Future[None]] = deque()
 
-    async def open(self, seed: int, lifetime_s: float, backends: dict[str, Address], wires: list[Wire]) -> None:
+    async def open(
+        self, seed: int, lifetime_s: float, backends: dict[str, Address], proxies: list[ProxyAddress]
+    ) -> None:
         """Starts the process with these backends and wires."""
         self._process = await asyncio.create_subprocess_exec(
             sys.executable,
@@ -71,62 +75,62 @@
             stdin=asyncio.subprocess.PIPE,
             stdout=asyncio.subprocess.PIPE,
         )
-        self._reading = asyncio.ensure_future(self._read(self._process))
-        await self._carry_out(OpenFleet(seed, lifetime_s, backends, wires))
+        self._read_task = asyncio.ensure_future(self._read_reports(self._process))
+        await self._send_command(OpenFleet(seed, lifetime_s, backends, proxies))
 
     async def start_backend(self, name: str) -> None:
         """Lets a backend listen again."""
-        await self._carry_out(StartBackend(name))
+        await self._send_command(StartBackend(name))
 
     async def kill_backend(self, name: str) -> None:
         """Breaks what a backend holds; nobody listens there any more."""
-        await self._carry_out(KillBackend(name))
+        await self._send_command(KillBackend(name))
 
     async def start_fault(self, fault: Fault) -> None:
         """Puts a fault on the wires."""
-        await self._carry_out(StartFault(fault))
+        await self._send_command(StartFault(fault))
 
     async def end_fault(self, fault: Fault) -> None:
         """Takes a fault off the wires."""
-        await self._carry_out(EndFault(fault))
+        await self._send_command(EndFault(fault))
 
-    def connected(self, backend: str) -> list[str]:
+    def connected_relays(self, backend: str) -> list[str]:
         """Returns the relays that hold a connection at this backend, by the wires."""
-        return sorted({each.relay for each in self.connections.values() if each.backend == backend})
+        return sorted({connection.relay for connection in self.connections.values() if connection.backend == backend})
 
     async def close(self) -> None:
         """Ends the process."""
         if self._process is not None and self._process.returncode is None:
             self._process.kill()
             await self._process.wait()
-        if self._reading is not None:
-            await self._reading
+        if self._read_task is not None:
+            await self._read_task
 
-    async def _carry_out(self, command: Command) -> None:
+    async def _send_command(self, command: Command) -> None:
         if self._process is None or self._process.stdin is None:
             raise RuntimeError("the fleet's process was not started")
-        answer = asyncio.get_running_loop().create_future()
-        self._answers.append(answer)
+        completion = asyncio.get_running_loop().create_future()
+        self._pending.append(completion)
         self._process.stdin.write(self._encode(command) + b"\n")
-        await asyncio.wait_for(answer, ANSWER_S)
+        await asyncio.wait_for(completion, COMMAND_TIMEOUT_S)
 
-    async def _read(self, process: asyncio.subprocess.Process) -> None:
+    async def _read_reports(self, process: asyncio.subprocess.Process) -> None:
         assert process.stdout is not None
         while line := await process.stdout.readline():
             self._on_report(self._decode(line))
-        for answer in self._answers:
-            answer.cancel()
+        for completion in self._pending:
+            completion.cancel()
 
     def _on_report(self, report: Report) -> None:
         if isinstance(report, RequestSent):
-            connection = FleetConnection(report.relay, report.backend, report.request)
+            connection = BackendConnection(report.relay, report.backend, report.request)
             self.connections[report.connection] = connection
-            self.sent(connection)
+            self.on_request(connection)
         elif isinstance(report, ConnectionEnded):
-            self.ended(self.connections.pop(report.connection))
-        elif isinstance(report, Lateness):
-            self.lateness_s = max(self.lateness_s, report.late_s)
+            self.on_end(self.connections.pop(report.connection))
+        elif isinstance(report, EventLoopLag):
+            self.max_lag_s = max(self.max_lag_s, report.lag_s)
         elif isinstance(report, CommandDone):
-            answer = self._answers.popleft()
-            if not answer.done():
-                answer.set_result(None)
+            completion = self._pending.popleft()
+            if not completion.done():
+                completion.set_result(None)
--- a/yarrowspindle/lab/processes/fleet_messages.py
+++ b/yarrowspindle/lab/processes/fleet_messages.py
@@ -8,7 +8,7 @@
 from yarrowspindle.routing.address import Address
 
 
-class Wire(msgspec.Struct, frozen=True):
+class ProxyAddress(msgspec.Struct, frozen=True):
     """The address at which a relay reaches a backend."""
 
     relay: str
@@ -22,7 +22,7 @@
     seed: int
     lifetime_s: float
     backends: dict[str, Address]
-    wires: list[Wire]
+    proxies: list[ProxyAddress]
 
 
 class StartBackend(msgspec.Struct, frozen=True, tag=True):
@@ -70,11 +70,11 @@
     connection: int
 
 
-class Lateness(msgspec.Struct, frozen=True, tag=True):
+class EventLoopLag(msgspec.Struct, frozen=True, tag=True):
     """How late the fleet's process was of late, at the most; seconds."""
 
-    late_s: float
+    lag_s: float
 
 
 Command = OpenFleet | StartBackend | KillBackend | StartFault | EndFault
-Report = CommandDone | RequestSent | ConnectionEnded | Lateness
+Report = CommandDone | RequestSent | ConnectionEnded | EventLoopLag
--- a/yarrowspindle/lab/processes/fleet_process.py
+++ b/yarrowspindle/lab/processes/fleet_process.py
@@ -14,24 +14,24 @@
 import msgspec
 
 from yarrowspindle.lab.faults import FaultyNetwork
+from yarrowspindle.lab.processes.event_loop_lag import measure_lag
 from yarrowspindle.lab.processes.fleet_messages import (
     Command,
     CommandDone,
     ConnectionEnded,
     EndFault,
+    EventLoopLag,
     KillBackend,
-    Lateness,
     OpenFleet,
     Report,
     RequestSent,
     StartBackend,
     StartFault,
 )
-from yarrowspindle.lab.processes.lateness import watch_lateness
-from yarrowspindle.lab.processes.parties import Backend
-from yarrowspindle.lab.processes.proxy import Pipe, TcpProxy
+from yarrowspindle.lab.processes.proxy import ProxiedConnection, TcpProxy
+from yarrowspindle.lab.processes.stand_ins import Backend
 
-MIN_REPORTED_S = 0.01
+MIN_REPORTED_LAG_S = 0.01
 
 
 class FleetProcess:
@@ -42,55 +42,57 @@
         self.faulty_network = FaultyNetwork(0)
         self.backends: dict[str, Backend] = {}
         self.proxies: list[TcpProxy] = []
-        self.numbers: dict[Pipe, int] = {}
-        self.counter = itertools.count(1)
+        self.connection_ids: dict[ProxiedConnection, int] = {}
+        self.next_connection_id = itertools.count(1)
 
     def report(self, report: Report) -> None:
         """Writes a report; the lab reads them in the order in which things happened."""
         sys.stdout.buffer.write(self.encode(report) + b"\n")
         sys.stdout.buffer.flush()
 
-    async def carry_out(self, command: Command) -> None:
+    async def execute(self, command: Command) -> None:
         """Carries a command out and reports that."""
         if isinstance(command, OpenFleet):
-            await self._open(command)
+            await self._start_backends(command)
         elif isinstance(command, StartBackend):
             await self.backends[command.backend].open()
         elif isinstance(command, KillBackend):
-            self.backends[command.backend].die()
+            self.backends[command.backend].stop()
         elif isinstance(command, StartFault):
             self.faulty_network.start(command.fault)
         elif isinstance(command, EndFault):
             self.faulty_network.end(command.fault)
         self.report(CommandDone())
 
-    async def _open(self, command: OpenFleet) -> None:
+    async def _start_backends(self, command: OpenFleet) -> None:
         for name, address in command.backends.items():
             random = Random(f"node {command.seed} {name[1:]}")
             self.backends[name] = Backend(name, address, random, command.lifetime_s)
             await self.backends[name].open()
-        for wire in command.wires:
-            proxy = TcpProxy(wire.relay, wire.backend, command.backends[wire.backend], self.faulty_network)
-            proxy.hears, proxy.ended = self._heard, self._ended
-            await proxy.open(wire.address)
+        for proxy_address in command.proxies:
+            proxy = TcpProxy(
+                proxy_address.relay, proxy_address.backend, command.backends[proxy_address.backend], self.faulty_network
+            )
+            proxy.on_line, proxy.on_end = self._on_line, self._on_end
+            await proxy.open(proxy_address.address)
             self.proxies.append(proxy)
 
-    def _heard(self, pipe: Pipe, line: bytes) -> None:
-        if pipe.request or not line.startswith(b"OPEN "):
+    def _on_line(self, connection: ProxiedConnection, line: bytes) -> None:
+        if connection.request or not line.startswith(b"OPEN "):
             return
-        pipe.request = line.split(b" ")[1].decode("ascii", "replace")
-        number = self.numbers[pipe] = next(self.counter)
-        self.report(RequestSent(pipe.proxy.source, pipe.proxy.target, number, pipe.request))
+        connection.request = line.split(b" ")[1].decode("ascii", "replace")
+        connection_id = self.connection_ids[connection] = next(self.next_connection_id)
+        self.report(RequestSent(connection.proxy.source, connection.proxy.target, connection_id, connection.request))
 
-    def _ended(self, pipe: Pipe) -> None:
-        number = self.numbers.pop(pipe, 0)
-        if number:
-            self.report(ConnectionEnded(pipe.proxy.source, pipe.proxy.target, number))
+    def _on_end(self, connection: ProxiedConnection) -> None:
+        connection_id = self.connection_ids.pop(connection, 0)
+        if connection_id:
+            self.report(ConnectionEnded(connection.proxy.source, connection.proxy.target, connection_id))
 
-    def late(self, late_s: float) -> None:
+    def report_lag(self, lag_s: float) -> None:
         """Reports a lateness that matters."""
-        if late_s >= MIN_REPORTED_S:
-            self.report(Lateness(late_s))
+        if lag_s >= MIN_REPORTED_LAG_S:
+            self.report(EventLoopLag(lag_s))
 
 
 async def main() -> None:
@@ -99,10 +101,10 @@
     decode = msgspec.json.Decoder(Command).decode
     reader = asyncio.StreamReader()
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
-    lateness = loop.create_task(watch_lateness(fleet.late))
+    lag_task = loop.create_task(measure_lag(fleet.report_lag))
     while line := await reader.readline():
-        await fleet.carry_out(decode(line))
-    lateness.cancel()
+        await fleet.execute(decode(line))
+    lag_task.cancel()
 
 
 if __name__ == "__main__":
--- a/yarrowspindle/lab/processes/proxy.py
+++ b/yarrowspindle/lab/processes/proxy.py
@@ -13,7 +13,7 @@
 from yarrowspindle.routing.address import Address
 
 MAX_CONNECTIONS = 4096
-MAX_HELD = 1 << 20  # bytes that wait in a connection that is cut
+MAX_PARTIAL_LINE_BYTES = 1 << 20  # bytes that wait in a connection that is cut
 
 
 class DatagramProxy(asyncio.DatagramProtocol):
@@ -23,74 +23,74 @@
     def __init__(
         self,
         target: str,
-        inside: Address,
-        parties: dict[Address, str],
+        relay_address: Address,
+        names_by_address: dict[Address, str],
         faulty_network: FaultyNetwork,
-        seen: Callable[[str, str, bytes, int], None],
+        on_datagram: Callable[[str, str, bytes, int], None],
     ) -> None:
         self.target = target
-        self.inside = inside
-        self.parties = parties
+        self.relay_address = relay_address
+        self.names_by_address = names_by_address
         self.faulty_network = faulty_network
-        self.seen = seen
+        self.on_datagram = on_datagram
         self.transport: asyncio.DatagramTransport | None = None
 
     async def open(self, address: Address) -> None:
         loop = asyncio.get_running_loop()
         await loop.create_datagram_endpoint(lambda: self, local_addr=address)
-        self.out, _ = await loop.create_datagram_endpoint(asyncio.DatagramProtocol, local_addr=(address[0], 0))
+        self.sender, _ = await loop.create_datagram_endpoint(asyncio.DatagramProtocol, local_addr=(address[0], 0))
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, addr: Address) -> None:
-        source = self.parties.get((addr[0], addr[1]), "stranger")
+        source = self.names_by_address.get((addr[0], addr[1]), "stranger")
         copies = self.faulty_network.deliveries(source, self.target, data)
-        self.seen(source, self.target, data, len(copies))
-        for late_ms, copy in copies:
-            if late_ms > 0.0:
-                asyncio.get_running_loop().call_later(late_ms / 1000.0, self._pass, copy)
+        self.on_datagram(source, self.target, data, len(copies))
+        for delay_ms, copy in copies:
+            if delay_ms > 0.0:
+                asyncio.get_running_loop().call_later(delay_ms / 1000.0, self._send, copy)
             else:
-                self._pass(copy)
+                self._send(copy)
 
-    def _pass(self, data: bytes) -> None:
-        if not self.out.is_closing():
-            self.out.sendto(data, self.inside)
+    def _send(self, data: bytes) -> None:
+        if not self.sender.is_closing():
+            self.sender.sendto(data, self.relay_address)
 
     def error_received(self, exc: Exception) -> None:
         """The relay is dead just now."""
 
     def close(self) -> None:
-        for transport in (self.transport, self.out):
+        for transport in (self.transport, self.sender):
             if transport is not None:
                 transport.close()
 
 
-class Views:
+class DigestReader:
     """The digest of members that a datagram's sender has, where it says so."""
 
     def __init__(self) -> None:
-        self.unseal = msgspec.msgpack.Decoder(ChecksummedDatagram).decode
-        self.decode = msgspec.msgpack.Decoder(Datagram).decode
+        self.decode_checksummed = msgspec.msgpack.Decoder(ChecksummedDatagram).decode
+        self.decode_datagram = msgspec.msgpack.Decoder(Datagram).decode
 
-    def of(self, data: bytes) -> int | None:
+    def read(self, data: bytes) -> int | None:
         try:
-            body = self.decode(bytes(self.unseal(data).datagram)).body
+            body = self.decode_datagram(bytes(self.decode_checksummed(data).datagram)).body
         except (msgspec.DecodeError, msgspec.ValidationError, ValueError):
             return None
         return body.view_digest if isinstance(body, Ping | Ack) else None
 
 
-class Pipe:
+class ProxiedConnection:
     """One connection through a proxy."""
 
-    __slots__ = ("proxy", "near", "far", "first", "request", "over")
+    __slots__ = ("proxy", "relay_writer", "server_writer", "partial_line", "request", "relay_closed")
 
-    def __init__(self, proxy: TcpProxy, near: asyncio.StreamWriter) -> None:
-        self.proxy, self.near = proxy, near
-        self.far: asyncio.StreamWriter | None = None
-        self.first, self.request = b"", ""
-        self.over = False  # the relay's side has ended
+    def __init__(self, proxy: TcpProxy, relay_writer: asyncio.StreamWriter) -> None:
+        self.proxy, self.relay_writer = proxy, relay_writer
+        self.server_writer: asyncio.StreamWriter | None = None
+        self.partial_line, self.request = b"", ""
+        self.relay_closed = False  # the relay's side has ended
 
 
 class TcpProxy:
@@ -99,55 +99,64 @@
     While the way is cut, connections that stand are silent, both ways and for good; new ones never come up. `hears`
     is given each whole line from the relay; `ended` the end of the relay's side; `said` what reached the relay."""
 
-    def __init__(self, source: str, target: str, inside: Address, faulty_network: FaultyNetwork) -> None:
-        self.source, self.target, self.inside, self.faulty_network = source, target, inside, faulty_network
+    def __init__(self, source: str, target: str, server_address: Address, faulty_network: FaultyNetwork) -> None:
+        self.source, self.target, self.server_address, self.faulty_network = (
+            source,
+            target,
+            server_address,
+            faulty_network,
+        )
         self.server: asyncio.Server | None = None
-        self.pipes: set[Pipe] = set()
-        self.hears: Callable[[Pipe, bytes], None] = lambda pipe, line: None
-        self.ended: Callable[[Pipe], None] = lambda pipe: None
-        self.said: Callable[[Pipe, bytes], None] = lambda pipe, data: None
+        self.connections: set[ProxiedConnection] = set()
+        self.on_line: Callable[[ProxiedConnection, bytes], None] = lambda connection, line: None
+        self.on_end: Callable[[ProxiedConnection], None] = lambda connection: None
+        self.on_response: Callable[[ProxiedConnection, bytes], None] = lambda connection, data: None
 
     async def open(self, address: Address) -> None:
-        self.server = await asyncio.start_server(self._take, *address, backlog=256)
+        self.server = await asyncio.start_server(self._accept, *address, backlog=256)
 
     @property
-    def cut(self) -> bool:
+    def is_blocked(self) -> bool:
         network = self.faulty_network
         return network.is_cut(self.source, self.target) or network.is_cut(self.target, self.source)
 
-    async def _take(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        if len(self.pipes) >= MAX_CONNECTIONS:
+    async def _accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        if len(self.connections) >= MAX_CONNECTIONS:
             writer.close()
             return
-        pipe = Pipe(self, writer)
-        self.pipes.add(pipe)
+        connection = ProxiedConnection(self, writer)
+        self.connections.add(connection)
         try:
-            far_reader = None
-            if not self.cut:
+            server_reader = None
+            if not self.is_blocked:
                 try:
-                    far_reader, pipe.far = await asyncio.open_connection(*self.inside)
+                    server_reader, connection.server_writer = await asyncio.open_connection(*self.server_address)
                 except OSError:
                     writer.transport.abort()  # nobody listens there: what came up here breaks at once
                     return
-            back = asyncio.ensure_future(self._back(pipe, far_reader)) if far_reader is not None else None
+            response_task = (
+                asyncio.ensure_future(self._copy_to_relay(connection, server_reader))
+                if server_reader is not None
+                else None
+            )
             try:
-                await self._forth(pipe, reader)
+                await self._copy_to_server(connection, reader)
             finally:
-                pipe.over = True
-                self.ended(pipe)
-                if back is not None and not self.cut:
-                    await asyncio.wait([back], timeout=0.05)
-                if back is not None:
-                    back.cancel()
+                connection.relay_closed = True
+                self.on_end(connection)
+                if response_task is not None and not self.is_blocked:
+                    await asyncio.wait([response_task], timeout=0.05)
+                if response_task is not None:
+                    response_task.cancel()
         finally:
-            self.pipes.discard(pipe)
-            for end in (pipe.near, pipe.far):
+            self.connections.discard(connection)
+            for end in (connection.relay_writer, connection.server_writer):
                 if end is not None:
                     end.close()
 
-    async def _forth(self, pipe: Pipe, reader: asyncio.StreamReader) -> None:
+    async def _copy_to_server(self, connection: ProxiedConnection, reader: asyncio.StreamReader) -> None:
         """From the relay on. A connection that was cut once stays silent: its bytes are not made up for."""
-        silent = pipe.far is None
+        silent = connection.server_writer is None
         while True:
             try:
                 data = await reader.read(65_536)
@@ -155,42 +164,42 @@
                 break
             if not data:
                 break
-            silent = silent or self.cut
-            if silent or pipe.far is None:
+            silent = silent or self.is_blocked
+            if silent or connection.server_writer is None:
                 continue
-            pipe.first += data
-            while b"\n" in pipe.first:
-                line, _, pipe.first = pipe.first.partition(b"\n")
-                self.hears(pipe, line)
-            pipe.first = pipe.first[-MAX_HELD:]
-            pipe.far.write(data)
-        if pipe.far is not None and not silent:
+            connection.partial_line += data
+            while b"\n" in connection.partial_line:
+                line, _, connection.partial_line = connection.partial_line.partition(b"\n")
+                self.on_line(connection, line)
+            connection.partial_line = connection.partial_line[-MAX_PARTIAL_LINE_BYTES:]
+            connection.server_writer.write(data)
+        if connection.server_writer is not None and not silent:
             try:
-                pipe.far.write_eof()
+                connection.server_writer.write_eof()
             except (OSError, RuntimeError):
                 pass
 
-    async def _back(self, pipe: Pipe, reader: asyncio.StreamReader) -> None:
+    async def _copy_to_relay(self, connection: ProxiedConnection, reader: asyncio.StreamReader) -> None:
         while True:
             try:
                 data = await reader.read(65_536)
             except ConnectionError:
-                if not self.cut:
-                    pipe.near.transport.abort()
+                if not self.is_blocked:
+                    connection.relay_writer.transport.abort()
                 return
-            if self.cut:
+            if self.is_blocked:
                 await asyncio.Event().wait()  # silent from here on
             if not data:
                 try:
-                    pipe.near.write_eof()
+                    connection.relay_writer.write_eof()
                 except (OSError, RuntimeError):
                     pass
                 return
-            pipe.near.write(data)
-            self.said(pipe, data)
+            connection.relay_writer.write(data)
+            self.on_response(connection, data)
 
     def close(self) -> None:
         if self.server is not None:
             self.server.close()
-        for pipe in list(self.pipes):
-            pipe.near.transport.abort()
+        for connection in list(self.connections):
+            connection.relay_writer.transport.abort()
