--- a/tests/lab/test_deployments.py
+++ b/tests/lab/test_deployments.py
@@ -9,25 +9,35 @@
 from yarrowspindle.lab.model.deployments import ASKED, DEPLOYMENTS, PROBED, TROUBLES, play
 
 # The least share of worth that is served, under what forty seeds gave that nobody tuned for.
-LEAST = {"calm": 0.94, "hang": 0.88, "vanish": 0.88, "slow": 0.85, "pauses": 0.94, "burst": 0.86, "drain": 0.89}
+MIN_SERVED_FRACTION = {
+    "calm": 0.94,
+    "hang": 0.88,
+    "vanish": 0.88,
+    "slow": 0.85,
+    "pauses": 0.94,
+    "burst": 0.86,
+    "drain": 0.89,
+}
 
 
 @pytest.mark.parametrize("seed", [11, 12])
 @pytest.mark.parametrize("trouble", TROUBLES)
 @pytest.mark.parametrize("name", DEPLOYMENTS)
 def test_the_rules_hold_and_most_is_served(name: str, trouble: str, seed: int) -> None:
-    found = play(DEPLOYMENTS[name], trouble, seed)  # raises where a rule is broken
-    assert found["served"] > LEAST[trouble], found
+    result = play(DEPLOYMENTS[name], trouble, seed)  # raises where a rule is broken
+    assert result["served"] > MIN_SERVED_FRACTION[trouble], result
     if name == "probed":
-        assert found["crossed"] < 0.1 and found["probes_a_try"] <= 1.5, found
-        assert found["refused"] < 0.1, "cold nodes that were fed were refused as if they could not be used"
+        assert result["crossed"] < 0.1 and result["probes_a_try"] <= 1.5, result
+        assert result["refused"] < 0.1, "cold nodes that were fed were refused as if they could not be used"
 
 
 def test_probes_find_the_slow_backends_and_keep_groups_at_home() -> None:
     seeds = (21, 22, 23)
     with_probes = [play(PROBED, "slow", seed) for seed in seeds]
     without = [play(replace(PROBED, report_ms=0.0), "slow", seed) for seed in seeds]
-    assert sum(f["served"] for f in with_probes) > sum(f["served"] for f in without) + 0.02 * len(seeds)
+    assert sum(result["served"] for result in with_probes) > sum(result["served"] for result in without) + 0.02 * len(
+        seeds
+    )
 
 
 def test_backends_that_are_not_probed_are_not_asked() -> None:
--- a/tests/lab/test_fleet_model.py
+++ b/tests/lab/test_fleet_model.py
@@ -14,7 +14,7 @@
 from yarrowspindle.lab.model import Fleet, FleetSpec
 from yarrowspindle.lab.model.backend import ModelBackend
 
-VAST = FleetSpec(
+LARGE_FLEET = FleetSpec(
     relays=40,
     backends=60,
     connections=1200,
@@ -27,129 +27,143 @@
 )
 
 
-def vast(seed: int) -> Fleet:
-    fleet = Fleet(VAST, seed)
+def large_fleet(seed: int) -> Fleet:
+    fleet = Fleet(LARGE_FLEET, seed)
     fleet.fill(4.0)
     fleet.run(12.0)
     return fleet
 
 
-def share(fleet: Fleet, seconds: float) -> float:
+def served_fraction(fleet: Fleet, seconds: float) -> float:
     """Of what was wanted from now on, the part that was served."""
     wanted, served = fleet.wanted, fleet.served
     fleet.run(seconds)
     return (fleet.served - served) / (fleet.wanted - wanted)
 
 
-def held(backends: list[ModelBackend]) -> int:
-    return sum(len(n.held) for n in backends)
+def total_connections(backends: list[ModelBackend]) -> int:
+    return sum(len(backend.held) for backend in backends)
 
 
 @pytest.mark.parametrize("seed", [1, 2])
 def test_six_in_ten_backends_are_replaced_and_the_new_ones_hold_their_part_when_the_old_ones_stop(seed: int) -> None:
-    fleet = vast(seed)
-    old = list(fleet.backends.values())[:36]
-    new = [fleet.add_backend(n.size, started=True) for n in old]
-    fleet.tell(EndpointState.READY, *new)
-    fleet.tell(EndpointState.DRAINING, *old)
+    fleet = large_fleet(seed)
+    old_backends = list(fleet.backends.values())[:36]
+    new_backends = [fleet.add_backend(backend.size, started=True) for backend in old_backends]
+    fleet.tell(EndpointState.READY, *new_backends)
+    fleet.tell(EndpointState.DRAINING, *old_backends)
     fleet.run(7.0)
-    assert held(new) >= 0.15 * len(fleet.clients)  # 0.01 with a budget in whole connections for each node
-    fleet.kill(*old)
-    assert share(fleet, 20.0) > 0.85
+    assert total_connections(new_backends) >= 0.15 * len(
+        fleet.clients
+    )  # 0.01 with a budget in whole connections for each node
+    fleet.kill(*old_backends)
+    assert served_fraction(fleet, 20.0) > 0.85
     fleet.rules.check()
 
 
 @pytest.mark.parametrize("seed", [3, 4])
 def test_a_lost_zone_returns_cold_and_is_filled_without_a_fall(seed: int) -> None:
-    fleet = vast(seed)
-    lost = [n for n in fleet.backends.values() if n.zone == 0]
-    fleet.kill(*lost)
+    fleet = large_fleet(seed)
+    lost_backends = [backend for backend in fleet.backends.values() if backend.zone == 0]
+    fleet.kill(*lost_backends)
     fleet.run(10.0)
-    fleet.bring_back(*lost)
+    fleet.bring_back(*lost_backends)
     fleet.run(9.0)
-    assert held(lost) >= 0.1 * len(fleet.clients)
-    assert share(fleet, 10.0) > 0.85
+    assert total_connections(lost_backends) >= 0.1 * len(fleet.clients)
+    assert served_fraction(fleet, 10.0) > 0.85
     fleet.rules.check()
 
 
 @pytest.mark.parametrize("seed", [5, 6])
 def test_a_herd_of_relays_that_start_again_spreads_its_requests_and_feeds_cold_backends(seed: int) -> None:
-    fleet = vast(seed)
-    new = [fleet.add_backend(4.8, started=True) for _ in range(6)]
-    fleet.tell(EndpointState.READY, *new)
+    fleet = large_fleet(seed)
+    new_backends = [fleet.add_backend(4.8, started=True) for _ in range(6)]
+    fleet.tell(EndpointState.READY, *new_backends)
     fleet.restart_relays(fleet.relays[:28], 500.0)
     fleet.run(6.0)
-    warm = [n for n in fleet.backends.values() if n not in new]
-    mean = sum(n.filled() for n in warm) / len(warm)
-    assert max(n.filled() for n in warm) < 2.5 * mean and held(new) > 0
-    assert share(fleet, 10.0) > 0.85
+    warm = [backend for backend in fleet.backends.values() if backend not in new_backends]
+    mean = sum(backend.filled() for backend in warm) / len(warm)
+    assert max(backend.filled() for backend in warm) < 2.5 * mean and total_connections(new_backends) > 0
+    assert served_fraction(fleet, 10.0) > 0.85
     fleet.rules.check()
 
 
-def ask(relays: int, fleet: int, call_ms: float) -> tuple[list[float], list[float]]:
+def simulate_list_calls(relays: int, fleet: int, call_duration_ms: float) -> tuple[list[float], list[float]]:
     """When each relay is told, and all calls: the list serves one call at a time and fails those that have waited for
     2 s; all these relays of the fleet ask from the same start on."""
     random = Random(1)
     balancers = [
-        Balancer(settings(polls_discovery=True, poll_interval_ms=10_000.0, balancers=fleet), n, 0.0)
-        for n in range(relays)
+        Balancer(settings(polls_discovery=True, poll_interval_ms=10_000.0, balancers=fleet), relay, 0.0)
+        for relay in range(relays)
     ]
-    due: list[tuple[float, int, int]] = []  # timers: when, whose, token
-    through: dict[int, float] = {}
-    calls: list[float] = []
-    free_at = 0.0
-
-    def tell(now: float, n: int, event: EndpointList | TimerFired) -> None:
-        nonlocal free_at
-        for action in balancers[n].handle(now, event):
+    timers: list[tuple[float, int, int]] = []  # timers: when, whose, token
+    answered_at_ms: dict[int, float] = {}
+    call_times_ms: list[float] = []
+    list_free_at_ms = 0.0
+
+    def handle_event(now_ms: float, relay: int, event: EndpointList | TimerFired) -> None:
+        nonlocal list_free_at_ms
+        for action in balancers[relay].handle(now_ms, event):
             if isinstance(action, SetTimer):
-                heapq.heappush(due, (now + action.delay_ms, n, action.token))
+                heapq.heappush(timers, (now_ms + action.delay_ms, relay, action.token))
             elif isinstance(action, WatchEndpoints):
-                calls.append(now)
-                if free_at > now + 2000.0:  # its turn would come too late
-                    heapq.heappush(due, (now + 2000.0 + random.random(), n, -1))
+                call_times_ms.append(now_ms)
+                if list_free_at_ms > now_ms + 2000.0:  # its turn would come too late
+                    heapq.heappush(timers, (now_ms + 2000.0 + random.random(), relay, -1))
                 else:
-                    free_at = max(free_at, now) + call_ms
-                    through[n] = free_at
+                    list_free_at_ms = max(list_free_at_ms, now_ms) + call_duration_ms
+                    answered_at_ms[relay] = list_free_at_ms
 
-    for n in range(relays):
-        tell(0.0, n, EndpointList(ListKind.CACHED, [Endpoint(1)]))
-    while due:
-        now, n, token = heapq.heappop(due)
-        tell(now, n, EndpointList(ListKind.FAILED) if token < 0 else TimerFired(token))
-    assert len(through) == relays
-    return sorted(through.values()), calls
+    for relay in range(relays):
+        handle_event(0.0, relay, EndpointList(ListKind.CACHED, [Endpoint(1)]))
+    while timers:
+        now_ms, relay, token = heapq.heappop(timers)
+        handle_event(now_ms, relay, EndpointList(ListKind.FAILED) if token < 0 else TimerFired(token))
+    assert len(answered_at_ms) == relays
+    return sorted(answered_at_ms.values()), call_times_ms
 
 
 def test_forty_relays_get_through_to_a_crowded_machine_list_without_a_wave() -> None:
     """Their first calls come soon, as far as the list bears them; those that failed make no wave of it again."""
-    through, calls = ask(40, 40, 250.0)
-    assert through[-1] < 15_000.0
-    assert len(calls) <= 2 * 40
-    after = [c for c in calls if c >= 1500.0]
-    assert max(sum(1 for c in after if at <= c < at + 1000.0) for at in after) <= 16
-    assert max(sum(1 for c in calls if at <= c < at + 1000.0) for at in calls) <= 32
+    answered_at_ms, call_times_ms = simulate_list_calls(40, 40, 250.0)
+    assert answered_at_ms[-1] < 15_000.0
+    assert len(call_times_ms) <= 2 * 40
+    later_call_times_ms = [call_time_ms for call_time_ms in call_times_ms if call_time_ms >= 1500.0]
+    assert (
+        max(
+            sum(1 for call_time_ms in later_call_times_ms if start_ms <= call_time_ms < start_ms + 1000.0)
+            for start_ms in later_call_times_ms
+        )
+        <= 16
+    )
+    assert (
+        max(
+            sum(1 for call_time_ms in call_times_ms if start_ms <= call_time_ms < start_ms + 1000.0)
+            for start_ms in call_times_ms
+        )
+        <= 32
+    )
 
 
 def test_relays_of_a_lost_zone_that_start_together_are_told_before_what_they_missed_is_due() -> None:
     """Gone 2.75 s before their start, a node counts as told 3.25 s after it, and the grace is 0.4 s."""
-    through, calls = ask(27, 182, 25.0)
-    assert through[-1] < 2000.0 and len(calls) == 27
+    answered_at_ms, call_times_ms = simulate_list_calls(27, 182, 25.0)
+    assert answered_at_ms[-1] < 2000.0 and len(call_times_ms) == 27
 
 
 def test_backends_that_turn_everything_away_for_a_minute_cost_each_relay_few_tries() -> None:
-    fleet = vast(7)
-    bad = list(fleet.backends.values())[:6]
-    tries = 0
+    fleet = large_fleet(7)
+    rejecting_backends = list(fleet.backends.values())[:6]
+    attempts = 0
 
-    def turn_away(*_: object) -> bool:
-        nonlocal tries
-        tries += 1
+    def reject(*_: object) -> bool:
+        nonlocal attempts
+        attempts += 1
         return False
 
-    for backend in bad:
-        backend.take = turn_away  # type: ignore[method-assign,assignment]
-    assert share(fleet, 60.0) > 0.85
+    for backend in rejecting_backends:
+        backend.take = reject  # type: ignore[method-assign,assignment]
+    assert served_fraction(fleet, 60.0) > 0.85
     # Passed over for 2.4 to 7.2 s, then for 4.8 to 14.4 s each time: some seven tries a relay and node, not 43 jobs'.
-    assert tries <= 40 * len(bad) * (60.0 / 4.8 + 2.0)
+    assert attempts <= 40 * len(rejecting_backends) * (60.0 / 4.8 + 2.0)
     fleet.rules.check()
--- a/tests/lab/test_processes.py
+++ b/tests/lab/test_processes.py
@@ -20,14 +20,14 @@
 
 
 @pytest.mark.parametrize(
-    ("seed", "words"),
+    ("seed", "fault_kinds"),
     [
         (7, ("loss", "cut", "kill", "stall")),
         (12, ("split", "double", "reorder", "corrupt")),
     ],
 )
-def test_five_relays_keep_all_rules_and_agree_again(seed: int, words: tuple[str, ...]) -> None:
-    report = asyncio.run(run_scenario(Run(seed=seed, fault_kinds=words)))
+def test_five_relays_keep_all_rules_and_agree_again(seed: int, fault_kinds: tuple[str, ...]) -> None:
+    report = asyncio.run(run_scenario(Run(seed=seed, fault_kinds=fault_kinds)))
     print(report)
     assert not report.violations, str(report)
     assert report.counts["up"] > 300 and report.datagrams["lost"] > 0 and report.agreed_s >= 0.0
@@ -44,83 +44,83 @@
 
 class Clock:
     def __init__(self) -> None:
-        self.at = 0.0
+        self.now_s = 0.0
 
     def now(self) -> float:
-        return self.at
+        return self.now_s
 
 
-def checker() -> tuple[Checker, Clock]:
+def new_checker() -> tuple[Checker, Clock]:
     clock = Clock()
     return Checker(clock.now, Obligations()), clock
 
 
 def test_the_checker_finds_a_second_a_late_and_a_missing_answer() -> None:
-    c, clock = checker()
-    client = c.record_request("r0", 2.0)
-    c.record_answer(client, "UP")
-    assert not c.violations
-    c.record_answer(client, "BUSY")
-    assert "one final answer" in c.violations[-1]
-    client = c.record_request("r0", 2.0)
-    clock.at = 2.7
-    c.record_answer(client, "BUSY")
-    assert "in time" in c.violations[-1]
-    c.record_end(c.record_request("r0", 2.0))
-    assert "had not answered" in c.violations[-1]
-    client = c.record_request("r0", 2.0)
-    clock.at = 6.0
-    assert c.check_overdue(client) and len(c.violations) == 4
+    checker, clock = new_checker()
+    request = checker.record_request("r0", 2.0)
+    checker.record_answer(request, "UP")
+    assert not checker.violations
+    checker.record_answer(request, "BUSY")
+    assert "one final answer" in checker.violations[-1]
+    request = checker.record_request("r0", 2.0)
+    clock.now_s = 2.7
+    checker.record_answer(request, "BUSY")
+    assert "in time" in checker.violations[-1]
+    checker.record_end(checker.record_request("r0", 2.0))
+    assert "had not answered" in checker.violations[-1]
+    request = checker.record_request("r0", 2.0)
+    clock.now_s = 6.0
+    assert checker.check_overdue(request) and len(checker.violations) == 4
 
 
 def test_the_checker_holds_nothing_against_a_relay_that_was_stopped_or_killed() -> None:
-    c, clock = checker()
-    client, other = c.record_request("r0", 2.0), c.record_request("r0", 2.0)
-    clock.at = 1.0
-    c.relay_suspended("r0")
-    clock.at = 4.0
-    c.relay_resumed("r0")
-    c.record_answer(client, "UP")
-    c.record_end(other)
-    assert not c.violations and c.counts["lost with a relay"] == 1
+    checker, clock = new_checker()
+    request, other_request = checker.record_request("r0", 2.0), checker.record_request("r0", 2.0)
+    clock.now_s = 1.0
+    checker.relay_suspended("r0")
+    clock.now_s = 4.0
+    checker.relay_resumed("r0")
+    checker.record_answer(request, "UP")
+    checker.record_end(other_request)
+    assert not checker.violations and checker.counts["lost with a relay"] == 1
 
 
 def test_the_checker_finds_two_attempts_a_drain_and_a_cold_backend_pushed_over() -> None:
-    c, clock = checker()
-    c.record_attempt("r0", "n0", "1", "first")
-    c.record_attempt_end("1", "first")
-    c.record_attempt("r0", "n1", "1", "second")
-    assert not c.violations
-    c.record_attempt("r0", "n2", "1", "third")
-    assert "one attempt out" in c.violations[-1]
-    c.record_backend_state("r0", "n3", False)
-    clock.at = 0.9
-    c.record_attempt("r0", "n3", "2", "a")
-    assert len(c.violations) == 1, "within the grace"
-    clock.at = 1.2
-    c.record_attempt("r1", "n3", "3", "b")
-    assert len(c.violations) == 1, "that relay was not told"
-    c.record_attempt("r0", "n3", "4", "c")
-    assert "drain" in c.violations[-1]
-    c.backend_started("n4")
-    for n in range(60):
-        clock.at += 0.02
-        c.record_attempt("r0", "n4", f"c{n}", n)
-    assert "cold" in c.violations[-1]
+    checker, clock = new_checker()
+    checker.record_attempt("r0", "n0", "1", "first")
+    checker.record_attempt_end("1", "first")
+    checker.record_attempt("r0", "n1", "1", "second")
+    assert not checker.violations
+    checker.record_attempt("r0", "n2", "1", "third")
+    assert "one attempt out" in checker.violations[-1]
+    checker.record_backend_state("r0", "n3", False)
+    clock.now_s = 0.9
+    checker.record_attempt("r0", "n3", "2", "a")
+    assert len(checker.violations) == 1, "within the grace"
+    clock.now_s = 1.2
+    checker.record_attempt("r1", "n3", "3", "b")
+    assert len(checker.violations) == 1, "that relay was not told"
+    checker.record_attempt("r0", "n3", "4", "c")
+    assert "drain" in checker.violations[-1]
+    checker.backend_started("n4")
+    for index in range(60):
+        clock.now_s += 0.02
+        checker.record_attempt("r0", "n4", f"c{index}", index)
+    assert "cold" in checker.violations[-1]
 
 
 def test_members_agree_only_where_all_said_the_same_of_late() -> None:
-    c, clock = checker()
-    c.record_digest("r0", 5)
-    clock.at = 1.0
-    c.record_digest("r1", 5)
+    checker, clock = new_checker()
+    checker.record_digest("r0", 5)
+    clock.now_s = 1.0
+    checker.record_digest("r1", 5)
     assert (
-        c.members_agree(["r0", "r1"], 0.0)
-        and not c.members_agree(["r0", "r1"], 0.5)
-        and not c.members_agree(["r0", "r2"], 0.0)
+        checker.members_agree(["r0", "r1"], 0.0)
+        and not checker.members_agree(["r0", "r1"], 0.5)
+        and not checker.members_agree(["r0", "r2"], 0.0)
     )
-    c.record_digest("r0", 6)
-    assert not c.members_agree(["r0", "r1"], 0.0)
+    checker.record_digest("r0", 6)
+    assert not checker.members_agree(["r0", "r1"], 0.0)
 
 
 # --- the daemon alone -----------------------------------------------------------------------------
@@ -132,31 +132,31 @@
         "words = ('membership', 'maintenance', 'consensus', 'fragments', 'voter', 'yarrowspindle.storage'); "
         "print([m for m in sys.modules if any(w in m for w in words) or m in ('msgspec', 'click')])"
     )
-    said = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True)
-    assert said.stdout.strip() == "[]"
+    result = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True)
+    assert result.stdout.strip() == "[]"
 
 
 @pytest.mark.parametrize(
-    ("section", "says"),
+    ("section", "message"),
     [
         ('listen = "nowhere"', "peers.listen is 'nowhere'"),
         ('listen = "127.0.0.1:1"\nprobes = 1', "peers.probes is not a known key"),
     ],
 )
-def test_a_wrong_section_ends_the_start_with_its_key(section: str, says: str) -> None:
-    with pytest.raises(ConfigError, match=says):
+def test_a_wrong_section_ends_the_start_with_its_key(section: str, message: str) -> None:
+    with pytest.raises(ConfigError, match=message):
         read_operator(f"[peers]\n{section}\n")
 
 
 def test_an_address_that_is_taken_is_waited_for_while_requests_are_served(tmp_path: Path) -> None:
     async def body() -> None:
-        with socket.socket(type=socket.SOCK_DGRAM) as taken:
+        with socket.socket(type=socket.SOCK_DGRAM) as occupied:
             port = free_port()
-            taken.bind(("127.0.0.1", port))
+            occupied.bind(("127.0.0.1", port))
             async with relay(tmp_path, f'[peers]\nlisten = "127.0.0.1:{port}"\nseeds = []\n') as world:
                 await world.logged(f"cannot listen at 127.0.0.1:{port} yet")
                 await world.standing()
-                taken.close()
+                occupied.close()
                 await world.logged(f"listens at 127.0.0.1:{port}")
                 await world.standing()
                 world.stop()
--- a/yarrowspindle/lab/faults.py
+++ b/yarrowspindle/lab/faults.py
@@ -86,8 +86,8 @@
 
     def separates(self, source: str, target: str) -> bool:
         """Whether the two parties are on different sides of it."""
-        forward = source in self.participants and target in self.other_side
-        return forward or (target in self.participants and source in self.other_side)
+        one_way = source in self.participants and target in self.other_side
+        return one_way or (target in self.participants and source in self.other_side)
 
     def __str__(self) -> str:
         sides = " | ".join(" ".join(side) for side in (self.participants, self.other_side) if side)
@@ -113,7 +113,7 @@
 
 def relay_names(relays: int) -> list[str]:
     """Returns the names of this many relays."""
-    return [f"r{n}" for n in range(relays)]
+    return [f"r{index}" for index in range(relays)]
 
 
 def parse_kinds(text: str) -> list[str]:
@@ -142,13 +142,13 @@
         if kind == "stall":
             duration_s = min(duration_s, max_stall_s * random.uniform(*STALL_FRACTIONS))
         start_s = window_start_s + random.uniform(0.0, window_s - duration_s)
-        order = list(relays)
-        random.shuffle(order)
+        shuffled = list(relays)
+        random.shuffle(shuffled)
         if kind in PROCESS_FAULTS:
-            order.sort(key=lambda relay: _count_process_faults(relay, faults))
+            shuffled.sort(key=lambda relay: _count_process_faults(relay, faults))
         probability = random.uniform(*PROBABILITIES[kind]) if kind in PROBABILITIES else 1.0
         delay_ms = _draw_delay_ms(kind, random)
-        participants, other_side = _draw_sides(kind, order, backends, random)
+        participants, other_side = _draw_sides(kind, shuffled, backends, random)
         faults.append(
             Fault(
                 kind,
@@ -175,23 +175,23 @@
 
 
 def _draw_sides(
-    kind: str, order: Sequence[str], backends: Sequence[str], random: Random
+    kind: str, shuffled: Sequence[str], backends: Sequence[str], random: Random
 ) -> tuple[Sequence[str], Sequence[str]]:
     """Returns the two sides of a fault; order: the relays, the first of them befallen first."""
     match kind:
         case "cut" | "oneway":
-            return order[:1], (order[1 % len(order)],)
+            return shuffled[:1], (shuffled[1 % len(shuffled)],)
         case "split":
-            size = max(1, random.randint(len(order) // 3, len(order) // 2))
-            return sorted(order[:size]), sorted(order[size:])
+            size = max(1, random.randint(len(shuffled) // 3, len(shuffled) // 2))
+            return sorted(shuffled[:size]), sorted(shuffled[size:])
         case "lost":
-            return order[:1], sorted(order[1:])
+            return shuffled[:1], sorted(shuffled[1:])
         case "kill" | "stall":
-            return order[:1], ()
+            return shuffled[:1], ()
         case "nodecut":
-            return order[:1], (random.choice(list(backends)),)
+            return shuffled[:1], (random.choice(list(backends)),)
         case "listcut":
-            return order[:1], ("list",)
+            return shuffled[:1], ("list",)
         case _:
             return (), ()
 
--- a/yarrowspindle/lab/processes/__main__.py
+++ b/yarrowspindle/lab/processes/__main__.py
@@ -21,7 +21,7 @@
         prog="python -m yarrowspindle.lab.processes",
         description="Real relays with faults between them.",
         formatter_class=argparse.RawDescriptionHelpFormatter,
-        epilog="faults:\n" + "\n".join(f"  {word:8} {what}" for word, what in FAULT_KINDS.items()),
+        epilog="faults:\n" + "\n".join(f"  {kind:8} {description}" for kind, description in FAULT_KINDS.items()),
     )
     parser.add_argument("--relays", type=int, default=5)
     parser.add_argument("--nodes", type=int, default=6)
@@ -33,34 +33,34 @@
     parser.add_argument("--stall-s", type=float, default=3.0, help="the longest stall")
     parser.add_argument("--no-peers", action="store_true", help="relays do not hear one another")
     parser.add_argument("--logs", type=Path, help="a folder for the relays' logs")
-    chosen = parser.parse_args(arguments)
+    options = parser.parse_args(arguments)
     try:
-        fault_kinds = tuple(parse_kinds(chosen.faults))
+        fault_kinds = tuple(parse_kinds(options.faults))
     except FaultError as error:
         parser.error(str(error))
-    if min(chosen.relays, chosen.nodes, chosen.seeds) < 1 or chosen.submitters < 0 or chosen.relays > 80:
+    if min(options.relays, options.nodes, options.seeds) < 1 or options.submitters < 0 or options.relays > 80:
         parser.error("at least one relay (80 at most), one node and one seed are wanted")
-    broken = 0
-    for seed in range(chosen.seed, chosen.seed + chosen.seeds):
+    failed_runs = 0
+    for seed in range(options.seed, options.seed + options.seeds):
         run = Run(
-            chosen.relays,
-            chosen.nodes,
-            chosen.submitters,
+            options.relays,
+            options.nodes,
+            options.submitters,
             seed,
             fault_kinds,
-            faults_s=chosen.faults_s,
-            stall_s=chosen.stall_s,
-            peers=not chosen.no_peers,
+            faults_s=options.faults_s,
+            stall_s=options.stall_s,
+            peers=not options.no_peers,
         )
         report = asyncio.run(run_scenario(run))
         print(report, flush=True)
-        broken += bool(report.violations)
-        if chosen.logs is not None:
-            chosen.logs.mkdir(parents=True, exist_ok=True)
+        failed_runs += bool(report.violations)
+        if options.logs is not None:
+            options.logs.mkdir(parents=True, exist_ok=True)
             for name, lines in report.logs.items():
-                (chosen.logs / f"{seed}-{name}.log").write_text("\n".join(lines) + "\n")
-    print(f"{chosen.seeds - broken} of {chosen.seeds} runs kept all rules")
-    return 1 if broken else 0
+                (options.logs / f"{seed}-{name}.log").write_text("\n".join(lines) + "\n")
+    print(f"{options.seeds - failed_runs} of {options.seeds} runs kept all rules")
+    return 1 if failed_runs else 0
 
 
 if __name__ == "__main__":
--- a/yarrowspindle/lab/processes/checker.py
+++ b/yarrowspindle/lab/processes/checker.py
@@ -74,10 +74,10 @@
         if self.suspensions.get(relay):
             self.suspensions[relay][-1][1] = self.now()
 
-    def suspended_s(self, relay: str, since: float) -> float:
+    def suspended_s(self, relay: str, since_s: float) -> float:
         """For how long of the time since then it could do nothing."""
         now = self.now()
-        return sum(max(0.0, min(end, now) - max(start, since)) for start, end in self.suspensions.get(relay, ()))
+        return sum(max(0.0, min(end, now) - max(start, since_s)) for start, end in self.suspensions.get(relay, ()))
 
     # --- submitters -----------------------------------------------------------------------------
 
@@ -85,50 +85,52 @@
         self.counts["asked"] += 1
         return ClientRequest(relay, self.now(), deadline_s)
 
-    def record_answer(self, client: ClientRequest, answer: str) -> None:
+    def record_answer(self, request: ClientRequest, answer: str) -> None:
         """A line that is a final answer."""
-        client.answers.append(answer)
+        request.answers.append(answer)
         self.counts[answer.lower()] += 1
-        elapsed_s = self.now() - client.sent_s
-        if len(client.answers) > 1:
-            self.report_violation("one final answer", f"{client.relay} said {' and '.join(client.answers)}")
-        elif elapsed_s > client.deadline_s + TOLERANCE_S + self.suspended_s(client.relay, client.sent_s):
+        elapsed_s = self.now() - request.sent_s
+        if len(request.answers) > 1:
+            self.report_violation("one final answer", f"{request.relay} said {' and '.join(request.answers)}")
+        elif elapsed_s > request.deadline_s + TOLERANCE_S + self.suspended_s(request.relay, request.sent_s):
             self.report_violation(
-                "in time", f"{client.relay} said {answer} after {elapsed_s:.2f} s of {client.deadline_s:.2f} s"
+                "in time", f"{request.relay} said {answer} after {elapsed_s:.2f} s of {request.deadline_s:.2f} s"
             )
         self.answer_times_s.append(elapsed_s)
 
-    def record_end(self, client: ClientRequest) -> None:
+    def record_end(self, request: ClientRequest) -> None:
         """The connection is over; without an answer that is the relay's fault while it lived."""
-        if client.finished:
+        if request.finished:
             return
-        client.finished = True
-        if not client.answers:
-            if self.suspended_s(client.relay, client.sent_s) > 0.0:
+        request.finished = True
+        if not request.answers:
+            if self.suspended_s(request.relay, request.sent_s) > 0.0:
                 self.counts["lost with a relay"] += 1
             else:
-                self.report_violation("one final answer", f"{client.relay} ended a connection that it had not answered")
+                self.report_violation(
+                    "one final answer", f"{request.relay} ended a connection that it had not answered"
+                )
 
-    def check_overdue(self, client: ClientRequest) -> bool:
+    def check_overdue(self, request: ClientRequest) -> bool:
         """Nothing came though it is late; noted, and waited for no longer."""
-        elapsed_s = self.now() - client.sent_s
-        if client.answers or elapsed_s <= client.deadline_s + 2 * TOLERANCE_S + self.suspended_s(
-            client.relay, client.sent_s
+        elapsed_s = self.now() - request.sent_s
+        if request.answers or elapsed_s <= request.deadline_s + 2 * TOLERANCE_S + self.suspended_s(
+            request.relay, request.sent_s
         ):
             return False
-        self.report_violation("one final answer", f"{client.relay} has not answered after {elapsed_s:.2f} s")
-        client.finished = True
+        self.report_violation("one final answer", f"{request.relay} has not answered after {elapsed_s:.2f} s")
+        request.finished = True
         return True
 
     # --- attempts, as the wires between relays and nodes show them --------------------------------
 
-    def record_attempt(self, relay: str, backend: str, request: str, attempt: object) -> None:
+    def record_attempt(self, relay: str, backend: str, request_id: str, attempt: object) -> None:
         """The last byte of a job's line left the relay for this node."""
         self.counts["attempts"] += 1
-        in_flight = self.attempts.setdefault(request, set())
+        in_flight = self.attempts.setdefault(request_id, set())
         if in_flight:
             self.report_violation(
-                "one attempt out", f"{relay} sent job {request} to {backend} while another attempt was out"
+                "one attempt out", f"{relay} sent job {request_id} to {backend} while another attempt was out"
             )
         in_flight.add(attempt)
         drained_at = self.draining_since.get((relay, backend))
@@ -138,13 +140,13 @@
                 self.report_violation("drain", f"{relay} sent a job to {backend} {overdue_s:.2f} s after it was told")
         self._check_slow_start(backend)
 
-    def record_attempt_end(self, request: str, attempt: object) -> None:
+    def record_attempt_end(self, request_id: str, attempt: object) -> None:
         """The relay's side of the attempt has ended."""
-        in_flight = self.attempts.get(request)
+        in_flight = self.attempts.get(request_id)
         if in_flight is not None:
             in_flight.discard(attempt)
             if not in_flight:
-                del self.attempts[request]
+                del self.attempts[request_id]
 
     # --- nodes and the list ---------------------------------------------------------------------
 
@@ -189,7 +191,7 @@
     def record_digest(self, relay: str, digest: int) -> None:
         self.digests[relay] = (self.now(), digest)
 
-    def members_agree(self, relays: list[str], since: float) -> bool:
+    def members_agree(self, relays: list[str], since_s: float) -> bool:
         """All have said so since then, and the same."""
         reports = [self.digests.get(relay, (-1.0, 0)) for relay in relays]
-        return all(at >= since for at, _ in reports) and len({digest for _, digest in reports}) == 1
+        return all(at >= since_s for at, _ in reports) and len({digest for _, digest in reports}) == 1
--- a/yarrowspindle/lab/processes/environment.py
+++ b/yarrowspindle/lab/processes/environment.py
@@ -28,8 +28,8 @@
 
 
 class Environment:
-    def __init__(self, run: Run, folder: Path) -> None:
-        self.run, self.folder = run, folder
+    def __init__(self, run: Run, directory: Path) -> None:
+        self.run, self.directory = run, directory
         self.started = time.monotonic()
         self.random = Random(f"world {run.seed}")
         self.checker = Checker(self.now, run.obligations)
@@ -38,14 +38,16 @@
         self.network = f"127.{64 + os.getpid() % 128}.{1 + run.seed % 250}"
         self.reserved_addresses: set[Address] = set()
         self.backends = {
-            f"n{n}": Backend(f"n{n}", self.reserve_address(100 + n), Random(f"node {run.seed} {n}"), run.lifetime_s)
-            for n in range(run.backends)
+            f"n{index}": Backend(
+                f"n{index}", self.reserve_address(100 + index), Random(f"node {run.seed} {index}"), run.lifetime_s
+            )
+            for index in range(run.backends)
         }
         self.proxy_addresses: dict[tuple[str, str], Address] = {}
         self.endpoint_list = EndpointListServer(
             self.backends, lambda relay, backend: self.proxy_addresses[relay, backend]
         )
-        self.relays = [RelayProcess(name, n, self) for n, name in enumerate(relay_names(run.relays))]
+        self.relays = [RelayProcess(name, index, self) for index, name in enumerate(relay_names(run.relays))]
         self.voters = tuple(relay.name for relay in self.relays[: run.voters])
         self.lost_voter = ""  # whose file was
         self.on_turn_log: Callable[[str, str], None] = lambda relay, text: None  # a relay's log line on a turn
@@ -63,11 +65,11 @@
     def now(self) -> float:
         return time.monotonic() - self.started
 
-    def reserve_address(self, last: int) -> Address:
+    def reserve_address(self, host_index: int) -> Address:
         """A port of this net that nobody has."""
         while True:
             with socket.socket() as tcp, socket.socket(type=socket.SOCK_DGRAM) as udp:
-                tcp.bind((f"{self.network}.{1 + last}", 0))
+                tcp.bind((f"{self.network}.{1 + host_index}", 0))
                 address: Address = tcp.getsockname()
                 try:
                     udp.bind(address)
@@ -224,10 +226,10 @@
 
 
 @asynccontextmanager
-async def running_environment(run: Run, folder: Path | None = None) -> AsyncIterator[Environment]:
+async def running_environment(run: Run, directory: Path | None = None) -> AsyncIterator[Environment]:
     """All parties stand and all relays serve."""
     with tempfile.TemporaryDirectory(prefix="yarrowspindle-lab-") as temporary:
-        environment = Environment(run, folder or Path(temporary))
+        environment = Environment(run, directory or Path(temporary))
         try:
             await environment.open()
             await asyncio.gather(*(relay.start() for relay in environment.relays))
@@ -236,20 +238,20 @@
             await environment.close()
 
 
-async def run_scenario(run: Run, faults: list[Fault] | None = None, folder: Path | None = None) -> Report:
+async def run_scenario(run: Run, faults: list[Fault] | None = None, directory: Path | None = None) -> Report:
     """One run, from the start of the relays to their end."""
     if faults is None:
         faults = schedule(
             run.fault_kinds,
             relay_names(run.relays),
-            [f"n{n}" for n in range(run.backends)],
+            [f"n{index}" for index in range(run.backends)],
             run.seed,
             0.0,
             run.faults_s,
             run.stall_s,
         )
     report = Report(run, faults)
-    async with running_environment(run, folder) as environment:
+    async with running_environment(run, directory) as environment:
         environment.clients.start(run.clients, run.settle_s / 2.0)
         await asyncio.sleep(run.settle_s)
         environment.tasks.append(asyncio.ensure_future(environment.sample_clients()))
--- a/yarrowspindle/lab/processes/maintenance.py
+++ b/yarrowspindle/lab/processes/maintenance.py
@@ -174,7 +174,9 @@
         if expected != out_of_service:
             report_violation("one state", f"version {table['version']} is {expected} and {out_of_service}")
         zones = [int(backend_name[1:]) % 2 for backend_name in out_of_service]
-        if len(out_of_service) > self.work.max_out or any(zones.count(z) > self.work.max_out_per_zone for z in zones):
+        if len(out_of_service) > self.work.max_out or any(
+            zones.count(zone) > self.work.max_out_per_zone for zone in zones
+        ):
             report_violation("most out", f"{sorted(out_of_service)} are out")
         remaining = sum(
             backend.phase == "ready"
@@ -211,7 +213,7 @@
         return self.latest
 
     def is_settled(self) -> bool:
-        requests = [r for r in self.latest.get("requests", ()) if r["request"] == self.request_id]
+        requests = [request for request in self.latest.get("requests", ()) if request["request"] == self.request_id]
         return bool(requests) and requests[0]["state"] != QUEUED and not self.latest["out"]
 
     async def submit_request(self) -> None:
@@ -247,10 +249,10 @@
 
     async def replace_voter(self) -> None:
         """One at a time, and each stands before the next is asked for."""
-        last, first = self.environment.relays[-1], self.environment.voters[0]
+        new_voter, old_voter = self.environment.relays[-1], self.environment.voters[0]
         steps: tuple[tuple[str, dict[str, Any], RelayProcess | None, str, bool], ...] = (
-            ("vote", {}, last, last.name, True),
-            ("unvote", {"relay": first}, None, first, False),
+            ("vote", {}, new_voter, new_voter.name, True),
+            ("unvote", {"relay": old_voter}, None, old_voter, False),
         )
         for command, content, relay, name, should_vote in steps:
             for _ in range(int(20.0 / POLL_INTERVAL_S)):
@@ -270,7 +272,7 @@
         if self.work.crash_after_s >= 0.0:
             self.environment.tasks.append(asyncio.ensure_future(self.crash_backend()))
         while True:
-            if not any(r["request"] == self.request_id for r in self.latest.get("requests", ())):
+            if not any(request["request"] == self.request_id for request in self.latest.get("requests", ())):
                 await self.submit_request()  # whoever had the word may have died with it
             await asyncio.sleep(POLL_INTERVAL_S)
             await self.poll()
@@ -288,7 +290,9 @@
                 f"{entry['machine']} {entry['stage']}: {', '.join(entry['waits_for'])}" for entry in self.latest["out"]
             ]
             self.result.blockers += [
-                f"{w['machine']}: {w['why']}" for r in self.latest["requests"] for w in r.get("waiting", ())
+                f"{waiting['machine']}: {waiting['why']}"
+                for request in self.latest["requests"]
+                for waiting in request.get("waiting", ())
             ]
             self.environment.checker.report_violation(
                 "all out and back", "; ".join(self.result.blockers) or "no reason is shown"
@@ -309,7 +313,7 @@
                 self.environment.checker.report_violation("files", f"{relay.name}: {error}")
                 continue
             expected = self.states_by_version.get(stored.state.version)
-            stored_stages = {m: (entry.number, entry.stage) for m, entry in stored.state.evacuations.items()}
+            stored_stages = {name: (entry.number, entry.stage) for name, entry in stored.state.evacuations.items()}
             if expected is not None and expected != stored_stages:
                 self.environment.checker.report_violation(
                     "files", f"{relay.name} has {stored_stages} for {stored.state.version}, not {expected}"
@@ -334,14 +338,14 @@
                 answer += more
         finally:
             writer.close()
-        first, _, rest = answer.partition(b"\r\n\r\n")
-        return int(first.split(b" ")[1]), json.loads(rest)
+        headers, _, rest = answer.partition(b"\r\n\r\n")
+        return int(headers.split(b" ")[1]), json.loads(rest)
     except (OSError, TimeoutError, ValueError, IndexError):
         return 0, None
 
 
 async def run_maintenance(
-    run: Run, work: MaintenanceWork, faults: Sequence[Fault] | None = None, folder: Path | None = None
+    run: Run, work: MaintenanceWork, faults: Sequence[Fault] | None = None, directory: Path | None = None
 ) -> MaintenanceReport:
     """Relays start, submitters come, operators want machines; faults come and end."""
     if faults is None:
@@ -356,7 +360,7 @@
         )
     result = MaintenanceReport(Report(run, list(faults)))
     result.min_backend_s = run.clients / max(run.backends, 1) / run.moves_per_s + work.work_s + run.slow_start_s
-    async with running_environment(run, folder) as environment:
+    async with running_environment(run, directory) as environment:
         operators = Operators(environment, work, result)
         environment.clients.start(run.clients, run.settle_s / 2.0)
         await asyncio.sleep(run.settle_s)
--- a/yarrowspindle/lab/processes/relay_process.py
+++ b/yarrowspindle/lab/processes/relay_process.py
@@ -51,7 +51,7 @@
 
     def write_configuration(self) -> dict[str, str]:
         """Writes its files; returns the environment that names them."""
-        run, environment, folder = self.environment.run, self.environment, self.environment.folder
+        run, environment, directory = self.environment.run, self.environment, self.environment.directory
         obligations = run.obligations
         settings = SETTINGS | {
             "zone": self.index % 2,
@@ -67,7 +67,7 @@
                 "fall_ms": 1000.0 * obligations.overload_window_s,
             },
         }
-        config = {
+        configuration = {
             "name": self.name,
             "listen": address_text(self.client_address),
             "discovery": address_text(self.discovery_address),
@@ -76,8 +76,8 @@
             "known": environment.endpoint_list.full_list(self.name) | {"revision": 1},
             "limits": {"sockets": 0},
         }
-        config_file, operator_file = folder / f"{self.name}.json", folder / f"{self.name}.toml"
-        config_file.write_text(json.dumps(config))
+        config_file, operator_file = directory / f"{self.name}.json", directory / f"{self.name}.toml"
+        config_file.write_text(json.dumps(configuration))
         seeds = ", ".join(f'"{address_text(relay.advertised_address)}"' for relay in environment.relays[:2])
         operator_file.write_text(
             f'[peers]\nlisten = "{address_text(self.peer_address)}"\n'
@@ -96,7 +96,7 @@
     @property
     def voter_file(self) -> MaintenanceVoterFile:
         """What it keeps where it votes."""
-        return MaintenanceVoterFile(str(self.environment.folder / f"{self.name}-turns"), self.name, self.cluster)
+        return MaintenanceVoterFile(str(self.environment.directory / f"{self.name}-turns"), self.name, self.cluster)
 
     def maintenance_section(self) -> str:
         """The operator's section; the first file is made where it votes, as `turns init` does it."""
@@ -179,7 +179,7 @@
         self.send_signal(signal.SIGCONT)
         self.environment.checker.relay_resumed(self.name)
 
-    async def restart(self, wait_s: float) -> None:
+    async def restart(self, downtime_s: float) -> None:
         """Asked to end: it moves its submitters, and must not lose one."""
         self.serving.clear()  # the front sends nobody here any more
         self.send_signal(signal.SIGTERM)
@@ -189,7 +189,7 @@
             self.environment.checker.report_violation("ends", f"{self.name} was asked to end {STOP_TIMEOUT_S:g} s ago")
             await self.kill()
         self.environment.checker.relay_suspended(self.name)
-        await asyncio.sleep(wait_s)
+        await asyncio.sleep(downtime_s)
         await self.start()
 
 
--- a/yarrowspindle/lab/processes/stand_ins.py
+++ b/yarrowspindle/lab/processes/stand_ins.py
@@ -24,7 +24,7 @@
         self.phase = "ready"
         self.server: asyncio.Server | None = None
         self.writers: set[asyncio.StreamWriter] = set()
-        self.served = 0
+        self.request_count = 0
 
     async def open(self) -> None:
         self.server = await asyncio.start_server(self._handle_connection, *self.address, backlog=256)
@@ -43,8 +43,8 @@
             line = await reader.readline()
             if not line.startswith(b"OPEN "):
                 return
-            self.served += 1
-            writer.write(b"UP r%d\r\n" % self.served)
+            self.request_count += 1
+            writer.write(b"UP r%d\r\n" % self.request_count)
             deadline = asyncio.get_running_loop().time() + self.random.expovariate(1.0 / self.lifetime_s)
             while True:
                 remaining_s = deadline - asyncio.get_running_loop().time()
