--- a/tests/lab/test_fleet_model.py
+++ b/tests/lab/test_fleet_model.py
@@ -1,4 +1,7 @@
-"""Forty relays and sixty nodes on virtual time: a lost zone, a mass replacement, a herd, a crowded machine list."""
+"""Forty relays and sixty backends on virtual time.
+
+The cases are a failed zone, a mass replacement, many relays that restart at once and an overloaded endpoint list.
+"""
 
 from __future__ import annotations
 
@@ -35,7 +38,7 @@
 
 
 def served_fraction(fleet: Fleet, seconds: float) -> float:
-    """Of what was wanted from now on, the part that was served."""
+    """Run the simulation for these seconds and return the served fraction of the wanted connection time."""
     wanted, served = fleet.wanted, fleet.served
     fleet.run(seconds)
     return (fleet.served - served) / (fleet.wanted - wanted)
@@ -46,23 +49,24 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_six_in_ten_backends_are_replaced_and_the_new_ones_hold_their_part_when_the_old_ones_stop(seed: int) -> None:
+def test_when_60_percent_of_the_backends_are_replaced_the_new_ones_take_over_before_the_old_ones_stop(
+    seed: int,
+) -> None:
     fleet = large_fleet(seed)
     old_backends = list(fleet.backends.values())[:36]
     new_backends = [fleet.add_backend(backend.size, started=True) for backend in old_backends]
     fleet.tell(EndpointState.READY, *new_backends)
     fleet.tell(EndpointState.DRAINING, *old_backends)
     fleet.run(7.0)
-    assert total_connections(new_backends) >= 0.15 * len(
-        fleet.clients
-    )  # 0.01 with a budget in whole connections for each node
+    # With a budget of whole connections for each backend the new ones would hold 0.01.
+    assert total_connections(new_backends) >= 0.15 * len(fleet.clients)
     fleet.kill(*old_backends)
     assert served_fraction(fleet, 20.0) > 0.85
     fleet.rules.check()
 
 
 @pytest.mark.parametrize("seed", [3, 4])
-def test_a_lost_zone_returns_cold_and_is_filled_without_a_fall(seed: int) -> None:
+def test_a_failed_zone_returns_and_is_filled_without_overload(seed: int) -> None:
     fleet = large_fleet(seed)
     lost_backends = [backend for backend in fleet.backends.values() if backend.zone == 0]
     fleet.kill(*lost_backends)
@@ -75,7 +79,7 @@
 
 
 @pytest.mark.parametrize("seed", [5, 6])
-def test_a_herd_of_relays_that_start_again_spreads_its_requests_and_feeds_cold_backends(seed: int) -> None:
+def test_relays_that_restart_together_spread_their_requests_and_use_starting_backends(seed: int) -> None:
     fleet = large_fleet(seed)
     new_backends = [fleet.add_backend(4.8, started=True) for _ in range(6)]
     fleet.tell(EndpointState.READY, *new_backends)
@@ -89,14 +93,24 @@
 
 
 def simulate_list_calls(relays: int, fleet: int, call_duration_ms: float) -> tuple[list[float], list[float]]:
-    """When each relay is told, and all calls: the list serves one call at a time and fails those that have waited for
-    2 s; all these relays of the fleet ask from the same start on."""
+    """Simulate relays that start at the same time and request the endpoint list.
+
+    The list serves one call at a time and fails calls that have waited for 2 s.
+
+    Args:
+        relays: number of relays that start.
+        fleet: number of relays that the settings state.
+        call_duration_ms: time that the list needs for one call.
+
+    Returns:
+        The sorted times at which the relays received the list, and the times of all calls.
+    """
     random = Random(1)
     balancers = [
         Balancer(settings(polls_discovery=True, poll_interval_ms=10_000.0, balancers=fleet), relay, 0.0)
         for relay in range(relays)
     ]
-    timers: list[tuple[float, int, int]] = []  # timers: when, whose, token
+    timers: list[tuple[float, int, int]] = []  # time, relay, token; token -1: failed call
     answered_at_ms: dict[int, float] = {}
     call_times_ms: list[float] = []
     list_free_at_ms = 0.0
@@ -108,7 +122,7 @@
                 heapq.heappush(timers, (now_ms + action.delay_ms, relay, action.token))
             elif isinstance(action, WatchEndpoints):
                 call_times_ms.append(now_ms)
-                if list_free_at_ms > now_ms + 2000.0:  # its turn would come too late
+                if list_free_at_ms > now_ms + 2000.0:  # the call would wait for more than 2 s
                     heapq.heappush(timers, (now_ms + 2000.0 + random.random(), relay, -1))
                 else:
                     list_free_at_ms = max(list_free_at_ms, now_ms) + call_duration_ms
@@ -123,8 +137,8 @@
     return sorted(answered_at_ms.values()), call_times_ms
 
 
-def test_forty_relays_get_through_to_a_crowded_machine_list_without_a_wave() -> None:
-    """Their first calls come soon, as far as the list bears them; those that failed make no wave of it again."""
+def test_forty_relays_reach_an_overloaded_endpoint_list_without_synchronized_retries() -> None:
+    """First calls are made early, up to the list's capacity, and retries of failed calls are spread out."""
     answered_at_ms, call_times_ms = simulate_list_calls(40, 40, 250.0)
     assert answered_at_ms[-1] < 15_000.0
     assert len(call_times_ms) <= 2 * 40
@@ -145,13 +159,13 @@
     )
 
 
-def test_relays_of_a_lost_zone_that_start_together_are_told_before_what_they_missed_is_due() -> None:
-    """Gone 2.75 s before their start, a node counts as told 3.25 s after it, and the grace is 0.4 s."""
+def test_relays_of_a_failed_zone_that_start_together_receive_the_list_before_their_drain_deadline() -> None:
+    """A backend removed 2.75 s before the start counts as known 3.25 s after it; the drain grace is 0.4 s."""
     answered_at_ms, call_times_ms = simulate_list_calls(27, 182, 25.0)
     assert answered_at_ms[-1] < 2000.0 and len(call_times_ms) == 27
 
 
-def test_backends_that_turn_everything_away_for_a_minute_cost_each_relay_few_tries() -> None:
+def test_backends_that_reject_all_requests_for_a_minute_cost_each_relay_few_attempts() -> None:
     fleet = large_fleet(7)
     rejecting_backends = list(fleet.backends.values())[:6]
     attempts = 0
@@ -164,6 +178,7 @@
     for backend in rejecting_backends:
         backend.take = reject  # type: ignore[method-assign,assignment]
     assert served_fraction(fleet, 60.0) > 0.85
-    # Passed over for 2.4 to 7.2 s, then for 4.8 to 14.4 s each time: some seven tries a relay and node, not 43 jobs'.
+    # A relay avoids such a backend for 2.4 to 7.2 s, then for 4.8 to 14.4 s after each rejection. That gives about
+    # seven attempts per relay and backend instead of the 43 of all requests.
     assert attempts <= 40 * len(rejecting_backends) * (60.0 / 4.8 + 2.0)
     fleet.rules.check()
--- a/tests/lab/test_processes.py
+++ b/tests/lab/test_processes.py
@@ -1,4 +1,4 @@
-"""Several real processes of the program with faults between them, and the checker that holds the rules from outside."""
+"""Real relay processes with injected faults, the checker that watches them from outside, and the daemon alone."""
 
 from __future__ import annotations
 
@@ -26,20 +26,20 @@
         (12, ("split", "double", "reorder", "corrupt")),
     ],
 )
-def test_five_relays_keep_all_rules_and_agree_again(seed: int, fault_kinds: tuple[str, ...]) -> None:
+def test_five_relays_violate_no_rule_and_agree_after_the_faults(seed: int, fault_kinds: tuple[str, ...]) -> None:
     report = asyncio.run(run_scenario(Run(seed=seed, fault_kinds=fault_kinds)))
     print(report)
     assert not report.violations, str(report)
     assert report.counts["up"] > 300 and report.datagrams["lost"] > 0 and report.agreed_s >= 0.0
-    assert report.served_fraction > 0.9, "a fault between relays costs the submitters next to nothing"
+    assert report.served_fraction > 0.9, "faults between relays must hardly affect the clients"
 
 
-def test_the_command_names_bad_arguments(capsys: pytest.CaptureFixture[str]) -> None:
+def test_the_command_rejects_invalid_arguments(capsys: pytest.CaptureFixture[str]) -> None:
     for arguments in (["--faults", "los"], ["--relays", "0"], ["--seed", "x"]):
         with pytest.raises(SystemExit) as ended:
             main(arguments)
         assert ended.value.code == 2
-    assert "'los' is no fault; these are: loss" in capsys.readouterr().err
+    assert "unknown fault 'los'; known faults: loss," in capsys.readouterr().err
 
 
 class Clock:
@@ -55,7 +55,7 @@
     return Checker(clock.now, Obligations()), clock
 
 
-def test_the_checker_finds_a_second_a_late_and_a_missing_answer() -> None:
+def test_the_checker_finds_duplicate_late_and_missing_answers() -> None:
     checker, clock = new_checker()
     request = checker.record_request("r0", 2.0)
     checker.record_answer(request, "UP")
@@ -67,13 +67,13 @@
     checker.record_answer(request, "BUSY")
     assert "in time" in checker.violations[-1]
     checker.record_end(checker.record_request("r0", 2.0))
-    assert "had not answered" in checker.violations[-1]
+    assert "closed a connection that it had not answered" in checker.violations[-1]
     request = checker.record_request("r0", 2.0)
     clock.now_s = 6.0
     assert checker.check_overdue(request) and len(checker.violations) == 4
 
 
-def test_the_checker_holds_nothing_against_a_relay_that_was_stopped_or_killed() -> None:
+def test_the_checker_reports_no_violation_of_a_relay_that_was_suspended_or_killed() -> None:
     checker, clock = new_checker()
     request, other_request = checker.record_request("r0", 2.0), checker.record_request("r0", 2.0)
     clock.now_s = 1.0
@@ -85,7 +85,7 @@
     assert not checker.violations and checker.counts["lost with a relay"] == 1
 
 
-def test_the_checker_finds_two_attempts_a_drain_and_a_cold_backend_pushed_over() -> None:
+def test_the_checker_finds_two_attempts_a_violated_drain_and_an_overloaded_starting_backend() -> None:
     checker, clock = new_checker()
     checker.record_attempt("r0", "n0", "1", "first")
     checker.record_attempt_end("1", "first")
@@ -96,10 +96,10 @@
     checker.record_backend_state("r0", "n3", False)
     clock.now_s = 0.9
     checker.record_attempt("r0", "n3", "2", "a")
-    assert len(checker.violations) == 1, "within the grace"
+    assert len(checker.violations) == 1, "the drain grace period has not ended"
     clock.now_s = 1.2
     checker.record_attempt("r1", "n3", "3", "b")
-    assert len(checker.violations) == 1, "that relay was not told"
+    assert len(checker.violations) == 1, "r1 does not know that the backend drains"
     checker.record_attempt("r0", "n3", "4", "c")
     assert "drain" in checker.violations[-1]
     checker.backend_started("n4")
@@ -109,7 +109,7 @@
     assert "cold" in checker.violations[-1]
 
 
-def test_members_agree_only_where_all_said_the_same_of_late() -> None:
+def test_members_agree_only_if_all_relays_recently_sent_the_same_digest() -> None:
     checker, clock = new_checker()
     checker.record_digest("r0", 5)
     clock.now_s = 1.0
@@ -126,7 +126,7 @@
 # --- the daemon alone -----------------------------------------------------------------------------
 
 
-def test_nothing_of_peers_or_turns_is_loaded_without_the_section() -> None:
+def test_no_module_of_peers_or_maintenance_is_loaded_without_their_sections() -> None:
     code = (
         "import sys, yarrowspindle.daemon.main, yarrowspindle.fronts.line_front; "
         "words = ('membership', 'maintenance', 'consensus', 'fragments', 'voter', 'yarrowspindle.storage'); "
@@ -143,12 +143,12 @@
         ('listen = "127.0.0.1:1"\nprobes = 1', "peers.probes is not a known key"),
     ],
 )
-def test_a_wrong_section_ends_the_start_with_its_key(section: str, message: str) -> None:
+def test_an_invalid_section_fails_the_start_and_names_the_key(section: str, message: str) -> None:
     with pytest.raises(ConfigError, match=message):
         read_operator(f"[peers]\n{section}\n")
 
 
-def test_an_address_that_is_taken_is_waited_for_while_requests_are_served(tmp_path: Path) -> None:
+def test_requests_are_served_while_the_daemon_waits_for_an_occupied_address(tmp_path: Path) -> None:
     async def body() -> None:
         with socket.socket(type=socket.SOCK_DGRAM) as occupied:
             port = free_port()
--- a/tests/membership/test_membership_faults.py
+++ b/tests/membership/test_membership_faults.py
@@ -195,7 +195,7 @@
 
 
 def test_fault_names_are_checked_and_a_schedule_is_the_same_for_the_same_seed() -> None:
-    with pytest.raises(FaultError, match="'los' is no fault"):
+    with pytest.raises(FaultError, match="unknown fault 'los'; known faults: loss,"):
         parse_kinds("los,cut")
     names = relay_names(5)
     drawn = [schedule(list(FAULT_KINDS), names, ["n0"], 9, 1.0, 6.0) for _ in range(2)]
--- a/yarrowspindle/lab/__init__.py
+++ b/yarrowspindle/lab/__init__.py
@@ -1,1 +1,1 @@
-"""The laboratory: models and tools that try the relay's own code out. Nothing of it is part of a running relay."""
+"""The laboratory: simulations and process tests of the relay's code. A running relay imports nothing from here."""
--- a/yarrowspindle/lab/faults.py
+++ b/yarrowspindle/lab/faults.py
@@ -1,8 +1,8 @@
-"""Faults between parties, drawn from a seed: one vocabulary for real processes and for virtual time.
+"""Fault injection from a seed, shared by the tests with real processes and the simulations on virtual time.
 
-Parties are named: relays "r0", "r1", ..., backends by their names, the endpoint list "list". What befalls a datagram
-between two of them is decided here, by a random generator of that pair alone, so that one pair's traffic does not
-change what happens to another's.
+A fault names its participants: relays are "r0", "r1", ..., backends have their own names, and the endpoint list is
+"list". Each ordered pair of participants has its own random generator, so the traffic of one pair does not change the
+faults of another.
 """
 
 from __future__ import annotations
@@ -13,26 +13,26 @@
 from typing import NamedTuple
 
 FAULT_KINDS = {
-    "loss": "a share of the datagrams between all relays is lost",
-    "late": "datagrams between all relays take longer",
-    "old": "all datagrams between relays take 5 s",
-    "double": "a share of the datagrams comes twice, the second time late",
-    "reorder": "a share of the datagrams is overtaken by others",
-    "held": "a share of the datagrams is held back for seconds",
-    "corrupt": "a share of the datagrams has a byte changed",
-    "mute": "nothing passes between any relays",
-    "cut": "nothing passes between one relay and another",
-    "oneway": "one relay does not hear another, which hears it",
-    "split": "the relays fall into two parts that do not hear one another",
-    "lost": "one relay hears no other, and is not heard",
-    "kill": "one relay is killed, and starts again after a while",
-    "stall": "one relay is stopped (SIGSTOP), and goes on after a while",
-    "restart": "all relays are asked to end (SIGTERM) and start again, one after the other",
-    "nodecut": "one relay cannot reach one execute node; connections that stand are silent",
-    "listcut": "one relay cannot reach the machine list",
+    "loss": "a fraction of the datagrams between relays is lost",
+    "late": "datagrams between relays are delayed",
+    "old": "each datagram between relays is delayed by 5 s",
+    "double": "a fraction of the datagrams is duplicated, the duplicate is delayed",
+    "reorder": "a fraction of the datagrams arrives after datagrams that were sent later",
+    "held": "a fraction of the datagrams is delayed by seconds",
+    "corrupt": "a fraction of the datagrams has one byte changed",
+    "mute": "no relay receives datagrams from another relay",
+    "cut": "two relays receive nothing from each other",
+    "oneway": "one relay receives nothing from another, the other direction works",
+    "split": "the relays are partitioned into two groups",
+    "lost": "one relay is isolated from all others",
+    "kill": "one relay is killed (SIGKILL) and started again later",
+    "stall": "one relay is suspended (SIGSTOP) and resumed later",
+    "restart": "all relays are restarted one after the other (SIGTERM, then a new process)",
+    "nodecut": "one relay cannot reach one backend; established connections carry no data",
+    "listcut": "one relay cannot reach the endpoint list",
 }
 DATAGRAM_FAULTS = frozenset(("loss", "late", "old", "double", "reorder", "held", "corrupt", "mute"))
-PARTITIONS = frozenset(("cut", "split", "lost", "nodecut", "listcut"))  # nothing passes between their two sides
+PARTITIONS = frozenset(("cut", "split", "lost", "nodecut", "listcut"))  # block all traffic between their two sides
 PROCESS_FAULTS = frozenset(("kill", "stall"))
 DELAYS_MS = {
     "late": (50.0, 800.0),
@@ -48,27 +48,29 @@
     "held": (0.05, 0.25),
 }
 OLD_DATAGRAM_DELAY_MS = 5000.0
-DURATION_FRACTIONS = (0.4, 0.8)  # of the time that there is for all faults
-STALL_FRACTIONS = (0.5, 1.0)  # of the longest stall
-LATE_DELAY_FACTORS = (0.5, 1.5)  # on the delay of a "late" fault, for each datagram
+DURATION_FRACTIONS = (0.4, 0.8)  # of the window in which all faults are placed
+STALL_FRACTIONS = (0.5, 1.0)  # of the maximum stall
+LATE_DELAY_FACTORS = (0.5, 1.5)  # multiply the delay of a "late" fault, drawn for each datagram
 
 
 class FaultError(ValueError):
-    """A text that names no kind of fault; its message names those that there are."""
+    """An unknown kind of fault was requested. The message lists the known kinds."""
 
 
 @dataclass(slots=True, frozen=True)
 class Fault:
-    """One fault. A relay that was killed starts again, and one that is stalled goes on, when it is over.
+    """One injected fault.
+
+    At its end a killed relay is started again and a stalled relay is resumed.
 
     Attributes:
-        kind: one of FAULT_KINDS, or of a model's own.
-        start_s: seconds from the start of the run.
-        duration_s: seconds.
-        probability: for each datagram.
-        delay_ms: of a datagram.
-        parties: whom it befalls.
-        others: the other side, where it lies between two.
+        kind: a key of FAULT_KINDS, or a kind that only one simulation knows.
+        start_s: seconds after the start of the run.
+        duration_s: duration in seconds.
+        probability: probability that a datagram is affected.
+        delay_ms: delay of an affected datagram.
+        participants: names of the affected participants, or of one side of a partition.
+        other_side: names on the other side of a partition; empty for other faults.
     """
 
     kind: str
@@ -81,11 +83,11 @@
 
     @property
     def end_s(self) -> float:
-        """Seconds from the start of the run."""
+        """The end in seconds after the start of the run."""
         return self.start_s + self.duration_s
 
     def separates(self, source: str, target: str) -> bool:
-        """Whether the two parties are on different sides of it."""
+        """Return whether the two participants are on different sides of the fault."""
         one_way = source in self.participants and target in self.other_side
         return one_way or (target in self.participants and source in self.other_side)
 
@@ -100,11 +102,11 @@
 
 
 class Delivery(NamedTuple):
-    """A copy of a datagram that arrives.
+    """One copy of a datagram that arrives.
 
     Attributes:
-        delay_ms: after it was sent.
-        data: what arrives.
+        delay_ms: time between sending and arrival.
+        data: the datagram as it arrives, possibly corrupted.
     """
 
     delay_ms: float
@@ -112,16 +114,20 @@
 
 
 def relay_names(relays: int) -> list[str]:
-    """Returns the names of this many relays."""
+    """Return the names of this number of relays."""
     return [f"r{index}" for index in range(relays)]
 
 
 def parse_kinds(text: str) -> list[str]:
-    """Returns the kinds of faults that commas separate. Raises FaultError."""
+    """Parse a comma-separated list of fault kinds.
+
+    Raises:
+        FaultError: a kind is unknown.
+    """
     kinds = [kind.strip() for kind in text.split(",") if kind.strip()]
     for kind in kinds:
         if kind not in FAULT_KINDS:
-            raise FaultError(f"{kind!r} is no fault; these are: {', '.join(FAULT_KINDS)}")
+            raise FaultError(f"unknown fault {kind!r}; known faults: {', '.join(FAULT_KINDS)}")
     return kinds
 
 
@@ -134,7 +140,20 @@
     window_s: float,
     max_stall_s: float = 3.0,
 ) -> list[Fault]:
-    """Returns one fault of each kind, drawn from the seed; all are over by `from_s + for_s`."""
+    """Draw one fault for each requested kind from the seed.
+
+    Args:
+        kinds: the kinds of the faults; a kind may be repeated.
+        relays: names of the relays.
+        backends: names of the backends.
+        seed: seed of the random generator.
+        window_start_s: earliest start of a fault.
+        window_s: length of the window; all faults end within it.
+        max_stall_s: maximum duration of a stall.
+
+    Returns:
+        The faults in the order of their starts.
+    """
     random = Random(f"faults {seed}")
     faults: list[Fault] = []
     for kind in kinds:
@@ -164,7 +183,10 @@
 
 
 def _count_process_faults(relay: str, faults: Sequence[Fault]) -> int:
-    """Returns how many of these befall the relay's process: none is to have two while another has none."""
+    """Count the process faults of this relay.
+
+    The schedule prefers relays with few of them, so that no relay has two while another has none.
+    """
     return sum(relay in fault.participants for fault in faults if fault.kind in PROCESS_FAULTS)
 
 
@@ -177,7 +199,7 @@
 def _draw_sides(
     kind: str, shuffled: Sequence[str], backends: Sequence[str], random: Random
 ) -> tuple[Sequence[str], Sequence[str]]:
-    """Returns the two sides of a fault; order: the relays, the first of them befallen first."""
+    """Choose the two sides of a fault; relays at the front of `shuffled` are affected first."""
     match kind:
         case "cut" | "oneway":
             return shuffled[:1], (shuffled[1 % len(shuffled)],)
@@ -197,10 +219,10 @@
 
 
 class FaultyNetwork:
-    """Decides what happens between two parties while faults are active.
+    """Decides which datagrams arrive, when and how often, while faults are active.
 
     Args:
-        seed: of the random generators, one for each pair of parties.
+        seed: seed of the random generators; each ordered pair of participants has its own generator.
     """
 
     def __init__(self, seed: int) -> None:
@@ -209,20 +231,20 @@
         self._randoms: dict[tuple[str, str], Random] = {}
 
     def start(self, fault: Fault) -> None:
-        """Lets the fault begin."""
+        """Activate the fault."""
         self.active.append(fault)
 
     def end(self, fault: Fault) -> None:
-        """Lets the fault end, where it is active."""
+        """Deactivate the fault if it is active."""
         if fault in self.active:
             self.active.remove(fault)
 
     def is_cut(self, source: str, target: str) -> bool:
-        """Whether nothing passes from one party to another."""
+        """Return whether all traffic from one participant to another is blocked."""
         return any(self._blocks(fault, source, target) for fault in self.active)
 
     def deliveries(self, source: str, target: str, data: bytes) -> list[Delivery]:
-        """Returns the copies of a datagram between relays that arrive."""
+        """Return the copies of a datagram that arrive; an empty list if it is lost."""
         if self.is_cut(source, target):
             return []
         active = [fault for fault in self.active if fault.kind in DATAGRAM_FAULTS]
@@ -264,7 +286,7 @@
 
 
 def _applies_to(fault: Fault, data: bytes, random: Random) -> bool:
-    """Draws whether the fault befalls this datagram; one without a byte cannot be corrupted."""
+    """Draw whether the fault applies to this datagram. An empty datagram cannot be corrupted."""
     if fault.kind not in PROBABILITIES:
         return True
     if fault.kind == "corrupt" and not data:
--- a/yarrowspindle/lab/processes/__init__.py
+++ b/yarrowspindle/lab/processes/__init__.py
@@ -1,5 +1,7 @@
-"""Several real processes of the program on loopback, with faults put between them from a seed, and a checker that
-sees only wires and clients: `python -m yarrowspindle.lab.processes --help`."""
+"""Runs real relay processes on loopback, injects faults between them and checks their behavior from outside.
+
+The checker sees only network traffic and the answers to clients. Usage: `python -m yarrowspindle.lab.processes --help`.
+"""
 
 from yarrowspindle.lab.processes.environment import run_scenario
 from yarrowspindle.lab.processes.run import Report, Run
--- a/yarrowspindle/lab/processes/__main__.py
+++ b/yarrowspindle/lab/processes/__main__.py
@@ -1,6 +1,9 @@
-"""python -m yarrowspindle.lab.processes --relays 5 --seed 7 --faults loss,cut,stall
+"""Runs real relays with injected faults.
 
-Prints the schedule, broken rules and a report; the exit status is 1 where a rule was broken, 2 for bad arguments.
+    python -m yarrowspindle.lab.processes --relays 5 --seed 7 --faults loss,cut,stall
+
+Prints the schedule of the faults, the violated rules and a report for each run. The exit status is 1 if a rule was
+violated and 2 if the arguments are invalid.
 """
 
 from __future__ import annotations
@@ -17,9 +20,10 @@
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
+    """Execute the runs that the arguments ask for and return the exit status."""
     parser = argparse.ArgumentParser(
         prog="python -m yarrowspindle.lab.processes",
-        description="Real relays with faults between them.",
+        description="Run real relays with injected faults and check their behavior.",
         formatter_class=argparse.RawDescriptionHelpFormatter,
         epilog="faults:\n" + "\n".join(f"  {kind:8} {description}" for kind, description in FAULT_KINDS.items()),
     )
@@ -27,19 +31,21 @@
     parser.add_argument("--nodes", type=int, default=6)
     parser.add_argument("--submitters", type=int, default=200)
     parser.add_argument("--seed", type=int, default=1)
-    parser.add_argument("--seeds", type=int, default=1, help="so many runs, from this seed on")
-    parser.add_argument("--faults", default="loss,cut,kill,stall", help="words, with commas; empty for none")
-    parser.add_argument("--faults-s", type=float, default=6.0, help="the time in which the faults lie")
-    parser.add_argument("--stall-s", type=float, default=3.0, help="the longest stall")
-    parser.add_argument("--no-peers", action="store_true", help="relays do not hear one another")
-    parser.add_argument("--logs", type=Path, help="a folder for the relays' logs")
+    parser.add_argument("--seeds", type=int, default=1, help="number of runs; the seed increases by 1 with each")
+    parser.add_argument(
+        "--faults", default="loss,cut,kill,stall", help="comma-separated kinds of faults; empty for none"
+    )
+    parser.add_argument("--faults-s", type=float, default=6.0, help="seconds in which the faults are placed")
+    parser.add_argument("--stall-s", type=float, default=3.0, help="maximum duration of a stall in seconds")
+    parser.add_argument("--no-peers", action="store_true", help="relays exchange no datagrams")
+    parser.add_argument("--logs", type=Path, help="directory for the relays' logs")
     options = parser.parse_args(arguments)
     try:
         fault_kinds = tuple(parse_kinds(options.faults))
     except FaultError as error:
         parser.error(str(error))
     if min(options.relays, options.nodes, options.seeds) < 1 or options.submitters < 0 or options.relays > 80:
-        parser.error("at least one relay (80 at most), one node and one seed are wanted")
+        parser.error("--relays must be 1 to 80, --nodes and --seeds at least 1, --submitters at least 0")
     failed_runs = 0
     for seed in range(options.seed, options.seed + options.seeds):
         run = Run(
@@ -59,7 +65,7 @@
             options.logs.mkdir(parents=True, exist_ok=True)
             for name, lines in report.logs.items():
                 (options.logs / f"{seed}-{name}.log").write_text("\n".join(lines) + "\n")
-    print(f"{options.seeds - failed_runs} of {options.seeds} runs kept all rules")
+    print(f"{options.seeds - failed_runs} of {options.seeds} runs without violations")
     return 1 if failed_runs else 0
 
 
--- a/yarrowspindle/lab/processes/environment.py
+++ b/yarrowspindle/lab/processes/environment.py
@@ -1,4 +1,7 @@
-"""A run: relays as real processes, everything else here, faults on the wires by a schedule, and what came of it."""
+"""The test environment of one run: relay processes, stand-ins for clients, backends and discovery, and proxies.
+
+All traffic between relays, backends and the endpoint list passes through proxies, which inject the scheduled faults.
+"""
 
 from __future__ import annotations
 
@@ -28,13 +31,20 @@
 
 
 class Environment:
+    """All parts of one run.
+
+    Args:
+        run: parameters of the run.
+        directory: directory of the relays' files.
+    """
+
     def __init__(self, run: Run, directory: Path) -> None:
         self.run, self.directory = run, directory
         self.started = time.monotonic()
         self.random = Random(f"world {run.seed}")
         self.checker = Checker(self.now, run.obligations)
         self.faulty_network = FaultyNetwork(run.seed)
-        # A net of loopback of its own, so that runs side by side do not meet.
+        # Each run has its own loopback network, so that runs at the same time do not collide.
         self.network = f"127.{64 + os.getpid() % 128}.{1 + run.seed % 250}"
         self.reserved_addresses: set[Address] = set()
         self.backends = {
@@ -49,10 +59,11 @@
         )
         self.relays = [RelayProcess(name, index, self) for index, name in enumerate(relay_names(run.relays))]
         self.voters = tuple(relay.name for relay in self.relays[: run.voters])
-        self.lost_voter = ""  # whose file was
-        self.on_turn_log: Callable[[str, str], None] = lambda relay, text: None  # a relay's log line on a turn
+        self.lost_voter = ""  # the voter that has lost its file
+        # Called with the name of a relay and its log line on a maintenance turn.
+        self.on_turn_log: Callable[[str, str], None] = lambda relay, text: None
         self.fleet = FleetClient(self._record_attempt, self._record_attempt_end)
-        self.max_lag_s = 0.0  # of this process, at most
+        self.max_lag_s = 0.0  # maximum event-loop lag of this process
         self.list_proxies: list[TcpProxy] = []
         self.datagram_proxies: list[DatagramProxy] = []
         self.datagram_counts: Counter[str] = Counter()
@@ -63,10 +74,11 @@
         self.tasks: list[asyncio.Task[None]] = []
 
     def now(self) -> float:
+        """Return the seconds since the start of the run."""
         return time.monotonic() - self.started
 
     def reserve_address(self, host_index: int) -> Address:
-        """A port of this net that nobody has."""
+        """Reserve an address of this run's network whose port is free for both TCP and UDP."""
         while True:
             with socket.socket() as tcp, socket.socket(type=socket.SOCK_DGRAM) as udp:
                 tcp.bind((f"{self.network}.{1 + host_index}", 0))
@@ -80,16 +92,20 @@
                 return address
 
     def choose_relay(self) -> tuple[str, Address] | None:
-        """Deals connections out among the relays that serve; it takes some time to find out that one is dead."""
+        """Choose a serving relay for a new connection, as a load balancer in front of the relays does.
+
+        A suspended relay is still chosen, and a relay that fails by itself until the end of its process is noticed.
+        """
         serving = [relay for relay in self.relays if relay.is_serving]
         if not serving:
             return None
         relay = serving[int(self.random.random() * len(serving))]
         return relay.name, relay.client_address
 
-    # --- the wires ------------------------------------------------------------------------------
+    # --- proxies --------------------------------------------------------------------------------
 
     async def open(self) -> None:
+        """Start the backends, the endpoint list and all proxies."""
         relay_names_by_address = {relay.peer_address: relay.name for relay in self.relays}
         proxies: list[ProxyAddress] = []
         for relay in self.relays:
@@ -129,7 +145,7 @@
         self.checker.record_attempt_end(connection.request, connection)
 
     def _record_list_response(self, connection: ProxiedConnection, data: bytes) -> None:
-        """What a relay was told counts from when it was written to it."""
+        """Record the backend states that a relay was sent; they apply from the time at which they were written."""
         for line in data.split(b"\n"):
             if line.startswith(b"{"):
                 try:
@@ -144,9 +160,10 @@
                     for name in self.backends.keys() - listed:
                         self.checker.record_backend_state(connection.proxy.source, name, False)
 
-    # --- the course of a run --------------------------------------------------------------------
+    # --- stages of a run ------------------------------------------------------------------------
 
     async def apply_fault(self, fault: Fault) -> None:
+        """Wait for the start of the fault, inject it and end it."""
         await asyncio.sleep(fault.start_s)
         relay = next((relay for relay in self.relays if fault.participants == (relay.name,)), self.relays[0])
         if fault.kind == "kill":
@@ -175,7 +192,7 @@
                 await self.fleet.end_fault(fault)
 
     async def restart_backend(self) -> None:
-        """One node drains, ends, and comes back cold while the faults last."""
+        """Drain one backend, end its process and start it again during the faults."""
         backend = self.backends[f"n{self.run.seed % self.run.backends}"]
         await asyncio.sleep(0.1 * self.run.faults_s)
         self.endpoint_list.publish(backend, "draining")
@@ -189,13 +206,18 @@
         self.endpoint_list.publish(backend, "ready")
 
     async def sample_clients(self) -> None:
+        """Count every 0.1 s how many of the clients have a connection."""
         while True:
             await asyncio.sleep(0.1)
             self.clients.wanted_samples += self.run.clients
             self.clients.connected_samples += len(self.clients.connected)
 
     async def wait_for_agreement(self) -> float:
-        """How long after the faults all relays' digests of members are the same, and stay so for a second."""
+        """Wait until all relays have the same digest of members for a second.
+
+        Returns:
+            Seconds from the call until the digests became equal, -1.0 if they did not.
+        """
         started_s = agreed_since_s = self.now()
         names = [relay.name for relay in self.relays]
         while self.now() < started_s + self.run.agreement_limit_s:
@@ -207,6 +229,7 @@
         return -1.0
 
     async def close(self) -> None:
+        """Stop the clients, kill the relays and close all proxies."""
         await self.clients.stop()
         for task in self.tasks:
             task.cancel()
@@ -222,12 +245,12 @@
             datagram_proxy.close()
         self.endpoint_list.close()
         await self.fleet.close()
-        await asyncio.sleep(0.15)  # what passed between them ends by itself
+        await asyncio.sleep(0.15)  # lets open connections end
 
 
 @asynccontextmanager
 async def running_environment(run: Run, directory: Path | None = None) -> AsyncIterator[Environment]:
-    """All parties stand and all relays serve."""
+    """Provide an environment in which all relays serve."""
     with tempfile.TemporaryDirectory(prefix="yarrowspindle-lab-") as temporary:
         environment = Environment(run, directory or Path(temporary))
         try:
@@ -239,7 +262,13 @@
 
 
 async def run_scenario(run: Run, faults: list[Fault] | None = None, directory: Path | None = None) -> Report:
-    """One run, from the start of the relays to their end."""
+    """Execute one run.
+
+    Args:
+        run: parameters of the run.
+        faults: faults to inject; drawn from the seed if None.
+        directory: directory of the relays' files; a temporary one if None.
+    """
     if faults is None:
         faults = schedule(
             run.fault_kinds,
@@ -267,7 +296,7 @@
             report.agreed_s = await environment.wait_for_agreement()
             if report.agreed_s < 0.0:
                 environment.checker.report_violation(
-                    "members agree", f"not within {run.agreement_limit_s:g} s after the faults"
+                    "members agree", f"the relays did not agree within {run.agreement_limit_s:g} s after the faults"
                 )
         await asyncio.sleep(max(0.0, run.recovery_s - (environment.now() - faults_ended_s)))
         fill_report(environment, report)
@@ -275,7 +304,7 @@
 
 
 def fill_report(environment: Environment, report: Report) -> None:
-    """What came of it."""
+    """Copy the results of the run into the report."""
     checker = environment.checker
     report.violations, report.counts, report.datagrams = checker.violations, checker.counts, environment.datagram_counts
     report.worst_slow_start_ratio = max(
--- a/yarrowspindle/lab/processes/event_loop_lag.py
+++ b/yarrowspindle/lab/processes/event_loop_lag.py
@@ -1,4 +1,4 @@
-"""How late a process of stand-ins is itself: what it measures of others cannot be told closer than that."""
+"""Measures the event-loop lag of a process, which limits the accuracy of the times that the process measures."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 async def measure_lag(report: Callable[[float], None]) -> None:
-    """Reports by how many seconds each of the event loop's short sleeps was late."""
+    """Call `report` after each interval with the seconds by which the event loop woke up late."""
     while True:
         due = time.monotonic() + INTERVAL_S
         await asyncio.sleep(INTERVAL_S)
--- a/yarrowspindle/lab/processes/fleet.py
+++ b/yarrowspindle/lab/processes/fleet.py
@@ -1,4 +1,4 @@
-"""The lab's side of the process that runs the backends: commands to it, and what it sees on the wires."""
+"""The laboratory's connection to the process of the backends: sends commands and receives reports on their traffic."""
 
 from __future__ import annotations
 
@@ -28,11 +28,11 @@
 from yarrowspindle.routing.address import Address
 
 ROOT = Path(__file__).resolve().parents[3]
-COMMAND_TIMEOUT_S = 15.0  # for the fleet's process to start, or to carry a command out
+COMMAND_TIMEOUT_S = 15.0  # includes the start of the process
 
 
 class BackendConnection:
-    """One connection from a relay to a backend on which a request came."""
+    """A connection from a relay to a backend on which a request was sent."""
 
     __slots__ = ("relay", "backend", "request")
 
@@ -41,13 +41,13 @@
 
 
 class FleetClient:
-    """The process of the backends.
+    """Controls the process that runs the backends and their proxies.
 
     Attributes:
-        sent: called with each connection on which a request has come.
-        ended: called with each such connection that the relay has ended.
-        connections: those that the relays have not ended.
-        lateness_s: how late the process was at most.
+        on_request: called with each connection on which a relay has sent a request.
+        on_end: called with each such connection that the relay has ended.
+        connections: connections that the relays have not ended, by their id in the process.
+        max_lag_s: maximum event-loop lag that the process has reported.
     """
 
     def __init__(
@@ -65,7 +65,7 @@
     async def open(
         self, seed: int, lifetime_s: float, backends: dict[str, Address], proxies: list[ProxyAddress]
     ) -> None:
-        """Starts the process with these backends and wires."""
+        """Start the process with these backends and proxies."""
         self._process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-B",
@@ -79,27 +79,27 @@
         await self._send_command(OpenFleet(seed, lifetime_s, backends, proxies))
 
     async def start_backend(self, name: str) -> None:
-        """Lets a backend listen again."""
+        """Start a backend again after it was killed."""
         await self._send_command(StartBackend(name))
 
     async def kill_backend(self, name: str) -> None:
-        """Breaks what a backend holds; nobody listens there any more."""
+        """Reset all connections of a backend and stop its listening."""
         await self._send_command(KillBackend(name))
 
     async def start_fault(self, fault: Fault) -> None:
-        """Puts a fault on the wires."""
+        """Activate a fault between relays and backends."""
         await self._send_command(StartFault(fault))
 
     async def end_fault(self, fault: Fault) -> None:
-        """Takes a fault off the wires."""
+        """Deactivate a fault between relays and backends."""
         await self._send_command(EndFault(fault))
 
     def connected_relays(self, backend: str) -> list[str]:
-        """Returns the relays that hold a connection at this backend, by the wires."""
+        """Return the relays that have a connection with a request to this backend, sorted."""
         return sorted({connection.relay for connection in self.connections.values() if connection.backend == backend})
 
     async def close(self) -> None:
-        """Ends the process."""
+        """Kill the process."""
         if self._process is not None and self._process.returncode is None:
             self._process.kill()
             await self._process.wait()
@@ -107,8 +107,9 @@
             await self._read_task
 
     async def _send_command(self, command: Command) -> None:
+        """Send a command and wait until it is executed."""
         if self._process is None or self._process.stdin is None:
-            raise RuntimeError("the fleet's process was not started")
+            raise RuntimeError("cannot send a command: the process of the backends was not started")
         completion = asyncio.get_running_loop().create_future()
         self._pending.append(completion)
         self._process.stdin.write(self._encode(command) + b"\n")
--- a/yarrowspindle/lab/processes/fleet_messages.py
+++ b/yarrowspindle/lab/processes/fleet_messages.py
@@ -1,4 +1,4 @@
-"""What the lab and the process of its backends tell each other: JSON, one message a line."""
+"""Messages between the laboratory and the process of its backends: one JSON object per line."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class ProxyAddress(msgspec.Struct, frozen=True):
-    """The address at which a relay reaches a backend."""
+    """Where the proxy from a relay to a backend listens."""
 
     relay: str
     backend: str
@@ -17,7 +17,7 @@
 
 
 class OpenFleet(msgspec.Struct, frozen=True, tag=True):
-    """The first command: open these backends, and the wires to them."""
+    """The first command: start these backends and the proxies to them."""
 
     seed: int
     lifetime_s: float
@@ -26,35 +26,42 @@
 
 
 class StartBackend(msgspec.Struct, frozen=True, tag=True):
-    """Let a backend listen again."""
+    """Start a backend again after it was killed."""
 
     backend: str
 
 
 class KillBackend(msgspec.Struct, frozen=True, tag=True):
-    """End a backend's process: what it held breaks, and nobody listens."""
+    """Reset all connections of a backend and stop its listening, as the end of a process does."""
 
     backend: str
 
 
 class StartFault(msgspec.Struct, frozen=True, tag=True):
-    """Put a fault on the wires."""
+    """Activate a fault in the proxies."""
 
     fault: Fault
 
 
 class EndFault(msgspec.Struct, frozen=True, tag=True):
-    """Take a fault off the wires."""
+    """Deactivate a fault in the proxies."""
 
     fault: Fault
 
 
 class CommandDone(msgspec.Struct, frozen=True, tag=True):
-    """The oldest command that was not answered yet is carried out."""
+    """The oldest unconfirmed command was executed."""
 
 
 class RequestSent(msgspec.Struct, frozen=True, tag=True):
-    """A request's line came whole on a connection from a relay. connection: its number in the fleet's process."""
+    """A relay has sent a complete request line on a connection.
+
+    Attributes:
+        relay: name of the relay.
+        backend: name of the backend.
+        connection: id of the connection in the process of the backends.
+        request: id of the request.
+    """
 
     relay: str
     backend: str
@@ -63,7 +70,7 @@
 
 
 class ConnectionEnded(msgspec.Struct, frozen=True, tag=True):
-    """The relay has ended its side of a connection on which a request came."""
+    """The relay has ended its side of a connection on which it had sent a request."""
 
     relay: str
     backend: str
@@ -71,7 +78,7 @@
 
 
 class EventLoopLag(msgspec.Struct, frozen=True, tag=True):
-    """How late the fleet's process was of late, at the most; seconds."""
+    """One measurement of the event-loop lag of the process of the backends, in seconds."""
 
     lag_s: float
 
--- a/yarrowspindle/lab/processes/fleet_process.py
+++ b/yarrowspindle/lab/processes/fleet_process.py
@@ -1,7 +1,8 @@
-"""The process of the backends and of the wires to them, apart from the clients and the checker.
+"""The process that runs the backends and the proxies to them, separate from the clients and the checker.
 
-A lab that is starved of processor time would else be a slow fleet, and relays shed requests for slow backends. Run as
-`python -m yarrowspindle.lab.processes.fleet_process`; commands come on standard input, reports go to standard output.
+In one process with them, backends would respond slowly whenever that process lacks processor time, and relays shed
+requests for slow backends. Started as `python -m yarrowspindle.lab.processes.fleet_process`; it reads commands from
+standard input and writes reports to standard output.
 """
 
 from __future__ import annotations
@@ -35,7 +36,7 @@
 
 
 class FleetProcess:
-    """The backends, and the wires from each relay to each of them."""
+    """The backends, and a proxy from each relay to each of them."""
 
     def __init__(self) -> None:
         self.encode = msgspec.json.Encoder().encode
@@ -46,12 +47,12 @@
         self.next_connection_id = itertools.count(1)
 
     def report(self, report: Report) -> None:
-        """Writes a report; the lab reads them in the order in which things happened."""
+        """Write a report at once, so that reports arrive in the order of the events."""
         sys.stdout.buffer.write(self.encode(report) + b"\n")
         sys.stdout.buffer.flush()
 
     async def execute(self, command: Command) -> None:
-        """Carries a command out and reports that."""
+        """Execute a command and confirm it."""
         if isinstance(command, OpenFleet):
             await self._start_backends(command)
         elif isinstance(command, StartBackend):
@@ -78,6 +79,7 @@
             self.proxies.append(proxy)
 
     def _on_line(self, connection: ProxiedConnection, line: bytes) -> None:
+        """Report the first request line of a connection."""
         if connection.request or not line.startswith(b"OPEN "):
             return
         connection.request = line.split(b" ")[1].decode("ascii", "replace")
@@ -85,18 +87,19 @@
         self.report(RequestSent(connection.proxy.source, connection.proxy.target, connection_id, connection.request))
 
     def _on_end(self, connection: ProxiedConnection) -> None:
+        """Report the end of a connection on which a request was sent."""
         connection_id = self.connection_ids.pop(connection, 0)
         if connection_id:
             self.report(ConnectionEnded(connection.proxy.source, connection.proxy.target, connection_id))
 
     def report_lag(self, lag_s: float) -> None:
-        """Reports a lateness that matters."""
+        """Report an event-loop lag of at least MIN_REPORTED_LAG_S."""
         if lag_s >= MIN_REPORTED_LAG_S:
             self.report(EventLoopLag(lag_s))
 
 
 async def main() -> None:
-    """Serves until standard input ends."""
+    """Execute commands until standard input ends."""
     fleet, loop = FleetProcess(), asyncio.get_running_loop()
     decode = msgspec.json.Decoder(Command).decode
     reader = asyncio.StreamReader()
--- a/yarrowspindle/lab/processes/maintenance.py
+++ b/yarrowspindle/lab/processes/maintenance.py
@@ -1,7 +1,8 @@
-"""Machines out for work with real processes: operators that ask, work and give back, and the rules on it from outside.
+"""Maintenance of backends with real relay processes: simulated operators, and the rules checked from outside.
 
-What the rules go by: the wires between relays and nodes, what relays say in their logs and when they are asked, and the
-voters' files. A machine is taken for free from the first line of any log that says so until an operator says done.
+The rules are checked on the traffic between relays and backends, the relays' logs, their answers to the operators'
+commands, and the voter files. A backend counts as free (evacuated, ready for work) from the first log line of any relay
+that says so until an operator reports the work as done.
 """
 
 from __future__ import annotations
@@ -25,32 +26,61 @@
 from yarrowspindle.storage.durable_file import FileUnavailableError
 
 POLL_INTERVAL_S = 0.25
-REPORT_LAG_S = 0.3  # of this process, which carries all wires: what was sent before counts for so long after
-CLOSE_GRACE_S = 1.0  # a connection that was ended may be seen so late
+REPORT_LAG_S = 0.3  # a request may be reported this late, as all reports pass through this process
+CLOSE_GRACE_S = 1.0  # the end of a connection may be reported this late
 TURN_LOG_LINE = re.compile(r"turn (\d+): (\S+) is (emptying|free|warming|back)")
 
 
 @dataclass(slots=True, frozen=True)
 class MaintenanceWork:
-    """What the operators want. within_s: after the faults by when all must be over, or its reason be shown."""
+    """The maintenance that the operators request.
+
+    Attributes:
+        max_out: maximum number of backends out of service at a time.
+        max_out_per_zone: maximum number of backends out of service at a time in one zone.
+        min_ready_backends: number of backends that must stay ready.
+        work_s: duration of the work on one backend.
+        backends: number of backends to maintain; 0 for all.
+        limit_s: time after the faults within which the maintenance must be complete.
+        duplicate_request: whether two operators send the request to two relays at the same time.
+        reboot: whether a backend's process is restarted during the work.
+        crash_after_s: delay until the last backend crashes while it is in service; negative for no crash.
+        downtime_s: time between the crash and the new start.
+        replace_voter: whether the last relay, which must not be a voter, replaces the first voter at the end.
+    """
 
     max_out: int = 1
     max_out_per_zone: int = 1
     min_ready_backends: float = 0.0
     work_s: float = 0.3
-    backends: int = 0  # 0: all
+    backends: int = 0
     limit_s: float = 90.0
-    duplicate_request: bool = True  # two operators at two relays ask in the same second
-    reboot: bool = False  # a machine's process ends while it is worked on, and starts anew
-    crash_after_s: float = (
-        -1.0
-    )  # the last machine, which nobody took out, dies so long after the request; below 0: none does
+    duplicate_request: bool = True
+    reboot: bool = False
+    crash_after_s: float = -1.0
     downtime_s: float = 3.0
-    replace_voter: bool = False  # the last relay, no voter so far, takes the first one's place in the end
+    replace_voter: bool = False
 
 
 @dataclass(slots=True)
 class MaintenanceReport:
+    """Results of one run with maintenance.
+
+    Attributes:
+        report: results of the run apart from maintenance.
+        duration_s: time from the first request until its completion, or until the operators gave up.
+        backends: number of backends to maintain.
+        turns: number of the last evacuation; relays call an evacuation a turn.
+        max_out_at_once: maximum number of backends out of service at a time.
+        floor_violations: how often fewer backends were ready than must stay ready.
+        used_while_free: requests sent to and connections held at backends that were reported as free.
+        rolled_back: evacuations that were cancelled before the backend was empty.
+        completed: whether all backends were maintained and returned to service.
+        blockers: if not, what the relays waited for.
+        min_backend_s: minimum time for one backend, given the rate of moves, the work and the slow start.
+        backend_durations_s: time from the start of each evacuation until the backend's return to service.
+    """
+
     report: Report
     duration_s: float = 0.0
     backends: int = 0
@@ -61,56 +91,72 @@
     rolled_back: int = 0
     completed: bool = False
     blockers: list[str] = field(default_factory=list)
-    min_backend_s: float = 0.0  # for one machine, that pace, work and warm-up allow
+    min_backend_s: float = 0.0
     backend_durations_s: list[float] = field(default_factory=list)
 
     @property
     def backend_mean_s(self) -> float:
+        """Mean time per backend."""
         return self.duration_s / max(self.backends, 1)
 
     def __str__(self) -> str:
         lines = [str(self.report)]
-        detail = "over" if self.completed else "NOT OVER: " + "; ".join(self.blockers)
+        detail = "completed" if self.completed else "NOT COMPLETED: " + "; ".join(self.blockers)
         lines.append(
-            f"  turns: {self.turns} for {self.backends} machines in {self.duration_s:.1f} s, "
-            f"{self.backend_mean_s:.2f} s each ({self.min_backend_s:.2f} s least), at most {self.max_out_at_once} out, "
-            f"given back unemptied {self.rolled_back}, {detail}"
+            f"  turns: {self.turns} for {self.backends} backends in {self.duration_s:.1f} s, "
+            f"{self.backend_mean_s:.2f} s each (minimum {self.min_backend_s:.2f} s), "
+            f"at most {self.max_out_at_once} out of service, "
+            f"{self.rolled_back} cancelled before the backend was empty, {detail}"
         )
         return "\n".join(lines)
 
 
 class Operators:
-    """They ask, look, work, and hold what they see against the rules."""
+    """Simulated operators, who request maintenance, do the work and check the rules.
+
+    Args:
+        environment: the environment of the run.
+        work: the maintenance to request.
+        result: receives the results.
+    """
 
     def __init__(self, environment: Environment, work: MaintenanceWork, result: MaintenanceReport) -> None:
         self.environment, self.work, self.result = environment, work, result
         self.random = Random(f"operators {environment.run.seed}")
         self.backends = sorted(environment.backends)[: work.backends or None]
         self.request_id = ""
-        self.free_since_s: dict[str, float] = {}  # machine -> since when somebody says so, until we say done
+        # Backend -> when a relay first reported it as free; removed when the work is done.
+        self.free_since_s: dict[str, float] = {}
         self.backend_of_turn: dict[int, str] = {}
         self.work_tasks: dict[str, asyncio.Task[None]] = {}
         self.evacuation_started_s: dict[str, float] = {}
-        self.states_by_version: dict[int, Any] = {}  # version -> what is out by it
+        # Version of the committed state -> turns and stages of the backends out of service.
+        self.states_by_version: dict[int, Any] = {}
         self.latest: dict[str, Any] = {}
         environment.on_turn_log = self.on_log_line
         environment.fleet.on_request = self._watch_requests(environment.fleet.on_request)
 
-    # --- the rules ------------------------------------------------------------------------------
+    # --- rules ----------------------------------------------------------------------------------
 
     def _watch_requests(self, forward: Callable[[BackendConnection], None]) -> Callable[[BackendConnection], None]:
+        """Return a callback that reports requests to free backends and calls `forward` with each request."""
+
         def on_request(connection: BackendConnection) -> None:
             if self.environment.now() > self.free_since_s.get(connection.backend, 1e9) + REPORT_LAG_S:
-                self.report_use(connection.relay, connection.backend, "sent a job")
+                self.report_use(connection.relay, connection.backend, "sent a request")
             forward(connection)
 
         return on_request
 
     def report_use(self, relay: str, backend_name: str, detail: str) -> None:
+        """Report that a relay uses a backend that is free for work."""
         self.result.used_while_free += 1
-        self.environment.checker.report_violation("free", f"{relay} {detail} at {backend_name}, which is free")
+        self.environment.checker.report_violation(
+            "free", f"{relay} {detail} at {backend_name}, which was reported as free"
+        )
 
     def on_log_line(self, relay: str, text: str) -> None:
+        """Follow the stages of evacuations in the relays' logs, and start the work on backends that become free."""
         match = TURN_LOG_LINE.match(text)
         if "given back unemptied" in text:
             turn = int(text.split()[1].rstrip(":"))
@@ -122,7 +168,7 @@
         if stage == "emptying":
             if self.backend_of_turn.setdefault(turn, backend_name) != backend_name:
                 self.environment.checker.report_violation(
-                    "turn numbers", f"{turn} is {backend_name}'s and {self.backend_of_turn[turn]}'s"
+                    "turn numbers", f"turn {turn} belongs to {backend_name} and to {self.backend_of_turn[turn]}"
                 )
             self.evacuation_started_s.setdefault(backend_name, self.environment.now())
         elif stage == "free" and backend_name not in self.free_since_s and backend_name not in self.work_tasks:
@@ -133,11 +179,11 @@
             self.work_tasks.pop(backend_name, None)
 
     def _connected_relays(self, backend_name: str) -> list[str]:
-        """Relays that hold a connection there, by the wires."""
+        """Return the relays that have a connection to this backend, from the traffic."""
         return self.environment.fleet.connected_relays(backend_name)
 
     async def _work(self, backend_name: str, turn: int) -> None:
-        """Looks whether it is really free, works on it, and says so."""
+        """Check that the backend is not used, work on it and report the work as done."""
         environment, backend = self.environment, self.environment.backends[backend_name]
         await asyncio.sleep(CLOSE_GRACE_S if self.work.work_s > CLOSE_GRACE_S else self.work.work_s)
         for relay in self._connected_relays(backend_name):
@@ -155,8 +201,8 @@
             self.report_use(relay, backend_name, "holds a connection")
         self.free_since_s.pop(backend_name, None)
         if not self.work.reboot:
-            environment.checker.backend_started(backend_name)  # cold all the same
-        while True:  # until a relay shows that it is no longer free by this turn
+            environment.checker.backend_started(backend_name)  # a slow start follows maintenance without a restart, too
+        while True:  # repeated until a relay shows that the evacuation has left the stage "free"
             await self.put("done", {"machine": backend_name, "turn": turn})
             await asyncio.sleep(1.0)
             table = await self.poll()
@@ -167,17 +213,21 @@
                 return
 
     def check_state(self, table: dict[str, Any]) -> None:
-        """One relay's answer: a committed state, whichever."""
+        """Check one relay's answer: a committed state, which may be older than those seen before.
+
+        Args:
+            table: the relay's answer to `GET /turns`.
+        """
         out_of_service = {entry["machine"]: (entry["turn"], entry["stage"]) for entry in table["out"]}
         expected = self.states_by_version.setdefault(table["version"], out_of_service)
         report_violation = self.environment.checker.report_violation
         if expected != out_of_service:
-            report_violation("one state", f"version {table['version']} is {expected} and {out_of_service}")
+            report_violation("one state", f"version {table['version']} is both {expected} and {out_of_service}")
         zones = [int(backend_name[1:]) % 2 for backend_name in out_of_service]
         if len(out_of_service) > self.work.max_out or any(
             zones.count(zone) > self.work.max_out_per_zone for zone in zones
         ):
-            report_violation("most out", f"{sorted(out_of_service)} are out")
+            report_violation("most out", f"{sorted(out_of_service)} are out of service at once")
         remaining = sum(
             backend.phase == "ready"
             for name, backend in self.environment.backends.items()
@@ -185,27 +235,36 @@
         )
         if remaining < self.work.min_ready_backends:
             self.result.floor_violations += 1
-            report_violation("floor", f"{remaining} machines are left, {self.work.min_ready_backends:g} must stay")
+            report_violation(
+                "floor", f"{remaining} backends are ready, {self.work.min_ready_backends:g} must stay ready"
+            )
         self.result.max_out_at_once = max(self.result.max_out_at_once, len(out_of_service))
         if table["version"] >= self.latest.get("version", -1):
             if table["turn"] < self.latest.get("turn", 0):
-                report_violation("turn numbers", f"they went back from {self.latest['turn']} to {table['turn']}")
+                report_violation(
+                    "turn numbers", f"the last turn decreased from {self.latest['turn']} to {table['turn']}"
+                )
             self.latest = table
             self.result.turns = table["turn"]
 
-    # --- what operators do ----------------------------------------------------------------------
+    # --- operators' actions ---------------------------------------------------------------------
 
     def live_relays(self) -> list[RelayProcess]:
+        """Return the relays that serve and are not suspended."""
         return [relay for relay in self.environment.relays if relay.is_serving and not relay.suspended]
 
     async def put(self, command: str, content: dict[str, Any], relay: RelayProcess | None = None) -> tuple[int, Any]:
-        """At any relay that lives."""
+        """Send a command to a relay, by default to a random live one.
+
+        Returns:
+            The HTTP status and the answer; status 0 if no relay answers.
+        """
         live = self.live_relays()
         relay = relay or (self.random.choice(live) if live else None)
         return await call_relay(relay, "PUT", f"/turns/{command}", content) if relay is not None else (0, None)
 
     async def poll(self) -> dict[str, Any]:
-        """All that answer are asked; what the newest shows."""
+        """Query all live relays, check their answers, and return the answer with the latest committed state."""
         answers = await asyncio.gather(*(call_relay(relay, "GET", "/turns") for relay in self.live_relays()))
         for status, table in answers:
             if status == 200:
@@ -213,10 +272,12 @@
         return self.latest
 
     def is_settled(self) -> bool:
+        """Return whether the request has been executed and all backends are in service."""
         requests = [request for request in self.latest.get("requests", ()) if request["request"] == self.request_id]
         return bool(requests) and requests[0]["state"] != QUEUED and not self.latest["out"]
 
     async def submit_request(self) -> None:
+        """Send the maintenance request to one relay, or the same request to two."""
         content = {
             "machines": self.backends,
             "most": self.work.max_out,
@@ -231,13 +292,12 @@
                 self.request_id = answer["done"]
 
     async def crash_backend(self) -> None:
-        """A machine dies and comes back under a new start."""
+        """Kill the last backend while it is in service, and start it again."""
         backend_name = sorted(self.environment.backends)[-1]
         backend = self.environment.backends[backend_name]
         await asyncio.sleep(self.work.crash_after_s)
-        while (
-            backend_name in self.evacuation_started_s or backend_name in self.free_since_s
-        ):  # it is out: that is another case
+        # The backend must crash while it is in service.
+        while backend_name in self.evacuation_started_s or backend_name in self.free_since_s:
             await asyncio.sleep(POLL_INTERVAL_S)
         await self.environment.fleet.kill_backend(backend_name)
         self.environment.endpoint_list.publish(backend, "gone")
@@ -248,7 +308,7 @@
         self.environment.endpoint_list.publish(backend, "ready")
 
     async def replace_voter(self) -> None:
-        """One at a time, and each stands before the next is asked for."""
+        """Add the last relay as a voter, then remove the first voter; each change is committed before the next."""
         new_voter, old_voter = self.environment.relays[-1], self.environment.voters[0]
         steps: tuple[tuple[str, dict[str, Any], RelayProcess | None, str, bool], ...] = (
             ("vote", {}, new_voter, new_voter.name, True),
@@ -262,18 +322,22 @@
                 await asyncio.sleep(POLL_INTERVAL_S)
             else:
                 self.environment.checker.report_violation(
-                    "voters", f"{name} is {'no' if should_vote else 'still a'} voter after 20 s"
+                    "voters", f"{name} is {'not yet a' if should_vote else 'still a'} voter after 20 s"
                 )
 
     async def run(self, faults_ended: asyncio.Event) -> None:
-        """From the request to the end of all, or to the end of patience after `until`."""
+        """Request the maintenance and follow it until it is complete.
+
+        Args:
+            faults_ended: set when all faults have ended; the operators give up `limit_s` later.
+        """
         started_s = self.environment.now()
         faults_ended_s = 0.0
         if self.work.crash_after_s >= 0.0:
             self.environment.tasks.append(asyncio.ensure_future(self.crash_backend()))
         while True:
             if not any(request["request"] == self.request_id for request in self.latest.get("requests", ())):
-                await self.submit_request()  # whoever had the word may have died with it
+                await self.submit_request()  # the relay that received it may have failed before it was committed
             await asyncio.sleep(POLL_INTERVAL_S)
             await self.poll()
             if self.is_settled():
@@ -295,7 +359,7 @@
                 for waiting in request.get("waiting", ())
             ]
             self.environment.checker.report_violation(
-                "all out and back", "; ".join(self.result.blockers) or "no reason is shown"
+                "all out and back", "; ".join(self.result.blockers) or "the relays show no reason"
             )
         elif self.work.replace_voter:
             await self.replace_voter()
@@ -303,7 +367,7 @@
             task.cancel()
 
     def check_files(self) -> None:
-        """What the voters' files hold at the end is what was said."""
+        """Check that the voter files at the end contain the states that relays showed before."""
         for relay in self.environment.relays:
             if relay.name not in self.latest["voters"]:
                 continue
@@ -316,14 +380,19 @@
             stored_stages = {name: (entry.number, entry.stage) for name, entry in stored.state.evacuations.items()}
             if expected is not None and expected != stored_stages:
                 self.environment.checker.report_violation(
-                    "files", f"{relay.name} has {stored_stages} for {stored.state.version}, not {expected}"
+                    "files",
+                    f"{relay.name} stored {stored_stages} as version {stored.state.version}, relays showed {expected}",
                 )
 
 
 async def call_relay(
     relay: RelayProcess, method: str, path: str, content: dict[str, Any] | None = None
 ) -> tuple[int, Any]:
-    """One call of a relay's turns.command; status 0 where it does not answer."""
+    """Send one request to a relay's command address.
+
+    Returns:
+        The HTTP status and the decoded answer; status 0 and None if the relay does not answer.
+    """
     body = json.dumps(content).encode() if content is not None else b""
     head = f"{method} {path} HTTP/1.1\r\nhost: relay\r\ncontent-length: {len(body)}\r\n\r\n".encode()
     try:
@@ -347,7 +416,14 @@
 async def run_maintenance(
     run: Run, work: MaintenanceWork, faults: Sequence[Fault] | None = None, directory: Path | None = None
 ) -> MaintenanceReport:
-    """Relays start, submitters come, operators want machines; faults come and end."""
+    """Execute one run with maintenance, and with faults meanwhile.
+
+    Args:
+        run: parameters of the run.
+        work: the maintenance to request.
+        faults: faults to inject; drawn from the seed if None.
+        directory: directory of the relays' files; a temporary one if None.
+    """
     if faults is None:
         faults = schedule(
             run.fault_kinds,
--- a/yarrowspindle/lab/processes/proxy.py
+++ b/yarrowspindle/lab/processes/proxy.py
@@ -1,4 +1,4 @@
-"""What stands between the processes: every datagram and every connection passes here, and the faults are put on it."""
+"""Proxies between the processes of a run, which apply the active faults to all datagrams and connections."""
 
 from __future__ import annotations
 
@@ -13,12 +13,21 @@
 from yarrowspindle.routing.address import Address
 
 MAX_CONNECTIONS = 4096
-MAX_PARTIAL_LINE_BYTES = 1 << 20  # bytes that wait in a connection that is cut
+MAX_PARTIAL_LINE_BYTES = 1 << 20  # older bytes of a longer unfinished line are discarded
 
 
 class DatagramProxy(asyncio.DatagramProtocol):
-    """The address at which the others reach one relay. Who sends is told by the address that it listens at, which is
-    the one that it sends from."""
+    """Forwards datagrams to one relay. Other participants reach the relay only at the proxy's address.
+
+    A participant sends from the address that it listens at, which identifies the source of a datagram.
+
+    Args:
+        target: name of the relay.
+        relay_address: where the relay listens.
+        names_by_address: names of the participants by the addresses that they send from.
+        faulty_network: decides which datagrams arrive and when.
+        on_datagram: called for each datagram with its source, its target, its data and the number of delivered copies.
+    """
 
     def __init__(
         self,
@@ -36,6 +45,7 @@
         self.transport: asyncio.DatagramTransport | None = None
 
     async def open(self, address: Address) -> None:
+        """Start forwarding datagrams that arrive at this address."""
         loop = asyncio.get_running_loop()
         await loop.create_datagram_endpoint(lambda: self, local_addr=address)
         self.sender, _ = await loop.create_datagram_endpoint(asyncio.DatagramProtocol, local_addr=(address[0], 0))
@@ -58,7 +68,7 @@
             self.sender.sendto(data, self.relay_address)
 
     def error_received(self, exc: Exception) -> None:
-        """The relay is dead just now."""
+        """Ignore errors: the relay's process may have ended."""
 
     def close(self) -> None:
         for transport in (self.transport, self.sender):
@@ -67,13 +77,14 @@
 
 
 class DigestReader:
-    """The digest of members that a datagram's sender has, where it says so."""
+    """Reads the digest of members from datagrams that contain one."""
 
     def __init__(self) -> None:
         self.decode_checksummed = msgspec.msgpack.Decoder(ChecksummedDatagram).decode
         self.decode_datagram = msgspec.msgpack.Decoder(Datagram).decode
 
     def read(self, data: bytes) -> int | None:
+        """Return the sender's digest of members, None if the datagram has none or cannot be decoded."""
         try:
             body = self.decode_datagram(bytes(self.decode_checksummed(data).datagram)).body
         except (msgspec.DecodeError, msgspec.ValidationError, ValueError):
@@ -82,7 +93,16 @@
 
 
 class ProxiedConnection:
-    """One connection through a proxy."""
+    """One connection through a proxy.
+
+    Attributes:
+        proxy: the proxy.
+        relay_writer: writes to the relay.
+        server_writer: writes to the server; None if there is no connection to it.
+        partial_line: data from the relay after the last complete line.
+        request: id of the request that was sent on the connection; empty before.
+        relay_closed: whether the relay has ended its side.
+    """
 
     __slots__ = ("proxy", "relay_writer", "server_writer", "partial_line", "request", "relay_closed")
 
@@ -90,14 +110,26 @@
         self.proxy, self.relay_writer = proxy, relay_writer
         self.server_writer: asyncio.StreamWriter | None = None
         self.partial_line, self.request = b"", ""
-        self.relay_closed = False  # the relay's side has ended
+        self.relay_closed = False
 
 
 class TcpProxy:
-    """The address at which one party (a relay) reaches another (a node, the machine list).
+    """Forwards connections from a relay to a server: a backend or the endpoint list.
 
-    While the way is cut, connections that stand are silent, both ways and for good; new ones never come up. `hears`
-    is given each whole line from the relay; `ended` the end of the relay's side; `said` what reached the relay."""
+    During a partition, established connections carry no data and new ones are accepted but not forwarded. Data sent
+    during a partition is lost, so that direction of the connection forwards nothing more after the partition either.
+
+    Args:
+        source: name of the relay.
+        target: name of the server.
+        server_address: where the server listens.
+        faulty_network: knows the active partitions.
+
+    Attributes:
+        on_line: called with each complete line from the relay that is forwarded.
+        on_end: called when the relay has ended its side of a connection.
+        on_response: called with all data that was written to the relay.
+    """
 
     def __init__(self, source: str, target: str, server_address: Address, faulty_network: FaultyNetwork) -> None:
         self.source, self.target, self.server_address, self.faulty_network = (
@@ -113,10 +145,12 @@
         self.on_response: Callable[[ProxiedConnection, bytes], None] = lambda connection, data: None
 
     async def open(self, address: Address) -> None:
+        """Listen at this address."""
         self.server = await asyncio.start_server(self._accept, *address, backlog=256)
 
     @property
     def is_blocked(self) -> bool:
+        """Whether a partition blocks the traffic in either direction."""
         network = self.faulty_network
         return network.is_cut(self.source, self.target) or network.is_cut(self.target, self.source)
 
@@ -132,7 +166,7 @@
                 try:
                     server_reader, connection.server_writer = await asyncio.open_connection(*self.server_address)
                 except OSError:
-                    writer.transport.abort()  # nobody listens there: what came up here breaks at once
+                    writer.transport.abort()  # the server does not listen: reset the relay's connection at once
                     return
             response_task = (
                 asyncio.ensure_future(self._copy_to_relay(connection, server_reader))
@@ -155,7 +189,10 @@
                     end.close()
 
     async def _copy_to_server(self, connection: ProxiedConnection, reader: asyncio.StreamReader) -> None:
-        """From the relay on. A connection that was cut once stays silent: its bytes are not made up for."""
+        """Forward data from the relay to the server.
+
+        A connection that was blocked once forwards no more data, as the bytes sent meanwhile are lost.
+        """
         silent = connection.server_writer is None
         while True:
             try:
@@ -180,6 +217,7 @@
                 pass
 
     async def _copy_to_relay(self, connection: ProxiedConnection, reader: asyncio.StreamReader) -> None:
+        """Forward data from the server to the relay until the connection is blocked or ends."""
         while True:
             try:
                 data = await reader.read(65_536)
@@ -188,7 +226,7 @@
                     connection.relay_writer.transport.abort()
                 return
             if self.is_blocked:
-                await asyncio.Event().wait()  # silent from here on
+                await asyncio.Event().wait()  # forwards no more data; ends when the task is cancelled
             if not data:
                 try:
                     connection.relay_writer.write_eof()
--- a/yarrowspindle/lab/processes/relay_process.py
+++ b/yarrowspindle/lab/processes/relay_process.py
@@ -1,4 +1,4 @@
-"""One relay of the lab: its files, its process as often as it is started, and its log."""
+"""One relay of a run: its configuration files, its process, which may be restarted, and its log."""
 
 from __future__ import annotations
 
@@ -17,22 +17,29 @@
 if TYPE_CHECKING:
     from yarrowspindle.lab.processes.environment import Environment
 
-START_TIMEOUT_S = 15.0  # a relay that does not serve by then has failed to start
-STOP_TIMEOUT_S = 6.0  # a relay that has not ended so long after SIGTERM is killed
-MAX_LOG_LINES = 20_000  # lines that are kept
+START_TIMEOUT_S = 15.0  # a relay that does not serve within this time has failed to start
+STOP_TIMEOUT_S = 6.0  # a relay that has not ended within this time after SIGTERM is killed
+MAX_LOG_LINES = 20_000  # further lines are not stored
 ROOT = Path(__file__).resolve().parents[3]
 
 
 class RelayProcess:
-    """One relay's process, as often as it is started."""
+    """One relay and its current process.
+
+    Args:
+        name: name of the relay.
+        index: number of the relay, which gives its zone, slot and address.
+        environment: the environment that it runs in.
+    """
 
     def __init__(self, name: str, index: int, environment: Environment) -> None:
         self.name, self.index, self.environment = name, index, environment
         self.client_address = environment.reserve_address(index)
+        # Other relays reach the peer address only through the proxy at the advertised address.
         self.peer_address, self.advertised_address = (
             environment.reserve_address(index),
             environment.reserve_address(index),
-        )  # for peers: its own, and the proxy's
+        )
         self.discovery_address, self.command_address = (
             environment.reserve_address(index),
             environment.reserve_address(index),
@@ -46,11 +53,11 @@
 
     @property
     def is_serving(self) -> bool:
-        """Whether it serves."""
+        """Whether the process runs and has logged that it serves."""
         return self.serving.is_set() and self.process is not None and self.process.returncode is None
 
     def write_configuration(self) -> dict[str, str]:
-        """Writes its files; returns the environment that names them."""
+        """Write the configuration files and return the environment variables that name them."""
         run, environment, directory = self.environment.run, self.environment, self.environment.directory
         obligations = run.obligations
         settings = SETTINGS | {
@@ -90,16 +97,19 @@
 
     @property
     def cluster(self) -> str:
-        """The name of the run's membership."""
+        """Name of the cluster whose members are the relays of this run."""
         return f"lab-{self.environment.run.seed}"
 
     @property
     def voter_file(self) -> MaintenanceVoterFile:
-        """What it keeps where it votes."""
+        """The relay's voter file, which exists only if the relay votes on maintenance."""
         return MaintenanceVoterFile(str(self.environment.directory / f"{self.name}-turns"), self.name, self.cluster)
 
     def maintenance_section(self) -> str:
-        """The operator's section; the first file is made where it votes, as `turns init` does it."""
+        """Return the `[turns]` section of the operator's file, which is empty if there are no voters.
+
+        Before a voter's first start it also creates the voter file, as `turns init` does.
+        """
         run, voters = self.environment.run, self.environment.voters
         if not voters:
             return ""
@@ -111,7 +121,7 @@
         )
 
     async def start(self) -> None:
-        """Starts a process, and waits until it serves."""
+        """Start a process and wait until it serves; report a violation if it does not."""
         self.incarnations += 1
         self.serving.clear()
         variables = self.write_configuration()
@@ -137,6 +147,7 @@
             self.environment.checker.relay_resumed(self.name)
 
     async def _read_log(self, process: asyncio.subprocess.Process) -> None:
+        """Store the log lines, and react to those that tell the relay's state."""
         assert process.stderr is not None
         while line := (await process.stderr.readline()).decode("utf-8", "replace").rstrip():
             if len(self.log_lines) < MAX_LOG_LINES:
@@ -149,44 +160,52 @@
                 self.environment.checker.report_violation("no failure", f"{self.name} logged a traceback")
 
     def send_signal(self, number: signal.Signals) -> None:
-        """Sends a signal to its process, if there is one."""
+        """Send a signal to the process if it runs."""
         if self.process is not None and self.process.returncode is None:
             self.process.send_signal(number)
 
     async def kill(self) -> None:
-        """SIGKILL."""
+        """Kill the process (SIGKILL) and wait for its end."""
         self.environment.checker.relay_suspended(self.name)
         self.serving.clear()
         self.send_signal(signal.SIGKILL)
         await self.wait_ended()
 
     async def wait_ended(self) -> None:
-        """Returns once its process has ended and its log is read."""
+        """Wait until the process has ended and its log is read."""
         if self.process is not None:
             await self.process.wait()
         if self.log_task is not None:
             await self.log_task
 
     def suspend(self) -> None:
-        """SIGSTOP."""
+        """Suspend the process (SIGSTOP)."""
         self.environment.checker.relay_suspended(self.name)
         self.suspended = True
         self.send_signal(signal.SIGSTOP)
 
     def resume(self) -> None:
-        """SIGCONT."""
+        """Resume the process (SIGCONT)."""
         self.suspended = False
         self.send_signal(signal.SIGCONT)
         self.environment.checker.relay_resumed(self.name)
 
     async def restart(self, downtime_s: float) -> None:
-        """Asked to end: it moves its submitters, and must not lose one."""
-        self.serving.clear()  # the front sends nobody here any more
+        """Terminate the process (SIGTERM) and start a new one.
+
+        A terminating relay tells its clients to move to other relays, and must not lose any of them.
+
+        Args:
+            downtime_s: time between the end of the process and the new start.
+        """
+        self.serving.clear()  # clients choose other relays from now on
         self.send_signal(signal.SIGTERM)
         try:
             await asyncio.wait_for(self.wait_ended(), STOP_TIMEOUT_S)
         except TimeoutError:
-            self.environment.checker.report_violation("ends", f"{self.name} was asked to end {STOP_TIMEOUT_S:g} s ago")
+            self.environment.checker.report_violation(
+                "ends", f"{self.name} has not ended {STOP_TIMEOUT_S:g} s after SIGTERM"
+            )
             await self.kill()
         self.environment.checker.relay_suspended(self.name)
         await asyncio.sleep(downtime_s)
@@ -194,5 +213,5 @@
 
 
 def address_text(address: Address) -> str:
-    """Returns an address as settings write it."""
+    """Return the address as host:port, as the settings write it."""
     return f"{address[0]}:{address[1]}"
--- a/yarrowspindle/lab/processes/stand_ins.py
+++ b/yarrowspindle/lab/processes/stand_ins.py
@@ -1,4 +1,7 @@
-"""Execute nodes, the machine list and submitters, from the protocol's pages; they run in the lab's own process."""
+"""Stand-ins for backends, the endpoint list and clients, written from the protocol's documentation.
+
+Clients and the endpoint list run in the laboratory's own process, backends in a process of their own.
+"""
 
 from __future__ import annotations
 
@@ -11,12 +14,19 @@
 from yarrowspindle.lab.processes.checker import Checker, ClientRequest
 from yarrowspindle.routing.address import Address
 
-KEEPALIVE_INTERVAL_S = 2.0  # the list says something at least so often
-CLIENT_LINE_INTERVAL_S = 0.5  # a submitter sends a line this often
+KEEPALIVE_INTERVAL_S = 2.0  # an idle subscription gets an empty line at this interval
+CLIENT_LINE_INTERVAL_S = 0.5  # between two lines of a connected client
 
 
 class Backend:
-    """Answers each line at once; ends a connection when its time is over."""
+    """A backend that accepts each request, echoes each line and ends a connection after a random lifetime.
+
+    Args:
+        name: name in the endpoint list: "n" and a number.
+        address: where it listens.
+        random: draws the lifetimes of connections.
+        lifetime_s: mean lifetime of a connection.
+    """
 
     def __init__(self, name: str, address: Address, random: Random, lifetime_s: float) -> None:
         self.name, self.address, self.random, self.lifetime_s = name, address, random, lifetime_s
@@ -27,10 +37,11 @@
         self.request_count = 0
 
     async def open(self) -> None:
+        """Start listening."""
         self.server = await asyncio.start_server(self._handle_connection, *self.address, backlog=256)
 
     def stop(self) -> None:
-        """Its process ends: what it held breaks, and nobody listens."""
+        """Stop listening and reset all connections, as the end of a backend's process does."""
         if self.server is not None:
             self.server.close()
             self.server = None
@@ -64,6 +75,7 @@
             writer.close()
 
     def list_entry(self, address: Address) -> dict[str, Any]:
+        """Return this backend's entry in the endpoint list, with the address at which a relay reaches it."""
         number = int(self.name[1:])
         return {
             "id": self.name,
@@ -78,7 +90,14 @@
 
 
 class EndpointListServer:
-    """One service; each relay asks at an address of its own, since nodes' addresses differ from relay to relay."""
+    """Serves the endpoint list.
+
+    Each relay has its own listening address, as it reaches the backends at its own proxies' addresses.
+
+    Args:
+        backends: the backends by name.
+        address_for: returns the address at which a relay reaches a backend, both given by name.
+    """
 
     def __init__(self, backends: dict[str, Backend], address_for: Callable[[str, str], Address]) -> None:
         self.backends, self.address_for = backends, address_for
@@ -88,12 +107,15 @@
         self.servers: list[asyncio.Server] = []
 
     async def open(self, relay: str, address: Address) -> None:
+        """Listen for this relay's subscriptions."""
+
         async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await self._serve_subscription(relay, reader, writer)
 
         self.servers.append(await asyncio.start_server(handle, *address))
 
     def full_list(self, relay: str) -> dict[str, Any]:
+        """Return the complete list for this relay."""
         members = [
             backend.list_entry(self.address_for(relay, backend.name))
             for backend in self.backends.values()
@@ -102,6 +124,7 @@
         return {"revision": self.version, "complete": True, "members": members}
 
     def publish(self, backend: Backend, phase: str) -> None:
+        """Set the backend's phase and send the change to all subscribers; "gone" removes it from the complete list."""
         backend.phase = phase
         self.version += 1
         (self.removed.add if phase == "gone" else self.removed.discard)(backend.name)
@@ -142,12 +165,21 @@
 
 
 def http_chunk(text: str) -> bytes:
+    """Encode one line as a chunk of an HTTP response with chunked transfer encoding."""
     line = f"{text}\n".encode()
     return f"{len(line):x}\r\n".encode() + line + b"\r\n"
 
 
 class ClientPool:
-    """So many that want a connection all the time; one that is served to its end makes room for a new one."""
+    """Clients that each keep one connection open, and request a new one when it ends.
+
+    Args:
+        checker: checks the answers.
+        choose_relay: returns name and address of the relay for a new connection, None if no relay serves.
+        random: draws delays and the first request id.
+        deadline_s: deadline of each request.
+        line_interval_s: interval between two lines of a connected client.
+    """
 
     def __init__(
         self,
@@ -163,14 +195,15 @@
         self.stopped = False
         self.last_request_id = random.getrandbits(60)
         self.wanted_samples = self.connected_samples = 0.0
-        self.connected: dict[int, str] = {}  # those that stand, and at which relay
+        self.connected: dict[int, str] = {}  # client number -> relay of its connection
 
     def start(self, count: int, spread_s: float) -> None:
+        """Start this number of clients, each at a random time within `spread_s`."""
         for number in range(count):
             self.tasks.append(asyncio.ensure_future(self._run_client(number, self.random.uniform(0.0, spread_s))))
 
     async def stop(self) -> None:
-        """Nobody comes any more; who stands leaves."""
+        """Stop all clients and close their connections."""
         self.stopped = True
         for task in self.tasks:
             task.cancel()
@@ -190,7 +223,7 @@
             delay_s = retry_after * self.random.uniform(1.0, 1.2) if retry_after else self.random.uniform(0.02, 0.3)
 
     async def _make_request(self, number: int, relay: str, address: Address, is_retry: bool) -> tuple[str, float]:
-        """How it ended, and the advice when to come again in seconds."""
+        """Send one request and return its outcome and the delay in seconds before the retry, 0.0 if none was given."""
         try:
             reader, writer = await asyncio.wait_for(asyncio.open_connection(*address), 1.0)
         except (OSError, TimeoutError):
