--- a/tests/lab/test_processes.py
+++ b/tests/lab/test_processes.py
@@ -153,13 +153,13 @@
         with socket.socket(type=socket.SOCK_DGRAM) as occupied:
             port = free_port()
             occupied.bind(("127.0.0.1", port))
-            async with relay(tmp_path, f'[peers]\nlisten = "127.0.0.1:{port}"\nseeds = []\n') as world:
-                await world.logged(f"cannot listen at 127.0.0.1:{port} yet")
-                await world.standing()
+            async with relay(tmp_path, f'[peers]\nlisten = "127.0.0.1:{port}"\nseeds = []\n') as environment:
+                await environment.logged(f"cannot listen at 127.0.0.1:{port} yet")
+                await environment.standing()
                 occupied.close()
-                await world.logged(f"listens at 127.0.0.1:{port}")
-                await world.standing()
-                world.stop()
-                await world.logged("stopped")
+                await environment.logged(f"listens at 127.0.0.1:{port}")
+                await environment.standing()
+                environment.stop()
+                await environment.logged("stopped")
 
     asyncio.run(body())
--- a/yarrowspindle/lab/processes/environment.py
+++ b/yarrowspindle/lab/processes/environment.py
@@ -40,7 +40,7 @@
 
     def __init__(self, run: Run, directory: Path) -> None:
         self.run, self.directory = run, directory
-        self.started = time.monotonic()
+        self.started_s = time.monotonic()
         self.random = Random(f"world {run.seed}")
         self.checker = Checker(self.now, run.obligations)
         self.faulty_network = FaultyNetwork(run.seed)
@@ -75,7 +75,7 @@
 
     def now(self) -> float:
         """Return the seconds since the start of the run."""
-        return time.monotonic() - self.started
+        return time.monotonic() - self.started_s
 
     def reserve_address(self, host_index: int) -> Address:
         """Reserve an address of this run's network whose port is free for both TCP and UDP."""
