--- a/benchmarks/capacity/change.py
+++ b/benchmarks/capacity/change.py
@@ -24,8 +24,8 @@
 from benchmarks.capacity.slopes import AHEAD, ALLOWED, WRONG, fitted
 from benchmarks.common import finish, options
 from benchmarks.signals import datagram_s, deep_kb
-from yarrowspindle.lab.model.controlling import ZONES, Change, ControllerHost, ControlWorld, Host, RelayHost
-from yarrowspindle.lab.model.controlling_days import seeds
+from yarrowspindle.lab.model.configuration_cluster import ZONES, Change, ControllerHost, ControlWorld, Host, RelayHost
+from yarrowspindle.lab.model.configuration_scenarios import seeds
 
 RELAYS = {"small": 96, "machine": AHEAD, "large": 2 * AHEAD}
 SLOPES = {"small": (24, 48), "machine": (100, 200, 400), "large": (100, 200, 400)}  # fitted; checked at the whole fleet
--- a/benchmarks/capacity/hollow.py
+++ b/benchmarks/capacity/hollow.py
@@ -22,7 +22,7 @@
 import uvloop
 
 from benchmarks.signals import datagram_s, deep_kb, played_again, recorded
-from yarrowspindle.lab.model.members import Relays
+from yarrowspindle.lab.model.membership_simulation import Relays
 from yarrowspindle.membership import Membership, PeerSettings
 from yarrowspindle.membership.events import DatagramReceived, LocalLoad
 from yarrowspindle.routing.address import Address
--- a/benchmarks/capacity/sockets.py
+++ b/benchmarks/capacity/sockets.py
@@ -34,7 +34,7 @@
 from yarrowspindle.configuration.settings import ControllerAddress, controllers_by_preference
 from yarrowspindle.configuration.state import ControlState
 from yarrowspindle.consensus.acceptor import Acceptor
-from yarrowspindle.lab.model.controlling import CLUSTER, REGIONS, ZONES, check, controllers_of
+from yarrowspindle.lab.model.configuration_cluster import CLUSTER, REGIONS, ZONES, check, controllers_of
 from yarrowspindle.membership.codec import DroppedDatagramError
 from yarrowspindle.routing.address import Address
 from yarrowspindle.storage.durable_file import FileUnavailableError
--- a/benchmarks/signals.py
+++ b/benchmarks/signals.py
@@ -25,7 +25,7 @@
 from yarrowspindle.lab.faults import Fault
 from yarrowspindle.lab.model import BrokenRule, Fleet, FleetSpec
 from yarrowspindle.lab.model.deployments import ASKED, PROBED
-from yarrowspindle.lab.model.members import Relays, play_members
+from yarrowspindle.lab.model.membership_simulation import Relays, play_members
 from yarrowspindle.membership import Membership
 
 FILLED, RUN_S = 0.75, 30.0
--- a/benchmarks/turns.py
+++ b/benchmarks/turns.py
@@ -24,9 +24,9 @@
 
 from benchmarks.common import finish, options
 from yarrowspindle.lab.faults import Fault
-from yarrowspindle.lab.model.exhaustive import STAGES, explore
+from yarrowspindle.lab.model.maintenance_cluster import STEPS, Plan, TurnDay, play_turns
+from yarrowspindle.lab.model.maintenance_model_checker import STAGES, explore
 from yarrowspindle.lab.model.planted import DEFECTS, SETS
-from yarrowspindle.lab.model.turning import STEPS, Plan, TurnDay, play_turns
 from yarrowspindle.lab.processes.maintenance import MaintenanceReport, MaintenanceWork
 from yarrowspindle.lab.processes.maintenance import run_maintenance as play_real
 from yarrowspindle.lab.processes.run import Run
--- a/tests/benchmarks/test_capacity.py
+++ b/tests/benchmarks/test_capacity.py
@@ -5,7 +5,7 @@
 import pytest
 
 from benchmarks.capacity import change, sockets
-from yarrowspindle.lab.model.members import Relays
+from yarrowspindle.lab.model.membership_simulation import Relays
 
 
 @pytest.mark.parametrize("seed", [7, 10])
--- a/tests/configuration/harness.py
+++ b/tests/configuration/harness.py
@@ -14,7 +14,7 @@
 from yarrowspindle.configuration.state import ChangeOrder, ControlState, Entries, Step, apply_step, content_digest
 from yarrowspindle.consensus.acceptor import Acceptor, AcceptorState
 from yarrowspindle.consensus.messages import NO_BALLOT
-from yarrowspindle.lab.model.controlling import check
+from yarrowspindle.lab.model.configuration_cluster import check
 
 CONTROLLERS = tuple(ControllerAddress(f"c{n:02d}", (f"10.0.0.{n + 1}", 7950), voter=n == 0) for n in range(3))
 INITIAL_STATE = ControlState({"c00": "file"})
--- a/tests/configuration/test_fault_simulation.py
+++ b/tests/configuration/test_fault_simulation.py
@@ -7,8 +7,8 @@
 import pytest
 
 from yarrowspindle.lab.faults import Fault
-from yarrowspindle.lab.model.controlling_days import KINDS, play_control, seeds
-from yarrowspindle.lab.model.planted_control import DEFECTS
+from yarrowspindle.lab.model.configuration_defects import DEFECTS
+from yarrowspindle.lab.model.configuration_scenarios import KINDS, play_control, seeds
 
 
 @pytest.mark.parametrize("first_seed", range(0, 32, 8))
--- a/tests/configuration/test_state.py
+++ b/tests/configuration/test_state.py
@@ -16,7 +16,7 @@
     content_digest,
     entries_bounds_error,
 )
-from yarrowspindle.lab.model.controlling import check
+from yarrowspindle.lab.model.configuration_cluster import check
 
 
 def test_an_order_is_settled_once_and_in_its_turn() -> None:
--- a/tests/maintenance/test_maintenance_simulation.py
+++ b/tests/maintenance/test_maintenance_simulation.py
@@ -7,9 +7,9 @@
 from benchmarks.turns import day_of as simulate
 from benchmarks.turns import dies
 from yarrowspindle.lab.faults import Fault
-from yarrowspindle.lab.model.exhaustive import STAGES, explore
+from yarrowspindle.lab.model.maintenance_cluster import STEPS, Plan, play_turns
+from yarrowspindle.lab.model.maintenance_model_checker import STAGES, explore
 from yarrowspindle.lab.model.planted import DEFECTS
-from yarrowspindle.lab.model.turning import STEPS, Plan, play_turns
 
 
 @pytest.mark.parametrize("first", range(0, 48, 12))
--- a/tests/maintenance/test_state.py
+++ b/tests/maintenance/test_state.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from yarrowspindle.lab.model.turning import FIRST
+from yarrowspindle.lab.model.maintenance_cluster import FIRST
 from yarrowspindle.maintenance.requests import MaintenanceError, MaintenanceRequest
 from yarrowspindle.maintenance.state import EMPTYING, FREE, WARMING, BackendObservation, MaintenanceState
 
--- a/tests/membership/test_membership_faults.py
+++ b/tests/membership/test_membership_faults.py
@@ -5,8 +5,8 @@
 import pytest
 
 from yarrowspindle.lab.faults import FAULT_KINDS, Fault, FaultError, FaultyNetwork, parse_kinds, relay_names, schedule
-from yarrowspindle.lab.model.members import Relays, play_members
-from yarrowspindle.lab.model.peering import address_of
+from yarrowspindle.lab.model.membership_cluster import address_of
+from yarrowspindle.lab.model.membership_simulation import Relays, play_members
 from yarrowspindle.membership.events import DatagramReceived, LocalLoad
 from yarrowspindle.membership.timers import PeriodicTimer
 
--- a/tests/subsets/test_leases.py
+++ b/tests/subsets/test_leases.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from yarrowspindle.lab.model.lending import DEFECTS, TERM_MS, play_leases
+from yarrowspindle.lab.model.lease_simulation import DEFECTS, TERM_MS, play_leases
 from yarrowspindle.lab.model.planted import SETS
 from yarrowspindle.subsets.leases import CLOCK_MARGIN, LeaseRequest, QuotaHolder, QuotaPool, max_min_fair_shares
 
--- a/yarrowspindle/lab/model/planted_control.py
+++ b/yarrowspindle/lab/model/configuration_defects.py
@@ -25,7 +25,7 @@
 from yarrowspindle.configuration.status import ControllerStatus, StatusReporter
 from yarrowspindle.consensus.proposer import Proposer
 from yarrowspindle.lab.model import planted
-from yarrowspindle.lab.model.controlling import ControlParts
+from yarrowspindle.lab.model.configuration_cluster import ControlParts
 
 # --- the relay ----------------------------------------------------------------------------------
 
--- a/yarrowspindle/lab/model/controlling_days.py
+++ b/yarrowspindle/lab/model/configuration_scenarios.py
@@ -13,7 +13,14 @@
 
 from yarrowspindle.configuration.state import Step
 from yarrowspindle.lab.faults import Fault, schedule
-from yarrowspindle.lab.model.controlling import ZONES, Change, ControllerHost, ControlParts, ControlWorld, RelayHost
+from yarrowspindle.lab.model.configuration_cluster import (
+    ZONES,
+    Change,
+    ControllerHost,
+    ControlParts,
+    ControlWorld,
+    RelayHost,
+)
 
 FIRST_S, FAULTS_S, WITHIN_S = 1.0, 9.0, 10.0  # faults begin, and last in all; all is well again
 CLAIM_S = 3.0  # what is said to be in force holds at relays that were there for so long
--- a/yarrowspindle/lab/model/fleet.py
+++ b/yarrowspindle/lab/model/fleet.py
@@ -12,9 +12,9 @@
 from yarrowspindle.lab.model.backend import ModelBackend
 from yarrowspindle.lab.model.client import Client
 from yarrowspindle.lab.model.clock import VirtualClock
+from yarrowspindle.lab.model.peer_load_exchange import Talk
 from yarrowspindle.lab.model.relay import ModelRelay, machine
 from yarrowspindle.lab.model.rules import Rules
-from yarrowspindle.lab.model.talk import Talk
 from yarrowspindle.rebalancing import RebalanceSettings
 from yarrowspindle.routing.events import EndpointsUpdated, PeerLoadsUpdated, RebalancingConfigured
 from yarrowspindle.routing.termination import TerminationReason
--- a/yarrowspindle/lab/model/exhaustive.py
+++ b/yarrowspindle/lab/model/maintenance_model_checker.py
@@ -21,7 +21,7 @@
 
 from yarrowspindle.consensus.acceptor import Acceptor, AcceptorState
 from yarrowspindle.consensus.messages import NO_BALLOT
-from yarrowspindle.lab.model.turning import FIRST, Parts
+from yarrowspindle.lab.model.maintenance_cluster import FIRST, Parts
 from yarrowspindle.maintenance.codec import decode, encode
 from yarrowspindle.maintenance.commands import CompleteWork, OperatorCommand, QueueRequest
 from yarrowspindle.maintenance.coordinator import TICK, MaintenanceCoordinator
--- a/yarrowspindle/lab/model/members.py
+++ b/yarrowspindle/lab/model/membership_simulation.py
@@ -9,7 +9,7 @@
 from yarrowspindle.decisions.events import PeerLoads
 from yarrowspindle.lab.faults import Fault, relay_names, schedule
 from yarrowspindle.lab.model.clock import VirtualClock
-from yarrowspindle.lab.model.peering import VirtualNet
+from yarrowspindle.lab.model.membership_cluster import VirtualNet
 from yarrowspindle.membership.events import LocalLoad
 
 STEP_MS = 100.0
--- a/yarrowspindle/lab/model/talk.py
+++ b/yarrowspindle/lab/model/peer_load_exchange.py
@@ -11,7 +11,7 @@
 from yarrowspindle.runtime.membership_driver import local_load
 
 if TYPE_CHECKING:  # msgspec, which `known` does without
-    from yarrowspindle.lab.model.peering import VirtualNet
+    from yarrowspindle.lab.model.membership_cluster import VirtualNet
 
 KNOWN_MS = 25.0  # "at once": on every beat of this length
 Backends = Callable[[], Iterable[Backend]]
@@ -27,7 +27,7 @@
         self.before: dict[int, dict[int, tuple[int, float]]] = {}
         self.told: dict[int, float] = {}  # node -> when the newest report was made that all know
         if way == "net":
-            from yarrowspindle.lab.model.peering import VirtualNet
+            from yarrowspindle.lab.model.membership_cluster import VirtualNet
 
             self.net = VirtualNet(clock, seed, **changes)  # type: ignore[arg-type]
         elif way == "known":
--- a/yarrowspindle/lab/model/planted.py
+++ b/yarrowspindle/lab/model/planted.py
@@ -12,7 +12,7 @@
 from yarrowspindle.consensus.acceptor import Acceptor, AcceptorState
 from yarrowspindle.consensus.messages import NO_BALLOT, Accept, Accepted, Prepare, Promise, Rejected
 from yarrowspindle.consensus.proposer import Committed, ProposalRound, Proposer
-from yarrowspindle.lab.model.turning import Parts
+from yarrowspindle.lab.model.maintenance_cluster import Parts
 from yarrowspindle.maintenance.coordinator import MaintenanceCoordinator
 from yarrowspindle.maintenance.events import StateCommitted
 from yarrowspindle.maintenance.requests import MaintenanceRequest
--- a/yarrowspindle/maintenance/coordinator.py
+++ b/yarrowspindle/maintenance/coordinator.py
@@ -1,8 +1,8 @@
 """The maintenance state machine of one relay: proposes changes of the replicated state and adopts committed states.
 
-Without I/O: `step` takes an event and returns effects, which the daemon and the model in `lab/model/turning.py` carry
-out. The leader is the reachable relay with the first name. Safety does not depend on it: relays may disagree on the
-leader, whose only purpose is to avoid concurrent proposals of the same change.
+Without I/O: `step` takes an event and returns effects, which the daemon and the model in
+`lab/model/maintenance_cluster.py` carry out. The leader is the reachable relay with the first name. Safety does not
+depend on it: relays may disagree on the leader, whose only purpose is to avoid concurrent proposals of the same change.
 """
 
 from __future__ import annotations
--- a/yarrowspindle/runtime/membership_driver.py
+++ b/yarrowspindle/runtime/membership_driver.py
@@ -1,6 +1,6 @@
 """Drives the membership core: carries out its effects and posts timer events with their deadlines.
 
-Used with real sockets (`daemon/membership_endpoint.py`) and with a virtual clock (`lab/model/peering.py`).
+Used with real sockets (`daemon/membership_endpoint.py`) and with a virtual clock (`lab/model/membership_cluster.py`).
 """
 
 from __future__ import annotations
