--- a/benchmarks/capacity/change.py
+++ b/benchmarks/capacity/change.py
@@ -24,8 +24,15 @@
 from benchmarks.capacity.slopes import AHEAD, ALLOWED, WRONG, fitted
 from benchmarks.common import finish, options
 from benchmarks.signals import datagram_s, deep_kb
-from yarrowspindle.lab.model.configuration_cluster import ZONES, Change, ControllerHost, ControlWorld, Host, RelayHost
-from yarrowspindle.lab.model.configuration_scenarios import seeds
+from yarrowspindle.lab.model.configuration_cluster import (
+    ZONES,
+    Change,
+    ConfigurationCluster,
+    ControllerHost,
+    Host,
+    RelayHost,
+)
+from yarrowspindle.lab.model.configuration_scenarios import run_seeds
 
 RELAYS = {"small": 96, "machine": AHEAD, "large": 2 * AHEAD}
 SLOPES = {"small": (24, 48), "machine": (100, 200, 400), "large": (100, 200, 400)}  # fitted; checked at the whole fleet
@@ -46,10 +53,10 @@
     """One fleet, with entries as a real one has them; and what was asked of it."""
 
     def __init__(self, relays: int, seed: int, started: bool = True, measures: bool = False) -> None:
-        self.world = ControlWorld(relays, seed, measures=measures)
+        self.world = ConfigurationCluster(relays, seed, measure_cpu=measures)
         self.drawn, self.numbers, self.seed = Random(f"changes {seed}"), 0, seed
         self.asked = list[tuple[str, Change]]()
-        for name in self.world.places:
+        for name in self.world.locations:
             if started or name[0] == "c":
                 self.world.start(name)
         self.world.run(3.0)
@@ -61,7 +68,7 @@
     def order(self, controller: str, characters: int = STEP) -> Change:
         self.numbers += 1
         value = f'"{self.drawn.getrandbits(4 * characters):0{characters}x}"'
-        change = self.world.order(controller, {f"settings.{self.numbers % 8}": value})
+        change = self.world.request_change(controller, {f"settings.{self.numbers % 8}": value})
         self.asked.append((controller, change))
         return change
 
@@ -77,8 +84,8 @@
         """Until it was in force; below 0: it is not."""
         if change.in_force_s < 0.0:
             return -1.0
-        lost = change.answered_s < 0.0 and controller == self.world.died
-        return change.in_force_s - (change.agreed_s if lost else change.at)
+        lost = change.answered_s < 0.0 and controller == self.world.crashed_process
+        return change.in_force_s - (change.committed_s if lost else change.requested_s)
 
     def row(
         self,
@@ -91,14 +98,14 @@
         """took: where something else than the orders in force is counted."""
         world = self.world
         # What a controller was told and did not say to anybody before it died is nobody's; the operator has no answer.
-        gone = [c for name, c in self.asked if (c.agreed_s < 0.0 and not world.hosts[name].alive) or c.answered]
+        gone = [c for name, c in self.asked if (c.committed_s < 0.0 and not world.hosts[name].alive) or c.answer]
         times = (
             list(took)
             if took is not None
             else [self.took_s(change, name) for name, change in self.asked if change not in gone]
         )
-        newest = world.newest()
-        behind = sum(relay.taken < newest for relay in world.relays)
+        newest = world.newest_version()
+        behind = sum(relay.applied_version < newest for relay in world.relays)
         never = sum(t < 0.0 for t in times)
         good = [t for t in times if t >= 0.0] or [0.0]
         found = {
@@ -109,8 +116,8 @@
             "max_s": round(max(good), 3),
             "never": never,
             "behind": behind,
-            "older": world.checker.older,
-            "two": world.checker.two,
+            "older": world.checker.version_regressions,
+            "two": world.checker.conflicting_commits,
             "violations": world.checker.violations[:3],
             "unanswered": len(gone),
             "seed": self.seed,
@@ -134,42 +141,42 @@
 
 def loss(relays: int, seed: int, size: str, broken: list[str]) -> dict[str, Any]:
     day = Day(relays, seed)
-    day.world.loss = 0.05
+    day.world.loss_probability = 0.05
     day.orders(BURST, BURST_S.get(size, 10.0))
     day.world.run(IN_FORCE_S)
     return day.row("10 a second, 5 % lost", broken)
 
 
-def _dies(relays: int, seed: int, size: str, broken: list[str], stands_ms: float) -> dict[str, Any]:
+def _dies(relays: int, seed: int, size: str, broken: list[str], crash_stall_ms: float) -> dict[str, Any]:
     """A controller dies (or stands still) at its first or third message of each kind, and is back 3 s later."""
     day, row, died = Day(relays, seed), list[float](), list[str]()
     world = day.world
-    world.stands_ms = stands_ms
+    world.crash_stall_ms = crash_stall_ms
     unanswered = 0
     for kind in SMALL_STEPS if size == "small" else STEPS:
         for nth in (1,) if size == "small" else (1, 3):
             day.asked.clear()
-            world.died, world.dies_at = "", (kind, nth)
+            world.crashed_process, world.crash_at = "", (kind, nth)
             for _ in range(6):
                 day.order(day.drawn.choice([host.name for host in world.controllers]))
                 world.run(0.2)
-            world.dies_at = ("", 0)
-            world.run(3.5 + stands_ms / 1000.0)
-            died.append(f"{world.died or 'nobody'} at {kind} {nth}")
+            world.crash_at = ("", 0)
+            world.run(3.5 + crash_stall_ms / 1000.0)
+            died.append(f"{world.crashed_process or 'nobody'} at {kind} {nth}")
             for name, change in day.asked:
-                if change.agreed_s < 0.0 and (name == world.died or change.answered):
+                if change.committed_s < 0.0 and (name == world.crashed_process or change.answer):
                     unanswered += 1
-                elif name != world.died or not stands_ms or change.in_force_s >= 0.0:
+                elif name != world.crashed_process or not crash_stall_ms or change.in_force_s >= 0.0:
                     row.append(
                         day.took_s(change, name)
-                        if name != world.died or not stands_ms
-                        else change.in_force_s - max(change.agreed_s, change.at)
+                        if name != world.crashed_process or not crash_stall_ms
+                        else change.in_force_s - max(change.committed_s, change.requested_s)
                     )
-            if world.died and not stands_ms:
-                world.start(world.died)
+            if world.crashed_process and not crash_stall_ms:
+                world.start(world.crashed_process)
                 world.run(1.5)
     day.asked.clear()
-    what = "a controller stops at each step" if stands_ms else "a controller dies at each step"
+    what = "a controller stops at each step" if crash_stall_ms else "a controller dies at each step"
     return day.row(what, broken, {"died": died, "unanswered": unanswered}, row)
 
 
@@ -186,7 +193,7 @@
     day = Day(relays, seed)
     world, count = day.world, relays * RESTARTS // AHEAD
     chosen = day.drawn.sample([relay.name for relay in world.relays], count)
-    world.known_s.clear()
+    world.catch_up_s.clear()
     for n, name in enumerate(chosen):
         if n % max(count * 1 // int(RESTARTS_S), 1) == 0:
             day.order("c01")
@@ -194,7 +201,7 @@
         world.clock.after(500.0, world.restart, name)
         world.run(RESTARTS_S / count if size != "small" else 0.2)
     world.run(IN_FORCE_S)
-    late = max(world.known_s[name] for name in chosen)
+    late = max(world.catch_up_s[name] for name in chosen)
     if late > START_S:
         broken.append(f"restarts: the newest is known {late:.1f} s after a start")
     return day.row(f"{count} restarts in a minute", broken, {"known_most_s": round(late, 2)})
@@ -204,18 +211,18 @@
     """A zone with its relays and controllers is gone in one instant, and is back 10 s later."""
     day = Day(relays, seed)
     world = day.world
-    gone = [name for name, (_, where) in world.places.items() if where == ZONES[0]]
-    others = [m.name for m in world.machines if m.zone != ZONES[0]]
+    gone = [name for name, (_, where) in world.locations.items() if where == ZONES[0]]
+    others = [m.name for m in world.controller_addresses if m.zone != ZONES[0]]
     day.orders(BURST, 1.0, others)
     for name in gone:
         world.kill(name)
     day.orders(BURST, 5.0, others)
     world.run(IN_FORCE_S)
-    world.known_s.clear()
+    world.catch_up_s.clear()
     for name in gone:
         world.start(name)
     world.run(START_S / 2.0)
-    known = [world.known_s.get(name, 99.0) for name in gone if name[0] == "r"]
+    known = [world.catch_up_s.get(name, 99.0) for name in gone if name[0] == "r"]
     if max(known) > START_S:
         broken.append(f"zone: the newest is known {max(known):.1f} s after its return")
     return day.row("a zone is lost", broken, {"gone": len(gone), "known_most_s": round(max(known), 2)})
@@ -225,21 +232,21 @@
     """The regions do not hear one another; one has the majority of the voters."""
     day = Day(relays, seed)
     world, for_s = day.world, CUT_S.get(size, 120.0)
-    world.cut = True
+    world.regions_partitioned = True
     began = world.clock.seconds
-    majority = [m.name for m in world.machines if m.region == "a"]
-    other = [m.name for m in world.machines if m.region == "b"]
-    alone = [world.order(name, {"settings.b": f'"{name}"'}) for name in other[:2]]
+    majority = [m.name for m in world.controller_addresses if m.region == "a"]
+    other = [m.name for m in world.controller_addresses if m.region == "b"]
+    alone = [world.request_change(name, {"settings.b": f'"{name}"'}) for name in other[:2]]
     day.orders(0.5, for_s - 2.0, majority)
     world.run(began + for_s - world.clock.seconds)
-    held = [max(change.regions_s.get("a", 999.0) - change.at, 0.0) for _, change in day.asked]
-    served = len({relay.taken for relay in world.relays if relay.region == "b"})
-    world.cut = False
+    held = [max(change.in_force_s_by_region.get("a", 999.0) - change.requested_s, 0.0) for _, change in day.asked]
+    served = len({relay.applied_version for relay in world.relays if relay.region == "b"})
+    world.regions_partitioned = False
     heals = world.clock.seconds
     late = day.order(other[0])  # the side that was cut off can change things again
     world.run(2.0 * IN_FORCE_S)
-    after = [change.regions_s.get("b", 999.0) - heals for _, change in day.asked]
-    told = [change.answered or "" for change in alone]
+    after = [change.in_force_s_by_region.get("b", 999.0) - heals for _, change in day.asked]
+    told = [change.answer or "" for change in alone]
     if max(held) > IN_FORCE_S or max(after) > IN_FORCE_S or not all("may still" in text for text in told):
         broken.append(
             f"regions: with the majority after {max(held):.2f} s, elsewhere {max(after):.2f} s after the "
@@ -261,11 +268,11 @@
 def start(relays: int, seed: int, size: str, broken: list[str]) -> dict[str, Any]:
     """All relays at once, with nothing kept."""
     day = Day(relays, seed, started=False)
-    for name in day.world.places:
+    for name in day.world.locations:
         if name[0] == "r":
             day.world.start(name)
     day.world.run(START_S)
-    known = [day.world.known_s.get(r.name, 99.0) for r in day.world.relays]
+    known = [day.world.catch_up_s.get(r.name, 99.0) for r in day.world.relays]
     return day.row("all relays start at once", broken, None, known, START_S)
 
 
@@ -277,7 +284,7 @@
     return (
         [size + HEADER * number for size, number in zip(sizes, datagrams, strict=True)],
         # the kernel's part was measured for one datagram sent and taken: half of it each
-        [host.spent / over_s + number * kernel_s / 2.0 for host, number in zip(hosts, datagrams, strict=True)],
+        [host.cpu_s / over_s + number * kernel_s / 2.0 for host, number in zip(hosts, datagrams, strict=True)],
     )
 
 
@@ -289,7 +296,7 @@
     for what, a_second in (("steady", 1.0 / 13.0), ("burst", BURST)):
         for host in world.hosts.values():
             host.link.counts.clear()
-            host.spent = 0.0
+            host.cpu_s = 0.0
         over = STEADY_S.get(size, 20.0) if what == "steady" else BURST_S.get(size, 10.0)
         day.orders(a_second, over)
         over = max(over, 1.0 / a_second) if what == "steady" else over
@@ -348,12 +355,12 @@
 def safety(pool: Executor, first: int, count: int, broken: list[str]) -> dict[str, Any]:
     """Days of small fleets with faults drawn from the seed, and all that may never be."""
     each = 8
-    played = list(pool.map(seeds, range(first, first + count, each), [each] * -(-count // each)))
+    played = list(pool.map(run_seeds, range(first, first + count, each), [each] * -(-count // each)))
     bad = {seed: text for some in played for seed, text in [*some.violations.items(), *some.stuck.items()]}
     versions = sum(some.counts["versions"] for some in played)
-    print(f"{sum(some.days for some in played)} days from seed {first} on: {len(bad)} broke a rule or were stuck")
+    print(f"{sum(some.runs for some in played)} days from seed {first} on: {len(bad)} broke a rule or were stuck")
     broken += [f"safety, seed {seed}: {text}" for seed, text in sorted(bad.items())[:5]]
-    return {"days": sum(some.days for some in played), "days_broken": len(bad), "days_versions": versions}
+    return {"days": sum(some.runs for some in played), "days_broken": len(bad), "days_versions": versions}
 
 
 def flat(costs: Sequence[dict[str, Any]], broken: list[str]) -> dict[str, Any]:
--- a/benchmarks/capacity/hollow.py
+++ b/benchmarks/capacity/hollow.py
@@ -22,7 +22,7 @@
 import uvloop
 
 from benchmarks.signals import datagram_s, deep_kb, played_again, recorded
-from yarrowspindle.lab.model.membership_simulation import Relays
+from yarrowspindle.lab.model.membership_simulation import MembershipSimulation
 from yarrowspindle.membership import Membership, PeerSettings
 from yarrowspindle.membership.events import DatagramReceived, LocalLoad
 from yarrowspindle.routing.address import Address
@@ -61,7 +61,7 @@
     changes: tuple[tuple[str, Any], ...] = ()
 
 
-class HollowRelays(Relays):
+class HollowRelays(MembershipSimulation):
     """Relays on the virtual clock whose holdings change without growing."""
 
     def __init__(self, day: Day) -> None:
@@ -72,15 +72,15 @@
             self.clock.after(self.random.uniform(0.0, START_MS), self.start, index)
 
     def start(self, index: int) -> None:
-        self.told[index] = {}
-        self.net.add(index, lambda: self._own(index), lambda others: self._told(index, others))
+        self.known_loads[index] = {}
+        self.network.add(index, lambda: self._own(index), lambda others: self._on_peer_loads(index, others))
 
     def _own(self, index: int) -> LocalLoad:
         self.looks[index] += 1
-        return LocalLoad(dict(self.holds[index]))
+        return LocalLoad(dict(self.local_loads[index]))
 
-    def change(self, index: int) -> None:
-        swap(self.holds[index], self.backends, self.random)
+    def change_load(self, index: int) -> None:
+        swap(self.local_loads[index], self.backends, self.random)
 
 
 def per_relay(counts: Counter[str], looks: int, relays: int, others: int, seconds: float) -> dict[str, float]:
@@ -106,16 +106,16 @@
     """Figures of one relay on the virtual clock, and after how long all know of a killed one: the mean of up to three
     killed at once. Of three plays of the core alone the least time counts, as others use the machine too."""
     world = HollowRelays(day)
-    events = recorded(world.net.peers[0].core)
+    events = recorded(world.network.peers[0].core)
 
     def changing(seconds: float) -> None:
         for _ in range(round(seconds / SWAP_S)):
             for index in range(day.relays):
-                world.change(index)
+                world.change_load(index)
             world.run(SWAP_S)
 
     changing(day.warm_s + day.relays / 20.0)
-    peers = [peer for _, peer in sorted(world.net.peers.items())]
+    peers = [peer for _, peer in sorted(world.network.peers.items())]
     for peer in peers:
         peer.core.counts.clear()
     world.looks.clear()
@@ -123,8 +123,8 @@
     changing(day.window_s)
     counts = sum((peer.core.counts for peer in peers), Counter[str]())
     found = per_relay(counts, world.looks.total(), day.relays, day.relays - 1, day.window_s)
-    others = list(world.others.values())
-    spent = min(played_again(peers[0].made, events, start) for _ in range(3)) / day.window_s
+    others = list(world.peer_loads.values())
+    spent = min(played_again(peers[0].core_arguments, events, start) for _ in range(3)) / day.window_s
     core = peers[0].core
     untold = [sum(len(c.keys) for c in peer.core.signals.local.pending if not c.transmissions) for peer in peers]
     found |= {
--- a/benchmarks/capacity/sockets.py
+++ b/benchmarks/capacity/sockets.py
@@ -34,7 +34,7 @@
 from yarrowspindle.configuration.settings import ControllerAddress, controllers_by_preference
 from yarrowspindle.configuration.state import ControlState
 from yarrowspindle.consensus.acceptor import Acceptor
-from yarrowspindle.lab.model.configuration_cluster import CLUSTER, REGIONS, ZONES, check, controllers_of
+from yarrowspindle.lab.model.configuration_cluster import CLUSTER, REGIONS, ZONES, check_entries, spread_controllers
 from yarrowspindle.membership.codec import DroppedDatagramError
 from yarrowspindle.routing.address import Address
 from yarrowspindle.storage.durable_file import FileUnavailableError
@@ -51,7 +51,7 @@
     """As in the model, on the loopback network."""
     return tuple(
         ControllerAddress(m.name, (f"127.30.{n + 1}.1", port), m.zone, m.region, m.voter)
-        for n, m in enumerate(controllers_of(11, 5))
+        for n, m in enumerate(spread_controllers(11, 5))
     )
 
 
@@ -122,7 +122,9 @@
         address, zone = relay_at(number, port)
         super().__init__(network, f"r{number:04d}", address, REGIONS[zone])
         self.took: list[tuple[int, float]] = []
-        self.core = Agent(controllers_by_preference(machines, self.name, zone, self.region), check, number, self.now())
+        self.core = Agent(
+            controllers_by_preference(machines, self.name, zone, self.region), check_entries, number, self.now()
+        )
 
     def effect(self, effect: Any) -> None:
         if isinstance(effect, ApplySettings):
@@ -153,7 +155,7 @@
             self.voter.stored.identity if self.voter else "",
             self.voter.stored.state if self.voter else first,
             self.link.incarnation,
-            check,
+            check_entries,
             int.from_bytes(os.urandom(4), "big"),
             self.now(),
         )
--- a/benchmarks/signals.py
+++ b/benchmarks/signals.py
@@ -25,7 +25,7 @@
 from yarrowspindle.lab.faults import Fault
 from yarrowspindle.lab.model import BrokenRule, Fleet, FleetSpec
 from yarrowspindle.lab.model.deployments import ASKED, PROBED
-from yarrowspindle.lab.model.membership_simulation import Relays, play_members
+from yarrowspindle.lab.model.membership_simulation import MembershipSimulation, run_membership_scenario
 from yarrowspindle.membership import Membership
 
 FILLED, RUN_S = 0.75, 30.0
@@ -62,9 +62,9 @@
     """The figure; the largest share of a second's connections that one node got, mean over seconds; age of the word."""
     peers = {"off": "", "bound": "known"}.get(way, "net")
     fleet = Fleet(replace(sized(BASES[deployment], relays), peers=peers), seed)
-    if fleet.talk is not None and fleet.talk.net is not None and way != "on":
+    if fleet.talk is not None and fleet.talk.network is not None and way != "on":
         word, share = {"mute": ("mute", 1.0), "old": ("old", 1.0)}.get(way, ("loss", 0.3))
-        fleet.talk.net.faulty_network.start(Fault(word, 0.0, 1e9, share, 5000.0 if word == "old" else 0.0))
+        fleet.talk.network.faulty_network.start(Fault(word, 0.0, 1e9, share, 5000.0 if word == "old" else 0.0))
     fleet.fill(4.0)
     fleet.run(8.0)
     wanted, served, crossed, stood = fleet.wanted, fleet.served, fleet.crossed, fleet.stood
@@ -98,18 +98,18 @@
 def member_day(task: tuple[int, tuple[str, ...]]) -> tuple[int, float, int]:
     """After how long all agree, and who was held dead and was not."""
     seed, words = task
-    found = play_members((3, 5, 9)[seed % 3], seed, words)
-    return seed, found.agreed_s, found.false_deaths
+    found = run_membership_scenario((3, 5, 9)[seed % 3], seed, words)
+    return seed, found.converged_s, found.false_deaths
 
 
 def detect_day(seed: int) -> float:
     """How long after its end a killed relay's part is gone at all others (below 0: not within 10 s)."""
-    world = Relays(5, seed)
+    world = MembershipSimulation(5, seed)
     for index in range(5):
         world.start(index)
     world.run(4.0)
     world.kill(seed % 5)
-    return world.until(world.true_sums, 10.0)
+    return world.run_until(world.sums_are_correct, 10.0)
 
 
 def deep_kb(root: object) -> float:
@@ -167,12 +167,14 @@
 def cost(task: tuple[int, int, int, bool]) -> dict[str, float]:
     """So many relays whose connections come and go: bytes, datagrams and processor time of one, in virtual time."""
     relays, backends, seed, holding = task
-    world = Relays(relays, seed, backends, max(2, min(backends, 8 * backends // relays)) if holding else 0)
+    world = MembershipSimulation(
+        relays, seed, backends, max(2, min(backends, 8 * backends // relays)) if holding else 0
+    )
     for index in range(relays):
         world.start(index)
-    events = recorded(world.net.peers[0].core)
+    events = recorded(world.network.peers[0].core)
     world.run(6.0 + relays / 20.0)  # until all clocks are known
-    peers = list(world.net.peers.values())
+    peers = list(world.network.peers.values())
     for peer in peers:
         peer.core.counts.clear()
     start = peers[0].now()
@@ -180,15 +182,15 @@
         if holding:
             for index in range(relays):
                 for _ in range(2):
-                    world.change(index)
+                    world.change_load(index)
         world.run(0.1)
     sent = fmean(peer.core.counts["sent_bytes"] for peer in peers) / COST_S
     signals = fmean(peer.core.counts["signal_bytes"] for peer in peers) / COST_S
     datagrams = fmean(peer.core.counts["sent"] for peer in peers) / COST_S
-    ages = [others.age_ms / 1000.0 for others in world.others.values()]
+    ages = [others.age_ms / 1000.0 for others in world.peer_loads.values()]
     # One relay by itself is told again what it was told: beside 199 others its books would lie in no cache.
     # The kernel's part is added.
-    spent = played_again(peers[0].made, events, start) / COST_S
+    spent = played_again(peers[0].core_arguments, events, start) / COST_S
     return {
         "bytes": sent,
         "members": sent - signals,
@@ -196,7 +198,7 @@
         "cpu": spent + datagrams * datagram_s(),
         "memory_kb": deep_kb([peers[0].core.members.table, peers[0].core.signals, peers[0].core.probing.pings]),
         "age_s": fmean(ages),
-        "heard": fmean(others.reporting_relays for others in world.others.values()),
+        "heard": fmean(others.reporting_relays for others in world.peer_loads.values()),
     }
 
 
--- a/benchmarks/turns.py
+++ b/benchmarks/turns.py
@@ -24,7 +24,7 @@
 
 from benchmarks.common import finish, options
 from yarrowspindle.lab.faults import Fault
-from yarrowspindle.lab.model.maintenance_cluster import STEPS, Plan, TurnDay, play_turns
+from yarrowspindle.lab.model.maintenance_cluster import CRASH_POINTS, MaintenanceResult, Plan, run_maintenance_scenario
 from yarrowspindle.lab.model.maintenance_model_checker import STAGES, explore
 from yarrowspindle.lab.model.planted import DEFECTS, SETS
 from yarrowspindle.lab.processes.maintenance import MaintenanceReport, MaintenanceWork
@@ -50,28 +50,30 @@
 MAX_SLOWER, MAX_WORTH = 1.5, 0.01
 
 
-def day_of(seed: int, **more: Any) -> TurnDay:
+def day_of(seed: int, **more: Any) -> MaintenanceResult:
     lose = seed // len(SETS) % 2 == 1
-    return play_turns((3, 5, 9)[seed % 3], 6, seed, SETS[seed % len(SETS)], lose=lose, together=seed % 5 == 4, **more)
+    return run_maintenance_scenario(
+        (3, 5, 9)[seed % 3], 6, seed, SETS[seed % len(SETS)], lose_file=lose, simultaneous=seed % 5 == 4, **more
+    )
 
 
 def one(seed: int) -> tuple[int, list[str], list[str], int, int]:
     day = day_of(seed)
-    return seed, day.violations, day.stuck, day.most_out, day.rolled_back
+    return seed, day.violations, day.stuck, day.max_evacuated, day.rolled_back
 
 
 def dies(task: tuple[str, int, int]) -> tuple[tuple[str, int, int], list[str]]:
     """Whoever comes to this step first, the n-th time in all, dies at it."""
     kind, number, seed = task
-    plan = replace(Plan.of(seed), dies_at=(kind, number))
+    plan = replace(Plan.from_seed(seed), crash_at=(kind, number))
     faults = [Fault("loss", 0.5, 10.0, 0.1)] if seed % 2 else []
-    day = play_turns((3, 4, 5, 6)[seed % 4], 6, seed, (), plan=plan, faults=faults)
+    day = run_maintenance_scenario((3, 4, 5, 6)[seed % 4], 6, seed, (), plan=plan, faults=faults)
     return task, day.violations or day.stuck
 
 
 def defect(task: tuple[str, int]) -> tuple[str, int, str]:
     name, seed = task
-    found = day_of(seed, parts=DEFECTS[name]).violations
+    found = day_of(seed, components=DEFECTS[name]).violations
     return name, seed, found[0] if found else ""
 
 
@@ -173,12 +175,12 @@
 
 def steps(pool: ProcessPoolExecutor, seeds: int, first: int, result: dict[str, Any], broken: list[str]) -> None:
     numbers = (1, 2, 3, 5, 8, 13, 21, 34)
-    tasks = [(kind, number, first + seed) for kind in STEPS for number in numbers for seed in range(seeds)]
+    tasks = [(kind, number, first + seed) for kind in CRASH_POINTS for number in numbers for seed in range(seeds)]
     for task, why in pool.map(dies, tasks, chunksize=4):
         if why:
             broken.append(f"a relay dies at {task}: {why[0]}")
     result["step_runs"] = len(tasks)
-    print(f"steps: a relay dies at each of {', '.join(STEPS)}, the n-th time: {len(tasks)} runs", flush=True)
+    print(f"steps: a relay dies at each of {', '.join(CRASH_POINTS)}, the n-th time: {len(tasks)} runs", flush=True)
 
 
 def exhaustive(pool: ProcessPoolExecutor, workers: int, depth: int, result: dict[str, Any], broken: list[str]) -> None:
@@ -187,8 +189,8 @@
         found = explore(depth, MAX_STATES, None, stage, pool, workers)
         total += found.states
         print(f"exhaustive from {stage}: {found.states} states, depth {found.depth}", flush=True)
-        if found.broken or not found.whole:
-            broken.append(f"exhaustive from {stage}: {found.broken or 'more states than are allowed'}")
+        if found.violation or not found.complete:
+            broken.append(f"exhaustive from {stage}: {found.violation or 'more states than are allowed'}")
     result |= {"exhaustive_states": total, "exhaustive_depth": depth}
 
 
--- a/tests/benchmarks/test_capacity.py
+++ b/tests/benchmarks/test_capacity.py
@@ -5,7 +5,7 @@
 import pytest
 
 from benchmarks.capacity import change, sockets
-from yarrowspindle.lab.model.membership_simulation import Relays
+from yarrowspindle.lab.model.membership_simulation import MembershipSimulation
 
 
 @pytest.mark.parametrize("seed", [7, 10])
@@ -26,7 +26,7 @@
 def test_a_scenario_that_misses_its_time_is_named() -> None:
     """With everything lost between the regions nothing arrives there: the row has to say so."""
     day, broken = change.Day(24, 3), list[str]()
-    day.world.cut = True
+    day.world.regions_partitioned = True
     day.order("c00")
     day.world.run(change.IN_FORCE_S)
     day.row("cut for good", broken)
@@ -43,11 +43,11 @@
 def test_relays_in_cells_hear_their_cell_and_nobody_else() -> None:
     """Cells are clusters of peers' settings; without them all hear all."""
     for cell, hears in ((0, 5), (3, 2)):
-        world = Relays(6, 3, cell=cell)
+        world = MembershipSimulation(6, 3, cell=cell)
         for index in range(6):
             world.start(index)
         world.run(6.0)
-        assert {peer.core.members.size - 1 for peer in world.net.peers.values()} == {hears}
+        assert {peer.core.members.size - 1 for peer in world.network.peers.values()} == {hears}
 
 
 def test_on_sockets_changes_are_in_force_also_with_loss() -> None:
--- a/tests/configuration/harness.py
+++ b/tests/configuration/harness.py
@@ -14,7 +14,7 @@
 from yarrowspindle.configuration.state import ChangeOrder, ControlState, Entries, Step, apply_step, content_digest
 from yarrowspindle.consensus.acceptor import Acceptor, AcceptorState
 from yarrowspindle.consensus.messages import NO_BALLOT
-from yarrowspindle.lab.model.configuration_cluster import check
+from yarrowspindle.lab.model.configuration_cluster import check_entries
 
 CONTROLLERS = tuple(ControllerAddress(f"c{n:02d}", (f"10.0.0.{n + 1}", 7950), voter=n == 0) for n in range(3))
 INITIAL_STATE = ControlState({"c00": "file"})
@@ -35,7 +35,7 @@
     last_incarnation, last_number = state.last_settled.get(accepted_by, (0, 0))
     first_number = last_number + 1 if last_incarnation == incarnation else 1
     for number, step in enumerate(steps, first_number):
-        state = require_settled(state.settle(ChangeOrder(accepted_by, incarnation, number, step), check))
+        state = require_settled(state.settle(ChangeOrder(accepted_by, incarnation, number, step), check_entries))
     return state
 
 
@@ -63,7 +63,7 @@
     """An agent with its clock, and the effects of its last event."""
 
     def __init__(self, version: int = 0, entries: Entries | None = None, controllers: int = 3) -> None:
-        self.agent = Agent(list(CONTROLLERS[:controllers]), check, 1, 0.0, version, entries)
+        self.agent = Agent(list(CONTROLLERS[:controllers]), check_entries, 1, 0.0, version, entries)
         self.now, self.sent_at = 0.0, 0
         self.effects: list[Any] = self.agent.take_effects()
 
@@ -110,7 +110,7 @@
             self.stored.identity if address.voter else "",
             self.stored.state,
             incarnation,
-            check,
+            check_entries,
             seed,
             0.0,
         )
--- a/tests/configuration/test_fault_simulation.py
+++ b/tests/configuration/test_fault_simulation.py
@@ -8,32 +8,32 @@
 
 from yarrowspindle.lab.faults import Fault
 from yarrowspindle.lab.model.configuration_defects import DEFECTS
-from yarrowspindle.lab.model.configuration_scenarios import KINDS, play_control, seeds
+from yarrowspindle.lab.model.configuration_scenarios import MESSAGE_KINDS, run_scenario, run_seeds
 
 
 @pytest.mark.parametrize("first_seed", range(0, 32, 8))
 def test_no_rule_is_violated_under_faults_and_all_relays_converge_afterwards(first_seed: int) -> None:
-    result = seeds(first_seed, 8)
+    result = run_seeds(first_seed, 8)
     assert not result.violations and not result.stuck, result
-    assert result.days == 8 and result.counts["versions"] > 80 and result.counts["claims"] > 150
+    assert result.runs == 8 and result.counts["versions"] > 80 and result.counts["claims"] > 150
 
 
 def test_a_simulation_with_the_same_seed_gives_the_same_result() -> None:
-    first, second = play_control(11), play_control(11)
-    assert (first.counts, first.faults, first.took_s) == (second.counts, second.faults, second.took_s)
+    first, second = run_scenario(11), run_scenario(11)
+    assert (first.counts, first.faults, first.duration_s) == (second.counts, second.faults, second.duration_s)
 
 
-@pytest.mark.parametrize("kind", KINDS)
+@pytest.mark.parametrize("kind", MESSAGE_KINDS)
 def test_a_controller_may_fail_at_each_message(kind: str) -> None:
     for number in (1, 4):
         faults = [Fault("dies", 1.0, 5.0, participants=(kind, f"{number}")), Fault("loss", 1.0, 5.0, 0.1)]
-        result = play_control(number, faults=faults, fleet=(3, 3, 6))
+        result = run_scenario(number, faults=faults, fleet=(3, 3, 6))
         assert not result.violations and not result.stuck, (kind, number, result)
 
 
 def test_changes_stop_without_a_majority_and_resume_when_it_is_back() -> None:
     faults = [Fault("kill", 2.0, 5.0, participants=(name,)) for name in ("c00", "c01")]
-    result = play_control(3, faults=faults, fleet=(3, 3, 6), together=False)
+    result = run_scenario(3, faults=faults, fleet=(3, 3, 6), simultaneous=False)
     assert not result.violations and not result.stuck and result.counts["versions"] > 3
 
 
@@ -158,8 +158,8 @@
 @pytest.mark.parametrize("defect", SCENARIOS)
 def test_each_planted_defect_is_found_and_its_scenario_passes_without_it(defect: str) -> None:
     scenario = SCENARIOS[defect]
-    together = None if scenario.faults is None else False
-    result = play_control(scenario.seed, DEFECTS[defect], scenario.faults, scenario.fleet, together)
+    simultaneous = None if scenario.faults is None else False
+    result = run_scenario(scenario.seed, DEFECTS[defect], scenario.faults, scenario.fleet, simultaneous)
     assert result.violations or result.stuck
-    without_defect = play_control(scenario.seed, None, scenario.faults, scenario.fleet, together)
+    without_defect = run_scenario(scenario.seed, None, scenario.faults, scenario.fleet, simultaneous)
     assert not without_defect.violations and not without_defect.stuck, without_defect
--- a/tests/configuration/test_state.py
+++ b/tests/configuration/test_state.py
@@ -16,37 +16,39 @@
     content_digest,
     entries_bounds_error,
 )
-from yarrowspindle.lab.model.configuration_cluster import check
+from yarrowspindle.lab.model.configuration_cluster import check_entries
 
 
 def test_an_order_is_settled_once_and_in_its_turn() -> None:
     order, next_order = ChangeOrder("c01", 5, 1, {"a": "1"}), ChangeOrder("c01", 5, 2, {"a": "2"})
-    assert INITIAL_STATE.settle(next_order, check) is None, "the preceding order is not settled"
-    first = require_settled(INITIAL_STATE.settle(order, check))
-    assert first.settle(order, check) is None and first.is_settled(order) and not first.is_settled(next_order)
-    second = require_settled(first.settle(next_order, check))
-    assert second.entries == {"a": "2"} and second.settle(order, check) is None
-    assert second.settle(ChangeOrder("c01", 4, 1, {"a": "0"}), check) is None, "a delayed order of an earlier process"
-    assert second.settle(ChangeOrder("c01", 6, 2, {"a": "0"}), check) is None
-    third = require_settled(second.settle(ChangeOrder("c01", 6, 1, {"a": None}), check))
-    assert third.entries == {} and third.settle(ChangeOrder("c01", 5, 3, {"a": "0"}), check) is None
-    assert require_settled(third.settle(ChangeOrder("c02", 1, 1, {"b": "1"}), check)).version == 4, (
+    assert INITIAL_STATE.settle(next_order, check_entries) is None, "the preceding order is not settled"
+    first = require_settled(INITIAL_STATE.settle(order, check_entries))
+    assert first.settle(order, check_entries) is None and first.is_settled(order) and not first.is_settled(next_order)
+    second = require_settled(first.settle(next_order, check_entries))
+    assert second.entries == {"a": "2"} and second.settle(order, check_entries) is None
+    assert second.settle(ChangeOrder("c01", 4, 1, {"a": "0"}), check_entries) is None, (
+        "a delayed order of an earlier process"
+    )
+    assert second.settle(ChangeOrder("c01", 6, 2, {"a": "0"}), check_entries) is None
+    third = require_settled(second.settle(ChangeOrder("c01", 6, 1, {"a": None}), check_entries))
+    assert third.entries == {} and third.settle(ChangeOrder("c01", 5, 3, {"a": "0"}), check_entries) is None
+    assert require_settled(third.settle(ChangeOrder("c02", 1, 1, {"b": "1"}), check_entries)).version == 4, (
         "each controller numbers its orders independently"
     )
 
 
 def test_an_order_that_the_check_rejects_is_committed_as_a_rejected_step() -> None:
     state = committed({"left": "1"})
-    rejected = require_settled(state.settle(ChangeOrder("c02", 1, 1, {"right": "1"}), check))
+    rejected = require_settled(state.settle(ChangeOrder("c02", 1, 1, {"right": "1"}), check_entries))
     assert rejected.version == 2 and rejected.entries == {"left": "1"}
     assert rejected.recent_steps[-1] == CommittedStep(2, {}, "left and right are not both possible", "c02", 1, 1)
-    assert require_settled(rejected.settle(ChangeOrder("c02", 1, 2, {"left": None, "right": "1"}), check)).entries == {
-        "right": "1"
-    }
+    assert require_settled(
+        rejected.settle(ChangeOrder("c02", 1, 2, {"left": None, "right": "1"}), check_entries)
+    ).entries == {"right": "1"}
     many = {f"k{n}": "x" * (MAX_ENTRIES_CHARACTERS // 8) for n in range(9)}
     assert (
         "at most"
-        in require_settled(INITIAL_STATE.settle(ChangeOrder("c02", 1, 1, many), check))
+        in require_settled(INITIAL_STATE.settle(ChangeOrder("c02", 1, 1, many), check_entries))
         .recent_steps[-1]
         .rejection_reason
     )
--- a/tests/maintenance/test_maintenance_simulation.py
+++ b/tests/maintenance/test_maintenance_simulation.py
@@ -7,7 +7,7 @@
 from benchmarks.turns import day_of as simulate
 from benchmarks.turns import dies
 from yarrowspindle.lab.faults import Fault
-from yarrowspindle.lab.model.maintenance_cluster import STEPS, Plan, play_turns
+from yarrowspindle.lab.model.maintenance_cluster import CRASH_POINTS, Plan, run_maintenance_scenario
 from yarrowspindle.lab.model.maintenance_model_checker import STAGES, explore
 from yarrowspindle.lab.model.planted import DEFECTS
 
@@ -17,16 +17,16 @@
     for seed in range(first, first + 12):
         result = simulate(seed)
         assert not result.violations and not result.stuck, f"seed {seed}: {result.violations or result.stuck}"
-        plan = Plan.of(seed)
-        min_evacuations = 0 if plan.cancel_s >= 0.0 else 3 if plan.clash else 6
-        assert result.turns >= min_evacuations and result.most_out <= 2
+        plan = Plan.from_seed(seed)
+        min_evacuations = 0 if plan.cancel_s >= 0.0 else 3 if plan.conflicting_request else 6
+        assert result.evacuations >= min_evacuations and result.max_evacuated <= 2
 
 
 def test_a_failing_seed_replays_exactly() -> None:
     first_run, second_run = simulate(9), simulate(9)
-    assert (first_run.took_s, first_run.turns, first_run.faults) == (
-        second_run.took_s,
-        second_run.turns,
+    assert (first_run.duration_s, first_run.evacuations, first_run.faults) == (
+        second_run.duration_s,
+        second_run.evacuations,
         second_run.faults,
     )
 
@@ -43,7 +43,7 @@
         assert not result.violations and not result.stuck
 
 
-@pytest.mark.parametrize("kind", STEPS)
+@pytest.mark.parametrize("kind", CRASH_POINTS)
 def test_maintenance_survives_the_death_of_a_relay_at_each_step(kind: str) -> None:
     for number in (1, 2, 5, 13):
         scenario, violation = dies((kind, number, 3 + number))
@@ -63,16 +63,16 @@
 )
 def test_partitions_and_stalls(faults: list[Fault], relays: int) -> None:
     for seed in (1, 2):
-        result = play_turns(relays, 6, seed, (), faults=faults, plan=Plan())
-        assert not result.violations and not result.stuck and result.turns >= 6
+        result = run_maintenance_scenario(relays, 6, seed, (), faults=faults, plan=Plan())
+        assert not result.violations and not result.stuck and result.evacuations >= 6
 
 
 def test_every_interleaving_of_a_small_case_to_depth_three() -> None:
     for stage in STAGES:
         result = explore(3, 100_000, None, stage)
-        assert result.whole and result.states > 300, result
-    assert explore(3, 100_000, DEFECTS["majority off by one"], "granted").broken
-    assert explore(3, 100_000, DEFECTS["places before it has read"], "free").broken
+        assert result.complete and result.states > 300, result
+    assert explore(3, 100_000, DEFECTS["majority off by one"], "granted").violation
+    assert explore(3, 100_000, DEFECTS["places before it has read"], "free").violation
 
 
 # The first seed that detects each defect; six more of DEFECTS need more seeds than fit here (docs/design/turns.md).
@@ -97,4 +97,4 @@
 
 @pytest.mark.parametrize("defect", SEED_BY_DEFECT)
 def test_each_planted_defect_is_found(defect: str) -> None:
-    assert simulate(SEED_BY_DEFECT[defect], parts=DEFECTS[defect], within_s=60.0).violations
+    assert simulate(SEED_BY_DEFECT[defect], components=DEFECTS[defect], within_s=60.0).violations
--- a/tests/maintenance/test_state.py
+++ b/tests/maintenance/test_state.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from yarrowspindle.lab.model.maintenance_cluster import FIRST
+from yarrowspindle.lab.model.maintenance_cluster import INITIAL_IDENTITY
 from yarrowspindle.maintenance.requests import MaintenanceError, MaintenanceRequest
 from yarrowspindle.maintenance.state import EMPTYING, FREE, WARMING, BackendObservation, MaintenanceState
 
@@ -22,7 +22,7 @@
 
 
 def with_one_evacuation() -> MaintenanceState:
-    state = require(MaintenanceState({"r0": FIRST}).with_relay("r0", "x"))
+    state = require(MaintenanceState({"r0": INITIAL_IDENTITY}).with_relay("r0", "x"))
     state = require(require(state.with_relay("r1", "y")).with_request(REQUEST))
     return require(state.advanced(BACKENDS))
 
--- a/tests/subsets/test_leases.py
+++ b/tests/subsets/test_leases.py
@@ -4,16 +4,16 @@
 
 import pytest
 
-from yarrowspindle.lab.model.lease_simulation import DEFECTS, TERM_MS, play_leases
+from yarrowspindle.lab.model.lease_simulation import DEFECTS, TERM_MS, run_lease_scenario
 from yarrowspindle.lab.model.planted import SETS
 from yarrowspindle.subsets.leases import CLOCK_MARGIN, LeaseRequest, QuotaHolder, QuotaPool, max_min_fair_shares
 
 
 def test_leases_never_exceed_the_total_and_needs_are_met_after_faults() -> None:
     for seed in range(48):
-        result = play_leases((3, 5, 9)[seed % 3], seed, SETS[seed % len(SETS)])
-        assert result.most <= 1.0 + 1e-9, f"seed {seed}: {result.most}"
-        assert 0.0 <= result.met_s <= 10.0, f"seed {seed}: not met"
+        result = run_lease_scenario((3, 5, 9)[seed % 3], seed, SETS[seed % len(SETS)])
+        assert result.max_leased_fraction <= 1.0 + 1e-9, f"seed {seed}: {result.max_leased_fraction}"
+        assert 0.0 <= result.needs_met_s <= 10.0, f"seed {seed}: not met"
 
 
 # A seed for which the model detects each defect.
@@ -32,7 +32,12 @@
 @pytest.mark.parametrize("defect", SEED_BY_DEFECT)
 def test_each_planted_defect_is_found(defect: str) -> None:
     seed = SEED_BY_DEFECT[defect]
-    assert play_leases((3, 5, 9)[seed % 3], seed, SETS[seed % len(SETS)], parts=DEFECTS[defect]).most > 1.0 + 1e-9
+    assert (
+        run_lease_scenario(
+            (3, 5, 9)[seed % 3], seed, SETS[seed % len(SETS)], components=DEFECTS[defect]
+        ).max_leased_fraction
+        > 1.0 + 1e-9
+    )
 
 
 def test_max_min_fair_shares_of_a_total() -> None:
--- a/yarrowspindle/lab/model/configuration_cluster.py
+++ b/yarrowspindle/lab/model/configuration_cluster.py
@@ -42,39 +42,39 @@
 from yarrowspindle.routing.address import Address
 
 CLUSTER = "fleet"
-FIRST = "first"
+INITIAL_IDENTITY = "first"
 ZONES = ("z1", "z2", "z3", "z4", "z5", "z6")
 REGIONS = {"z1": "a", "z2": "a", "z3": "a", "z4": "b", "z5": "b", "z6": "b"}
-LATENCY = {0: (0.2, 1.0), 1: (0.5, 3.0), 2: (15.0, 40.0)}  # milliseconds in a zone, in a region, between regions
-DISK_MS = (1.0, 8.0)  # until a voter's file is written
-MAX_WAITING = 300  # datagrams that wait in a stopped process's socket; more are lost
+LATENCY_MS = {0: (0.2, 1.0), 1: (0.5, 3.0), 2: (15.0, 40.0)}  # milliseconds in a zone, in a region, between regions
+DISK_WRITE_MS = (1.0, 8.0)  # until a voter's file is written
+MAX_QUEUED_DATAGRAMS = 300  # datagrams that wait in a stopped process's socket; more are lost
 PORT = 7950
 
 
-def controllers_of(count: int, voters: int) -> tuple[ControllerAddress, ...]:
+def spread_controllers(count: int, voters: int) -> tuple[ControllerAddress, ...]:
     """Spread over zones and regions; the voters in as many zones as there are."""
-    found = []
+    controllers = []
     for n in range(count):
         zone = ZONES[n % len(ZONES)]
-        found.append(ControllerAddress(f"c{n:02d}", (f"10.200.0.{n + 1}", PORT), zone, REGIONS[zone], n < voters))
-    return tuple(found)
+        controllers.append(ControllerAddress(f"c{n:02d}", (f"10.200.0.{n + 1}", PORT), zone, REGIONS[zone], n < voters))
+    return tuple(controllers)
 
 
-def check(entries: Entries) -> str:
+def check_entries(entries: Entries) -> str:
     """What a relay could not serve by, in this model. Two orders may each be fine and make no sense together."""
-    bad = [key for key, value in entries.items() if value == "nonsense"]
-    if not bad and "left" in entries and "right" in entries:
+    invalid_keys = [key for key, value in entries.items() if value == "nonsense"]
+    if not invalid_keys and "left" in entries and "right" in entries:
         return "left and right are not both possible"
-    return f"{bad[0]} makes no sense" if bad else ""
+    return f"{invalid_keys[0]} makes no sense" if invalid_keys else ""
 
 
-def check_of_old(entries: Entries) -> str:
+def check_entries_of_old_program(entries: Entries) -> str:
     """The same at a relay of an older program, which does not know of something."""
-    novel = [key for key, value in entries.items() if value.startswith("novel")]
-    return check(entries) or (f"{novel[0]} is not known here" if novel else "")
+    unknown_keys = [key for key, value in entries.items() if value.startswith("novel")]
+    return check_entries(entries) or (f"{unknown_keys[0]} is not known here" if unknown_keys else "")
 
 
-def bent(message: Delta | Snapshot) -> Delta | Snapshot:
+def corrupted_copy(message: Delta | Snapshot) -> Delta | Snapshot:
     """The same out of a bad memory."""
     if isinstance(message, Snapshot):
         return msgspec.structs.replace(message, entries={**message.entries, "k0": "bent"})
@@ -83,17 +83,17 @@
 
 
 @dataclass(slots=True, frozen=True)
-class ControlParts:
+class ConfigurationComponents:
     """Of which the processes are made; tests plant defects by others. forgets: voters' files are not written; lies: a
     lost file is made anew under the identity of the one before; unkept: relays do not keep what they took."""
 
     agent: type[Agent] = Agent
     controller: type[Controller] = Controller
-    voter: type[Acceptor[ControlState]] = Acceptor
+    acceptor: type[Acceptor[ControlState]] = Acceptor
     proposer: type[Proposer[ControlState]] = Proposer
-    forgets: bool = False
-    lies: bool = False
-    unkept: bool = False
+    discard_acceptor_writes: bool = False
+    reuse_lost_identity: bool = False
+    discard_relay_settings: bool = False
 
 
 @dataclass(slots=True)
@@ -102,324 +102,356 @@
     in_force_s: when there were none, in all and by region."""
 
     step: Step
-    at: float
+    requested_s: float
     version: int = 0
-    answered: str | None = None
+    answer: str | None = None
     answered_s: float = -1.0
-    agreed_s: float = -1.0
+    committed_s: float = -1.0
     in_force_s: float = -1.0
-    regions_s: dict[str, float] = field(default_factory=dict)
-    missing: dict[str, set[str]] = field(default_factory=dict)
+    in_force_s_by_region: dict[str, float] = field(default_factory=dict)
+    pending_relays: dict[str, set[str]] = field(default_factory=dict)
 
 
-class ControlChecker:
+class ConfigurationChecker:
     """Rules on what was agreed on, served and answered."""
 
     def __init__(self) -> None:
         self.violations: list[str] = []
-        self.done: dict[int, CommittedStep] = {}
-        self.contents: dict[int, Entries] = {0: {}}
-        self.orders: dict[tuple[str, int, int], int] = {}
-        self.served: dict[str, int] = {}  # by relays, also before their restarts
-        self.older = self.two = 0
+        self.committed_steps: dict[int, CommittedStep] = {}
+        self.entries_by_version: dict[int, Entries] = {0: {}}
+        self.version_by_order: dict[tuple[str, int, int], int] = {}
+        self.applied_versions: dict[str, int] = {}  # by relays, also before their restarts
+        self.version_regressions = self.conflicting_commits = 0
 
-    def broken(self, text: str) -> None:
+    def report_violation(self, text: str) -> None:
         if len(self.violations) < 20:
             self.violations.append(text)
 
-    def took(self, controller: str, state: ControlState) -> None:
-        known = self.contents.setdefault(state.version, dict(state.entries))
-        if known != state.entries:
-            self.two += 1
-            self.broken(f"two contents under version {state.version}: {controller} took another")
-        for done in state.recent_steps:
-            if self.done.setdefault(done.version, done) != done:
-                self.two += 1
-                self.broken(f"two steps to version {done.version}: {controller} took another")
-            if done.accepted_by:
-                order = (done.accepted_by, done.incarnation, done.number)
-                if self.orders.setdefault(order, done.version) != done.version:
-                    self.broken(f"order {order} was settled by versions {self.orders[order]} and {done.version}")
-                if done.number > 1 and (done.accepted_by, done.incarnation, done.number - 1) not in self.orders:
-                    self.broken(f"order {order} was settled before the one before it")
-            before = self.contents.get(done.version - 1)
-            if before is not None and done.version not in self.contents:
-                self.contents[done.version] = apply_step(before, done.step)
-        before = self.contents.get(state.version - 1)
-        last = self.done.get(state.version)
-        if before is not None and last is not None and apply_step(before, last.step) != state.entries:
-            self.broken(f"version {state.version} is not version {state.version - 1} and its step")
-
-    def took_down(self, relay: str, version: int, entries: Entries, why: str, reached: int) -> None:
+    def on_committed(self, controller: str, state: ControlState) -> None:
+        known_entries = self.entries_by_version.setdefault(state.version, dict(state.entries))
+        if known_entries != state.entries:
+            self.conflicting_commits += 1
+            self.report_violation(f"two contents under version {state.version}: {controller} took another")
+        for committed in state.recent_steps:
+            if self.committed_steps.setdefault(committed.version, committed) != committed:
+                self.conflicting_commits += 1
+                self.report_violation(f"two steps to version {committed.version}: {controller} took another")
+            if committed.accepted_by:
+                order = (committed.accepted_by, committed.incarnation, committed.number)
+                if self.version_by_order.setdefault(order, committed.version) != committed.version:
+                    self.report_violation(
+                        f"order {order} was settled by versions {self.version_by_order[order]} and {committed.version}"
+                    )
+                if (
+                    committed.number > 1
+                    and (committed.accepted_by, committed.incarnation, committed.number - 1)
+                    not in self.version_by_order
+                ):
+                    self.report_violation(f"order {order} was settled before the one before it")
+            previous_entries = self.entries_by_version.get(committed.version - 1)
+            if previous_entries is not None and committed.version not in self.entries_by_version:
+                self.entries_by_version[committed.version] = apply_step(previous_entries, committed.step)
+        previous_entries = self.entries_by_version.get(state.version - 1)
+        last = self.committed_steps.get(state.version)
+        if (
+            previous_entries is not None
+            and last is not None
+            and apply_step(previous_entries, last.step) != state.entries
+        ):
+            self.report_violation(f"version {state.version} is not version {state.version - 1} and its step")
+
+    def on_applied(
+        self, relay: str, version: int, entries: Entries, rejection_reason: str, received_version: int
+    ) -> None:
         """A relay serves by this from now on. why: what its own check says; reached: the newest version that it got,
         as steps without a gap or whole."""
-        known = self.contents.get(version)
-        if known is None:
-            self.broken(f"{relay} serves by version {version}, which nobody agreed on")
-        elif known != entries:
-            self.two += 1
-            self.broken(f"{relay} serves by another content of version {version}")
-        if why:
-            self.broken(f"{relay} serves by version {version}, which its check turns down: {why}")
-        if version > reached:
-            self.broken(f"{relay} serves by version {version} and got all steps up to {reached} only")
-        self.serves(relay, version)
-
-    def serves(self, relay: str, version: int) -> None:
-        """Also what a process serves by when it starts."""
-        if version < self.served.get(relay, 0):
-            self.older += 1
-            self.broken(f"{relay} serves by version {version} after {self.served[relay]}")
-        self.served[relay] = version
+        known_entries = self.entries_by_version.get(version)
+        if known_entries is None:
+            self.report_violation(f"{relay} serves by version {version}, which nobody agreed on")
+        elif known_entries != entries:
+            self.conflicting_commits += 1
+            self.report_violation(f"{relay} serves by another content of version {version}")
+        if rejection_reason:
+            self.report_violation(
+                f"{relay} serves by version {version}, which its check turns down: {rejection_reason}"
+            )
+        if version > received_version:
+            self.report_violation(
+                f"{relay} serves by version {version} and got all steps up to {received_version} only"
+            )
+        self.record_applied_version(relay, version)
 
-    def answered(self, change: Change, version: int, why: str) -> None:
-        done = self.done.get(version)
-        if version and (done is None or dict(done.step) != dict(change.step)):
-            self.broken(f"an operator was told that a change stands in version {version}, which it does not")
-        if not version and "see `show`" not in why and any(d.step == change.step for d in self.done.values()):
-            self.broken(f"an operator was told that a change is turned down ({why}), and it stands")
+    def record_applied_version(self, relay: str, version: int) -> None:
+        """Also what a process serves by when it starts."""
+        if version < self.applied_versions.get(relay, 0):
+            self.version_regressions += 1
+            self.report_violation(f"{relay} serves by version {version} after {self.applied_versions[relay]}")
+        self.applied_versions[relay] = version
+
+    def on_answered(self, change: Change, version: int, rejection_reason: str) -> None:
+        committed = self.committed_steps.get(version)
+        if version and (committed is None or dict(committed.step) != dict(change.step)):
+            self.report_violation(f"an operator was told that a change stands in version {version}, which it does not")
+        if (
+            not version
+            and "see `show`" not in rejection_reason
+            and any(committed.step == change.step for committed in self.committed_steps.values())
+        ):
+            self.report_violation(
+                f"an operator was told that a change is turned down ({rejection_reason}), and it stands"
+            )
 
 
 class Host:
     """A process of a controller or a relay."""
 
-    def __init__(self, world: ControlWorld, name: str, address: Address, zone: str) -> None:
-        self.world, self.name, self.address, self.zone, self.region = world, name, address, zone, REGIONS[zone]
+    def __init__(self, cluster: ConfigurationCluster, name: str, address: Address, zone: str) -> None:
+        self.cluster, self.name, self.address, self.zone, self.region = cluster, name, address, zone, REGIONS[zone]
         self.alive, self.stalled_until = True, 0.0
-        self.ahead_ms = world.random.uniform(0.0, 600_000.0)  # of its clock
-        self.incarnation = world.incarnation(name)
-        self.link = Link(name, address, CLUSTER, self.incarnation, world.random.getrandbits(40), self.now())
+        self.clock_offset_ms = cluster.random.uniform(0.0, 600_000.0)  # of its clock
+        self.incarnation = cluster.incarnation(name)
+        self.link = Link(name, address, CLUSTER, self.incarnation, cluster.random.getrandbits(40), self.now())
         self.core: Agent | Controller
-        self.waiting: list[tuple[bytes, Address]] = []
-        self.asks = False  # for parts that are missing
+        self.queued_datagrams: list[tuple[bytes, Address]] = []
+        self.fragment_request_scheduled = False  # for parts that are missing
         self.log: list[tuple[float, str]] = []
-        self.spent = 0.0  # seconds of processor time, where the world measures
+        self.cpu_s = 0.0  # seconds of processor time, where the world measures
 
     def now(self) -> float:
-        return self.world.clock.now() - self.world.clock.start + self.ahead_ms
+        return self.cluster.clock.now() - self.cluster.clock.start + self.clock_offset_ms
 
     def post(self, event: Any) -> None:
         if not self.alive:
             return
-        left = self.stalled_until - self.world.clock.now()
-        if left > 0.0:  # a stopped process: all of it waits
-            self.world.clock.after(left + self.world.random.random(), self.post, event)
+        remaining_ms = self.stalled_until - self.cluster.clock.now()
+        if remaining_ms > 0.0:  # a stopped process: all of it waits
+            self.cluster.clock.after(remaining_ms + self.cluster.random.random(), self.post, event)
             return
-        if self.world.measures:
-            began = time.thread_time()
+        if self.cluster.measure_cpu:
+            started = time.thread_time()
             effects = self.core.step(self.now(), event)
-            self.spent += time.thread_time() - began
+            self.cpu_s += time.thread_time() - started
         else:
             effects = self.core.step(self.now(), event)
-        self.carry_out(effects)
+        self.execute(effects)
 
-    def carry_out(self, effects: Sequence[Any]) -> None:
+    def execute(self, effects: Sequence[Any]) -> None:
         for effect in effects:
             if not self.alive:
                 return
             if isinstance(effect, SendMessage):
                 self.send(effect.to.address, effect.message)
             elif isinstance(effect, SetTimer):
-                self.world.clock.after(effect.delay_ms, self.post, TimerFired())
+                self.cluster.clock.after(effect.delay_ms, self.post, TimerFired())
             else:
-                self.effect(effect)
+                self.execute_other(effect)
 
-    def effect(self, effect: Any) -> None:
-        self.log.append((self.world.clock.seconds, effect.text))
+    def execute_other(self, effect: Any) -> None:
+        self.log.append((self.cluster.clock.seconds, effect.text))
 
     def send(self, to: Address, message: object) -> None:
         if to == self.address:
             # At once, but after what is under way here.
-            self.world.clock.after(
+            self.cluster.clock.after(
                 0.0, self.post, MessageReceived(Sender(self.name, self.address, self.incarnation, 0), message)
             )
             return
-        began = time.thread_time() if self.world.measures else 0.0
+        started = time.thread_time() if self.cluster.measure_cpu else 0.0
         datagrams = self.link.encode(self.now(), to, message)
-        if self.world.measures:
-            self.spent += time.thread_time() - began
+        if self.cluster.measure_cpu:
+            self.cpu_s += time.thread_time() - started
         for data in datagrams:
-            self.world.send(self, to, data)
-        self.world.stepped(self, message)
+            self.cluster.send(self, to, data)
+        self.cluster.on_message_sent(self, message)
 
-    def came(self, data: bytes, source: Address) -> None:
+    def on_datagram(self, data: bytes, source: Address) -> None:
         if not self.alive:
             return
-        if self.stalled_until > self.world.clock.now():
-            if len(self.waiting) < MAX_WAITING:
-                self.waiting.append((data, source))
-                if len(self.waiting) == 1:
-                    self.world.clock.after(self.stalled_until - self.world.clock.now(), self._awake)
+        if self.stalled_until > self.cluster.clock.now():
+            if len(self.queued_datagrams) < MAX_QUEUED_DATAGRAMS:
+                self.queued_datagrams.append((data, source))
+                if len(self.queued_datagrams) == 1:
+                    self.cluster.clock.after(
+                        self.stalled_until - self.cluster.clock.now(), self._process_queued_datagrams
+                    )
             return
-        began = time.thread_time() if self.world.measures else 0.0
+        started = time.thread_time() if self.cluster.measure_cpu else 0.0
         try:
             received = self.link.receive(self.now(), data, source)
         except DroppedDatagramError:
             return
         finally:
-            if self.world.measures:
-                self.spent += time.thread_time() - began
+            if self.cluster.measure_cpu:
+                self.cpu_s += time.thread_time() - started
         for datagram in received.replies:
-            self.world.send(self, received.sender.address, datagram)
+            self.cluster.send(self, received.sender.address, datagram)
         if received.message is not None:
             self.post(MessageReceived(received.sender, received.message))
-        self._ask()
+        self._schedule_fragment_request()
 
-    def _awake(self) -> None:
-        waiting, self.waiting = self.waiting, []
-        for data, source in waiting:
-            self.came(data, source)
+    def _process_queued_datagrams(self) -> None:
+        queued_datagrams, self.queued_datagrams = self.queued_datagrams, []
+        for data, source in queued_datagrams:
+            self.on_datagram(data, source)
 
-    def _ask(self) -> None:
-        if self.link.fragmenter.partial and not self.asks:
-            self.asks = True
-            self.world.clock.after(REQUEST_INTERVAL_MS, self._asked)
+    def _schedule_fragment_request(self) -> None:
+        if self.link.fragmenter.partial and not self.fragment_request_scheduled:
+            self.fragment_request_scheduled = True
+            self.cluster.clock.after(REQUEST_INTERVAL_MS, self._request_fragments)
 
-    def _asked(self) -> None:
-        self.asks = False
-        if self.alive and self.stalled_until <= self.world.clock.now():
+    def _request_fragments(self) -> None:
+        self.fragment_request_scheduled = False
+        if self.alive and self.stalled_until <= self.cluster.clock.now():
             for request in self.link.missing_fragment_requests(self.now()):
-                self.world.send(self, request.to, request.data)
+                self.cluster.send(self, request.to, request.data)
         if self.alive:
-            self._ask()
+            self._schedule_fragment_request()
 
 
 class RelayHost(Host):
     core: Agent
 
-    def __init__(self, world: ControlWorld, name: str, address: Address, zone: str) -> None:
-        super().__init__(world, name, address, zone)
-        version, entries = world.kept.get(name, (0, {}))
-        self.reached = version
-        self.taken, self.turns_down = 0, 0  # turns_down: this version cannot be taken here, whatever the check says
-        self.began, self.wanted = world.clock.seconds, world.newest()  # what was the newest then
-        self.check = check_of_old if name in world.old_programs else check
-        machines = controllers_by_preference(world.machines, name, zone, self.region)
-        self.core = world.parts.agent(
-            machines, self.check, world.random.randrange(1 << 30), self.now(), version, entries
+    def __init__(self, cluster: ConfigurationCluster, name: str, address: Address, zone: str) -> None:
+        super().__init__(cluster, name, address, zone)
+        version, entries = cluster.persisted_settings.get(name, (0, {}))
+        self.received_version = version
+        self.applied_version, self.unsupported_version = (
+            0,
+            0,
+        )  # turns_down: this version cannot be taken here, whatever the check says
+        self.started_s, self.newest_at_start = (
+            cluster.clock.seconds,
+            cluster.newest_version(),
+        )  # what was the newest then
+        self.check = check_entries_of_old_program if name in cluster.old_program_relays else check_entries
+        controllers = controllers_by_preference(cluster.controller_addresses, name, zone, self.region)
+        self.core = cluster.components.agent(
+            controllers, self.check, cluster.random.randrange(1 << 30), self.now(), version, entries
         )
-        self.carry_out(self.core.take_effects())
-        world.checker.serves(name, self.taken)
+        self.execute(self.core.take_effects())
+        cluster.checker.record_applied_version(name, self.applied_version)
 
     def post(self, event: Any) -> None:
         message = event.message if isinstance(event, MessageReceived) else None
         if isinstance(message, Snapshot) or (
             isinstance(message, Delta)
-            and message.base <= self.reached
+            and message.base <= self.received_version
             and len(message.steps) == message.version - message.base
         ):
-            self.reached = max(self.reached, message.version)
+            self.received_version = max(self.received_version, message.version)
         super().post(event)
 
-    def has(self, version: int) -> bool:
+    def has_applied_or_rejected(self, version: int) -> bool:
         """Serves by this one or a newer, or has said why it cannot."""
         return (
-            self.taken >= version
-            or self.turns_down == version
-            or bool(self.check(self.world.checker.contents[version]))
+            self.applied_version >= version
+            or self.unsupported_version == version
+            or bool(self.check(self.cluster.checker.entries_by_version[version]))
         )
 
-    def carry_out(self, effects: Sequence[Any]) -> None:
-        for take in [effect for effect in effects if isinstance(effect, ApplySettings)]:
-            if take.version == self.turns_down:  # whatever else was asked for rests on it
+    def execute(self, effects: Sequence[Any]) -> None:
+        for update in [effect for effect in effects if isinstance(effect, ApplySettings)]:
+            if update.version == self.unsupported_version:  # whatever else was asked for rests on it
                 effects = [effect for effect in effects if isinstance(effect, SetTimer | LogMessage)]
-                effects += self.core.step(self.now(), SettingsRejected(take.version, "this relay cannot"))
-        super().carry_out(effects)
+                effects += self.core.step(self.now(), SettingsRejected(update.version, "this relay cannot"))
+        super().execute(effects)
 
-    def effect(self, effect: Any) -> None:
+    def execute_other(self, effect: Any) -> None:
         if isinstance(effect, ApplySettings):
-            self.world.checker.took_down(
-                self.name, effect.version, effect.entries, self.check(effect.entries), self.reached
+            self.cluster.checker.on_applied(
+                self.name, effect.version, effect.entries, self.check(effect.entries), self.received_version
             )
-            self.taken = effect.version
-            self.world.taken(self)
+            self.applied_version = effect.version
+            self.cluster.on_applied(self)
         elif isinstance(effect, Persist):
-            if not self.world.parts.unkept:
-                self.world.kept[self.name] = effect.version, dict(effect.entries)
+            if not self.cluster.components.discard_relay_settings:
+                self.cluster.persisted_settings[self.name] = effect.version, dict(effect.entries)
         else:
-            super().effect(effect)
+            super().execute_other(effect)
 
 
 class ControllerHost(Host):
     core: Controller
 
-    def __init__(self, world: ControlWorld, name: str, address: Address, zone: str) -> None:
-        super().__init__(world, name, address, zone)
-        self.began = world.clock.seconds
-        self.heard: list[int] = []  # tickets of orders, in their turn
-        machine = next(m for m in world.machines if m.name == name)
-        kept = world.files.get(name)
-        if kept is None and machine.voter:
-            kept = AcceptorState(
-                FIRST if world.parts.lies else f"{name} {world.random.getrandbits(60):x}",
+    def __init__(self, cluster: ConfigurationCluster, name: str, address: Address, zone: str) -> None:
+        super().__init__(cluster, name, address, zone)
+        self.started_s = cluster.clock.seconds
+        self.received_tickets: list[int] = []  # tickets of orders, in their turn
+        own_address = next(m for m in cluster.controller_addresses if m.name == name)
+        stored = cluster.acceptor_files.get(name)
+        if stored is None and own_address.voter:
+            stored = AcceptorState(
+                INITIAL_IDENTITY
+                if cluster.components.reuse_lost_identity
+                else f"{name} {cluster.random.getrandbits(60):x}",
                 NO_BALLOT,
                 NO_BALLOT,
-                world.first,
+                cluster.initial_state,
             )
-            world.files[name] = kept
-        self.voter = world.parts.voter(kept, self._store, self.now) if kept is not None else None
-        self.core = world.parts.controller(
-            machine,
-            world.machines,
-            world.first,
-            kept.identity if kept is not None else "",
-            kept.state if kept is not None else world.first,
+            cluster.acceptor_files[name] = stored
+        self.acceptor = cluster.components.acceptor(stored, self._store, self.now) if stored is not None else None
+        self.core = cluster.components.controller(
+            own_address,
+            cluster.controller_addresses,
+            cluster.initial_state,
+            stored.identity if stored is not None else "",
+            stored.state if stored is not None else cluster.initial_state,
             self.incarnation,
-            check,
-            world.random.randrange(1 << 30),
+            check_entries,
+            cluster.random.randrange(1 << 30),
             self.now(),
-            world.parts.proposer,
+            cluster.components.proposer,
         )
-        self.disk_free = 0.0
-        self.carry_out(self.core.take_effects())
+        self.disk_free_at_ms = 0.0
+        self.execute(self.core.take_effects())
 
     def post(self, event: Any) -> None:
-        if isinstance(event, ChangeRequested) and self.alive and self.stalled_until <= self.world.clock.now():
-            self.heard.append(event.ticket)
+        if isinstance(event, ChangeRequested) and self.alive and self.stalled_until <= self.cluster.clock.now():
+            self.received_tickets.append(event.ticket)
         super().post(event)
 
     def send(self, to: Address, message: object) -> None:
-        if self.name in self.world.bad_memories and isinstance(message, Delta | Snapshot):
-            message = bent(message)
+        if self.name in self.cluster.corrupting_controllers and isinstance(message, Delta | Snapshot):
+            message = corrupted_copy(message)
         super().send(to, message)
 
-    def _store(self, kept: AcceptorState[ControlState]) -> None:
-        if self.name in self.world.full_disks:
+    def _store(self, stored: AcceptorState[ControlState]) -> None:
+        if self.name in self.cluster.full_disks:
             raise OSError("no space left on the device")
-        if not self.world.parts.forgets:
-            self.world.files[self.name] = kept
+        if not self.cluster.components.discard_acceptor_writes:
+            self.cluster.acceptor_files[self.name] = stored
 
-    def effect(self, effect: Any) -> None:
+    def execute_other(self, effect: Any) -> None:
         if isinstance(effect, AskAcceptor):
             # One at a time, on a thread of its own.
-            clock = self.world.clock
-            self.disk_free = max(self.disk_free, clock.now()) + self.world.random.uniform(*DISK_MS)
-            clock.after(self.disk_free - clock.now(), self._vote, effect)
+            clock = self.cluster.clock
+            self.disk_free_at_ms = max(self.disk_free_at_ms, clock.now()) + self.cluster.random.uniform(*DISK_WRITE_MS)
+            clock.after(self.disk_free_at_ms - clock.now(), self._answer_acceptor, effect)
         elif isinstance(effect, StateCommitted):
-            self.world.took(self, effect.state)
+            self.cluster.on_committed(self, effect.state)
         elif isinstance(effect, ChangeAnswered):
-            self.world.answered(self, effect)
+            self.cluster.on_answered(self, effect)
         else:
-            super().effect(effect)
+            super().execute_other(effect)
 
-    def _vote(self, vote: AskAcceptor) -> None:
-        if not self.alive or self.voter is None:
+    def _answer_acceptor(self, request: AskAcceptor) -> None:
+        if not self.alive or self.acceptor is None:
             return
-        left = self.stalled_until - self.world.clock.now()
-        if left > 0.0:
-            self.world.clock.after(left, self._vote, vote)
+        remaining_ms = self.stalled_until - self.cluster.clock.now()
+        if remaining_ms > 0.0:
+            self.cluster.clock.after(remaining_ms, self._answer_acceptor, request)
             return
         try:
-            answer = self.voter.on_message(vote.message)
+            answer = self.acceptor.on_message(request.message)
         except OSError as error:
-            self.log.append((self.world.clock.seconds, f"the voter's file cannot be written: {error}"))
+            self.log.append((self.cluster.clock.seconds, f"the voter's file cannot be written: {error}"))
             return
-        self.world.stepped(self, answer)
+        self.cluster.on_message_sent(self, answer)
         if self.alive:
-            self.send(vote.sender.address, answer)
+            self.send(request.sender.address, answer)
 
 
-class ControlWorld:
+class ConfigurationCluster:
     """relays: so many, spread over the zones evenly. measures: processor time of each process."""
 
     def __init__(
@@ -428,69 +460,76 @@
         seed: int,
         controllers: int = 11,
         voters: int = 5,
-        parts: ControlParts | None = None,
-        measures: bool = False,
+        components: ConfigurationComponents | None = None,
+        measure_cpu: bool = False,
     ) -> None:
-        self.clock, self.seed, self.parts, self.measures = VirtualClock(), seed, parts or ControlParts(), measures
-        self.random, self.wires = Random(f"control {seed}"), Random(f"control wires {seed}")
-        self.machines = controllers_of(controllers, voters)
-        self.first = ControlState({m.name: FIRST for m in self.machines if m.voter})
-        self.files: dict[str, AcceptorState[ControlState]] = {
-            m.name: AcceptorState(FIRST, NO_BALLOT, NO_BALLOT, self.first) for m in self.machines if m.voter
+        self.clock, self.seed, self.components, self.measure_cpu = (
+            VirtualClock(),
+            seed,
+            components or ConfigurationComponents(),
+            measure_cpu,
+        )
+        self.random, self.network_random = Random(f"control {seed}"), Random(f"control wires {seed}")
+        self.controller_addresses = spread_controllers(controllers, voters)
+        self.initial_state = ControlState({m.name: INITIAL_IDENTITY for m in self.controller_addresses if m.voter})
+        self.acceptor_files: dict[str, AcceptorState[ControlState]] = {
+            m.name: AcceptorState(INITIAL_IDENTITY, NO_BALLOT, NO_BALLOT, self.initial_state)
+            for m in self.controller_addresses
+            if m.voter
         }
-        self.kept: dict[str, tuple[int, Entries]] = {}
+        self.persisted_settings: dict[str, tuple[int, Entries]] = {}
         self.incarnations: Counter[str] = Counter()
-        self.clock_back: set[str] = set()  # whose next life is lower than the one before
+        self.clocks_set_back: set[str] = set()  # whose next life is lower than the one before
         self.full_disks: set[str] = set()
-        self.bad_memories: set[str] = set()  # controllers that change what they send to relays
-        self.old_programs: set[str] = set()  # relays that do not know of all that the controllers know
-        self.checker = ControlChecker()
+        self.corrupting_controllers: set[str] = set()  # controllers that change what they send to relays
+        self.old_program_relays: set[str] = set()  # relays that do not know of all that the controllers know
+        self.checker = ConfigurationChecker()
         self.hosts: dict[str, Host] = {}
-        self.at: dict[Address, Host] = {}
-        self.places = {m.name: (m.address, m.zone) for m in self.machines} | {
+        self.hosts_by_address: dict[Address, Host] = {}
+        self.locations = {m.name: (m.address, m.zone) for m in self.controller_addresses} | {
             f"r{n:04d}": ((f"10.{n >> 8}.{n & 255}.1", PORT), ZONES[n % len(ZONES)]) for n in range(relays)
         }
         self.faulty_network = FaultyNetwork(seed)
-        self.loss = 0.0
-        self.cut = False  # between the regions
+        self.loss_probability = 0.0
+        self.regions_partitioned = False  # between the regions
         self.changes: dict[tuple[str, int], Change] = {}
-        self.agreed: set[int] = set()
-        self.open: dict[int, Change] = {}  # agreed on, not in force yet, by version
-        self.tickets = 0
-        self.known_s: dict[str, float] = {}  # relay -> after how long it had what was the newest at its start
+        self.committed_versions: set[int] = set()
+        self.pending_changes: dict[int, Change] = {}  # agreed on, not in force yet, by version
+        self.last_ticket = 0
+        self.catch_up_s: dict[str, float] = {}  # relay -> after how long it had what was the newest at its start
         self.steps: Counter[str] = Counter()
-        self.dies_at: tuple[str, int] = ("", 0)  # a controller dies at the n-th message of this kind
-        self.stands_ms = 0.0  # and where this is over 0, it does not die, but stands still for so long
-        self.died = ""
+        self.crash_at: tuple[str, int] = ("", 0)  # a controller dies at the n-th message of this kind
+        self.crash_stall_ms = 0.0  # and where this is over 0, it does not die, but stands still for so long
+        self.crashed_process = ""
 
     # --- processes ------------------------------------------------------------------------------
 
     def incarnation(self, name: str) -> int:
         self.incarnations[name] += 1
-        if name in self.clock_back:
-            self.clock_back.discard(name)
+        if name in self.clocks_set_back:
+            self.clocks_set_back.discard(name)
             return 500 + self.incarnations[name]
         return 1000 * self.incarnations[name]
 
     def start(self, name: str) -> Host:
         """A process starts; one that was there must have ended."""
-        address, zone = self.places[name]
-        self.known_s.pop(name, None)
+        address, zone = self.locations[name]
+        self.catch_up_s.pop(name, None)
         host = (ControllerHost if name[0] == "c" else RelayHost)(self, name, address, zone)
-        self.hosts[name] = self.at[address] = host
+        self.hosts[name] = self.hosts_by_address[address] = host
         return host
 
     def restart(self, name: str) -> None:
         self.start(name)
 
     def start_all(self) -> None:
-        for name in self.places:
+        for name in self.locations:
             self.start(name)
 
     def kill(self, name: str) -> None:
         self.hosts[name].alive = False
-        for version, change in list(self.open.items()):
-            self._in_force(version, change, self.hosts[name])
+        for version, change in list(self.pending_changes.items()):
+            self._update_in_force(version, change, self.hosts[name])
 
     def stall(self, name: str, for_ms: float) -> None:
         host = self.hosts[name]
@@ -508,103 +547,105 @@
     # --- the network ----------------------------------------------------------------------------
 
     def send(self, source: Host, to: Address, data: bytes) -> None:
-        target = self.at.get(to)
-        if target is None or (self.cut and source.region != target.region):
+        target = self.hosts_by_address.get(to)
+        if target is None or (self.regions_partitioned and source.region != target.region):
             return
-        if self.loss and self.wires.random() < self.loss:
+        if self.loss_probability and self.network_random.random() < self.loss_probability:
             return
-        far = 0 if source.zone == target.zone else 1 if source.region == target.region else 2
-        late = self.wires.uniform(*LATENCY[far])
+        distance = 0 if source.zone == target.zone else 1 if source.region == target.region else 2
+        latency_ms = self.network_random.uniform(*LATENCY_MS[distance])
         if not self.faulty_network.active:
-            self.clock.after(late, self._arrive, to, data, source.address)
+            self.clock.after(latency_ms, self._arrive, to, data, source.address)
             return
-        for more, copy in self.faulty_network.deliveries(source.name, target.name, data):
-            self.clock.after(late + more, self._arrive, to, copy, source.address)
+        for extra_ms, copy in self.faulty_network.deliveries(source.name, target.name, data):
+            self.clock.after(latency_ms + extra_ms, self._arrive, to, copy, source.address)
 
     def _arrive(self, to: Address, data: bytes, source: Address) -> None:
-        self.at[to].came(data, source)
+        self.hosts_by_address[to].on_datagram(data, source)
 
-    def stepped(self, host: Host, message: object) -> None:
+    def on_message_sent(self, host: Host, message: object) -> None:
         """A message goes out, or a vote was written: a controller may die right here."""
-        kind, left = self.dies_at
+        kind, count = self.crash_at
         if kind and host.name[0] == "c" and type(message).__name__ == kind:
-            self.dies_at = (kind, left - 1)
-            if left <= 1:
-                self.dies_at = ("", 0)
-                self.died = host.name
-                if self.stands_ms:
-                    self.stall(host.name, self.stands_ms)
+            self.crash_at = (kind, count - 1)
+            if count <= 1:
+                self.crash_at = ("", 0)
+                self.crashed_process = host.name
+                if self.crash_stall_ms:
+                    self.stall(host.name, self.crash_stall_ms)
                 else:
                     self.kill(host.name)
 
     # --- what happens ---------------------------------------------------------------------------
 
-    def order(self, controller: str, step: Step) -> Change:
+    def request_change(self, controller: str, step: Step) -> Change:
         """An operator's change, at this controller."""
-        self.tickets += 1
+        self.last_ticket += 1
         change = Change(step, self.clock.seconds)
-        self.changes[controller, self.tickets] = change
-        self.hosts[controller].post(ChangeRequested(self.tickets, step))
+        self.changes[controller, self.last_ticket] = change
+        self.hosts[controller].post(ChangeRequested(self.last_ticket, step))
         return change
 
-    def took(self, host: ControllerHost, state: ControlState) -> None:
-        self.checker.took(host.name, state)
-        for done in state.recent_steps:
-            if not done.step or done.version in self.agreed:
+    def on_committed(self, host: ControllerHost, state: ControlState) -> None:
+        self.checker.on_committed(host.name, state)
+        for committed in state.recent_steps:
+            if not committed.step or committed.version in self.committed_versions:
                 continue
-            self.agreed.add(done.version)
+            self.committed_versions.add(committed.version)
             for change in self.changes.values():
-                if change.agreed_s < 0.0 and (change.step is done.step or dict(change.step) == dict(done.step)):
-                    change.agreed_s, change.version = self.clock.seconds, done.version
+                if change.committed_s < 0.0 and (
+                    change.step is committed.step or dict(change.step) == dict(committed.step)
+                ):
+                    change.committed_s, change.version = self.clock.seconds, committed.version
                     for relay in self.relays:
-                        missing = change.missing.setdefault(relay.region, set())
-                        if relay.taken < done.version:
-                            missing.add(relay.name)
-                    self.open[done.version] = change
-                    self._in_force(done.version, change)
+                        pending_relays = change.pending_relays.setdefault(relay.region, set())
+                        if relay.applied_version < committed.version:
+                            pending_relays.add(relay.name)
+                    self.pending_changes[committed.version] = change
+                    self._update_in_force(committed.version, change)
                     break
 
-    def taken(self, host: RelayHost) -> None:
-        for version, change in list(self.open.items()):
-            if version <= host.taken:
-                self._in_force(version, change, host)
-        if host.taken >= host.wanted and host.name not in self.known_s:
-            self.known_s[host.name] = self.clock.seconds - host.began
+    def on_applied(self, host: RelayHost) -> None:
+        for version, change in list(self.pending_changes.items()):
+            if version <= host.applied_version:
+                self._update_in_force(version, change, host)
+        if host.applied_version >= host.newest_at_start and host.name not in self.catch_up_s:
+            self.catch_up_s[host.name] = self.clock.seconds - host.started_s
 
-    def _in_force(self, version: int, change: Change, host: Host | None = None) -> None:
+    def _update_in_force(self, version: int, change: Change, host: Host | None = None) -> None:
         """host: has it now, or has ended."""
         if host is not None:
-            change.missing.get(host.region, set[str]()).discard(host.name)
-        for region in [r for r, missing in change.missing.items() if not missing]:
-            change.regions_s[region] = self.clock.seconds
-            del change.missing[region]
-        if not change.missing:
+            change.pending_relays.get(host.region, set[str]()).discard(host.name)
+        for region in [r for r, pending_relays in change.pending_relays.items() if not pending_relays]:
+            change.in_force_s_by_region[region] = self.clock.seconds
+            del change.pending_relays[region]
+        if not change.pending_relays:
             change.in_force_s = self.clock.seconds
-            del self.open[version]
+            del self.pending_changes[version]
 
-    def answered(self, host: ControllerHost, answer: ChangeAnswered) -> None:
+    def on_answered(self, host: ControllerHost, answer: ChangeAnswered) -> None:
         change = self.changes[host.name, answer.ticket]
-        if change.answered is not None:
-            self.checker.broken(f"{host.name} answered an order twice")
-        change.answered, change.answered_s = answer.reason, self.clock.seconds
-        self.checker.answered(change, answer.version, answer.reason)
+        if change.answer is not None:
+            self.checker.report_violation(f"{host.name} answered an order twice")
+        change.answer, change.answered_s = answer.reason, self.clock.seconds
+        self.checker.on_answered(change, answer.version, answer.reason)
 
     def run(self, for_s: float) -> None:
         self.clock.run_until(self.clock.now() + 1000.0 * for_s)
 
-    def until(self, true: Callable[[], bool], within_s: float) -> float:
-        """After how many seconds it is true; below 0: not in time."""
-        began = self.clock.seconds
-        while not true():
-            if self.clock.seconds >= began + within_s:
+    def run_until(self, condition: Callable[[], bool], within_s: float) -> float:
+        """After how many seconds it is condition; below 0: not in time."""
+        started = self.clock.seconds
+        while not condition():
+            if self.clock.seconds >= started + within_s:
                 return -1.0
             self.run(0.05)
-        return self.clock.seconds - began
+        return self.clock.seconds - started
 
-    def newest(self) -> int:
-        return max(self.checker.contents)
+    def newest_version(self) -> int:
+        return max(self.checker.entries_by_version)
 
-    def all_have(self) -> bool:
+    def all_applied_newest(self) -> bool:
         """All living relays serve by the newest, but for those that cannot."""
-        newest = self.newest()
-        return all(relay.has(newest) for relay in self.relays)
+        newest_version = self.newest_version()
+        return all(relay.has_applied_or_rejected(newest_version) for relay in self.relays)
--- a/yarrowspindle/lab/model/configuration_defects.py
+++ b/yarrowspindle/lab/model/configuration_defects.py
@@ -25,12 +25,12 @@
 from yarrowspindle.configuration.status import ControllerStatus, StatusReporter
 from yarrowspindle.consensus.proposer import Proposer
 from yarrowspindle.lab.model import planted
-from yarrowspindle.lab.model.configuration_cluster import ControlParts
+from yarrowspindle.lab.model.configuration_cluster import ConfigurationComponents
 
 # --- the relay ----------------------------------------------------------------------------------
 
 
-class TakesOlder(Agent):
+class AdoptsOlderVersion(Agent):
     """Adopts what its controller has, also where that is older."""
 
     def _on_latest_version(self, message: LatestVersion) -> None:
@@ -38,7 +38,7 @@
             self.known_version, self.needs_snapshot = 0, True
 
 
-class OverAGap(Agent):
+class IgnoresMissingSteps(Agent):
     """Applies the steps that it received, also where one before them is missing."""
 
     def _on_delta(self, message: Delta) -> None:
@@ -49,7 +49,7 @@
             self._adopt(message.version, entries, message.digest)
 
 
-class NoDigest(Agent):
+class IgnoresDigest(Agent):
     """Adopts a version whatever its digest."""
 
     def _adopt(self, version: int, entries: Entries, digest: bytes) -> None:
@@ -59,14 +59,14 @@
         self._send_heartbeat_to_current()
 
 
-class NoCheck(Agent):
+class SkipsCheck(Agent):
     """Serves by whatever was committed."""
 
-    def __init__(self, controllers: Any, check: EntriesCheck, *more: Any) -> None:
-        super().__init__(controllers, lambda entries: "", *more)
+    def __init__(self, controllers: Any, check: EntriesCheck, *arguments: Any) -> None:
+        super().__init__(controllers, lambda entries: "", *arguments)
 
 
-class ServesOn(Agent):
+class ReportsRejectedAsApplied(Agent):
     """Reports a version that it rejected as applied."""
 
     def _reject(self, reason: str) -> None:
@@ -77,46 +77,46 @@
 # --- the controller -----------------------------------------------------------------------------
 
 
-class ProposalsThatSettleTwice(ChangeProposals):
+class ProposalsSettlingTwice(ChangeProposals):
     """An order that is delivered again is settled again."""
 
     def _settle_queued_orders(self, state: ControlState) -> ControlState | None:
-        found = state
+        new_state = state
         for order in self.orders_in_turn():
-            found = found.settle(order, self.context.check) or self._settle_again(found, order) or found
-        return found if found.version > state.version else None
+            new_state = new_state.settle(order, self.context.check) or self._settle_again(new_state, order) or new_state
+        return new_state if new_state.version > state.version else None
 
     def _settle_again(self, state: ControlState, order: ChangeOrder) -> ControlState | None:
         if not state.is_settled(order):
             return None
         before = (order.incarnation, order.number - 1)
         last_settled = dict(state.last_settled) | {order.accepted_by: before}
-        found = replace(state, last_settled=last_settled).settle(order, self.context.check)
-        return found and replace(found, last_settled=dict(state.last_settled))
+        new_state = replace(state, last_settled=last_settled).settle(order, self.context.check)
+        return new_state and replace(new_state, last_settled=dict(state.last_settled))
 
 
 class SettlesTwice(Controller):
     """An order that is delivered again is settled again."""
 
-    proposals_type = ProposalsThatSettleTwice
+    proposals_type = ProposalsSettlingTwice
 
 
-class ProposalsOutOfTurn(ChangeProposals):
+class ProposalsSettlingOutOfOrder(ChangeProposals):
     """An order is settled though one before it is not."""
 
     def _settle_queued_orders(self, state: ControlState) -> ControlState | None:
-        found = state
+        new_state = state
         for order in reversed(self.orders_in_turn()):
-            if not found.is_settled(order):
-                last_settled = dict(found.last_settled) | {order.accepted_by: (order.incarnation, order.number - 1)}
-                found = replace(found, last_settled=last_settled).settle(order, self.context.check) or found
-        return found if found.version > state.version else None
+            if not new_state.is_settled(order):
+                last_settled = dict(new_state.last_settled) | {order.accepted_by: (order.incarnation, order.number - 1)}
+                new_state = replace(new_state, last_settled=last_settled).settle(order, self.context.check) or new_state
+        return new_state if new_state.version > state.version else None
 
 
-class OutOfTurn(Controller):
+class SettlesOutOfOrder(Controller):
     """An order is settled though one before it is not."""
 
-    proposals_type = ProposalsOutOfTurn
+    proposals_type = ProposalsSettlingOutOfOrder
 
 
 class ProposalsWithoutCheck(ChangeProposals):
@@ -124,12 +124,12 @@
 
     def _settle_queued_orders(self, state: ControlState) -> ControlState | None:
         check, self.context.check = self.context.check, lambda entries: ""
-        found = super()._settle_queued_orders(state)
+        new_state = super()._settle_queued_orders(state)
         self.context.check = check
-        return found
+        return new_state
 
 
-class NoCheckAgain(Controller):
+class SkipsCheckBeforeProposal(Controller):
     """What was checked when it was accepted is not checked on the state that it is written into."""
 
     proposals_type = ProposalsWithoutCheck
@@ -139,14 +139,14 @@
     """The steps that are known are sent, also where one between them is missing."""
 
     def update_since(self, base: int) -> Delta | Snapshot:
-        found = super().update_since(base)
-        if isinstance(found, Snapshot) and base != NO_VERSION:
+        update = super().update_since(base)
+        if isinstance(update, Snapshot) and base != NO_VERSION:
             steps = [self.steps[n] for n in range(base + 1, self.version + 1) if n in self.steps]
-            found = Delta(base, self.version, self.digest, [dict(step) for step in steps][-MAX_RECENT_STEPS:])
-        return found
+            update = Delta(base, self.version, self.digest, [dict(step) for step in steps][-MAX_RECENT_STEPS:])
+        return update
 
 
-class LogOverAGap(Controller):
+class SendsIncompleteSteps(Controller):
     """The steps that are known are sent, also where one between them is missing."""
 
     committed_log_type = LogWithGaps
@@ -162,7 +162,7 @@
             self.on_committed()
 
 
-class PushesProposals(Controller):
+class PublishesUncommittedState(Controller):
     """Relays are sent what is not committed yet."""
 
     proposals_type = ProposalsBeforeCommit
@@ -176,13 +176,13 @@
         return super().status(own)
 
 
-class SaysTooEarly(Controller):
+class ReportsAppliedTooEarly(Controller):
     """A version counts as applied when all relays of the live controllers apply it, whoever joined or failed."""
 
     reporter_type = ReporterWithoutGrace
 
 
-class SessionsThatForget(RelaySessions):
+class SessionsDroppingDetachedRelays(RelaySessions):
     """A relay that detaches is removed at once."""
 
     def on_detach(self, sender: Sender, message: Detach) -> None:
@@ -191,13 +191,13 @@
             del self.relays[sender.address]
 
 
-class ForgetsWhoLeaves(Controller):
+class DropsDetachedRelays(Controller):
     """A relay that detaches is in no summary until its next controller counts it."""
 
-    sessions_type = SessionsThatForget
+    sessions_type = SessionsDroppingDetachedRelays
 
 
-class ChangesNumberedTooSoon(ChangeQueue):
+class ChangesRenumberedTooEarly(ChangeQueue):
     """Orders get new numbers before it is looked up whether they are settled under the old ones."""
 
     def _answer_settled(self) -> None:
@@ -207,13 +207,13 @@
         super()._answer_settled()
 
 
-class NumbersAnewTooSoon(Controller):
+class RenumbersTooEarly(Controller):
     """Orders get new numbers before it is looked up whether they are settled under the old ones."""
 
-    changes_type = ChangesNumberedTooSoon
+    changes_type = ChangesRenumberedTooEarly
 
 
-class BelievesOne(Proposer[ControlState]):
+class TrustsSingleAcceptor(Proposer[ControlState]):
     """Takes a state for committed that a single voter has accepted."""
 
     def _on_promise(self, now: Any, source: str, promise: Any) -> Any:
@@ -221,36 +221,36 @@
         return super()._on_promise(now, source, promise)
 
 
-def _part(kind: Any) -> Any:
+def _for_configuration(kind: Any) -> Any:
     """Of the register: the same for any state."""
     return kind
 
 
-DEFECTS: dict[str, ControlParts] = {
-    "forgets": ControlParts(forgets=True),
-    "lies": ControlParts(lies=True),
-    "unkept": ControlParts(unkept=True),
-    "older": ControlParts(agent=TakesOlder),
-    "gap": ControlParts(agent=OverAGap),
-    "digest": ControlParts(agent=NoDigest),
-    "unchecked": ControlParts(agent=NoCheck),
-    "serves on": ControlParts(agent=ServesOn),
-    "twice": ControlParts(controller=SettlesTwice),
-    "out of turn": ControlParts(controller=OutOfTurn),
-    "not checked again": ControlParts(controller=NoCheckAgain),
-    "log over a gap": ControlParts(controller=LogOverAGap),
-    "uncommitted": ControlParts(controller=PushesProposals),
-    "in force too early": ControlParts(controller=SaysTooEarly),
-    "forgets who leaves": ControlParts(controller=ForgetsWhoLeaves),
-    "numbers anew": ControlParts(controller=NumbersAnewTooSoon),
-    "believes one voter": ControlParts(proposer=BelievesOne),
-    "believes proposals": ControlParts(proposer=_part(planted.BelievesTooEarly)),
-    "not adopted": ControlParts(proposer=_part(planted.TrustsItself)),
-    "oldest promise": ControlParts(proposer=_part(planted.TakesTheOldest)),
-    "half": ControlParts(proposer=_part(planted.LessThanHalf)),
-    "counts twice": ControlParts(proposer=_part(planted.CountsTwice)),
-    "any ballot": ControlParts(proposer=_part(planted.AnyBallot)),
-    "breaks promises": ControlParts(voter=_part(planted.BreaksPromises)),
-    "promises nothing": ControlParts(voter=_part(planted.PromisesNothing)),
-    "hides": ControlParts(voter=_part(planted.HidesWhatItAccepted)),
+DEFECTS: dict[str, ConfigurationComponents] = {
+    "forgets": ConfigurationComponents(discard_acceptor_writes=True),
+    "lies": ConfigurationComponents(reuse_lost_identity=True),
+    "unkept": ConfigurationComponents(discard_relay_settings=True),
+    "older": ConfigurationComponents(agent=AdoptsOlderVersion),
+    "gap": ConfigurationComponents(agent=IgnoresMissingSteps),
+    "digest": ConfigurationComponents(agent=IgnoresDigest),
+    "unchecked": ConfigurationComponents(agent=SkipsCheck),
+    "serves on": ConfigurationComponents(agent=ReportsRejectedAsApplied),
+    "twice": ConfigurationComponents(controller=SettlesTwice),
+    "out of turn": ConfigurationComponents(controller=SettlesOutOfOrder),
+    "not checked again": ConfigurationComponents(controller=SkipsCheckBeforeProposal),
+    "log over a gap": ConfigurationComponents(controller=SendsIncompleteSteps),
+    "uncommitted": ConfigurationComponents(controller=PublishesUncommittedState),
+    "in force too early": ConfigurationComponents(controller=ReportsAppliedTooEarly),
+    "forgets who leaves": ConfigurationComponents(controller=DropsDetachedRelays),
+    "numbers anew": ConfigurationComponents(controller=RenumbersTooEarly),
+    "believes one voter": ConfigurationComponents(proposer=TrustsSingleAcceptor),
+    "believes proposals": ConfigurationComponents(proposer=_for_configuration(planted.BelievesTooEarly)),
+    "not adopted": ConfigurationComponents(proposer=_for_configuration(planted.TrustsItself)),
+    "oldest promise": ConfigurationComponents(proposer=_for_configuration(planted.TakesTheOldest)),
+    "half": ConfigurationComponents(proposer=_for_configuration(planted.LessThanHalf)),
+    "counts twice": ConfigurationComponents(proposer=_for_configuration(planted.CountsTwice)),
+    "any ballot": ConfigurationComponents(proposer=_for_configuration(planted.AnyBallot)),
+    "breaks promises": ConfigurationComponents(acceptor=_for_configuration(planted.BreaksPromises)),
+    "promises nothing": ConfigurationComponents(acceptor=_for_configuration(planted.PromisesNothing)),
+    "hides": ConfigurationComponents(acceptor=_for_configuration(planted.HidesWhatItAccepted)),
 }
--- a/yarrowspindle/lab/model/fleet.py
+++ b/yarrowspindle/lab/model/fleet.py
@@ -12,7 +12,7 @@
 from yarrowspindle.lab.model.backend import ModelBackend
 from yarrowspindle.lab.model.client import Client
 from yarrowspindle.lab.model.clock import VirtualClock
-from yarrowspindle.lab.model.peer_load_exchange import Talk
+from yarrowspindle.lab.model.peer_load_exchange import PeerLoadExchange
 from yarrowspindle.lab.model.relay import ModelRelay, machine
 from yarrowspindle.lab.model.rules import Rules
 from yarrowspindle.rebalancing import RebalanceSettings
@@ -144,7 +144,7 @@
         self.settings, self.starts = settings, 0
         self.relays = [self._relay(i) for i in range(spec.relays)]
         self.weights = list(spec.weights) or [1.0] * spec.relays
-        self.talk = Talk(self.clock, seed, spec.peers, dict(spec.peer_keys)) if spec.peers else None
+        self.talk = PeerLoadExchange(self.clock, seed, spec.peers, dict(spec.peer_keys)) if spec.peers else None
         for relay in self.relays:
             self._join(relay)
         whole = self.whole_list()
@@ -165,7 +165,7 @@
 
     def _join(self, relay: ModelRelay) -> None:
         if self.talk is not None:
-            self.talk.join(
+            self.talk.add_relay(
                 relay.index,
                 relay.reducer.balancer.backends.values,
                 lambda others: relay.post(PeerLoadsUpdated(others)),
@@ -175,7 +175,7 @@
         """It ends at once; what it held breaks."""
         self.relays[index].die()
         if self.talk is not None:
-            self.talk.end(index)
+            self.talk.remove_relay(index)
 
     def start_relay(self, index: int) -> None:
         self._start_again(index)
--- a/yarrowspindle/lab/model/lease_simulation.py
+++ b/yarrowspindle/lab/model/lease_simulation.py
@@ -12,81 +12,83 @@
 from yarrowspindle.lab.model.clock import VirtualClock
 from yarrowspindle.subsets.leases import MIN_NEED_FRACTION, HeldLease, LeaseGrant, LeaseRequest, QuotaHolder, QuotaPool
 
-TERM_MS, STEP_MS = 2000.0, 50.0
-TOTAL, RESERVE, BANKS = 1000.0, 0.2, 5
+TERM_MS, CHECK_INTERVAL_MS = 2000.0, 50.0
+TOTAL_QUOTA, RESERVE_FRACTION, POOL_COUNT = 1000.0, 0.2, 5
 
 
 @dataclass(slots=True, frozen=True)
-class Parts:
-    bank: type[QuotaPool] = QuotaPool
-    borrower: type[QuotaHolder] = QuotaHolder
+class LeaseComponents:
+    pool: type[QuotaPool] = QuotaPool
+    holder: type[QuotaHolder] = QuotaHolder
 
 
 @dataclass(slots=True)
-class LeaseDay:
+class LeaseResult:
     """most: leased over total, the most at any instant. least_s: how long after the faults all needs are met within 3 %
     (below 0: not within 10 s)."""
 
-    most: float = 0.0
-    met_s: float = -1.0
+    max_leased_fraction: float = 0.0
+    needs_met_s: float = -1.0
     faults: list[Fault] = field(default_factory=list)
 
 
 class LeaseRelay:
-    def __init__(self, world: LeaseWorld, name: str, incarnation: int) -> None:
-        self.world, self.name = world, name
-        self.alive, self.stalled_until, self.rate = True, 0.0, world.random.uniform(0.98, 1.02)
-        self.ahead = world.random.uniform(0.0, 600_000.0)
-        solo = RESERVE * TOTAL / len(world.names)
-        banks = tuple(world.names[:BANKS])
-        self.borrower = world.parts.borrower(incarnation, solo, TERM_MS, banks)
-        part = (1.0 - RESERVE) * TOTAL / len(banks)
-        self.bank = world.parts.bank(part, TERM_MS, self.now()) if name in banks else None
-        world.clock.after(world.random.uniform(0.0, 500.0), self.beat)
+    def __init__(self, cluster: LeaseCluster, name: str, incarnation: int) -> None:
+        self.cluster, self.name = cluster, name
+        self.alive, self.stalled_until, self.clock_rate = True, 0.0, cluster.random.uniform(0.98, 1.02)
+        self.clock_offset_ms = cluster.random.uniform(0.0, 600_000.0)
+        reserve = RESERVE_FRACTION * TOTAL_QUOTA / len(cluster.names)
+        pools = tuple(cluster.names[:POOL_COUNT])
+        self.holder = cluster.components.holder(incarnation, reserve, TERM_MS, pools)
+        quota = (1.0 - RESERVE_FRACTION) * TOTAL_QUOTA / len(pools)
+        self.pool = cluster.components.pool(quota, TERM_MS, self.now()) if name in pools else None
+        cluster.clock.after(cluster.random.uniform(0.0, 500.0), self.send_requests)
 
     def now(self) -> float:
         """Its own clock, that runs up to 2 % apart."""
-        return self.ahead + self.rate * (self.world.clock.now() - self.world.clock.start)
+        return self.clock_offset_ms + self.clock_rate * (self.cluster.clock.now() - self.cluster.clock.start)
 
     @property
-    def awake(self) -> bool:
-        return self.alive and self.world.clock.now() >= self.stalled_until
+    def running(self) -> bool:
+        return self.alive and self.cluster.clock.now() >= self.stalled_until
 
-    def beat(self) -> None:
+    def send_requests(self) -> None:
         if not self.alive:
             return
-        self.world.clock.after(TERM_MS / 4.0 * self.world.random.uniform(0.8, 1.2), self.beat)
-        if self.awake:
-            for bank, ask in self.borrower.requests(self.now(), self.world.needs[self.name]):
-                self.world.send(self.name, bank, ask)
+        self.cluster.clock.after(TERM_MS / 4.0 * self.cluster.random.uniform(0.8, 1.2), self.send_requests)
+        if self.running:
+            for pool, request in self.holder.requests(self.now(), self.cluster.needs[self.name]):
+                self.cluster.send(self.name, pool, request)
 
-    def came(self, source: str, message: Any) -> None:
+    def on_message(self, source: str, message: Any) -> None:
         if not self.alive:
             return
-        if not self.awake:  # it waits in the socket
-            self.world.clock.after(self.stalled_until - self.world.clock.now() + 1.0, self.came, source, message)
+        if not self.running:  # it waits in the socket
+            self.cluster.clock.after(
+                self.stalled_until - self.cluster.clock.now() + 1.0, self.on_message, source, message
+            )
         elif isinstance(message, LeaseRequest):
-            answer = self.bank.on_request(self.now(), source, message) if self.bank is not None else None
+            answer = self.pool.on_request(self.now(), source, message) if self.pool is not None else None
             if answer is not None:
-                self.world.send(self.name, source, answer)
+                self.cluster.send(self.name, source, answer)
         else:
-            self.borrower.on_grant(self.now(), source, message)
+            self.holder.on_grant(self.now(), source, message)
 
     def budget(self) -> float:
         """What it may spend; also a stopped one, which could go on at this instant."""
-        return self.borrower.budget(self.now()) if self.alive else 0.0
+        return self.holder.budget(self.now()) if self.alive else 0.0
 
 
-class LeaseWorld:
-    def __init__(self, relays: int, seed: int, parts: Parts | None = None) -> None:
+class LeaseCluster:
+    def __init__(self, relays: int, seed: int, components: LeaseComponents | None = None) -> None:
         self.clock, self.random, self.faulty_network = VirtualClock(), Random(f"leases {seed}"), FaultyNetwork(seed)
-        self.parts, self.names = parts or Parts(), relay_names(relays)
+        self.components, self.names = components or LeaseComponents(), relay_names(relays)
         self.needs = {name: self.random.choice((0.0, 20.0, 100.0, 400.0)) for name in self.names}
         self.relays: dict[str, LeaseRelay] = {}
-        self.incarnations, self.most = 0, 0.0
+        self.incarnations, self.max_leased_fraction = 0, 0.0
         for name in self.names:
             self.start(name)
-        self.clock.after(STEP_MS, self._check)
+        self.clock.after(CHECK_INTERVAL_MS, self._check)
 
     def start(self, name: str) -> None:
         if name in self.relays:
@@ -101,30 +103,35 @@
         self.relays[name].stalled_until = self.clock.now() + for_ms
 
     def send(self, source: str, target: str, message: Any) -> None:
-        for late, copy in self.faulty_network.deliveries(source, target, b"x"):
+        for delay_ms, copy in self.faulty_network.deliveries(source, target, b"x"):
             if copy == b"x":
-                self.clock.after(late + self.random.uniform(0.1, 5.0), self._arrive, source, target, message)
+                self.clock.after(delay_ms + self.random.uniform(0.1, 5.0), self._arrive, source, target, message)
 
     def _arrive(self, source: str, target: str, message: Any) -> None:
-        self.relays[target].came(source, message)
+        self.relays[target].on_message(source, message)
 
     def _check(self) -> None:
-        self.clock.after(STEP_MS * self.random.uniform(0.2, 1.0), self._check)
-        self.most = max(self.most, sum(relay.budget() for relay in self.relays.values()) / TOTAL)
+        self.clock.after(CHECK_INTERVAL_MS * self.random.uniform(0.2, 1.0), self._check)
+        self.max_leased_fraction = max(
+            self.max_leased_fraction, sum(relay.budget() for relay in self.relays.values()) / TOTAL_QUOTA
+        )
 
-    def met(self) -> bool:
+    def needs_met(self) -> bool:
         """Each living relay has what an even division by need gives it, within 3 % of it."""
-        banks = sum(relay.alive and relay.bank is not None for relay in self.relays.values())
-        solo, part = RESERVE * TOTAL / len(self.names), (1.0 - RESERVE) * TOTAL / min(BANKS, len(self.names))
-        living = [relay for relay in self.relays.values() if relay.alive]
-        least = MIN_NEED_FRACTION * part * banks / len(living)  # who needs nothing has that for a first need
-        wanted = {relay.name: max(self.needs[relay.name] - solo, least) for relay in living}
-        left, waiting = part * banks, len(living)
-        for name, need in sorted(wanted.items(), key=lambda item: item[1]):
-            due = min(need, left / waiting)
-            if self.relays[name].budget() < 0.97 * (solo + due):
+        pools = sum(relay.alive and relay.pool is not None for relay in self.relays.values())
+        reserve, quota = (
+            RESERVE_FRACTION * TOTAL_QUOTA / len(self.names),
+            (1.0 - RESERVE_FRACTION) * TOTAL_QUOTA / min(POOL_COUNT, len(self.names)),
+        )
+        live_relays = [relay for relay in self.relays.values() if relay.alive]
+        min_need = MIN_NEED_FRACTION * quota * pools / len(live_relays)  # who needs nothing has that for a first need
+        needs = {relay.name: max(self.needs[relay.name] - reserve, min_need) for relay in live_relays}
+        remaining, waiting = quota * pools, len(live_relays)
+        for name, need in sorted(needs.items(), key=lambda item: item[1]):
+            share = min(need, remaining / waiting)
+            if self.relays[name].budget() < 0.97 * (reserve + share):
                 return False
-            left, waiting = left - due, waiting - 1
+            remaining, waiting = remaining - share, waiting - 1
         return True
 
     def run(self, seconds: float) -> None:
@@ -134,7 +141,7 @@
 # --- defects, planted -----------------------------------------------------------------------------
 
 
-class NoMargin(QuotaPool):
+class NoClockMargin(QuotaPool):
     """Counts a loan as over as soon as its term is, by a clock that may run faster than the borrower's."""
 
     @property
@@ -142,106 +149,106 @@
         return 0.98 * self.term_ms
 
 
-class OpensAtOnce(QuotaPool):
+class GrantsDirectlyAfterStart(QuotaPool):
     """Lends though loans of the process before it may be in use."""
 
-    def __init__(self, part: float, term_ms: float, now: float) -> None:
-        super().__init__(part, term_ms, now)
+    def __init__(self, quota: float, term_ms: float, now: float) -> None:
+        super().__init__(quota, term_ms, now)
         self.grants_from = now
 
 
-class ForgetsWhatItLent(QuotaPool):
+class KeepsOnlyNewestLease(QuotaPool):
     """Takes the newest loan for the only one."""
 
-    def on_request(self, now: float, name: str, ask: LeaseRequest) -> LeaseGrant | None:
-        answer = super().on_request(now, name, ask)
-        account = self.accounts.get((name, ask.incarnation))
+    def on_request(self, now: float, name: str, request: LeaseRequest) -> LeaseGrant | None:
+        answer = super().on_request(now, name, request)
+        account = self.accounts.get((name, request.incarnation))
         if answer is not None and account is not None:
-            account.leases = {ask.number: account.leases[ask.number]}
+            account.leases = {request.number: account.leases[request.number]}
         return answer
 
 
-class LendsByShareAlone(QuotaPool):
+class IgnoresOutstandingLeases(QuotaPool):
     """Lends what is due to each, whatever others still have."""
 
-    def _free(self, now: float, who: tuple[str, int]) -> float:
+    def _free(self, now: float, holder: tuple[str, int]) -> float:
         return self.quota
 
 
-class CountsFromTheAnswer(QuotaHolder):
+class CountsTermFromGrant(QuotaHolder):
     """Counts its term from when the answer came."""
 
-    def on_grant(self, now: float, bank: str, lend: LeaseGrant) -> None:
-        before = self.leases[bank].number
-        super().on_grant(now, bank, lend)
-        if self.leases[bank].number != before:
-            self.leases[bank].until = now + self.term_ms
+    def on_grant(self, now: float, pool: str, grant: LeaseGrant) -> None:
+        before = self.leases[pool].number
+        super().on_grant(now, pool, grant)
+        if self.leases[pool].number != before:
+            self.leases[pool].until = now + self.term_ms
 
 
-class NeverEnds(QuotaHolder):
+class IgnoresLeaseEnd(QuotaHolder):
     """Spends its last loan until it hears of another."""
 
     def budget(self, now: float) -> float:
         return self.reserve + sum(held.amount for held in self.leases.values())
 
 
-class TakesAnyAnswer(QuotaHolder):
+class AcceptsAnyGrant(QuotaHolder):
     """Takes doubled and old answers, each as if it came in time."""
 
-    def on_grant(self, now: float, bank: str, lend: LeaseGrant) -> None:
-        self.leases[bank] = HeldLease(max(lend.number, self.leases[bank].number), lend.amount, now + self.term_ms)
+    def on_grant(self, now: float, pool: str, grant: LeaseGrant) -> None:
+        self.leases[pool] = HeldLease(max(grant.number, self.leases[pool].number), grant.amount, now + self.term_ms)
 
 
-class KeepsTheLarger(QuotaHolder):
+class KeepsLargerLease(QuotaHolder):
     """Gives nothing back before its end."""
 
-    def on_grant(self, now: float, bank: str, lend: LeaseGrant) -> None:
-        had = self.leases[bank]
-        super().on_grant(now, bank, lend)
-        if now < had.until and had.amount > self.leases[bank].amount:
-            self.leases[bank].amount = had.amount
+    def on_grant(self, now: float, pool: str, grant: LeaseGrant) -> None:
+        previous = self.leases[pool]
+        super().on_grant(now, pool, grant)
+        if now < previous.until and previous.amount > self.leases[pool].amount:
+            self.leases[pool].amount = previous.amount
 
 
 DEFECTS = {
-    "no margin": Parts(bank=NoMargin),
-    "lends at once after a start": Parts(bank=OpensAtOnce),
-    "forgets what it lent": Parts(bank=ForgetsWhatItLent),
-    "lends by share alone": Parts(bank=LendsByShareAlone),
-    "counts from the answer": Parts(borrower=CountsFromTheAnswer),
-    "never ends": Parts(borrower=NeverEnds),
-    "takes any answer": Parts(borrower=TakesAnyAnswer),
-    "keeps the larger": Parts(borrower=KeepsTheLarger),
+    "no margin": LeaseComponents(pool=NoClockMargin),
+    "lends at once after a start": LeaseComponents(pool=GrantsDirectlyAfterStart),
+    "forgets what it lent": LeaseComponents(pool=KeepsOnlyNewestLease),
+    "lends by share alone": LeaseComponents(pool=IgnoresOutstandingLeases),
+    "counts from the answer": LeaseComponents(holder=CountsTermFromGrant),
+    "never ends": LeaseComponents(holder=IgnoresLeaseEnd),
+    "takes any answer": LeaseComponents(holder=AcceptsAnyGrant),
+    "keeps the larger": LeaseComponents(holder=KeepsLargerLease),
 }
 
 
-def play_leases(
-    relays: int, seed: int, words: Sequence[str], faults_s: float = 12.0, parts: Parts | None = None
-) -> LeaseDay:
-    world = LeaseWorld(relays, seed, parts)
-    day = LeaseDay(faults=schedule(words, world.names, ["n0"], seed, 3.0, faults_s, 8.0))
-    for fault in day.faults:
-        at, ends = 1000.0 * fault.start_s, 1000.0 * fault.end_s
+def run_lease_scenario(
+    relays: int, seed: int, kinds: Sequence[str], faults_s: float = 12.0, components: LeaseComponents | None = None
+) -> LeaseResult:
+    cluster = LeaseCluster(relays, seed, components)
+    result = LeaseResult(faults=schedule(kinds, cluster.names, ["n0"], seed, 3.0, faults_s, 8.0))
+    for fault in result.faults:
+        start_ms, end_ms = 1000.0 * fault.start_s, 1000.0 * fault.end_s
         if fault.kind == "kill":
-            world.clock.after(at, world.kill, fault.participants[0])
-            world.clock.after(ends, world.start, fault.participants[0])
+            cluster.clock.after(start_ms, cluster.kill, fault.participants[0])
+            cluster.clock.after(end_ms, cluster.start, fault.participants[0])
         elif fault.kind == "stall":
-            world.clock.after(at, world.stall, fault.participants[0], ends - at)
+            cluster.clock.after(start_ms, cluster.stall, fault.participants[0], end_ms - start_ms)
         else:
-            world.clock.after(at, world.faulty_network.start, fault)
-            world.clock.after(ends, world.faulty_network.end, fault)
+            cluster.clock.after(start_ms, cluster.faulty_network.start, fault)
+            cluster.clock.after(end_ms, cluster.faulty_network.end, fault)
     if seed % 4 == 0:  # a bank that is back at once
-        bank, at = world.names[seed % min(BANKS, relays)], 1000.0 * world.random.uniform(4.0, 14.0)
-        world.clock.after(at, world.kill, bank)
-        world.clock.after(at + 200.0, world.start, bank)
+        pool, start_ms = cluster.names[seed % min(POOL_COUNT, relays)], 1000.0 * cluster.random.uniform(4.0, 14.0)
+        cluster.clock.after(start_ms, cluster.kill, pool)
+        cluster.clock.after(start_ms + 200.0, cluster.start, pool)
     for _ in range(int(faults_s)):
-        world.run(1.0)
-        name = world.random.choice(world.names)
-        world.needs[name] = world.random.choice((0.0, 20.0, 100.0, 400.0))
-    world.run(3.0)
-    began = world.clock.seconds
-    while world.clock.seconds < began + 10.0 and day.met_s < 0.0:
-        if world.met():
-            day.met_s = world.clock.seconds - began
-        world.run(0.25)
-    day.most = world.most
-    return day
+        cluster.run(1.0)
+        name = cluster.random.choice(cluster.names)
+        cluster.needs[name] = cluster.random.choice((0.0, 20.0, 100.0, 400.0))
+    cluster.run(3.0)
+    started_s = cluster.clock.seconds
+    while cluster.clock.seconds < started_s + 10.0 and result.needs_met_s < 0.0:
+        if cluster.needs_met():
+            result.needs_met_s = cluster.clock.seconds - started_s
+        cluster.run(0.25)
+    result.max_leased_fraction = cluster.max_leased_fraction
+    return result
--- a/yarrowspindle/lab/model/maintenance_model_checker.py
+++ b/yarrowspindle/lab/model/maintenance_model_checker.py
@@ -21,7 +21,7 @@
 
 from yarrowspindle.consensus.acceptor import Acceptor, AcceptorState
 from yarrowspindle.consensus.messages import NO_BALLOT
-from yarrowspindle.lab.model.maintenance_cluster import FIRST, Parts
+from yarrowspindle.lab.model.maintenance_cluster import INITIAL_IDENTITY, MaintenanceComponents
 from yarrowspindle.maintenance.codec import decode, encode
 from yarrowspindle.maintenance.commands import CompleteWork, OperatorCommand, QueueRequest
 from yarrowspindle.maintenance.coordinator import TICK, MaintenanceCoordinator
@@ -36,76 +36,85 @@
 from yarrowspindle.maintenance.requests import MaintenanceRequest
 from yarrowspindle.maintenance.state import FREE, BackendObservation, MaintenanceState
 
-NAMES, MACHINES = ("r0", "r1", "r2"), ("m0", "m1")
-SEEN = {machine: BackendObservation(0, 1.0, True) for machine in MACHINES}
-FAR_MS = 100_000.0  # past every wait
-IN_FLIGHT = 12  # messages that are kept; the oldest are lost
-_key = msgspec.msgpack.Encoder(order="deterministic").encode
+RELAYS, BACKENDS = ("r0", "r1", "r2"), ("m0", "m1")
+OBSERVATIONS = {backend: BackendObservation(0, 1.0, True) for backend in BACKENDS}
+AFTER_ALL_TIMEOUTS_MS = 100_000.0  # past every wait
+MAX_IN_FLIGHT = 12  # messages that are kept; the oldest are lost
+_encode = msgspec.msgpack.Encoder(order="deterministic").encode
 
 
-class Still:
+class FixedRandom:
     """No chance here."""
 
     def random(self) -> float:
         return 0.0
 
-    def uniform(self, least: float, most: float) -> float:
-        return least
+    def uniform(self, low: float, high: float) -> float:
+        return low
 
-    def sample(self, some: list[str], most: int) -> list[str]:
-        return some[:most]
+    def sample(self, items: list[str], count: int) -> list[str]:
+        return items[:count]
 
 
 @dataclass(slots=True, frozen=True)
-class One:
-    """A relay: its core and voter as bytes, and what it holds."""
+class RelaySnapshot:
+    """A relay: its core and acceptor as bytes, and what it holds."""
 
     core: bytes
-    holds: frozenset[str]
+    used_backends: frozenset[str]
 
 
 @dataclass(slots=True, frozen=True)
 class State:
-    relays: tuple[One, ...]
+    relays: tuple[RelaySnapshot, ...]
     messages: tuple[tuple[str, str, bytes], ...]
     committed: tuple[tuple[int, bytes], ...]  # version -> digest, as any relay has taken it up
     newest: MaintenanceState
     crashes: int = 1
-    places: int = 1
+    placements: int = 1
     path: tuple[str, ...] = ()
 
     def key(self) -> bytes:
-        parts = [(one.core, sorted(one.holds)) for one in self.relays]
-        text = _key([parts, sorted(self.messages), self.committed, self.crashes, self.places])
-        return blake2b(text, digest_size=16).digest()
+        relays = [(relay.core, sorted(relay.used_backends)) for relay in self.relays]
+        encoded = _encode([relays, sorted(self.messages), self.committed, self.crashes, self.placements])
+        return blake2b(encoded, digest_size=16).digest()
 
 
-class Broken(Exception):
+class InvariantViolationError(Exception):
     """A rule does not hold; the text says which, and by which way."""
 
 
 Loaded = tuple[MaintenanceCoordinator, Acceptor[MaintenanceState]]
 
 
-def _store(kept: AcceptorState[MaintenanceState]) -> None:
-    """The voter's bytes outlive a crash."""
+def _store(stored: AcceptorState[MaintenanceState]) -> None:
+    """The acceptor's bytes outlive a crash."""
 
 
-def _forget(kept: AcceptorState[MaintenanceState]) -> None:
+def _discard(stored: AcceptorState[MaintenanceState]) -> None:
     """Planted: nothing is written. `crash` looks for this."""
 
 
-def made(parts: Parts, name: str, kept: AcceptorState[MaintenanceState], key: str = "first") -> Loaded:
-    voter = parts.voter(kept, _forget if parts.forgets else _store, float)
-    core = parts.turns(
-        name, key, parts.state(dict.fromkeys(NAMES, FIRST)), FIRST, kept.state, 1, FAR_MS, parts.proposer
+def create_relay(
+    components: MaintenanceComponents, name: str, stored: AcceptorState[MaintenanceState], key: str = "first"
+) -> Loaded:
+    acceptor = components.acceptor(stored, _discard if components.discard_acceptor_writes else _store, float)
+    core = components.coordinator(
+        name,
+        key,
+        components.state(dict.fromkeys(RELAYS, INITIAL_IDENTITY)),
+        INITIAL_IDENTITY,
+        stored.state,
+        1,
+        AFTER_ALL_TIMEOUTS_MS,
+        components.proposer,
     )
-    core.random = core.proposer.random = Still()  # type: ignore[assignment]
+    core.random = core.proposer.random = FixedRandom()  # type: ignore[assignment]
     core.take_effects()
-    return core, voter
+    return core, acceptor
 
 
-def packed(loaded: Loaded, holds: frozenset[str]) -> One:
+def take_snapshot(loaded: Loaded, used_backends: frozenset[str]) -> RelaySnapshot:
     """Times are folded away, so that states which differ by them alone are one."""
     core = loaded[0]
     core.now = core.round_started_at = core.majority_reached_at = core.reminded_at = 0.0
@@ -113,37 +122,41 @@
     core.version_confirmed_at = core.started_at = 0.0
     core.last_fault_at = core.observed_at = core.observations_valid_from = 0.0
     core.failed_rounds, core.failure_reason = 0, ""
-    return One(pickle.dumps(loaded), holds)
+    return RelaySnapshot(pickle.dumps(loaded), used_backends)
 
 
-def step(state: State, index: int, what: str, act: Callable[[Loaded, set[str]], list[Any]], without: int = -1) -> State:
+def step(
+    state: State, index: int, description: str, action: Callable[[Loaded, set[str]], list[Any]], delivered: int = -1
+) -> State:
     """One relay takes a step; `without`: the message that came by it."""
-    one, name = state.relays[index], NAMES[index]
-    loaded: Loaded = pickle.loads(one.core)
-    core, voter = loaded
-    core.now, core.observed_at, core.observations_valid_from = FAR_MS, FAR_MS, 0.0
-    holds = set(one.holds)
-    messages = [m for number, m in enumerate(state.messages) if number != without]
+    snapshot, name = state.relays[index], RELAYS[index]
+    loaded: Loaded = pickle.loads(snapshot.core)
+    core, acceptor = loaded
+    core.now, core.observed_at, core.observations_valid_from = AFTER_ALL_TIMEOUTS_MS, AFTER_ALL_TIMEOUTS_MS, 0.0
+    used_backends = set(snapshot.used_backends)
+    messages = [m for number, m in enumerate(state.messages) if number != delivered]
     committed, newest = dict(state.committed), state.newest
-    path = (*state.path, what)
-    effects = deque(act(loaded, holds))
+    path = (*state.path, description)
+    effects = deque(action(loaded, used_backends))
     while effects:
         effect = effects.popleft()
         if isinstance(effect, AskAcceptor):
-            effect = SendMessage(effect.source, voter.on_message(effect.message))
+            effect = SendMessage(effect.source, acceptor.on_message(effect.message))
         if isinstance(effect, SendMessage) and effect.destination == name:
-            effects.extend(core.step(FAR_MS, MessageReceived(name, effect.message)))
+            effects.extend(core.step(AFTER_ALL_TIMEOUTS_MS, MessageReceived(name, effect.message)))
         elif isinstance(effect, SendMessage):
             messages.append((name, effect.destination, encode(effect.message)))
         elif isinstance(effect, StateCommitted):
-            digest = blake2b(_key(effect.state), digest_size=8).digest()
+            digest = blake2b(_encode(effect.state), digest_size=8).digest()
             if committed.setdefault(effect.state.version, digest) != digest:
-                raise Broken(f"two states of version {effect.state.version}: {' '.join(path)}")
+                raise InvariantViolationError(f"two states of version {effect.state.version}: {' '.join(path)}")
             if effect.state.version > newest.version:
                 newest = effect.state
-    messages = [m for m in messages if m[1] in NAMES][-IN_FLIGHT:]
-    relays = tuple(packed(loaded, frozenset(holds)) if n == index else r for n, r in enumerate(state.relays))
-    found = replace(
+    messages = [m for m in messages if m[1] in RELAYS][-MAX_IN_FLIGHT:]
+    relays = tuple(
+        take_snapshot(loaded, frozenset(used_backends)) if n == index else r for n, r in enumerate(state.relays)
+    )
+    successor = replace(
         state,
         relays=relays,
         messages=tuple(messages),
@@ -151,162 +164,169 @@
         newest=newest,
         path=path,
     )
-    for machine, out in newest.evacuations.items():
+    for backend, evacuation in newest.evacuations.items():
         for number, relay in enumerate(relays):
-            if out.stage == FREE and machine in relay.holds:
-                raise Broken(f"{NAMES[number]} holds at {machine}, which is free: {' '.join(path)}")
-    return found
+            if evacuation.stage == FREE and backend in relay.used_backends:
+                raise InvariantViolationError(f"{RELAYS[number]} holds at {backend}, which is free: {' '.join(path)}")
+    return successor
 
 
-def fleet(holds: set[str]) -> FleetObserved:
-    return FleetObserved(frozenset(holds), SEEN, NAMES)
+def observation(used_backends: set[str]) -> FleetObserved:
+    return FleetObserved(frozenset(used_backends), OBSERVATIONS, RELAYS)
 
 
-def beat(loaded: Loaded, holds: set[str]) -> list[Any]:
+def tick(loaded: Loaded, used_backends: set[str]) -> list[Any]:
     core = loaded[0]
-    return core.step(FAR_MS, TimerFired(TICK))
+    return core.step(AFTER_ALL_TIMEOUTS_MS, TimerFired(TICK))
 
 
-def came(source: str, data: bytes, loaded: Loaded, holds: set[str]) -> list[Any]:
-    return loaded[0].step(FAR_MS, MessageReceived(source, decode(data)))
+def deliver(source: str, data: bytes, loaded: Loaded, used_backends: set[str]) -> list[Any]:
+    return loaded[0].step(AFTER_ALL_TIMEOUTS_MS, MessageReceived(source, decode(data)))
 
 
-def look(loaded: Loaded, holds: set[str]) -> list[Any]:
-    return loaded[0].step(FAR_MS, fleet(holds))
+def observe(loaded: Loaded, used_backends: set[str]) -> list[Any]:
+    return loaded[0].step(AFTER_ALL_TIMEOUTS_MS, observation(used_backends))
 
 
-def leave(machine: str, loaded: Loaded, holds: set[str]) -> list[Any]:
-    holds.discard(machine)
-    return look(loaded, holds)
+def release_connection(backend: str, loaded: Loaded, used_backends: set[str]) -> list[Any]:
+    used_backends.discard(backend)
+    return observe(loaded, used_backends)
 
 
-def place(machine: str, loaded: Loaded, holds: set[str]) -> list[Any]:
-    holds.add(machine)
+def place_connection(backend: str, loaded: Loaded, used_backends: set[str]) -> list[Any]:
+    used_backends.add(backend)
     return []
 
 
-def ordered(order: OperatorCommand, loaded: Loaded, holds: set[str]) -> list[Any]:
-    return loaded[0].step(FAR_MS, order)
+def issue_command(command: OperatorCommand, loaded: Loaded, used_backends: set[str]) -> list[Any]:
+    return loaded[0].step(AFTER_ALL_TIMEOUTS_MS, command)
 
 
-def successors(state: State, parts: Parts) -> Iterator[State]:
+def successors(state: State, components: MaintenanceComponents) -> Iterator[State]:
     for number, (source, target, data) in enumerate(state.messages):
         if (source, target, data) not in state.messages[:number]:
             kind = f"{source}>{target}:{data[1]}"
-            after = step(state, NAMES.index(target), kind, partial(came, source, data), number)
-            if after.relays != state.relays or len(after.messages) >= len(state.messages):
-                yield after
-    for index, one in enumerate(state.relays):
-        name = NAMES[index]
-        core: MaintenanceCoordinator = pickle.loads(one.core)[0]
-        yield step(state, index, f"{name}!beat", beat)
-        for machine in MACHINES:
-            if machine in one.holds and core.adopted.excludes(machine):
-                yield step(state, index, f"{name}-{machine}", partial(leave, machine))
-            elif state.places and machine not in one.holds and core.may_place(machine):
-                yield replace(step(state, index, f"{name}+{machine}", partial(place, machine)), places=0)
+            successor = step(state, RELAYS.index(target), kind, partial(deliver, source, data), number)
+            if successor.relays != state.relays or len(successor.messages) >= len(state.messages):
+                yield successor
+    for index, snapshot in enumerate(state.relays):
+        name = RELAYS[index]
+        core: MaintenanceCoordinator = pickle.loads(snapshot.core)[0]
+        yield step(state, index, f"{name}!beat", tick)
+        for backend in BACKENDS:
+            if backend in snapshot.used_backends and core.adopted.excludes(backend):
+                yield step(state, index, f"{name}-{backend}", partial(release_connection, backend))
+            elif state.placements and backend not in snapshot.used_backends and core.may_place(backend):
+                yield replace(step(state, index, f"{name}+{backend}", partial(place_connection, backend)), placements=0)
         if not core.observed_since_adoption:
-            yield step(state, index, f"{name}!look", look)
-        for machine, out in core.adopted.evacuations.items():
-            order = CompleteWork(machine, out.number)
-            if out.stage == FREE and order not in core.commands:
-                yield step(state, index, f"{name}!done {machine}", partial(ordered, order))
+            yield step(state, index, f"{name}!look", observe)
+        for backend, evacuation in core.adopted.evacuations.items():
+            command = CompleteWork(backend, evacuation.number)
+            if evacuation.stage == FREE and command not in core.commands:
+                yield step(state, index, f"{name}!done {backend}", partial(issue_command, command))
         if state.crashes:
-            voter: Acceptor[MaintenanceState] = pickle.loads(one.core)[1]
-            first = parts.state(dict.fromkeys(NAMES, FIRST))
-            kept = AcceptorState(FIRST, NO_BALLOT, NO_BALLOT, first) if voter.store is _forget else voter.stored
-            again = packed(made(parts, name, kept, "second"), frozenset())
-            relays = tuple(again if n == index else r for n, r in enumerate(state.relays))
+            acceptor: Acceptor[MaintenanceState] = pickle.loads(snapshot.core)[1]
+            initial = components.state(dict.fromkeys(RELAYS, INITIAL_IDENTITY))
+            stored = (
+                AcceptorState(INITIAL_IDENTITY, NO_BALLOT, NO_BALLOT, initial)
+                if acceptor.store is _discard
+                else acceptor.stored
+            )
+            restarted = take_snapshot(create_relay(components, name, stored, "second"), frozenset())
+            relays = tuple(restarted if n == index else r for n, r in enumerate(state.relays))
             yield replace(state, relays=relays, crashes=0, path=(*state.path, f"{name}!crash"))
 
 
 STAGES = ("granted", "last", "free", "back")
 
 
-def begin(parts: Parts, stage: str) -> State:
+def initial_state(components: MaintenanceComponents, stage: str) -> State:
     """A start of the search, nothing on the way. granted: all have registered, both machines are asked for, each relay
     holds a connection at the first, whose turn all have taken up; last: but for one relay all have confirmed; free: all
     have; back: the work is done, and the second machine's turn is granted."""
-    first = parts.state(dict.fromkeys(NAMES, FIRST))
+    initial = components.state(dict.fromkeys(RELAYS, INITIAL_IDENTITY))
     relays = tuple(
-        packed(made(parts, name, AcceptorState(FIRST, NO_BALLOT, NO_BALLOT, first)), frozenset()) for name in NAMES
+        take_snapshot(
+            create_relay(components, name, AcceptorState(INITIAL_IDENTITY, NO_BALLOT, NO_BALLOT, initial)), frozenset()
+        )
+        for name in RELAYS
     )
-    state = State(relays, (), (), first)
+    state = State(relays, (), (), initial)
 
-    def settle(state: State, index: int, act: Callable[[Loaded, set[str]], list[Any]]) -> State:
-        state = step(state, index, "", act)
+    def settle(state: State, index: int, action: Callable[[Loaded, set[str]], list[Any]]) -> State:
+        state = step(state, index, "", action)
         while state.messages:
             source, target, data = state.messages[0]
-            state = step(state, NAMES.index(target), "", partial(came, source, data), 0)
+            state = step(state, RELAYS.index(target), "", partial(deliver, source, data), 0)
         return state
 
     for index in (2, 1, 0):
-        state = settle(state, index, beat)
+        state = settle(state, index, tick)
     for index in range(3):
-        state = settle(state, index, place_first)
-    state = settle(settle(state, 0, partial(ordered, QueueRequest(MaintenanceRequest(MACHINES), 0))), 0, beat)
-    todo = STAGES.index(stage)
-    if todo >= 1:
-        gone = (1, 2, 0)[: 3 if todo >= 2 else 2]
-        for index in gone:
-            state = settle(state, index, partial(leave, MACHINES[0]))
-        for index in gone * 2:
-            state = settle(settle(state, index, look), index, beat)
-    if todo >= 3:
-        turn = state.newest.evacuations[MACHINES[0]].number
-        state = settle(settle(state, 0, partial(ordered, CompleteWork(MACHINES[0], turn))), 0, beat)
+        state = settle(state, index, place_on_first_backend)
+    state = settle(settle(state, 0, partial(issue_command, QueueRequest(MaintenanceRequest(BACKENDS), 0))), 0, tick)
+    stage_index = STAGES.index(stage)
+    if stage_index >= 1:
+        released = (1, 2, 0)[: 3 if stage_index >= 2 else 2]
+        for index in released:
+            state = settle(state, index, partial(release_connection, BACKENDS[0]))
+        for index in released * 2:
+            state = settle(settle(state, index, observe), index, tick)
+    if stage_index >= 3:
+        number = state.newest.evacuations[BACKENDS[0]].number
+        state = settle(settle(state, 0, partial(issue_command, CompleteWork(BACKENDS[0], number))), 0, tick)
     return replace(state, path=())
 
 
-def place_first(loaded: Loaded, holds: set[str]) -> list[Any]:
-    holds.add(MACHINES[0])
-    return look(loaded, holds)
+def place_on_first_backend(loaded: Loaded, used_backends: set[str]) -> list[Any]:
+    used_backends.add(BACKENDS[0])
+    return observe(loaded, used_backends)
 
 
-def expanded(parts: Parts, states: list[State]) -> tuple[list[tuple[bytes, State]], str]:
-    found: dict[bytes, State] = {}
+def expand(components: MaintenanceComponents, states: list[State]) -> tuple[list[tuple[bytes, State]], str]:
+    successors_by_key: dict[bytes, State] = {}
     for state in states:
         try:
-            for after in successors(state, parts):
-                found.setdefault(after.key(), after)
-        except Broken as broken:
-            return [], str(broken)
-    return list(found.items()), ""
+            for successor in successors(state, components):
+                successors_by_key.setdefault(successor.key(), successor)
+        except InvariantViolationError as violation:
+            return [], str(violation)
+    return list(successors_by_key.items()), ""
 
 
 @dataclass(slots=True, frozen=True)
-class Explored:
+class Exploration:
     states: int
     depth: int
-    whole: bool  # all of that depth, not only as many as were allowed
-    broken: str = ""
+    complete: bool  # all of that depth, not only as many as were allowed
+    violation: str = ""
 
 
 def explore(
     depth: int,
-    most: int,
-    parts: Parts | None = None,
+    limit: int,
+    components: MaintenanceComponents | None = None,
     stage: str = "granted",
     pool: Executor | None = None,
     workers: int = 1,
-) -> Explored:
+) -> Exploration:
     """Level by level; stops at the depth, at so many states, or at the first broken rule."""
-    chosen = parts or Parts()
-    start = begin(chosen, stage)
+    selected_components = components or MaintenanceComponents()
+    start = initial_state(selected_components, stage)
     seen, level = {start.key()}, [start]
     for number in range(1, depth + 1):
-        after: list[State] = []
+        next_level: list[State] = []
         size = max(1, min(200, len(level) // workers + 1))
-        chunks = [level[at : at + size] for at in range(0, len(level), size)]
-        run = pool.map if pool is not None else map
-        for found, broken in run(partial(expanded, chosen), chunks):
-            if broken:
-                return Explored(len(seen), number, False, broken)
-            for key, state in found:
+        chunks = [level[offset : offset + size] for offset in range(0, len(level), size)]
+        mapper = pool.map if pool is not None else map
+        for successor_states, violation in mapper(partial(expand, selected_components), chunks):
+            if violation:
+                return Exploration(len(seen), number, False, violation)
+            for key, state in successor_states:
                 if key not in seen:
                     seen.add(key)
-                    after.append(state)
-            if len(seen) > most:
-                return Explored(len(seen), number - 1, False)
-        level = after
-    return Explored(len(seen), depth, True)
+                    next_level.append(state)
+            if len(seen) > limit:
+                return Exploration(len(seen), number - 1, False)
+        level = next_level
+    return Exploration(len(seen), depth, True)
--- a/yarrowspindle/lab/model/membership_cluster.py
+++ b/yarrowspindle/lab/model/membership_cluster.py
@@ -13,7 +13,7 @@
 from yarrowspindle.routing.address import Address
 from yarrowspindle.runtime.membership_driver import MembershipDriver
 
-MAX_WAITING = 300  # datagrams that wait in a stopped process's socket; more are lost
+MAX_QUEUED_EVENTS = 300  # datagrams that wait in a stopped process's socket; more are lost
 
 
 def address_of(index: int) -> Address:
@@ -25,80 +25,88 @@
 
     def __init__(
         self,
-        net: VirtualNet,
+        network: VirtualNetwork,
         index: int,
         incarnation: int,
-        own: Callable[[], LocalLoad],
-        told: Callable[[PeerLoads], None],
+        local_load: Callable[[], LocalLoad],
+        on_peer_loads: Callable[[PeerLoads], None],
     ) -> None:
-        self.net, self.index, self.own, self.told = net, index, own, told
+        self.network, self.index, self.local_load, self.on_peer_loads = network, index, local_load, on_peer_loads
         self.party, self.address = f"r{index}", address_of(index)
-        settings = net.settings(self.address, index)
+        settings = network.settings(self.address, index)
         # Each process has a clock of its own, that says nothing of the others'.
-        self.offset = net.random.uniform(0.0, 1e9)
-        self.made = (settings, net.names.get(index, self.party), incarnation, net.random.randrange(1 << 32), self.now())
-        self.core = Membership(*self.made)
-        self.driver = MembershipDriver(self.core, self.now, self._after, self._send, own, told, self._note)
+        self.clock_offset_ms = network.random.uniform(0.0, 1e9)
+        self.core_arguments = (
+            settings,
+            network.names.get(index, self.party),
+            incarnation,
+            network.random.randrange(1 << 32),
+            self.now(),
+        )
+        self.core = Membership(*self.core_arguments)
+        self.driver = MembershipDriver(
+            self.core, self.now, self._after, self._send, local_load, on_peer_loads, self._log
+        )
         self.log: list[tuple[float, str]] = []
         self.alive, self.stalled_until = True, 0.0
-        self.waiting: list[Event] = []
+        self.queued_events: list[Event] = []
 
     def now(self) -> float:
-        return self.net.clock.now() - self.net.clock.start + self.offset
+        return self.network.clock.now() - self.network.clock.start + self.clock_offset_ms
 
     def start(self) -> None:
         self.driver.start()
 
-    def _after(self, delay_ms: float, then: Callable[[], None]) -> object:
-        return self.net.clock.after(delay_ms, self._due, then)
+    def _after(self, delay_ms: float, callback: Callable[[], None]) -> object:
+        return self.network.clock.after(delay_ms, self._run_when_resumed, callback)
 
-    def _due(self, then: Callable[[], None]) -> None:
+    def _run_when_resumed(self, callback: Callable[[], None]) -> None:
         if not self.alive:
             return
-        left = self.stalled_until - self.net.clock.now()
-        if left > 0.0:
-            self.net.clock.after(left, self._due, then)
+        remaining_ms = self.stalled_until - self.network.clock.now()
+        if remaining_ms > 0.0:
+            self.network.clock.after(remaining_ms, self._run_when_resumed, callback)
         else:
-            then()
+            callback()
 
     def _send(self, to: Address, data: bytes) -> None:
-        self.net.send(self, to, data)
+        self.network.send(self, to, data)
 
-    def _note(self, text: str, bounded: bool) -> None:
+    def _log(self, text: str, bounded: bool) -> None:
         if len(self.log) < 10_000:
-            self.log.append((self.net.clock.seconds, text))
+            self.log.append((self.network.clock.seconds, text))
 
-    def came(self, data: bytes, source: Address) -> None:
+    def on_datagram(self, data: bytes, source: Address) -> None:
         if not self.alive:
             return
         event = DatagramReceived(data, source)
-        if self.stalled_until > self.net.clock.now():
-            if len(self.waiting) < MAX_WAITING:
-                self.waiting.append(event)
-                if len(self.waiting) == 1:
-                    self.net.clock.after(self.stalled_until - self.net.clock.now(), self._awake)
+        if self.stalled_until > self.network.clock.now():
+            if len(self.queued_events) < MAX_QUEUED_EVENTS:
+                self.queued_events.append(event)
+                if len(self.queued_events) == 1:
+                    self.network.clock.after(self.stalled_until - self.network.clock.now(), self._process_queued_events)
             return
         self.driver.post(event)
 
-    def _awake(self) -> None:
-        waiting, self.waiting = self.waiting, []
-        for event in waiting:
+    def _process_queued_events(self) -> None:
+        queued_events, self.queued_events = self.queued_events, []
+        for event in queued_events:
             if self.alive:
                 self.driver.post(event)
 
     def stall(self, for_ms: float) -> None:
-        self.stalled_until = max(self.stalled_until, self.net.clock.now() + for_ms)
+        self.stalled_until = max(self.stalled_until, self.network.clock.now() + for_ms)
 
-    def die(self) -> None:
+    def kill(self) -> None:
         self.alive = False
         self.driver.close()
 
     def leave(self) -> None:
         self.driver.post(LeaveCluster())
-        self.die()
+        self.kill()
 
 
-class VirtualNet:
+class VirtualNetwork:
     """`changes`: of the peers' settings. latency: of a datagram, in milliseconds. seeds: so many relays are seeds.
     cell: so many relays, by their index, are a cluster with seeds of its own; 0: all are one."""
 
@@ -109,64 +117,74 @@
         seeds: int = 2,
         latency: tuple[float, float] = (0.1, 2.0),
         cell: int = 0,
-        **changes: object,
+        **setting_overrides: object,
     ) -> None:
-        self.clock, self.seeds, self.latency, self.cell, self.changes = clock, seeds, latency, cell, changes
-        self.random, self.wires = Random(f"net {seed}"), Random(f"wires {seed}")
+        self.clock, self.seeds, self.latency, self.cell_size, self.setting_overrides = (
+            clock,
+            seeds,
+            latency,
+            cell,
+            setting_overrides,
+        )
+        self.random, self.latency_random = Random(f"net {seed}"), Random(f"wires {seed}")
         self.faulty_network = FaultyNetwork(seed)
         self.peers: dict[int, VirtualPeer] = {}
-        self.at: dict[Address, VirtualPeer] = {}
+        self.peers_by_address: dict[Address, VirtualPeer] = {}
         self.names: dict[int, str] = {}
         self.incarnations = 0
         self.bytes = self.datagrams = 0
 
     def settings(self, address: Address, index: int) -> PeerSettings:
-        changes, first = dict(self.changes), 0
-        if self.cell:
-            first = index - index % self.cell
-            changes["cluster"] = f"cell{index // self.cell}"
-        return PeerSettings(address, tuple(address_of(first + n) for n in range(self.seeds)), **changes)  # type: ignore[arg-type]
-
-    def add(self, index: int, own: Callable[[], LocalLoad], told: Callable[[PeerLoads], None]) -> VirtualPeer:
+        setting_overrides, first_index = dict(self.setting_overrides), 0
+        if self.cell_size:
+            first_index = index - index % self.cell_size
+            setting_overrides["cluster"] = f"cell{index // self.cell_size}"
+        return PeerSettings(address, tuple(address_of(first_index + n) for n in range(self.seeds)), **setting_overrides)  # type: ignore[arg-type]
+
+    def add(
+        self, index: int, local_load: Callable[[], LocalLoad], on_peer_loads: Callable[[PeerLoads], None]
+    ) -> VirtualPeer:
         """A process of this relay starts now; one that was there must have ended."""
         self.incarnations += 1
-        peer = VirtualPeer(self, index, self.incarnations, own, told)
-        self.peers[index] = self.at[peer.address] = peer
+        peer = VirtualPeer(self, index, self.incarnations, local_load, on_peer_loads)
+        self.peers[index] = self.peers_by_address[peer.address] = peer
         peer.start()
         return peer
 
     def send(self, source: VirtualPeer, to: Address, data: bytes) -> None:
         self.bytes += len(data)
         self.datagrams += 1
-        target = self.at.get(to)
+        target = self.peers_by_address.get(to)
         if target is None:
             return
-        for late, copy in self.faulty_network.deliveries(source.party, target.party, data):
-            self.clock.after(late + self.wires.uniform(*self.latency), self._arrive, to, copy, source.address)
+        for delay_ms, copy in self.faulty_network.deliveries(source.party, target.party, data):
+            self.clock.after(
+                delay_ms + self.latency_random.uniform(*self.latency), self._arrive, to, copy, source.address
+            )
 
     def _arrive(self, to: Address, data: bytes, source: Address) -> None:
-        target = self.at.get(to)
+        target = self.peers_by_address.get(to)
         if target is not None:
-            target.came(data, source)
+            target.on_datagram(data, source)
 
-    def apply(self, faults: list[Fault], kill: Callable[[int], None], start: Callable[[int], None]) -> None:
+    def schedule_faults(self, faults: list[Fault], kill: Callable[[int], None], start: Callable[[int], None]) -> None:
         """Sets the faults up, counted from now; `kill` and `start` do what is to be done to a relay."""
         for fault in faults:
-            at, ends = 1000.0 * fault.start_s, 1000.0 * fault.end_s
+            start_ms, end_ms = 1000.0 * fault.start_s, 1000.0 * fault.end_s
             index = int(fault.participants[0][1:]) if fault.participants and fault.kind in ("kill", "stall") else 0
             if fault.kind == "kill":
-                self.clock.after(at, kill, index)
-                self.clock.after(ends, start, index)
+                self.clock.after(start_ms, kill, index)
+                self.clock.after(end_ms, start, index)
             elif fault.kind == "stall":
-                self.clock.after(at, self._stall, index, ends - at)
+                self.clock.after(start_ms, self._stall, index, end_ms - start_ms)
             elif fault.kind == "restart":
-                step = (ends - at) / max(len(self.peers), 1)
-                for number, one in enumerate(sorted(self.peers)):
-                    self.clock.after(at + step * number, self._leave, one)
-                    self.clock.after(at + step * (number + 0.5), start, one)
+                interval_ms = (end_ms - start_ms) / max(len(self.peers), 1)
+                for number, peer_index in enumerate(sorted(self.peers)):
+                    self.clock.after(start_ms + interval_ms * number, self._leave, peer_index)
+                    self.clock.after(start_ms + interval_ms * (number + 0.5), start, peer_index)
             else:
-                self.clock.after(at, self.faulty_network.start, fault)
-                self.clock.after(ends, self.faulty_network.end, fault)
+                self.clock.after(start_ms, self.faulty_network.start, fault)
+                self.clock.after(end_ms, self.faulty_network.end, fault)
 
     def _stall(self, index: int, for_ms: float) -> None:
         self.peers[index].stall(for_ms)
--- a/yarrowspindle/lab/model/peer_load_exchange.py
+++ b/yarrowspindle/lab/model/peer_load_exchange.py
@@ -11,70 +11,77 @@
 from yarrowspindle.runtime.membership_driver import local_load
 
 if TYPE_CHECKING:  # msgspec, which `known` does without
-    from yarrowspindle.lab.model.membership_cluster import VirtualNet
+    from yarrowspindle.lab.model.membership_cluster import VirtualNetwork
 
-KNOWN_MS = 25.0  # "at once": on every beat of this length
-Backends = Callable[[], Iterable[Backend]]
-Tell = Callable[[PeerLoads], None]
+EXACT_INTERVAL_MS = 25.0  # "at once": on every beat of this length
+BackendSource = Callable[[], Iterable[Backend]]
+PeerLoadsCallback = Callable[[PeerLoads], None]
 
 
-class Talk:
+class PeerLoadExchange:
     """way: "net" or "known". `net` is there for faults where it is "net"."""
 
-    def __init__(self, clock: VirtualClock, seed: int, way: str, changes: dict[str, float]) -> None:
-        self.clock, self.known = clock, dict[int, tuple[Backends, Tell]]()
-        self.net: VirtualNet | None = None
-        self.before: dict[int, dict[int, tuple[int, float]]] = {}
-        self.told: dict[int, float] = {}  # node -> when the newest report was made that all know
-        if way == "net":
-            from yarrowspindle.lab.model.membership_cluster import VirtualNet
+    def __init__(self, clock: VirtualClock, seed: int, mode: str, changes: dict[str, float]) -> None:
+        self.clock, self.participants = clock, dict[int, tuple[BackendSource, PeerLoadsCallback]]()
+        self.network: VirtualNetwork | None = None
+        self.previous: dict[int, dict[int, tuple[int, float]]] = {}
+        self.newest_report_ms: dict[int, float] = {}  # node -> when the newest report was made that all know
+        if mode == "net":
+            from yarrowspindle.lab.model.membership_cluster import VirtualNetwork
 
-            self.net = VirtualNet(clock, seed, **changes)  # type: ignore[arg-type]
-        elif way == "known":
-            clock.after(KNOWN_MS, self._beat)
+            self.network = VirtualNetwork(clock, seed, **changes)  # type: ignore[arg-type]
+        elif mode == "known":
+            clock.after(EXACT_INTERVAL_MS, self._distribute_exact_loads)
         else:
-            raise ValueError(f"{way!r} is no way in which relays hear one another")
+            raise ValueError(f"{mode!r} is no way in which relays hear one another")
 
-    def join(self, index: int, backends: Backends, tell: Tell) -> None:
-        if self.net is not None:
-            self.net.add(index, lambda: local_load(backends(), self.clock.now()), tell)
+    def add_relay(self, index: int, backends: BackendSource, callback: PeerLoadsCallback) -> None:
+        if self.network is not None:
+            self.network.add(index, lambda: local_load(backends(), self.clock.now()), callback)
         else:
-            self.known[index] = (backends, tell)
+            self.participants[index] = (backends, callback)
 
-    def end(self, index: int) -> None:
-        if self.net is not None:
-            self.net.peers[index].die()
+    def remove_relay(self, index: int) -> None:
+        if self.network is not None:
+            self.network.peers[index].kill()
         else:
-            self.known.pop(index, None)
+            self.participants.pop(index, None)
 
-    def _beat(self) -> None:
+    def _distribute_exact_loads(self) -> None:
         """All know what all hold now: the bound that no word over a network can pass."""
-        self.clock.after(KNOWN_MS, self._beat)
+        self.clock.after(EXACT_INTERVAL_MS, self._distribute_exact_loads)
         now = self.clock.now()
-        words = {index: local_load(backends(), now) for index, (backends, _) in self.known.items()}
+        local_loads = {index: local_load(backends(), now) for index, (backends, _) in self.participants.items()}
         reports: dict[int, tuple[float, float, float]] = {}
-        for word in words.values():
-            for key, report in word.reports.items():
-                if now - report[2] > self.told.get(key, 0.0) + 1.0:
-                    self.told[key] = now - report[2]
+        for local in local_loads.values():
+            for key, report in local.reports.items():
+                if now - report[2] > self.newest_report_ms.get(key, 0.0) + 1.0:
+                    self.newest_report_ms[key] = now - report[2]
                     reports[key] = report
-        for index, (_, tell) in list(self.known.items()):
-            sums: dict[int, tuple[int, float]] = {}
-            for other, word in words.items():
+        for index, (_, callback) in list(self.participants.items()):
+            totals: dict[int, tuple[int, float]] = {}
+            for other, local in local_loads.items():
                 if other != index:
-                    for key, (count, load) in word.loads.items():
-                        was = sums.get(key, (0, 0.0))
-                        sums[key] = (was[0] + count, was[1] + load)
-            before = self.before.get(index, {})
-            came = {
-                key: by
-                for key in sums.keys() | before.keys()
-                if (by := sums.get(key, (0, 0.0))[0] - before.get(key, (0, 0.0))[0])
+                    for key, (count, load) in local.loads.items():
+                        total = totals.get(key, (0, 0.0))
+                        totals[key] = (total[0] + count, total[1] + load)
+            previous = self.previous.get(index, {})
+            changes = {
+                key: difference
+                for key in totals.keys() | previous.keys()
+                if (difference := totals.get(key, (0, 0.0))[0] - previous.get(key, (0, 0.0))[0])
             }
-            gone = dict.fromkeys(before.keys() - sums.keys(), (0, 0.0))
-            self.before[index] = sums
-            tell(
+            removed = dict.fromkeys(previous.keys() - totals.keys(), (0, 0.0))
+            self.previous[index] = totals
+            callback(
                 PeerLoads(
-                    sums | gone, came, len(words) - 1, len(words), 0.0, frozenset(), reports, sorted(words).index(index)
+                    totals | removed,
+                    changes,
+                    len(local_loads) - 1,
+                    len(local_loads),
+                    0.0,
+                    frozenset(),
+                    reports,
+                    sorted(local_loads).index(index),
                 )
             )
--- a/yarrowspindle/lab/model/planted.py
+++ b/yarrowspindle/lab/model/planted.py
@@ -12,7 +12,7 @@
 from yarrowspindle.consensus.acceptor import Acceptor, AcceptorState
 from yarrowspindle.consensus.messages import NO_BALLOT, Accept, Accepted, Prepare, Promise, Rejected
 from yarrowspindle.consensus.proposer import Committed, ProposalRound, Proposer
-from yarrowspindle.lab.model.maintenance_cluster import Parts
+from yarrowspindle.lab.model.maintenance_cluster import MaintenanceComponents
 from yarrowspindle.maintenance.coordinator import MaintenanceCoordinator
 from yarrowspindle.maintenance.events import StateCommitted
 from yarrowspindle.maintenance.requests import MaintenanceRequest
@@ -252,28 +252,28 @@
         return not self.state.excludes(machine)
 
 
-DEFECTS: dict[str, Parts] = {
-    "forgets to sync its file": Parts(forgets=True),
-    "a lost file comes back under its old identity": Parts(lies=True),
-    "accepts below its promise": Parts(voter=BreaksPromises),
-    "does not keep its promises in mind": Parts(voter=PromisesNothing),
-    "does not tell what it accepted": Parts(voter=HidesWhatItAccepted),
-    "counts a vote twice": Parts(proposer=CountsTwice),
-    "majority off by one": Parts(proposer=LessThanHalf),
-    "changes what it knows, not what is told": Parts(proposer=TrustsItself),
-    "goes by the oldest promise": Parts(proposer=TakesTheOldest),
-    "counts answers of earlier rounds": Parts(proposer=AnyBallot),
-    "believes what is only proposed": Parts(proposer=BelievesTooEarly),
-    "skips the fence": Parts(proposer=SkipsTheFence, turns=TakesUpWhatComes),
-    "free without one confirmation": Parts(state=OneTooFew),
-    "numbers are used again": Parts(state=SameNumber),
-    "one too many out": Parts(state=OneTooMany),
-    "zones are forgotten": Parts(state=NoZones),
-    "inherits confirmations": Parts(state=FreeAtOnce),
-    "confirms while it holds": Parts(turns=ConfirmsTooEarly),
-    "confirms by an old look": Parts(turns=ConfirmsByAnOldLook),
-    "confirms what it has not taken up": Parts(turns=ConfirmsUnseen),
-    "places before it has read": Parts(turns=PlacesUnregistered),
+DEFECTS: dict[str, MaintenanceComponents] = {
+    "forgets to sync its file": MaintenanceComponents(discard_acceptor_writes=True),
+    "a lost file comes back under its old identity": MaintenanceComponents(reuse_lost_identity=True),
+    "accepts below its promise": MaintenanceComponents(acceptor=BreaksPromises),
+    "does not keep its promises in mind": MaintenanceComponents(acceptor=PromisesNothing),
+    "does not tell what it accepted": MaintenanceComponents(acceptor=HidesWhatItAccepted),
+    "counts a vote twice": MaintenanceComponents(proposer=CountsTwice),
+    "majority off by one": MaintenanceComponents(proposer=LessThanHalf),
+    "changes what it knows, not what is told": MaintenanceComponents(proposer=TrustsItself),
+    "goes by the oldest promise": MaintenanceComponents(proposer=TakesTheOldest),
+    "counts answers of earlier rounds": MaintenanceComponents(proposer=AnyBallot),
+    "believes what is only proposed": MaintenanceComponents(proposer=BelievesTooEarly),
+    "skips the fence": MaintenanceComponents(proposer=SkipsTheFence, coordinator=TakesUpWhatComes),
+    "free without one confirmation": MaintenanceComponents(state=OneTooFew),
+    "numbers are used again": MaintenanceComponents(state=SameNumber),
+    "one too many out": MaintenanceComponents(state=OneTooMany),
+    "zones are forgotten": MaintenanceComponents(state=NoZones),
+    "inherits confirmations": MaintenanceComponents(state=FreeAtOnce),
+    "confirms while it holds": MaintenanceComponents(coordinator=ConfirmsTooEarly),
+    "confirms by an old look": MaintenanceComponents(coordinator=ConfirmsByAnOldLook),
+    "confirms what it has not taken up": MaintenanceComponents(coordinator=ConfirmsUnseen),
+    "places before it has read": MaintenanceComponents(coordinator=PlacesUnregistered),
 }
 SETS = (
     ("loss",),
