--- a/yarrowspindle/lab/model/configuration_cluster.py
+++ b/yarrowspindle/lab/model/configuration_cluster.py
@@ -1,7 +1,9 @@
-"""Control on the virtual clock: agents and controllers in zones and regions, with faults, and what may never be.
+"""A simulated cluster of controllers and relays that replicate the configuration, with fault injection.
 
-The checker sees what controllers take as agreed on, what relays serve by, and what operators are answered; it looks
-into no core. All messages go as bytes, in datagrams. Each process has a clock of its own, minutes apart.
+The controllers and relays are spread over zones and regions and run on a virtual clock. Messages are encoded and sent
+as datagrams. The clocks of the processes differ by up to 10 minutes. `ConfigurationChecker` verifies the safety rules
+from the outside: by the states that controllers report as committed, the versions that relays apply and the answers
+to operators, not by the internal state of the processes.
 """
 
 from __future__ import annotations
@@ -45,14 +47,17 @@
 INITIAL_IDENTITY = "first"
 ZONES = ("z1", "z2", "z3", "z4", "z5", "z6")
 REGIONS = {"z1": "a", "z2": "a", "z3": "a", "z4": "b", "z5": "b", "z6": "b"}
-LATENCY_MS = {0: (0.2, 1.0), 1: (0.5, 3.0), 2: (15.0, 40.0)}  # milliseconds in a zone, in a region, between regions
-DISK_WRITE_MS = (1.0, 8.0)  # until a voter's file is written
-MAX_QUEUED_DATAGRAMS = 300  # datagrams that wait in a stopped process's socket; more are lost
+LATENCY_MS = {0: (0.2, 1.0), 1: (0.5, 3.0), 2: (15.0, 40.0)}  # within a zone, within a region, between regions
+DISK_WRITE_MS = (1.0, 8.0)  # duration of a write of an acceptor's file
+MAX_QUEUED_DATAGRAMS = 300  # in the socket of a stalled process; further datagrams are lost
 PORT = 7950
 
 
 def spread_controllers(count: int, voters: int) -> tuple[ControllerAddress, ...]:
-    """Spread over zones and regions; the voters in as many zones as there are."""
+    """Return the addresses of `count` controllers, distributed round robin over the zones.
+
+    The first `voters` of them are voters, so that the voters are in as many zones as possible.
+    """
     controllers = []
     for n in range(count):
         zone = ZONES[n % len(ZONES)]
@@ -61,7 +66,10 @@
 
 
 def check_entries(entries: Entries) -> str:
-    """What a relay could not serve by, in this model. Two orders may each be fine and make no sense together."""
+    """Return why a relay of this model rejects the entries, or an empty text if it accepts them.
+
+    The keys "left" and "right" exclude each other, so that two changes may each be valid alone but not together.
+    """
     invalid_keys = [key for key, value in entries.items() if value == "nonsense"]
     if not invalid_keys and "left" in entries and "right" in entries:
         return "left and right are not both possible"
@@ -69,13 +77,13 @@
 
 
 def check_entries_of_old_program(entries: Entries) -> str:
-    """The same at a relay of an older program, which does not know of something."""
+    """Return why a relay that runs an older program rejects the entries: it does not know some values."""
     unknown_keys = [key for key, value in entries.items() if value.startswith("novel")]
     return check_entries(entries) or (f"{unknown_keys[0]} is not known here" if unknown_keys else "")
 
 
 def corrupted_copy(message: Delta | Snapshot) -> Delta | Snapshot:
-    """The same out of a bad memory."""
+    """Return the message with one entry changed, as sent by a controller with corrupted memory."""
     if isinstance(message, Snapshot):
         return msgspec.structs.replace(message, entries={**message.entries, "k0": "bent"})
     steps = [*message.steps[:-1], {**message.steps[-1], "k0": "bent"}]
@@ -84,8 +92,17 @@
 
 @dataclass(slots=True, frozen=True)
 class ConfigurationComponents:
-    """Of which the processes are made; tests plant defects by others. forgets: voters' files are not written; lies: a
-    lost file is made anew under the identity of the one before; unkept: relays do not keep what they took."""
+    """The implementations that the processes use; tests replace some of them to plant defects.
+
+    Attributes:
+        agent: The configuration agent of a relay.
+        controller: The controller.
+        acceptor: The acceptor of a voting controller.
+        proposer: The proposer of a controller.
+        discard_acceptor_writes: Whether the files of acceptors are not written.
+        reuse_lost_identity: Whether a lost acceptor file is recreated under the identity of the lost one.
+        discard_relay_settings: Whether relays do not persist the settings that they applied.
+    """
 
     agent: type[Agent] = Agent
     controller: type[Controller] = Controller
@@ -98,8 +115,19 @@
 
 @dataclass(slots=True)
 class Change:
-    """An operator's order as the world knows it. missing: living relays that do not serve by it yet, by region;
-    in_force_s: when there were none, in all and by region."""
+    """A change that an operator requested, and its progress. Times are negative until the event occurs.
+
+    Attributes:
+        step: The entries to set or delete.
+        requested_s: When the operator requested the change.
+        version: The version in which the change was committed; 0 before.
+        answer: The rejection reason in the answer to the operator, empty if the change was accepted; None before.
+        answered_s: When the operator was answered.
+        committed_s: When a controller first reported the change as committed.
+        in_force_s: When all live relays applied the change.
+        in_force_s_by_region: When all live relays of a region applied the change.
+        pending_relays: The live relays that do not apply the change yet, by region.
+    """
 
     step: Step
     requested_s: float
@@ -113,14 +141,24 @@
 
 
 class ConfigurationChecker:
-    """Rules on what was agreed on, served and answered."""
+    """Verifies the safety rules on committed states, applied versions and answers to operators.
+
+    Attributes:
+        violations: Texts of the first 20 violations.
+        committed_steps: The committed step to each version.
+        entries_by_version: All entries of each committed version.
+        version_by_order: The version that settled each order, by accepting controller, incarnation and number.
+        applied_versions: The version that each relay applied last, including before a restart.
+        version_regressions: How often a relay applied an older version after a newer one.
+        conflicting_commits: How often two different contents were seen for one version.
+    """
 
     def __init__(self) -> None:
         self.violations: list[str] = []
         self.committed_steps: dict[int, CommittedStep] = {}
         self.entries_by_version: dict[int, Entries] = {0: {}}
         self.version_by_order: dict[tuple[str, int, int], int] = {}
-        self.applied_versions: dict[str, int] = {}  # by relays, also before their restarts
+        self.applied_versions: dict[str, int] = {}
         self.version_regressions = self.conflicting_commits = 0
 
     def report_violation(self, text: str) -> None:
@@ -131,23 +169,26 @@
         known_entries = self.entries_by_version.setdefault(state.version, dict(state.entries))
         if known_entries != state.entries:
             self.conflicting_commits += 1
-            self.report_violation(f"two contents under version {state.version}: {controller} took another")
+            self.report_violation(f"{controller} committed entries of version {state.version} that differ from others'")
         for committed in state.recent_steps:
             if self.committed_steps.setdefault(committed.version, committed) != committed:
                 self.conflicting_commits += 1
-                self.report_violation(f"two steps to version {committed.version}: {controller} took another")
+                self.report_violation(
+                    f"{controller} committed a step to version {committed.version} that differs from others'"
+                )
             if committed.accepted_by:
                 order = (committed.accepted_by, committed.incarnation, committed.number)
                 if self.version_by_order.setdefault(order, committed.version) != committed.version:
                     self.report_violation(
-                        f"order {order} was settled by versions {self.version_by_order[order]} and {committed.version}"
+                        f"order {order} was settled twice, in versions {self.version_by_order[order]} and "
+                        f"{committed.version}"
                     )
                 if (
                     committed.number > 1
                     and (committed.accepted_by, committed.incarnation, committed.number - 1)
                     not in self.version_by_order
                 ):
-                    self.report_violation(f"order {order} was settled before the one before it")
+                    self.report_violation(f"order {order} was settled before the preceding order")
             previous_entries = self.entries_by_version.get(committed.version - 1)
             if previous_entries is not None and committed.version not in self.entries_by_version:
                 self.entries_by_version[committed.version] = apply_step(previous_entries, committed.step)
@@ -158,64 +199,84 @@
             and last is not None
             and apply_step(previous_entries, last.step) != state.entries
         ):
-            self.report_violation(f"version {state.version} is not version {state.version - 1} and its step")
+            self.report_violation(
+                f"the entries of version {state.version} are not those of version {state.version - 1} plus its step"
+            )
 
     def on_applied(
         self, relay: str, version: int, entries: Entries, rejection_reason: str, received_version: int
     ) -> None:
-        """A relay serves by this from now on. why: what its own check says; reached: the newest version that it got,
-        as steps without a gap or whole."""
+        """Check a version that a relay applies from now on.
+
+        Args:
+            relay: The name of the relay.
+            version: The applied version.
+            entries: The applied entries.
+            rejection_reason: The result of the relay's own check of the entries; empty if it accepts them.
+            received_version: The newest version that the relay received, as a snapshot or by steps without a gap.
+        """
         known_entries = self.entries_by_version.get(version)
         if known_entries is None:
-            self.report_violation(f"{relay} serves by version {version}, which nobody agreed on")
+            self.report_violation(f"{relay} applies version {version}, which is not committed")
         elif known_entries != entries:
             self.conflicting_commits += 1
-            self.report_violation(f"{relay} serves by another content of version {version}")
+            self.report_violation(f"{relay} applies version {version} with entries that differ from the committed ones")
         if rejection_reason:
-            self.report_violation(
-                f"{relay} serves by version {version}, which its check turns down: {rejection_reason}"
-            )
+            self.report_violation(f"{relay} applies version {version}, which its check rejects: {rejection_reason}")
         if version > received_version:
             self.report_violation(
-                f"{relay} serves by version {version} and got all steps up to {received_version} only"
+                f"{relay} applies version {version}, but received all steps only up to version {received_version}"
             )
         self.record_applied_version(relay, version)
 
     def record_applied_version(self, relay: str, version: int) -> None:
-        """Also what a process serves by when it starts."""
+        """Record the version that a relay applies, also directly after a start, and check that it is not older."""
         if version < self.applied_versions.get(relay, 0):
             self.version_regressions += 1
-            self.report_violation(f"{relay} serves by version {version} after {self.applied_versions[relay]}")
+            self.report_violation(
+                f"{relay} applies version {version} after the newer version {self.applied_versions[relay]}"
+            )
         self.applied_versions[relay] = version
 
     def on_answered(self, change: Change, version: int, rejection_reason: str) -> None:
         committed = self.committed_steps.get(version)
         if version and (committed is None or dict(committed.step) != dict(change.step)):
-            self.report_violation(f"an operator was told that a change stands in version {version}, which it does not")
+            self.report_violation(
+                f"the answer to an operator says that version {version} contains the change, which it does not"
+            )
         if (
             not version
             and "see `show`" not in rejection_reason
             and any(committed.step == change.step for committed in self.committed_steps.values())
         ):
             self.report_violation(
-                f"an operator was told that a change is turned down ({rejection_reason}), and it stands"
+                f"the answer to an operator says that the change is rejected ({rejection_reason}), but it is committed"
             )
 
 
 class Host:
-    """A process of a controller or a relay."""
+    """A simulated process of a controller or a relay, with its own clock and socket.
+
+    Attributes:
+        clock_offset_ms: How far the clock of the process is ahead of the virtual clock.
+        stalled_until: The time of the virtual clock until which the process is stopped.
+        queued_datagrams: Datagrams that wait in the socket while the process is stalled.
+        fragment_request_scheduled: Whether a request for missing fragments of messages is scheduled.
+        log: The log lines, each with its time in seconds.
+        cpu_s: The processor time spent, if the cluster measures it.
+    """
 
     def __init__(self, cluster: ConfigurationCluster, name: str, address: Address, zone: str) -> None:
         self.cluster, self.name, self.address, self.zone, self.region = cluster, name, address, zone, REGIONS[zone]
         self.alive, self.stalled_until = True, 0.0
-        self.clock_offset_ms = cluster.random.uniform(0.0, 600_000.0)  # of its clock
+        self.clock_offset_ms = cluster.random.uniform(0.0, 600_000.0)
         self.incarnation = cluster.incarnation(name)
         self.link = Link(name, address, CLUSTER, self.incarnation, cluster.random.getrandbits(40), self.now())
         self.core: Agent | Controller
         self.queued_datagrams: list[tuple[bytes, Address]] = []
-        self.fragment_request_scheduled = False  # for parts that are missing
+        self.fragment_request_scheduled = False
         self.log: list[tuple[float, str]] = []
-        self.cpu_s = 0.0  # seconds of processor time, where the world measures
+        self.cpu_s = 0.0
 
     def now(self) -> float:
         return self.cluster.clock.now() - self.cluster.clock.start + self.clock_offset_ms
@@ -224,7 +285,7 @@
         if not self.alive:
             return
         remaining_ms = self.stalled_until - self.cluster.clock.now()
-        if remaining_ms > 0.0:  # a stopped process: all of it waits
+        if remaining_ms > 0.0:  # all events of a stalled process are delayed
             self.cluster.clock.after(remaining_ms + self.cluster.random.random(), self.post, event)
             return
         if self.cluster.measure_cpu:
@@ -251,7 +312,7 @@
 
     def send(self, to: Address, message: object) -> None:
         if to == self.address:
-            # At once, but after what is under way here.
+            # Delivered without delay, but after the effects that are being executed.
             self.cluster.clock.after(
                 0.0, self.post, MessageReceived(Sender(self.name, self.address, self.incarnation, 0), message)
             )
@@ -309,20 +370,26 @@
 
 
 class RelayHost(Host):
+    """A simulated relay process with its configuration agent.
+
+    Attributes:
+        core: The agent under test.
+        received_version: The newest version received, as a snapshot or by steps without a gap.
+        applied_version: The version that the relay applies.
+        unsupported_version: A version that this relay cannot apply although its check accepts the entries; 0 for none.
+        started_s: When the process started.
+        newest_at_start: The newest committed version at that time.
+        check: The check of entries before they are applied.
+    """
+
     core: Agent
 
     def __init__(self, cluster: ConfigurationCluster, name: str, address: Address, zone: str) -> None:
         super().__init__(cluster, name, address, zone)
         version, entries = cluster.persisted_settings.get(name, (0, {}))
         self.received_version = version
-        self.applied_version, self.unsupported_version = (
-            0,
-            0,
-        )  # turns_down: this version cannot be taken here, whatever the check says
-        self.started_s, self.newest_at_start = (
-            cluster.clock.seconds,
-            cluster.newest_version(),
-        )  # what was the newest then
+        self.applied_version, self.unsupported_version = 0, 0
+        self.started_s, self.newest_at_start = cluster.clock.seconds, cluster.newest_version()
         self.check = check_entries_of_old_program if name in cluster.old_program_relays else check_entries
         controllers = controllers_by_preference(cluster.controller_addresses, name, zone, self.region)
         self.core = cluster.components.agent(
@@ -342,7 +409,7 @@
         super().post(event)
 
     def has_applied_or_rejected(self, version: int) -> bool:
-        """Serves by this one or a newer, or has said why it cannot."""
+        """Return whether the relay applies this version or a newer one, or cannot apply it."""
         return (
             self.applied_version >= version
             or self.unsupported_version == version
@@ -351,7 +418,8 @@
 
     def execute(self, effects: Sequence[Any]) -> None:
         for update in [effect for effect in effects if isinstance(effect, ApplySettings)]:
-            if update.version == self.unsupported_version:  # whatever else was asked for rests on it
+            # The effects beside timers and log lines presuppose that the version was applied: they are dropped.
+            if update.version == self.unsupported_version:
                 effects = [effect for effect in effects if isinstance(effect, SetTimer | LogMessage)]
                 effects += self.core.step(self.now(), SettingsRejected(update.version, "this relay cannot"))
         super().execute(effects)
@@ -371,12 +439,22 @@
 
 
 class ControllerHost(Host):
+    """A simulated controller process, with an acceptor and its file if it votes.
+
+    Attributes:
+        core: The controller under test.
+        started_s: When the process started.
+        received_tickets: The tickets of the received changes, in the order of receipt.
+        acceptor: The acceptor of a voting controller.
+        disk_free_at_ms: When the writes of the acceptor's file that are scheduled so far are complete.
+    """
+
     core: Controller
 
     def __init__(self, cluster: ConfigurationCluster, name: str, address: Address, zone: str) -> None:
         super().__init__(cluster, name, address, zone)
         self.started_s = cluster.clock.seconds
-        self.received_tickets: list[int] = []  # tickets of orders, in their turn
+        self.received_tickets: list[int] = []
         own_address = next(m for m in cluster.controller_addresses if m.name == name)
         stored = cluster.acceptor_files.get(name)
         if stored is None and own_address.voter:
@@ -423,7 +501,7 @@
 
     def execute_other(self, effect: Any) -> None:
         if isinstance(effect, AskAcceptor):
-            # One at a time, on a thread of its own.
+            # The daemon answers acceptor requests one at a time on a separate thread; each waits for the one before.
             clock = self.cluster.clock
             self.disk_free_at_ms = max(self.disk_free_at_ms, clock.now()) + self.cluster.random.uniform(*DISK_WRITE_MS)
             clock.after(self.disk_free_at_ms - clock.now(), self._answer_acceptor, effect)
@@ -444,7 +522,7 @@
         try:
             answer = self.acceptor.on_message(request.message)
         except OSError as error:
-            self.log.append((self.cluster.clock.seconds, f"the voter's file cannot be written: {error}"))
+            self.log.append((self.cluster.clock.seconds, f"acceptor file not written, request not answered: {error}"))
             return
         self.cluster.on_message_sent(self, answer)
         if self.alive:
@@ -452,7 +530,26 @@
 
 
 class ConfigurationCluster:
-    """relays: so many, spread over the zones evenly. measures: processor time of each process."""
+    """Controllers and relays on a virtual network and clock, and the progress of the requested changes.
+
+    Attributes:
+        measure_cpu: Whether the processor time of each process is measured.
+        acceptor_files: The stored state of each acceptor, by controller.
+        persisted_settings: The version and entries that each relay persisted.
+        clocks_set_back: Processes whose next incarnation is lower than the one before, as their clock was set back.
+        full_disks: Controllers that cannot write their acceptor's file.
+        corrupting_controllers: Controllers that change an entry in what they send to relays.
+        old_program_relays: Relays that reject values which the controllers accept.
+        locations: The address and zone of each process.
+        loss_probability: The probability that a datagram is lost, beside the injected faults.
+        regions_partitioned: Whether no datagrams pass between the regions.
+        changes: The requested changes, by controller and ticket.
+        pending_changes: The committed changes that are not in force at all live relays, by version.
+        catch_up_s: The time from a relay's start until it applied the version that was the newest at its start.
+        crash_at: The name of a message type and a count n: the controller that sends the n-th such message crashes.
+        crash_stall_ms: If positive, that controller is stalled for this time instead of crashing.
+        crashed_process: The name of the controller that crashed or stalled by `crash_at`.
+    """
 
     def __init__(
         self,
@@ -463,6 +560,7 @@
         components: ConfigurationComponents | None = None,
         measure_cpu: bool = False,
     ) -> None:
+        """Create the cluster with `relays` relays spread evenly over the zones; no process is started."""
         self.clock, self.seed, self.components, self.measure_cpu = (
             VirtualClock(),
             seed,
@@ -479,10 +577,10 @@
         }
         self.persisted_settings: dict[str, tuple[int, Entries]] = {}
         self.incarnations: Counter[str] = Counter()
-        self.clocks_set_back: set[str] = set()  # whose next life is lower than the one before
+        self.clocks_set_back: set[str] = set()
         self.full_disks: set[str] = set()
-        self.corrupting_controllers: set[str] = set()  # controllers that change what they send to relays
-        self.old_program_relays: set[str] = set()  # relays that do not know of all that the controllers know
+        self.corrupting_controllers: set[str] = set()
+        self.old_program_relays: set[str] = set()
         self.checker = ConfigurationChecker()
         self.hosts: dict[str, Host] = {}
         self.hosts_by_address: dict[Address, Host] = {}
@@ -491,20 +589,21 @@
         }
         self.faulty_network = FaultyNetwork(seed)
         self.loss_probability = 0.0
-        self.regions_partitioned = False  # between the regions
+        self.regions_partitioned = False
         self.changes: dict[tuple[str, int], Change] = {}
         self.committed_versions: set[int] = set()
-        self.pending_changes: dict[int, Change] = {}  # agreed on, not in force yet, by version
+        self.pending_changes: dict[int, Change] = {}
         self.last_ticket = 0
-        self.catch_up_s: dict[str, float] = {}  # relay -> after how long it had what was the newest at its start
+        self.catch_up_s: dict[str, float] = {}
         self.steps: Counter[str] = Counter()
-        self.crash_at: tuple[str, int] = ("", 0)  # a controller dies at the n-th message of this kind
-        self.crash_stall_ms = 0.0  # and where this is over 0, it does not die, but stands still for so long
+        self.crash_at: tuple[str, int] = ("", 0)
+        self.crash_stall_ms = 0.0
         self.crashed_process = ""
 
     # --- processes ------------------------------------------------------------------------------
 
     def incarnation(self, name: str) -> int:
+        """Return the next incarnation of a process: higher than the one before unless its clock was set back."""
         self.incarnations[name] += 1
         if name in self.clocks_set_back:
             self.clocks_set_back.discard(name)
@@ -512,7 +611,7 @@
         return 1000 * self.incarnations[name]
 
     def start(self, name: str) -> Host:
-        """A process starts; one that was there must have ended."""
+        """Start a process; the process that had the name before must have been killed."""
         address, zone = self.locations[name]
         self.catch_up_s.pop(name, None)
         host = (ControllerHost if name[0] == "c" else RelayHost)(self, name, address, zone)
@@ -537,11 +636,12 @@
 
     @property
     def relays(self) -> list[RelayHost]:
-        """That are alive."""
+        """The live relays."""
         return [h for h in self.hosts.values() if isinstance(h, RelayHost) and h.alive]
 
     @property
     def controllers(self) -> list[ControllerHost]:
+        """The live controllers."""
         return [h for h in self.hosts.values() if isinstance(h, ControllerHost) and h.alive]
 
     # --- the network ----------------------------------------------------------------------------
@@ -564,7 +664,11 @@
         self.hosts_by_address[to].on_datagram(data, source)
 
     def on_message_sent(self, host: Host, message: object) -> None:
-        """A message goes out, or a vote was written: a controller may die right here."""
+        """Crash or stall the host if `crash_at` names this message.
+
+        Called after a message was sent, and for an answer of an acceptor after its state was written and before the
+        answer is sent.
+        """
         kind, count = self.crash_at
         if kind and host.name[0] == "c" and type(message).__name__ == kind:
             self.crash_at = (kind, count - 1)
@@ -576,10 +680,10 @@
                 else:
                     self.kill(host.name)
 
-    # --- what happens ---------------------------------------------------------------------------
+    # --- changes --------------------------------------------------------------------------------
 
     def request_change(self, controller: str, step: Step) -> Change:
-        """An operator's change, at this controller."""
+        """Request a change as an operator at this controller."""
         self.last_ticket += 1
         change = Change(step, self.clock.seconds)
         self.changes[controller, self.last_ticket] = change
@@ -613,7 +717,13 @@
             self.catch_up_s[host.name] = self.clock.seconds - host.started_s
 
     def _update_in_force(self, version: int, change: Change, host: Host | None = None) -> None:
-        """host: has it now, or has ended."""
+        """Record that a host applies the change or ended, and when no live relay lacks the change any more.
+
+        Args:
+            version: The version in which the change was committed.
+            change: The change.
+            host: The process that applies the change now or has ended; None to check without such an event.
+        """
         if host is not None:
             change.pending_relays.get(host.region, set[str]()).discard(host.name)
         for region in [r for r, pending_relays in change.pending_relays.items() if not pending_relays]:
@@ -626,7 +736,7 @@
     def on_answered(self, host: ControllerHost, answer: ChangeAnswered) -> None:
         change = self.changes[host.name, answer.ticket]
         if change.answer is not None:
-            self.checker.report_violation(f"{host.name} answered an order twice")
+            self.checker.report_violation(f"{host.name} answered a change twice")
         change.answer, change.answered_s = answer.reason, self.clock.seconds
         self.checker.on_answered(change, answer.version, answer.reason)
 
@@ -634,7 +744,11 @@
         self.clock.run_until(self.clock.now() + 1000.0 * for_s)
 
     def run_until(self, condition: Callable[[], bool], within_s: float) -> float:
-        """After how many seconds it is condition; below 0: not in time."""
+        """Run until the condition holds.
+
+        Returns:
+            The elapsed time in seconds; negative if the condition did not hold within `within_s`.
+        """
         started = self.clock.seconds
         while not condition():
             if self.clock.seconds >= started + within_s:
@@ -646,6 +760,6 @@
         return max(self.checker.entries_by_version)
 
     def all_applied_newest(self) -> bool:
-        """All living relays serve by the newest, but for those that cannot."""
+        """Return whether all live relays apply the newest version, except those that cannot."""
         newest_version = self.newest_version()
         return all(relay.has_applied_or_rejected(newest_version) for relay in self.relays)
--- a/yarrowspindle/lab/model/configuration_defects.py
+++ b/yarrowspindle/lab/model/configuration_defects.py
@@ -1,4 +1,4 @@
-"""Defects planted into control, each the kind of thing that a review lets pass; the checker must find them."""
+"""Planted defects of the configuration, each of a kind that a review may miss; the simulation must detect them."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 class AdoptsOlderVersion(Agent):
-    """Adopts what its controller has, also where that is older."""
+    """Adopts the version of its controller even if it is older than its own."""
 
     def _on_latest_version(self, message: LatestVersion) -> None:
         if message.version < self.known_version:
@@ -39,7 +39,7 @@
 
 
 class IgnoresMissingSteps(Agent):
-    """Applies the steps that it received, also where one before them is missing."""
+    """Applies received steps even if a step before them is missing."""
 
     def _on_delta(self, message: Delta) -> None:
         if message.version > self.known_version:
@@ -50,7 +50,7 @@
 
 
 class IgnoresDigest(Agent):
-    """Adopts a version whatever its digest."""
+    """Adopts a version without comparing its digest."""
 
     def _adopt(self, version: int, entries: Entries, digest: bytes) -> None:
         self.needs_snapshot = False
@@ -60,7 +60,7 @@
 
 
 class SkipsCheck(Agent):
-    """Serves by whatever was committed."""
+    """Applies each committed version without checking its entries."""
 
     def __init__(self, controllers: Any, check: EntriesCheck, *arguments: Any) -> None:
         super().__init__(controllers, lambda entries: "", *arguments)
@@ -78,7 +78,7 @@
 
 
 class ProposalsSettlingTwice(ChangeProposals):
-    """An order that is delivered again is settled again."""
+    """Settles an order again if it is delivered again."""
 
     def _settle_queued_orders(self, state: ControlState) -> ControlState | None:
         new_state = state
@@ -96,13 +96,13 @@
 
 
 class SettlesTwice(Controller):
-    """An order that is delivered again is settled again."""
+    """Settles an order again if it is delivered again."""
 
     proposals_type = ProposalsSettlingTwice
 
 
 class ProposalsSettlingOutOfOrder(ChangeProposals):
-    """An order is settled though one before it is not."""
+    """Settles an order before the preceding one."""
 
     def _settle_queued_orders(self, state: ControlState) -> ControlState | None:
         new_state = state
@@ -114,13 +114,13 @@
 
 
 class SettlesOutOfOrder(Controller):
-    """An order is settled though one before it is not."""
+    """Settles an order before the preceding one."""
 
     proposals_type = ProposalsSettlingOutOfOrder
 
 
 class ProposalsWithoutCheck(ChangeProposals):
-    """The state that an order is written into is not checked."""
+    """Proposes a state with a new order without checking the state."""
 
     def _settle_queued_orders(self, state: ControlState) -> ControlState | None:
         check, self.context.check = self.context.check, lambda entries: ""
@@ -130,13 +130,13 @@
 
 
 class SkipsCheckBeforeProposal(Controller):
-    """What was checked when it was accepted is not checked on the state that it is written into."""
+    """Checks an order when it is accepted, but not against the state in which it is proposed."""
 
     proposals_type = ProposalsWithoutCheck
 
 
 class LogWithGaps(CommittedLog):
-    """The steps that are known are sent, also where one between them is missing."""
+    """Returns the known steps even if a step between them is missing."""
 
     def update_since(self, base: int) -> Delta | Snapshot:
         update = super().update_since(base)
@@ -147,13 +147,13 @@
 
 
 class SendsIncompleteSteps(Controller):
-    """The steps that are known are sent, also where one between them is missing."""
+    """Sends the known steps to relays even if a step between them is missing."""
 
     committed_log_type = LogWithGaps
 
 
 class ProposalsBeforeCommit(ChangeProposals):
-    """A state that one acceptor has accepted counts as committed."""
+    """Treats a state that one acceptor has accepted as committed."""
 
     def _carry_out(self, effects: Any) -> None:
         super()._carry_out(effects)
@@ -163,13 +163,13 @@
 
 
 class PublishesUncommittedState(Controller):
-    """Relays are sent what is not committed yet."""
+    """Sends relays states that are not committed yet."""
 
     proposals_type = ProposalsBeforeCommit
 
 
 class ReporterWithoutGrace(StatusReporter):
-    """Relays that are on their way to another controller are not waited for."""
+    """Does not wait for relays that are reattaching to another controller."""
 
     def status(self, own: RelaySummary | None = None) -> ControllerStatus:
         self.peers.attachments_complete_at = self.context.now
@@ -177,13 +177,13 @@
 
 
 class ReportsAppliedTooEarly(Controller):
-    """A version counts as applied when all relays of the live controllers apply it, whoever joined or failed."""
+    """Reports a version as applied when all relays of the live controllers apply it, ignoring reattaching relays."""
 
     reporter_type = ReporterWithoutGrace
 
 
 class SessionsDroppingDetachedRelays(RelaySessions):
-    """A relay that detaches is removed at once."""
+    """Removes a relay at once when it detaches."""
 
     def on_detach(self, sender: Sender, message: Detach) -> None:
         super().on_detach(sender, message)
@@ -192,13 +192,13 @@
 
 
 class DropsDetachedRelays(Controller):
-    """A relay that detaches is in no summary until its next controller counts it."""
+    """Omits a detached relay from all summaries until its next controller includes it."""
 
     sessions_type = SessionsDroppingDetachedRelays
 
 
 class ChangesRenumberedTooEarly(ChangeQueue):
-    """Orders get new numbers before it is looked up whether they are settled under the old ones."""
+    """Renumbers orders before checking whether they are settled under their old numbers."""
 
     def _answer_settled(self) -> None:
         incarnation = self._settled_incarnation()
@@ -208,13 +208,13 @@
 
 
 class RenumbersTooEarly(Controller):
-    """Orders get new numbers before it is looked up whether they are settled under the old ones."""
+    """Renumbers orders before checking whether they are settled under their old numbers."""
 
     changes_type = ChangesRenumberedTooEarly
 
 
 class TrustsSingleAcceptor(Proposer[ControlState]):
-    """Takes a state for committed that a single voter has accepted."""
+    """Treats a state that a single acceptor reports in a promise as committed."""
 
     def _on_promise(self, now: Any, source: str, promise: Any) -> Any:
         self.on_committed(promise.state)
@@ -222,7 +222,7 @@
 
 
 def _for_configuration(kind: Any) -> Any:
-    """Of the register: the same for any state."""
+    """Return a defective part of the consensus, typed for any state: the defect does not depend on the state."""
     return kind
 
 
--- a/yarrowspindle/lab/model/configuration_scenarios.py
+++ b/yarrowspindle/lab/model/configuration_scenarios.py
@@ -1,7 +1,8 @@
-"""Days of control on the virtual clock: orders that clash, faults drawn from the seed, and what must hold in the end.
+"""Scenarios of the simulated configuration cluster: conflicting changes, and faults drawn from a seed.
 
-What may never be is `ControlChecker`'s; here come the rules that look at a whole day: each order settled once, in its
-turn and answered truthfully, what a leader says to be in force, and that all is well soon after the faults.
+`ConfigurationChecker` verifies the safety rules during a run. A scenario adds the rules on a whole run: each change is
+committed at most once, in the order of acceptance, and answered correctly; a version that a leader reports as applied
+everywhere is applied by all relays; and the cluster recovers within `RECOVERY_LIMIT_S` after the faults.
 """
 
 from __future__ import annotations
@@ -22,9 +23,10 @@
     RelayHost,
 )
 
-FAULTS_START_S, FAULTS_DURATION_S, RECOVERY_LIMIT_S = 1.0, 9.0, 10.0  # faults begin, and last in all; all is well again
-MIN_UPTIME_S = 3.0  # what is said to be in force holds at relays that were there for so long
-PARTITION_SETTLE_S = 6.0  # cuts are forgotten
+# The start of the first fault, the period in which faults are active, and the time allowed for recovery after it.
+FAULTS_START_S, FAULTS_DURATION_S, RECOVERY_LIMIT_S = 1.0, 9.0, 10.0
+MIN_UPTIME_S = 3.0  # relays that run for less are not counted when a leader's report is checked
+PARTITION_SETTLE_S = 6.0  # leaders' reports are not checked until this time after the last partition
 CHECK_INTERVAL_MS = 50.0
 NETWORK_FAULTS = (
     "loss",
@@ -41,6 +43,7 @@
     "lost",
 )
 PARTITION_FAULTS = ("old", "held", "split", "cut", "oneway", "lost", "region")
+# "kill", "stall" and "dies" are listed twice so that a scenario may draw two of them; the space is stripped.
 HOST_FAULTS = (
     "kill",
     "kill ",
@@ -58,11 +61,21 @@
     "dies ",
 )
 MESSAGE_KINDS = ("Prepare", "Promise", "Accept", "Accepted", "Learn", "Difference", "Sum", "Order", "Newest")
-FLEET_SIZES = ((3, 3), (5, 3), (5, 5), (11, 5))  # controllers and voters
+FLEET_SIZES = ((3, 3), (5, 3), (5, 5), (11, 5))  # numbers of controllers and voters
 
 
 @dataclass(slots=True)
 class ScenarioResult:
+    """The result of a scenario.
+
+    Attributes:
+        violations: The violations of safety rules.
+        stuck: What had not recovered in time after the faults.
+        counts: Numbers of answers by kind, of versions, of checked reports of leaders ("claims") and of messages.
+        faults: The injected faults.
+        duration_s: The simulated time.
+    """
+
     violations: list[str] = field(default_factory=list)
     stuck: list[str] = field(default_factory=list)
     counts: Counter[str] = field(default_factory=Counter)
@@ -71,6 +84,19 @@
 
 
 class Scenario:
+    """A run of a simulated cluster with requested changes and injected faults.
+
+    Attributes:
+        names: The names of all processes, controllers first.
+        ends_s: When the last fault ends; changes are requested up to this time.
+        stop_counts: The number of active faults that keep a process stopped, by process.
+        partitioned_at_s: When a partition was observed last.
+        requested_changes: The changes that live controllers received, with the controller's process.
+        tickets: The ticket of each change, by the identity of the `Change` object.
+        clocks_set_back: Controllers whose clock was set back at a restart.
+        max_burst: The most changes that are requested at once.
+    """
+
     def __init__(
         self,
         seed: int,
@@ -95,7 +121,7 @@
         self.partitioned_at_s = -PARTITION_SETTLE_S
         self.requested_changes: list[tuple[ControllerHost, Change]] = []
         self.tickets: dict[int, int] = {}
-        self.clocks_set_back: set[str] = set()  # controllers whose clock went back
+        self.clocks_set_back: set[str] = set()
         self.change_count = 0
         self.max_burst = random.choice((1, 2, 6, 40))
         for fault in self.result.faults:
@@ -133,7 +159,7 @@
             others = tuple(name for name in names if name not in parties)
         elif kind == "lost":
             parties, others = (process,), tuple(name for name in names if name != process)
-        elif kind == "mute":  # the word's own rule speaks of relays among themselves
+        elif kind == "mute":  # FaultyNetwork's own "mute" covers only datagrams between relays
             kind, parties, others = "split", tuple(names), tuple(names)
         elif kind in ("kill", "stall", "clock"):
             parties = (process,)
@@ -196,6 +222,7 @@
             cluster.faulty_network.end(fault)
 
     def stop_process(self, name: str) -> None:
+        """Kill a process; it stays stopped until `start_process` was called once for each call of this method."""
         self.stop_counts[name] += 1
         if self.cluster.hosts[name].alive:
             self.cluster.kill(name)
@@ -208,7 +235,7 @@
     # --- operators ------------------------------------------------------------------------------
 
     def draw_step(self) -> Step:
-        """Few keys, so that they clash; no two orders are alike."""
+        """Draw the step of the next change: over few keys, so that changes conflict, and different from all others."""
         self.change_count += 1
         random, value = self.random, f"{self.change_count}"
         key = f"k{random.randrange(4)}"
@@ -217,7 +244,7 @@
             return {key: value}
         if draw < 0.6:
             return {key: None, "k0" if key != "k0" else "k1": value}
-        if draw < 0.8:  # each fine alone
+        if draw < 0.8:  # valid alone; "left" and "right" exclude each other
             side = random.choice(("left", "right"))
             return {side: value} if random.random() < 0.6 else {side: None, "k1": value}
         if draw < 0.85:
@@ -244,9 +271,14 @@
                 self.request_change(self.random.choice(self.controller_names), self.draw_step())
             self.cluster.clock.after(1000.0 * self.random.uniform(0.02, 1.0), self._request_changes)
 
-    # --- looks ----------------------------------------------------------------------------------
+    # --- checks ---------------------------------------------------------------------------------
 
     def _check_in_force(self) -> None:
+        """Check that relays apply the version that a leader reports as applied everywhere.
+
+        Also restart a controller that crashed at a message, 1 s after the crash was observed. Reports are not checked
+        during partitions and shortly after them.
+        """
         cluster, now = self.cluster, self.cluster.clock.seconds
         cluster.clock.after(CHECK_INTERVAL_MS, self._check_in_force)
         if cluster.crashed_process and not cluster.hosts[cluster.crashed_process].alive:
@@ -272,12 +304,15 @@
                 if claimed_version > lowest_version:
                     behind = [relay.name for relay in settled_relays if relay.applied_version < claimed_version]
                     cluster.checker.report_violation(
-                        f"{now:.2f} s: {host.name} says that version {claimed_version} is in force, and "
-                        f"{behind[0]} serves by {lowest_version}"
+                        f"{now:.2f} s: {host.name} reports version {claimed_version} as applied everywhere, but "
+                        f"{behind[0]} is behind; the lowest applied version is {lowest_version}"
                     )
 
     def _check_answers(self) -> None:
-        """Each order stands at most once, in its taker's order, and whoever was answered was told so."""
+        """Check that changes were committed at most once, in the order of acceptance, and answered correctly.
+
+        The order of acceptance is not checked for a controller whose clock was set back.
+        """
         checker = self.cluster.checker
         at: dict[frozenset[tuple[str, str | None]], list[int]] = {}
         for version, committed in checker.committed_steps.items():
@@ -288,28 +323,32 @@
             versions = at.get(frozenset(change.step.items()), [])
             if len(versions) > 1:
                 checker.report_violation(
-                    f"{host.name}'s order {dict(change.step)} was settled in versions {sorted(versions)}"
+                    f"the change {dict(change.step)} at {host.name} was committed in versions {sorted(versions)}"
                 )
             if versions and change.answer and "see `show`" not in change.answer:
                 checker.report_violation(
-                    f"{host.name} turned an order down ({change.answer}), and version {versions[0]} is that"
+                    f"{host.name} rejected a change ({change.answer}) that was committed in version {versions[0]}"
                 )
             for version in versions:
                 if version < newest_version.get(host.name, 0) and host.name not in self.clocks_set_back:
                     checker.report_violation(
-                        f"{host.name}'s order of version {version} came before the one of version "
-                        f"{newest_version[host.name]}, and was given after it"
+                        f"{host.name} accepted the change of version {version} after the change of the newer version "
+                        f"{newest_version[host.name]}"
                     )
                 newest_version[host.name] = max(version, newest_version.get(host.name, 0))
 
     def _acceptance_order(self, requested_change: tuple[ControllerHost, Change]) -> tuple[float, int]:
-        """When its controller heard of it; a process that wakes hears of several in any order."""
+        """Return a sort key for the order in which a controller received its changes.
+
+        The order of requests does not suffice: a process that resumes after a stall receives the delayed ones in any
+        order.
+        """
         host, change = requested_change
         ticket = self.tickets[id(change)]
         return host.started_s, host.received_tickets.index(ticket) if ticket in host.received_tickets else -1
 
     def unrecovered(self) -> str:
-        """What is not yet as it should be; empty: nothing."""
+        """Return what has not recovered yet, or an empty text if the cluster has recovered."""
         cluster = self.cluster
         newest_version = cluster.newest_version()
         state = max((host.core.state for host in cluster.controllers), key=lambda s: s.version)
@@ -317,17 +356,17 @@
             f"{r.name} {r.applied_version}" for r in cluster.relays if not r.has_applied_or_rejected(newest_version)
         ]
         if behind:
-            return f"newest is {newest_version}, and behind are {behind}"
+            return f"relays that do not apply the newest version {newest_version}: {behind}"
         if unexpected_files := [
             n for n, stored in cluster.acceptor_files.items() if state.voters.get(n) != stored.identity
         ]:
-            return f"{unexpected_files} hold files that are no voter's"
+            return f"acceptor files whose identity is not a voter's: {unexpected_files}"
         unanswered = [
             (host.name, dict(change.step))
             for host, change in self.requested_changes
             if host.alive and change.answer is None
         ]
-        return f"no answer to {unanswered[:3]}" if unanswered else ""
+        return f"changes without an answer: {unanswered[:3]}" if unanswered else ""
 
     def _await_recovery(self, after: str) -> None:
         if (
@@ -340,6 +379,7 @@
             self.result.stuck.append(f"{after}: {self.unrecovered()}; {rounds}")
 
     def run(self) -> ScenarioResult:
+        """Run the scenario, then request one more change at each controller, and check the rules on the whole run."""
         cluster, result = self.cluster, self.result
         cluster.start_all()
         cluster.clock.after(1000.0 * FAULTS_START_S * self.random.random(), self._request_changes)
@@ -349,20 +389,20 @@
             cluster.clock.after(1000.0 * fault.end_s, self.end_fault, fault)
         while cluster.clock.seconds < self.ends_s and not cluster.checker.violations:
             cluster.run(0.5)
-        cluster.run(1.1 * bool(sum(self.stop_counts.values())))  # who died at a step starts again
+        cluster.run(1.1 * bool(sum(self.stop_counts.values())))  # a controller that crashed at a message restarts
         if not cluster.checker.violations:
             self._await_recovery("after the faults")
         if not cluster.checker.violations and not result.stuck:
             final_changes = [
                 self.request_change(name, {f"last {name}": "1", "novel": None}) for name in self.controller_names
             ]
-            self._await_recovery("orders after the faults")
+            self._await_recovery("changes after the faults")
             cluster.run(0.5)
             if rejections := [change.answer for change in final_changes if change.answer]:
-                result.stuck.append(f"orders after the faults: {rejections}")
+                result.stuck.append(f"changes after the faults were rejected: {rejections}")
             behind = [r.name for r in cluster.relays if r.applied_version < cluster.newest_version()]
             if behind and not result.stuck:
-                result.stuck.append(f"{behind} do not serve by the newest")
+                result.stuck.append(f"relays that do not apply the newest version: {behind}")
         self._check_answers()
         result.violations, result.duration_s = cluster.checker.violations, cluster.clock.seconds
         answers = Counter(
@@ -392,13 +432,28 @@
     fleet: tuple[int, int, int] | None = None,
     simultaneous: bool | None = None,
 ) -> ScenarioResult:
-    """A day. faults, fleet (controllers, voters, relays), together (all faults begin at once): not as the seed says."""
+    """Run a scenario.
+
+    Args:
+        seed: The seed of the fleet, the faults and the changes.
+        components: The implementations under test; the product's own by default.
+        faults: The faults to inject; drawn from the seed by default.
+        fleet: The numbers of controllers, voters and relays; drawn from the seed by default.
+        simultaneous: Whether all faults start at once; drawn from the seed by default.
+    """
     return Scenario(seed, components or ConfigurationComponents(), faults, fleet, simultaneous).run()
 
 
 @dataclass(slots=True)
 class ScenarioTotals:
-    """Of many days. violations, stuck: seed -> the first."""
+    """The results of several scenarios.
+
+    Attributes:
+        runs: The number of scenarios.
+        violations: The first violation of each seed that has one.
+        stuck: The first text on missing recovery of each seed that has one.
+        counts: The totals of the counts.
+    """
 
     runs: int = 0
     violations: dict[int, str] = field(default_factory=dict)
@@ -407,7 +462,7 @@
 
 
 def run_seeds(first_seed: int, count: int, components: ConfigurationComponents | None = None) -> ScenarioTotals:
-    """So many days from this seed on; for a pool of processes."""
+    """Run `count` scenarios with consecutive seeds, as one task of a pool of processes."""
     totals = ScenarioTotals()
     for seed in range(first_seed, first_seed + count):
         result = run_scenario(seed, components)
--- a/yarrowspindle/lab/model/lease_simulation.py
+++ b/yarrowspindle/lab/model/lease_simulation.py
@@ -1,5 +1,9 @@
-"""Leases on the virtual clock: relays that borrow, banks that die, messages that are lost, late and doubled; the
-checker adds up what all relays may spend at every instant, stopped ones and those cut off included."""
+"""A simulation of leases of a shared quota, with fault injection.
+
+Relays request leases from pools, which some of the relays manage. Pools crash; messages are lost, delayed and
+duplicated. The simulation checks many times a second that the budgets of all relays together do not exceed the quota,
+including the budgets of stalled and unreachable relays.
+"""
 
 from __future__ import annotations
 
@@ -18,14 +22,22 @@
 
 @dataclass(slots=True, frozen=True)
 class LeaseComponents:
+    """The implementations that the relays use; tests replace some of them to plant defects."""
+
     pool: type[QuotaPool] = QuotaPool
     holder: type[QuotaHolder] = QuotaHolder
 
 
 @dataclass(slots=True)
 class LeaseResult:
-    """most: leased over total, the most at any instant. least_s: how long after the faults all needs are met within 3 %
-    (below 0: not within 10 s)."""
+    """The result of a simulation.
+
+    Attributes:
+        max_leased_fraction: The highest sum of all budgets, as a fraction of the total quota.
+        needs_met_s: The time in seconds after the faults until all needs were met within 3 %; negative if they were not
+            within 10 s.
+        faults: The injected faults.
+    """
 
     max_leased_fraction: float = 0.0
     needs_met_s: float = -1.0
@@ -33,6 +45,14 @@
 
 
 class LeaseRelay:
+    """A simulated relay process: a lease holder and, on the first `POOL_COUNT` relays, a pool.
+
+    Attributes:
+        stalled_until: The time of the virtual clock until which the process is stopped.
+        clock_rate: The rate of the relay's clock relative to the virtual clock.
+        clock_offset_ms: The time of the relay's clock at the start of the simulation.
+    """
+
     def __init__(self, cluster: LeaseCluster, name: str, incarnation: int) -> None:
         self.cluster, self.name = cluster, name
         self.alive, self.stalled_until, self.clock_rate = True, 0.0, cluster.random.uniform(0.98, 1.02)
@@ -45,14 +65,16 @@
         cluster.clock.after(cluster.random.uniform(0.0, 500.0), self.send_requests)
 
     def now(self) -> float:
-        """Its own clock, that runs up to 2 % apart."""
+        """Return the time of the relay's own clock, whose rate differs by up to 2 %."""
         return self.clock_offset_ms + self.clock_rate * (self.cluster.clock.now() - self.cluster.clock.start)
 
     @property
     def running(self) -> bool:
+        """Whether the process is alive and not stalled."""
         return self.alive and self.cluster.clock.now() >= self.stalled_until
 
     def send_requests(self) -> None:
+        """Send the holder's lease requests, about four times per term."""
         if not self.alive:
             return
         self.cluster.clock.after(TERM_MS / 4.0 * self.cluster.random.uniform(0.8, 1.2), self.send_requests)
@@ -63,7 +85,7 @@
     def on_message(self, source: str, message: Any) -> None:
         if not self.alive:
             return
-        if not self.running:  # it waits in the socket
+        if not self.running:  # the message waits in the socket
             self.cluster.clock.after(
                 self.stalled_until - self.cluster.clock.now() + 1.0, self.on_message, source, message
             )
@@ -75,11 +97,18 @@
             self.holder.on_grant(self.now(), source, message)
 
     def budget(self) -> float:
-        """What it may spend; also a stopped one, which could go on at this instant."""
+        """Return what the relay may use now; a stalled relay counts too, since it could resume at any instant."""
         return self.holder.budget(self.now()) if self.alive else 0.0
 
 
 class LeaseCluster:
+    """Relays on a virtual network and clock that share a quota.
+
+    Attributes:
+        needs: The quota that each relay needs.
+        max_leased_fraction: The highest observed sum of all budgets, as a fraction of the total quota.
+    """
+
     def __init__(self, relays: int, seed: int, components: LeaseComponents | None = None) -> None:
         self.clock, self.random, self.faulty_network = VirtualClock(), Random(f"leases {seed}"), FaultyNetwork(seed)
         self.components, self.names = components or LeaseComponents(), relay_names(relays)
@@ -117,14 +146,15 @@
         )
 
     def needs_met(self) -> bool:
-        """Each living relay has what an even division by need gives it, within 3 % of it."""
+        """Return whether each live relay has its max-min fair share by need, within 3 %."""
         pools = sum(relay.alive and relay.pool is not None for relay in self.relays.values())
         reserve, quota = (
             RESERVE_FRACTION * TOTAL_QUOTA / len(self.names),
             (1.0 - RESERVE_FRACTION) * TOTAL_QUOTA / min(POOL_COUNT, len(self.names)),
         )
         live_relays = [relay for relay in self.relays.values() if relay.alive]
-        min_need = MIN_NEED_FRACTION * quota * pools / len(live_relays)  # who needs nothing has that for a first need
+        # A relay without a need is granted this much, for the first need that arises.
+        min_need = MIN_NEED_FRACTION * quota * pools / len(live_relays)
         needs = {relay.name: max(self.needs[relay.name] - reserve, min_need) for relay in live_relays}
         remaining, waiting = quota * pools, len(live_relays)
         for name, need in sorted(needs.items(), key=lambda item: item[1]):
@@ -138,11 +168,11 @@
         self.clock.run_until(self.clock.time + 1000.0 * seconds)
 
 
-# --- defects, planted -----------------------------------------------------------------------------
+# --- planted defects ------------------------------------------------------------------------------
 
 
 class NoClockMargin(QuotaPool):
-    """Counts a loan as over as soon as its term is, by a clock that may run faster than the borrower's."""
+    """Releases a lease at the end of its term by the pool's clock, which may run faster than the holder's."""
 
     @property
     def retention_ms(self) -> float:
@@ -150,7 +180,7 @@
 
 
 class GrantsDirectlyAfterStart(QuotaPool):
-    """Lends though loans of the process before it may be in use."""
+    """Grants leases directly after a start, while leases of the previous process may still be in use."""
 
     def __init__(self, quota: float, term_ms: float, now: float) -> None:
         super().__init__(quota, term_ms, now)
@@ -158,7 +188,7 @@
 
 
 class KeepsOnlyNewestLease(QuotaPool):
-    """Takes the newest loan for the only one."""
+    """Discards the older leases of a holder when it grants a new one, although they may still be in use."""
 
     def on_request(self, now: float, name: str, request: LeaseRequest) -> LeaseGrant | None:
         answer = super().on_request(now, name, request)
@@ -169,14 +199,14 @@
 
 
 class IgnoresOutstandingLeases(QuotaPool):
-    """Lends what is due to each, whatever others still have."""
+    """Grants each holder its share even if other holders still use more than theirs."""
 
     def _free(self, now: float, holder: tuple[str, int]) -> float:
         return self.quota
 
 
 class CountsTermFromGrant(QuotaHolder):
-    """Counts its term from when the answer came."""
+    """Counts the term of a lease from the receipt of the grant instead of from the request."""
 
     def on_grant(self, now: float, pool: str, grant: LeaseGrant) -> None:
         before = self.leases[pool].number
@@ -186,21 +216,21 @@
 
 
 class IgnoresLeaseEnd(QuotaHolder):
-    """Spends its last loan until it hears of another."""
+    """Uses the last lease until the next one is granted, even after its end."""
 
     def budget(self, now: float) -> float:
         return self.reserve + sum(held.amount for held in self.leases.values())
 
 
 class AcceptsAnyGrant(QuotaHolder):
-    """Takes doubled and old answers, each as if it came in time."""
+    """Accepts duplicate and late grants, each as a new lease."""
 
     def on_grant(self, now: float, pool: str, grant: LeaseGrant) -> None:
         self.leases[pool] = HeldLease(max(grant.number, self.leases[pool].number), grant.amount, now + self.term_ms)
 
 
 class KeepsLargerLease(QuotaHolder):
-    """Gives nothing back before its end."""
+    """Keeps using a larger lease until its end after a smaller one was granted."""
 
     def on_grant(self, now: float, pool: str, grant: LeaseGrant) -> None:
         previous = self.leases[pool]
@@ -224,6 +254,15 @@
 def run_lease_scenario(
     relays: int, seed: int, kinds: Sequence[str], faults_s: float = 12.0, components: LeaseComponents | None = None
 ) -> LeaseResult:
+    """Run a simulation with faults and changing needs, and wait up to 10 s until all needs are met.
+
+    Args:
+        relays: The number of relays.
+        seed: The seed of the simulation.
+        kinds: The kinds of the faults.
+        faults_s: The period in which faults are active.
+        components: The implementations under test; the product's own by default.
+    """
     cluster = LeaseCluster(relays, seed, components)
     result = LeaseResult(faults=schedule(kinds, cluster.names, ["n0"], seed, 3.0, faults_s, 8.0))
     for fault in result.faults:
@@ -236,7 +275,7 @@
         else:
             cluster.clock.after(start_ms, cluster.faulty_network.start, fault)
             cluster.clock.after(end_ms, cluster.faulty_network.end, fault)
-    if seed % 4 == 0:  # a bank that is back at once
+    if seed % 4 == 0:  # a relay with a pool crashes and restarts within 200 ms
         pool, start_ms = cluster.names[seed % min(POOL_COUNT, relays)], 1000.0 * cluster.random.uniform(4.0, 14.0)
         cluster.clock.after(start_ms, cluster.kill, pool)
         cluster.clock.after(start_ms + 200.0, cluster.start, pool)
--- a/yarrowspindle/lab/model/maintenance_cluster.py
+++ b/yarrowspindle/lab/model/maintenance_cluster.py
@@ -1,8 +1,10 @@
-"""Turns on the virtual clock: relays that vote, propose, hold connections, die and come back; machines that die;
-several operators; and what may never be.
+"""A simulated cluster of relays that evacuate backends for maintenance, with fault injection.
 
-The checker sees committed states as they are taken up, and what relays hold and place; it looks into no core. What a
-day brings beside the faults is drawn from its seed (`Plan`). Each relay has a clock of its own, minutes apart.
+The relays run the maintenance coordinator on a virtual clock: they vote, propose, hold connections, crash and restart.
+Backends fail, and several operators send commands. `MaintenanceChecker` verifies the safety rules from the outside: by
+the states that relays report as committed and the connections that they place and hold, not by the internal state of
+the coordinators. Events beside the faults are drawn from the seed (`Plan`). The clocks of the relays differ by up to
+10 minutes.
 """
 
 from __future__ import annotations
@@ -45,16 +47,27 @@
 from yarrowspindle.maintenance.state import EMPTYING, FREE, MaintenanceState
 from yarrowspindle.protocol.fragments import Fragmenter
 
-CONNECTION_LIFETIME_MS, MIGRATING_LIFETIME_MS = 3000.0, 400.0  # of a connection, and of one that is asked to move
+# The mean lifetime of a connection, and the mean remaining lifetime of one that is asked to migrate.
+CONNECTION_LIFETIME_MS, MIGRATING_LIFETIME_MS = 3000.0, 400.0
 TICK_MS = 100.0
 WARMUP_MS = 1500.0
-PLACEMENT_PROBABILITY = 0.3  # of a relay's events that a connection comes right after
+PLACEMENT_PROBABILITY = 0.3  # that a connection is placed directly after an event of a relay
 INITIAL_IDENTITY = "first"
 
 
 @dataclass(slots=True)
 class MaintenanceResult:
-    """rolled_back: turns that were given back unemptied."""
+    """The result of a simulation.
+
+    Attributes:
+        violations: The violations of safety rules.
+        stuck: The state of a simulation that did not finish in time.
+        evacuations: The number of evacuations that were started.
+        max_evacuated: The most backends that were evacuated at once.
+        rolled_back: The number of evacuations that ended before the backend was free.
+        duration_s: The simulated time.
+        faults: The injected faults.
+    """
 
     violations: list[str] = field(default_factory=list)
     stuck: list[str] = field(default_factory=list)
@@ -66,11 +79,25 @@
 
 
 class MaintenanceChecker:
-    """Rules on what relays took up, held and placed."""
+    """Verifies the safety rules on committed states and on the connections that relays place and hold.
+
+    Attributes:
+        violations: Texts of the first 20 violations.
+        versions: The first state that was reported for each version.
+        backend_by_number: The backend of each evacuation, by the evacuation's number.
+        newest_state: The newest committed state.
+    """
 
     def __init__(
         self, request: MaintenanceRequest, zones: dict[str, int], recently_ready: Callable[[], set[str]]
     ) -> None:
+        """Check against the limits of `request`.
+
+        Args:
+            request: The request of the operator.
+            zones: The zone of each backend.
+            recently_ready: Returns the backends that are ready or were until recently.
+        """
         self.operator_request, self.zones, self.recently_ready = request, zones, recently_ready
         self.rolled_back = 0
         self.violations: list[str] = []
@@ -86,23 +113,24 @@
     def on_committed(self, relay: str, state: MaintenanceState) -> None:
         known_state = self.versions.setdefault(state.version, state)
         if known_state != state:
-            self.report_violation(f"two states of version {state.version}: {relay} took another")
+            self.report_violation(f"{relay} committed a state of version {state.version} that differs from others'")
         for backend, evacuation in state.evacuations.items():
             if self.backend_by_number.setdefault(evacuation.number, backend) != backend:
                 self.report_violation(
-                    f"turn {evacuation.number} is {backend}'s and {self.backend_by_number[evacuation.number]}'s"
+                    f"evacuation number {evacuation.number} is used for {backend} and "
+                    f"{self.backend_by_number[evacuation.number]}"
                 )
         if state.version > self.newest_state.version:
             number, previous = state.last_evacuation_number, self.newest_state.last_evacuation_number
             if number < previous:
-                self.report_violation(f"turn numbers went back from {previous} to {number}")
+                self.report_violation(f"the last evacuation number decreased from {previous} to {number}")
             if number > previous:
-                # Who died a moment ago is not the turn's doing.
+                # A backend that failed a moment ago counts as ready: its failure is not due to the evacuation.
                 remaining = len(self.recently_ready() - set(state.evacuations))
                 if remaining < self.operator_request.min_ready_capacity:
                     self.report_violation(
-                        f"turn {number} leaves {remaining} ready, the floor is "
-                        f"{self.operator_request.min_ready_capacity:g}"
+                        f"evacuation {number} leaves {remaining} ready backends, at least "
+                        f"{self.operator_request.min_ready_capacity:g} are required"
                     )
             self.rolled_back += sum(
                 o.stage == EMPTYING and m not in state.evacuations for m, o in self.newest_state.evacuations.items()
@@ -113,19 +141,35 @@
         if len(zones) > self.operator_request.max_unavailable or any(
             zones.count(zone) > self.operator_request.max_unavailable_per_zone for zone in zones
         ):
-            self.report_violation(f"{len(zones)} out at once, in zones {sorted(zones)}")
+            self.report_violation(f"{len(zones)} backends are evacuated at once, in zones {sorted(zones)}")
 
     def on_backend_used(self, relay: str, backend: str, use: str) -> None:
-        """A relay places or holds a connection there now."""
+        """Check that a backend at which a relay places or holds a connection is not free.
+
+        Args:
+            relay: The name of the relay.
+            backend: The name of the backend.
+            use: What the relay does with a connection: "places" or "holds".
+        """
         evacuation = self.newest_state.evacuations.get(backend)
         if evacuation is not None and evacuation.stage == FREE:
-            self.report_violation(f"{relay} {use} at {backend}, which is free by turn {evacuation.number}")
+            self.report_violation(
+                f"{relay} {use} a connection at {backend}, which is free by evacuation {evacuation.number}"
+            )
 
 
 @dataclass(slots=True, frozen=True)
 class MaintenanceComponents:
-    """Of which a relay is made; tests plant defects by others. forgets: files are not written; lies: a lost file is
-    made anew under the identity of the one before."""
+    """The implementations that the relays use; tests replace some of them to plant defects.
+
+    Attributes:
+        state: The replicated state.
+        acceptor: The acceptor of a voting relay.
+        proposer: The proposer of a relay.
+        coordinator: The maintenance coordinator of a relay.
+        discard_acceptor_writes: Whether the files of acceptors are not written.
+        reuse_lost_identity: Whether a lost acceptor file is recreated under the identity of the lost one.
+    """
 
     state: type[MaintenanceState] = MaintenanceState
     acceptor: type[Acceptor[MaintenanceState]] = Acceptor
@@ -137,10 +181,19 @@
 
 @dataclass(slots=True, frozen=True)
 class Plan:
-    """What a day brings beside its faults. dies: a machine ends at this time (below 0: none does), and is back under a
-    new start 15 s later; clash: a second wish that names some of the same machines, at another relay; cancel_s: when an
-    operator cancels; joins: a relay comes in mid-turn, another that came so ends for good, a voter is taken in and one
-    out; wired: messages go as bytes, in parcels. dies_at: a relay dies at its n-th step of this kind."""
+    """The events of a simulation beside its faults.
+
+    Attributes:
+        placement_factor: A factor on the rate at which connections are placed.
+        backend_failure_s: When a backend fails, to restart 15 s later with a new start time; negative for never.
+        conflicting_request: Whether a second operator requests maintenance of some of the same backends.
+        cancel_s: When an operator cancels the queued requests; negative for never.
+        membership_changes: Whether relays join during evacuations, one of them ends for good and is removed, and a
+            voter is added and another removed.
+        encode_messages: Whether messages are encoded and fragmented into datagrams.
+        crash_at: A key of `CRASH_POINTS` and a count n: the relay that takes the n-th step of this kind,
+            counted over all relays, crashes.
+    """
 
     placement_factor: float = 1.0
     backend_failure_s: float = -1.0
@@ -152,8 +205,9 @@
 
     @staticmethod
     def from_seed(seed: int) -> Plan:
+        """Return the events that the seed determines."""
         drawn = Random(f"plan {seed}")
-        # Machines that hold little are the ones that a relay may take for empty a moment too soon.
+        # Backends with few connections are included: a relay may consider those empty a moment too early.
         return Plan(
             drawn.choice((1.0, 0.2, 0.05)),
             drawn.uniform(2.0, 12.0) if drawn.random() < 0.25 else -1.0,
@@ -174,12 +228,21 @@
 
 
 class SimulatedRelay:
-    """A process of a relay; its file outlives it where it is stored."""
+    """A simulated relay process with its coordinator, acceptor and connections.
+
+    Attributes:
+        clock_offset_ms: How far the clock of the process is ahead of the virtual clock.
+        stalled_until: The time of the relay's own clock until which the process is stopped.
+        connections: The number of connections at each backend.
+        acceptor: The acceptor of a relay that votes; its stored state outlives the process.
+        core: The coordinator under test.
+        log: The log lines, each with its time by the relay's clock.
+    """
 
     def __init__(self, cluster: MaintenanceCluster, name: str) -> None:
         self.cluster, self.name = cluster, name
         self.alive, self.stalled_until = True, 0.0
-        self.clock_offset_ms = cluster.random.uniform(0.0, 600_000.0)  # of its clock
+        self.clock_offset_ms = cluster.random.uniform(0.0, 600_000.0)
         self.connections: dict[str, int] = {}
         self.fleet_health = FleetHealth(WARMUP_MS, 1.0)
         self.fragmenter = Fragmenter(cluster.random.getrandbits(40))
@@ -207,7 +270,7 @@
         if not self.alive:
             return
         remaining_ms = self.stalled_until - self.now()
-        if remaining_ms > 0.0:  # a stopped process: all of it waits
+        if remaining_ms > 0.0:  # all events of a stalled process are delayed
             self.cluster.clock.after(remaining_ms + self.cluster.random.random(), self.post, event)
             return
         self.execute(self.core.step(self.now(), event))
@@ -250,14 +313,14 @@
                 self.post(MessageReceived(source, decode(assembled)))
 
     def place_connection(self) -> None:
-        """A connection comes, at any moment between two events."""
+        """Place a connection at a random backend if the coordinator allows it and the backend is up."""
         backend = self.cluster.random.choice(self.cluster.backends)
         if self.alive and self.core.may_place(backend) and self.cluster.is_up(backend):
             self.cluster.checker.on_backend_used(self.name, backend, "places")
             self.connections[backend] = self.connections.get(backend, 0) + 1
 
     def serve(self) -> None:
-        """A moment of service: connections come and go, those at machines that empty are moved."""
+        """Simulate the service of one tick: connections end, migrate and are placed, and the fleet is observed."""
         if not self.alive or self.stalled_until > self.now():
             return
         random, cluster = self.cluster.random, self.cluster
@@ -293,6 +356,19 @@
 
 
 class MaintenanceCluster:
+    """Relays and backends on a virtual network and clock, and the operators that request maintenance.
+
+    Attributes:
+        zones: The zone of each backend.
+        started_at: The start time of each backend.
+        down_since: When each backend that is down failed, in seconds.
+        operator_request: The maintenance request for all backends.
+        operator_requests: All maintenance requests, including a conflicting one.
+        names: The names of the relays that vote at the start.
+        acceptor_files: The stored state of each acceptor, by relay.
+        crash_point_count: How many steps of the kind in `Plan.crash_at` were taken.
+    """
+
     def __init__(
         self,
         relays: int,
@@ -311,7 +387,7 @@
         self.backends = tuple(f"m{n}" for n in range(backends))
         self.zones = {backend: n % 2 for n, backend in enumerate(self.backends)}
         self.started_at = dict.fromkeys(self.backends, 0.0)
-        self.down_since: dict[str, float] = {}  # machine -> since when it is dead
+        self.down_since: dict[str, float] = {}
         self.operator_request = MaintenanceRequest(
             tuple(sorted(self.backends, key=lambda m: (self.zones[m], m))), 2, 1, backends - 2.0
         )
@@ -340,14 +416,17 @@
         if self.plan.membership_changes:
             self.clock.after(self.random.uniform(1000.0, 8000.0), self._change_membership)
 
-    # --- machines -------------------------------------------------------------------------------
+    # --- backends -------------------------------------------------------------------------------
 
     def is_up(self, backend: str) -> bool:
         return backend not in self.down_since
 
     def recently_ready(self) -> set[str]:
-        """Those that were up some time ago: a turn that was agreed on before a machine died may be heard of after it,
-        where its proposer died too, and is taken back then."""
+        """Return the backends that are up or were up `FAULT_PERIOD_MS` ago.
+
+        An evacuation that was committed before a backend failed may be reported only after the failure if its proposer
+        crashed too; it is rolled back then.
+        """
         now = self.clock.seconds
         return {
             m for m in self.backends if m not in self.down_since or self.down_since[m] > now - FAULT_PERIOD_MS / 1000.0
@@ -377,7 +456,12 @@
         relay.execute(relay.core.take_effects())
 
     def kill(self, name: str, lose_file: bool = False) -> None:
-        """What it held breaks with it. lose: its file is gone as well, and it starts with another."""
+        """Kill a relay; its connections end.
+
+        Args:
+            name: The name of the relay.
+            lose_file: Whether its acceptor's file is lost too, so that it restarts with a new file and identity.
+        """
         relay = self.relays[name]
         relay.alive = False
         relay.connections.clear()
@@ -388,7 +472,7 @@
             self.acceptor_files[name] = AcceptorState(identity, NO_BALLOT, NO_BALLOT, self.initial_state)
 
     def on_protocol_step(self, relay: SimulatedRelay, step: Any) -> None:
-        """The relay that comes to a step first, the n-th time, dies at it, and starts again after a second."""
+        """Kill the relay if this is the step that `Plan.crash_at` names; it restarts after 1 s."""
         kind, number = self.plan.crash_at
         if kind and isinstance(step, CRASH_POINTS[kind]):
             self.crash_point_count += 1
@@ -398,7 +482,7 @@
 
     def send(self, source: str, target: str, message: Any) -> None:
         for delay_ms, copy in self.faulty_network.deliveries(source, target, b"x"):
-            if copy == b"x":  # one that was changed is dropped by its sum
+            if copy == b"x":  # a corrupted copy would be dropped by its checksum
                 self.clock.after(delay_ms + self.random.uniform(0.1, 5.0), self._arrive, source, target, message)
 
     def _arrive(self, source: str, target: str, message: Any) -> None:
@@ -407,8 +491,7 @@
             relay.on_message(source, message)
 
     def _change_membership(self) -> None:
-        """Two relays come that do not vote; one ends for good and an operator says so; the other votes in another's
-        place."""
+        """Start two relays that do not vote; later remove one, and let the other vote in place of an initial voter."""
         self.start("s0")
         self.start("s1")
 
@@ -427,11 +510,12 @@
         self.clock.after(12_000.0, lambda: self.send_command(RemoveVoter(self.names[-1])))
 
     def _remove_relay(self, name: str) -> None:
-        """Until it stands in the state: an operator looks."""
+        """Remove an ended relay from the state as an operator does, and check again every 2 s."""
         incarnation = self.checker.newest_state.relays.get(name)
         if incarnation is not None:
             self.send_command(RemoveRelay(name, incarnation))
-        self.clock.after(2000.0, self._remove_relay, name)  # its word may have been on the way when it ended
+        # A message in flight when the relay ended may register it again.
+        self.clock.after(2000.0, self._remove_relay, name)
 
     def _cancel_queued_requests(self) -> None:
         for number, request in self.checker.newest_state.requests.items():
@@ -442,15 +526,16 @@
         self.clock.after(TICK_MS, self._tick)
         for relay in list(self.relays.values()):
             relay.serve()
-        # The operator's hand: a machine that is free is worked on for a moment, and given back.
+        # The operators' work: a free backend is worked on for a random time, then reported as complete.
         newest = self.checker.newest_state
         for backend, evacuation in newest.evacuations.items():
             if evacuation.stage == FREE and self.random.random() < 0.1:
-                if self.is_up(backend) and self.random.random() < 0.3:  # a new kernel
+                if self.is_up(backend) and self.random.random() < 0.3:  # the backend is restarted
                     self.started_at[backend] = self.clock.now()
                 self.send_command(CompleteWork(backend, evacuation.number))
 
     def send_command(self, command: OperatorCommand) -> None:
+        """Send an operator's command to a random live relay."""
         alive = [relay for relay in self.relays.values() if relay.alive]
         if alive:
             alive[self.random.randrange(len(alive))].post(command)
@@ -458,13 +543,18 @@
     # --- faults ---------------------------------------------------------------------------------
 
     def schedule_faults(self, faults: Sequence[Fault], lose_file: bool) -> None:
+        """Schedule the faults, counted from the start of the simulation.
+
+        Args:
+            faults: The faults to inject.
+            lose_file: Whether the first killed relay loses its acceptor's file. Only one may be lost: consensus does
+                not survive the loss of the files of a majority, which takes an operator to repair.
+        """
         for fault in faults:
             start_ms, end_ms = 1000.0 * fault.start_s, 1000.0 * fault.end_s
             if fault.kind == "kill":
                 self.clock.after(start_ms, self.kill, fault.participants[0], lose_file)
-                lose_file = (
-                    False  # files of a majority lost at once are more than any agreement bears: an operator's work
-                )
+                lose_file = False
                 self.clock.after(end_ms, self.start, fault.participants[0])
             elif fault.kind == "stall":
                 self.clock.after(start_ms, self._stall, fault.participants[0], end_ms - start_ms)
@@ -483,7 +573,7 @@
         return any(request.id in self.checker.newest_state.requests for request in self.operator_requests)
 
     def finished(self) -> bool:
-        """Every wanted machine has been out and is back, or somebody cancelled that."""
+        """Return whether each requested backend was evacuated and returned, or its request was cancelled."""
         state = self.checker.newest_state
         return (
             self.request_committed()
@@ -505,8 +595,21 @@
     faults: Sequence[Fault] | None = None,
     simultaneous: bool = False,
 ) -> MaintenanceResult:
-    """All machines once round, with faults in the first seconds; everything must be back some time after they end.
-    together: all faults begin in the same instant."""
+    """Evacuate all backends once while faults are active, and wait until all have returned.
+
+    Args:
+        relays: The number of relays, all of which vote at the start.
+        backends: The number of backends.
+        seed: The seed of the simulation.
+        kinds: The kinds of the faults to draw.
+        faults_s: The period from the start in which faults are active.
+        within_s: The time allowed after that period.
+        lose_file: Whether the first killed relay loses its acceptor's file.
+        components: The implementations under test; the product's own by default.
+        plan: The events beside the faults; drawn from the seed by default.
+        faults: The faults to inject; drawn from the seed by default.
+        simultaneous: Whether all drawn faults start at once.
+    """
     cluster = MaintenanceCluster(relays, backends, seed, components, plan)
     if faults is None:
         faults = schedule(kinds, cluster.names, ["n0"], seed, 0.3, faults_s, 20.0)
@@ -515,13 +618,15 @@
     result = MaintenanceResult(faults=list(faults))
     cluster.schedule_faults(result.faults, lose_file)
     cluster.run(0.5)
-    # Two operators at two relays: the same wish is one, and of two that clash one is refused.
+    # Operators send equal and conflicting requests to several relays: equal ones are accepted as one request, and of
+    # two conflicting ones one is rejected.
     for request in (*cluster.operator_requests, structs.replace(cluster.operator_request)):
         cluster.send_command(QueueRequest(request, 0))
     while cluster.clock.seconds < faults_s + within_s and not cluster.finished() and not cluster.checker.violations:
         cluster.run(0.5)
         if cluster.clock.seconds > 2.0 and not cluster.request_committed():
-            cluster.send_command(QueueRequest(cluster.operator_request, 0))  # whoever had it died with it
+            # The relay that received the request crashed before it was committed.
+            cluster.send_command(QueueRequest(cluster.operator_request, 0))
     checker = cluster.checker
     result.violations, result.max_evacuated, result.rolled_back = (
         checker.violations,
@@ -533,7 +638,7 @@
         state = checker.newest_state
         unconfirmed = {m: state.unconfirmed_relays(m) for m in state.evacuations}
         result.stuck.append(
-            f"out {state.evacuations}, waits for {unconfirmed}, paused "
-            f"{state.pause_reason!r}, {[(r.state, r.waiting) for r in state.requests.values()]}"
+            f"evacuations {state.evacuations}, not confirmed by {unconfirmed}, pause reason "
+            f"{state.pause_reason!r}, requests {[(r.state, r.waiting) for r in state.requests.values()]}"
         )
     return result
--- a/yarrowspindle/lab/model/maintenance_model_checker.py
+++ b/yarrowspindle/lab/model/maintenance_model_checker.py
@@ -1,9 +1,12 @@
-"""Every interleaving of a small case, to a depth: three relays that all vote, two machines, messages that may be lost
-(by never coming) or overtake one another, one crash of any relay at any moment, one new connection at any moment.
+"""A model checker of the maintenance coordinator: explores all interleavings of a small cluster up to a depth.
 
-The real core takes each step. Time is folded away: a beat finds every wait of its relay over. A relay's words
-to its own voter arrive at once. A message that changes nothing is not looked at, since to lose it is the same. Checked
-at each state: two committed states of one version, and a connection at a machine that is free.
+The cluster has three relays, all voters, and two backends. Messages may overtake one another or be lost (by never being
+delivered). At any moment any relay may crash, once in all, and one new connection may be placed.
+
+Each step is taken by the product's own coordinator. Time is abstracted away: at each tick all timeouts of the relay
+have expired. Messages from a relay to its own acceptor are delivered at once. The delivery of a message that changes
+nothing is not explored, since it equals the loss of the message. In each state two rules are checked: there are no two
+different committed states of one version, and no relay holds a connection at a backend that is free.
 """
 
 from __future__ import annotations
@@ -38,13 +41,13 @@
 
 RELAYS, BACKENDS = ("r0", "r1", "r2"), ("m0", "m1")
 OBSERVATIONS = {backend: BackendObservation(0, 1.0, True) for backend in BACKENDS}
-AFTER_ALL_TIMEOUTS_MS = 100_000.0  # past every wait
-MAX_IN_FLIGHT = 12  # messages that are kept; the oldest are lost
+AFTER_ALL_TIMEOUTS_MS = 100_000.0  # the time of all steps
+MAX_IN_FLIGHT = 12  # messages; beyond that the oldest are lost
 _encode = msgspec.msgpack.Encoder(order="deterministic").encode
 
 
 class FixedRandom:
-    """No chance here."""
+    """A random generator that always returns the lowest value, so that steps are deterministic."""
 
     def random(self) -> float:
         return 0.0
@@ -58,7 +61,7 @@
 
 @dataclass(slots=True, frozen=True)
 class RelaySnapshot:
-    """A relay: its core and acceptor as bytes, and what it holds."""
+    """A relay: its pickled coordinator and acceptor, and the backends at which it holds connections."""
 
     core: bytes
     used_backends: frozenset[str]
@@ -66,33 +69,46 @@
 
 @dataclass(slots=True, frozen=True)
 class State:
+    """A state of the cluster.
+
+    Attributes:
+        relays: The relays, in the order of `RELAYS`.
+        messages: The messages in flight: source, target and encoded message.
+        committed: The digest of each version that a relay reported as committed.
+        newest: The newest committed state.
+        crashes: The number of crashes that may still occur.
+        placements: The number of connections that may still be placed.
+        path: The steps that lead to this state.
+    """
+
     relays: tuple[RelaySnapshot, ...]
     messages: tuple[tuple[str, str, bytes], ...]
-    committed: tuple[tuple[int, bytes], ...]  # version -> digest, as any relay has taken it up
+    committed: tuple[tuple[int, bytes], ...]
     newest: MaintenanceState
     crashes: int = 1
     placements: int = 1
     path: tuple[str, ...] = ()
 
     def key(self) -> bytes:
+        """Return a digest that is equal for states which need not be told apart."""
         relays = [(relay.core, sorted(relay.used_backends)) for relay in self.relays]
         encoded = _encode([relays, sorted(self.messages), self.committed, self.crashes, self.placements])
         return blake2b(encoded, digest_size=16).digest()
 
 
 class InvariantViolationError(Exception):
-    """A rule does not hold; the text says which, and by which way."""
+    """A rule is violated; the message names the rule and the steps that lead to the state."""
 
 
 Loaded = tuple[MaintenanceCoordinator, Acceptor[MaintenanceState]]
 
 
 def _store(stored: AcceptorState[MaintenanceState]) -> None:
-    """The acceptor's bytes outlive a crash."""
+    """Do nothing: after a crash the acceptor's stored state is read from the snapshot before it."""
 
 
 def _discard(stored: AcceptorState[MaintenanceState]) -> None:
-    """Planted: nothing is written. `crash` looks for this."""
+    """Mark an acceptor that writes no file (a planted defect): `successors` restarts it from the initial state."""
 
 
 def create_relay(
@@ -115,7 +131,7 @@
 
 
 def take_snapshot(loaded: Loaded, used_backends: frozenset[str]) -> RelaySnapshot:
-    """Times are folded away, so that states which differ by them alone are one."""
+    """Return the snapshot of a relay with all times reset, so that states that differ only in times are equal."""
     core = loaded[0]
     core.now = core.round_started_at = core.majority_reached_at = core.reminded_at = 0.0
     core.retry_at = core.confirmable_since = 0.0
@@ -128,7 +144,18 @@
 def step(
     state: State, index: int, description: str, action: Callable[[Loaded, set[str]], list[Any]], delivered: int = -1
 ) -> State:
-    """One relay takes a step; `without`: the message that came by it."""
+    """Return the state after one relay took a step, and check the rules.
+
+    Args:
+        state: The state before.
+        index: The relay that takes the step.
+        description: The text of the step in the path.
+        action: The step: changes the relay and the backends that it uses, and returns the effects.
+        delivered: The index of the message that the step delivers; -1 for none.
+
+    Raises:
+        InvariantViolationError: The state after the step violates a rule.
+    """
     snapshot, name = state.relays[index], RELAYS[index]
     loaded: Loaded = pickle.loads(snapshot.core)
     core, acceptor = loaded
@@ -149,7 +176,9 @@
         elif isinstance(effect, StateCommitted):
             digest = blake2b(_encode(effect.state), digest_size=8).digest()
             if committed.setdefault(effect.state.version, digest) != digest:
-                raise InvariantViolationError(f"two states of version {effect.state.version}: {' '.join(path)}")
+                raise InvariantViolationError(
+                    f"two different committed states of version {effect.state.version} after the steps {' '.join(path)}"
+                )
             if effect.state.version > newest.version:
                 newest = effect.state
     messages = [m for m in messages if m[1] in RELAYS][-MAX_IN_FLIGHT:]
@@ -167,7 +196,9 @@
     for backend, evacuation in newest.evacuations.items():
         for number, relay in enumerate(relays):
             if evacuation.stage == FREE and backend in relay.used_backends:
-                raise InvariantViolationError(f"{RELAYS[number]} holds at {backend}, which is free: {' '.join(path)}")
+                raise InvariantViolationError(
+                    f"{RELAYS[number]} holds a connection at {backend}, which is free, after the steps {' '.join(path)}"
+                )
     return successor
 
 
@@ -212,18 +243,18 @@
     for index, snapshot in enumerate(state.relays):
         name = RELAYS[index]
         core: MaintenanceCoordinator = pickle.loads(snapshot.core)[0]
-        yield step(state, index, f"{name}!beat", tick)
+        yield step(state, index, f"{name}!tick", tick)
         for backend in BACKENDS:
             if backend in snapshot.used_backends and core.adopted.excludes(backend):
                 yield step(state, index, f"{name}-{backend}", partial(release_connection, backend))
             elif state.placements and backend not in snapshot.used_backends and core.may_place(backend):
                 yield replace(step(state, index, f"{name}+{backend}", partial(place_connection, backend)), placements=0)
         if not core.observed_since_adoption:
-            yield step(state, index, f"{name}!look", observe)
+            yield step(state, index, f"{name}!observe", observe)
         for backend, evacuation in core.adopted.evacuations.items():
             command = CompleteWork(backend, evacuation.number)
             if evacuation.stage == FREE and command not in core.commands:
-                yield step(state, index, f"{name}!done {backend}", partial(issue_command, command))
+                yield step(state, index, f"{name}!complete {backend}", partial(issue_command, command))
         if state.crashes:
             acceptor: Acceptor[MaintenanceState] = pickle.loads(snapshot.core)[1]
             initial = components.state(dict.fromkeys(RELAYS, INITIAL_IDENTITY))
@@ -241,9 +272,15 @@
 
 
 def initial_state(components: MaintenanceComponents, stage: str) -> State:
-    """A start of the search, nothing on the way. granted: all have registered, both machines are asked for, each relay
-    holds a connection at the first, whose turn all have taken up; last: but for one relay all have confirmed; free: all
-    have; back: the work is done, and the second machine's turn is granted."""
+    """Return a state from which the exploration starts, without messages in flight.
+
+    Args:
+        components: The implementations under test.
+        stage: How far the maintenance of both backends has proceeded. "granted": all relays are registered, each holds
+            a connection at the first backend, and all have adopted its evacuation; "last": all relays except one have
+            confirmed that they released the backend; "free": all have; "back": the work is complete, and the
+            evacuation of the second backend is granted.
+    """
     initial = components.state(dict.fromkeys(RELAYS, INITIAL_IDENTITY))
     relays = tuple(
         take_snapshot(
@@ -284,6 +321,7 @@
 
 
 def expand(components: MaintenanceComponents, states: list[State]) -> tuple[list[tuple[bytes, State]], str]:
+    """Return the different successors of the states with their keys, and the first violation, as a task of a pool."""
     successors_by_key: dict[bytes, State] = {}
     for state in states:
         try:
@@ -296,9 +334,18 @@
 
 @dataclass(slots=True, frozen=True)
 class Exploration:
+    """The result of an exploration.
+
+    Attributes:
+        states: The number of different states that were reached.
+        depth: The depth that was reached.
+        complete: Whether all states up to that depth were explored without a violation.
+        violation: The first violation; empty if there was none.
+    """
+
     states: int
     depth: int
-    complete: bool  # all of that depth, not only as many as were allowed
+    complete: bool
     violation: str = ""
 
 
@@ -310,7 +357,7 @@
     pool: Executor | None = None,
     workers: int = 1,
 ) -> Exploration:
-    """Level by level; stops at the depth, at so many states, or at the first broken rule."""
+    """Explore breadth-first until the depth is reached, there are more than `limit` states, or a rule is violated."""
     selected_components = components or MaintenanceComponents()
     start = initial_state(selected_components, stage)
     seen, level = {start.key()}, [start]
--- a/yarrowspindle/lab/model/membership_cluster.py
+++ b/yarrowspindle/lab/model/membership_cluster.py
@@ -1,4 +1,8 @@
-"""Relays that hear one another on the virtual clock: the same core and driver as over sockets, the same fault words."""
+"""Relays that exchange membership messages on a virtual network and clock, with fault injection.
+
+The membership core and driver are those that the daemon uses with sockets; the kinds of faults are those of
+`lab.faults`.
+"""
 
 from __future__ import annotations
 
@@ -13,15 +17,25 @@
 from yarrowspindle.routing.address import Address
 from yarrowspindle.runtime.membership_driver import MembershipDriver
 
-MAX_QUEUED_EVENTS = 300  # datagrams that wait in a stopped process's socket; more are lost
+MAX_QUEUED_EVENTS = 300  # in the socket of a stalled process; further datagrams are lost
 
 
 def address_of(index: int) -> Address:
+    """Return the address of the relay with this index."""
     return f"10.{index >> 16 & 255}.{index >> 8 & 255}.{index & 255}", 7946
 
 
 class VirtualPeer:
-    """One process of a relay as the others meet it; killed, stopped and started by the network that it is in."""
+    """The membership part of a simulated relay process.
+
+    Attributes:
+        party: The name of the relay in faults.
+        clock_offset_ms: How far the clock of the process is ahead of the virtual clock.
+        core_arguments: The arguments with which the core was created.
+        core: The membership core under test.
+        stalled_until: The time of the virtual clock until which the process is stopped.
+        queued_events: The datagrams that wait in the socket while the process is stalled.
+    """
 
     def __init__(
         self,
@@ -34,7 +48,7 @@
         self.network, self.index, self.local_load, self.on_peer_loads = network, index, local_load, on_peer_loads
         self.party, self.address = f"r{index}", address_of(index)
         settings = network.settings(self.address, index)
-        # Each process has a clock of its own, that says nothing of the others'.
+        # Each process has its own clock, unrelated to those of the others.
         self.clock_offset_ms = network.random.uniform(0.0, 1e9)
         self.core_arguments = (
             settings,
@@ -102,13 +116,23 @@
         self.driver.close()
 
     def leave(self) -> None:
+        """Leave the cluster and end, as a relay does that is stopped by SIGTERM."""
         self.driver.post(LeaveCluster())
         self.kill()
 
 
 class VirtualNetwork:
-    """`changes`: of the peers' settings. latency: of a datagram, in milliseconds. seeds: so many relays are seeds.
-    cell: so many relays, by their index, are a cluster with seeds of its own; 0: all are one."""
+    """A network of relays on a virtual clock, with faults.
+
+    Attributes:
+        seeds: The number of relays whose addresses are the seed addresses of a cluster.
+        latency: The range of the latency of a datagram, in milliseconds.
+        cell_size: The number of relays of consecutive indexes that form a cluster of their own; 0 for one cluster.
+        setting_overrides: The membership settings that differ from the defaults.
+        names: The names of relays that are not named by their index.
+        bytes: The number of bytes sent.
+        datagrams: The number of datagrams sent.
+    """
 
     def __init__(
         self,
@@ -144,7 +168,13 @@
     def add(
         self, index: int, local_load: Callable[[], LocalLoad], on_peer_loads: Callable[[PeerLoads], None]
     ) -> VirtualPeer:
-        """A process of this relay starts now; one that was there must have ended."""
+        """Start a process of this relay; the one before must have ended.
+
+        Args:
+            index: The index of the relay.
+            local_load: Returns the loads that the relay reports to the others.
+            on_peer_loads: Receives the loads of the other relays.
+        """
         self.incarnations += 1
         peer = VirtualPeer(self, index, self.incarnations, local_load, on_peer_loads)
         self.peers[index] = self.peers_by_address[peer.address] = peer
@@ -168,7 +198,13 @@
             target.on_datagram(data, source)
 
     def schedule_faults(self, faults: list[Fault], kill: Callable[[int], None], start: Callable[[int], None]) -> None:
-        """Sets the faults up, counted from now; `kill` and `start` do what is to be done to a relay."""
+        """Schedule the faults, counted from now.
+
+        Args:
+            faults: The faults to inject.
+            kill: Kills the relay with this index.
+            start: Starts the relay with this index.
+        """
         for fault in faults:
             start_ms, end_ms = 1000.0 * fault.start_s, 1000.0 * fault.end_s
             index = int(fault.participants[0][1:]) if fault.participants and fault.kind in ("kill", "stall") else 0
--- a/yarrowspindle/lab/model/membership_simulation.py
+++ b/yarrowspindle/lab/model/membership_simulation.py
@@ -1,4 +1,7 @@
-"""Days of members alone on the virtual clock: no jobs, what each relay holds made up. Thousands of them in minutes."""
+"""A simulation of membership without requests: the loads that the relays exchange are random.
+
+It is fast enough for thousands of runs in minutes.
+"""
 
 from __future__ import annotations
 
@@ -17,8 +20,17 @@
 
 @dataclass(slots=True)
 class MembershipResult:
-    """agreed_s: after the faults, until all relays have the same members, all of them, and true sums (below 0: never).
-    false_deaths: how often a relay held one dead whose process ran then, stopped or cut off ones included."""
+    """The result of a simulation.
+
+    Attributes:
+        faults: The injected faults.
+        converged_s: The time in seconds after the faults until all relays knew all members and the correct sums of
+            loads; negative if they did not in time.
+        false_deaths: How often a relay declared a relay dead whose process was alive, including stalled and
+            unreachable ones.
+        datagrams: The number of datagrams sent since the faults started.
+        bytes: The number of bytes sent since the faults started.
+    """
 
     faults: list[Fault] = field(default_factory=list)
     converged_s: float = -1.0
@@ -28,14 +40,21 @@
 
 
 class MembershipSimulation:
-    """So many relays on one virtual network; each holds something at nodes drawn from its seed."""
+    """Relays on a virtual network, each with random loads at some backends.
+
+    Attributes:
+        count: The number of relays.
+        local_loads: The connections and load at each backend, by relay.
+        known_loads: The loads of all other relays together at each backend, as each relay knows them.
+        peer_loads: The last update of these loads that each relay received.
+    """
 
     def __init__(self, relays: int, seed: int, backends: int = 12, loads_per_relay: int = 6, **changes: object) -> None:
         self.clock = VirtualClock()
         self.network = VirtualNetwork(self.clock, seed, **changes)  # type: ignore[arg-type]
         self.count, self.backends, self.random = relays, backends, Random(f"held {seed}")
         self.local_loads = [self._draw_loads(loads_per_relay) for _ in range(relays)]
-        self.known_loads: dict[int, dict[int, tuple[int, float]]] = {}  # relay -> what its module knows of the others
+        self.known_loads: dict[int, dict[int, tuple[int, float]]] = {}
         self.peer_loads: dict[int, PeerLoads] = {}
 
     def _draw_loads(self, loads_per_relay: int) -> dict[int, tuple[int, float]]:
@@ -51,17 +70,17 @@
     def _on_peer_loads(self, index: int, others: PeerLoads) -> None:
         self.peer_loads[index] = others
         known_loads = self.known_loads[index]
-        for key, loads_per_relay in others.loads.items():
-            if loads_per_relay == (0, 0.0):
+        for key, load in others.loads.items():
+            if load == (0, 0.0):
                 known_loads.pop(key, None)
             else:
-                known_loads[key] = loads_per_relay
+                known_loads[key] = load
 
     def kill(self, index: int) -> None:
         self.network.peers[index].kill()
 
     def change_load(self, index: int) -> None:
-        """Something came or went there."""
+        """Remove the relay's load at a random backend, or add one if there is none."""
         backend = self.random.randint(1, self.backends)
         if self.local_loads[index].pop(backend, None) is None:
             self.local_loads[index][backend] = (self.random.randint(1, 9), float(self.random.randint(1, 500)))
@@ -70,7 +89,7 @@
         self.clock.run_until(self.clock.time + 1000.0 * seconds)
 
     def expected_sums(self, excluded: int) -> dict[int, tuple[int, float]]:
-        """What all relays that run hold, without one."""
+        """Return the loads of all live relays together except the excluded one."""
         sums: dict[int, tuple[int, float]] = {}
         for index, peer in self.network.peers.items():
             if index != excluded and peer.alive:
@@ -80,10 +99,12 @@
         return sums
 
     def members_agree(self) -> bool:
+        """Return whether the member list of each live relay is exactly the live relays."""
         alive = sorted(self.network.names.get(i, f"r{i}") for i, peer in self.network.peers.items() if peer.alive)
         return all(peer.core.members.names == alive for peer in self.network.peers.values() if peer.alive)
 
     def sums_are_correct(self) -> bool:
+        """Return whether each live relay knows the correct loads of the others."""
         return all(
             self.known_loads[index] == self.expected_sums(index)
             for index, peer in self.network.peers.items()
@@ -91,7 +112,11 @@
         )
 
     def run_until(self, condition: object, within_s: float) -> float:
-        """After how long this holds; below 0: not within this time."""
+        """Run until the condition holds.
+
+        Returns:
+            The elapsed time in seconds; negative if the condition did not hold within `within_s`.
+        """
         started = self.clock.time
         while self.clock.time <= started + 1000.0 * within_s:
             if condition():  # type: ignore[operator]
@@ -103,7 +128,16 @@
 def run_membership_scenario(
     relays: int, seed: int, kinds: Sequence[str], faults_s: float = 12.0, within_s: float = 30.0, stall_s: float = 3.0
 ) -> MembershipResult:
-    """All start at once, the faults come and end, and all must agree again, on members and sums."""
+    """Start all relays at once, inject faults, and wait until all agree on the members and the sums of loads again.
+
+    Args:
+        relays: The number of relays.
+        seed: The seed of the simulation.
+        kinds: The kinds of the faults.
+        faults_s: The period in which faults are active.
+        within_s: The time allowed to converge after that period.
+        stall_s: The longest stall.
+    """
     simulation = MembershipSimulation(relays, seed)
     for index in range(relays):
         simulation.start(index)
--- a/yarrowspindle/lab/model/peer_load_exchange.py
+++ b/yarrowspindle/lab/model/peer_load_exchange.py
@@ -1,4 +1,4 @@
-"""How the relays of the model fleet learn what the others hold: over the virtual network, or at once and exactly."""
+"""Exchange of backend loads between the relays of the model fleet: by membership on a virtual network, or exact."""
 
 from __future__ import annotations
 
@@ -10,22 +10,40 @@
 from yarrowspindle.lab.model.clock import VirtualClock
 from yarrowspindle.runtime.membership_driver import local_load
 
-if TYPE_CHECKING:  # msgspec, which `known` does without
+if TYPE_CHECKING:  # membership needs msgspec, which the mode "known" does not
     from yarrowspindle.lab.model.membership_cluster import VirtualNetwork
 
-EXACT_INTERVAL_MS = 25.0  # "at once": on every beat of this length
+EXACT_INTERVAL_MS = 25.0  # between distributions of the exact loads
 BackendSource = Callable[[], Iterable[Backend]]
 PeerLoadsCallback = Callable[[PeerLoads], None]
 
 
 class PeerLoadExchange:
-    """way: "net" or "known". `net` is there for faults where it is "net"."""
+    """Gives each relay the loads that the other relays have at each backend.
+
+    Attributes:
+        participants: The relays in mode "known", by index.
+        network: The network in mode "net", for the injection of faults.
+        previous: The loads that each relay was given last.
+        newest_report_ms: When the newest load report of each backend that was distributed was made.
+    """
 
     def __init__(self, clock: VirtualClock, seed: int, mode: str, changes: dict[str, float]) -> None:
+        """Create an exchange without relays.
+
+        Args:
+            clock: The virtual clock.
+            seed: The seed of the network.
+            mode: "net" for the membership protocol on a virtual network, "known" for exact loads without a network.
+            changes: The membership settings that differ from the defaults, in mode "net".
+
+        Raises:
+            ValueError: The mode is unknown.
+        """
         self.clock, self.participants = clock, dict[int, tuple[BackendSource, PeerLoadsCallback]]()
         self.network: VirtualNetwork | None = None
         self.previous: dict[int, dict[int, tuple[int, float]]] = {}
-        self.newest_report_ms: dict[int, float] = {}  # node -> when the newest report was made that all know
+        self.newest_report_ms: dict[int, float] = {}
         if mode == "net":
             from yarrowspindle.lab.model.membership_cluster import VirtualNetwork
 
@@ -33,7 +51,7 @@
         elif mode == "known":
             clock.after(EXACT_INTERVAL_MS, self._distribute_exact_loads)
         else:
-            raise ValueError(f"{mode!r} is no way in which relays hear one another")
+            raise ValueError(f"unknown mode of the peer load exchange {mode!r}: expected 'net' or 'known'")
 
     def add_relay(self, index: int, backends: BackendSource, callback: PeerLoadsCallback) -> None:
         if self.network is not None:
@@ -48,7 +66,7 @@
             self.participants.pop(index, None)
 
     def _distribute_exact_loads(self) -> None:
-        """All know what all hold now: the bound that no word over a network can pass."""
+        """Give each relay the exact loads of all others: the bound for what an exchange by messages can achieve."""
         self.clock.after(EXACT_INTERVAL_MS, self._distribute_exact_loads)
         now = self.clock.now()
         local_loads = {index: local_load(backends(), now) for index, (backends, _) in self.participants.items()}
