--- a/yarrowspindle/lab/model/configuration_scenarios.py
+++ b/yarrowspindle/lab/model/configuration_scenarios.py
@@ -88,7 +88,7 @@
 
     Attributes:
         names: The names of all processes, controllers first.
-        ends_s: When the last fault ends; changes are requested up to this time.
+        end_s: When the last fault ends; changes are requested up to this time.
         stop_counts: The number of active faults that keep a process stopped, by process.
         partitioned_at_s: When a partition was observed last.
         requested_changes: The changes that live controllers received, with the controller's process.
@@ -116,7 +116,7 @@
         self.result = ScenarioResult(faults=list(faults) if faults is not None else self._draw_faults(seed))
         if random.random() < 0.25 if simultaneous is None else simultaneous:
             self.result.faults = [replace(f, start_s=self.result.faults[0].start_s) for f in self.result.faults]
-        self.ends_s = max([FAULTS_START_S + FAULTS_DURATION_S, *(f.end_s for f in self.result.faults)])
+        self.end_s = max([FAULTS_START_S + FAULTS_DURATION_S, *(f.end_s for f in self.result.faults)])
         self.stop_counts: Counter[str] = Counter()
         self.partitioned_at_s = -PARTITION_SETTLE_S
         self.requested_changes: list[tuple[ControllerHost, Change]] = []
@@ -141,7 +141,7 @@
 
     def _draw_fault(self, kind: str, seed: int, n: int) -> Fault:
         random, names, controller_names = self.random, self.names, self.controller_names
-        drawn = schedule(
+        fault = schedule(
             (kind if kind in NETWORK_FAULTS else "kill",),
             names,
             ["n0"],
@@ -174,7 +174,7 @@
             parties = tuple(random.sample(names[len(controller_names) :], random.randint(1, 3)))
         elif kind == "dies":
             parties = random.choice(MESSAGE_KINDS), f"{random.randint(1, 12)}"
-        return replace(drawn, kind=kind, participants=parties, other_side=others)
+        return replace(fault, kind=kind, participants=parties, other_side=others)
 
     def begin_fault(self, fault: Fault) -> None:
         cluster, kind = self.cluster, fault.kind
@@ -265,7 +265,7 @@
         return change
 
     def _request_changes(self) -> None:
-        if self.cluster.clock.seconds < self.ends_s:
+        if self.cluster.clock.seconds < self.end_s:
             count = self.random.randint(1, self.max_burst) if self.random.random() < 0.2 else 1
             for _ in range(count):
                 self.request_change(self.random.choice(self.controller_names), self.draw_step())
@@ -314,13 +314,13 @@
         The order of acceptance is not checked for a controller whose clock was set back.
         """
         checker = self.cluster.checker
-        at: dict[frozenset[tuple[str, str | None]], list[int]] = {}
+        versions_by_step: dict[frozenset[tuple[str, str | None]], list[int]] = {}
         for version, committed in checker.committed_steps.items():
             if committed.step:
-                at.setdefault(frozenset(committed.step.items()), []).append(version)
+                versions_by_step.setdefault(frozenset(committed.step.items()), []).append(version)
         newest_version: dict[str, int] = {}
         for host, change in sorted(self.requested_changes, key=self._acceptance_order):
-            versions = at.get(frozenset(change.step.items()), [])
+            versions = versions_by_step.get(frozenset(change.step.items()), [])
             if len(versions) > 1:
                 checker.report_violation(
                     f"the change {dict(change.step)} at {host.name} was committed in versions {sorted(versions)}"
@@ -368,7 +368,7 @@
         ]
         return f"changes without an answer: {unanswered[:3]}" if unanswered else ""
 
-    def _await_recovery(self, after: str) -> None:
+    def _await_recovery(self, phase: str) -> None:
         if (
             self.cluster.run_until(
                 lambda: not self.unrecovered() or bool(self.cluster.checker.violations), RECOVERY_LIMIT_S
@@ -376,7 +376,7 @@
             < 0.0
         ):
             rounds = {h.name: (h.core.proposals.last_failure, h.core.is_leader) for h in self.cluster.controllers}
-            self.result.stuck.append(f"{after}: {self.unrecovered()}; {rounds}")
+            self.result.stuck.append(f"{phase}: {self.unrecovered()}; {rounds}")
 
     def run(self) -> ScenarioResult:
         """Run the scenario, then request one more change at each controller, and check the rules on the whole run."""
@@ -387,7 +387,7 @@
         for fault in result.faults:
             cluster.clock.after(1000.0 * fault.start_s, self.begin_fault, fault)
             cluster.clock.after(1000.0 * fault.end_s, self.end_fault, fault)
-        while cluster.clock.seconds < self.ends_s and not cluster.checker.violations:
+        while cluster.clock.seconds < self.end_s and not cluster.checker.violations:
             cluster.run(0.5)
         cluster.run(1.1 * bool(sum(self.stop_counts.values())))  # a controller that crashed at a message restarts
         if not cluster.checker.violations:
--- a/yarrowspindle/lab/model/lease_simulation.py
+++ b/yarrowspindle/lab/model/lease_simulation.py
@@ -147,17 +147,17 @@
 
     def needs_met(self) -> bool:
         """Return whether each live relay has its max-min fair share by need, within 3 %."""
-        pools = sum(relay.alive and relay.pool is not None for relay in self.relays.values())
+        live_pools = sum(relay.alive and relay.pool is not None for relay in self.relays.values())
         reserve, quota = (
             RESERVE_FRACTION * TOTAL_QUOTA / len(self.names),
             (1.0 - RESERVE_FRACTION) * TOTAL_QUOTA / min(POOL_COUNT, len(self.names)),
         )
         live_relays = [relay for relay in self.relays.values() if relay.alive]
         # A relay without a need is granted this much, for the first need that arises.
-        min_need = MIN_NEED_FRACTION * quota * pools / len(live_relays)
-        needs = {relay.name: max(self.needs[relay.name] - reserve, min_need) for relay in live_relays}
-        remaining, waiting = quota * pools, len(live_relays)
-        for name, need in sorted(needs.items(), key=lambda item: item[1]):
+        min_need = MIN_NEED_FRACTION * quota * live_pools / len(live_relays)
+        wanted = {relay.name: max(self.needs[relay.name] - reserve, min_need) for relay in live_relays}
+        remaining, waiting = quota * live_pools, len(live_relays)
+        for name, need in sorted(wanted.items(), key=lambda item: item[1]):
             share = min(need, remaining / waiting)
             if self.relays[name].budget() < 0.97 * (reserve + share):
                 return False
--- a/yarrowspindle/lab/model/maintenance_model_checker.py
+++ b/yarrowspindle/lab/model/maintenance_model_checker.py
@@ -100,7 +100,7 @@
     """A rule is violated; the message names the rule and the steps that lead to the state."""
 
 
-Loaded = tuple[MaintenanceCoordinator, Acceptor[MaintenanceState]]
+LoadedRelay = tuple[MaintenanceCoordinator, Acceptor[MaintenanceState]]
 
 
 def _store(stored: AcceptorState[MaintenanceState]) -> None:
@@ -113,7 +113,7 @@
 
 def create_relay(
     components: MaintenanceComponents, name: str, stored: AcceptorState[MaintenanceState], key: str = "first"
-) -> Loaded:
+) -> LoadedRelay:
     acceptor = components.acceptor(stored, _discard if components.discard_acceptor_writes else _store, float)
     core = components.coordinator(
         name,
@@ -130,7 +130,7 @@
     return core, acceptor
 
 
-def take_snapshot(loaded: Loaded, used_backends: frozenset[str]) -> RelaySnapshot:
+def take_snapshot(loaded: LoadedRelay, used_backends: frozenset[str]) -> RelaySnapshot:
     """Return the snapshot of a relay with all times reset, so that states that differ only in times are equal."""
     core = loaded[0]
     core.now = core.round_started_at = core.majority_reached_at = core.reminded_at = 0.0
@@ -142,7 +142,11 @@
 
 
 def step(
-    state: State, index: int, description: str, action: Callable[[Loaded, set[str]], list[Any]], delivered: int = -1
+    state: State,
+    index: int,
+    description: str,
+    action: Callable[[LoadedRelay, set[str]], list[Any]],
+    delivered: int = -1,
 ) -> State:
     """Return the state after one relay took a step, and check the rules.
 
@@ -157,7 +161,7 @@
         InvariantViolationError: The state after the step violates a rule.
     """
     snapshot, name = state.relays[index], RELAYS[index]
-    loaded: Loaded = pickle.loads(snapshot.core)
+    loaded: LoadedRelay = pickle.loads(snapshot.core)
     core, acceptor = loaded
     core.now, core.observed_at, core.observations_valid_from = AFTER_ALL_TIMEOUTS_MS, AFTER_ALL_TIMEOUTS_MS, 0.0
     used_backends = set(snapshot.used_backends)
@@ -206,30 +210,30 @@
     return FleetObserved(frozenset(used_backends), OBSERVATIONS, RELAYS)
 
 
-def tick(loaded: Loaded, used_backends: set[str]) -> list[Any]:
+def tick(loaded: LoadedRelay, used_backends: set[str]) -> list[Any]:
     core = loaded[0]
     return core.step(AFTER_ALL_TIMEOUTS_MS, TimerFired(TICK))
 
 
-def deliver(source: str, data: bytes, loaded: Loaded, used_backends: set[str]) -> list[Any]:
+def deliver(source: str, data: bytes, loaded: LoadedRelay, used_backends: set[str]) -> list[Any]:
     return loaded[0].step(AFTER_ALL_TIMEOUTS_MS, MessageReceived(source, decode(data)))
 
 
-def observe(loaded: Loaded, used_backends: set[str]) -> list[Any]:
+def observe(loaded: LoadedRelay, used_backends: set[str]) -> list[Any]:
     return loaded[0].step(AFTER_ALL_TIMEOUTS_MS, observation(used_backends))
 
 
-def release_connection(backend: str, loaded: Loaded, used_backends: set[str]) -> list[Any]:
+def release_connection(backend: str, loaded: LoadedRelay, used_backends: set[str]) -> list[Any]:
     used_backends.discard(backend)
     return observe(loaded, used_backends)
 
 
-def place_connection(backend: str, loaded: Loaded, used_backends: set[str]) -> list[Any]:
+def place_connection(backend: str, loaded: LoadedRelay, used_backends: set[str]) -> list[Any]:
     used_backends.add(backend)
     return []
 
 
-def issue_command(command: OperatorCommand, loaded: Loaded, used_backends: set[str]) -> list[Any]:
+def issue_command(command: OperatorCommand, loaded: LoadedRelay, used_backends: set[str]) -> list[Any]:
     return loaded[0].step(AFTER_ALL_TIMEOUTS_MS, command)
 
 
@@ -290,7 +294,7 @@
     )
     state = State(relays, (), (), initial)
 
-    def settle(state: State, index: int, action: Callable[[Loaded, set[str]], list[Any]]) -> State:
+    def settle(state: State, index: int, action: Callable[[LoadedRelay, set[str]], list[Any]]) -> State:
         state = step(state, index, "", action)
         while state.messages:
             source, target, data = state.messages[0]
@@ -315,7 +319,7 @@
     return replace(state, path=())
 
 
-def place_on_first_backend(loaded: Loaded, used_backends: set[str]) -> list[Any]:
+def place_on_first_backend(loaded: LoadedRelay, used_backends: set[str]) -> list[Any]:
     used_backends.add(BACKENDS[0])
     return observe(loaded, used_backends)
 
--- a/yarrowspindle/lab/model/peer_load_exchange.py
+++ b/yarrowspindle/lab/model/peer_load_exchange.py
@@ -24,7 +24,7 @@
     Attributes:
         participants: The relays in mode "known", by index.
         network: The network in mode "net", for the injection of faults.
-        previous: The loads that each relay was given last.
+        previous_totals: The loads that each relay was given last.
         newest_report_ms: When the newest load report of each backend that was distributed was made.
     """
 
@@ -42,7 +42,7 @@
         """
         self.clock, self.participants = clock, dict[int, tuple[BackendSource, PeerLoadsCallback]]()
         self.network: VirtualNetwork | None = None
-        self.previous: dict[int, dict[int, tuple[int, float]]] = {}
+        self.previous_totals: dict[int, dict[int, tuple[int, float]]] = {}
         self.newest_report_ms: dict[int, float] = {}
         if mode == "net":
             from yarrowspindle.lab.model.membership_cluster import VirtualNetwork
@@ -83,14 +83,14 @@
                     for key, (count, load) in local.loads.items():
                         total = totals.get(key, (0, 0.0))
                         totals[key] = (total[0] + count, total[1] + load)
-            previous = self.previous.get(index, {})
+            previous_totals = self.previous_totals.get(index, {})
             changes = {
-                key: difference
-                for key in totals.keys() | previous.keys()
-                if (difference := totals.get(key, (0, 0.0))[0] - previous.get(key, (0, 0.0))[0])
+                key: count_change
+                for key in totals.keys() | previous_totals.keys()
+                if (count_change := totals.get(key, (0, 0.0))[0] - previous_totals.get(key, (0, 0.0))[0])
             }
-            removed = dict.fromkeys(previous.keys() - totals.keys(), (0, 0.0))
-            self.previous[index] = totals
+            removed = dict.fromkeys(previous_totals.keys() - totals.keys(), (0, 0.0))
+            self.previous_totals[index] = totals
             callback(
                 PeerLoads(
                     totals | removed,
