--- a/yarrowspindle/lab/model/maintenance_model_checker.py
+++ b/yarrowspindle/lab/model/maintenance_model_checker.py
@@ -210,6 +210,9 @@
     return FleetObserved(frozenset(used_backends), OBSERVATIONS, RELAYS)
 
 
+# The actions of `step`: each changes the relay and the backends that it uses, and returns the effects.
+
+
 def tick(loaded: LoadedRelay, used_backends: set[str]) -> list[Any]:
     core = loaded[0]
     return core.step(AFTER_ALL_TIMEOUTS_MS, TimerFired(TICK))
