--- a/yarrowspindle/lab/model/configuration_cluster.py
+++ b/yarrowspindle/lab/model/configuration_cluster.py
@@ -141,7 +141,7 @@
 
 
 class ConfigurationChecker:
-    """Verifies the safety rules on committed states, applied versions and answers to operators.
+    """A checker of the safety rules on committed states, applied versions and answers to operators.
 
     Attributes:
         violations: Texts of the first 20 violations.
@@ -166,6 +166,7 @@
             self.violations.append(text)
 
     def on_committed(self, controller: str, state: ControlState) -> None:
+        """Check a state that a controller reports as committed, with the recent steps that it contains."""
         known_entries = self.entries_by_version.setdefault(state.version, dict(state.entries))
         if known_entries != state.entries:
             self.conflicting_commits += 1
@@ -239,6 +240,13 @@
         self.applied_versions[relay] = version
 
     def on_answered(self, change: Change, version: int, rejection_reason: str) -> None:
+        """Check the answer to an operator against the committed steps.
+
+        Args:
+            change: The requested change.
+            version: The version that contains the change according to the answer; 0 if it was rejected.
+            rejection_reason: Why the change was rejected. A reason that refers to `show` leaves the result open.
+        """
         committed = self.committed_steps.get(version)
         if version and (committed is None or dict(committed.step) != dict(change.step)):
             self.report_violation(
@@ -308,6 +316,7 @@
                 self.execute_other(effect)
 
     def execute_other(self, effect: Any) -> None:
+        """Execute an effect that not all kinds of processes have; here, write a log line."""
         self.log.append((self.cluster.clock.seconds, effect.text))
 
     def send(self, to: Address, message: object) -> None:
--- a/yarrowspindle/lab/model/configuration_defects.py
+++ b/yarrowspindle/lab/model/configuration_defects.py
@@ -31,7 +31,7 @@
 
 
 class AdoptsOlderVersion(Agent):
-    """Adopts the version of its controller even if it is older than its own."""
+    """An agent that adopts the version of its controller even if it is older than its own."""
 
     def _on_latest_version(self, message: LatestVersion) -> None:
         if message.version < self.known_version:
@@ -39,7 +39,7 @@
 
 
 class IgnoresMissingSteps(Agent):
-    """Applies received steps even if a step before them is missing."""
+    """An agent that applies received steps even if a step before them is missing."""
 
     def _on_delta(self, message: Delta) -> None:
         if message.version > self.known_version:
@@ -50,7 +50,7 @@
 
 
 class IgnoresDigest(Agent):
-    """Adopts a version without comparing its digest."""
+    """An agent that adopts a version without comparing its digest."""
 
     def _adopt(self, version: int, entries: Entries, digest: bytes) -> None:
         self.needs_snapshot = False
@@ -60,14 +60,14 @@
 
 
 class SkipsCheck(Agent):
-    """Applies each committed version without checking its entries."""
+    """An agent that applies each committed version without checking its entries."""
 
     def __init__(self, controllers: Any, check: EntriesCheck, *arguments: Any) -> None:
         super().__init__(controllers, lambda entries: "", *arguments)
 
 
 class ReportsRejectedAsApplied(Agent):
-    """Reports a version that it rejected as applied."""
+    """An agent that reports a version that it rejected as applied."""
 
     def _reject(self, reason: str) -> None:
         super()._reject(reason)
@@ -78,7 +78,7 @@
 
 
 class ProposalsSettlingTwice(ChangeProposals):
-    """Settles an order again if it is delivered again."""
+    """A `ChangeProposals` that settles an order again if it is delivered again."""
 
     def _settle_queued_orders(self, state: ControlState) -> ControlState | None:
         new_state = state
@@ -96,13 +96,13 @@
 
 
 class SettlesTwice(Controller):
-    """Settles an order again if it is delivered again."""
+    """A controller that settles an order again if it is delivered again."""
 
     proposals_type = ProposalsSettlingTwice
 
 
 class ProposalsSettlingOutOfOrder(ChangeProposals):
-    """Settles an order before the preceding one."""
+    """A `ChangeProposals` that settles an order before the preceding one."""
 
     def _settle_queued_orders(self, state: ControlState) -> ControlState | None:
         new_state = state
@@ -114,13 +114,13 @@
 
 
 class SettlesOutOfOrder(Controller):
-    """Settles an order before the preceding one."""
+    """A controller that settles an order before the preceding one."""
 
     proposals_type = ProposalsSettlingOutOfOrder
 
 
 class ProposalsWithoutCheck(ChangeProposals):
-    """Proposes a state with a new order without checking the state."""
+    """A `ChangeProposals` that proposes a state with a new order without checking the state."""
 
     def _settle_queued_orders(self, state: ControlState) -> ControlState | None:
         check, self.context.check = self.context.check, lambda entries: ""
@@ -130,13 +130,13 @@
 
 
 class SkipsCheckBeforeProposal(Controller):
-    """Checks an order when it is accepted, but not against the state in which it is proposed."""
+    """A controller that checks an order when it is accepted, but not against the state in which it is proposed."""
 
     proposals_type = ProposalsWithoutCheck
 
 
 class LogWithGaps(CommittedLog):
-    """Returns the known steps even if a step between them is missing."""
+    """A log that returns the known steps even if a step between them is missing."""
 
     def update_since(self, base: int) -> Delta | Snapshot:
         update = super().update_since(base)
@@ -147,13 +147,13 @@
 
 
 class SendsIncompleteSteps(Controller):
-    """Sends the known steps to relays even if a step between them is missing."""
+    """A controller that sends the known steps to relays even if a step between them is missing."""
 
     committed_log_type = LogWithGaps
 
 
 class ProposalsBeforeCommit(ChangeProposals):
-    """Treats a state that one acceptor has accepted as committed."""
+    """A `ChangeProposals` that treats a state that one acceptor has accepted as committed."""
 
     def _carry_out(self, effects: Any) -> None:
         super()._carry_out(effects)
@@ -163,13 +163,13 @@
 
 
 class PublishesUncommittedState(Controller):
-    """Sends relays states that are not committed yet."""
+    """A controller that sends relays states that are not committed yet."""
 
     proposals_type = ProposalsBeforeCommit
 
 
 class ReporterWithoutGrace(StatusReporter):
-    """Does not wait for relays that are reattaching to another controller."""
+    """A status reporter that does not wait for relays that are reattaching to another controller."""
 
     def status(self, own: RelaySummary | None = None) -> ControllerStatus:
         self.peers.attachments_complete_at = self.context.now
@@ -177,13 +177,13 @@
 
 
 class ReportsAppliedTooEarly(Controller):
-    """Reports a version as applied when all relays of the live controllers apply it, ignoring reattaching relays."""
+    """A controller that reports a version as applied although relays that are reattaching may not apply it."""
 
     reporter_type = ReporterWithoutGrace
 
 
 class SessionsDroppingDetachedRelays(RelaySessions):
-    """Removes a relay at once when it detaches."""
+    """A `RelaySessions` that removes a relay at once when it detaches."""
 
     def on_detach(self, sender: Sender, message: Detach) -> None:
         super().on_detach(sender, message)
@@ -192,13 +192,13 @@
 
 
 class DropsDetachedRelays(Controller):
-    """Omits a detached relay from all summaries until its next controller includes it."""
+    """A controller that omits a detached relay from all summaries until its next controller includes it."""
 
     sessions_type = SessionsDroppingDetachedRelays
 
 
 class ChangesRenumberedTooEarly(ChangeQueue):
-    """Renumbers orders before checking whether they are settled under their old numbers."""
+    """A change queue that renumbers orders before checking whether they are settled under their old numbers."""
 
     def _answer_settled(self) -> None:
         incarnation = self._settled_incarnation()
@@ -208,13 +208,13 @@
 
 
 class RenumbersTooEarly(Controller):
-    """Renumbers orders before checking whether they are settled under their old numbers."""
+    """A controller that renumbers orders before checking whether they are settled under their old numbers."""
 
     changes_type = ChangesRenumberedTooEarly
 
 
 class TrustsSingleAcceptor(Proposer[ControlState]):
-    """Treats a state that a single acceptor reports in a promise as committed."""
+    """A proposer that treats a state that a single acceptor reports in a promise as committed."""
 
     def _on_promise(self, now: Any, source: str, promise: Any) -> Any:
         self.on_committed(promise.state)
--- a/yarrowspindle/lab/model/lease_simulation.py
+++ b/yarrowspindle/lab/model/lease_simulation.py
@@ -172,7 +172,7 @@
 
 
 class NoClockMargin(QuotaPool):
-    """Releases a lease at the end of its term by the pool's clock, which may run faster than the holder's."""
+    """A pool that releases a lease when its term ends by the pool's clock, which may be faster than the holder's."""
 
     @property
     def retention_ms(self) -> float:
@@ -180,7 +180,7 @@
 
 
 class GrantsDirectlyAfterStart(QuotaPool):
-    """Grants leases directly after a start, while leases of the previous process may still be in use."""
+    """A pool that grants leases directly after a start, while leases of the previous process may still be in use."""
 
     def __init__(self, quota: float, term_ms: float, now: float) -> None:
         super().__init__(quota, term_ms, now)
@@ -188,7 +188,7 @@
 
 
 class KeepsOnlyNewestLease(QuotaPool):
-    """Discards the older leases of a holder when it grants a new one, although they may still be in use."""
+    """A pool that discards the older leases of a holder when it grants a new one, although they may still be in use."""
 
     def on_request(self, now: float, name: str, request: LeaseRequest) -> LeaseGrant | None:
         answer = super().on_request(now, name, request)
@@ -199,14 +199,14 @@
 
 
 class IgnoresOutstandingLeases(QuotaPool):
-    """Grants each holder its share even if other holders still use more than theirs."""
+    """A pool that grants each holder its share even if other holders still use more than theirs."""
 
     def _free(self, now: float, holder: tuple[str, int]) -> float:
         return self.quota
 
 
 class CountsTermFromGrant(QuotaHolder):
-    """Counts the term of a lease from the receipt of the grant instead of from the request."""
+    """A holder that counts the term of a lease from the receipt of the grant instead of from the request."""
 
     def on_grant(self, now: float, pool: str, grant: LeaseGrant) -> None:
         before = self.leases[pool].number
@@ -216,21 +216,21 @@
 
 
 class IgnoresLeaseEnd(QuotaHolder):
-    """Uses the last lease until the next one is granted, even after its end."""
+    """A holder that uses the last lease until the next one is granted, even after its end."""
 
     def budget(self, now: float) -> float:
         return self.reserve + sum(held.amount for held in self.leases.values())
 
 
 class AcceptsAnyGrant(QuotaHolder):
-    """Accepts duplicate and late grants, each as a new lease."""
+    """A holder that accepts duplicate and late grants, each as a new lease."""
 
     def on_grant(self, now: float, pool: str, grant: LeaseGrant) -> None:
         self.leases[pool] = HeldLease(max(grant.number, self.leases[pool].number), grant.amount, now + self.term_ms)
 
 
 class KeepsLargerLease(QuotaHolder):
-    """Keeps using a larger lease until its end after a smaller one was granted."""
+    """A holder that keeps using a larger lease until its end after a smaller one was granted."""
 
     def on_grant(self, now: float, pool: str, grant: LeaseGrant) -> None:
         previous = self.leases[pool]
--- a/yarrowspindle/lab/model/maintenance_cluster.py
+++ b/yarrowspindle/lab/model/maintenance_cluster.py
@@ -79,7 +79,7 @@
 
 
 class MaintenanceChecker:
-    """Verifies the safety rules on committed states and on the connections that relays place and hold.
+    """A checker of the safety rules on committed states and on the connections that relays place and hold.
 
     Attributes:
         violations: Texts of the first 20 violations.
@@ -111,6 +111,7 @@
             self.violations.append(text)
 
     def on_committed(self, relay: str, state: MaintenanceState) -> None:
+        """Check a state that a relay reports as committed."""
         known_state = self.versions.setdefault(state.version, state)
         if known_state != state:
             self.report_violation(f"{relay} committed a state of version {state.version} that differs from others'")
--- a/yarrowspindle/lab/model/maintenance_model_checker.py
+++ b/yarrowspindle/lab/model/maintenance_model_checker.py
@@ -41,7 +41,7 @@
 
 RELAYS, BACKENDS = ("r0", "r1", "r2"), ("m0", "m1")
 OBSERVATIONS = {backend: BackendObservation(0, 1.0, True) for backend in BACKENDS}
-AFTER_ALL_TIMEOUTS_MS = 100_000.0  # the time of all steps
+AFTER_ALL_TIMEOUTS_MS = 100_000.0  # the time of each step; longer than all timeouts
 MAX_IN_FLIGHT = 12  # messages; beyond that the oldest are lost
 _encode = msgspec.msgpack.Encoder(order="deterministic").encode
 
@@ -114,6 +114,7 @@
 def create_relay(
     components: MaintenanceComponents, name: str, stored: AcceptorState[MaintenanceState], key: str = "first"
 ) -> LoadedRelay:
+    """Return a new process of a relay that restarts from the acceptor's stored state."""
     acceptor = components.acceptor(stored, _discard if components.discard_acceptor_writes else _store, float)
     core = components.coordinator(
         name,
@@ -241,6 +242,7 @@
 
 
 def successors(state: State, components: MaintenanceComponents) -> Iterator[State]:
+    """Yield the states that one step leads to: a delivery, a tick, a placement, an operator's command or a crash."""
     for number, (source, target, data) in enumerate(state.messages):
         if (source, target, data) not in state.messages[:number]:
             kind = f"{source}>{target}:{data[1]}"
--- a/yarrowspindle/lab/model/peer_load_exchange.py
+++ b/yarrowspindle/lab/model/peer_load_exchange.py
@@ -19,7 +19,7 @@
 
 
 class PeerLoadExchange:
-    """Gives each relay the loads that the other relays have at each backend.
+    """The exchange by which each relay learns the loads that the other relays have at each backend.
 
     Attributes:
         participants: The relays in mode "known", by index.
