--- a/tests/configuration/test_controller.py
+++ b/tests/configuration/test_controller.py
@@ -11,7 +11,7 @@
 from yarrowspindle.configuration.settings import ControllerAddress
 from yarrowspindle.configuration.state import ChangeOrder, ControlState
 from yarrowspindle.consensus.messages import NO_BALLOT, Prepare, Promise
-from yarrowspindle.daemon.shared_settings import check as check_shared_settings
+from yarrowspindle.daemon.shared_settings import check_shared_settings
 from yarrowspindle.storage.voter_file import INITIAL_IDENTITY
 
 
--- a/tests/daemon/test_background_store.py
+++ b/tests/daemon/test_background_store.py
@@ -14,7 +14,7 @@
 from yarrowspindle.configuration.messages import Snapshot
 from yarrowspindle.configuration.state import content_digest
 from yarrowspindle.daemon import background_store
-from yarrowspindle.daemon.operator_config import read_operator
+from yarrowspindle.daemon.operator_config import read_operator_config
 from yarrowspindle.daemon.relay_configuration import RelayEndpoint
 
 
@@ -27,9 +27,9 @@
     async def body() -> None:
         monkeypatch.setattr(background_store, "RETRY_S", 30.0)
         world = ControllerCluster(tmp_path, ["c0"])
-        settings = read_operator(world.relay("r0")).control
+        settings = read_operator_config(world.relay("r0")).control
         assert settings is not None
-        metrics = SimpleNamespace(sources={}, more_gauges=[])
+        metrics = SimpleNamespace(counter_sources={}, gauge_sources=[])
         service: Any = SimpleNamespace(
             config=SimpleNamespace(name="r0"), apply_shared_settings=lambda entries: None, metrics=metrics
         )
--- a/tests/daemon/test_relay_configuration.py
+++ b/tests/daemon/test_relay_configuration.py
@@ -18,7 +18,7 @@
 from yarrowspindle.configuration.messages import Delta, Snapshot
 from yarrowspindle.configuration.state import content_digest
 from yarrowspindle.daemon.config import ConfigError
-from yarrowspindle.daemon.operator_config import read_operator
+from yarrowspindle.daemon.operator_config import read_operator_config
 from yarrowspindle.daemon.relay_configuration import RelayEndpoint
 
 
@@ -33,9 +33,9 @@
                 raise ConfigError("no room")
 
         world = ControllerCluster(tmp_path, ["c0"])
-        settings = read_operator(world.relay("r0")).control
+        settings = read_operator_config(world.relay("r0")).control
         assert settings is not None
-        metrics = SimpleNamespace(sources={}, more_gauges=[])
+        metrics = SimpleNamespace(counter_sources={}, gauge_sources=[])
         service: Any = SimpleNamespace(config=SimpleNamespace(name="r0"), apply_shared_settings=take, metrics=metrics)
         endpoint = RelayEndpoint(service, settings)
         sent: list[Any] = []
--- a/tests/daemon/test_shared_settings.py
+++ b/tests/daemon/test_shared_settings.py
@@ -16,7 +16,7 @@
 from tests.stand_ins import SETTINGS
 from yarrowspindle.daemon.config import read_config
 from yarrowspindle.daemon.relay_service import RelayService
-from yarrowspindle.daemon.shared_settings import check, entry_value
+from yarrowspindle.daemon.shared_settings import check_shared_settings, entry_value
 from yarrowspindle.routing.events import RequestReceived
 from yarrowspindle.runtime import SystemClock
 
@@ -95,5 +95,5 @@
     ],
 )
 def test_the_check_names_the_invalid_member(change: dict[str, str], says: str) -> None:
-    assert not check({}) and not check(ENTRIES)
-    assert says in check(ENTRIES | change) and len(check(ENTRIES | change)) <= 300
+    assert not check_shared_settings({}) and not check_shared_settings(ENTRIES)
+    assert says in check_shared_settings(ENTRIES | change) and len(check_shared_settings(ENTRIES | change)) <= 300
--- a/tests/daemon/test_starts_and_ends.py
+++ b/tests/daemon/test_starts_and_ends.py
@@ -22,7 +22,7 @@
 from tests.transport.test_connector import Backend, config
 from yarrowspindle.daemon import metrics_reporter
 from yarrowspindle.daemon.config import read_config
-from yarrowspindle.daemon.main import CLOSE_S
+from yarrowspindle.daemon.main import CONNECTION_CLOSE_S
 from yarrowspindle.daemon.operator_config import MetricsConfig
 from yarrowspindle.daemon.relay_service import RelayService
 from yarrowspindle.fronts.line_front import LineFront
@@ -157,7 +157,7 @@
 
         monkeypatch.setattr(metrics_reporter, "open_datagrams", open_datagrams)
         told = MetricsConfig(collectd=("127.0.0.1", free_port()), interval_s=0.02)
-        reporting = asyncio.ensure_future(metrics_reporter.report(figures, told, "n0"))
+        reporting = asyncio.ensure_future(metrics_reporter.report_periodically(figures, told, "n0"))
         await asyncio.sleep(0.3)
         assert not reporting.done() and figures.asked >= 4 and len(opened) == 2 and len(sent) >= 2
         reporting.cancel()
@@ -231,7 +231,7 @@
         set_timer = timers.set
         monkeypatch.setattr(timers, "set", hold_and_set)
         await asyncio.sleep(until - loop.time())
-        await front.shut_down(until + CLOSE_S)
+        await front.shut_down(until + CONNECTION_CLOSE_S)
         assert holds
         assert not service.reducer.requests
         last = b"MOVE\r\n" if standing else b"ERR\r\n"  # what waits was sent to its backend, and may have run there
--- a/tests/forms/published.py
+++ b/tests/forms/published.py
@@ -74,9 +74,9 @@
         reducer.context.requests[number].phase = phase
     counted = Metrics(reducer)
     for event in sequence_events():
-        counted.event(event)
+        counted.on_event(event)
     for effect in sample_effects():
-        counted.effect(effect)
+        counted.on_effect(effect)
     return {
         "counters": sorted(counted.counters()),
         "gauges": sorted(counted.gauges()),
--- a/tests/lab/test_processes.py
+++ b/tests/lab/test_processes.py
@@ -13,7 +13,7 @@
 from tests.ports import free_port
 from tests.stand_ins import ROOT, relay
 from yarrowspindle.daemon.config import ConfigError
-from yarrowspindle.daemon.operator_config import read_operator
+from yarrowspindle.daemon.operator_config import read_operator_config
 from yarrowspindle.lab.processes import Run, run_scenario
 from yarrowspindle.lab.processes.__main__ import main
 from yarrowspindle.lab.processes.checker import Checker, Obligations
@@ -145,7 +145,7 @@
 )
 def test_an_invalid_section_fails_the_start_and_names_the_key(section: str, message: str) -> None:
     with pytest.raises(ConfigError, match=message):
-        read_operator(f"[peers]\n{section}\n")
+        read_operator_config(f"[peers]\n{section}\n")
 
 
 def test_requests_are_served_while_the_daemon_waits_for_an_occupied_address(tmp_path: Path) -> None:
--- a/tests/maintenance/test_settings.py
+++ b/tests/maintenance/test_settings.py
@@ -7,7 +7,7 @@
 import pytest
 
 from yarrowspindle.daemon.config import ConfigError
-from yarrowspindle.daemon.operator_config import read_operator
+from yarrowspindle.daemon.operator_config import read_operator_config
 from yarrowspindle.maintenance.requests import MaintenanceError
 from yarrowspindle.maintenance.settings import RequestSettings, read_request_settings
 
@@ -34,11 +34,11 @@
 )
 def test_an_error_names_the_wrong_key(text: str, reason: str) -> None:
     with pytest.raises(ConfigError, match=reason):
-        read_operator(text)
+        read_operator_config(text)
 
 
 def test_the_example_file_is_read() -> None:
-    settings = read_operator((Path(__file__).parents[2] / "deploy/turns.toml").read_text()).turns
+    settings = read_operator_config((Path(__file__).parents[2] / "deploy/turns.toml").read_text()).turns
     assert settings is not None and settings.voters == ("n0", "n1", "n2")
 
 
--- a/tests/protocol/test_protocol.py
+++ b/tests/protocol/test_protocol.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from yarrowspindle.daemon.config import ConfigError, flatten
-from yarrowspindle.daemon.operator_config import QuicConfig, read_operator
+from yarrowspindle.daemon.operator_config import QuicConfig, read_operator_config
 from yarrowspindle.decisions.events import EndpointState, ListKind
 from yarrowspindle.protocol import collectd, graphite, lines
 from yarrowspindle.protocol.endpoint_list import ListError, WatchResponse, ZoneAndKindNames
@@ -189,11 +189,11 @@
 
 def test_the_operators_file() -> None:
     quic = f'[quic]\nlisten = "127.0.0.1:4433"\nid_key = "{"00" * 16}"\nreset_key = "{"11" * 32}"\nidle_s = 5\n'
-    assert read_operator("").quic is None
-    assert read_operator(quic).quic == QuicConfig(("127.0.0.1", 4433), bytes(16), b"\x11" * 32, idle_s=5)
+    assert read_operator_config("").quic is None
+    assert read_operator_config(quic).quic == QuicConfig(("127.0.0.1", 4433), bytes(16), b"\x11" * 32, idle_s=5)
     for invalid in ("[quic]\n", quic.replace("00", "0"), quic + "x = 1\n", "nonsense", quic.replace('"127', '1"127')):
         with pytest.raises(ConfigError):
-            read_operator(invalid)
+            read_operator_config(invalid)
 
 
 def test_graphite_has_one_line_per_value() -> None:
--- a/tests/test_peers_off.py
+++ b/tests/test_peers_off.py
@@ -76,7 +76,7 @@
 def test_no_control_module_is_loaded_without_its_section() -> None:
     code = (
         "import sys, yarrowspindle.daemon.main as main, yarrowspindle.fronts.line_front; "
-        "main.load_operator({'YARROWSPINDLE_OPERATOR': 'deploy/rebalance.toml'}); "
+        "main.load_operator_config({'YARROWSPINDLE_OPERATOR': 'deploy/rebalance.toml'}); "
         "words = ('configuration', 'controller', 'shared_settings', 'yarrowspindle.storage'); "
         "print([m for m in sys.modules if any(w in m for w in words) or m in ('msgspec', 'click')])"
     )
--- a/yarrowspindle/commands/api_client.py
+++ b/yarrowspindle/commands/api_client.py
@@ -40,8 +40,8 @@
     connection = http.client.HTTPConnection(*address, timeout=TIMEOUT_S)
     try:
         connection.request(method, path, json.dumps(parameters) if parameters is not None else None)
-        answer = connection.getresponse()
-        text = answer.read().decode()
+        response = connection.getresponse()
+        text = response.read().decode()
     except (OSError, http.client.HTTPException) as error:
         host, port = address
         raise click.ClickException(f"the {server} at {host}:{port} does not answer: {error}") from error
@@ -50,8 +50,8 @@
     try:
         decoded = json.loads(text)
     except ValueError:
-        raise click.ClickException(f"the {server} said {answer.status} {text.strip()}") from None
-    if answer.status != http.client.OK:
+        raise click.ClickException(f"the {server} said {response.status} {text.strip()}") from None
+    if response.status != http.client.OK:
         raise click.ClickException(str(decoded.get("error", text)))
     return decoded
 
--- a/yarrowspindle/commands/configuration.py
+++ b/yarrowspindle/commands/configuration.py
@@ -13,8 +13,8 @@
 from yarrowspindle.commands.api_client import call, resolve_address, run_command
 from yarrowspindle.configuration.settings import CONTROLLER, ControlSettings
 from yarrowspindle.configuration.state import Step
-from yarrowspindle.daemon.controller_files import acceptor_file, first_state
-from yarrowspindle.daemon.operator_config import load_operator
+from yarrowspindle.daemon.controller_files import acceptor_file, initial_state
+from yarrowspindle.daemon.operator_config import load_operator_config
 from yarrowspindle.daemon.shared_settings import PlatformSettings, entry_value, read_platform_settings
 from yarrowspindle.storage.durable_file import FileUnavailableError
 
@@ -27,14 +27,14 @@
 
 def configured_settings() -> ControlSettings | None:
     """The `[control]` of the operator's file; None where it has none."""
-    return load_operator().control
+    return load_operator_config().control
 
 
 def call_controller(at: str | None, method: str, path: str, body: dict[str, Any] | None = None) -> Any:
     """Calls the controller at an address, else at the one of the operator's file. Raises ClickException."""
     settings = configured_settings() if at is None else None
-    to = resolve_address(at, settings.command if settings else None, "control.command")
-    return call(to, "controller", method, path, body)
+    address = resolve_address(at, settings.command if settings else None, "control.command")
+    return call(address, "controller", method, path, body)
 
 
 def request_change(at: str | None, step: Step) -> None:
@@ -72,8 +72,8 @@
     """Sets the given members in one change."""
     step: dict[str, str | None] = {}
     for change in changes:
-        key, equals, value = change.partition("=")
-        if not key or not equals or key in step:
+        key, separator, value = change.partition("=")
+        if not key or not separator or key in step:
             raise click.BadParameter(f"{change!r}: each key once, as KEY=JSON, is wanted")
         try:
             step[key] = entry_value(json.loads(value, parse_constant=reject_constant))
@@ -102,9 +102,12 @@
 def load(context: click.Context, file: Path) -> None:
     """Changes what differs from the file, in one change."""
     platform = read_file(file)
-    for left_out, reason in ((platform.own, "each relay's own"), (platform.unread, "not read by the program")):
-        if left_out:
-            click.echo(f"left out, {reason}: {', '.join(left_out)}")
+    for members, reason in (
+        (platform.relay_specific, "each relay's own"),
+        (platform.unrecognized, "not read by the program"),
+    ):
+        if members:
+            click.echo(f"left out, {reason}: {', '.join(members)}")
     if not platform.entries:
         raise click.ClickException(f"{file} holds no settings that can be shared")
     current = call_controller(context.obj, "GET", "/control")["entries"]
@@ -194,7 +197,7 @@
         raise click.ClickException("the operator's file has no [control] of a controller")
     file = acceptor_file(settings)
     try:
-        file.create_initial(first_state(settings))
+        file.create_initial(initial_state(settings))
     except (FileUnavailableError, OSError) as error:
         raise click.ClickException(str(error)) from error
     click.echo(f"{file.path} is made for {file.owner}")
--- a/yarrowspindle/commands/maintenance.py
+++ b/yarrowspindle/commands/maintenance.py
@@ -9,7 +9,7 @@
 
 from yarrowspindle.commands import api_client
 from yarrowspindle.daemon.config import load_config
-from yarrowspindle.daemon.operator_config import load_operator
+from yarrowspindle.daemon.operator_config import load_operator_config
 from yarrowspindle.daemon.voter_file import MaintenanceVoterFile
 from yarrowspindle.maintenance.settings import ORDERS
 from yarrowspindle.maintenance.status_report import format_table
@@ -20,7 +20,7 @@
 
 def call_relay(address: str | None, method: str, path: str, parameters: dict[str, Any] | None = None) -> Any:
     """Return the relay's answer. `address` is the `--at` option; without it, that of the operator's file is used."""
-    settings = load_operator().turns if address is None else None
+    settings = load_operator_config().turns if address is None else None
     configured = settings.command if settings else None
     resolved = api_client.resolve_address(address, configured, "turns.command")
     return api_client.call(resolved, "relay", method, path, parameters)
@@ -130,7 +130,7 @@
 @turns.command(help="Make this relay's first voter's file: once, before the first start of all; never after a loss.")
 def init() -> None:
     """Create the first voter file."""
-    config, operator = load_config(), load_operator()
+    config, operator = load_config(), load_operator_config()
     if operator.turns is None or operator.peers is None:
         raise click.ClickException("the operator's file has no [turns]")
     file = MaintenanceVoterFile(operator.turns.directory, operator.peers.name or config.name, operator.peers.cluster)
--- a/yarrowspindle/daemon/background_store.py
+++ b/yarrowspindle/daemon/background_store.py
@@ -34,8 +34,8 @@
     `pending` is the newest value that is not stored yet; a value that is replaced before it is stored is skipped.
     """
 
-    def __init__(self, file: DurableFile[V], disk: ThreadPoolExecutor, counts: Counter[str]) -> None:
-        self.file, self.disk, self.counts = file, disk, counts
+    def __init__(self, file: DurableFile[V], disk_executor: ThreadPoolExecutor, counts: Counter[str]) -> None:
+        self.file, self.disk_executor, self.counts = file, disk_executor, counts
         self.pending: V | None = None
         self.has_pending = asyncio.Event()
 
@@ -95,4 +95,4 @@
         return ""
 
     async def _store_on_thread(self, value: V) -> None:
-        await asyncio.get_running_loop().run_in_executor(self.disk, self.file.store, value)
+        await asyncio.get_running_loop().run_in_executor(self.disk_executor, self.file.store, value)
--- a/yarrowspindle/daemon/config.py
+++ b/yarrowspindle/daemon/config.py
@@ -21,7 +21,7 @@
 from yarrowspindle.routing.events import EndpointsUpdated
 
 # Members of `settings` that belong to one relay and are never shared with the others.
-RELAY_OWN_MEMBERS = frozenset(("zone", "slot_no", "azs", "skus", "realms"))
+RELAY_SPECIFIC_MEMBERS = frozenset(("zone", "slot_no", "azs", "skus", "realms"))
 
 # Member of the file -> the environment variable that goes before it.
 ENVIRONMENT_OVERRIDES = {
@@ -96,7 +96,7 @@
     return str(value).lower() if isinstance(value, bool) else str(value)
 
 
-def names_of(items: object) -> list[str]:
+def object_names(items: object) -> list[str]:
     """Returns the member `name` of each object of a JSON list; nothing where it is no list."""
     if not isinstance(items, list):
         return []
@@ -119,7 +119,7 @@
         )
         known = data.get("known") or {"members": []}
         seed = data.get("seed", "0")
-        classes = names_of(raw.get("categories"))
+        classes = object_names(raw.get("categories"))
         return Config(
             name=str(data["name"]),
             listen=parse_address(str(data["listen"])),
@@ -130,7 +130,7 @@
             names=names,
             classes=classes,
             current_classes={name: number for number, name in enumerate(classes)},
-            tenants=names_of(raw.get("realms")),
+            tenants=object_names(raw.get("realms")),
             max_descriptors=int((data.get("limits") or {}).get("sockets") or 0),
             operator=parse_address(str(data["operator"])) if data.get("operator") else None,
             raw_settings=raw,
--- a/yarrowspindle/daemon/configuration_endpoint.py
+++ b/yarrowspindle/daemon/configuration_endpoint.py
@@ -25,11 +25,11 @@
 from yarrowspindle.transport.datagrams import UdpListener
 from yarrowspindle.transport.inactivity_timer import sleep_then_wait_for_reads
 
-RETRY_MS = 1000.0  # until the next timer event after one that failed
+FAILED_TIMER_RETRY_MS = 1000.0  # until the next timer event after one that failed
 FRAGMENT_REQUEST_INTERVAL_S = 0.05
 FLUSH_S = 0.02  # for the last datagrams before the socket is closed
 WARNING_REPEAT_MS = 60_000.0  # one and the same warning is logged once in this time
-MAX_KNOWN_WARNINGS = 1024
+MAX_RECENT_WARNINGS = 1024
 RANDOM_NUMBER_BYTES = 6
 # Published names of counters.
 UNSENDABLE, FAILURES = "unsendable", "failures"
@@ -56,10 +56,10 @@
         )
         self.counts: Counter[str] = Counter()
         self.rate_limited_log = RateLimitedLog(time.monotonic)
-        self.known_warnings: set[str] = set()
-        self.known_warnings_since = 0.0
+        self.recent_warnings: set[str] = set()
+        self.recent_warnings_since = 0.0
         self.tasks: list[asyncio.Task[None]] = []
-        self.disk = ThreadPoolExecutor(1, "control")  # a slow disk must not delay requests or heartbeats
+        self.disk_executor = ThreadPoolExecutor(1, "control")  # a slow disk must not delay requests or heartbeats
         self.closed = False
         self.store: BackgroundStore[Any] | None = None
 
@@ -77,7 +77,7 @@
             task.cancel()
         if self.store is not None:
             await self.store.flush()
-        self.disk.shutdown(wait=False, cancel_futures=True)
+        self.disk_executor.shutdown(wait=False, cancel_futures=True)
         await sleep_then_wait_for_reads(FLUSH_S)
         if self.front.transport is not None:
             self.front.transport.close()
@@ -137,7 +137,7 @@
             logger.exception("control: an internal error at {}", type(event).__name__)
             effects = self.core.take_effects()
             if isinstance(event, TimerFired):
-                effects.append(SetTimer(RETRY_MS))
+                effects.append(SetTimer(FAILED_TIMER_RETRY_MS))
         self.carry_out(effects)
 
     # --- effects ----------------------------------------------------------------------------------
@@ -175,10 +175,10 @@
 
     def _warn(self, text: str) -> None:
         """Logs a warning that other processes can cause or that repeats."""
-        is_old = self._now() >= self.known_warnings_since + WARNING_REPEAT_MS
-        if is_old or len(self.known_warnings) >= MAX_KNOWN_WARNINGS:
-            self.known_warnings_since = self._now()
-            self.known_warnings.clear()
-        if text not in self.known_warnings:
-            self.known_warnings.add(text)
+        expired = self._now() >= self.recent_warnings_since + WARNING_REPEAT_MS
+        if expired or len(self.recent_warnings) >= MAX_RECENT_WARNINGS:
+            self.recent_warnings_since = self._now()
+            self.recent_warnings.clear()
+        if text not in self.recent_warnings:
+            self.recent_warnings.add(text)
             self.rate_limited_log.warn(f"control: {text}")
--- a/yarrowspindle/daemon/controller_api.py
+++ b/yarrowspindle/daemon/controller_api.py
@@ -40,7 +40,7 @@
 
     def __init__(self, sources: ControllerApiSources, first_ticket: int) -> None:
         self.sources = sources
-        self.ticket = first_ticket
+        self.last_ticket = first_ticket
         self.answers: OrderedDict[int, ChangeAnswered | None] = OrderedDict()  # None: not settled yet
         self.server: OperatorApi | None = None
 
@@ -78,25 +78,25 @@
     def _json(value: object) -> str:
         return msgspec.json.encode(value).decode() + "\n"
 
-    def _handler(self, handle: Callable[[dict[str, Any]], object]) -> Callable[[bytes], HttpAnswer]:
+    def _handler(self, action: Callable[[dict[str, Any]], object]) -> Callable[[bytes], HttpAnswer]:
         def answer(body: bytes) -> HttpAnswer:
             try:
-                call = msgspec.json.decode(body or b"{}", type=dict[str, Any])
-                return HTTP_OK, self._json(handle(call))
+                parameters = msgspec.json.decode(body or b"{}", type=dict[str, Any])
+                return HTTP_OK, self._json(action(parameters))
             except (ControlError, msgspec.DecodeError, msgspec.ValidationError) as error:
                 return HTTP_CONFLICT, self._json({"error": str(error)})
 
         return answer
 
-    def _change(self, call: dict[str, Any]) -> object:
-        step = msgspec.convert(call.get("step"), dict[str, str | None])
+    def _change(self, parameters: dict[str, Any]) -> object:
+        step = msgspec.convert(parameters.get("step"), dict[str, str | None])
         self._check_step(step)
-        self.ticket += 1
-        self.answers[self.ticket] = None
+        self.last_ticket += 1
+        self.answers[self.last_ticket] = None
         while len(self.answers) > MAX_ANSWERS:
             self.answers.popitem(last=False)
-        self.sources.request(ChangeRequested(self.ticket, step))
-        return {"ticket": self.ticket}
+        self.sources.request(ChangeRequested(self.last_ticket, step))
+        return {"ticket": self.last_ticket}
 
     def _check_step(self, step: Step) -> None:
         entries = self.sources.entries()
@@ -106,8 +106,8 @@
         if absent:
             raise ControlError(f"there is no entry {', '.join(absent)[:MAX_NAMED_KEYS_CHARACTERS]}")
 
-    def _poll_answer(self, call: dict[str, Any]) -> object:
-        ticket = msgspec.convert(call.get("ticket"), int)
+    def _poll_answer(self, parameters: dict[str, Any]) -> object:
+        ticket = msgspec.convert(parameters.get("ticket"), int)
         if ticket not in self.answers:
             raise ControlError("no such change is known here: this controller has started anew. See `show`")
         answer = self.answers[ticket]
--- a/yarrowspindle/daemon/controller_endpoint.py
+++ b/yarrowspindle/daemon/controller_endpoint.py
@@ -17,8 +17,8 @@
 from yarrowspindle.daemon.background_store import BackgroundStore
 from yarrowspindle.daemon.configuration_endpoint import ConfigurationEndpoint, random_number
 from yarrowspindle.daemon.controller_api import ControllerApi, ControllerApiSources
-from yarrowspindle.daemon.controller_files import ControllerFiles, first_state
-from yarrowspindle.daemon.shared_settings import check
+from yarrowspindle.daemon.controller_files import ControllerFiles, initial_state
+from yarrowspindle.daemon.shared_settings import check_shared_settings
 
 MAX_WAITING_ACCEPTOR_REQUESTS = 256  # for the disk; more are lost, as any message may be
 MAX_LOGGED_VERSIONS = 8  # the newest of those that were missed
@@ -33,8 +33,8 @@
 
     def __init__(self, settings: ControlSettings, files: ControllerFiles) -> None:
         super().__init__(settings, settings.own_address.name)
-        self.files, self.first = files, first_state(settings)
-        self.committed_store = BackgroundStore(files.committed, self.disk, self.counts)
+        self.files, self.initial = files, initial_state(settings)
+        self.committed_store = BackgroundStore(files.committed, self.disk_executor, self.counts)
         self.store = self.committed_store
         self.acceptor: Acceptor[ControlState] | None = None
         self.waiting_acceptor_requests = 0
@@ -46,11 +46,11 @@
         self.core = Controller(
             settings.own_address,
             settings.controllers,
-            files.committed_state or self.first,
+            files.committed_state or self.initial,
             stored.identity if stored else "",
-            stored.state if stored else self.first,
+            stored.state if stored else self.initial,
             self.incarnation,
-            check,
+            check_shared_settings,
             random_number(),
             self._now(),
         )
@@ -145,7 +145,7 @@
         if self.core.identity or self.name not in state.voters or state.version <= 0:
             return
         try:
-            created = self.files.acceptor.recreate(self.first)
+            created = self.files.acceptor.recreate(self.initial)
         except OSError as error:
             self._warn(f"no file can be created in {self.settings.directory}: {error}")
             return
@@ -156,7 +156,7 @@
         """Passes a request to the acceptor on the thread of the disk, one at a time and in order."""
         if self.acceptor is not None and self.waiting_acceptor_requests < MAX_WAITING_ACCEPTOR_REQUESTS:
             self.waiting_acceptor_requests += 1
-            response = self.loop.run_in_executor(self.disk, self.acceptor.on_message, request.message)
+            response = self.loop.run_in_executor(self.disk_executor, self.acceptor.on_message, request.message)
             response.add_done_callback(partial(self._on_acceptor_response, request.sender))
 
     def _on_acceptor_response(self, sender: Sender, response: asyncio.Future[Any]) -> None:
--- a/yarrowspindle/daemon/controller_files.py
+++ b/yarrowspindle/daemon/controller_files.py
@@ -15,7 +15,7 @@
 COMMITTED_STATE = "agreed"  # name of the file
 
 
-def first_state(settings: ControlSettings) -> ControlState:
+def initial_state(settings: ControlSettings) -> ControlState:
     """Returns the state that all controllers start from: the voters with the files that operators create once."""
     return ControlState(dict.fromkeys(settings.voters, INITIAL_IDENTITY))
 
--- a/yarrowspindle/daemon/main.py
+++ b/yarrowspindle/daemon/main.py
@@ -15,8 +15,8 @@
 from loguru import logger
 
 from yarrowspindle.daemon.config import Config, ConfigError, load_config
-from yarrowspindle.daemon.metrics_reporter import report
-from yarrowspindle.daemon.operator_config import Operator, load_operator
+from yarrowspindle.daemon.metrics_reporter import report_periodically
+from yarrowspindle.daemon.operator_config import OperatorConfig, load_operator_config
 from yarrowspindle.daemon.relay_service import RelayService
 from yarrowspindle.fronts.connection_limiter import descriptors_left
 from yarrowspindle.fronts.line_front import LineFront
@@ -41,7 +41,7 @@
 )
 # For the ends of connections, once all were migrated or answered. The rest of the reserve is for a hold, and for the
 # interpreter's own end.
-CLOSE_S = 0.15
+CONNECTION_CLOSE_S = 0.15
 # Garbage collection would only make requests late: what stands at the start is frozen, the rest is collected seldom.
 GC_THRESHOLDS = (20_000, 50, 100)
 
@@ -56,24 +56,24 @@
     Raises:
         OSError: of another kind than `TRANSIENT_ERRORS`, or still raised after MAX_START_S.
     """
-    until = time.monotonic() + MAX_START_S
-    logged = ""
+    deadline = time.monotonic() + MAX_START_S
+    last_error = ""
     while True:
         try:
             return await start()
         except OSError as error:
-            if error.errno not in TRANSIENT_ERRORS or time.monotonic() >= until:
+            if error.errno not in TRANSIENT_ERRORS or time.monotonic() >= deadline:
                 raise
-            if str(error) != logged:
-                logged = str(error)
-                logger.warning("{} cannot be had yet: {}", resource, logged)
+            if str(error) != last_error:
+                last_error = str(error)
+                logger.warning("{} cannot be had yet: {}", resource, last_error)
         await asyncio.sleep(START_RETRY_S)
 
 
 class RelayProcess:
     """The parts of a running relay, started and closed in their order."""
 
-    def __init__(self, config: Config, operator: Operator) -> None:
+    def __init__(self, config: Config, operator: OperatorConfig) -> None:
         self.config = config
         self.operator = operator
         self.service = RelayService(config, SystemClock(), operator)
@@ -104,8 +104,8 @@
         """Before the first connection is accepted, so that none is lost to a signal."""
         loop = asyncio.get_running_loop()
         loop.add_signal_handler(signal.SIGHUP, self.service.reload)
-        for number in (signal.SIGTERM, signal.SIGINT):
-            loop.add_signal_handler(number, self.shutdown_requested.set)
+        for signal_number in (signal.SIGTERM, signal.SIGINT):
+            loop.add_signal_handler(signal_number, self.shutdown_requested.set)
 
     def _start_configuration(self) -> None:
         if self.operator.control is None:
@@ -167,7 +167,7 @@
 
     def _start_reports(self) -> None:
         if self.operator.metrics is not None:
-            reporting = report(self.service.metrics, self.operator.metrics, self.config.name)
+            reporting = report_periodically(self.service.metrics, self.operator.metrics, self.config.name)
             self.reports.append(asyncio.get_running_loop().create_task(reporting))
 
     async def _shut_down(self) -> None:
@@ -175,10 +175,10 @@
         service = self.service
         logger.info("shutting down: {} requests and connections are open", len(service.reducer.requests))
         loop = asyncio.get_running_loop()
-        until = loop.time() + service.begin_shutdown() / 1000.0
-        await asyncio.sleep(until - loop.time())
+        deadline = loop.time() + service.begin_shutdown() / 1000.0
+        await asyncio.sleep(deadline - loop.time())
         if self.front is not None:
-            await self.front.shut_down(until + CLOSE_S)
+            await self.front.shut_down(deadline + CONNECTION_CLOSE_S)
         for task in self.reports:
             task.cancel()
         for endpoint in (self.configuration, self.maintenance, self.membership):
@@ -190,7 +190,7 @@
         logger.info("stopped: {} requests and connections are left", len(service.reducer.requests))
 
 
-async def serve(config: Config, operator: Operator) -> None:
+async def serve(config: Config, operator: OperatorConfig) -> None:
     """Runs one relay until it has shut down."""
     await RelayProcess(config, operator).run()
 
@@ -204,8 +204,8 @@
     try:
         uvloop.run(serving)
     finally:
-        for number in HANDLED_SIGNALS:
-            signal.signal(number, signal.SIG_IGN)
+        for signal_number in HANDLED_SIGNALS:
+            signal.signal(signal_number, signal.SIG_IGN)
 
 
 def main() -> int:
@@ -213,7 +213,7 @@
     signal.signal(signal.SIGHUP, signal.SIG_IGN)  # until it can be handled; the file is about to be read anyway
     configure_log("INFO")
     try:
-        operator = load_operator()
+        operator = load_operator_config()
         configure_log(operator.log_level)
         if operator.control is not None and operator.control.role == "controller":
             from yarrowspindle.daemon import controller
--- a/yarrowspindle/daemon/maintenance_commands.py
+++ b/yarrowspindle/daemon/maintenance_commands.py
@@ -80,10 +80,10 @@
         def answer(body: bytes) -> Answer:
             try:
                 parameters = msgspec.json.decode(body or b"{}", type=Parameters)
-                done = action(parameters)
+                result = action(parameters)
             except (MaintenanceError, msgspec.DecodeError, msgspec.ValidationError) as error:
                 return 409, json_body({"error": str(error)})
-            return 200, json_body({"done": done, "registered": self.coordinator.registered})
+            return 200, json_body({"done": result, "registered": self.coordinator.registered})
 
         return answer
 
@@ -128,7 +128,7 @@
 
     def _evacuation(self, parameters: Parameters, stages: tuple[str, ...]) -> tuple[str, int]:
         """Return the backend that is named, and its evacuation's number. Raises MaintenanceError in other stages."""
-        backend = _text(parameters, "machine")
+        backend = _required_text(parameters, "machine")
         evacuation = self.coordinator.state.evacuations.get(backend)
         if evacuation is None:
             raise MaintenanceError(f"{backend} is not out")
@@ -142,21 +142,21 @@
         return backend, evacuation.number
 
     def _cancel_request(self, parameters: Parameters) -> object:
-        wanted = _text(parameters, "request")
+        id_or_name = _required_text(parameters, "request")
         requests = self.coordinator.state.requests
-        found = [
+        matching_ids = [
             request_id
             for request_id, status in requests.items()
-            if wanted in (request_id, status.request.name) and status.state == QUEUED
+            if id_or_name in (request_id, status.request.name) and status.state == QUEUED
         ]
-        if len(found) != 1:
-            raise MaintenanceError(f"{len(found) or 'no'} open requests are called {wanted}")
-        request_id = found[0]
+        if len(matching_ids) != 1:
+            raise MaintenanceError(f"{len(matching_ids) or 'no'} open requests are called {id_or_name}")
+        request_id = matching_ids[0]
         self.post(CancelRequest(request_id, requests[request_id].changed_at_version))
         return request_id
 
     def _remove_relay(self, parameters: Parameters) -> object:
-        name = _text(parameters, "relay")
+        name = _required_text(parameters, "relay")
         relays = self.coordinator.state.relays
         incarnation = relays.get(name)
         if incarnation is None:
@@ -191,7 +191,7 @@
         return name
 
     def _remove_voter(self, parameters: Parameters) -> object:
-        name = _text(parameters, "relay")
+        name = _required_text(parameters, "relay")
         voters = self.coordinator.state.voters
         if name not in voters or len(voters) == 1:
             raise MaintenanceError(f"{name} is not one of several voters: {', '.join(sorted(voters))}")
@@ -199,18 +199,18 @@
         return name
 
 
-def _select(numbers: Mapping[str, int], wanted: str, known: Sequence[str]) -> tuple[str, ...]:
+def _select(numbers: Mapping[str, int], wanted_name: str, known: Sequence[str]) -> tuple[str, ...]:
     """Return the backends whose number stands for the wanted name. Raises MaintenanceError where there is none."""
-    if wanted not in known:
-        raise MaintenanceError(f"{wanted!r} is none of {', '.join(known)}")
-    wanted_number = known.index(wanted)
+    if wanted_name not in known:
+        raise MaintenanceError(f"{wanted_name!r} is none of {', '.join(known)}")
+    wanted_number = known.index(wanted_name)
     backends = tuple(sorted(name for name, number in numbers.items() if number == wanted_number))
     if not backends:
-        raise MaintenanceError(f"no machine of {wanted!r} is in the machine list")
+        raise MaintenanceError(f"no machine of {wanted_name!r} is in the machine list")
     return backends
 
 
-def _text(parameters: Parameters, key: str) -> str:
+def _required_text(parameters: Parameters, key: str) -> str:
     value = parameters.get(key)
     if not isinstance(value, str) or not value:
         raise MaintenanceError(f"{key} is missing")
--- a/yarrowspindle/daemon/maintenance_endpoint.py
+++ b/yarrowspindle/daemon/maintenance_endpoint.py
@@ -19,7 +19,7 @@
 from yarrowspindle.consensus.messages import ResponseMessage
 from yarrowspindle.daemon.maintenance_commands import NEVER_QUEUED, MaintenanceCommands, json_body
 from yarrowspindle.daemon.membership_endpoint import MembershipEndpoint
-from yarrowspindle.daemon.operator_config import Operator
+from yarrowspindle.daemon.operator_config import OperatorConfig
 from yarrowspindle.daemon.relay_service import RelayService
 from yarrowspindle.daemon.voter_file import MaintenanceVoterFile, initial_state
 from yarrowspindle.decisions.events import BACKEND_KEY_MASK
@@ -58,7 +58,7 @@
 SHUTDOWN_POLL_S = 0.02
 FAILED_TIMER_RETRY_MS = 1000.0
 DEFAULT_DEADLINE_S = 120.0  # of a backend whose request is no longer known
-MAX_PENDING_VOTES = 256  # that wait for the disk; more are lost, as any message may be
+MAX_PENDING_ACCEPTOR_REQUESTS = 256  # that wait for the disk; more are lost, as any message may be
 MAX_BODY_BYTES = 64 * 1024
 
 
@@ -78,8 +78,8 @@
         key = os.urandom(16).hex()
         self.core = MaintenanceCoordinator(self.name, key, self.initial, "", self.initial, seed, self._now())
         self.commands = MaintenanceCommands(service, self.core, self._post, self._members, self._recreate_voter_file)
-        self.disk = ThreadPoolExecutor(1, "voter")
-        self.pending_votes = 0
+        self.disk_executor = ThreadPoolExecutor(1, "voter")
+        self.pending_acceptor_requests = 0
         self.fragmenter = Fragmenter(int.from_bytes(os.urandom(6), "big"))
         self.health = FleetHealth(service.config.settings.warmup_ms, settings.pressure)
         self.assessment = FleetAssessment({}, "")
@@ -88,12 +88,12 @@
         self.plan = MaintenancePlan(rate=settings.moves_per_s)
         self.requests = settings.requests
         self.counts: Counter[str] = Counter()
-        self.bounded_log = RateLimitedLog(time.monotonic)
+        self.rate_limited_log = RateLimitedLog(time.monotonic)
         self.tasks: list[asyncio.Task[None]] = []
         self.api: OperatorApi | None = None
         self.closed = False
-        service.metrics.sources["turns"] = self.counts
-        service.metrics.more_gauges.append(self._gauges)
+        service.metrics.counter_sources["turns"] = self.counts
+        service.metrics.gauge_sources.append(self._gauges)
         service.reload_listeners.append(self._on_reloaded)
         membership.driver.on_payload = self._on_datagram
 
@@ -123,15 +123,15 @@
         has_connections = any(connected() for connected in self.service.connected_backends)
         if self.core.registered and not has_connections:
             self._post(RemoveRelay(self.name, self.core.incarnation))
-            give_up_at = self.loop.time() + SHUTDOWN_TIMEOUT_S
-            while self._is_in_state() and self.loop.time() < give_up_at:
+            deadline = self.loop.time() + SHUTDOWN_TIMEOUT_S
+            while self._is_in_state() and self.loop.time() < deadline:
                 await asyncio.sleep(SHUTDOWN_POLL_S)
         self.closed = True
         for task in self.tasks:
             task.cancel()
         if self.api is not None:
             self.api.close()
-        self.disk.shutdown(cancel_futures=True)
+        self.disk_executor.shutdown(cancel_futures=True)
 
     def _is_in_state(self) -> bool:
         return self.core.adopted.relays.get(self.name) == self.core.incarnation
@@ -149,11 +149,11 @@
 
     async def _wait_for_lock(self) -> None:
         """Wait until the former process of this relay has ended: nothing is placed before that."""
-        logged = ""
-        while reason := self.file.lock_failure():
-            if reason != logged:
-                logger.warning("turns: {}: nothing is placed", reason)
-            logged = reason
+        last_failure = ""
+        while failure := self.file.lock_failure():
+            if failure != last_failure:
+                logger.warning("turns: {}: nothing is placed", failure)
+            last_failure = failure
             await asyncio.sleep(FILE_RETRY_S)
 
     async def _start_voting(self) -> None:
@@ -168,23 +168,23 @@
                     error,
                 )
             return
-        self._vote_with(stored)
+        self._start_acceptor(stored)
         self.core.proposer.membership_hint = max(self.initial, stored.state, key=lambda state: state.epoch)
 
     async def _load_voter_file(self) -> AcceptorState[MaintenanceState]:
         """Return the content of the file, and retry while it cannot be read. Raises FileUnavailableError."""
-        logged = ""
+        last_failure = ""
         while True:
             try:
                 return self.file.load()
             except OSError as error:
-                reason = str(error)
-                if reason != logged:
-                    logger.warning("turns: the voter's file cannot be read just now: {}: nothing is placed", reason)
-                logged = reason
+                failure = str(error)
+                if failure != last_failure:
+                    logger.warning("turns: the voter's file cannot be read just now: {}: nothing is placed", failure)
+                last_failure = failure
             await asyncio.sleep(FILE_RETRY_S)
 
-    def _vote_with(self, stored: AcceptorState[MaintenanceState]) -> None:
+    def _start_acceptor(self, stored: AcceptorState[MaintenanceState]) -> None:
         self.acceptor = Acceptor(stored, self.file.store, self._now)
         self.core.identity = stored.identity
         promised_number, _ = stored.promised
@@ -200,9 +200,9 @@
         try:
             stored = self.file.recreate(self.initial)
         except OSError as error:
-            self.bounded_log.warn(f"turns: no file can be made in {self.settings.directory}: {error}")
+            self.rate_limited_log.warn(f"turns: no file can be made in {self.settings.directory}: {error}")
             return ""
-        self._vote_with(stored)
+        self._start_acceptor(stored)
         return stored.identity
 
     # Events and effects
@@ -257,7 +257,7 @@
             message = codec.decode(complete)
         except InvalidMessageError as error:
             self.counts["dropped"] += 1
-            self.bounded_log.warn(f"turns: a message of {source} is dropped: {error}")
+            self.rate_limited_log.warn(f"turns: a message of {source} is dropped: {error}")
             return
         self._post(MessageReceived(source, message))
 
@@ -270,22 +270,24 @@
     def _ask_acceptor(self, effect: AskAcceptor) -> None:
         """Run the acceptor on its thread, so that the disk does not delay requests; one message at a time, in order."""
         acceptor = self.acceptor
-        if acceptor is None or self.pending_votes >= MAX_PENDING_VOTES:
+        if acceptor is None or self.pending_acceptor_requests >= MAX_PENDING_ACCEPTOR_REQUESTS:
             return
-        self.pending_votes += 1
-        answer = self.disk.submit(acceptor.on_message, effect.message)
-        answer.add_done_callback(lambda done: self.loop.call_soon_threadsafe(self._on_answer, effect.source, done))
+        self.pending_acceptor_requests += 1
+        response = self.disk_executor.submit(acceptor.on_message, effect.message)
+        response.add_done_callback(
+            lambda done: self.loop.call_soon_threadsafe(self._on_acceptor_response, effect.source, done)
+        )
 
-    def _on_answer(self, source: str, answer: Future[ResponseMessage[MaintenanceState]]) -> None:
-        self.pending_votes -= 1
-        if answer.cancelled() or self.closed:
+    def _on_acceptor_response(self, source: str, response: Future[ResponseMessage[MaintenanceState]]) -> None:
+        self.pending_acceptor_requests -= 1
+        if response.cancelled() or self.closed:
             return
-        error = answer.exception()
+        error = response.exception()
         if error is None:
-            self._send(source, answer.result())
+            self._send(source, response.result())
             return
         self.counts["unwritten"] += 1
-        self.bounded_log.warn(f"turns: the voter's file cannot be written, so nothing is voted: {error}")
+        self.rate_limited_log.warn(f"turns: the voter's file cannot be written, so nothing is voted: {error}")
 
     def _on_committed(self, state: MaintenanceState) -> None:
         now = self._now()
@@ -350,7 +352,7 @@
             endpoint = backend.endpoint
             if endpoint is None:
                 continue
-            of_peers, _ = peer_connections.get(backend.number & BACKEND_KEY_MASK, (0, 0.0))
+            peer_count, _ = peer_connections.get(backend.number & BACKEND_KEY_MASK, (0, 0.0))
             samples.append(
                 BackendSample(
                     name,
@@ -359,7 +361,7 @@
                     endpoint.state,
                     endpoint.started_ms,
                     failing=backend.number in ejected,
-                    connections=len(backend.requests) + of_peers,
+                    connections=len(backend.requests) + peer_count,
                 )
             )
         return samples
@@ -380,13 +382,13 @@
     def _gauges(self) -> dict[str, float]:
         return {f"turns.{name}": value for name, value in status_report.gauges(self.core, self._now()).items()}
 
-    def _on_reloaded(self, operator: Operator) -> None:
+    def _on_reloaded(self, operator: OperatorConfig) -> None:
         """Queue the requests that are new in the operator's file, each name once."""
         if operator.turns is None:
             return
-        former, self.requests = self.requests, operator.turns.requests
+        previous, self.requests = self.requests, operator.turns.requests
         for request in self.requests:
-            if request in former:
+            if request in previous:
                 continue
             try:
                 request_id = self.commands.queue_request(request, NEVER_QUEUED)
--- a/yarrowspindle/daemon/membership_endpoint.py
+++ b/yarrowspindle/daemon/membership_endpoint.py
@@ -57,8 +57,8 @@
         self._opening: asyncio.Task[None] | None = None
         self._warnings = RateLimitedLog(time.monotonic)
         self._timers: set[asyncio.TimerHandle] = set()
-        service.metrics.sources["peers"] = self.counts
-        service.metrics.more_gauges.append(self.gauges)
+        service.metrics.counter_sources["peers"] = self.counts
+        service.metrics.gauge_sources.append(self.gauges)
 
     def start(self) -> None:
         """Starts to open the socket, and then the driver."""
--- a/yarrowspindle/daemon/metrics.py
+++ b/yarrowspindle/daemon/metrics.py
@@ -42,24 +42,24 @@
     """The counters and gauges of one relay.
 
     Attributes:
-        sources: counters that other parts keep, by the prefix under which they are published.
-        more_gauges: functions that return gauges of other parts, by their published names.
+        counter_sources: counters that other parts keep, by the prefix under which they are published.
+        gauge_sources: functions that return gauges of other parts, by their published names.
     """
 
     def __init__(self, reducer: Reducer) -> None:
         self.reducer = reducer
         self.counts: Counter[str] = Counter()
-        self.sources: dict[str, CounterSource] = {}
-        self.more_gauges: list[GaugeSource] = []
+        self.counter_sources: dict[str, CounterSource] = {}
+        self.gauge_sources: list[GaugeSource] = []
 
-    def rebalance(self, rebalancer: Rebalancer | None) -> None:
+    def set_rebalancer(self, rebalancer: Rebalancer | None) -> None:
         """Publishes the rebalancer's counters, or no longer where it is off."""
         if rebalancer is None:
-            self.sources.pop("rebalance", None)
+            self.counter_sources.pop("rebalance", None)
         else:
-            self.sources["rebalance"] = rebalancer.counts
+            self.counter_sources["rebalance"] = rebalancer.counts
 
-    def event(self, event: Event) -> None:
+    def on_event(self, event: Event) -> None:
         """Counts an event that the reducer is about to receive."""
         name = EVENTS.get(type(event))
         if name is not None:
@@ -67,7 +67,7 @@
         elif isinstance(event, AttemptEnded):
             self.counts[f"ending.{TERMINATION_REASONS[event.reason]}"] += 1
 
-    def effect(self, effect: Effect) -> None:
+    def on_effect(self, effect: Effect) -> None:
         """Counts an effect on a request, and the reason that it carries."""
         name = EFFECTS.get(type(effect))
         if name is not None:
@@ -77,19 +77,19 @@
 
     def counters(self) -> dict[str, float]:
         """Returns all counters by their published names."""
-        found = {name: float(value) for name, value in self.counts.items()}
-        for prefix, source in self.sources.items():
+        counters = {name: float(value) for name, value in self.counts.items()}
+        for prefix, source in self.counter_sources.items():
             counts = source if isinstance(source, Counter) else source()
-            found |= {f"{prefix}.{name}": float(value) for name, value in counts.items()}
-        return found
+            counters |= {f"{prefix}.{name}": float(value) for name, value in counts.items()}
+        return counters
 
     def gauges(self) -> dict[str, float]:
         """Returns all gauges by their published names."""
         phases = Counter(request.phase for request in self.reducer.requests.values())
-        found = {f"jobs.{name}": float(phases[phase]) for phase, name in PHASES.items()}
+        values = {f"jobs.{name}": float(phases[phase]) for phase, name in PHASES.items()}
         if self.reducer.rebalancer is not None:
             gauges = self.reducer.rebalancer.gauges(self.reducer.now)
-            found |= {f"rebalance.{name}": value for name, value in gauges.items()}
-        for source in self.more_gauges:
-            found |= source()
-        return found | {"nodes": float(len(self.reducer.backends))}
+            values |= {f"rebalance.{name}": value for name, value in gauges.items()}
+        for source in self.gauge_sources:
+            values |= source()
+        return values | {"nodes": float(len(self.reducer.backends))}
--- a/yarrowspindle/daemon/metrics_reporter.py
+++ b/yarrowspindle/daemon/metrics_reporter.py
@@ -14,7 +14,7 @@
 from yarrowspindle.transport.metrics_senders import TcpMetricsSender, UdpMetricsSender
 
 
-async def report(metrics: MetricsSource, config: MetricsConfig, name: str) -> None:
+async def report_periodically(metrics: MetricsSource, config: MetricsConfig, name: str) -> None:
     """Sends a report at each interval until it is cancelled. One that fails is logged, once for each cause.
 
     Args:
@@ -23,16 +23,16 @@
         name: of this relay or controller, as it appears in the reports.
     """
     reporter = Reporter(metrics, config, name)
-    logged = ""
+    last_failure = ""
     while True:
         await asyncio.sleep(config.interval_s)
         try:
             await reporter.report()
-            logged = ""
+            last_failure = ""
         except Exception as error:  # of whatever kind: a lost report must not end the relay
-            if repr(error) != logged:
-                logged = repr(error)
-                logger.warning("a report was not sent: {}", logged)
+            if repr(error) != last_failure:
+                last_failure = repr(error)
+                logger.warning("a report was not sent: {}", last_failure)
 
 
 class Reporter:
--- a/yarrowspindle/daemon/operator_config.py
+++ b/yarrowspindle/daemon/operator_config.py
@@ -62,7 +62,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Operator:
+class OperatorConfig:
     """What the operator's file switches on. Field names are those of its sections, but for the log's level."""
 
     log_level: str = "INFO"
@@ -74,13 +74,13 @@
     control: ControlSettings | None = None
 
 
-def read_operator(text: str) -> Operator:
+def read_operator_config(text: str) -> OperatorConfig:
     """Reads the text of the file. Raises ConfigError that names the section or key that is invalid."""
     try:
         data = tomllib.loads(text)
         _check_sections(data)
-        return Operator(
-            _log_level(data.get("log", {})),
+        return OperatorConfig(
+            _read_log_level(data.get("log", {})),
             _read_quic(dict(data["quic"])) if "quic" in data else None,
             _read_metrics(dict(data["metrics"])) if "metrics" in data else None,
             _read_rebalance(data["rebalance"]) if "rebalance" in data else None,
@@ -93,13 +93,13 @@
         raise ConfigError(f"the operator's file is invalid: {reason}") from error
 
 
-def load_operator(environ: Mapping[str, str] = os.environ) -> Operator:
+def load_operator_config(environ: Mapping[str, str] = os.environ) -> OperatorConfig:
     """Reads the file that the environment names; without one all is off. Raises ConfigError."""
     path = environ.get(FILE_VARIABLE)
     if not path:
-        return Operator()
+        return OperatorConfig()
     try:
-        return read_operator(Path(path).read_text(encoding="utf-8"))
+        return read_operator_config(Path(path).read_text(encoding="utf-8"))
     except (OSError, UnicodeDecodeError) as error:
         raise ConfigError(f"{path} cannot be read: {error}") from error
 
@@ -115,7 +115,7 @@
         raise ValueError("[turns] needs [peers]: without membership relays cannot reach a quorum")
 
 
-def _log_level(section: Mapping[str, Any]) -> str:
+def _read_log_level(section: Mapping[str, Any]) -> str:
     level = str(section.get("level", "INFO"))
     if level not in LOG_LEVELS:
         raise ValueError(f"log.level is one of {', '.join(LOG_LEVELS)}")
@@ -127,8 +127,8 @@
     id_key = bytes.fromhex(section.pop("id_key"))
     reset_key = bytes.fromhex(section.pop("reset_key"))
     quic = QuicConfig(listen, id_key, reset_key, **section)
-    keys_fit = len(id_key) == ID_KEY_BYTES and len(reset_key) >= MIN_RESET_KEY_BYTES
-    if not keys_fit or quic.max_connections < 1 or quic.idle_s <= 0.0:
+    key_lengths_valid = len(id_key) == ID_KEY_BYTES and len(reset_key) >= MIN_RESET_KEY_BYTES
+    if not key_lengths_valid or quic.max_connections < 1 or quic.idle_s <= 0.0:
         raise ValueError("id_key has 16 bytes, reset_key at least 16; max_connections and idle_s are positive")
     return quic
 
--- a/yarrowspindle/daemon/relay_configuration.py
+++ b/yarrowspindle/daemon/relay_configuration.py
@@ -17,11 +17,11 @@
 from yarrowspindle.daemon.config import ConfigError
 from yarrowspindle.daemon.configuration_endpoint import ConfigurationEndpoint, random_number
 from yarrowspindle.daemon.relay_service import RelayService
-from yarrowspindle.daemon.shared_settings import MAX_REASON_CHARACTERS, check
+from yarrowspindle.daemon.shared_settings import MAX_REASON_CHARACTERS, check_shared_settings
 from yarrowspindle.storage.durable_file import DurableFile, FileUnavailableError
 
-APPLIED_SETTINGS = "taken"  # name of the file
-MAX_READS = 20  # of that file at the start, before any request is served
+APPLIED_SETTINGS_NAME = "taken"  # name of the file
+MAX_READ_ATTEMPTS = 20  # of that file at the start, before any request is served
 READ_RETRY_S = 0.05
 
 
@@ -38,14 +38,14 @@
         entries: Entries = {}
         if settings.directory:
             self.file = DurableFile(
-                settings.directory, self.name, settings.cluster, APPLIED_SETTINGS, APPLIED_SETTINGS_FILE
+                settings.directory, self.name, settings.cluster, APPLIED_SETTINGS_NAME, APPLIED_SETTINGS_FILE
             )
-            self.store = BackgroundStore(self.file, self.disk, self.counts)
+            self.store = BackgroundStore(self.file, self.disk_executor, self.counts)
             version, entries = self._stored_settings(self.file)
         controllers = controllers_by_preference(settings.controllers, self.name, settings.zone, settings.region)
-        self.core = Agent(controllers, check, random_number(), self._now(), version, entries)
-        service.metrics.sources["control"] = self.counters
-        service.metrics.more_gauges.append(self.gauges)
+        self.core = Agent(controllers, check_shared_settings, random_number(), self._now(), version, entries)
+        service.metrics.counter_sources["control"] = self.counters
+        service.metrics.gauge_sources.append(self.gauges)
 
     def start(self) -> None:
         """Applies the stored settings, so that the first request is served by them, and starts to listen."""
@@ -117,7 +117,7 @@
 
         Raises FileUnavailableError where there is no file that can be used.
         """
-        for _ in range(MAX_READS - 1):
+        for _ in range(MAX_READ_ATTEMPTS - 1):
             try:
                 return file.load()
             except OSError:
--- a/yarrowspindle/daemon/relay_service.py
+++ b/yarrowspindle/daemon/relay_service.py
@@ -13,7 +13,7 @@
 
 from yarrowspindle.daemon.config import Config, ConfigError
 from yarrowspindle.daemon.metrics import Metrics
-from yarrowspindle.daemon.operator_config import Operator, load_operator
+from yarrowspindle.daemon.operator_config import OperatorConfig, load_operator_config
 from yarrowspindle.daemon.settings_update import apply_shared_settings, merge_settings, reload_config
 from yarrowspindle.routing.effects import CancelHealthCheck, Effect, WatchEndpoints
 from yarrowspindle.routing.events import (
@@ -43,11 +43,11 @@
 MAX_DEADLINE_MS = 3000.0
 KILL_GRACE_MS = 700.0
 CLOSE_RESERVE_MS = 400.0  # of that, kept for closing connections and ending the process
-MAX_HELD_UP_MS = 150.0  # a process may be held up for so long; the signal to end may have come at its beginning
+MAX_STALL_MS = 150.0  # a process may be held up for so long; the signal to end may have come at its beginning
 DRAIN_MS = 2500.0  # all established connections are migrated within this time after an operator's drain
 
 
-def log(level: str, text: str) -> None:
+def log_runtime_message(level: str, text: str) -> None:
     """Logs a text of the runtime; an error with the exception that is being handled."""
     logger.opt(exception=level == "error").log(level.upper(), "{}", text)
 
@@ -63,12 +63,12 @@
     """
 
     def __init__(
-        self, config: Config, clock: Clock, operator: Operator | None = None, timers: Timers | None = None
+        self, config: Config, clock: Clock, operator: OperatorConfig | None = None, timers: Timers | None = None
     ) -> None:
         self.config = config
-        self.operator = operator or Operator()
+        self.operator = operator or OperatorConfig()
         self.reducer = Reducer(config.settings, config.seed, clock.now(), config.discovery)
-        self.runtime = Runtime(self.reducer, clock, log, timers)
+        self.runtime = Runtime(self.reducer, clock, log_runtime_message, timers)
         if isinstance(clock, SystemClock):
             self.runtime.wall_step_ms = clock.wall_step_ms
         self.fronts = self.runtime.fronts
@@ -77,21 +77,23 @@
         self.new_request = self.runtime.new_request
         self.connected_backends: list[Callable[[], set[str]]] = []  # the backends that each front has connections to
         self.shared_settings: Mapping[str, str] = {}  # settings from the controllers, in place of the file's
-        self.reload_listeners: list[Callable[[Operator], None]] = []  # called with the operator's file after SIGHUP
+        self.reload_listeners: list[
+            Callable[[OperatorConfig], None]
+        ] = []  # called with the operator's file after SIGHUP
         self.serving = False  # whether the fronts accept connections
-        self._observe()
-        self._watch_discovery()
-        self._check_health()
+        self._attach_observers()
+        self._set_up_endpoint_watch()
+        self._set_up_health_checker()
 
-    def _observe(self) -> None:
+    def _attach_observers(self) -> None:
         """Attaches all that counts or logs what the reducer receives and asks for."""
         self.metrics = Metrics(self.reducer)
         self.telemetry = Telemetry(self.reducer, self.class_name)
         self.guard = Guard(lambda: self.config.settings, logger.error)
-        self.metrics.sources["runtime"] = self.runtime.counts
-        self.metrics.sources["overload"] = lambda: self.reducer.balancer.overload_rejections
-        self.metrics.sources["invariant_violations_total"] = self.guard.counts
-        self.runtime.event_observers.append(lambda now, event: self.metrics.event(event))
+        self.metrics.counter_sources["runtime"] = self.runtime.counts
+        self.metrics.counter_sources["overload"] = lambda: self.reducer.balancer.overload_rejections
+        self.metrics.counter_sources["invariant_violations_total"] = self.guard.counts
+        self.runtime.event_observers.append(lambda now, event: self.metrics.on_event(event))
         self.runtime.event_observers.append(lambda now, event: self.telemetry.on_event(event))
         self.runtime.event_observers.append(self.guard.on_event)
         self.trace: Trace | None = None
@@ -100,22 +102,22 @@
             self.runtime.event_observers.append(lambda now, event: trace.on_event(event))
         self.runtime.effect_observer = self._observe_effect
 
-    def _watch_discovery(self) -> None:
+    def _set_up_endpoint_watch(self) -> None:
         self.endpoint_watch = EndpointWatch(
             self.config.names,
             self.post,
             lambda reason: logger.warning("the watch on the endpoint list ended: {}", reason),
         )
-        self.runtime.watch_endpoints = self._watch
+        self.runtime.watch_endpoints = self._watch_endpoints
 
-    def _check_health(self) -> None:
+    def _set_up_health_checker(self) -> None:
         settings = self.config.settings
         self.invalid_reports_log = RateLimitedLog(time.monotonic)
         idle_timeout_s = IDLE_TIMEOUT_FRACTION * settings.conn_idle_ms / 1000.0
         self.health_checker = HealthChecker(
             settings.load_report_fields, idle_timeout_s, self.post, self.invalid_reports_log.warn
         )
-        self.metrics.sources["probes"] = self.health_checker.counts
+        self.metrics.counter_sources["probes"] = self.health_checker.counts
         self.runtime.check_health = self.health_checker.probe
         self.runtime.cancel_health_check = self._cancel_health_check
 
@@ -135,7 +137,7 @@
 
     def _observe_effect(self, effect: Effect) -> None:
         self.guard.on_effect(effect)
-        self.metrics.effect(effect)
+        self.metrics.on_effect(effect)
         self.telemetry.on_effect(effect)
         if self.trace is not None:
             self.trace.on_effect(effect)
@@ -169,11 +171,11 @@
         Returns the milliseconds within which everybody gets an answer or is migrated.
         """
         classes = self.config.settings.classes
-        longest_ms = max(classes[number].deadline_ms for number in self.config.current_classes.values())
-        within_ms = min(longest_ms, MAX_DEADLINE_MS) + KILL_GRACE_MS - CLOSE_RESERVE_MS
-        within_ms -= min(self.runtime.recent_delay_ms(), MAX_HELD_UP_MS)
-        self.post(ShutdownRequested(within_ms))
-        return within_ms
+        longest_deadline_ms = max(classes[number].deadline_ms for number in self.config.current_classes.values())
+        shutdown_ms = min(longest_deadline_ms, MAX_DEADLINE_MS) + KILL_GRACE_MS - CLOSE_RESERVE_MS
+        shutdown_ms -= min(self.runtime.recent_delay_ms(), MAX_STALL_MS)
+        self.post(ShutdownRequested(shutdown_ms))
+        return shutdown_ms
 
     def finish_shutdown(self) -> None:
         """Answers or migrates everybody who is left, once the time for it has passed.
@@ -189,8 +191,8 @@
     def reload(self) -> None:
         """Reads both configuration files again (SIGHUP). Where either is invalid nothing changes."""
         try:
-            operator = load_operator()
-            reloaded = reload_config(self.config, used=self.reducer.classes, shared=self.shared_settings)
+            operator = load_operator_config()
+            reloaded = reload_config(self.config, used_numbers=self.reducer.classes, shared=self.shared_settings)
         except (ConfigError, ValueError) as error:
             self.telemetry.on_configuration_reloaded(False)
             logger.error("the configuration is rejected, the old one stays in force: {}", error)
@@ -204,7 +206,7 @@
         self.post(DiscoveryAddressChanged(self.config.discovery))
         self._reload_operator(operator)
 
-    def _reload_operator(self, operator: Operator) -> None:
+    def _reload_operator(self, operator: OperatorConfig) -> None:
         """Takes up what may change without a restart: [rebalance] and the maintenance requests."""
         if operator.rebalance != self.operator.rebalance:
             logger.info("[rebalance] was reloaded: {}", operator.rebalance or "off")
@@ -244,9 +246,9 @@
     def _configure_rebalancing(self) -> None:
         if self.operator.rebalance is not None or self.reducer.rebalancer is not None:
             self.post(RebalancingConfigured(self.operator.rebalance, self.config.seed))
-            self.metrics.rebalance(self.reducer.rebalancer)
+            self.metrics.set_rebalancer(self.reducer.rebalancer)
 
-    def _watch(self, effect: WatchEndpoints) -> None:
+    def _watch_endpoints(self, effect: WatchEndpoints) -> None:
         self.endpoint_watch.open(effect.version, effect.address or self.config.discovery, effect.renew)
 
 
@@ -255,4 +257,4 @@
     before = zip(old.classes, old.settings.classes, strict=False)
     after = zip(new.classes, new.settings.classes, strict=False)
     pairs = enumerate(zip(before, after, strict=False))
-    return frozenset(number for number, (was, now) in pairs if was != now)
+    return frozenset(number for number, (old_class, new_class) in pairs if old_class != new_class)
--- a/yarrowspindle/daemon/settings_update.py
+++ b/yarrowspindle/daemon/settings_update.py
@@ -12,7 +12,14 @@
 from dataclasses import dataclass, fields, replace
 from typing import Any
 
-from yarrowspindle.daemon.config import RELAY_OWN_MEMBERS, Config, ConfigError, load_config, names_of, parse_settings
+from yarrowspindle.daemon.config import (
+    RELAY_SPECIFIC_MEMBERS,
+    Config,
+    ConfigError,
+    load_config,
+    object_names,
+    parse_settings,
+)
 from yarrowspindle.decisions.settings import RequestClass, Settings
 from yarrowspindle.protocol.endpoint_list import ListError, parse_address
 from yarrowspindle.protocol.platform_settings import SettingsError
@@ -38,52 +45,52 @@
     classes: list[str]
 
 
-class _ClassNumbers:
+class _ClassNumbering:
     """Gives the request classes of new settings their numbers beside those that are still in use."""
 
-    def __init__(self, old: Config, used: Collection[int]) -> None:
+    def __init__(self, old: Config, used_numbers: Collection[int]) -> None:
         self.names = list(old.classes)
         self.entries = list(old.settings.classes)
-        self.taken = {*used, *old.current_classes.values()}
+        self.reserved = {*used_numbers, *old.current_classes.values()}
         self.current: dict[str, int] = {}
 
-    def keep(self, name: str, entry: RequestClass) -> None:
+    def keep_number(self, name: str, entry: RequestClass) -> None:
         """Gives a class the newest number under which it stands unchanged, if there is one."""
         known = zip(self.names, self.entries, strict=True)
         numbers = [number for number, pair in enumerate(known) if pair == (name, entry)]
         if numbers:
-            self._take(name, numbers[-1])
+            self._assign(name, numbers[-1])
 
-    def add(self, name: str, entry: RequestClass) -> None:
+    def assign_new_number(self, name: str, entry: RequestClass) -> None:
         """Gives a new class the lowest number that nothing uses."""
-        free = (number for number in range(len(self.entries)) if number not in self.taken)
+        free = (number for number in range(len(self.entries)) if number not in self.reserved)
         number = next(free, len(self.entries))
         self.names[number : number + 1] = [name]
         self.entries[number : number + 1] = [entry]
-        self._take(name, number)
+        self._assign(name, number)
 
-    def _take(self, name: str, number: int) -> None:
+    def _assign(self, name: str, number: int) -> None:
         self.current[name] = number
-        self.taken.add(number)
+        self.reserved.add(number)
 
 
-def merge_settings(old: Config, new: Config, used: Collection[int] = ()) -> Config:
+def merge_settings(old: Config, new: Config, used_numbers: Collection[int] = ()) -> Config:
     """Returns the old configuration with the new settings, its classes numbered so that requests in flight keep theirs.
 
     Args:
         old: what the relay runs by.
         new: what it is to run by.
-        used: the class numbers of requests in flight. A number that is neither used nor accepted new requests until
-            now may stand for another class from here on.
+        used_numbers: the class numbers of requests in flight. A number that is neither used nor accepted new
+            requests until now may stand for another class from here on.
     """
-    wanted = dict(zip(new.classes, new.settings.classes, strict=True))
-    numbers = _ClassNumbers(old, used)
-    for name, entry in wanted.items():
-        numbers.keep(name, entry)
-    for name, entry in wanted.items():
+    new_classes = dict(zip(new.classes, new.settings.classes, strict=True))
+    numbers = _ClassNumbering(old, used_numbers)
+    for name, entry in new_classes.items():
+        numbers.keep_number(name, entry)
+    for name, entry in new_classes.items():
         if name not in numbers.current:
-            numbers.add(name, entry)
-    count = max(numbers.taken) + 1
+            numbers.assign_new_number(name, entry)
+    count = max(numbers.reserved) + 1
     settings = replace(
         new.settings,
         classes=tuple(numbers.entries[:count]),
@@ -96,25 +103,25 @@
         old,
         settings=settings,
         classes=numbers.names[:count],
-        current_classes={name: numbers.current[name] for name in wanted},
+        current_classes={name: numbers.current[name] for name in new_classes},
         raw_settings=new.raw_settings,
     )
 
 
-def build_shared_settings(own: Mapping[str, Any], shared: Mapping[str, str]) -> SharedSettings:
+def build_shared_settings(relay_settings: Mapping[str, Any], shared: Mapping[str, str]) -> SharedSettings:
     """Builds settings of which all members but a relay's own are shared.
 
     Args:
-        own: the member `settings` of the relay's file, of which only the relay's own members are used.
+        relay_settings: the member `settings` of the relay's file, of which only the relay's own members are used.
         shared: the other members, as JSON texts.
 
     Raises:
         ConfigError: a member is missing or invalid.
     """
     try:
-        raw = {key: value for key, value in own.items() if key in RELAY_OWN_MEMBERS}
+        raw = {key: value for key, value in relay_settings.items() if key in RELAY_SPECIFIC_MEMBERS}
         raw |= {key: json.loads(value, parse_constant=_reject_constant) for key, value in shared.items()}
-        names = names_of(raw.get("categories"))
+        names = object_names(raw.get("categories"))
         if not all(name.isprintable() for name in names) or len({"", *names}) <= len(names):
             raise ValueError("each of the categories has a name of its own")
         settings = parse_settings(raw)
@@ -136,7 +143,7 @@
     if shared:
         built = build_shared_settings(config.raw_settings, shared)
     else:
-        classes = names_of(config.raw_settings.get("categories"))
+        classes = object_names(config.raw_settings.get("categories"))
         built = SharedSettings(parse_settings(config.raw_settings), classes)
     current = {name: number for number, name in enumerate(built.classes)}
     return replace(config, settings=built.settings, classes=built.classes, current_classes=current)
@@ -145,7 +152,7 @@
 def reload_config(
     old: Config,
     environ: Mapping[str, str] = os.environ,
-    used: Collection[int] = (),
+    used_numbers: Collection[int] = (),
     shared: Mapping[str, str] | None = None,
 ) -> ReloadedConfig:
     """Reads the configuration file again.
@@ -153,7 +160,7 @@
     Args:
         old: what the relay runs by.
         environ: the process's environment.
-        used: the class numbers of requests in flight.
+        used_numbers: the class numbers of requests in flight.
         shared: settings from the controllers, which go before the file's.
 
     Raises:
@@ -168,7 +175,7 @@
     ]
     if shared:
         new = apply_shared_settings(new, shared)
-    merged = replace(merge_settings(old, new, used), discovery=discovery, file_discovery=new.file_discovery)
+    merged = replace(merge_settings(old, new, used_numbers), discovery=discovery, file_discovery=new.file_discovery)
     return ReloadedConfig(merged, needs_restart)
 
 
--- a/yarrowspindle/fronts/quic_front.py
+++ b/yarrowspindle/fronts/quic_front.py
@@ -87,7 +87,7 @@
         """
         await self.loop.create_datagram_endpoint(lambda: self.client_socket, local_addr=self.config.listen)
         self.service.fronts.append(self)
-        self.service.metrics.sources["quic"] = self.counts
+        self.service.metrics.counter_sources["quic"] = self.counts
         self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
         logger.info("QUIC is served at {}:{}", *self.config.listen)
 
--- a/yarrowspindle/interface.py
+++ b/yarrowspindle/interface.py
@@ -53,5 +53,5 @@
         raise AttributeError(f"module {__name__!r} has no attribute {name!r}")
     module, current = _CURRENT[name]
     warnings.warn(f"{__name__}.{name} is now {_DECISIONS}.{module}.{current}", DeprecationWarning, stacklevel=2)
-    found: object = getattr(import_module(f"{_DECISIONS}.{module}"), current)
-    return found
+    value: object = getattr(import_module(f"{_DECISIONS}.{module}"), current)
+    return value
