--- a/tests/configuration/test_disk_faults.py
+++ b/tests/configuration/test_disk_faults.py
@@ -16,7 +16,7 @@
 
 from benchmarks.soak import shim
 from benchmarks.soak.shim import Field, Page
-from tests.daemon.configuration_processes import ControllerCluster, ControllerProcess, cluster
+from tests.daemon.configuration_processes import ControllerCluster, ControllerProcess, running_cluster
 from tests.stand_ins import SETTINGS
 
 ROUNDS = 5
@@ -30,14 +30,14 @@
     library = Path()
     page: Page | None = None
 
-    def environment(self, machines: str, cluster: str) -> dict[str, str]:
+    def environment(self, controller_tables: str, cluster: str) -> dict[str, str]:
         self.page = Page(self.folder / f"{self.name}.page")
         variables = {
             "LD_PRELOAD": str(self.library),
             "SOAK_SHIM_PAGE": str(self.page.path),
             "SOAK_SHIM_FOLDER": str(self.directory),
         }
-        return super().environment(machines, cluster) | variables
+        return super().environment(controller_tables, cluster) | variables
 
 
 def committed_step_ms(shown: dict[str, Any]) -> int:
@@ -61,7 +61,7 @@
         for controller in fleet.controllers:
             assert isinstance(controller, ControllerOnFailingDisk)
             controller.library = library
-        async with cluster(tmp_path, [], found=fleet):
+        async with running_cluster(tmp_path, [], existing=fleet):
             assert await fleet.run_command(0, "load", str(platform)) == 0
             acknowledged = attempted = 0
             for number in range(1, ROUNDS + 1):
@@ -80,12 +80,12 @@
                     controller.page.clear_faults()
                     if controller.process.returncode is not None:
                         await controller.end()
-                        await controller.start(controller.environment(fleet.machines, fleet.name))
+                        await controller.start(controller.environment(fleet.controller_tables, fleet.name))
             for controller in fleet.controllers:
                 await controller.end()
             await asyncio.gather(
                 *(
-                    controller.start(controller.environment(fleet.machines, fleet.name))
+                    controller.start(controller.environment(fleet.controller_tables, fleet.name))
                     for controller in fleet.controllers
                 )
             )
--- a/tests/daemon/configuration_processes.py
+++ b/tests/daemon/configuration_processes.py
@@ -53,7 +53,7 @@
     def __init__(self, name: str, folder: Path) -> None:
         self.name, self.folder = name, folder
         self.address, self.command = address(), address()
-        self.outside = self.address  # where other processes reach it
+        self.advertised_address = self.address  # where other processes reach it
         self.process: asyncio.subprocess.Process
         self.log: asyncio.Queue[str] = asyncio.Queue()
         self.log_lines: list[str] = []
@@ -64,16 +64,16 @@
         """Its own directory."""
         return self.folder / self.name
 
-    def environment(self, machines: str, cluster: str) -> dict[str, str]:
+    def environment(self, controller_tables: str, cluster: str) -> dict[str, str]:
         """Writes its operator's file, and returns the environment of a process with it."""
         file = self.folder / f"{self.name}.toml"
         file.write_text(
             f'[control]\nrole = "controller"\nlisten = "{address_text(self.address)}"\ncluster = "{cluster}"\n'
-            f'advertise = "{address_text(self.outside)}"\ndirectory = "{self.directory}"\n'
-            f'command = "{address_text(self.command)}"\n{machines}'
+            f'advertise = "{address_text(self.advertised_address)}"\ndirectory = "{self.directory}"\n'
+            f'command = "{address_text(self.command)}"\n{controller_tables}'
         )
-        rest = {k: v for k, v in os.environ.items() if not k.startswith("ROUTER_")}
-        return rest | {"YARROWSPINDLE_OPERATOR": str(file)}
+        inherited = {key: value for key, value in os.environ.items() if not key.startswith("ROUTER_")}
+        return inherited | {"YARROWSPINDLE_OPERATOR": str(file)}
 
     async def start(self, env: dict[str, str]) -> None:
         """Starts the process and waits until it accepts commands."""
@@ -89,23 +89,23 @@
             self.log_lines.append(line)
             self.log.put_nowait(line)
 
-    async def logged(self, what: str) -> str:
+    async def logged(self, text: str) -> str:
         """Waits for the next line with this text."""
-        while what not in (line := await asyncio.wait_for(self.log.get(), WAIT_S)):
+        while text not in (line := await asyncio.wait_for(self.log.get(), WAIT_S)):
             pass
         return line
 
-    async def wait_for_log(self, what: str, first: int = 0) -> None:
+    async def wait_for_log(self, text: str, first_index: int = 0) -> None:
         """Waits for a line that was logged at any time. first: the index in log_lines from which lines count."""
         deadline = time.monotonic() + WAIT_S
-        while not any(what in line for line in self.log_lines[first:]):
+        while not any(text in line for line in self.log_lines[first_index:]):
             assert time.monotonic() < deadline, self.log_lines
             await asyncio.sleep(0.05)
 
-    async def end(self, number: signal.Signals = signal.SIGKILL) -> None:
+    async def end(self, signal_number: signal.Signals = signal.SIGKILL) -> None:
         """Ends the process, if it runs, and reads the rest of its log."""
         if self.process.returncode is None:
-            self.process.send_signal(number)
+            self.process.send_signal(signal_number)
             await asyncio.wait_for(self.process.wait(), WAIT_S)
         if self.reading is not None:
             await self.reading
@@ -116,21 +116,22 @@
 
     def __init__(self, folder: Path, names: list[str], name: str = "lab") -> None:
         self.folder, self.name = folder, name
-        self.controllers = [ControllerProcess(one, folder) for one in names]
+        self.controllers = [ControllerProcess(controller_name, folder) for controller_name in names]
 
     @property
-    def machines(self) -> str:
+    def controller_tables(self) -> str:
         """The tables of the controllers in an operator's file."""
         return "".join(
-            f'[[control.machine]]\nname = "{one.name}"\naddress = "{address_text(one.outside)}"\nvoter = true\n'
-            for one in self.controllers
+            f'[[control.machine]]\nname = "{controller.name}"\n'
+            f'address = "{address_text(controller.advertised_address)}"\nvoter = true\n'
+            for controller in self.controllers
         )
 
-    def relay(self, name: str, more: str = "", at: Address | None = None) -> str:
+    def relay(self, name: str, extra: str = "", at: Address | None = None) -> str:
         """The content of a relay's operator file."""
         return (
             f'[control]\nrole = "relay"\nlisten = "{address_text(at or address())}"\nname = "{name}"\n'
-            f'cluster = "{self.name}"\ndirectory = "{self.folder}/{name}-kept"\n{more}{self.machines}'
+            f'cluster = "{self.name}"\ndirectory = "{self.folder}/{name}-kept"\n{extra}{self.controller_tables}'
         )
 
     def file(self, name: str) -> DurableFile[Persist]:
@@ -145,8 +146,8 @@
         """Returns the status of a controller."""
         capsys.readouterr()
         assert await self.run_command(at, "show", "--json") == 0
-        shown: dict[str, Any] = json.loads(capsys.readouterr().out)
-        return shown
+        status: dict[str, Any] = json.loads(capsys.readouterr().out)
+        return status
 
     async def wait_until_applied(
         self, at: int, version: int, relays: int, capsys: pytest.CaptureFixture[str]
@@ -154,32 +155,44 @@
         """Waits until this many relays apply a version, and returns the status."""
         deadline = time.monotonic() + WAIT_S
         while True:
-            shown = await self.show(at, capsys)
-            if shown["in_force"] >= version and shown["relays"] == relays:
-                return shown
-            assert time.monotonic() < deadline, shown
+            status = await self.show(at, capsys)
+            if status["in_force"] >= version and status["relays"] == relays:
+                return status
+            assert time.monotonic() < deadline, status
             await asyncio.sleep(0.05)
 
 
 @asynccontextmanager
-async def cluster(
-    folder: Path, names: list[str], name: str = "lab", first: bool = True, found: ControllerCluster | None = None
+async def running_cluster(
+    folder: Path,
+    names: list[str],
+    name: str = "lab",
+    create_files: bool = True,
+    existing: ControllerCluster | None = None,
 ) -> AsyncIterator[ControllerCluster]:
     """Runs controllers, and checks at the end that none logged a traceback. first: create the voters' files."""
-    found = found or ControllerCluster(folder, names, name)
+    existing = existing or ControllerCluster(folder, names, name)
     try:
-        for one in found.controllers:
-            if first:
+        for controller in existing.controllers:
+            if create_files:
                 with pytest.MonkeyPatch.context() as patch:
                     patch.setenv(
-                        "YARROWSPINDLE_OPERATOR", one.environment(found.machines, name)["YARROWSPINDLE_OPERATOR"]
+                        "YARROWSPINDLE_OPERATOR",
+                        controller.environment(existing.controller_tables, name)["YARROWSPINDLE_OPERATOR"],
                     )
                     assert main(["init"]) == 0
-        await asyncio.gather(*(one.start(one.environment(found.machines, name)) for one in found.controllers))
-        yield found
+        await asyncio.gather(
+            *(
+                controller.start(controller.environment(existing.controller_tables, name))
+                for controller in existing.controllers
+            )
+        )
+        yield existing
     finally:
-        await asyncio.gather(*(one.end() for one in found.controllers if hasattr(one, "process")))
-        log = "".join(line for one in found.controllers for line in one.log_lines)
+        await asyncio.gather(
+            *(controller.end() for controller in existing.controllers if hasattr(controller, "process"))
+        )
+        log = "".join(line for controller in existing.controllers for line in controller.log_lines)
         assert "Traceback" not in log, log
 
 
@@ -188,13 +201,13 @@
     folders = [tmp / f"relay{n}" for n in range(len(operators))]
     for folder in folders:
         folder.mkdir()
-    entering = [stack.enter_async_context(relay(*one)) for one in zip(folders, operators, strict=True)]
-    return list(await asyncio.gather(*entering))
+    starting = [stack.enter_async_context(relay(*pair)) for pair in zip(folders, operators, strict=True)]
+    return list(await asyncio.gather(*starting))
 
 
-async def wait_until_all_applied(found: list[World], version: int) -> None:
+async def wait_until_all_applied(worlds: list[World], version: int) -> None:
     """Waits until all of these relays log that they apply a version."""
-    await asyncio.gather(*(one.logged(f"applied version {version};") for one in found))
+    await asyncio.gather(*(world.logged(f"applied version {version};") for world in worlds))
 
 
 async def is_placed(world: World, wait_ms: int) -> bool:
@@ -203,8 +216,8 @@
     answered = asyncio.ensure_future(client.hear())
     placed = [asyncio.ensure_future(backend.next()) for backend in world.backends.values()]
     done, _ = await asyncio.wait((answered, *placed), return_when=asyncio.FIRST_COMPLETED, timeout=WAIT_S)
-    for one in (answered, *placed):
-        one.cancel()
+    for task in (answered, *placed):
+        task.cancel()
     if answered in done:
         assert answered.result() == "ERR"
         return False
@@ -213,13 +226,13 @@
     return True
 
 
-def environment_of(world: ControllerCluster, number: int) -> dict[str, str]:
+def environment_of(cluster: ControllerCluster, number: int) -> dict[str, str]:
     """Returns the environment of the process of a controller."""
-    return world.controllers[number].environment(world.machines, world.name)
+    return cluster.controllers[number].environment(cluster.controller_tables, cluster.name)
 
 
-async def shown_table(world: ControllerCluster, capsys: pytest.CaptureFixture[str]) -> str:
+async def shown_table(cluster: ControllerCluster, capsys: pytest.CaptureFixture[str]) -> str:
     """Returns the status of the third controller as operators read it."""
     capsys.readouterr()
-    assert await world.run_command(2, "show") == 0
+    assert await cluster.run_command(2, "show") == 0
     return capsys.readouterr().out
--- a/tests/daemon/test_background_store.py
+++ b/tests/daemon/test_background_store.py
@@ -26,8 +26,8 @@
 
     async def body() -> None:
         monkeypatch.setattr(background_store, "RETRY_S", 30.0)
-        world = ControllerCluster(tmp_path, ["c0"])
-        settings = read_operator_config(world.relay("r0")).control
+        cluster = ControllerCluster(tmp_path, ["c0"])
+        settings = read_operator_config(cluster.relay("r0")).control
         assert settings is not None
         metrics = SimpleNamespace(counter_sources={}, gauge_sources=[])
         service: Any = SimpleNamespace(
@@ -48,11 +48,11 @@
         while not endpoint.counts["unkept"]:
             await asyncio.sleep(0.01)
         failing = not has_recovered
-        began = asyncio.get_running_loop().time()
+        start_time = asyncio.get_running_loop().time()
         await endpoint.close()
-        assert asyncio.get_running_loop().time() - began < 0.3, "a disk must not delay the shutdown"
+        assert asyncio.get_running_loop().time() - start_time < 0.3, "a disk must not delay the shutdown"
         assert endpoint.file.path.exists() is has_recovered
         if has_recovered:
-            assert world.file("r0").load().version == 1
+            assert cluster.file("r0").load().version == 1
 
     asyncio.run(body())
--- a/tests/daemon/test_daemon.py
+++ b/tests/daemon/test_daemon.py
@@ -11,7 +11,7 @@
 from tests.stand_ins import SETTINGS, WAIT_S, Server, World, relay, run
 
 
-def test_a_request_is_placed_and_its_lines_flow_both_ways_unchanged(tmp_path: Path) -> None:
+def test_a_request_is_forwarded_and_its_lines_are_relayed_unchanged(tmp_path: Path) -> None:
     async def body(w: World) -> None:
         ping = await w.client("PING")
         assert await ping.hear() == "PONG"
@@ -33,7 +33,7 @@
 
 
 @pytest.mark.parametrize("first", ["BUSY", "ERR", "what", ""])
-def test_a_failed_attempt_is_followed_by_another_and_then_by_one_answer(tmp_path: Path, first: str) -> None:
+def test_failed_attempts_are_retried_and_the_client_gets_one_answer(tmp_path: Path, first: str) -> None:
     async def body(w: World) -> None:
         client = await w.request()
         for _ in range(2):
@@ -51,7 +51,7 @@
     run(tmp_path, body)
 
 
-def test_at_the_deadline_the_answer_comes_and_the_attempt_is_given_up(tmp_path: Path) -> None:
+def test_at_the_deadline_the_client_is_answered_and_the_attempt_is_aborted(tmp_path: Path) -> None:
     async def body(w: World) -> None:
         start = time.monotonic()
         client = await w.request(wait_ms=300)
@@ -75,7 +75,7 @@
     run(tmp_path, body)
 
 
-def test_a_backend_that_breaks_off_ends_the_client_within_a_second(tmp_path: Path) -> None:
+def test_a_backend_reset_closes_the_client_connection_within_a_second(tmp_path: Path) -> None:
     async def body(w: World) -> None:
         client, _, backend = await w.standing()
         start = time.monotonic()
@@ -85,7 +85,7 @@
     run(tmp_path, body)
 
 
-def test_a_silent_backend_loses_its_connections_by_a_move_in_time(tmp_path: Path) -> None:
+def test_connections_of_a_silent_backend_are_migrated_in_time(tmp_path: Path) -> None:
     async def body(w: World) -> None:
         client, _, _ = await w.standing()
         start = time.monotonic()
@@ -95,7 +95,7 @@
     run(tmp_path, body)
 
 
-def test_a_connection_from_before_the_run_goes_to_the_backend_that_held_it(tmp_path: Path) -> None:
+def test_an_existing_connection_returns_to_its_backend(tmp_path: Path) -> None:
     async def body(w: World) -> None:
         for _ in range(4):
             client = await w.request(",at=s-2")
@@ -109,7 +109,7 @@
     run(tmp_path, body)
 
 
-def test_the_list_is_watched_and_obeyed_and_watched_again_when_it_falls_silent(tmp_path: Path) -> None:
+def test_the_endpoint_list_is_followed_and_a_silent_watch_is_reopened(tmp_path: Path) -> None:
     async def body(w: World) -> None:
         assert await w.watched() == "GET /api/targets?stream=1&index=1 HTTP/1.1"
         w.answer_watch(w.member("s-1"), w.member("s-2"))
@@ -132,7 +132,7 @@
     run(tmp_path, body)
 
 
-def test_pushed_lists_are_watched_from_the_start_and_a_watch_that_falls_silent_is_found_in_the_drains_grace(
+def test_pushed_lists_are_watched_and_a_silent_watch_is_detected_within_the_drain_grace(
     tmp_path: Path,
 ) -> None:
     """No watch was ever opened where settings say that lists come by themselves, and drains were not kept."""
@@ -155,7 +155,7 @@
     run(tmp_path, body, discovery="automatic")
 
 
-def test_a_stop_moves_everyone_and_ends_in_time_while_new_requests_are_served(tmp_path: Path) -> None:
+def test_shutdown_migrates_all_connections_in_time_while_new_requests_are_served(tmp_path: Path) -> None:
     async def body(w: World) -> None:
         first, _, backend = await w.standing()
         w.stop()
@@ -168,7 +168,7 @@
     run(tmp_path, body)
 
 
-def test_bad_lines_end_their_own_connection_and_no_other(tmp_path: Path) -> None:
+def test_invalid_lines_close_only_their_own_connection(tmp_path: Path) -> None:
     async def body(w: World) -> None:
         client, _, backend = await w.standing()
         for bad in ("GET / HTTP/1.1", "OPEN 1 2 c=none,d=5", "OPEN 1 2 c=chat,d=x", "OPEN 1 zz c=chat,d=5", "x" * 5000):
@@ -188,7 +188,7 @@
     run(tmp_path, body)
 
 
-def test_settings_that_make_no_sense_end_the_program_with_one_line(tmp_path: Path) -> None:
+def test_invalid_settings_prevent_the_start(tmp_path: Path) -> None:
     async def inside() -> None:
         with pytest.raises(AssertionError):
             async with relay(tmp_path, **{"obligations": SETTINGS["obligations"] | {"cold_share": 0.0}}):
@@ -229,7 +229,7 @@
     run(tmp_path, body)
 
 
-def test_what_no_backend_may_see_is_answered_at_the_door(tmp_path: Path) -> None:
+def test_invalid_requests_are_rejected_without_reaching_a_backend(tmp_path: Path) -> None:
     async def body(w: World) -> None:
         standing, _, backend = await w.standing()
         name = f"OPEN {next(w.ids) - 1:016x} 7f3a9c21e0b4d655 "
@@ -260,7 +260,7 @@
     run(tmp_path, body)
 
 
-def test_a_client_with_much_to_send_reads_its_answer(tmp_path: Path) -> None:
+def test_a_client_that_sends_20_mib_reads_its_answer(tmp_path: Path) -> None:
     async def body(w: World) -> None:
         peer = await w.client()
         for _ in range(20):
@@ -271,7 +271,7 @@
     run(tmp_path, body)
 
 
-def test_silent_crowds_take_no_descriptor_from_a_request(tmp_path: Path) -> None:
+def test_idle_clients_take_no_descriptor_from_a_request(tmp_path: Path) -> None:
     async def body(w: World) -> None:
         start = time.monotonic()
         crowd = [await w.client(*(["PING"] if n % 2 else [])) for n in range(200)]
--- a/tests/daemon/test_fleet_daemon.py
+++ b/tests/daemon/test_endpoint_list_faults.py
@@ -15,7 +15,7 @@
     return b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + f"{len(line):x}\r\n{line}\r\n".encode()
 
 
-BAD = {
+BAD_RESPONSES = {
     "refuses": b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n",
     "resets": b"",
     "no HTTP": b"\x00\xffwhat\r\n\r\n",
@@ -26,7 +26,7 @@
 }
 
 
-async def serves(w: World) -> None:
+async def check_request_served(w: World) -> None:
     """A job is placed on a node of the list that was known before."""
     client, _, backend = await w.standing()
     backend.say("BYE")
@@ -34,40 +34,40 @@
     assert await client.hear() == "BYE"
 
 
-@pytest.mark.parametrize("how", BAD)
-def test_a_failing_machine_list_is_asked_with_growing_waits_and_the_last_list_stays(how: str, tmp_path: Path) -> None:
+@pytest.mark.parametrize("how", BAD_RESPONSES)
+def test_failed_list_calls_back_off_and_the_last_valid_list_stays_in_use(fault: str, tmp_path: Path) -> None:
     async def body() -> None:
         async with relay(tmp_path) as w:
-            asked = []
+            call_times = []
             for _ in range(5):
                 assert (await w.watched()).endswith("index=1 HTTP/1.1"), "from the last good revision on"
-                asked.append(time.monotonic())
-                w.watch.writer.write(BAD[how])
+                call_times.append(time.monotonic())
+                w.watch.writer.write(BAD_RESPONSES[fault])
                 await w.watch.writer.drain()
                 w.watch.writer.close()
-                await serves(w)
+                await check_request_served(w)
             # From the second on a wait is 0.3 to 0.6 of what there is (200 ms here): a call that hangs must fit in too.
-            assert asked[-1] - asked[0] >= 0.3 * 0.2 * 3
+            assert call_times[-1] - call_times[0] >= 0.3 * 0.2 * 3
             await w.watched()
             w.answer_watch(w.member("s-1"), w.member("s-2"))
             w.tell("s-1", "draining")
-            await serves(w)
+            await check_request_served(w)
 
     asyncio.run(body())
 
 
-def test_a_machine_list_that_hangs_costs_one_call_and_nobody_waits_for_it(tmp_path: Path) -> None:
+def test_a_hanging_list_call_is_not_repeated_and_delays_no_request(tmp_path: Path) -> None:
     async def body() -> None:
         async with relay(tmp_path) as w:
             await w.watched()
             for _ in range(5):
-                await serves(w)
+                await check_request_served(w)
             assert w.list.came.empty()
 
     asyncio.run(body())
 
 
-def test_word_that_is_older_than_what_is_known_does_not_undo_a_drain(tmp_path: Path) -> None:
+def test_an_older_revision_does_not_undo_a_drain(tmp_path: Path) -> None:
     """A stale copy of the service told the list of before a drain, and the draining node got jobs again."""
 
     async def body() -> None:
--- a/tests/daemon/test_list_calls.py
+++ b/tests/daemon/test_endpoint_list_responses.py
@@ -17,9 +17,9 @@
 from yarrowspindle.routing.events import Endpoint, EndpointsUpdated
 from yarrowspindle.routing.reducer import Reducer
 
-SLOW_S = 0.9
+RESPONSE_DELAY_S = 0.9
 MEMBER = {"id": "s-1", "host_port": "127.0.0.1:3000", "phase": "ready", "size": 1.0, "up_since_ms": 0}
-SENSELESS: list[dict[str, Any]] = [
+INVALID_CHANGES: list[dict[str, Any]] = [
     {"size": float("nan")},
     {"size": float("inf")},
     {"size": -1.0},
@@ -36,14 +36,14 @@
 
 
 @pytest.mark.parametrize("discovery", ("automatic", "subscribe"))
-def test_a_list_that_takes_its_time_is_taken_all_the_same(tmp_path: Path, discovery: str) -> None:
+def test_a_slow_endpoint_list_response_is_used(tmp_path: Path, discovery: str) -> None:
     """Where lists are pushed the call is renewed before so slow an answer comes: each renewal must not end the last."""
 
     async def body(w: World) -> None:
         async def answer(peer: Peer) -> None:
             while await peer.hear():
                 pass
-            await asyncio.sleep(SLOW_S)
+            await asyncio.sleep(RESPONSE_DELAY_S)
             peer.writer.write(HEAD + w.members(True, w.member("s-1", "draining"), w.member("s-2")))
 
         answering: list[asyncio.Future[None]] = []
@@ -59,31 +59,31 @@
     run(tmp_path, body, discovery=discovery)
 
 
-@pytest.mark.parametrize("changes", SENSELESS, ids=str)
-def test_a_member_that_makes_no_sense_is_refused_with_its_list(changes: dict[str, Any]) -> None:
+@pytest.mark.parametrize("changes", INVALID_CHANGES, ids=str)
+def test_an_invalid_member_rejects_its_whole_list(changes: dict[str, Any]) -> None:
     with pytest.raises(ListError):
         parse_list({"revision": 1, "members": [MEMBER | changes]}, ZoneAndKindNames())
     with pytest.raises(ListError):
         parse_list({"revision": float("inf"), "members": [MEMBER]}, ZoneAndKindNames())
-    told = {"name": "n0", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "settings": SETTINGS}
+    configuration = {"name": "n0", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "settings": SETTINGS}
     known = {"revision": 1, "members": [MEMBER | changes]}
     with pytest.raises(ConfigError):
-        read_config(json.loads(json.dumps(told | {"known": known})))
+        read_config(json.loads(json.dumps(configuration | {"known": known})))
 
 
-def test_a_probe_is_taken_back_where_its_server_is_told_to_drain_or_to_be_gone_or_starts_anew() -> None:
+def test_a_health_check_is_cancelled_when_its_backend_drains_is_removed_or_restarts() -> None:
     from tests.helpers import settings
     from yarrowspindle.decisions.events import ListKind
 
     reducer = Reducer(settings(may_probe=True, load_report_fields=("x0", "rif")), 1, 0.0)
-    machines = [Endpoint(f"s-{n}", ("127.0.0.1", n)) for n in range(1, 5)]
-    reducer.step(0.0, EndpointsUpdated(ListKind.FULL, machines))
+    endpoints = [Endpoint(f"s-{n}", ("127.0.0.1", n)) for n in range(1, 5)]
+    reducer.step(0.0, EndpointsUpdated(ListKind.FULL, endpoints))
     changed = [
         Endpoint("s-1", ("127.0.0.1", 1), EndpointState.DRAINING),
         Endpoint("s-2", ("127.0.0.1", 2), EndpointState.GONE),
         Endpoint("s-3", ("127.0.0.1", 3), started_ms=5.0),
     ]
     effects = reducer.step(10.0, EndpointsUpdated(ListKind.DELTA, changed))
-    taken_back = {effect.backend for effect in effects if isinstance(effect, CancelHealthCheck)}
-    assert taken_back == {"s-1", "s-2", "s-3"}
+    cancelled = {effect.backend for effect in effects if isinstance(effect, CancelHealthCheck)}
+    assert cancelled == {"s-1", "s-2", "s-3"}
     assert not {effect.backend for effect in effects if isinstance(effect, CheckHealth)} & {"s-1", "s-2"}
--- a/tests/daemon/test_crossings.py
+++ b/tests/daemon/test_event_races.py
@@ -19,13 +19,13 @@
 from tests.stand_ins import HEAD, SETTINGS, WAIT_S, Peer, Server, World, run
 
 CHAT = dict(SETTINGS["categories"][0])
-PATIENT = SETTINGS["limits"] | {"connect_timeout_ms": 8000.0}  # a connection that is held stays on its way
-SHORT: dict[str, Any] = {"categories": [CHAT | {"deadline_ms": 900.0}]}
+LONG_CONNECT_TIMEOUT = SETTINGS["limits"] | {"connect_timeout_ms": 8000.0}  # a connection that is held stays on its way
+SHORT_DEADLINE: dict[str, Any] = {"categories": [CHAT | {"deadline_ms": 900.0}]}
 
 
-async def until(true: Callable[[], bool]) -> None:
+async def wait_until(condition: Callable[[], bool]) -> None:
     for _ in range(int(WAIT_S / 0.005)):
-        if true():
+        if condition():
             return
         await asyncio.sleep(0.005)
     raise AssertionError("it did not come about")
@@ -40,10 +40,10 @@
         return [line.split() for line in table]
 
 
-class Held(Server):
+class UnacceptingBackend(Server):
     """An execute node to which no connection comes up until it is let go: its accept queue is full."""
 
-    async def open(self) -> Held:
+    async def open(self) -> UnacceptingBackend:
         self.sock = socket.socket()
         self.port = free_port()
         self.sock.bind(("127.0.0.1", self.port))
@@ -51,27 +51,27 @@
         self.filler = socket.create_connection(("127.0.0.1", self.port))
         return self
 
-    def waits(self) -> bool:
+    def has_pending_connection(self) -> bool:
         """Whether a connection is on its way here."""
         return any(row[2].endswith(f":{self.port:04X}") and row[3] == SYN_SENT for row in tcp_sockets())
 
-    async def let_go(self) -> None:
+    async def accept(self) -> None:
         self.filler.close()
         self.sock.accept()[0].close()
         self.server = await asyncio.start_server(self._take, sock=self.sock)
 
-    def heard(self) -> list[bytes]:
+    def first_lines(self) -> list[bytes]:
         return [peer.first for peer in (self.came.get_nowait() for _ in range(self.came.qsize())) if peer.first]
 
 
-def unread(port: int, client: bool = False) -> bool:
+def has_unread_bytes(port: int, client: bool = False) -> bool:
     """Whether bytes wait in the kernel, at the server that has this port or at a client of it."""
     address = 2 if client else 1
     rows = [row for row in tcp_sockets() if row[3] == ESTABLISHED and row[address].endswith(f":{port:04X}")]
     return any(int(row[4].split(":")[1], 16) > 0 for row in rows)
 
 
-async def listed(w: World, **phases: str) -> None:
+async def announce_endpoints(w: World, **phases: str) -> None:
     """The whole list as told on the watch that is open, or on the next, and taken."""
     if not hasattr(w, "watch"):
         await w.watched()
@@ -80,14 +80,14 @@
     await w.logged(f"machine list {w.version}:")
 
 
-async def held(w: World) -> Held:
+async def unaccepting_backend(w: World) -> UnacceptingBackend:
     """s-1 takes no connection, and nothing else is ready."""
-    w.backends["s-1"] = backend = await Held().open()
-    await listed(w, s_1="ready", s_2="draining")
+    w.backends["s-1"] = backend = await UnacceptingBackend().open()
+    await announce_endpoints(w, s_1="ready", s_2="draining")
     return backend
 
 
-async def stopping(w: World) -> None:
+async def begin_shutdown(w: World) -> None:
     """Asked to stop, and about it: the line is logged a little before."""
     w.stop()
     await w.logged("shutting down")
@@ -97,7 +97,7 @@
 # --- the end of the relay -------------------------------------------------------------------------
 
 
-def test_the_end_comes_within_the_time_that_the_longest_deadline_of_the_settings_leaves(tmp_path: Path) -> None:
+def test_shutdown_finishes_within_the_longest_deadline_and_the_kill_grace(tmp_path: Path) -> None:
     """The relay took 3.3 s whatever the settings said; where the longest deadline is 2 s, SIGKILL came after 2.7 s."""
 
     async def body(w: World) -> None:
@@ -111,65 +111,65 @@
         assert await first.hear() == "MOVE" and (await waiting.hear()).startswith("BUSY")
         assert await asyncio.wait_for(w.process.wait(), WAIT_S) == 0 and time.monotonic() - start < 0.9 + 0.7
 
-    run(tmp_path, body, **SHORT)
+    run(tmp_path, body, **SHORT_DEADLINE)
 
 
-def test_what_waits_in_the_kernel_at_the_end_is_answered_and_not_reset(tmp_path: Path) -> None:
+def test_requests_unread_at_shutdown_are_answered_and_not_reset(tmp_path: Path) -> None:
     """The relay is held while they come and its time runs out; the first thing it does then is to end."""
 
     async def body(w: World) -> None:
-        resting = await w.client()
-        await stopping(w)
+        idle = await w.client()
+        await begin_shutdown(w)
         w.process.send_signal(signal.SIGSTOP)
-        resting.say("OPEN 00000000000000aa 7f3a9c21e0b4d655 c=chat,t=acme,d=800")
+        idle.say("OPEN 00000000000000aa 7f3a9c21e0b4d655 c=chat,t=acme,d=800")
         late = [await w.request(wait_ms=800) for _ in range(20)]
         await asyncio.sleep(1.3)  # the time to end has come
         w.process.send_signal(signal.SIGCONT)
-        for peer in (resting, *late):
+        for peer in (idle, *late):
             assert [(await peer.hear())[:4], await peer.hear()] == ["BUSY", ""]
         assert all(backend.came.empty() for backend in w.backends.values()), "nothing is begun any more"
 
-    run(tmp_path, body, **SHORT)
+    run(tmp_path, body, **SHORT_DEADLINE)
 
 
-def test_a_request_that_comes_on_a_resting_connection_after_the_end_is_not_sent_on(tmp_path: Path) -> None:
+def test_a_request_on_an_idle_connection_after_shutdown_is_not_forwarded(tmp_path: Path) -> None:
     async def body(w: World) -> None:
         w.stop()
         await w.logged("shutting down")
-        resting = [await w.client("PING") for _ in range(3)]
-        assert [await peer.hear() for peer in resting] == ["NO"] * 3
+        idle = [await w.client("PING") for _ in range(3)]
+        assert [await peer.hear() for peer in idle] == ["NO"] * 3
         while True:
             try:
                 (await w.client()).writer.close()
             except OSError:  # the door has closed
                 break
-        resting[0].say("OPEN 00000000000000aa 7f3a9c21e0b4d655 c=chat,t=acme,d=800")
-        assert (await resting[0].hear()).split(" ")[0] in ("BUSY", "")
-        assert await resting[1].hear() == ""  # ended in order while it still rests
-        resting[1].say("OPEN 00000000000000bb 7f3a9c21e0b4d655 c=chat,t=acme,d=800")
+        idle[0].say("OPEN 00000000000000aa 7f3a9c21e0b4d655 c=chat,t=acme,d=800")
+        assert (await idle[0].hear()).split(" ")[0] in ("BUSY", "")
+        assert await idle[1].hear() == ""  # ended in order while it still rests
+        idle[1].say("OPEN 00000000000000bb 7f3a9c21e0b4d655 c=chat,t=acme,d=800")
         assert await asyncio.wait_for(w.process.wait(), WAIT_S) == 0
         assert all(backend.came.empty() for backend in w.backends.values())
 
-    run(tmp_path, body, **SHORT)
+    run(tmp_path, body, **SHORT_DEADLINE)
 
 
-def test_half_a_line_from_a_backend_at_the_end_holds_no_move_back(tmp_path: Path) -> None:
+def test_a_partial_line_from_a_backend_does_not_delay_move_at_shutdown(tmp_path: Path) -> None:
     """The move waited for the rest of the line for longer than the process still lived."""
 
     async def body(w: World) -> None:
         client, _, backend = await w.standing()
         backend.writer.write(b"half a l")
         assert await client.reader.readexactly(8) == b"half a l"
-        await stopping(w)
+        await begin_shutdown(w)
         w.process.send_signal(signal.SIGSTOP)
         await asyncio.sleep(1.3)  # all that was to be done before the end is due at once
         w.process.send_signal(signal.SIGCONT)
         assert [await client.hear() for _ in range(3)] == ["", "MOVE", ""]
 
-    run(tmp_path, body, **SHORT)
+    run(tmp_path, body, **SHORT_DEADLINE)
 
 
-def test_a_resting_connection_is_ended_in_order_over_bytes_that_cross(tmp_path: Path) -> None:
+def test_an_idle_connection_is_closed_without_reset_when_bytes_arrive_meanwhile(tmp_path: Path) -> None:
     async def body(w: World) -> None:
         peer = await w.client("PING")
         assert await peer.hear() == "PONG"
@@ -187,7 +187,7 @@
 
 
 @pytest.mark.parametrize("last", ["UP r1", "UP r1\r\nthe last line"])
-def test_an_answer_that_comes_with_the_end_of_its_connection_reaches_the_client(tmp_path: Path, last: str) -> None:
+def test_an_answer_followed_by_eof_reaches_the_client(tmp_path: Path, last: str) -> None:
     """The submitter's connection was cut with the answer still to be written."""
 
     async def body(w: World) -> None:
@@ -204,7 +204,7 @@
     run(tmp_path, body)
 
 
-def test_one_answer_where_a_backend_answers_twice_or_without_end(tmp_path: Path) -> None:
+def test_one_answer_when_a_backend_answers_twice_or_sends_an_endless_line(tmp_path: Path) -> None:
     async def body(w: World) -> None:
         client = await w.request()
         _, twice, _ = await w.placed()
@@ -225,31 +225,31 @@
 
 
 @pytest.mark.parametrize("how", ["close", "half", "reset"])
-def test_no_attempt_begins_for_a_client_that_left_while_its_connection_was_under_way(tmp_path: Path, how: str) -> None:
+def test_no_attempt_starts_for_a_client_that_left_while_connecting(tmp_path: Path, how: str) -> None:
     async def body(w: World) -> None:
-        backend = await held(w)
+        backend = await unaccepting_backend(w)
         leavers = [await w.request(wait_ms=1900) for _ in range(10)]
-        await until(backend.waits)
+        await wait_until(backend.has_pending_connection)
         for peer in leavers:
             {"close": peer.writer.close, "half": peer.writer.write_eof, "reset": peer.writer.transport.abort}[how]()
-        await until(lambda: not backend.waits())
-        await backend.let_go()
+        await wait_until(lambda: not backend.has_pending_connection())
+        await backend.accept()
         stays, name, _ = await w.standing()
-        assert name == "s-1" and not backend.heard()
+        assert name == "s-1" and not backend.first_lines()
         stays.say("hello")
 
-    run(tmp_path, body, limits=PATIENT)
+    run(tmp_path, body, limits=LONG_CONNECT_TIMEOUT)
 
 
-def test_no_attempt_begins_for_a_client_that_left_while_it_waited_for_a_backend(tmp_path: Path) -> None:
+def test_no_attempt_starts_for_a_client_that_left_while_waiting_for_a_backend(tmp_path: Path) -> None:
     async def body(w: World) -> None:
-        await listed(w, s_1="draining", s_2="draining")
+        await announce_endpoints(w, s_1="draining", s_2="draining")
         leavers = [await w.request(wait_ms=1900) for _ in range(10)]
         stays = await w.request(wait_ms=1900)
         for peer in leavers:
             peer.writer.write_eof()
             assert await peer.hear() == ""  # the relay has seen it
-        await listed(w, s_1="ready", s_2="draining")
+        await announce_endpoints(w, s_1="ready", s_2="draining")
         _, backend, _ = await w.placed()
         backend.say("UP r1")
         assert await stays.hear() == "UP r1"
@@ -262,106 +262,104 @@
 
 
 @pytest.mark.parametrize("phase", ["draining", "gone"])
-def test_nothing_is_sent_to_a_backend_whose_drain_was_told_while_its_connection_was_under_way(
-    tmp_path: Path, phase: str
-) -> None:
+def test_nothing_is_sent_to_a_backend_that_drains_while_connecting(tmp_path: Path, phase: str) -> None:
     async def body(w: World) -> None:
-        backend = await held(w)
+        backend = await unaccepting_backend(w)
         client = await w.request(wait_ms=1900)
-        await until(backend.waits)
-        await listed(w, s_1=phase, s_2="ready")
-        await until(lambda: not backend.waits())
-        await backend.let_go()
+        await wait_until(backend.has_pending_connection)
+        await announce_endpoints(w, s_1=phase, s_2="ready")
+        await wait_until(lambda: not backend.has_pending_connection())
+        await backend.accept()
         name, other, _ = await w.placed()
         assert name == "s-2"
         other.say("UP r1")
-        assert await client.hear() == "UP r1" and not backend.heard()
+        assert await client.hear() == "UP r1" and not backend.first_lines()
 
-    run(tmp_path, body, limits=PATIENT)
+    run(tmp_path, body, limits=LONG_CONNECT_TIMEOUT)
 
 
-def test_nothing_is_sent_to_a_backend_whose_drain_is_told_in_the_turn_after_its_connection_began(
+def test_nothing_is_sent_to_a_backend_that_drains_one_iteration_after_connecting(
     tmp_path: Path,
 ) -> None:
     """The relay is held until a request and the drain wait for it: the connection stands and nothing was sent on it."""
 
     async def body(w: World) -> None:
-        await listed(w, s_1="ready", s_2="draining")
-        resting = await w.client("PING")
-        assert await resting.hear() == "PONG"
+        await announce_endpoints(w, s_1="ready", s_2="draining")
+        idle = await w.client("PING")
+        assert await idle.hear() == "PONG"
         w.process.send_signal(signal.SIGSTOP)
-        resting.say("OPEN 00000000000000aa 7f3a9c21e0b4d655 c=chat,t=acme,d=1500")
-        await until(lambda: unread(w.port))
+        idle.say("OPEN 00000000000000aa 7f3a9c21e0b4d655 c=chat,t=acme,d=1500")
+        await wait_until(lambda: has_unread_bytes(w.port))
         w.watch.writer.write(w.members(True, w.member("s-1", "draining"), w.member("s-2")))
-        await until(lambda: unread(w.list.port, client=True))
+        await wait_until(lambda: has_unread_bytes(w.list.port, client=True))
         w.process.send_signal(signal.SIGCONT)
         name, backend, _ = await w.placed()
         backend.say("UP r1")
-        assert (name, await resting.hear()) == ("s-2", "UP r1")
+        assert (name, await idle.hear()) == ("s-2", "UP r1")
 
     run(tmp_path, body)
 
 
-def test_an_attempt_under_way_does_not_go_to_the_new_start_of_its_backend(tmp_path: Path) -> None:
+def test_an_attempt_is_not_sent_to_a_backend_that_restarted_while_connecting(tmp_path: Path) -> None:
     """It had been chosen as warm, and came on top of the budget of a cold node."""
 
     async def body(w: World) -> None:
-        backend = await held(w)
+        backend = await unaccepting_backend(w)
         client = await w.request(wait_ms=1900)
-        await until(backend.waits)
+        await wait_until(backend.has_pending_connection)
         cold = w.member("s-1") | {"up_since_ms": time.time() * 1000.0}
         w.watch.writer.write(w.members(False, cold, w.member("s-2")))
         await w.logged("s-2 ready")
-        await backend.let_go()
+        await backend.accept()
         name, other, _ = await w.placed()
         assert name == "s-2"
         other.say("UP r1")
-        assert await client.hear() == "UP r1" and not backend.heard()
+        assert await client.hear() == "UP r1" and not backend.first_lines()
 
-    run(tmp_path, body, limits=PATIENT)
+    run(tmp_path, body, limits=LONG_CONNECT_TIMEOUT)
 
 
-def test_a_repeat_begins_within_the_window_or_not_at_all(tmp_path: Path) -> None:
+def test_a_retry_starts_within_the_deduplication_window_or_not_at_all(tmp_path: Path) -> None:
     """A connection that came up late carried a repeat that nobody took for one any more."""
-    keyed = CHAT | {"effect": "token", "group": "all", "window_ms": 700.0}
+    deduplicated = CHAT | {"effect": "token", "group": "all", "window_ms": 700.0}
 
     async def body(w: World) -> None:
-        await listed(w, s_1="draining", s_2="ready")
+        await announce_endpoints(w, s_1="draining", s_2="ready")
         client = await w.request(wait_ms=1900)
         start = time.monotonic()
         _, first, _ = await w.placed()
-        w.backends["s-1"] = backend = await Held().open()
-        await listed(w, s_1="ready", s_2="draining")
+        w.backends["s-1"] = backend = await UnacceptingBackend().open()
+        await announce_endpoints(w, s_1="ready", s_2="draining")
         first.writer.close()  # it may have run
-        await until(backend.waits)
-        await backend.let_go()  # the system tries again a second after the first time: the window has closed by then
+        await wait_until(backend.has_pending_connection)
+        await backend.accept()  # the system tries again a second after the first time: the window has closed by then
         assert (await client.hear()).split(" ")[0] in ("BUSY", "ERR") and time.monotonic() - start < 1.9
-        assert not backend.heard()
+        assert not backend.first_lines()
 
-    run(tmp_path, body, limits=PATIENT, categories=[keyed])
+    run(tmp_path, body, limits=LONG_CONNECT_TIMEOUT, categories=[deduplicated])
 
 
 # --- the list -----------------------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize("beats", [False, True])
-def test_a_watch_that_says_nothing_or_nothing_but_empty_lines_is_opened_anew(tmp_path: Path, beats: bool) -> None:
+def test_a_watch_that_is_silent_or_sends_only_empty_lines_is_reopened(tmp_path: Path, sends_empty_lines: bool) -> None:
     """With the call that follows it the change is known within 6 s of the last word, also where one call hangs."""
 
     async def body(w: World) -> None:
         await w.watched()
         start, peer = time.monotonic(), w.watch
-        w.watch.writer.write(HEAD + (b"" if beats else w.members(True, w.member("s-1"), w.member("s-2"))))
+        w.watch.writer.write(HEAD + (b"" if sends_empty_lines else w.members(True, w.member("s-1"), w.member("s-2"))))
 
-        async def beat() -> None:
-            while beats:
+        async def send_empty_lines() -> None:
+            while sends_empty_lines:
                 peer.writer.write(b"1\r\n\n\r\n")
                 await asyncio.sleep(0.5)
 
-        beating = asyncio.ensure_future(beat())
+        sender = asyncio.ensure_future(send_empty_lines())
         await w.watched()  # and this one hangs
         await w.watched()
-        beating.cancel()
+        sender.cancel()
         w.answer_watch(w.member("s-1", "draining"), w.member("s-2"))
         await w.logged(f"machine list {w.version}: s-1 draining")
         assert time.monotonic() - start < 5.5
@@ -370,7 +368,7 @@
 
 
 @pytest.mark.parametrize("seed", ["2", "16"])  # whose first draws come late
-def test_a_drain_while_the_relay_was_away_is_known_before_it_counts_as_told(tmp_path: Path, seed: str) -> None:
+def test_a_drain_that_began_before_the_start_is_known_within_its_grace(tmp_path: Path, seed: str) -> None:
     """It counts as told 6 s after discovery had it, also by a process that has started since: with a fleet of 182 the
     first call was made up to 4.8 s after the start. Drained 4 s before the start, and the grace is 0.4 s."""
 
@@ -394,7 +392,7 @@
     run(tmp_path, body, seed=seed, balancers=182, obligations=obligations)
 
 
-def test_a_list_that_comes_indented_and_in_two_parts_is_taken(tmp_path: Path) -> None:
+def test_an_indented_endpoint_list_in_two_chunks_is_accepted(tmp_path: Path) -> None:
     async def body(w: World) -> None:
         await w.watched()
         text = json.dumps({"revision": 9, "complete": True, "members": [w.member("s-2")]}, indent=2) + "\n"
@@ -407,11 +405,11 @@
     run(tmp_path, body)
 
 
-def test_an_old_service_that_speaks_on_after_sighup_is_no_place_to_go_on_from(tmp_path: Path) -> None:
+def test_revisions_of_the_former_discovery_service_are_not_resumed_from(tmp_path: Path) -> None:
     """Its revision was asked of the new service, which counts in another way and left out what came before."""
 
     async def body(w: World) -> None:
-        await listed(w, s_1="draining", s_2="ready")
+        await announce_endpoints(w, s_1="draining", s_2="ready")
         old = w.watch
         w.list = await Server().open()
         w.reload(discovery=f"127.0.0.1:{w.list.port}")
@@ -430,7 +428,7 @@
     run(tmp_path, body)
 
 
-def test_idle_crowds_leave_descriptors_for_the_watch_and_for_backends_while_discovery_is_down(tmp_path: Path) -> None:
+def test_idle_clients_leave_descriptors_for_the_watch_and_backends_while_discovery_is_down(tmp_path: Path) -> None:
     async def body(w: World) -> None:
         await w.watched()
         w.list.server.close()
--- a/tests/daemon/test_maintenance_daemon.py
+++ b/tests/daemon/test_maintenance_daemon.py
@@ -90,8 +90,8 @@
         text = operator(tmp_path, port)
         async with relay(tmp_path, text, **COLD) as world:
             await world.standing()
-            wanted = '[[turns.request]]\nname = "kernel"\nmachines = ["s-2"]\n'
-            (tmp_path / "operator.toml").write_text(text + wanted)
+            request_table = '[[turns.request]]\nname = "kernel"\nmachines = ["s-2"]\n'
+            (tmp_path / "operator.toml").write_text(text + request_table)
             world.process.send_signal(signal.SIGHUP)
             await world.logged("turn 1: s-2 is free")
             await command(port, "done", "s-2")
@@ -99,7 +99,9 @@
             (tmp_path / "operator.toml").write_text(text)
             world.process.send_signal(signal.SIGHUP)
             await world.logged("the configuration was reloaded")
-            (tmp_path / "operator.toml").write_text(text + wanted + '[[turns.request]]\nname = "x"\nzone = "c"\n')
+            (tmp_path / "operator.toml").write_text(
+                text + request_table + '[[turns.request]]\nname = "x"\nzone = "c"\n'
+            )
             world.process.send_signal(signal.SIGHUP)
             await world.logged("'c' is none of a, b")
             await command(port, "ask", "s-1")
@@ -181,11 +183,11 @@
         moves_per_s=40.0,
         lose_voter_file=True,
     )
-    found: MaintenanceReport = asyncio.run(
+    result: MaintenanceReport = asyncio.run(
         run_maintenance(
             run, MaintenanceWork(backends=2, min_ready_backends=2.0, reboot=True, replace_voter=True), faults
         )
     )
-    print(found)
-    assert not found.report.violations, str(found)
-    assert found.completed and found.turns >= 2 and found.max_out_at_once == 1 and found.report.datagrams["lost"] > 0
+    print(result)
+    assert not result.report.violations, str(result)
+    assert result.completed and result.turns >= 2 and result.max_out_at_once == 1 and result.report.datagrams["lost"] > 0
--- a/tests/daemon/test_operations.py
+++ b/tests/daemon/test_operations.py
@@ -60,16 +60,16 @@
 @pytest.fixture
 def port(monkeypatch: pytest.MonkeyPatch) -> int:
     """Where the relay's operators' API is to listen."""
-    found = free_port()
-    monkeypatch.setenv("ROUTER_OPERATOR", f"127.0.0.1:{found}")
-    return found
+    unused_port = free_port()
+    monkeypatch.setenv("ROUTER_OPERATOR", f"127.0.0.1:{unused_port}")
+    return unused_port
 
 
 def http_request(method: str, path: str) -> bytes:
     return f"{method} {path} HTTP/1.1\r\nhost: relay\r\n\r\n".encode()
 
 
-def test_evacuate_says_no_to_ping_moves_who_stands_and_rejoin_says_yes(tmp_path: Path, port: int) -> None:
+def test_evacuate_answers_no_to_ping_and_migrates_connections_until_rejoin(tmp_path: Path, port: int) -> None:
 
     async def body(w: World) -> None:
         assert await call(port, http_request("GET", "/api/ready")) == (200, "ready\n")
@@ -120,7 +120,7 @@
     run(tmp_path, body)
 
 
-def test_callers_that_hold_connections_without_a_whole_call_do_not_slow_the_others(tmp_path: Path, port: int) -> None:
+def test_incomplete_calls_do_not_delay_other_callers(tmp_path: Path, port: int) -> None:
 
     async def body(w: World) -> None:
         idle = [await asyncio.open_connection("127.0.0.1", port) for _ in range(100)]
@@ -141,7 +141,7 @@
     return {name: int(value) for name, value in (line.split("=") for line in text.split())}
 
 
-def test_new_settings_bring_no_tenant_or_zone_under_another_name() -> None:
+def test_new_settings_do_not_renumber_tenants_or_zones() -> None:
     realms = [{"name": "acme", "share": 0.7}, {"name": "b", "share": 0.3}]
     raw = SETTINGS | {"azs": ["a", "b"], "zone": 1, "realms": realms}
     data = {"name": "n0", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "settings": raw}
@@ -156,26 +156,26 @@
     )
 
 
-def test_settings_at_sighup_are_taken_whole_or_not_at_all(tmp_path: Path, port: int) -> None:
+def test_settings_at_sighup_are_applied_completely_or_not_at_all(tmp_path: Path, port: int) -> None:
     chat = dict(SETTINGS["categories"][0])
 
     async def body(w: World) -> None:
         config = json.loads(w.file.read_text())
         client, _, backend = await w.standing()
-        broken = ["", json.dumps(config)[:-40], json.dumps(config | {"settings": {}})]
+        invalid_texts = ["", json.dumps(config)[:-40], json.dumps(config | {"settings": {}})]
         for changed in ({"deadline_ms": 0.0}, {"deadline_ms": -5.0}):
-            broken.append(json.dumps(config | {"settings": SETTINGS | {"categories": [chat | changed]}}))
+            invalid_texts.append(json.dumps(config | {"settings": SETTINGS | {"categories": [chat | changed]}}))
         fewer = SETTINGS["limits"] | {"max_attempts": 0}
-        broken.append(json.dumps(config | {"settings": SETTINGS | {"limits": fewer}}))
-        for text in broken:
+        invalid_texts.append(json.dumps(config | {"settings": SETTINGS | {"limits": fewer}}))
+        for text in invalid_texts:
             w.file.write_text(text)  # as it is, also empty
             w.process.send_signal(signal.SIGHUP)
             await w.logged("is rejected")
-        news = SETTINGS | {"categories": [chat | {"name": "video", "deadline_ms": 900.0}]}
-        w.reload(json.dumps(config | {"settings": news}))
+        new_settings = SETTINGS | {"categories": [chat | {"name": "video", "deadline_ms": 900.0}]}
+        w.reload(json.dumps(config | {"settings": new_settings}))
         await w.logged("new settings are in force")
         figures = figures_of((await call(port, http_request("GET", "/api/telemetry")))[1])
-        assert figures["reconfig_failed"] == len(broken) and figures["reconfig_ok"] == 1
+        assert figures["reconfig_failed"] == len(invalid_texts) and figures["reconfig_ok"] == 1
         refused = await w.request()  # chat has vanished: no new connection of it is taken
         assert await refused.hear() == "ERR"
         video = await w.client("OPEN 00000000000000aa 7f3a9c21e0b4d655 c=video,t=acme,d=800,g=5c0f")
@@ -190,7 +190,7 @@
     run(tmp_path, body)
 
 
-def test_names_of_classes_are_told_apart_up_to_a_bound_in_a_process_that_lives_long() -> None:
+def test_telemetry_tells_a_bounded_number_of_class_names_apart() -> None:
     """Settings change thousands of times a day, and each may name another class."""
     reducer = Reducer(Settings(classes=(RequestClass(setup_latency_objective_ms=800.0, deadline_ms=4800.0),)), 1, 0.0)
     telemetry = Telemetry(reducer, lambda cls: f"class{cls}")
--- a/tests/daemon/test_rebalancing_daemon.py
+++ b/tests/daemon/test_rebalancing_daemon.py
@@ -21,28 +21,28 @@
 CLIENTS = 24
 
 
-async def serve(world: World, name: str, standing: dict[str, list[int]]) -> None:
+async def serve(world: World, name: str, connected: dict[str, list[int]]) -> None:
     """An execute node: takes all and brings each line back, in two parts so that a MOVE could cut one.
 
     standing: by node, the keys of the clients that stand there.
     """
 
-    async def one(peer: Peer) -> None:
+    async def serve_connection(peer: Peer) -> None:
         key = int((await peer.hear()).split(" ")[2], 16)
         peer.say("UP r1")
-        standing[name].append(key)
+        connected[name].append(key)
         while line := await peer.hear():
             peer.writer.write(line[:3].encode())
             await asyncio.sleep(0)
             peer.writer.write(f"{line[3:]}\r\n".encode())
-        standing[name].remove(key)
+        connected[name].remove(key)
 
     tasks = []
     while True:
-        tasks.append(asyncio.ensure_future(one(await world.backends[name].came.get())))
+        tasks.append(asyncio.ensure_future(serve_connection(await world.backends[name].came.get())))
 
 
-def test_a_backend_joins_and_moved_clients_are_all_up_again_with_no_line_cut(tmp_path: Path) -> None:
+def test_clients_migrated_to_a_new_backend_reconnect_with_no_line_cut(tmp_path: Path) -> None:
     moves: list[int] = []
 
     async def client(world: World, key: int, up: asyncio.Event) -> None:
@@ -64,33 +64,33 @@
             again = ",again=1"
 
     async def body(w: World) -> None:
-        standing: dict[str, list[int]] = {"s-1": [], "s-2": []}
+        connected: dict[str, list[int]] = {"s-1": [], "s-2": []}
         await w.watched()
         w.answer_watch(w.member("s-1"))
-        ups = [asyncio.Event() for _ in range(CLIENTS)]
-        tasks = [asyncio.ensure_future(serve(w, name, standing)) for name in standing]
+        all_up = [asyncio.Event() for _ in range(CLIENTS)]
+        tasks = [asyncio.ensure_future(serve(w, name, connected)) for name in connected]
         # The list without the second node is taken up before the first submitter comes.
         probe = await w.request()
-        tasks += [asyncio.ensure_future(client(w, key + 1, up)) for key, up in enumerate(ups)]
-        await asyncio.wait_for(asyncio.gather(*(up.wait() for up in ups)), WAIT_S)
-        first = list(standing["s-2"])
+        tasks += [asyncio.ensure_future(client(w, key + 1, up)) for key, up in enumerate(all_up)]
+        await asyncio.wait_for(asyncio.gather(*(up.wait() for up in all_up)), WAIT_S)
+        first = list(connected["s-2"])
         w.tell("s-2", "ready")
 
-        def places() -> Counter[int]:
+        def connection_counts() -> Counter[int]:
             """At how many nodes each client stands."""
-            return Counter(key for keys in standing.values() for key in keys if 1 <= key <= CLIENTS)
+            return Counter(key for keys in connected.values() for key in keys if 1 <= key <= CLIENTS)
 
-        async def level() -> None:
-            while len(standing["s-2"]) < CLIENTS // 3 or not all(up.is_set() for up in ups):
+        async def wait_until_level() -> None:
+            while len(connected["s-2"]) < CLIENTS // 3 or not all(up.is_set() for up in all_up):
                 await asyncio.sleep(0.01)
 
-        async def moved(missing: set[int]) -> None:
-            while not missing <= set(moves) or max(places().values()) > 1:
+        async def wait_until_moved(missing: set[int]) -> None:
+            while not missing <= set(moves) or max(connection_counts().values()) > 1:
                 await asyncio.sleep(0.01)
 
-        await asyncio.wait_for(level(), 2 * WAIT_S)
+        await asyncio.wait_for(wait_until_level(), 2 * WAIT_S)
         # The relay writes MOVE and ends the node's side at once: who stands nowhere has its MOVE, read or not.
-        await asyncio.wait_for(moved(set(range(1, CLIENTS + 1)) - places().keys()), WAIT_S)
+        await asyncio.wait_for(wait_until_moved(set(range(1, CLIENTS + 1)) - connection_counts().keys()), WAIT_S)
         assert not first
         assert CLIENTS // 3 <= len(moves) <= CLIENTS // 2 + 4 and len(moves) == len(set(moves))
         probe.writer.close()
--- a/tests/daemon/test_relay_configuration.py
+++ b/tests/daemon/test_relay_configuration.py
@@ -28,15 +28,15 @@
     async def body() -> None:
         rejects = True
 
-        def take(entries: Any) -> None:
+        def apply(entries: Any) -> None:
             if rejects:
                 raise ConfigError("no room")
 
-        world = ControllerCluster(tmp_path, ["c0"])
-        settings = read_operator_config(world.relay("r0")).control
+        cluster = ControllerCluster(tmp_path, ["c0"])
+        settings = read_operator_config(cluster.relay("r0")).control
         assert settings is not None
         metrics = SimpleNamespace(counter_sources={}, gauge_sources=[])
-        service: Any = SimpleNamespace(config=SimpleNamespace(name="r0"), apply_shared_settings=take, metrics=metrics)
+        service: Any = SimpleNamespace(config=SimpleNamespace(name="r0"), apply_shared_settings=apply, metrics=metrics)
         endpoint = RelayEndpoint(service, settings)
         sent: list[Any] = []
         endpoint._send = lambda send: sent.append(send.message)  # type: ignore[method-assign]
--- a/tests/daemon/test_own_delays.py
+++ b/tests/daemon/test_relay_stalls.py
@@ -11,32 +11,32 @@
 
 from tests.stand_ins import SETTINGS, Peer, World, run
 
-HOLD_S = 0.14
+STALL_S = 0.14
 ROUNDS = 12
 SLOW_MESSAGES: dict[str, Any] = {"family_info": SETTINGS["family_info"] | {"message_aim_ms": [150.0]}}
 
 
-async def standing_at_both(w: World) -> list[tuple[Peer, Peer]]:
+async def connections_at_both(w: World) -> list[tuple[Peer, Peer]]:
     """Connections at both backends."""
-    found: dict[str, tuple[Peer, Peer]] = {}
-    while len(found) < len(w.backends):
+    connections: dict[str, tuple[Peer, Peer]] = {}
+    while len(connections) < len(w.backends):
         client, name, backend = await w.standing()
-        found[name] = (client, backend)
-    return list(found.values())
+        connections[name] = (client, backend)
+    return list(connections.values())
 
 
-async def exchange(w: World, pairs: list[tuple[Peer, Peer]], held: bool, answer_after_s: float = 0.0) -> None:
+async def exchange(w: World, pairs: list[tuple[Peer, Peer]], stalled: bool, answer_after_s: float = 0.0) -> None:
     """A line of each client, and its answer, which comes while the relay is held."""
     for client, backend in pairs:
         client.say("a line")
         assert await backend.hear() == "a line"
-    if held:
+    if stalled:
         w.process.send_signal(signal.SIGSTOP)
     await asyncio.sleep(answer_after_s)
     for _, backend in pairs:
         backend.say("a line")
-    if held:
-        await asyncio.sleep(HOLD_S)
+    if stalled:
+        await asyncio.sleep(STALL_S)
         w.process.send_signal(signal.SIGCONT)
     for client, _ in pairs:
         assert await client.hear() == "a line"
@@ -57,13 +57,13 @@
 
 
 @pytest.mark.parametrize("held", [True, False])
-def test_answers_that_lay_unread_here_make_no_backend_slow(tmp_path: Path, held: bool) -> None:
+def test_answers_read_late_after_a_stall_do_not_mark_a_backend_as_slow(tmp_path: Path, stalled: bool) -> None:
     """Guards against shedding for delays of the relay itself; backends that are as slow themselves are still shed."""
 
     async def body(w: World) -> None:
-        pairs = await standing_at_both(w)
+        pairs = await connections_at_both(w)
         for _ in range(ROUNDS):
-            await exchange(w, pairs, held, 0.0 if held else HOLD_S)
-        assert [await rejected(w) for _ in range(5)] == [not held] * 5
+            await exchange(w, pairs, stalled, 0.0 if stalled else STALL_S)
+        assert [await rejected(w) for _ in range(5)] == [not stalled] * 5
 
     run(tmp_path, body, **SLOW_MESSAGES)
--- a/tests/daemon/test_reload_failures.py
+++ b/tests/daemon/test_reload_failures.py
@@ -10,7 +10,7 @@
 from tests.stand_ins import World, run
 
 WAIT_S = 5.0
-NO_SENSE = {
+INVALID_FILES = {
     "not UTF-8": b"\xff\xfe[log]\n",
     "not TOML": b"[log\n",
     "a level that is no level": b'[log]\nlevel = "LOUD"\n',
@@ -20,13 +20,11 @@
 }
 
 
-@pytest.mark.parametrize("what", NO_SENSE)
-def test_an_operators_file_that_makes_no_sense_is_turned_down_and_the_relay_serves_on(
-    tmp_path: Path, what: str
-) -> None:
+@pytest.mark.parametrize("what", INVALID_FILES)
+def test_an_invalid_operators_file_is_rejected_and_the_relay_keeps_serving(tmp_path: Path, fault: str) -> None:
     async def body(w: World) -> None:
         await w.standing()
-        (tmp_path / "operator.toml").write_bytes(NO_SENSE[what])
+        (tmp_path / "operator.toml").write_bytes(INVALID_FILES[fault])
         w.reload()
         await asyncio.wait_for(w.logged("is rejected"), WAIT_S)
         await w.standing()
@@ -39,7 +37,7 @@
 
 
 @pytest.mark.parametrize("text", ("[]", "\x00", '{"settings": {"categories": 7}}', "[" * 100_000))
-def test_a_configuration_that_makes_no_sense_is_turned_down_and_the_relay_serves_on(tmp_path: Path, text: str) -> None:
+def test_an_invalid_configuration_is_rejected_and_the_relay_keeps_serving(tmp_path: Path, text: str) -> None:
     async def body(w: World) -> None:
         await w.standing()
         w.reload(text)
--- a/tests/daemon/test_shared_settings.py
+++ b/tests/daemon/test_shared_settings.py
@@ -94,6 +94,6 @@
         ({"obligations": "9" * 5000}, "are invalid"),
     ],
 )
-def test_the_check_names_the_invalid_member(change: dict[str, str], says: str) -> None:
+def test_the_check_names_the_invalid_member(change: dict[str, str], message: str) -> None:
     assert not check_shared_settings({}) and not check_shared_settings(ENTRIES)
-    assert says in check_shared_settings(ENTRIES | change) and len(check_shared_settings(ENTRIES | change)) <= 300
+    assert message in check_shared_settings(ENTRIES | change) and len(check_shared_settings(ENTRIES | change)) <= 300
--- a/tests/daemon/test_held_shutdown.py
+++ b/tests/daemon/test_shutdown_stalls.py
@@ -16,77 +16,77 @@
 
 import pytest
 
-from tests.daemon.test_crossings import SHORT, stopping
+from tests.daemon.test_event_races import SHORT_DEADLINE, begin_shutdown
 from tests.stand_ins import WAIT_S, Peer, World, run
 
-HOLD_S = 0.06
-HOLDS = 4
-KILL_S = 0.9 + 0.7  # after SIGTERM, for the deadline of SHORT
-IDS = itertools.count(0xAA)
+STALL_S = 0.06
+STALLS = 4
+KILL_AFTER_S = 0.9 + 0.7  # after SIGTERM, for the deadline of SHORT
+REQUEST_IDS = itertools.count(0xAA)
 
 
-async def hold(w: World, pause_s: float, holds: int = HOLDS) -> None:
+async def stall(w: World, pause_s: float, stalls: int = STALLS) -> None:
     """Holds the process again and again, each time after it went on for `pause_s`."""
-    for _ in range(holds):
+    for _ in range(stalls):
         await asyncio.sleep(pause_s)
         with suppress(ProcessLookupError):  # it has ended by now
             os.kill(w.process.pid, signal.SIGSTOP)
-            await asyncio.sleep(HOLD_S)
+            await asyncio.sleep(STALL_S)
             os.kill(w.process.pid, signal.SIGCONT)
 
 
-def ask(peer: Peer) -> None:
+def send_request(peer: Peer) -> None:
     """Sends a whole OPEN line on a connection that has rested so far."""
-    peer.say(f"OPEN {next(IDS):016x} 7f3a9c21e0b4d655 c=chat,t=acme,d=800")
+    peer.say(f"OPEN {next(REQUEST_IDS):016x} 7f3a9c21e0b4d655 c=chat,t=acme,d=800")
 
 
 @pytest.mark.parametrize("pause_ms", [0.0, 0.5, 1.0, 2.0, 4.0, 7.5])
-def test_a_hold_at_the_end_leaves_nobody_unread_who_waits_in_the_kernel(tmp_path: Path, pause_ms: float) -> None:
+def test_stalls_at_shutdown_leave_no_unread_request_unanswered(tmp_path: Path, pause_ms: float) -> None:
     """Guards against an end that counts time where it has to count what it has read: clients got '' for BUSY."""
 
     async def body(w: World) -> None:
-        resting = await w.client()
-        await stopping(w)
+        idle = await w.client()
+        await begin_shutdown(w)
         w.process.send_signal(signal.SIGSTOP)
-        ask(resting)
+        send_request(idle)
         late = [await w.request(wait_ms=800) for _ in range(40)]
         await asyncio.sleep(1.3)
         w.process.send_signal(signal.SIGCONT)
-        await hold(w, pause_ms / 1000.0)
-        answers = [[(await peer.hear())[:4], await peer.hear()] for peer in (resting, *late)]
+        await stall(w, pause_ms / 1000.0)
+        answers = [[(await peer.hear())[:4], await peer.hear()] for peer in (idle, *late)]
         assert answers == [["BUSY", ""]] * 41
         assert all(backend.came.empty() for backend in w.backends.values()), "nothing is begun any more"
 
-    run(tmp_path, body, **SHORT)
+    run(tmp_path, body, **SHORT_DEADLINE)
 
 
 @pytest.mark.parametrize("pause_ms", [0.0, 1.0, 4.0, 15.0])
-def test_a_hold_at_the_end_leaves_no_line_of_a_resting_client_unread(tmp_path: Path, pause_ms: float) -> None:
+def test_stalls_at_shutdown_leave_no_line_of_an_idle_client_unread(tmp_path: Path, pause_ms: float) -> None:
     """Guards against ending a connection as resting whose OPEN line lies in its socket, or is half read."""
 
     async def body(w: World) -> None:
-        probed = [await w.client("PING") for _ in range(5)]
-        assert [await peer.hear() for peer in probed] == ["PONG"] * 5
+        pinged = [await w.client("PING") for _ in range(5)]
+        assert [await peer.hear() for peer in pinged] == ["PONG"] * 5
         halves = [await w.client() for _ in range(5)]
         for peer in halves:
             peer.writer.write(b"OPEN 00000000")
-        await stopping(w)
+        await begin_shutdown(w)
         w.process.send_signal(signal.SIGSTOP)
-        for peer in probed:
-            ask(peer)
+        for peer in pinged:
+            send_request(peer)
         for peer in halves:
-            peer.writer.write(f"{next(IDS):08x} 7f3a9c21e0b4d655 c=chat,t=acme,d=800\r\n".encode())
+            peer.writer.write(f"{next(REQUEST_IDS):08x} 7f3a9c21e0b4d655 c=chat,t=acme,d=800\r\n".encode())
         await asyncio.sleep(1.3)
         w.process.send_signal(signal.SIGCONT)
-        await hold(w, pause_ms / 1000.0)
-        answers = [[(await peer.hear())[:4], await peer.hear()] for peer in (*probed, *halves)]
+        await stall(w, pause_ms / 1000.0)
+        answers = [[(await peer.hear())[:4], await peer.hear()] for peer in (*pinged, *halves)]
         assert answers == [["BUSY", ""]] * 10
 
-    run(tmp_path, body, **SHORT)
+    run(tmp_path, body, **SHORT_DEADLINE)
 
 
 @pytest.mark.parametrize("pause_ms", [0.0, 2.0, 20.0])
-def test_a_hold_at_the_end_leaves_no_standing_connection_without_its_move(tmp_path: Path, pause_ms: float) -> None:
+def test_stalls_at_shutdown_leave_no_established_connection_without_move(tmp_path: Path, pause_ms: float) -> None:
     """Guards against an end of the process before MOVE is written; whoever rests is ended in order, all within time."""
 
     async def body(w: World) -> None:
@@ -94,22 +94,22 @@
         w.stop()
         start = time.monotonic()
         await w.logged("shutting down")
-        resting = [await w.client("PING") for _ in range(3)]
-        assert [await peer.hear() for peer in resting] == ["NO"] * 3
+        idle = [await w.client("PING") for _ in range(3)]
+        assert [await peer.hear() for peer in idle] == ["NO"] * 3
         for peer in standing:
             peer.say("a line")  # goes on to use the connection
         await asyncio.sleep(1.1 - (time.monotonic() - start))
-        await hold(w, pause_ms / 1000.0)
+        await stall(w, pause_ms / 1000.0)
         answers = [[await peer.hear(), await peer.hear()] for peer in standing]
         assert answers == [["MOVE", ""]] * 10
-        assert [await peer.hear() for peer in resting] == [""] * 3
+        assert [await peer.hear() for peer in idle] == [""] * 3
         assert await asyncio.wait_for(w.process.wait(), WAIT_S) == 0
-        assert time.monotonic() - start < KILL_S, "the end comes before the kill, holds included"
+        assert time.monotonic() - start < KILL_AFTER_S, "the end comes before the kill, holds included"
 
-    run(tmp_path, body, **SHORT)
+    run(tmp_path, body, **SHORT_DEADLINE)
 
 
-def test_the_end_comes_in_time_where_the_signal_came_during_a_hold(tmp_path: Path) -> None:
+def test_shutdown_is_in_time_when_the_signal_arrives_during_a_stall(tmp_path: Path) -> None:
     """Guards against counting the shutdown from the end of a hold: the kill counts from the signal."""
 
     async def body(w: World) -> None:
@@ -121,20 +121,20 @@
         await asyncio.sleep(0.2)  # connections still come
         waiting = [await w.request(wait_ms=850) for _ in range(5)]  # no backend answers, and they go on afterwards
         assert await asyncio.wait_for(w.process.wait(), WAIT_S) == 0
-        assert time.monotonic() - start < KILL_S
+        assert time.monotonic() - start < KILL_AFTER_S
         assert [(await peer.hear())[:4] for peer in waiting] == ["BUSY"] * 5
 
-    run(tmp_path, body, **SHORT)
+    run(tmp_path, body, **SHORT_DEADLINE)
 
 
-def test_a_line_that_came_while_the_process_was_held_past_the_time_of_a_first_line_is_read(tmp_path: Path) -> None:
+def test_a_line_received_during_a_stall_longer_than_the_first_line_timeout_is_read(tmp_path: Path) -> None:
     """Guards against a time limit on silence that falls due before the loop has read what came while it was held."""
 
     async def body(w: World) -> None:
         peer = await w.client("PING")
         assert await peer.hear() == "PONG"
         w.process.send_signal(signal.SIGSTOP)
-        ask(peer)
+        send_request(peer)
         await asyncio.sleep(2.2)
         w.process.send_signal(signal.SIGCONT)
         answer = await peer.hear()
@@ -144,7 +144,7 @@
 
 
 @pytest.mark.parametrize(("stop_s", "hold_s"), [(0.7, 0.3), (0.7, 1.2), (0.65, 0.3), (0.75, 0.4)])
-def test_a_line_that_is_read_as_its_connection_is_moved_breaks_no_transport(
+def test_a_line_read_while_its_connection_is_migrated_does_not_reset_it(
     tmp_path: Path, stop_s: float, hold_s: float
 ) -> None:
     """Guards against using a connection that ended in the very call that told of its data: resets overtook MOVE."""
@@ -163,4 +163,4 @@
         assert answers == [["MOVE", ""]] * 20
         assert await asyncio.wait_for(w.process.wait(), WAIT_S) == 0
 
-    run(tmp_path, body, **SHORT)  # which finds a traceback in the relay's log
+    run(tmp_path, body, **SHORT_DEADLINE)  # which finds a traceback in the relay's log
--- a/tests/daemon/test_starts_and_ends.py
+++ b/tests/daemon/test_startup_and_shutdown.py
@@ -36,28 +36,28 @@
 
 
 @pytest.mark.parametrize("which", ("listen", "operator"))
-def test_a_relay_whose_address_is_taken_for_a_moment_serves_once_it_is_free(tmp_path: Path, which: str) -> None:
+def test_a_relay_retries_an_address_in_use_until_it_is_free(tmp_path: Path, member: str) -> None:
     """So does one that gets no descriptor just then: ready within 10 s, not ended."""
 
     async def body() -> None:
-        told = config([Backend()]) | {"operator": f"127.0.0.1:{free_port()}"}
-        host, _, port = str(told[which]).rpartition(":")
-        held = socket.socket()
-        held.bind((host, int(port)))
-        held.listen()
-        (tmp_path / "config.json").write_text(json.dumps(told))
+        configuration = config([Backend()]) | {"operator": f"127.0.0.1:{free_port()}"}
+        host, _, port = str(configuration[member]).rpartition(":")
+        occupied = socket.socket()
+        occupied.bind((host, int(port)))
+        occupied.listen()
+        (tmp_path / "config.json").write_text(json.dumps(configuration))
         env = os.environ | {"ROUTER_CONFIG": str(tmp_path / "config.json"), "YARROWSPINDLE_OPERATOR": ""}
         process = await asyncio.create_subprocess_exec(
             sys.executable, "-B", "-m", "yarrowspindle", cwd=ROOT, env=env, stderr=asyncio.subprocess.DEVNULL
         )
         try:
             await asyncio.sleep(1.5)
-            held.close()
-            until = asyncio.get_running_loop().time() + WAIT_S
-            while asyncio.get_running_loop().time() < until:
+            occupied.close()
+            deadline = asyncio.get_running_loop().time() + WAIT_S
+            while asyncio.get_running_loop().time() < deadline:
                 assert process.returncode is None, "it has ended"
                 try:
-                    reader, writer = await asyncio.open_connection(*told["listen"].split(":"))
+                    reader, writer = await asyncio.open_connection(*configuration["listen"].split(":"))
                 except OSError:
                     await asyncio.sleep(0.05)
                     continue
@@ -76,22 +76,22 @@
     asyncio.run(body())
 
 
-class Figures:
+class FailingSource:
     def __init__(self) -> None:
-        self.asked = 0
+        self.gauge_calls = 0
 
     def counters(self) -> Mapping[str, float]:
         return {"count": 1.0}
 
     def gauges(self) -> dict[str, float]:
-        self.asked += 1
-        if self.asked == 2:
+        self.gauge_calls += 1
+        if self.gauge_calls == 2:
             raise KeyError("a source that fails once")
         return {}
 
 
 # Starts the program with a module that sends its own process a signal at a step of the interpreter's end.
-SIGNALLED_AT_ITS_END = """
+SIGNAL_DURING_EXIT = """
 import os, signal, sys
 from types import ModuleType
 
@@ -117,7 +117,7 @@
 
 @pytest.mark.parametrize("number", (signal.SIGHUP, signal.SIGTERM, signal.SIGINT))
 @pytest.mark.parametrize("step", ("exit handlers", "modules"))
-def test_a_signal_at_the_interpreters_end_takes_no_process_its_exit_status(
+def test_a_signal_during_interpreter_exit_does_not_change_the_exit_status(
     tmp_path: Path, number: signal.Signals, step: str
 ) -> None:
     """Guards against the default actions that the interpreter restores as it ends: -1 in place of 0."""
@@ -125,7 +125,7 @@
     async def body() -> None:
         (tmp_path / "config.json").write_text(json.dumps(config([Backend()])))
         env = os.environ | {"ROUTER_CONFIG": str(tmp_path / "config.json"), "YARROWSPINDLE_OPERATOR": ""}
-        command = [sys.executable, "-B", "-c", SIGNALLED_AT_ITS_END, str(int(number)), step]
+        command = [sys.executable, "-B", "-c", SIGNAL_DURING_EXIT, str(int(number)), step]
         process = await asyncio.create_subprocess_exec(*command, cwd=ROOT, env=env, stderr=asyncio.subprocess.PIPE)
         assert process.stderr is not None
         while b"serves at" not in (line := await asyncio.wait_for(process.stderr.readline(), WAIT_S)):
@@ -137,13 +137,13 @@
     asyncio.run(body())
 
 
-def test_reports_go_on_after_one_that_failed(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_reports_continue_after_a_failed_one(monkeypatch: pytest.MonkeyPatch) -> None:
     """No descriptor at the start, a source that raises, a way that is gone for a moment: one report each."""
 
     async def body() -> None:
-        figures, opened, sent = Figures(), list[int](), list[bytes]()
+        source, opened, sent = FailingSource(), list[int](), list[bytes]()
 
-        class Way(UdpMetricsSender):
+        class FailingDatagrams(UdpMetricsSender):
             def send(self, data: bytes) -> None:
                 if len(sent) == 0 and not opened[-1]:
                     raise OSError(errno.ENETUNREACH, "Network is unreachable")
@@ -153,19 +153,19 @@
             opened.append(len(opened))
             if len(opened) == 1:
                 raise OSError(errno.ENFILE, "Too many open files in system")
-            return Way()
+            return FailingDatagrams()
 
         monkeypatch.setattr(metrics_reporter, "open_datagrams", open_datagrams)
-        told = MetricsConfig(collectd=("127.0.0.1", free_port()), interval_s=0.02)
-        reporting = asyncio.ensure_future(metrics_reporter.report_periodically(figures, told, "n0"))
+        metrics_config = MetricsConfig(collectd=("127.0.0.1", free_port()), interval_s=0.02)
+        reporting = asyncio.ensure_future(metrics_reporter.report_periodically(source, metrics_config, "n0"))
         await asyncio.sleep(0.3)
-        assert not reporting.done() and figures.asked >= 4 and len(opened) == 2 and len(sent) >= 2
+        assert not reporting.done() and source.gauge_calls >= 4 and len(opened) == 2 and len(sent) >= 2
         reporting.cancel()
 
     asyncio.run(body())
 
 
-def test_a_client_is_told_to_come_again_though_its_servers_side_is_gone_already() -> None:
+def test_a_client_gets_move_although_its_backend_connection_is_closed() -> None:
     async def body() -> None:
         backend = Backend()
 
@@ -174,14 +174,14 @@
             writer.write(b"UP r1\r\n")
 
         await asyncio.start_server(serve, "127.0.0.1", backend.port)
-        hub = RelayService(read_config(config([backend])), SystemClock())
-        hub.start()
-        front = LineFront(hub, 200).start()
-        hub.serving = True
-        reader, writer = await asyncio.open_connection(*hub.config.listen)
+        service = RelayService(read_config(config([backend])), SystemClock())
+        service.start()
+        front = LineFront(service, 200).start()
+        service.serving = True
+        reader, writer = await asyncio.open_connection(*service.config.listen)
         writer.write(b"OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=charge,t=acme,d=900\r\n")
         assert await reader.readline() == b"UP r1\r\n"
-        (request,) = hub.reducer.requests
+        (request,) = service.reducer.requests
         front.backends.pop(request)
         front.carry_out(MigrateConnection(request))
         assert await asyncio.wait_for(reader.read(), WAIT_S) == b"MOVE\r\n"
@@ -190,19 +190,19 @@
     uvloop.run(body())
 
 
-HOLD_S = 0.7  # beyond the end, and the time for hearing clients out
-STEP_S = 0.4  # before the end: a step of the shutdown that leaves a part of the connections to later ones
+STALL_S = 0.7  # beyond the end, and the time for hearing clients out
+STEP_BEFORE_END_S = 0.4  # before the end: a step of the shutdown that leaves a part of the connections to later ones
 CLIENTS = 20
 
 
 @pytest.mark.parametrize("standing", (True, False))
-def test_a_hold_within_a_step_of_the_shutdown_leaves_nobody_unanswered(
-    monkeypatch: pytest.MonkeyPatch, standing: bool
+def test_a_stall_within_a_shutdown_step_leaves_no_client_unanswered(
+    monkeypatch: pytest.MonkeyPatch, established: bool
 ) -> None:
     """Guards against an end that waits for a timer, which a hold sets late: connections ended without MOVE or BUSY."""
 
     async def body() -> None:
-        backend, answer = Backend(), b"UP r1\r\n" if standing else b""
+        backend, answer = Backend(), b"UP r1\r\n" if established else b""
 
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await reader.readline()
@@ -214,48 +214,50 @@
         front = LineFront(service, 200).start()
         service.serving = True
         loop, timers = asyncio.get_running_loop(), service.runtime.timers
-        until = loop.time() + service.begin_shutdown() / 1000.0
+        deadline = loop.time() + service.begin_shutdown() / 1000.0
         clients = [await asyncio.open_connection(*service.config.listen) for _ in range(CLIENTS)]
-        if not standing:
-            await asyncio.sleep(until - loop.time() - 1.1 * STEP_S)  # their own time is over long after the end
+        if not established:
+            await asyncio.sleep(
+                deadline - loop.time() - 1.1 * STEP_BEFORE_END_S
+            )  # their own time is over long after the end
         for number, (_, writer) in enumerate(clients):
             writer.write(f"OPEN {number:016x} 7f3a9c21e0b4d655 c=charge,t=acme,d=900\r\n".encode())
-        holds: list[float] = []
+        stalls: list[float] = []
 
-        def hold_and_set(delay_ms: float, what: object) -> None:
-            if what == SHUTDOWN_TIMER and until - STEP_S < loop.time() < until and not holds:
-                holds.append(loop.time())
-                time.sleep(HOLD_S)
-            set_timer(delay_ms, what)
+        def stall_and_set(delay_ms: float, timer: object) -> None:
+            if timer == SHUTDOWN_TIMER and deadline - STEP_BEFORE_END_S < loop.time() < deadline and not stalls:
+                stalls.append(loop.time())
+                time.sleep(STALL_S)
+            set_timer(delay_ms, timer)
 
         set_timer = timers.set
-        monkeypatch.setattr(timers, "set", hold_and_set)
-        await asyncio.sleep(until - loop.time())
-        await front.shut_down(until + CONNECTION_CLOSE_S)
-        assert holds
+        monkeypatch.setattr(timers, "set", stall_and_set)
+        await asyncio.sleep(deadline - loop.time())
+        await front.shut_down(deadline + CONNECTION_CLOSE_S)
+        assert stalls
         assert not service.reducer.requests
-        last = b"MOVE\r\n" if standing else b"ERR\r\n"  # what waits was sent to its backend, and may have run there
-        assert [await asyncio.wait_for(reader.read(), WAIT_S) for reader, _ in clients] == [answer + last] * CLIENTS
+        final = b"MOVE\r\n" if established else b"ERR\r\n"  # what waits was sent to its backend, and may have run there
+        assert [await asyncio.wait_for(reader.read(), WAIT_S) for reader, _ in clients] == [answer + final] * CLIENTS
         for _, writer in clients:
             writer.close()
 
     uvloop.run(body())
 
 
-def test_an_option_that_cannot_be_set_does_not_lose_the_connection() -> None:
-    class Sock:
+def test_a_failing_socket_option_does_not_lose_the_connection() -> None:
+    class FailingSocket:
         family = socket.AF_INET
 
-        def setsockopt(self, *given: Any) -> None:
+        def setsockopt(self, *args: Any) -> None:
             raise OSError(errno.ENOBUFS, "No buffer space available")
 
     class Transport(asyncio.Transport):
         def get_extra_info(self, name: str, default: Any = None) -> Any:
-            return Sock()
+            return FailingSocket()
 
         def is_closing(self) -> bool:
             return False
 
-    side, transport = LineConnection(), Transport()
-    side.connection_made(transport)
-    assert side.open_transport is transport
+    connection, transport = LineConnection(), Transport()
+    connection.connection_made(transport)
+    assert connection.open_transport is transport
