--- a/tests/daemon/test_endpoint_list_faults.py
+++ b/tests/daemon/test_endpoint_list_faults.py
@@ -34,7 +34,7 @@
     assert await client.hear() == "BYE"
 
 
-@pytest.mark.parametrize("how", BAD_RESPONSES)
+@pytest.mark.parametrize("fault", BAD_RESPONSES)
 def test_failed_list_calls_back_off_and_the_last_valid_list_stays_in_use(fault: str, tmp_path: Path) -> None:
     async def body() -> None:
         async with relay(tmp_path) as w:
--- a/tests/daemon/test_event_races.py
+++ b/tests/daemon/test_event_races.py
@@ -342,7 +342,7 @@
 # --- the list -----------------------------------------------------------------------------------------
 
 
-@pytest.mark.parametrize("beats", [False, True])
+@pytest.mark.parametrize("sends_empty_lines", [False, True])
 def test_a_watch_that_is_silent_or_sends_only_empty_lines_is_reopened(tmp_path: Path, sends_empty_lines: bool) -> None:
     """With the call that follows it the change is known within 6 s of the last word, also where one call hangs."""
 
--- a/tests/daemon/test_idle_client_log.py
+++ b/tests/daemon/test_idle_client_log.py
@@ -33,7 +33,7 @@
 
 
 @pytest.mark.parametrize(
-    ("come", "reason", "least_ms"),
+    ("connect", "reason", "least_ms"),
     (
         (many_clients, "short_of_descriptors", 30),
         (one_client, "no_first_line", 1900),
--- a/tests/daemon/test_internal_failures.py
+++ b/tests/daemon/test_internal_failures.py
@@ -86,7 +86,7 @@
     service.runtime.handlers[SetTimer] = failing_set_timer
 
 
-@pytest.mark.parametrize("where", FAULTS)
+@pytest.mark.parametrize("fault", FAULTS)
 def test_a_request_whose_processing_fails_gets_one_answer_within_its_deadline(fault: str) -> None:
     async def body() -> None:
         backends = [Backend() for _ in range(3)]
@@ -151,7 +151,7 @@
     assert not front.connect_attempts and not service.reducer.requests
 
 
-@pytest.mark.parametrize("ends", (watch_fails, health_check_fails, attempt_fails))
+@pytest.mark.parametrize("operation", (watch_fails, health_check_fails, attempt_fails))
 def test_an_invalid_address_fails_its_operation_at_once(
     operation: Callable[[], Coroutine[Any, Any, None]],
 ) -> None:
--- a/tests/daemon/test_relay_stalls.py
+++ b/tests/daemon/test_relay_stalls.py
@@ -56,7 +56,7 @@
     return not (await answer).startswith("UP")
 
 
-@pytest.mark.parametrize("held", [True, False])
+@pytest.mark.parametrize("stalled", [True, False])
 def test_answers_read_late_after_a_stall_do_not_mark_a_backend_as_slow(tmp_path: Path, stalled: bool) -> None:
     """Guards against shedding for delays of the relay itself; backends that are as slow themselves are still shed."""
 
--- a/tests/daemon/test_reload_failures.py
+++ b/tests/daemon/test_reload_failures.py
@@ -20,7 +20,7 @@
 }
 
 
-@pytest.mark.parametrize("what", INVALID_FILES)
+@pytest.mark.parametrize("fault", INVALID_FILES)
 def test_an_invalid_operators_file_is_rejected_and_the_relay_keeps_serving(tmp_path: Path, fault: str) -> None:
     async def body(w: World) -> None:
         await w.standing()
--- a/tests/daemon/test_requests_read_late.py
+++ b/tests/daemon/test_requests_read_late.py
@@ -35,7 +35,7 @@
     return peer
 
 
-@pytest.mark.parametrize("way", ARRIVALS)
+@pytest.mark.parametrize("arrival", ARRIVALS)
 def test_a_request_read_after_its_deadline_is_rejected_and_not_forwarded(tmp_path: Path, arrival: str) -> None:
     """Guards against counting a deadline from the reading of a line: attempts began long after the client's time."""
 
@@ -48,7 +48,7 @@
     run(tmp_path, body)
 
 
-@pytest.mark.parametrize("way", ARRIVALS)
+@pytest.mark.parametrize("arrival", ARRIVALS)
 def test_a_request_read_late_is_forwarded_with_its_remaining_time(tmp_path: Path, arrival: str) -> None:
     async def body(w: World) -> None:
         peer = await send_during_stall(w, arrival, 1500)
--- a/tests/daemon/test_shared_settings.py
+++ b/tests/daemon/test_shared_settings.py
@@ -75,7 +75,7 @@
 
 
 @pytest.mark.parametrize(
-    ("change", "says"),
+    ("change", "message"),
     [
         ({"zone": "1"}, "zone is each relay's own"),
         ({"realms": "[]"}, "realms is each relay's own"),
--- a/tests/daemon/test_startup_and_shutdown.py
+++ b/tests/daemon/test_startup_and_shutdown.py
@@ -35,7 +35,7 @@
 WAIT_S = 10.0
 
 
-@pytest.mark.parametrize("which", ("listen", "operator"))
+@pytest.mark.parametrize("member", ("listen", "operator"))
 def test_a_relay_retries_an_address_in_use_until_it_is_free(tmp_path: Path, member: str) -> None:
     """So does one that gets no descriptor just then: ready within 10 s, not ended."""
 
@@ -195,7 +195,7 @@
 CLIENTS = 20
 
 
-@pytest.mark.parametrize("standing", (True, False))
+@pytest.mark.parametrize("established", (True, False))
 def test_a_stall_within_a_shutdown_step_leaves_no_client_unanswered(
     monkeypatch: pytest.MonkeyPatch, established: bool
 ) -> None:
