--- a/yarrowspindle/__init__.py
+++ b/yarrowspindle/__init__.py
@@ -1,4 +1,4 @@
-"""yarrowspindle: placing long-lived connections by two random choices, one balancer at a time."""
+"""yarrowspindle: a load balancer for long-lived connections that places each by two random choices."""
 
 from yarrowspindle.decisions.balancer import Balancer
 
--- a/yarrowspindle/__main__.py
+++ b/yarrowspindle/__main__.py
@@ -1,9 +1,9 @@
-"""python -m yarrowspindle: one relay, or one controller; with turns, control: what operators ask of them."""
+"""`python -m yarrowspindle`: run a relay or a controller; with `turns` or `control`, run an operators' command."""
 
 import sys
 
 if sys.argv[1:2] == ["turns"]:
-    from yarrowspindle.commands.maintenance import main as turns  # needs packages that the platform does without
+    from yarrowspindle.commands.maintenance import main as turns  # needs packages that the relay itself does not
 
     sys.exit(turns(sys.argv[2:]))
 
--- a/yarrowspindle/interface.py
+++ b/yarrowspindle/interface.py
@@ -1,6 +1,6 @@
-"""Deprecated: the names of version 0.1.0 for the balancer's settings, events and actions.
+"""Deprecated: the names that version 0.1.0 had for the balancer's settings, events and actions.
 
-Use `yarrowspindle.decisions.settings`, `.events` and `.actions`; the next version no longer has this module.
+Use `yarrowspindle.decisions.settings`, `.events` and `.actions`; this module is removed in the next version.
 """
 
 from __future__ import annotations
@@ -48,7 +48,7 @@
 
 
 def __getattr__(name: str) -> object:
-    """Gives what a deprecated name stands for, with a `DeprecationWarning`."""
+    """Return the object that a deprecated name stands for, with a `DeprecationWarning`."""
     if name not in _CURRENT:
         raise AttributeError(f"module {__name__!r} has no attribute {name!r}")
     module, current = _CURRENT[name]
--- a/yarrowspindle/operator_api/__init__.py
+++ b/yarrowspindle/operator_api/__init__.py
@@ -1,4 +1,4 @@
-"""The operators' API over HTTP: it passes calls on and decides nothing."""
+"""The HTTP server of the operators' API; its users pass the functions that carry out the calls."""
 
 from yarrowspindle.operator_api.http import MAX_CALLS, OperatorApi, Routes
 
--- a/yarrowspindle/operator_api/http.py
+++ b/yarrowspindle/operator_api/http.py
@@ -1,8 +1,8 @@
-"""The operators' API: HTTP/1.1 on httptools, one call per connection, bounded in number, bytes and time.
+"""The operators' API: HTTP/1.1 on httptools, one call per connection, with limits on connections, bytes and time.
 
-It decides nothing: each call goes to the function that stands for its path and method, and its answer is written back.
-A caller that is slow, malformed or too large gets a plain 4xx or is closed, and never holds one of the MAX_CALLS places
-for longer than CALL_TIMEOUT_S.
+Each call is passed to the function for its path and method, whose result is the response. A call that is malformed or
+too large gets a 4xx response; a slow one is closed, so that no caller occupies one of MAX_CALLS connections for longer
+than CALL_TIMEOUT_S.
 """
 
 from __future__ import annotations
@@ -17,16 +17,16 @@
 
 from yarrowspindle.transport.inactivity_timer import InactivityTimer
 
-MAX_CALLS = 32  # connections at once; the oldest is closed for a new one
-CALL_TIMEOUT_S = 2.0  # for a whole call
-LINGER_S = CALL_TIMEOUT_S / 4.0  # a caller that does not close after its answer is closed then
+MAX_CALLS = 32  # concurrent connections; a further one replaces the oldest
+CALL_TIMEOUT_S = 2.0  # time within which the whole request must arrive
+LINGER_S = CALL_TIMEOUT_S / 4.0  # time for the caller to close the connection after the response
 MAX_HEADER_BYTES = 8192  # the request line and the headers
 MAX_URL_BYTES = 1024
 MAX_BODY_BYTES = 4096
-HEADER_SEPARATOR_BYTES = 4  # the colon, the space and the line's end
+HEADER_SEPARATOR_BYTES = 4  # colon, space, CR and LF
 LISTEN_BACKLOG = 64
 
-# RFC 9110, section 15. Stated here, since the phrases of `http.HTTPStatus` differ from one Python to the next.
+# RFC 9110, section 15. Defined here because the phrases of `http.HTTPStatus` differ between versions of Python.
 REASON_PHRASES = {
     200: "OK",
     204: "No Content",
@@ -40,13 +40,13 @@
     503: "Service Unavailable",
 }
 
-Answer = tuple[int, str]  # the status and a text body
-Routes = Mapping[str, Mapping[str, Callable[[], Answer]]]  # path -> method -> call
-BodyRoutes = Mapping[str, Mapping[str, Callable[[bytes], Answer]]]  # the same for calls whose body is read
+Answer = tuple[int, str]  # status and text body
+Routes = Mapping[str, Mapping[str, Callable[[], Answer]]]  # path -> method -> function
+BodyRoutes = Mapping[str, Mapping[str, Callable[[bytes], Answer]]]  # the same for functions that take the body
 
 
 def response(status: int, text: str = "") -> bytes:
-    """Returns the bytes of an answer after which the connection is closed."""
+    """Return the bytes of a response that announces the close of the connection."""
     body = text.encode()
     head = (
         f"HTTP/1.1 {status:d} {REASON_PHRASES.get(status, 'Unknown')}\r\ncontent-type: text/plain; charset=utf-8\r\n"
@@ -56,7 +56,7 @@
 
 
 class CallRejectedError(Exception):
-    """The call gets this status and is not carried out."""
+    """The call is rejected with this status and not carried out."""
 
     def __init__(self, status: HTTPStatus) -> None:
         super().__init__(status)
@@ -64,7 +64,7 @@
 
 
 class Call(asyncio.Protocol):
-    """One connection with one call. Its body is kept only where a route reads it."""
+    """One connection with one call. The body is stored only if some route of the API reads bodies."""
 
     def __init__(self, api: OperatorApi) -> None:
         self.api = api
@@ -72,7 +72,7 @@
         self.parser = httptools.HttpRequestParser(self)
         self.url = b""
         self.body = b""
-        self.bytes_before_body = 0  # as received, whatever the parser has made of it
+        self.bytes_before_body = 0  # as received, before parsing
         self.header_bytes = 0  # as parsed
         self.body_bytes = 0
         self.headers_complete = False
@@ -82,13 +82,13 @@
     # --- callbacks of the transport ---------------------------------------------------------------
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Begins the time in which the whole call has to come."""
+        """Start the timeout of the call."""
         self.transport = cast(asyncio.Transport, transport)
         self.timeout = InactivityTimer(CALL_TIMEOUT_S, self.abort)
         self.api.add(self)
 
     def data_received(self, data: bytes) -> None:
-        """Parses what came, and rejects a call that is malformed or too large."""
+        """Parse received bytes, and reject a call that is malformed or too large."""
         if self.done:
             return
         try:
@@ -102,17 +102,17 @@
         except httptools.HttpParserUpgrade:
             self.answer(HTTPStatus.BAD_REQUEST)
         except httptools.HttpParserError as error:
-            cause = error.__context__  # what a callback of the parser raised comes wrapped
+            cause = error.__context__  # the parser wraps exceptions of its callbacks
             self.answer(cause.status if isinstance(cause, CallRejectedError) else HTTPStatus.BAD_REQUEST)
 
     def eof_received(self) -> bool:
-        """Rejects half a call."""
+        """Reject a call that ends before it is complete."""
         if not self.done:
             self.answer(HTTPStatus.BAD_REQUEST)
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Frees the place that the call held."""
+        """Remove the connection from the API."""
         self.done = True
         if self.timeout is not None:
             self.timeout.cancel()
@@ -122,13 +122,13 @@
     # --- callbacks of the parser ------------------------------------------------------------------
 
     def on_url(self, url: bytes) -> None:
-        """Collects the target, which may come in pieces."""
+        """Collect the request target, which may arrive in several parts."""
         self.url += url
         if len(self.url) > MAX_URL_BYTES:
             raise CallRejectedError(HTTPStatus.REQUEST_URI_TOO_LONG)
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Rejects headers that are too large, and a body that is announced as such."""
+        """Reject headers that are too large, and a content length above the limit."""
         self.header_bytes += len(name) + len(value) + HEADER_SEPARATOR_BYTES
         if self.header_bytes > MAX_HEADER_BYTES:
             raise CallRejectedError(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE)
@@ -136,11 +136,11 @@
             raise CallRejectedError(HTTPStatus.REQUEST_ENTITY_TOO_LARGE)
 
     def on_headers_complete(self) -> None:
-        """Notes that what follows is the body."""
+        """Record that the body follows."""
         self.headers_complete = True
 
     def on_body(self, body: bytes) -> None:
-        """Counts the body, and keeps it where some route reads it."""
+        """Count the bytes of the body, and store them if some route reads bodies."""
         self.body_bytes += len(body)
         if self.body_bytes > self.api.max_body_bytes:
             raise CallRejectedError(HTTPStatus.REQUEST_ENTITY_TOO_LARGE)
@@ -148,7 +148,7 @@
             self.body += body
 
     def on_message_complete(self) -> None:
-        """Carries the call out and answers it."""
+        """Carry out the call and send the response."""
         method = self.parser.get_method().decode("ascii", "replace")
         try:
             path = httptools.parse_url(self.url).path.decode("ascii")
@@ -163,13 +163,13 @@
             return
         try:
             status, text = call()
-        except Exception as error:  # the API must not end the relay, whatever a call does
+        except Exception as error:  # a failing call must not end the process
             self.api.log_failure(f"{method} {path}: {error!r}")
             status, text = HTTPStatus.SERVICE_UNAVAILABLE, "the call failed"
         self.answer(status, text)
 
     def _route(self, method: str, path: str) -> Callable[[], Answer] | None:
-        """Returns the function for this call; None where there is none and the call was answered."""
+        """Return the function for this call, or None after sending an error response if there is none."""
         calls = self.api.routes.get(path, {})
         body_calls = self.api.body_routes.get(path, {})
         if not calls and not body_calls:
@@ -183,10 +183,10 @@
         self.answer(HTTPStatus.METHOD_NOT_ALLOWED, f"allowed: {allowed}")
         return None
 
-    # --- answers ----------------------------------------------------------------------------------
+    # --- responses --------------------------------------------------------------------------------
 
     def answer(self, status: int, text: str = "") -> None:
-        """Writes the answer, once, and gives the caller LINGER_S to close."""
+        """Send the response, at most once, and give the caller LINGER_S to close the connection."""
         if self.done:
             return
         self.done = True
@@ -199,20 +199,20 @@
         self.timeout = InactivityTimer(LINGER_S, self.abort)
 
     def abort(self) -> None:
-        """Closes the connection without an answer."""
+        """Close the connection without a response."""
         self.done = True
         if self.transport is not None:
             self.transport.abort()
 
 
 class OperatorApi:
-    """The listening side.
+    """The server of the operators' API.
 
     Args:
-        routes: calls without a body.
-        log_failure: is given a text on each call that raised.
-        body_routes: calls whose body is read.
-        max_body_bytes: of a call; a longer one is rejected.
+        routes: functions of calls without a body.
+        log_failure: called with a message for each call whose function raised an exception.
+        body_routes: functions of calls with a body.
+        max_body_bytes: the limit on the body of a call; a larger one is rejected.
     """
 
     def __init__(
@@ -230,18 +230,18 @@
         self.server: asyncio.Server | None = None
 
     async def start(self, host: str, port: int) -> None:
-        """Listens. Raises OSError where the address cannot be had."""
+        """Start to listen. Raises OSError if the address is not available."""
         loop = asyncio.get_running_loop()
         self.server = await loop.create_server(lambda: Call(self), host, port, backlog=LISTEN_BACKLOG)
 
     @property
     def port(self) -> int:
-        """The port that is listened on; the API has been started."""
+        """The port on which the started API listens."""
         assert self.server is not None
         return int(self.server.sockets[0].getsockname()[1])
 
     def add(self, call: Call) -> None:
-        """Takes a new connection in, and closes the oldest ones for it where there are too many."""
+        """Add a new connection, and abort the oldest ones above MAX_CALLS."""
         self.calls[call] = None
         while len(self.calls) > MAX_CALLS:
             oldest = next(iter(self.calls))
@@ -249,11 +249,11 @@
             oldest.abort()
 
     def remove(self, call: Call) -> None:
-        """Forgets a connection that was closed."""
+        """Remove a closed connection."""
         self.calls.pop(call, None)
 
     def close(self) -> None:
-        """Stops listening and closes all connections."""
+        """Stop listening and close all connections."""
         if self.server is not None:
             self.server.close()
         for call in list(self.calls):
