--- a/tests/daemon/test_configuration_daemon.py
+++ b/tests/daemon/test_configuration_daemon.py
@@ -61,11 +61,11 @@
             )  # the first change must be complete
             assert await cluster.run_command(1, "load", str(tmp_path / "platform.json")) == 0
             out = capsys.readouterr().out
-            assert "each relay's own: azs, realms, skus, slot_no, zone" in out
-            assert "not read by the program: color" in out and "version 1 is agreed on" in out
+            assert "specific to each relay: azs, realms, skus, slot_no, zone" in out
+            assert "unknown to the program: color" in out and "version 1 is agreed on" in out
             await wait_until_all_applied(worlds, 1)
             assert await cluster.run_command(1, "load", str(tmp_path / "platform.json")) == 0
-            assert "nothing differs" in capsys.readouterr().out
+            assert "nothing differs from the committed settings" in capsys.readouterr().out
             assert await cluster.run_command(2, "set", deadline_change(900.0)) == 0
             await asyncio.gather(*(world.logged("applied version 2; changed: categories") for world in worlds))
             status = await cluster.wait_until_applied(1, 2, 5, capsys)
@@ -73,12 +73,14 @@
             for world in worlds:
                 assert not await is_placed(world, LONG_WAIT_MS) and await is_placed(world, 1000)
 
-            await rejected(cluster, "is no JSON", "set", "limits={")
+            await rejected(cluster, "is not JSON", "set", "limits={")
             await rejected(cluster, "limits.max_attempts is missing", "set", "limits={}")
-            await rejected(cluster, "limit is no member of the settings", "set", "limit={}")
-            await rejected(cluster, "zone is each relay's own", "set", "zone=1")
+            await rejected(cluster, "unknown key settings.limit; did you mean limits?", "set", "limit={}")
+            await rejected(cluster, "settings.zone is specific to each relay", "set", "zone=1")
             await rejected(cluster, "no entry limit", "unset", "limit")
-            await rejected(cluster, "a name of its own", "set", f"categories={entry_value([CHAT, CHAT])}")
+            await rejected(
+                cluster, "expected a distinct printable name for each", "set", f"categories={entry_value([CHAT, CHAT])}"
+            )
             assert (await cluster.show(0, capsys))["version"] == 2
 
             # One controller fails, whichever: the next change is applied within 3 s.
@@ -98,7 +100,7 @@
 
             # A reload reads the rest of the file, not its settings.
             worlds[3].reload(settings=SETTINGS | {"categories": [CHAT | {"deadline_ms": 1950.0}]})
-            await worlds[3].logged("the settings stay those of the controllers")
+            await worlds[3].logged("the controllers' settings stay in force")
             assert not await is_placed(worlds[3], LONG_WAIT_MS)
 
             # Without any controller a relay that restarts applies the settings that it stored.
--- a/tests/daemon/test_maintenance_daemon.py
+++ b/tests/daemon/test_maintenance_daemon.py
@@ -103,7 +103,7 @@
                 text + request_table + '[[turns.request]]\nname = "x"\nzone = "c"\n'
             )
             world.process.send_signal(signal.SIGHUP)
-            await world.logged("'c' is none of a, b")
+            await world.logged("'c' is unknown; expected one of a, b")
             await command(port, "ask", "s-1")
             assert "s-1" in await world.logged("turn 2:"), "the old name is not queued again"
 
@@ -157,7 +157,7 @@
 ) -> None:
     monkeypatch.delenv("YARROWSPINDLE_OPERATOR", raising=False)
     assert main(["show"]) == 1 and "no turns.command" in capsys.readouterr().err
-    assert main(["--at", "nowhere", "show"]) == 2 and "no address" in capsys.readouterr().err
+    assert main(["--at", "nowhere", "show"]) == 2 and "is not an address" in capsys.readouterr().err
     assert main(["--at", f"127.0.0.1:{free_port()}", "show"]) == 1 and "does not answer" in capsys.readouterr().err
     assert main(["ask", "--order", "any"]) == 2
     assert main(["--help"]) == 0
--- a/yarrowspindle/commands/__init__.py
+++ b/yarrowspindle/commands/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' commands: what is typed, and what is printed. Nothing is decided here."""
+"""The operators' commands: they parse arguments, call the API of a running process and print its response."""
--- a/yarrowspindle/commands/api_client.py
+++ b/yarrowspindle/commands/api_client.py
@@ -1,4 +1,4 @@
-"""The client of the operators' API that the commands share: one call over loopback, and exit statuses."""
+"""The client of the operators' API that the commands share: a call over HTTP, and the exit statuses."""
 
 from __future__ import annotations
 
@@ -18,24 +18,27 @@
 
 
 def resolve_address(option: str | None, configured: Address | None, key: str) -> Address:
-    """Return the address of the API: that of the `--at` option, else the one configured under this key.
+    """Return the address of the API: that of the `--at` option, else the configured one.
 
-    Raises click.ClickException where neither is given, click.BadParameter where the option is invalid.
+    Raises click.ClickException if neither is given, and click.BadParameter if the option is invalid. `key` is the key
+    of the configured address for the error message.
     """
     if option is None:
         if configured is None:
-            raise click.ClickException(f"the operator's file has no {key}; name the address with --at")
+            raise click.ClickException(f"the operator's file has no {key}; give the address with --at")
         return configured
     host, _, port = option.rpartition(":")
     if not host or not port.isdigit():
-        raise click.BadParameter(f"{option!r} is no address like 127.0.0.1:7950", param_hint="--at")
+        raise click.BadParameter(
+            f"{option!r} is not an address; expected HOST:PORT, such as 127.0.0.1:7950", param_hint="--at"
+        )
     return host, int(port)
 
 
 def call(address: Address, server: str, method: str, path: str, parameters: dict[str, Any] | None = None) -> Any:
-    """Return the decoded JSON answer. `server` names the kind of process in errors.
+    """Return the decoded JSON response. `server` is the kind of process for error messages.
 
-    Raises click.ClickException where there is no answer, or one that reports an error.
+    Raises click.ClickException if there is no response, or if it reports an error.
     """
     connection = http.client.HTTPConnection(*address, timeout=TIMEOUT_S)
     try:
@@ -50,7 +53,9 @@
     try:
         decoded = json.loads(text)
     except ValueError:
-        raise click.ClickException(f"the {server} said {response.status} {text.strip()}") from None
+        raise click.ClickException(
+            f"the {server} responded with status {response.status}, not JSON: {text.strip()}"
+        ) from None
     if response.status != http.client.OK:
         raise click.ClickException(str(decoded.get("error", text)))
     return decoded
--- a/yarrowspindle/commands/configuration.py
+++ b/yarrowspindle/commands/configuration.py
@@ -1,4 +1,4 @@
-"""`python -m yarrowspindle control ...`: operators change the settings of all relays, at one controller."""
+"""`python -m yarrowspindle control ...`: operators' commands for the shared settings, sent to one controller."""
 
 from __future__ import annotations
 
@@ -22,23 +22,23 @@
 POLL_INTERVAL_S = 0.05
 MAX_SHOWN_VALUE_CHARACTERS = 80
 ELLIPSIS = "..."
-SILENT_AFTER_S = 1.0  # a controller without a summary for this long is shown as silent
+SILENT_AFTER_S = 1.0  # time without a summary from a controller after which it is shown as silent
 
 
 def configured_settings() -> ControlSettings | None:
-    """The `[control]` of the operator's file; None where it has none."""
+    """Return the section `[control]` of the operator's file, or None if there is none."""
     return load_operator_config().control
 
 
 def call_controller(at: str | None, method: str, path: str, body: dict[str, Any] | None = None) -> Any:
-    """Calls the controller at an address, else at the one of the operator's file. Raises ClickException."""
+    """Call the controller at `at`, else at the address in the operator's file. Raises ClickException."""
     settings = configured_settings() if at is None else None
     address = resolve_address(at, settings.command if settings else None, "control.command")
     return call(address, "controller", method, path, body)
 
 
 def request_change(at: str | None, step: Step) -> None:
-    """Requests a change and waits until it is committed. Raises ClickException where it is rejected."""
+    """Request a change and wait until it is committed. Raises ClickException if it is rejected."""
     ticket = call_controller(at, "PUT", "/control/change", {"step": step})["ticket"]
     deadline = time.monotonic() + ANSWER_TIMEOUT_S
     while time.monotonic() < deadline:
@@ -49,19 +49,21 @@
             click.echo(f"version {answer['version']} is agreed on: {', '.join(sorted(step))}")
             return
         time.sleep(POLL_INTERVAL_S)
-    raise click.ClickException(f"no answer within {ANSWER_TIMEOUT_S:g} s: it may still come, see `show`")
+    raise click.ClickException(
+        f"no result within {ANSWER_TIMEOUT_S:g} s; the change may still be committed, see `control show`"
+    )
 
 
 def reject_constant(text: str) -> float:
-    """Rejects NaN and infinities, which JSON does not have. Raises ValueError."""
-    raise ValueError(f"{text} is no number")
+    """Reject NaN and the infinities, which JSON does not have. Raises ValueError."""
+    raise ValueError(f"{text} is not a number in JSON")
 
 
 @click.group(help="Settings that all relays serve by, agreed on by the controllers.")
 @click.option("--at", metavar="ADDRESS", help="a controller's control.command; else as the operator's file says")
 @click.pass_context
 def control(context: click.Context, at: str | None) -> None:
-    """Stores the address of the controller for the commands."""
+    """Pass the address of the controller to the commands."""
     context.obj = at
 
 
@@ -69,16 +71,16 @@
 @click.argument("changes", nargs=-1, required=True, metavar="KEY=JSON...")
 @click.pass_context
 def set_(context: click.Context, changes: tuple[str, ...]) -> None:
-    """Sets the given members in one change."""
+    """Set the given members in one change."""
     step: dict[str, str | None] = {}
     for change in changes:
         key, separator, value = change.partition("=")
         if not key or not separator or key in step:
-            raise click.BadParameter(f"{change!r}: each key once, as KEY=JSON, is wanted")
+            raise click.BadParameter(f"{change!r} is invalid; expected KEY=JSON, each key once")
         try:
             step[key] = entry_value(json.loads(value, parse_constant=reject_constant))
         except (ValueError, RecursionError) as error:
-            raise click.BadParameter(f"the value of {key} is no JSON: {error}") from error
+            raise click.BadParameter(f"the value of {key} is not JSON: {error}") from error
     request_change(context.obj, step)
 
 
@@ -87,12 +89,12 @@
 @click.option("--all", "everything", is_flag=True, help="all members")
 @click.pass_context
 def unset(context: click.Context, keys: tuple[str, ...], everything: bool) -> None:
-    """Removes the given members, or all, in one change."""
+    """Remove the given members, or all, in one change."""
     if bool(keys) is everything:
-        raise click.UsageError("keys, or --all, are wanted")
+        raise click.UsageError("expected either keys or --all")
     removed = call_controller(context.obj, "GET", "/control")["entries"] if everything else keys
     if not removed:
-        raise click.ClickException("there are no entries")
+        raise click.ClickException("there are no entries to remove")
     request_change(context.obj, dict.fromkeys(removed))
 
 
@@ -100,35 +102,35 @@
 @click.argument("file", type=click.Path(exists=True, dir_okay=False, path_type=Path))
 @click.pass_context
 def load(context: click.Context, file: Path) -> None:
-    """Changes what differs from the file, in one change."""
+    """Set or remove all members that differ from the file, in one change."""
     platform = read_file(file)
     for members, reason in (
-        (platform.relay_specific, "each relay's own"),
-        (platform.unrecognized, "not read by the program"),
+        (platform.relay_specific, "specific to each relay"),
+        (platform.unrecognized, "unknown to the program"),
     ):
         if members:
             click.echo(f"left out, {reason}: {', '.join(members)}")
     if not platform.entries:
-        raise click.ClickException(f"{file} holds no settings that can be shared")
+        raise click.ClickException(f"{file} has no settings that can be shared")
     current = call_controller(context.obj, "GET", "/control")["entries"]
     step = difference(current, platform.entries)
     if step:
         request_change(context.obj, step)
     else:
-        click.echo("nothing differs from what is served")
+        click.echo("nothing differs from the committed settings")
 
 
 def read_file(file: Path) -> PlatformSettings:
-    """Reads a platform's file. Raises ClickException where it has no settings."""
+    """Read a platform's file. Raises ClickException if it has no settings."""
     try:
         data = json.loads(file.read_text(encoding="utf-8"), parse_constant=reject_constant)
         return read_platform_settings(data.get("settings", data))
     except (OSError, ValueError, RecursionError, AttributeError) as error:
-        raise click.ClickException(f"{file} holds no settings: {error}") from error
+        raise click.ClickException(f"{file} has no readable settings: {error}") from error
 
 
 def difference(current: Mapping[str, str], wanted: Mapping[str, str]) -> dict[str, str | None]:
-    """Returns the step from current to wanted entries; values are compared as JSON."""
+    """Return the changes that turn the current into the wanted entries; values are compared as JSON."""
     step: dict[str, str | None] = {
         key: value
         for key, value in wanted.items()
@@ -141,13 +143,13 @@
 @click.option("--json", "as_json", is_flag=True)
 @click.pass_context
 def show(context: click.Context, as_json: bool) -> None:
-    """Shows the status of a controller."""
+    """Print the status of a controller."""
     status = call_controller(context.obj, "GET", "/control")
     click.echo(json.dumps(status) if as_json else status_table(status))
 
 
 def status_table(status: dict[str, Any]) -> str:
-    """Returns the status as lines of text."""
+    """Return the status as lines of text."""
     lines = [
         f"version {status['version']} is agreed on, {status['in_force']} is in force at {status['relays']} relays "
         f"(asked: {status['name']} of cluster {status['cluster']})"
@@ -161,20 +163,20 @@
     for name, controller in sorted(status["controllers"].items()):
         lines.append(controller_line(name, controller, name in status["voters"]))
     if status["round"]:
-        lines.append(f"agreeing fails: {status['round']}")
-    lines += [f"version {rejected['version']} was refused: {rejected['why']}" for rejected in status["refused"]]
+        lines.append(f"consensus fails: {status['round']}")
+    lines += [f"version {rejected['version']} was rejected: {rejected['why']}" for rejected in status["refused"]]
     return "\n".join(lines)
 
 
 def shortened(value: str) -> str:
-    """Returns a value of at most MAX_SHOWN_VALUE_CHARACTERS."""
+    """Return the value, cut to at most MAX_SHOWN_VALUE_CHARACTERS."""
     if len(value) <= MAX_SHOWN_VALUE_CHARACTERS:
         return value
     return value[: MAX_SHOWN_VALUE_CHARACTERS - len(ELLIPSIS)] + ELLIPSIS
 
 
 def relay_line(relay: dict[str, Any]) -> str:
-    """Returns the line of a relay that lags."""
+    """Return the line of a relay that has not applied the committed version."""
     return (
         f"relay {relay['relay']} serves by version {relay['version']}, for {relay['for_s']:.1f} s: {relay['why']} "
         f"(at {relay['controller']})"
@@ -182,7 +184,7 @@
 
 
 def controller_line(name: str, controller: dict[str, Any], is_voter: bool) -> str:
-    """Returns the line of a controller."""
+    """Return the line of a controller."""
     silent_s = controller["silent_s"]
     health = f"SILENT for {silent_s:.1f} s" if silent_s > SILENT_AFTER_S else "heard"
     votes = ", votes" if is_voter else ""
@@ -191,18 +193,18 @@
 
 @control.command(help="Make this voter's first file: once, before the first start of all; never after a loss.")
 def init() -> None:
-    """Creates the file of this controller's acceptor."""
+    """Create the file of this controller's acceptor."""
     settings = configured_settings()
     if settings is None or settings.role != CONTROLLER:
-        raise click.ClickException("the operator's file has no [control] of a controller")
+        raise click.ClickException("the operator's file has no [control] section with the role of a controller")
     file = acceptor_file(settings)
     try:
         file.create_initial(initial_state(settings))
     except (FileUnavailableError, OSError) as error:
         raise click.ClickException(str(error)) from error
-    click.echo(f"{file.path} is made for {file.owner}")
+    click.echo(f"created {file.path} for {file.owner}")
 
 
 def main(arguments: list[str]) -> int:
-    """Runs a command. Returns the exit status: 1 where it fails, 2 for invalid arguments."""
+    """Run a command. Return the exit status: 1 if it fails, 2 for invalid arguments."""
     return run_command(control, arguments, "control")
--- a/yarrowspindle/commands/maintenance.py
+++ b/yarrowspindle/commands/maintenance.py
@@ -15,11 +15,11 @@
 from yarrowspindle.maintenance.status_report import format_table
 from yarrowspindle.storage.durable_file import FileUnavailableError
 
-PENDING_NOTICE = " (this relay is not registered yet: it is done once a majority is heard)"
+PENDING_NOTICE = " (this relay is not registered yet: the command is carried out once a majority answers)"
 
 
 def call_relay(address: str | None, method: str, path: str, parameters: dict[str, Any] | None = None) -> Any:
-    """Return the relay's answer. `address` is the `--at` option; without it, that of the operator's file is used."""
+    """Return the relay's response. Without `address`, the `--at` option, the operator's file gives the address."""
     settings = load_operator_config().turns if address is None else None
     configured = settings.command if settings else None
     resolved = api_client.resolve_address(address, configured, "turns.command")
@@ -27,7 +27,7 @@
 
 
 def send_command(context: click.Context, command: str, /, **parameters: Any) -> None:
-    """Send a command with those of its parameters that are given, and print what was done."""
+    """Send a command with the parameters that are not None, and print its result."""
     given = {key: value for key, value in parameters.items() if value is not None}
     answer = call_relay(context.obj, "PUT", f"/turns/{command}", given)
     pending = "" if answer["registered"] else PENDING_NOTICE
@@ -38,7 +38,7 @@
 @click.option("--at", metavar="ADDRESS", help="a relay's turns.command; else as the operator's file says")
 @click.pass_context
 def turns(context: click.Context, at: str | None) -> None:
-    """The group of commands; the address is passed on in the context."""
+    """Pass the address of the relay to the commands."""
     context.obj = at
 
 
@@ -68,7 +68,7 @@
 
 
 def add_command_with_argument(name: str, argument: str, help_text: str) -> None:
-    """Add a command whose one argument is a parameter of the call."""
+    """Add a command whose only argument is a parameter of the call."""
 
     @turns.command(name, help=help_text)
     @click.argument(argument)
@@ -82,7 +82,7 @@
 
 
 def add_evacuation_command(name: str, help_text: str) -> None:
-    """Add a command for one backend, optionally only under one evacuation's number."""
+    """Add a command for one backend, optionally limited to the evacuation with this number."""
 
     @turns.command(name, help=help_text)
     @click.argument("machine")
@@ -132,13 +132,13 @@
     """Create the first voter file."""
     config, operator = load_config(), load_operator_config()
     if operator.turns is None or operator.peers is None:
-        raise click.ClickException("the operator's file has no [turns]")
+        raise click.ClickException("the operator's file has no section [turns]")
     file = MaintenanceVoterFile(operator.turns.directory, operator.peers.name or config.name, operator.peers.cluster)
     try:
         file.initialize(operator.turns.voters)
     except (FileUnavailableError, OSError) as error:
         raise click.ClickException(str(error)) from error
-    click.echo(f"{file.path} is made for {file.owner}")
+    click.echo(f"created {file.path} for {file.owner}")
 
 
 def main(arguments: list[str]) -> int:
--- a/yarrowspindle/daemon/__init__.py
+++ b/yarrowspindle/daemon/__init__.py
@@ -1,1 +1,1 @@
-"""The relay as a process: start, signals, reload, shutdown, and the wiring of its parts."""
+"""The processes of a relay and a controller: start, signals, reload, shutdown and the wiring of their parts."""
--- a/yarrowspindle/daemon/background_store.py
+++ b/yarrowspindle/daemon/background_store.py
@@ -1,4 +1,4 @@
-"""Stores the newest value of a process in a durable file, on a thread, and retries while the disk fails."""
+"""Storing the newest value of a process in a durable file, on a thread, with retries while the disk fails."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 
 from yarrowspindle.storage.durable_file import DurableFile
 
-RETRY_S = 1.0  # after a lock or a disk that failed
+RETRY_S = 1.0  # after the lock was not available or the disk failed
 FINAL_STORE_TIMEOUT_S = 0.1
 FAILED_STORES: Final = "unkept"  # published name of a counter
 
 
 class Versioned(Protocol):
-    """A value with a version, which the log names."""
+    """A value with a version number for the log."""
 
     @property
     def version(self) -> int:
-        """The number of the version."""
+        """The version number."""
         ...
 
 
@@ -29,7 +29,7 @@
 
 
 class BackgroundStore(Generic[V]):
-    """Stores values without delaying requests or heartbeats.
+    """A store that writes values on a thread, so that the disk delays neither requests nor heartbeats.
 
     `pending` is the newest value that is not stored yet; a value that is replaced before it is stored is skipped.
     """
@@ -40,15 +40,15 @@
         self.has_pending = asyncio.Event()
 
     def put(self, value: V) -> None:
-        """Sets the value to store."""
+        """Set the value to store."""
         self.pending = value
         self.has_pending.set()
 
     async def run(self) -> None:
-        """Stores values until it is cancelled.
+        """Store values until cancelled.
 
-        Until a disk that fails recovers, the value that was stored before stays. While an earlier process has the
-        lock, that one stores what it applies itself.
+        While the disk fails, the file keeps the value that was stored last. While an earlier process of the same name
+        holds the lock, that process stores the values that it applies itself.
         """
         last_failure = ""
         while True:
@@ -74,17 +74,17 @@
             last_failure = failure
 
     async def flush(self) -> None:
-        """Tries once more to store the pending value, without waiting for a slow disk."""
+        """Try once more to store the pending value, for at most FINAL_STORE_TIMEOUT_S."""
         if self.pending is None or self.file.lock_failure():
             return
         version = self.pending.version
         try:
             await asyncio.wait_for(self._store_on_thread(self.pending), FINAL_STORE_TIMEOUT_S)
         except (OSError, TimeoutError) as error:
-            logger.warning("control: version {} is not stored for a restart: {}", version, repr(error))
+            logger.warning("control: version {} could not be stored for a restart: {}", version, repr(error))
 
     async def _store(self, value: V) -> str:
-        """Returns why the value cannot be stored; empty once it is."""
+        """Store the value. Return the reason of a failure, or an empty string on success."""
         failure = self.file.lock_failure()
         if failure:
             return failure
--- a/yarrowspindle/daemon/config.py
+++ b/yarrowspindle/daemon/config.py
@@ -1,7 +1,7 @@
 """The configuration that the platform gives a relay: the JSON file that `ROUTER_CONFIG` names, and the environment.
 
-Member names of the file are those of the deployment page; they are mapped to the terms of the code here and in
-`yarrowspindle.protocol`.
+The member names of the file are part of its published format. This module and `yarrowspindle.protocol` map them to the
+terms of the code.
 """
 
 from __future__ import annotations
@@ -20,10 +20,10 @@
 from yarrowspindle.routing.address import Address
 from yarrowspindle.routing.events import EndpointsUpdated
 
-# Members of `settings` that belong to one relay and are never shared with the others.
+# Members of `settings` that are specific to each relay; the controllers never distribute them.
 RELAY_SPECIFIC_MEMBERS = frozenset(("zone", "slot_no", "azs", "skus", "realms"))
 
-# Member of the file -> the environment variable that goes before it.
+# Member of the file -> the environment variable that overrides it.
 ENVIRONMENT_OVERRIDES = {
     "name": "ROUTER_NAME",
     "listen": "ROUTER_LISTEN",
@@ -35,28 +35,28 @@
 
 
 class ConfigError(Exception):
-    """A configuration file is missing, cannot be read, or holds invalid values; the text says which."""
+    """A configuration file is missing, unreadable or invalid; the message says which and why."""
 
 
 @dataclass(slots=True)
 class Config:
-    """What a relay is configured with.
+    """The configuration of a relay.
 
     Attributes:
-        name: of this relay, the same after a restart.
-        listen: where clients connect.
-        discovery: the discovery service.
-        seed: for the random source; a new one with each start.
-        settings: what the balancer decides by.
-        known: the endpoint list as this relay last held it; it may be old.
-        names: the names of zones and machine kinds by their numbers.
-        classes: the name of each request class by its number, over all reloads.
-        current_classes: the number of each class that accepts new requests, by its name.
-        tenants: the names of the tenants by their numbers.
-        max_descriptors: the platform's limit on file descriptors; 0: none is stated.
-        operator: where the operators' API listens; None: nowhere.
-        file_discovery: discovery as the file has it, whatever the environment says; empty: not stated.
-        raw_settings: the member `settings` as the file has it.
+        name: the name of this relay, which a restart does not change.
+        listen: the address where clients connect.
+        discovery: the address of the discovery service.
+        seed: the seed of the random source; each start has a new one.
+        settings: the balancer's settings.
+        known: the last endpoint list of this relay's previous process; it may be outdated.
+        names: the names of zones and machine kinds by number.
+        classes: the name of each request class by number, including classes that a reload removed.
+        current_classes: the number of each class that accepts new requests, by name.
+        tenants: the names of the tenants by number.
+        max_descriptors: the platform's limit on file descriptors; 0: no limit is given.
+        operator: the address of the operators' API; None: the API is off.
+        file_discovery: the member `discovery` of the file, without the environment's override; empty: not given.
+        raw_settings: the member `settings` of the file, as decoded.
     """
 
     name: str
@@ -76,7 +76,7 @@
 
 
 def flatten(value: object, path: str = "") -> Iterator[tuple[str, str]]:
-    """Yields nested JSON as the path=value pairs of the simulator's wire."""
+    """Yield nested JSON as the path=value pairs that the simulator sends."""
     if isinstance(value, dict):
         for name, item in value.items():
             yield from flatten(item, f"{path}.{name}" if path else str(name))
@@ -97,21 +97,21 @@
 
 
 def object_names(items: object) -> list[str]:
-    """Returns the member `name` of each object of a JSON list; nothing where it is no list."""
+    """Return the member `name` of each object in a JSON list, or an empty list for any other value."""
     if not isinstance(items, list):
         return []
     return [str(item.get("name", "")) for item in items if isinstance(item, dict)]
 
 
 def parse_settings(raw: Mapping[str, Any]) -> Settings:
-    """Reads the member `settings`. Raises SettingsError where a member is missing or invalid."""
-    # A slow-message report cannot be told from a load by itself (routing/load_reports.py) and comes after the fact,
-    # so the relay's own load is judged by as well.
+    """Read the member `settings`. Raises SettingsError if a member is missing or invalid."""
+    # A single slow-message report cannot be told from a load report (routing/load_reports.py), and it arrives only
+    # after the message was slow, so the balancer also uses the relay's own load.
     return replace(read_settings(dict(flatten(raw))), uses_own_load=True)
 
 
 def read_config(data: Mapping[str, Any]) -> Config:
-    """Reads the decoded configuration file. Raises ConfigError where a member is missing or invalid."""
+    """Read the decoded configuration file. Raises ConfigError if a member is missing or invalid."""
     try:
         raw = data["settings"]
         names = ZoneAndKindNames(
@@ -140,16 +140,16 @@
 
 
 def load_config(environ: Mapping[str, str] = os.environ) -> Config:
-    """Reads the file that `ROUTER_CONFIG` names. Raises ConfigError where it cannot be read or is invalid."""
+    """Read the file that `ROUTER_CONFIG` names. Raises ConfigError if it cannot be read or is invalid."""
     path = environ.get("ROUTER_CONFIG")
     if not path:
-        raise ConfigError("ROUTER_CONFIG names no file")
+        raise ConfigError("ROUTER_CONFIG is not set; expected the path of the configuration file")
     try:
         data = json.loads(Path(path).read_text(encoding="utf-8"))
     except (OSError, ValueError, RecursionError) as error:
         raise ConfigError(f"{path} cannot be read: {error}") from error
     if not isinstance(data, dict):
-        raise ConfigError(f"{path} holds no object")
+        raise ConfigError(f"{path} has a {type(data).__name__} at its top level; expected a JSON object")
     file_discovery = str(data.get("discovery") or "")
     for member, variable in ENVIRONMENT_OVERRIDES.items():
         if environ.get(variable):
--- a/yarrowspindle/daemon/configuration_endpoint.py
+++ b/yarrowspindle/daemon/configuration_endpoint.py
@@ -1,4 +1,4 @@
-"""An agent or a controller on a real socket of the event loop. Without `[control]` none of this is loaded."""
+"""An agent or a controller on a UDP socket of the event loop. Loaded only with `[control]` in the file."""
 
 from __future__ import annotations
 
@@ -25,10 +25,10 @@
 from yarrowspindle.transport.datagrams import UdpListener
 from yarrowspindle.transport.inactivity_timer import sleep_then_wait_for_reads
 
-FAILED_TIMER_RETRY_MS = 1000.0  # until the next timer event after one that failed
+FAILED_TIMER_RETRY_MS = 1000.0  # delay of the next timer event after one whose processing failed
 FRAGMENT_REQUEST_INTERVAL_S = 0.05
-FLUSH_S = 0.02  # for the last datagrams before the socket is closed
-WARNING_REPEAT_MS = 60_000.0  # one and the same warning is logged once in this time
+FLUSH_S = 0.02  # time for sending the last datagrams before the socket is closed
+WARNING_REPEAT_MS = 60_000.0  # interval in which identical warnings are logged once
 MAX_RECENT_WARNINGS = 1024
 RANDOM_NUMBER_BYTES = 6
 # Published names of counters.
@@ -36,12 +36,12 @@
 
 
 def random_number() -> int:
-    """Returns a number that no earlier process is likely to have used."""
+    """Return a random number that an earlier process is unlikely to have used."""
     return int.from_bytes(os.urandom(RANDOM_NUMBER_BYTES), "big")
 
 
 class ConfigurationEndpoint:
-    """A core and its socket. No request waits for anything here."""
+    """An agent or controller (the core) and its socket. No request waits for it."""
 
     core: Agent | Controller
 
@@ -49,7 +49,7 @@
         self.settings, self.name = settings, name
         self.loop = asyncio.get_running_loop()
         self.front = UdpListener(self._on_datagram)
-        # Only a hint: where this clock went back, receivers report the newer incarnation that they know.
+        # Only a hint: if the wall clock went back, receivers report the newer incarnation that they know.
         self.incarnation = int(time.time() * 1000.0)
         self.link = Link(
             name, settings.advertised_address, settings.cluster, self.incarnation, random_number(), self._now()
@@ -64,14 +64,14 @@
         self.store: BackgroundStore[Any] | None = None
 
     def open(self) -> None:
-        """Starts to listen."""
+        """Start to listen."""
         self._start_task(self._listen())
         self._start_task(self._request_missing_fragments())
         if self.store is not None:
             self._start_task(self.store.run())
 
     async def close(self) -> None:
-        """Stores what is pending, and closes the socket after the last datagrams."""
+        """Store the pending version, and close the socket after the last datagrams."""
         self.closed = True
         for task in self.tasks:
             task.cancel()
@@ -83,7 +83,7 @@
             self.front.transport.close()
 
     def counters(self) -> Counter[str]:
-        """The counters of endpoint, core and link, by their published names."""
+        """Return the counters of the endpoint, the core and the link by their published names."""
         return self.counts + self.core.counts + self.link.counts
 
     def _start_task(self, work: Coroutine[Any, Any, None]) -> None:
@@ -93,7 +93,7 @@
         settings = self.settings
         await self.front.open(
             settings.listen,
-            lambda error: logger.warning("control: cannot bind {}:{} yet: {}", *settings.listen, error),
+            lambda error: logger.warning("control: cannot bind {}:{} yet, retrying: {}", *settings.listen, error),
         )
         logger.info(
             "control: {} {} of cluster {} listens at {}:{}, advertised as {}:{}",
@@ -127,14 +127,14 @@
             self.post(MessageReceived(received.sender, received.message))
 
     def post(self, event: Event) -> None:
-        """Passes an event to the core and carries out the effects."""
+        """Pass an event to the core and carry out the effects."""
         if self.closed:
             return
         try:
             effects = self.core.step(self._now(), event)
-        except Exception:  # requests are served on, and the committed state is still distributed
+        except Exception:  # requests are still served, and the committed state is still distributed
             self.counts[FAILURES] += 1
-            logger.exception("control: an internal error at {}", type(event).__name__)
+            logger.exception("control: internal error while processing {}", type(event).__name__)
             effects = self.core.take_effects()
             if isinstance(event, TimerFired):
                 effects.append(SetTimer(FAILED_TIMER_RETRY_MS))
@@ -143,7 +143,7 @@
     # --- effects ----------------------------------------------------------------------------------
 
     def carry_out(self, effects: Sequence[Effect]) -> None:
-        """Carries out effects in their order."""
+        """Carry out effects in their order."""
         for effect in effects:
             if isinstance(effect, SendMessage):
                 self._send(effect)
@@ -155,7 +155,7 @@
                 self._carry_out_for_role(effect)
 
     def _carry_out_for_role(self, effect: Effect) -> None:
-        """Carries out an effect that only one of the two roles has."""
+        """Carry out an effect that only this role (relay or controller) has."""
 
     def _send(self, send: SendMessage) -> None:
         for data in self.link.encode(self._now(), send.to.address, send.message):
@@ -164,7 +164,7 @@
     def _send_datagram(self, to: Address, data: bytes) -> None:
         try:
             self.front.send(data, to)
-        except (OSError, ValueError):  # no valid address, or no route: the same as a lost datagram
+        except (OSError, ValueError):  # invalid address or no route: counts as a lost datagram
             self.counts[UNSENDABLE] += 1
 
     def _log(self, message: LogMessage) -> None:
@@ -174,7 +174,7 @@
             logger.log("WARNING" if message.is_warning else "INFO", "control: {}", message.text)
 
     def _warn(self, text: str) -> None:
-        """Logs a warning that other processes can cause or that repeats."""
+        """Log, at a limited rate, a warning that repeats or that other processes can cause."""
         expired = self._now() >= self.recent_warnings_since + WARNING_REPEAT_MS
         if expired or len(self.recent_warnings) >= MAX_RECENT_WARNINGS:
             self.recent_warnings_since = self._now()
--- a/yarrowspindle/daemon/controller.py
+++ b/yarrowspindle/daemon/controller.py
@@ -15,16 +15,20 @@
 from yarrowspindle.daemon.operator_config import OperatorConfig
 
 LOCK_RETRY_S = 0.2
-RELAY_SECTIONS = ("quic", "rebalance", "peers", "turns")  # of the operator's file
+RELAY_SECTIONS = ("quic", "rebalance", "peers", "turns")  # sections of the operator's file that only relays have
 
 
 async def serve(settings: ControlSettings, operator: OperatorConfig) -> None:
-    """Runs a controller until SIGTERM or SIGINT."""
+    """Run a controller until SIGTERM or SIGINT."""
     loop = asyncio.get_running_loop()
     shutdown_requested = asyncio.Event()
     for signal_number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(signal_number, shutdown_requested.set)
-    loop.add_signal_handler(signal.SIGHUP, logger.info, "a controller does not reload its settings: restart it")
+    loop.add_signal_handler(
+        signal.SIGHUP,
+        logger.info,
+        "SIGHUP ignored: a controller does not reload its settings; restart it to apply changes",
+    )
     files = ControllerFiles(settings)
     if not await _load_files(files, shutdown_requested):
         return
@@ -41,11 +45,13 @@
 
 
 async def _load_files(files: ControllerFiles, shutdown_requested: asyncio.Event) -> bool:
-    """Waits until the files can be read. Returns False where the process is stopped before."""
+    """Wait until the files can be read. Return False if the process is stopped before that."""
     last_failure = ""
     while failure := files.load():
         if failure != last_failure:
-            logger.warning("control: {}: this controller waits", failure)
+            logger.warning(
+                "control: {}; this controller retries and does not start until it can read its files", failure
+            )
         last_failure = failure
         try:
             await asyncio.wait_for(shutdown_requested.wait(), LOCK_RETRY_S)
@@ -56,7 +62,7 @@
 
 
 def check_sections(operator: OperatorConfig) -> None:
-    """Raises ConfigError where the operator's file of a controller has a section for relays."""
+    """Raise ConfigError if the operator's file of a controller has a section for relays."""
     for section in RELAY_SECTIONS:
         if getattr(operator, section) is not None:
-            raise ConfigError(f'[{section}] is for relays: with control.role "controller" nobody is served')
+            raise ConfigError(f'[{section}] is not allowed if control.role is "controller"; expected only for relays')
--- a/yarrowspindle/daemon/controller_api.py
+++ b/yarrowspindle/daemon/controller_api.py
@@ -1,4 +1,4 @@
-"""The operators' calls to a controller: its status, a change, and the answer to a change."""
+"""The operators' API of a controller: its status, a change of the settings, and the result of a change."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ControllerApiSources:
-    """What the calls use of a controller."""
+    """The functions of a controller that the API calls."""
 
     status: Callable[[], Mapping[str, Any]]
     entries: Callable[[], Entries]
@@ -33,26 +33,27 @@
 
 
 class ControllerApi:
-    """Serves the calls on a loopback address.
+    """The HTTP server of the API on a loopback address.
 
-    An HTTP answer here cannot wait, so a change returns a ticket, with which the operator's command polls the answer.
+    An HTTP response cannot wait for consensus, so a change returns a ticket, with which the operator's command polls
+    the result.
     """
 
     def __init__(self, sources: ControllerApiSources, first_ticket: int) -> None:
         self.sources = sources
         self.last_ticket = first_ticket
-        self.answers: OrderedDict[int, ChangeAnswered | None] = OrderedDict()  # None: not settled yet
+        self.answers: OrderedDict[int, ChangeAnswered | None] = OrderedDict()  # None: the result is pending
         self.server: OperatorApi | None = None
 
     async def start(self, address: Address) -> None:
-        """Starts to listen; where that fails the controller works without the calls."""
+        """Start to listen; if that fails, the controller works without the API."""
         routes = {
             "/control/change": {"PUT": self._handler(self._change)},
             "/control/answer": {"PUT": self._handler(self._poll_answer)},
         }
         self.server = OperatorApi(
             {"/control": {"GET": self._status}},
-            lambda text: logger.error("control: a call failed: {}", text),
+            lambda text: logger.error("control: an operators' call failed: {}", text),
             routes,
             MAX_BODY_BYTES,
         )
@@ -63,12 +64,12 @@
             logger.error("control: no commands can be accepted at {}:{}: {}", *address, error)
 
     def close(self) -> None:
-        """Stops to listen."""
+        """Stop listening."""
         if self.server is not None:
             self.server.close()
 
     def on_answer(self, answer: ChangeAnswered) -> None:
-        """Stores an answer until the operator polls it."""
+        """Store the result of a change until the operator's command polls it."""
         self.answers[answer.ticket] = answer
 
     def _status(self) -> HttpAnswer:
@@ -102,14 +103,16 @@
         entries = self.sources.entries()
         absent = sorted(key for key, value in step.items() if value is None and key not in entries)
         if not step:
-            raise ControlError("nothing is to be changed")
+            raise ControlError("the change is empty; expected at least one key")
         if absent:
             raise ControlError(f"there is no entry {', '.join(absent)[:MAX_NAMED_KEYS_CHARACTERS]}")
 
     def _poll_answer(self, parameters: dict[str, Any]) -> object:
         ticket = msgspec.convert(parameters.get("ticket"), int)
         if ticket not in self.answers:
-            raise ControlError("no such change is known here: this controller has started anew. See `show`")
+            raise ControlError(
+                "unknown ticket: this controller has restarted since the change; see `control show` for the result"
+            )
         answer = self.answers[ticket]
         if answer is None:
             return {"settled": False}
--- a/yarrowspindle/daemon/controller_endpoint.py
+++ b/yarrowspindle/daemon/controller_endpoint.py
@@ -1,4 +1,4 @@
-"""A controller on a real socket: its acceptor on a thread, its files, and the operators' calls."""
+"""A controller on a UDP socket: its acceptor, which runs on a thread, its files and the operators' API."""
 
 from __future__ import annotations
 
@@ -20,14 +20,15 @@
 from yarrowspindle.daemon.controller_files import ControllerFiles, initial_state
 from yarrowspindle.daemon.shared_settings import check_shared_settings
 
-MAX_WAITING_ACCEPTOR_REQUESTS = 256  # for the disk; more are lost, as any message may be
-MAX_LOGGED_VERSIONS = 8  # the newest of those that were missed
+# Limit of requests that wait for the disk; further ones are dropped, which the protocol tolerates.
+MAX_WAITING_ACCEPTOR_REQUESTS = 256
+MAX_LOGGED_VERSIONS = 8  # newest versions to log if several were missed
 UNWRITTEN = "unwritten"  # published name of a counter
 GAUGES = ("version", "in_force", "relays", "leads", "votes", "waiting")  # members of the status
 
 
 class ControllerEndpoint(ConfigurationEndpoint):
-    """A controller, its acceptor where it votes, and the store of its committed state."""
+    """A controller, its acceptor if it votes, and the store of its committed state."""
 
     core: Controller
 
@@ -58,7 +59,7 @@
         self.api = ControllerApi(sources, random_number())
 
     async def start(self) -> None:
-        """Starts to listen to other processes and to operators."""
+        """Start to listen to other processes and to operators."""
         self.open()
         self._create_acceptor_file(self.core.state)
         self.carry_out(self.core.take_effects())
@@ -66,16 +67,16 @@
             await self.api.start(self.settings.command)
 
     async def close(self) -> None:
-        """Stops to listen, and stores what is pending."""
+        """Stop listening, and store the pending state."""
         self.api.close()
         await super().close()
 
     def status(self) -> dict[str, Any]:
-        """What operators are shown, under its published names."""
+        """Return the status for operators by its published names."""
         return {"name": self.name, "cluster": self.settings.cluster, **self.core.status().to_json()}
 
     def gauges(self) -> dict[str, float]:
-        """The gauges by their published names."""
+        """Return the gauges by their published names."""
         status = self.core.status().to_json()
         gauges = {name: float(status[name]) for name in GAUGES}
         gauges["named"] = float(len(status["named"]) + status["more"])
@@ -85,15 +86,15 @@
         files = self.files
         if files.committed_state is None and files.committed.path.exists():
             logger.warning(
-                "control: {} cannot be used: {}; committed settings are distributed once a majority of the voters "
-                "has answered",
+                "control: cannot use {}: {}; this controller distributes the committed settings once a majority of the "
+                "voters has answered",
                 files.committed.path,
                 files.errors[files.committed],
             )
         if files.acceptor_state is None and self.settings.own_address.voter:
             logger.warning(
                 "control: no voter's file in {}: {}; this controller does not vote until the others have added it "
-                "again (`control init` creates the first files of all, and is never used after a loss)",
+                "again (`control init` creates the files before the first start only; do not use it after a loss)",
                 self.settings.directory,
                 files.errors[files.acceptor],
             )
@@ -141,19 +142,19 @@
         )
 
     def _create_acceptor_file(self, state: ControlState) -> None:
-        """Creates a file under a new identity for a voter whose file was lost."""
+        """Create a file with a new identity if this controller is a voter whose file was lost."""
         if self.core.identity or self.name not in state.voters or state.version <= 0:
             return
         try:
             created = self.files.acceptor.recreate(self.initial)
         except OSError as error:
-            self._warn(f"no file can be created in {self.settings.directory}: {error}")
+            self._warn(f"cannot create a voter's file in {self.settings.directory}: {error}")
             return
         self._start_acceptor(created)
         self.core.start_voting(created.identity)
 
     def _ask_acceptor(self, request: AskAcceptor) -> None:
-        """Passes a request to the acceptor on the thread of the disk, one at a time and in order."""
+        """Pass a request to the acceptor on the disk thread, one at a time and in order."""
         if self.acceptor is not None and self.waiting_acceptor_requests < MAX_WAITING_ACCEPTOR_REQUESTS:
             self.waiting_acceptor_requests += 1
             response = self.loop.run_in_executor(self.disk_executor, self.acceptor.on_message, request.message)
--- a/yarrowspindle/daemon/controller_files.py
+++ b/yarrowspindle/daemon/controller_files.py
@@ -1,4 +1,4 @@
-"""A controller's files: that of its acceptor, and the newest committed state that it knows."""
+"""A controller's files: the state of its acceptor, and the newest committed state that it knows."""
 
 from __future__ import annotations
 
@@ -12,24 +12,23 @@
 from yarrowspindle.storage.file_codec import StoredValue
 from yarrowspindle.storage.voter_file import INITIAL_IDENTITY, VoterFile
 
-COMMITTED_STATE = "agreed"  # name of the file
+COMMITTED_STATE = "agreed"  # published name of the file
 
 
 def initial_state(settings: ControlSettings) -> ControlState:
-    """Returns the state that all controllers start from: the voters with the files that operators create once."""
+    """Return the state that all controllers start from: the voters with the files that operators create once."""
     return ControlState(dict.fromkeys(settings.voters, INITIAL_IDENTITY))
 
 
 def acceptor_file(settings: ControlSettings) -> VoterFile[ControlState]:
-    """Returns the file of the acceptor of a controller with these settings."""
+    """Return the acceptor's file of a controller with these settings."""
     return VoterFile(settings.directory, settings.own_address.name, settings.cluster, codec.ACCEPTOR_FILE)
 
 
 class ControllerFiles:
-    """The files under the one lock of the controller's directory, and what they contained at the start.
+    """The files under the lock of the controller's directory, and their contents at the start.
 
-    `acceptor_state` and `committed_state` are None where the file is missing or cannot be used, for a reason in
-    `errors`.
+    `acceptor_state` and `committed_state` are None if the file is missing or unusable; `errors` has the reason.
     """
 
     def __init__(self, settings: ControlSettings) -> None:
@@ -46,15 +45,16 @@
         self.errors: dict[DurableFile[Any], FileUnavailableError] = {}
 
     def load(self) -> str:
-        """Takes the lock and reads the files. Returns why that is not possible yet; empty once it is done.
+        """Take the lock and read the files. Return the reason why that must be retried, or an empty string if done.
 
-        It is not possible while another process has the lock or the disk cannot be read. A file that is missing or
-        damaged is no reason to wait.
+        A retry is needed while another process has the lock or the disk cannot be read, but not for a file that is
+        missing or damaged.
         """
         failure = self.acceptor.lock_failure()
         if failure:
             return failure
-        self.committed.lock_descriptor = self.acceptor.lock_descriptor  # this process has it
+        # One lock covers the directory, and this process holds it.
+        self.committed.lock_descriptor = self.acceptor.lock_descriptor
         try:
             self.acceptor_state = self._read(self.acceptor)
             self.committed_state = self._read(self.committed)
--- a/yarrowspindle/daemon/main.py
+++ b/yarrowspindle/daemon/main.py
@@ -1,4 +1,4 @@
-"""The process of a relay, or of a controller: start, serve, shut down."""
+"""The entry point of a relay or controller process: start, serve, shut down."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 from yarrowspindle.runtime import SystemClock
 from yarrowspindle.telemetry.log import configure_log
 
-if TYPE_CHECKING:  # the platform does without these packages
+if TYPE_CHECKING:  # optional features, whose dependencies may not be installed
     from yarrowspindle.daemon.maintenance_endpoint import MaintenanceEndpoint
     from yarrowspindle.daemon.membership_endpoint import MembershipEndpoint
     from yarrowspindle.daemon.relay_configuration import RelayEndpoint
@@ -33,28 +33,28 @@
 
 EXIT_CONFIG_ERROR = 2
 HANDLED_SIGNALS = (signal.SIGHUP, signal.SIGTERM, signal.SIGINT)
-MAX_START_S = 9.0  # a relay has to be ready within 10 s of its start
+MAX_START_S = 9.0  # a relay must be ready within 10 s of its start
 START_RETRY_S = 0.05
-# Errors of the system that may pass: an address that the process before still holds, or a shortage.
+# Errors that may be temporary: an address that the previous process still holds, or a shortage of system resources.
 TRANSIENT_ERRORS = frozenset(
     (errno.EADDRINUSE, errno.EADDRNOTAVAIL, errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EINTR)
 )
-# For the ends of connections, once all were migrated or answered. The rest of the reserve is for a hold, and for the
-# interpreter's own end.
+# For closing connections after all requests were answered and all connections migrated. The rest of
+# `relay_service.CLOSE_RESERVE_MS` is for a stall of the process and for the interpreter's exit.
 CONNECTION_CLOSE_S = 0.15
-# Garbage collection would only make requests late: what stands at the start is frozen, the rest is collected seldom.
+# Garbage collection delays requests: objects that exist after the start are frozen, the others are collected rarely.
 GC_THRESHOLDS = (20_000, 50, 100)
 
 
 async def start_with_retries(resource: str, start: Callable[[], Awaitable[T]]) -> T:
-    """Starts what needs a socket, and tries again while the system is short of one.
+    """Start a part that needs a socket, and retry while the error is transient.
 
     Args:
-        resource: what is started, for the log.
-        start: starts it.
+        resource: the name of the socket or address for the log.
+        start: opens the socket; called until it returns.
 
     Raises:
-        OSError: of another kind than `TRANSIENT_ERRORS`, or still raised after MAX_START_S.
+        OSError: the error is not in `TRANSIENT_ERRORS`, or it persists after MAX_START_S.
     """
     deadline = time.monotonic() + MAX_START_S
     last_error = ""
@@ -66,12 +66,12 @@
                 raise
             if str(error) != last_error:
                 last_error = str(error)
-                logger.warning("{} cannot be had yet: {}", resource, last_error)
+                logger.warning("{} is not available yet, retrying: {}", resource, last_error)
         await asyncio.sleep(START_RETRY_S)
 
 
 class RelayProcess:
-    """The parts of a running relay, started and closed in their order."""
+    """The parts of a relay process, started and closed in order of their dependencies."""
 
     def __init__(self, config: Config, operator: OperatorConfig) -> None:
         self.config = config
@@ -86,7 +86,7 @@
         self.reports: list[asyncio.Task[None]] = []
 
     async def run(self) -> None:
-        """Serves until SIGTERM or SIGINT, then shuts down."""
+        """Serve until SIGTERM or SIGINT, then shut down."""
         self._handle_signals()
         self.service.start()
         self._start_configuration()
@@ -101,7 +101,7 @@
         await self._shut_down()
 
     def _handle_signals(self) -> None:
-        """Before the first connection is accepted, so that none is lost to a signal."""
+        """Install the signal handlers before the first connection is accepted, so that no signal drops a connection."""
         loop = asyncio.get_running_loop()
         loop.add_signal_handler(signal.SIGHUP, self.service.reload)
         for signal_number in (signal.SIGTERM, signal.SIGINT):
@@ -130,7 +130,7 @@
             await QuicFront(self.service, self.operator.quic).start()
 
     def _front_descriptors(self) -> int:
-        """Returns how many descriptors the line front may use: what the other parts do not need."""
+        """Return the number of file descriptors for the line front: those that the other parts do not need."""
         descriptors = descriptors_left(self.config.max_descriptors)
         if self.operator.quic is not None:
             descriptors -= self.operator.quic.max_connections
@@ -139,17 +139,17 @@
         if self.config.operator is not None:
             from yarrowspindle.operator_api import MAX_CALLS
 
-            descriptors -= MAX_CALLS + 2  # one more while the oldest is closed, and the listening socket
+            descriptors -= MAX_CALLS + 2  # plus the connection that replaces the oldest one, and the listening socket
         return descriptors
 
     async def _start_operator_api(self, host: str, port: int) -> None:
         from yarrowspindle.daemon.operator_routes import routes
         from yarrowspindle.operator_api import OperatorApi
 
-        api = OperatorApi(routes(self.service), lambda text: logger.error("an operator's call failed: {}", text))
+        api = OperatorApi(routes(self.service), lambda text: logger.error("operators' API: a call failed: {}", text))
         await start_with_retries("the operators' address", partial(api.start, host, port))
         self.api = api
-        logger.info("the operators' API is at {}:{}", host, port)
+        logger.info("the operators' API listens at {}:{}", host, port)
 
     async def _start_membership(self) -> None:
         if self.operator.peers is None:
@@ -171,7 +171,7 @@
             self.reports.append(asyncio.get_running_loop().create_task(reporting))
 
     async def _shut_down(self) -> None:
-        """Migrates or answers everybody, then closes the parts, those that others rest on last."""
+        """Migrate connections and answer requests, then close the parts, each after those that depend on it."""
         service = self.service
         logger.info("shutting down: {} requests and connections are open", len(service.reducer.requests))
         loop = asyncio.get_running_loop()
@@ -191,15 +191,15 @@
 
 
 async def serve(config: Config, operator: OperatorConfig) -> None:
-    """Runs one relay until it has shut down."""
+    """Run one relay until it has shut down."""
     await RelayProcess(config, operator).run()
 
 
 def run_until_shutdown(serving: Coroutine[None, None, None]) -> None:
-    """Runs a process's event loop, and ignores the signals that were handled there from then on.
+    """Run the event loop of a process, and ignore the handled signals afterwards.
 
-    The interpreter, as it ends, restores the default action of signals that Python handles: one that comes so late
-    would end the process, whose exit status would be lost. A signal that is ignored stays so.
+    On exit the interpreter restores the default action of each signal that has a Python handler: a signal at that
+    point would kill the process, which would lose its exit status. An ignored signal stays ignored.
     """
     try:
         uvloop.run(serving)
@@ -209,8 +209,9 @@
 
 
 def main() -> int:
-    """Runs a relay, or the controller that the operator's file names. Returns the process's exit status."""
-    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # until it can be handled; the file is about to be read anyway
+    """Run a relay, or a controller if the operator's file says so. Return the exit status of the process."""
+    # Until its handler is installed; the configuration is about to be read anyway.
+    signal.signal(signal.SIGHUP, signal.SIG_IGN)
     configure_log("INFO")
     try:
         operator = load_operator_config()
--- a/yarrowspindle/daemon/maintenance_commands.py
+++ b/yarrowspindle/daemon/maintenance_commands.py
@@ -1,4 +1,4 @@
-"""The operators' calls to maintenance: each is checked against the state, and becomes a command of the coordinator."""
+"""The operators' maintenance API: checks each call against the state and passes it to the coordinator as a command."""
 
 from __future__ import annotations
 
@@ -29,22 +29,22 @@
 from yarrowspindle.operator_api.http import Answer, BodyRoutes
 
 MAX_REASON_LENGTH = 200
-MAX_NAMED_BACKENDS = 8  # in an error
-NEVER_QUEUED = -1  # in place of a known version: queue the request only if it never was
+MAX_NAMED_BACKENDS = 8  # in an error message
+NEVER_QUEUED = -1  # instead of a known version: queue the request only if it was never queued before
 
-Parameters = dict[str, Any]  # the JSON object of a call
+Parameters = dict[str, Any]  # the JSON object in the body of a call
 
 
 def json_body(value: object) -> str:
-    """Return the body of an answer."""
+    """Return the body of a response."""
     return msgspec.json.encode(value).decode() + "\n"
 
 
 class MaintenanceCommands:
-    """Turns calls into commands of the coordinator.
+    """The calls of the API, which become commands of the coordinator.
 
-    `post` hands a command to the coordinator. `recreate_voter_file` returns the identity of a new file, or an empty
-    string where it cannot be written.
+    `post` passes a command to the coordinator. `members` returns the names of the relays in the cluster.
+    `recreate_voter_file` returns the identity of a new file, or an empty string if it cannot be written.
     """
 
     def __init__(
@@ -88,9 +88,9 @@
         return answer
 
     def queue_request(self, settings: RequestSettings, known_version: float) -> str:
-        """Queue a request for the backends that the settings select. Return its id.
+        """Queue a request for the backends that the settings select, and return its id.
 
-        `known_version` is that of `QueueRequest`. Raises MaintenanceError where a zone, kind or backend is unknown.
+        `known_version` is that of `QueueRequest`. Raises MaintenanceError if a zone, kind or backend is unknown.
         """
         listed = {
             name: backend.endpoint
@@ -127,7 +127,7 @@
         return number
 
     def _evacuation(self, parameters: Parameters, stages: tuple[str, ...]) -> tuple[str, int]:
-        """Return the backend that is named, and its evacuation's number. Raises MaintenanceError in other stages."""
+        """Return the named backend and its evacuation's number. Raises MaintenanceError unless its stage is listed."""
         backend = _required_text(parameters, "machine")
         evacuation = self.coordinator.state.evacuations.get(backend)
         if evacuation is None:
@@ -150,7 +150,9 @@
             if id_or_name in (request_id, status.request.name) and status.state == QUEUED
         ]
         if len(matching_ids) != 1:
-            raise MaintenanceError(f"{len(matching_ids) or 'no'} open requests are called {id_or_name}")
+            raise MaintenanceError(
+                f"{len(matching_ids) or 'no'} open requests have the id or name {id_or_name}; expected exactly one"
+            )
         request_id = matching_ids[0]
         self.post(CancelRequest(request_id, requests[request_id].changed_at_version))
         return request_id
@@ -162,7 +164,7 @@
         if incarnation is None:
             raise MaintenanceError(f"{name} is not registered; registered are {', '.join(sorted(relays))}")
         if name in self.members() and not parameters.get("force"):
-            raise MaintenanceError(f"{name} is there and answers; one that has ended is wanted")
+            raise MaintenanceError(f"{name} is a member of the cluster and answers; expected a relay that has ended")
         self.post(RemoveRelay(name, incarnation))
         return incarnation
 
@@ -181,12 +183,12 @@
         """Make this relay a voter."""
         name = self.coordinator.name
         if self.coordinator.state.version == 0:
-            raise MaintenanceError("this relay has not heard from the voters yet")
+            raise MaintenanceError("this relay has not received the state from the voters yet; retry later")
         if name in self.coordinator.state.voters:
             raise MaintenanceError(f"{name} is a voter already")
         identity = self.coordinator.identity or self.recreate_voter_file()
         if not identity:
-            raise MaintenanceError("its file cannot be made; the log says why")
+            raise MaintenanceError("the voter's file cannot be created; see the log of this relay")
         self.post(AddVoter(name, identity))
         return name
 
@@ -200,9 +202,9 @@
 
 
 def _select(numbers: Mapping[str, int], wanted_name: str, known: Sequence[str]) -> tuple[str, ...]:
-    """Return the backends whose number stands for the wanted name. Raises MaintenanceError where there is none."""
+    """Return the backends whose zone or kind has this name. Raises MaintenanceError if there are none."""
     if wanted_name not in known:
-        raise MaintenanceError(f"{wanted_name!r} is none of {', '.join(known)}")
+        raise MaintenanceError(f"{wanted_name!r} is unknown; expected one of {', '.join(known)}")
     wanted_number = known.index(wanted_name)
     backends = tuple(sorted(name for name, number in numbers.items() if number == wanted_number))
     if not backends:
--- a/yarrowspindle/daemon/maintenance_endpoint.py
+++ b/yarrowspindle/daemon/maintenance_endpoint.py
@@ -1,6 +1,6 @@
-"""Maintenance on real sockets and files: carries out the coordinator's effects and reports what the relay observes.
+"""Maintenance on sockets and files: carries out the coordinator's effects and reports the relay's observations to it.
 
-The acceptor runs on a thread of its own, since it waits for the disk. Off without `[turns]` in the operator's file.
+The acceptor runs on a thread, since it waits for the disk. Loaded only if the operator's file has a section `[turns]`.
 """
 
 from __future__ import annotations
@@ -50,20 +50,23 @@
 from yarrowspindle.storage.durable_file import FileUnavailableError
 from yarrowspindle.telemetry.log import RateLimitedLog
 
-FILE_RETRY_S = 0.2  # of the lock, and of a file that cannot be read
+FILE_RETRY_S = 0.2  # interval of attempts to take the lock, and to read a file after an error
 OBSERVATION_INTERVAL_S = 0.5
 OBSERVATION_INTERVAL_EMPTYING_S = 0.15  # while some backend is emptying
 FRAGMENT_INTERVAL_S = 0.05
-SHUTDOWN_TIMEOUT_S = 0.6  # for the removal of this relay from the state
+SHUTDOWN_TIMEOUT_S = 0.6  # limit of the wait until this relay is removed from the state
 SHUTDOWN_POLL_S = 0.02
 FAILED_TIMER_RETRY_MS = 1000.0
-DEFAULT_DEADLINE_S = 120.0  # of a backend whose request is no longer known
-MAX_PENDING_ACCEPTOR_REQUESTS = 256  # that wait for the disk; more are lost, as any message may be
+DEFAULT_DEADLINE_S = 120.0  # for a backend whose request is no longer in the state
+MAX_PENDING_ACCEPTOR_REQUESTS = 256  # limit of those that wait for the disk; further ones are dropped
 MAX_BODY_BYTES = 64 * 1024
 
 
 class MaintenanceEndpoint:
-    """Runs this relay's coordinator. Requests never wait for it, but none is placed before the relay is registered."""
+    """The coordinator of this relay and its I/O.
+
+    Requests never wait for it, but they are rejected until the relay is registered.
+    """
 
     def __init__(self, service: RelayService, membership: MembershipEndpoint, settings: MaintenanceSettings) -> None:
         self.service = service
@@ -84,7 +87,7 @@
         self.health = FleetHealth(service.config.settings.warmup_ms, settings.pressure)
         self.assessment = FleetAssessment({}, "")
         self.assessed_at = 0.0
-        self.adopted_at: dict[int, float] = {}  # when each evacuation was adopted, by number
+        self.adopted_at: dict[int, float] = {}  # time in ms when each evacuation was adopted, by number
         self.plan = MaintenancePlan(rate=settings.moves_per_s)
         self.requests = settings.requests
         self.counts: Counter[str] = Counter()
@@ -98,27 +101,27 @@
         membership.driver.on_payload = self._on_datagram
 
     async def start(self) -> None:
-        """Start the coordinator and, where it is configured, the operators' API."""
+        """Start the coordinator and, if an address is configured, the operators' API."""
         self.tasks = [self.loop.create_task(self._run()), self.loop.create_task(self._request_fragments())]
         address = self.settings.command
         if address is None:
             return
         self.api = OperatorApi(
             {"/turns": {"GET": lambda: (200, json_body(self.status()))}},
-            lambda text: logger.error("turns: a call failed: {}", text),
+            lambda text: logger.error("turns: an operators' call failed: {}", text),
             self.commands.routes(),
             MAX_BODY_BYTES,
         )
         try:
             await self.api.start(*address)
-            logger.info("turns: commands are taken at {}:{}", *address)
+            logger.info("turns: commands are accepted at {}:{}", *address)
         except OSError as error:
-            logger.error("turns: no commands can be taken at {}:{}: {}", *address, error)
+            logger.error("turns: no commands can be accepted at {}:{}: {}", *address, error)
 
     async def close(self) -> None:
         """Stop. A relay without connections removes itself from the state first.
 
-        One that still has some stays registered, until the next process of its name or an operator declares it ended.
+        A relay with connections stays registered until the next process of its name or an operator declares it ended.
         """
         has_connections = any(connected() for connected in self.service.connected_backends)
         if self.core.registered and not has_connections:
@@ -148,11 +151,11 @@
             await asyncio.sleep(OBSERVATION_INTERVAL_EMPTYING_S if emptying else OBSERVATION_INTERVAL_S)
 
     async def _wait_for_lock(self) -> None:
-        """Wait until the former process of this relay has ended: nothing is placed before that."""
+        """Wait until the previous process of this relay has ended; until then, requests are rejected."""
         last_failure = ""
         while failure := self.file.lock_failure():
             if failure != last_failure:
-                logger.warning("turns: {}: nothing is placed", failure)
+                logger.warning("turns: {}; requests are rejected until this process has the lock", failure)
             last_failure = failure
             await asyncio.sleep(FILE_RETRY_S)
 
@@ -162,8 +165,8 @@
         except FileUnavailableError as error:
             if self.name in self.settings.voters:
                 logger.warning(
-                    "turns: no voter's file in {}: {}; this relay has no voice until the others have taken "
-                    "it in (`turns init` makes the first files of all, and is never used after a loss)",
+                    "turns: no voter's file in {}: {}; this relay does not vote until the others have added it again "
+                    "(`turns init` creates the files before the first start only; do not use it after a loss)",
                     self.settings.directory,
                     error,
                 )
@@ -172,7 +175,7 @@
         self.core.proposer.membership_hint = max(self.initial, stored.state, key=lambda state: state.epoch)
 
     async def _load_voter_file(self) -> AcceptorState[MaintenanceState]:
-        """Return the content of the file, and retry while it cannot be read. Raises FileUnavailableError."""
+        """Return the content of the file, with retries while it cannot be read. Raises FileUnavailableError."""
         last_failure = ""
         while True:
             try:
@@ -180,7 +183,10 @@
             except OSError as error:
                 failure = str(error)
                 if failure != last_failure:
-                    logger.warning("turns: the voter's file cannot be read just now: {}: nothing is placed", failure)
+                    logger.warning(
+                        "turns: the voter's file cannot be read, retrying: {}; requests are rejected until then",
+                        failure,
+                    )
                 last_failure = failure
             await asyncio.sleep(FILE_RETRY_S)
 
@@ -196,11 +202,11 @@
         )
 
     def _recreate_voter_file(self) -> str:
-        """Return the identity of a new file, or an empty string where it cannot be written."""
+        """Create a voter's file. Return its identity, or an empty string if it cannot be written."""
         try:
             stored = self.file.recreate(self.initial)
         except OSError as error:
-            self.rate_limited_log.warn(f"turns: no file can be made in {self.settings.directory}: {error}")
+            self.rate_limited_log.warn(f"turns: cannot create a voter's file in {self.settings.directory}: {error}")
             return ""
         self._start_acceptor(stored)
         return stored.identity
@@ -220,7 +226,7 @@
             effects = self.core.step(self._now(), event)
         except Exception:  # requests are still served, and the adopted state stays in force
             self.counts["failures"] += 1
-            logger.exception("turns: the core failed at {}", type(event).__name__)
+            logger.exception("turns: internal error while processing {}", type(event).__name__)
             effects = self.core.take_effects()
             if isinstance(event, TimerFired):
                 effects.append(SetTimer(FAILED_TIMER_RETRY_MS, event.timer))
@@ -257,7 +263,7 @@
             message = codec.decode(complete)
         except InvalidMessageError as error:
             self.counts["dropped"] += 1
-            self.rate_limited_log.warn(f"turns: a message of {source} is dropped: {error}")
+            self.rate_limited_log.warn(f"turns: dropped an invalid message from {source}: {error}")
             return
         self._post(MessageReceived(source, message))
 
@@ -287,7 +293,7 @@
             self._send(source, response.result())
             return
         self.counts["unwritten"] += 1
-        self.rate_limited_log.warn(f"turns: the voter's file cannot be written, so nothing is voted: {error}")
+        self.rate_limited_log.warn(f"turns: the voter's file cannot be written, so this relay does not vote: {error}")
 
     def _on_committed(self, state: MaintenanceState) -> None:
         now = self._now()
@@ -338,12 +344,12 @@
         received = _sum_with_prefix(counts, ("taken.",))
         rejected = _sum_with_prefix(counts, ("busy.", "failure."))
         if not self.core.registered:
-            # Requests that are rejected since nothing is placed yet do not show pressure.
+            # Requests that are rejected because this relay is not registered yet do not indicate overload.
             self.health.counts.clear()
         self.assessment = self.health.assess(now, self._samples(), self.core.adopted, received, rejected)
 
     def _samples(self) -> list[BackendSample]:
-        """Return the backends by the endpoint list alone, without regard to the agreed state."""
+        """Return the backends according to the endpoint list, without regard to the committed state."""
         reducer = self.service.reducer
         ejected = reducer.balancer.ejected(reducer.now)
         peer_connections = reducer.balancer.peer_loads.loads
@@ -376,14 +382,14 @@
     # Operators
 
     def status(self) -> dict[str, Any]:
-        """Return what operators are shown, as a JSON object."""
+        """Return the status for operators as a JSON object."""
         return status_report.report(self.core, self._now(), self.adopted_at, set(self._members()))
 
     def _gauges(self) -> dict[str, float]:
         return {f"turns.{name}": value for name, value in status_report.gauges(self.core, self._now()).items()}
 
     def _on_reloaded(self, operator: OperatorConfig) -> None:
-        """Queue the requests that are new in the operator's file, each name once."""
+        """Queue the requests that are new in the operator's file; a name that was queued before is skipped."""
         if operator.turns is None:
             return
         previous, self.requests = self.requests, operator.turns.requests
@@ -392,9 +398,9 @@
                 continue
             try:
                 request_id = self.commands.queue_request(request, NEVER_QUEUED)
-                logger.info("turns: request {} is asked for by the operator's file", request_id)
+                logger.info("turns: queued request {} of the operator's file", request_id)
             except MaintenanceError as error:
-                logger.error("turns: a request of the operator's file cannot be asked for: {}", error)
+                logger.error("turns: cannot queue a request of the operator's file: {}", error)
 
 
 def _sum_with_prefix(counts: Mapping[str, int], prefixes: tuple[str, ...]) -> int:
--- a/yarrowspindle/daemon/membership_endpoint.py
+++ b/yarrowspindle/daemon/membership_endpoint.py
@@ -1,6 +1,6 @@
 """Membership on a UDP socket: the driver on the event loop, the peers' load for the reducer, metrics.
 
-It is not used without the table `[peers]` in the configuration file.
+Loaded only if the operator's file has a section `[peers]`.
 """
 
 from __future__ import annotations
@@ -25,17 +25,17 @@
 from yarrowspindle.transport.datagrams import UdpListener
 from yarrowspindle.transport.inactivity_timer import sleep_then_wait_for_reads
 
-FLUSH_S = 0.02  # for the last datagrams, before the socket is closed
+FLUSH_S = 0.02  # time for sending the last datagrams before the socket is closed
 
 
 class MembershipEndpoint:
-    """One relay's membership. Requests never wait for it, and it never waits for them."""
+    """The membership of one relay. Requests never wait for it, and it never waits for requests."""
 
     def __init__(self, service: RelayService, settings: PeerSettings) -> None:
         self.core = Membership(
             settings,
             settings.name or service.config.name,
-            # Where the wall clock went back, the incarnation that peers remember corrects this one.
+            # If the wall clock went back, the newer incarnation that peers remember replaces this one.
             int(time.time() * 1000.0),
             int.from_bytes(os.urandom(8), "big"),
             asyncio.get_running_loop().time() * 1000.0,
@@ -61,11 +61,11 @@
         service.metrics.gauge_sources.append(self.gauges)
 
     def start(self) -> None:
-        """Starts to open the socket, and then the driver."""
+        """Start a task that opens the socket and then starts the driver."""
         self._opening = self._loop.create_task(self._open())
 
     async def close(self) -> None:
-        """Leaves the cluster and closes the socket."""
+        """Leave the cluster and close the socket."""
         if self._opening is not None:
             self._opening.cancel()
         self.driver.post(LeaveCluster())
@@ -89,7 +89,7 @@
 
     def _on_address_unavailable(self, error: Exception) -> None:
         logger.warning(
-            "peers: cannot listen at {}:{} yet, requests are placed by this relay's own load until then: {}",
+            "peers: cannot listen at {}:{} yet, retrying; requests are placed by this relay's own load until then: {}",
             *self.settings.listen,
             error,
         )
@@ -124,9 +124,9 @@
         self._service.post(PeerLoadsUpdated(peer_loads))
 
     def _on_failure(self, event: Event) -> None:
-        """Logs a fault of the core; it must not end the process, as requests are served without peers."""
+        """Log an internal error; it must not end the process, since requests are served without peers as well."""
         self.core.counts["failures"] += 1
-        logger.exception("peers: the core failed at {}", type(event).__name__)
+        logger.exception("peers: internal error while processing {}", type(event).__name__)
 
     def _log(self, text: str, rate_limited: bool) -> None:
         if rate_limited:
@@ -137,11 +137,11 @@
     # --- metrics --------------------------------------------------------------------------------
 
     def counts(self) -> Counter[str]:
-        """Returns the counters by their published names."""
+        """Return the counters by their published names."""
         return self.core.counts + self.core.signals.counts
 
     def gauges(self) -> dict[str, float]:
-        """Returns the current values by their published names; an unknown age is left out."""
+        """Return the gauges by their published names; an unknown age is left out."""
         gauges = {f"peers.{name}": value for name, value in self.core.gauges().items()}
         if gauges["peers.oldest_signal_ms"] == inf:
             del gauges["peers.oldest_signal_ms"]
--- a/yarrowspindle/daemon/metrics.py
+++ b/yarrowspindle/daemon/metrics.py
@@ -1,4 +1,4 @@
-"""Counters and gauges of the relay, from the events that the reducer receives and the effects that it asks for."""
+"""Counters and gauges of the relay, from the events that the reducer receives and the effects that it returns."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 from yarrowspindle.routing.reducer import Reducer
 from yarrowspindle.telemetry.published_names import EFFECTS, EVENTS, PHASES, TERMINATION_REASONS, reason_name
 
-if TYPE_CHECKING:  # the platform does without this package
+if TYPE_CHECKING:  # an optional feature, imported only if enabled
     from yarrowspindle.rebalancing import Rebalancer
 
-# The published prefix of the reasons that an effect carries.
+# Type of effect -> the published prefix of the reason that it carries.
 REASON_PREFIXES: Mapping[type, str] = {
     RejectRequest: "refusal",
     FailRequest: "refusal",
@@ -27,14 +27,14 @@
 
 
 class MetricsSource(Protocol):
-    """Whatever has counters and gauges to report."""
+    """A source of counters and gauges for the reports."""
 
     def counters(self) -> Mapping[str, float]:
-        """Returns the counts since the start, by their published names."""
+        """Return the counts since the start by their published names."""
         ...
 
     def gauges(self) -> dict[str, float]:
-        """Returns the values as of now, by their published names."""
+        """Return the current values by their published names."""
         ...
 
 
@@ -42,8 +42,8 @@
     """The counters and gauges of one relay.
 
     Attributes:
-        counter_sources: counters that other parts keep, by the prefix under which they are published.
-        gauge_sources: functions that return gauges of other parts, by their published names.
+        counter_sources: the counters of other parts, by the prefix of their published names.
+        gauge_sources: functions that return the gauges of other parts by their published names.
     """
 
     def __init__(self, reducer: Reducer) -> None:
@@ -53,14 +53,14 @@
         self.gauge_sources: list[GaugeSource] = []
 
     def set_rebalancer(self, rebalancer: Rebalancer | None) -> None:
-        """Publishes the rebalancer's counters, or no longer where it is off."""
+        """Publish the counters of this rebalancer; None stops publishing them."""
         if rebalancer is None:
             self.counter_sources.pop("rebalance", None)
         else:
             self.counter_sources["rebalance"] = rebalancer.counts
 
     def on_event(self, event: Event) -> None:
-        """Counts an event that the reducer is about to receive."""
+        """Count an event that the reducer is about to receive."""
         name = EVENTS.get(type(event))
         if name is not None:
             self.counts[f"event.{name}"] += 1
@@ -68,7 +68,7 @@
             self.counts[f"ending.{TERMINATION_REASONS[event.reason]}"] += 1
 
     def on_effect(self, effect: Effect) -> None:
-        """Counts an effect on a request, and the reason that it carries."""
+        """Count an effect on a request, and the reason that it carries."""
         name = EFFECTS.get(type(effect))
         if name is not None:
             self.counts[f"effect.{name}"] += 1
@@ -76,7 +76,7 @@
             self.counts[f"{REASON_PREFIXES[type(effect)]}.{reason_name(effect.reason)}"] += 1
 
     def counters(self) -> dict[str, float]:
-        """Returns all counters by their published names."""
+        """Return all counters by their published names."""
         counters = {name: float(value) for name, value in self.counts.items()}
         for prefix, source in self.counter_sources.items():
             counts = source if isinstance(source, Counter) else source()
@@ -84,7 +84,7 @@
         return counters
 
     def gauges(self) -> dict[str, float]:
-        """Returns all gauges by their published names."""
+        """Return all gauges by their published names."""
         phases = Counter(request.phase for request in self.reducer.requests.values())
         values = {f"jobs.{name}": float(phases[phase]) for phase, name in PHASES.items()}
         if self.reducer.rebalancer is not None:
--- a/yarrowspindle/daemon/metrics_reporter.py
+++ b/yarrowspindle/daemon/metrics_reporter.py
@@ -1,4 +1,4 @@
-"""Reports of metrics to Graphite and collectd, where the operator's file names them."""
+"""Reports of metrics to Graphite and collectd, if the operator's file has their addresses."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 
 
 async def report_periodically(metrics: MetricsSource, config: MetricsConfig, name: str) -> None:
-    """Sends a report at each interval until it is cancelled. One that fails is logged, once for each cause.
+    """Send a report at each interval until cancelled. Repeated failures with the same cause are logged once.
 
     Args:
-        metrics: what is reported.
-        config: where to, and how often.
-        name: of this relay or controller, as it appears in the reports.
+        metrics: the source of the reported values.
+        config: the receivers and the interval.
+        name: the name of this relay or controller in the reports.
     """
     reporter = Reporter(metrics, config, name)
     last_failure = ""
@@ -29,14 +29,14 @@
         try:
             await reporter.report()
             last_failure = ""
-        except Exception as error:  # of whatever kind: a lost report must not end the relay
+        except Exception as error:  # of any kind: a failed report must not end the process
             if repr(error) != last_failure:
                 last_failure = repr(error)
-                logger.warning("a report was not sent: {}", last_failure)
+                logger.warning("metrics: a report was not sent: {}", last_failure)
 
 
 class Reporter:
-    """Sends reports to the receivers that the operator's file names."""
+    """Sender of reports to the receivers that the operator's file names."""
 
     def __init__(self, metrics: MetricsSource, config: MetricsConfig, name: str) -> None:
         self.metrics = metrics
@@ -46,7 +46,7 @@
         self.datagrams: UdpMetricsSender | None = None
 
     async def report(self) -> None:
-        """Sends one report. Raises what a source of metrics or the system raises."""
+        """Send one report. Errors of the metrics' sources and of the sockets propagate."""
         config = self.config
         now_s = time.time()
         counters = dict(self.metrics.counters())
@@ -62,7 +62,7 @@
 
 
 async def open_datagrams(address: Address) -> UdpMetricsSender:
-    """Opens a UDP socket to this address. Raises OSError where the system has none to give."""
+    """Open a UDP socket to this address. Raises OSError if the system cannot provide one."""
     datagrams = UdpMetricsSender()
     await asyncio.get_running_loop().create_datagram_endpoint(lambda: datagrams, remote_addr=address)
     return datagrams
--- a/yarrowspindle/daemon/operator_config.py
+++ b/yarrowspindle/daemon/operator_config.py
@@ -1,4 +1,4 @@
-"""The operator's TOML file, named by `YARROWSPINDLE_OPERATOR`: all that is off without it."""
+"""The operator's TOML file, which `YARROWSPINDLE_OPERATOR` names: it enables the optional features."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from yarrowspindle.protocol.endpoint_list import ListError, parse_address
 from yarrowspindle.routing.address import Address
 
-if TYPE_CHECKING:  # the platform does without these packages
+if TYPE_CHECKING:  # optional features, whose dependencies may not be installed
     from yarrowspindle.configuration.settings import ControlSettings
     from yarrowspindle.maintenance.settings import MaintenanceSettings
     from yarrowspindle.membership import PeerSettings
@@ -28,17 +28,17 @@
 
 @dataclass(slots=True, frozen=True)
 class QuicConfig:
-    """The section [quic]. Field names are the keys of the file.
+    """The section [quic]. The field names are the keys of the file.
 
     Attributes:
         listen: the UDP address of the front.
         id_key: the key of the connection ids that backends issue, 16 bytes.
         reset_key: the key of the Stateless Reset tokens, at least 16 bytes.
-        node_port: the port of the backends; 0: the one that the endpoint list gives.
-        deadline_ms: how long a client waits for its backend; 0: the deadline of the first request class.
-        answer_ms: an attempt at a backend that has not answered by then is aborted.
-        idle_s: a connection without packets for so long has ended.
-        max_connections: connections at once, each with a socket of its own.
+        node_port: the port of the backends; 0: the port in the endpoint list.
+        deadline_ms: the time within which a client must get a backend; 0: the deadline of the first request class.
+        answer_ms: the time after which an attempt at a backend that has not answered is aborted.
+        idle_s: the time without packets after which a connection has ended.
+        max_connections: the limit on concurrent connections, each of which has a socket of its own.
     """
 
     listen: Address
@@ -53,7 +53,7 @@
 
 @dataclass(slots=True, frozen=True)
 class MetricsConfig:
-    """The section [metrics]: where reports go, under which prefix, and how many seconds apart."""
+    """The section [metrics]: the receivers of reports, the prefix of their names and the interval in seconds."""
 
     graphite: Address | None = None
     collectd: Address | None = None
@@ -63,7 +63,7 @@
 
 @dataclass(slots=True, frozen=True)
 class OperatorConfig:
-    """What the operator's file switches on. Field names are those of its sections, but for the log's level."""
+    """The features that the operator's file enables. Each field but `log_level` has the name of its section."""
 
     log_level: str = "INFO"
     quic: QuicConfig | None = None
@@ -75,7 +75,7 @@
 
 
 def read_operator_config(text: str) -> OperatorConfig:
-    """Reads the text of the file. Raises ConfigError that names the section or key that is invalid."""
+    """Read the text of the file. Raises ConfigError, whose message names the invalid section or key."""
     try:
         data = tomllib.loads(text)
         _check_sections(data)
@@ -89,12 +89,12 @@
             _read_control(data["control"]) if "control" in data else None,
         )
     except (KeyError, TypeError, ValueError, AttributeError, ListError) as error:
-        reason = str(error) if isinstance(error, ValueError) else repr(error)  # a KeyError's text is only the key
+        reason = str(error) if isinstance(error, ValueError) else repr(error)  # the text of a KeyError is only the key
         raise ConfigError(f"the operator's file is invalid: {reason}") from error
 
 
 def load_operator_config(environ: Mapping[str, str] = os.environ) -> OperatorConfig:
-    """Reads the file that the environment names; without one all is off. Raises ConfigError."""
+    """Read the file that the environment names; without one, all features are off. Raises ConfigError."""
     path = environ.get(FILE_VARIABLE)
     if not path:
         return OperatorConfig()
@@ -107,18 +107,20 @@
 def _check_sections(data: Mapping[str, Any]) -> None:
     unknown = data.keys() - SECTIONS
     if unknown:
-        raise ValueError(f"unknown sections: {sorted(unknown)}")
+        raise ValueError(
+            f"unknown sections {', '.join(sorted(unknown))}; expected sections among {', '.join(sorted(SECTIONS))}"
+        )
     for name, section in data.items():
         if not isinstance(section, dict):
-            raise ValueError(f"{name} is a section")
+            raise ValueError(f"{name} is {section!r}; expected a section, [{name}]")
     if "turns" in data and "peers" not in data:
-        raise ValueError("[turns] needs [peers]: without membership relays cannot reach a quorum")
+        raise ValueError("[turns] needs [peers]: without membership, relays cannot reach a quorum")
 
 
 def _read_log_level(section: Mapping[str, Any]) -> str:
     level = str(section.get("level", "INFO"))
     if level not in LOG_LEVELS:
-        raise ValueError(f"log.level is one of {', '.join(LOG_LEVELS)}")
+        raise ValueError(f"log.level is {level!r}; expected one of {', '.join(LOG_LEVELS)}")
     return level
 
 
@@ -129,7 +131,11 @@
     quic = QuicConfig(listen, id_key, reset_key, **section)
     key_lengths_valid = len(id_key) == ID_KEY_BYTES and len(reset_key) >= MIN_RESET_KEY_BYTES
     if not key_lengths_valid or quic.max_connections < 1 or quic.idle_s <= 0.0:
-        raise ValueError("id_key has 16 bytes, reset_key at least 16; max_connections and idle_s are positive")
+        raise ValueError(
+            f"quic.id_key has {len(id_key)} bytes, quic.reset_key has {len(reset_key)} bytes, quic.max_connections is "
+            f"{quic.max_connections}, quic.idle_s is {quic.idle_s}; expected 16 bytes, at least 16 bytes, at least 1, "
+            "and a number above 0"
+        )
     return quic
 
 
@@ -139,7 +145,7 @@
             section[name] = parse_address(section[name])
     metrics = MetricsConfig(**section)
     if metrics.interval_s <= 0.0:
-        raise ValueError("interval_s is positive")
+        raise ValueError(f"metrics.interval_s is {metrics.interval_s}; expected a number above 0")
     return metrics
 
 
--- a/yarrowspindle/daemon/operator_routes.py
+++ b/yarrowspindle/daemon/operator_routes.py
@@ -1,4 +1,4 @@
-"""The routes of the operators' API: what each call does to the relay. Paths and texts are the operators'."""
+"""The routes of the operators' API of a relay. Paths and response texts are published names."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def routes(service: RelayService) -> Routes:
-    """Returns path -> method -> call."""
+    """Return the functions of the API by path and method."""
 
     def ready() -> tuple[int, str]:
         if service.ready():
--- a/yarrowspindle/daemon/relay_configuration.py
+++ b/yarrowspindle/daemon/relay_configuration.py
@@ -1,4 +1,4 @@
-"""A relay's side of the configuration: passes committed settings to the service and stores them for the next start."""
+"""A relay's side of the shared configuration: applies committed settings and stores them for the next start."""
 
 from __future__ import annotations
 
@@ -20,13 +20,13 @@
 from yarrowspindle.daemon.shared_settings import MAX_REASON_CHARACTERS, check_shared_settings
 from yarrowspindle.storage.durable_file import DurableFile, FileUnavailableError
 
-APPLIED_SETTINGS_NAME = "taken"  # name of the file
-MAX_READ_ATTEMPTS = 20  # of that file at the start, before any request is served
+APPLIED_SETTINGS_NAME = "taken"  # published name of the file
+MAX_READ_ATTEMPTS = 20  # attempts to read that file at the start, before any request is served
 READ_RETRY_S = 0.05
 
 
 class RelayEndpoint(ConfigurationEndpoint):
-    """An agent whose settings the relay's service applies."""
+    """The endpoint of a relay's agent, whose settings the relay's service applies."""
 
     core: Agent
 
@@ -48,17 +48,17 @@
         service.metrics.gauge_sources.append(self.gauges)
 
     def start(self) -> None:
-        """Applies the stored settings, so that the first request is served by them, and starts to listen."""
+        """Apply the stored settings, so that they are in force for the first request, and start to listen."""
         self.carry_out(self.core.take_effects())
         self.open()
 
     async def close(self) -> None:
-        """Detaches from the controller, and stores what is pending."""
+        """Detach from the controller, and store the pending version."""
         self.carry_out(self.core.detach())
         await super().close()
 
     def carry_out(self, effects: Sequence[Effect]) -> None:
-        """Carries out effects; where the service rejects settings, what depends on them is left out."""
+        """Carry out effects; if the service rejects settings, skip the effects that assume that they were applied."""
         for apply in [effect for effect in effects if isinstance(effect, ApplySettings)]:
             reason = self._apply(apply)
             if reason:
@@ -67,7 +67,7 @@
         super().carry_out(effects)
 
     def gauges(self) -> dict[str, float]:
-        """The gauges by their published names."""
+        """Return the gauges by their published names."""
         core = self.core
         return {
             "control.version": float(core.applied_version),
@@ -81,7 +81,7 @@
             self.store.put(effect)
 
     def _apply(self, apply: ApplySettings) -> str:
-        """Returns why the service keeps its settings; empty where it applies this version."""
+        """Apply a version. Return the reason why the service rejected it, or an empty string on success."""
         try:
             self.service.apply_shared_settings(apply.entries)
         except Exception as error:
@@ -92,19 +92,22 @@
             changed = ", ".join(sorted(apply.changed_keys)) or "nothing"
             logger.info("control: applied version {}; changed: {}", apply.version, changed)
         else:
-            logger.info("control: applied version {}, which has no entries: the file's settings", apply.version)
+            logger.info(
+                "control: applied version {}, which has no entries: the settings of the file are in force",
+                apply.version,
+            )
         return ""
 
     @classmethod
     def _stored_settings(cls, file: DurableFile[Persist]) -> tuple[int, Entries]:
-        """Returns the version that was applied before a restart, and its entries; 0 and none where there is none."""
+        """Return the version that was applied before a restart and its entries; 0 and no entries if none is stored."""
         try:
             stored = cls._load(file)
         except FileUnavailableError as error:
             logger.log(
                 "WARNING" if file.path.exists() else "INFO",
-                "control: no stored settings can be used in {}: {}; this relay serves by its own file until a "
-                "controller sends it others",
+                "control: cannot use the stored settings in {}: {}; the settings of this relay's own file are in force "
+                "until a controller sends others",
                 file.path,
                 error,
             )
@@ -113,9 +116,9 @@
 
     @staticmethod
     def _load(file: DurableFile[Persist]) -> Persist:
-        """Reads the file, with retries: the stored settings are to be applied from the first request on.
+        """Read the file, with retries, since the stored settings must be in force for the first request.
 
-        Raises FileUnavailableError where there is no file that can be used.
+        Raises FileUnavailableError if there is no usable file.
         """
         for _ in range(MAX_READ_ATTEMPTS - 1):
             try:
@@ -125,4 +128,4 @@
         try:
             return file.load()
         except OSError as error:
-            raise FileUnavailableError(f"it cannot be read: {error}") from error
+            raise FileUnavailableError(f"the file cannot be read: {error}") from error
--- a/yarrowspindle/daemon/relay_service.py
+++ b/yarrowspindle/daemon/relay_service.py
@@ -1,6 +1,6 @@
-"""The relay as one service: the runtime round the reducer, the endpoint watch, health checks, telemetry, the fronts.
+"""The relay as one service: the reducer's runtime, the endpoint watch, health checks, telemetry and the fronts.
 
-It owns the configuration that is in force, and takes up a new one from the file or from the controllers.
+The service holds the current configuration, and applies a new one from the file or from the controllers.
 """
 
 from __future__ import annotations
@@ -36,19 +36,19 @@
 from yarrowspindle.telemetry.trace import Trace
 
 TRACE_LEVELS = ("TRACE", "DEBUG")  # log levels at which each step of each request is logged
-# The relay closes idle connections before the backends do, so that no request crosses their close.
+# The relay closes idle connections before the backends do, so that a backend does not close one as a request is sent.
 IDLE_TIMEOUT_FRACTION = 0.8
-# SIGKILL comes no sooner after SIGTERM than the longest deadline, counted as MAX_DEADLINE_MS where it is longer, and
-# KILL_GRACE_MS more.
+# SIGKILL follows SIGTERM no sooner than KILL_GRACE_MS after the longest request deadline, of which at most
+# MAX_DEADLINE_MS count.
 MAX_DEADLINE_MS = 3000.0
 KILL_GRACE_MS = 700.0
-CLOSE_RESERVE_MS = 400.0  # of that, kept for closing connections and ending the process
-MAX_STALL_MS = 150.0  # a process may be held up for so long; the signal to end may have come at its beginning
-DRAIN_MS = 2500.0  # all established connections are migrated within this time after an operator's drain
+CLOSE_RESERVE_MS = 400.0  # part of that time, reserved for closing connections and for the exit of the process
+MAX_STALL_MS = 150.0  # longest stall that a process must tolerate; SIGTERM may have arrived at its beginning
+DRAIN_MS = 2500.0  # time within which an operator's drain migrates all established connections
 
 
 def log_runtime_message(level: str, text: str) -> None:
-    """Logs a text of the runtime; an error with the exception that is being handled."""
+    """Log a message of the runtime; an error includes the exception that is being handled."""
     logger.opt(exception=level == "error").log(level.upper(), "{}", text)
 
 
@@ -58,8 +58,8 @@
     Args:
         config: the platform's configuration.
         clock: the source of time for the reducer.
-        operator: what the operator's file switches on.
-        timers: timers that are driven by hand; None: the event loop's.
+        operator: the features that the operator's file enables.
+        timers: timers that the caller advances; None: timers of the event loop.
     """
 
     def __init__(
@@ -75,18 +75,18 @@
         self.post = self.runtime.post
         self.forget = self.runtime.forget
         self.new_request = self.runtime.new_request
-        self.connected_backends: list[Callable[[], set[str]]] = []  # the backends that each front has connections to
-        self.shared_settings: Mapping[str, str] = {}  # settings from the controllers, in place of the file's
-        self.reload_listeners: list[
-            Callable[[OperatorConfig], None]
-        ] = []  # called with the operator's file after SIGHUP
+        # Each function returns the backends that one front has connections to.
+        self.connected_backends: list[Callable[[], set[str]]] = []
+        self.shared_settings: Mapping[str, str] = {}  # settings from the controllers, which replace the file's
+        # Called with the new operator's configuration after SIGHUP.
+        self.reload_listeners: list[Callable[[OperatorConfig], None]] = []
         self.serving = False  # whether the fronts accept connections
         self._attach_observers()
         self._set_up_endpoint_watch()
         self._set_up_health_checker()
 
     def _attach_observers(self) -> None:
-        """Attaches all that counts or logs what the reducer receives and asks for."""
+        """Attach metrics, telemetry, the invariant guard and the trace to the reducer's events and effects."""
         self.metrics = Metrics(self.reducer)
         self.telemetry = Telemetry(self.reducer, self.class_name)
         self.guard = Guard(lambda: self.config.settings, logger.error)
@@ -125,12 +125,12 @@
         self.health_checker.disconnect({effect.backend})
 
     def start(self) -> None:
-        """Starts the runtime with the endpoint list that the configuration has."""
+        """Start the runtime with the endpoint list of the configuration."""
         self.runtime.start()
         if self.operator.turns is not None:
-            from yarrowspindle.maintenance.evacuation import MaintenancePlan  # the platform does without it
+            from yarrowspindle.maintenance.evacuation import MaintenancePlan  # an optional feature
 
-            # Nothing is placed before this process knows which backends are out for maintenance.
+            # Reject requests until this process knows which backends are under maintenance.
             self.post(MaintenanceUpdated(MaintenancePlan()))
         self.post(self.config.known)
         self._configure_rebalancing()
@@ -143,32 +143,33 @@
             self.trace.on_effect(effect)
 
     def class_name(self, number: int) -> str:
-        """Returns the name of a request class; its number where it has none."""
+        """Return the name of a request class, or its number as text if it has no name."""
         classes = self.config.classes
         return classes[number] if 0 <= number < len(classes) else str(number)
 
     # --- the operators' API -----------------------------------------------------------------------
 
     def ready(self) -> bool:
-        """Returns whether this process accepts new connections: it serves, and neither drains nor shuts down."""
+        """Return whether this process accepts new connections: it serves, and neither drains nor shuts down."""
         return self.serving and not self.reducer.draining
 
     def drain(self) -> None:
-        """Drains the relay as SIGTERM does, but the process goes on; a second call changes nothing."""
+        """Drain the relay as SIGTERM does, but keep the process running; a second call changes nothing."""
         if not self.reducer.draining:
             logger.info("draining: {} requests and connections are migrated", len(self.reducer.requests))
             self.post(ShutdownRequested(DRAIN_MS, process_exits=False))
 
     def cancel_drain(self) -> None:
-        """Ends a drain of the operators; without one, or after SIGTERM, it changes nothing."""
+        """End a drain that an operator started; without one, or after SIGTERM, change nothing."""
         if self.reducer.draining and not self.reducer.process_exits:
             logger.info("the drain is cancelled: new connections are accepted")
             self.post(DrainCancelled())
 
     def begin_shutdown(self) -> float:
-        """Begins the shutdown, also during a drain.
+        """Begin the shutdown, also during a drain.
 
-        Returns the milliseconds within which everybody gets an answer or is migrated.
+        Returns:
+            The milliseconds within which every request is answered and every connection is migrated.
         """
         classes = self.config.settings.classes
         longest_deadline_ms = max(classes[number].deadline_ms for number in self.config.current_classes.values())
@@ -178,10 +179,10 @@
         return shutdown_ms
 
     def finish_shutdown(self) -> None:
-        """Answers or migrates everybody who is left, once the time for it has passed.
+        """Answer or migrate all remaining clients once the time of `begin_shutdown` has passed.
 
-        The shutdown's own timer may fall due later: it counts from when it is set, and the process may have been held
-        since the step that sets it read its clock.
+        The reducer's shutdown timer may fire later than that: its delay counts from the moment when it is set, and the
+        process may have stalled between reading the clock and setting the timer.
         """
         self.runtime.timers.run_due()
         self.post(TimerFired(SHUTDOWN_TIMER))
@@ -189,7 +190,7 @@
     # --- new configurations -----------------------------------------------------------------------
 
     def reload(self) -> None:
-        """Reads both configuration files again (SIGHUP). Where either is invalid nothing changes."""
+        """Read both configuration files again (SIGHUP). If either is invalid, nothing changes."""
         try:
             operator = load_operator_config()
             reloaded = reload_config(self.config, used_numbers=self.reducer.classes, shared=self.shared_settings)
@@ -199,7 +200,9 @@
             return
         self._replace_config(reloaded.config)
         if self.shared_settings:
-            logger.info("the settings stay those of the controllers; the file's apply once the controllers have none")
+            logger.info(
+                "the controllers' settings stay in force; the file's settings apply once the controllers have none"
+            )
         if reloaded.needs_restart:
             logger.warning("changes of {} need a restart", ", ".join(reloaded.needs_restart))
         logger.info("the configuration was reloaded; discovery is at {}:{}", *self.config.discovery)
@@ -207,7 +210,7 @@
         self._reload_operator(operator)
 
     def _reload_operator(self, operator: OperatorConfig) -> None:
-        """Takes up what may change without a restart: [rebalance] and the maintenance requests."""
+        """Apply the changes that need no restart: [rebalance] and the maintenance requests."""
         if operator.rebalance != self.operator.rebalance:
             logger.info("[rebalance] was reloaded: {}", operator.rebalance or "off")
             self.operator = replace(self.operator, rebalance=operator.rebalance)
@@ -221,10 +224,10 @@
             logger.warning("changes of the operator's file outside [rebalance] and [[turns.request]] need a restart")
 
     def apply_shared_settings(self, shared: Mapping[str, str]) -> None:
-        """Applies the controllers' settings in place of the file's; an empty mapping: the file's.
+        """Apply the controllers' settings in place of the file's; an empty mapping restores the file's.
 
         Raises:
-            ConfigError: a member is invalid; nothing has changed.
+            ConfigError: a member is invalid; the current settings stay in force.
         """
         try:
             config = merge_settings(self.config, apply_shared_settings(self.config, shared), self.reducer.classes)
@@ -253,7 +256,7 @@
 
 
 def _reassigned_classes(old: Config, new: Config) -> frozenset[int]:
-    """Returns the class numbers that stand for another class, or for other limits, than before."""
+    """Return the class numbers whose class or limits differ between the two configurations."""
     before = zip(old.classes, old.settings.classes, strict=False)
     after = zip(new.classes, new.settings.classes, strict=False)
     pairs = enumerate(zip(before, after, strict=False))
--- a/yarrowspindle/daemon/settings_update.py
+++ b/yarrowspindle/daemon/settings_update.py
@@ -1,7 +1,7 @@
-"""New settings for a running relay: from the file, read again at SIGHUP, or from the controllers.
+"""New settings for a running relay: from the file, which SIGHUP reads again, or from the controllers.
 
-Requests in flight keep the class that they were accepted with, so classes keep their numbers from one configuration to
-the next.
+A request in flight keeps the class that it was accepted with, so a class keeps its number from one configuration to the
+next.
 """
 
 from __future__ import annotations
@@ -25,13 +25,13 @@
 from yarrowspindle.protocol.platform_settings import SettingsError
 from yarrowspindle.routing.address import Address
 
-# Fields of Config whose changes are not taken up by a running relay.
+# Fields of Config whose changes apply only after a restart.
 RESTART_ONLY_FIELDS = frozenset(("name", "listen", "names", "tenants", "max_descriptors", "operator"))
 
 
 @dataclass(slots=True, frozen=True)
 class ReloadedConfig:
-    """A configuration that was read again, and the fields whose changes need a restart."""
+    """A reloaded configuration, and the names of the fields whose changes need a restart."""
 
     config: Config
     needs_restart: list[str]
@@ -39,14 +39,14 @@
 
 @dataclass(slots=True, frozen=True)
 class SharedSettings:
-    """Settings built from shared members, with the names of their request classes by number."""
+    """Settings built from shared members, and the names of their request classes by number."""
 
     settings: Settings
     classes: list[str]
 
 
 class _ClassNumbering:
-    """Gives the request classes of new settings their numbers beside those that are still in use."""
+    """Assigns numbers to the request classes of new settings, next to the numbers that are still in use."""
 
     def __init__(self, old: Config, used_numbers: Collection[int]) -> None:
         self.names = list(old.classes)
@@ -55,14 +55,14 @@
         self.current: dict[str, int] = {}
 
     def keep_number(self, name: str, entry: RequestClass) -> None:
-        """Gives a class the newest number under which it stands unchanged, if there is one."""
+        """Give an unchanged class the highest of its numbers, if it has any."""
         known = zip(self.names, self.entries, strict=True)
         numbers = [number for number, pair in enumerate(known) if pair == (name, entry)]
         if numbers:
             self._assign(name, numbers[-1])
 
     def assign_new_number(self, name: str, entry: RequestClass) -> None:
-        """Gives a new class the lowest number that nothing uses."""
+        """Give a new class the lowest unused number."""
         free = (number for number in range(len(self.entries)) if number not in self.reserved)
         number = next(free, len(self.entries))
         self.names[number : number + 1] = [name]
@@ -75,13 +75,13 @@
 
 
 def merge_settings(old: Config, new: Config, used_numbers: Collection[int] = ()) -> Config:
-    """Returns the old configuration with the new settings, its classes numbered so that requests in flight keep theirs.
+    """Return the old configuration with the new settings, in which requests in flight keep their class numbers.
 
     Args:
-        old: what the relay runs by.
-        new: what it is to run by.
-        used_numbers: the class numbers of requests in flight. A number that is neither used nor accepted new
-            requests until now may stand for another class from here on.
+        old: the current configuration.
+        new: the configuration to apply.
+        used_numbers: the class numbers of requests in flight. A number that is neither among them nor belongs to a
+            current class of `old` may be reused for another class.
     """
     new_classes = dict(zip(new.classes, new.settings.classes, strict=True))
     numbers = _ClassNumbering(old, used_numbers)
@@ -94,7 +94,7 @@
     settings = replace(
         new.settings,
         classes=tuple(numbers.entries[:count]),
-        # Tenants and zones go by their places, which the old names stand for until a restart.
+        # Tenants and zones are numbered by their positions, which keep their old names until a restart.
         tenants=old.settings.tenants,
         zone=old.settings.zone,
         zones=old.settings.zones,
@@ -109,10 +109,10 @@
 
 
 def build_shared_settings(relay_settings: Mapping[str, Any], shared: Mapping[str, str]) -> SharedSettings:
-    """Builds settings of which all members but a relay's own are shared.
+    """Build settings from the relay-specific members of a file and the shared members of the controllers.
 
     Args:
-        relay_settings: the member `settings` of the relay's file, of which only the relay's own members are used.
+        relay_settings: the member `settings` of the relay's file, of which only the relay-specific members are used.
         shared: the other members, as JSON texts.
 
     Raises:
@@ -123,10 +123,14 @@
         raw |= {key: json.loads(value, parse_constant=_reject_constant) for key, value in shared.items()}
         names = object_names(raw.get("categories"))
         if not all(name.isprintable() for name in names) or len({"", *names}) <= len(names):
-            raise ValueError("each of the categories has a name of its own")
+            raise ValueError(
+                "categories has a missing, repeated or unprintable name; expected a distinct printable name for each"
+            )
         settings = parse_settings(raw)
         if len(names) != len(settings.classes):
-            raise ValueError("categories is a list of objects")
+            raise ValueError(
+                f"categories has {len(names)} objects for {len(settings.classes)} classes; expected a list of objects"
+            )
     except (KeyError, TypeError, ValueError, AttributeError, RecursionError, SettingsError) as error:
         reason = str(error) if isinstance(error, ValueError | SettingsError) else repr(error)
         raise ConfigError(f"the shared settings are invalid: {reason}") from error
@@ -134,12 +138,12 @@
 
 
 def _reject_constant(text: str) -> float:
-    """Refuses NaN and the infinities, which JSON does not have."""
-    raise ValueError(f"{text} is no number")
+    """Reject NaN and the infinities, which JSON does not have."""
+    raise ValueError(f"{text} is not a number in JSON")
 
 
 def apply_shared_settings(config: Config, shared: Mapping[str, str]) -> Config:
-    """Returns the configuration with the shared settings in place of the file's; without any, with the file's."""
+    """Return the configuration with the shared settings, or with the file's settings if `shared` is empty."""
     if shared:
         built = build_shared_settings(config.raw_settings, shared)
     else:
@@ -155,16 +159,16 @@
     used_numbers: Collection[int] = (),
     shared: Mapping[str, str] | None = None,
 ) -> ReloadedConfig:
-    """Reads the configuration file again.
+    """Read the configuration file again.
 
     Args:
-        old: what the relay runs by.
-        environ: the process's environment.
+        old: the current configuration.
+        environ: the environment of the process.
         used_numbers: the class numbers of requests in flight.
-        shared: settings from the controllers, which go before the file's.
+        shared: settings from the controllers, which take precedence over the file's.
 
     Raises:
-        ConfigError: the file cannot be read or is invalid; the relay goes on as before.
+        ConfigError: the file cannot be read or is invalid; the current configuration stays in force.
     """
     new = load_config(environ)
     discovery = _reloaded_discovery(old, new)
@@ -180,7 +184,10 @@
 
 
 def _reloaded_discovery(old: Config, new: Config) -> Address:
-    """The environment of a running process cannot change, so a discovery that is new in the file goes before it."""
+    """Return the discovery address after a reload.
+
+    The environment of a running process cannot change, so an address that changed in the file overrides it.
+    """
     if not new.file_discovery or new.file_discovery == old.file_discovery:
         return old.discovery
     try:
--- a/yarrowspindle/daemon/shared_settings.py
+++ b/yarrowspindle/daemon/shared_settings.py
@@ -1,7 +1,7 @@
-"""What the entries of the configuration mean to a relay: members of the platform's `settings`, as JSON texts.
+"""The entries of the shared configuration: members of the platform's `settings`, each as JSON text.
 
-Relays and controllers judge by the same function of the entries alone, so that all come to the same result. Members
-that are specific to a relay are not shared: they come from its file.
+Relays and controllers validate entries with the same function, which depends on the entries alone, so that all reach
+the same result. Relay-specific members are not shared: they come from each relay's file.
 """
 
 from __future__ import annotations
@@ -29,14 +29,14 @@
     "step_ms",
     "weight_kind",
 )
-# Stands for the relay-specific members of any relay.
+# Valid relay-specific members, for checking the shared ones without a relay's file.
 SAMPLE_RELAY_SETTINGS = {"zone": 0, "slot_no": 0, "azs": ["a"], "skus": ["m"], "realms": []}
 MAX_REASON_CHARACTERS = 300
 
 
 @dataclass(slots=True, frozen=True)
 class PlatformSettings:
-    """A platform's settings, divided into shared entries, relay-specific members and members that are not read."""
+    """A platform's settings, divided into shared entries, relay-specific members and unrecognized members."""
 
     entries: dict[str, str]
     relay_specific: list[str]
@@ -44,21 +44,21 @@
 
 
 def unshareable_key_reason(keys: Iterable[str]) -> str:
-    """Returns why one of the keys cannot be shared; empty where all can."""
+    """Return the reason why one of the keys cannot be shared, or an empty string if all can."""
     for key in sorted(keys):
         if key in RELAY_SPECIFIC_MEMBERS:
-            return f"{key} is each relay's own: it stays in the relays' files"
+            return f"settings.{key} is specific to each relay; expected only in the relays' files"
         if key not in SHARED_MEMBERS:
             similar = get_close_matches(key, SHARED_MEMBERS, 1)
-            suggestion = f"; {similar[0]} is" if similar else ""
-            return f"{key} is no member of the settings that the program reads{suggestion}"
+            suggestion = f"; did you mean {similar[0]}?" if similar else ""
+            return f"unknown key settings.{key}{suggestion}"
     return ""
 
 
 def check_shared_settings(entries: Entries) -> str:
-    """Returns why a relay cannot serve by these entries; empty where it can, whatever its own members are.
+    """Return the reason why relays cannot apply these entries, or an empty string if they can.
 
-    Without entries a relay serves by its file.
+    The result does not depend on a relay's own members. Without entries a relay uses the settings of its file.
     """
     if not entries:
         return ""
@@ -72,12 +72,12 @@
 
 
 def entry_value(value: object) -> str:
-    """Returns a member of the settings as the value of an entry."""
+    """Return a member of the settings, encoded as the value of an entry."""
     return json.dumps(value, separators=(",", ":"), ensure_ascii=False, allow_nan=False)
 
 
 def read_platform_settings(settings: Mapping[str, Any]) -> PlatformSettings:
-    """Divides a platform's settings."""
+    """Divide a platform's settings into shared, relay-specific and unrecognized members."""
     return PlatformSettings(
         entries={key: entry_value(value) for key, value in settings.items() if key in SHARED_MEMBERS},
         relay_specific=sorted(settings.keys() & RELAY_SPECIFIC_MEMBERS),
--- a/yarrowspindle/daemon/voter_file.py
+++ b/yarrowspindle/daemon/voter_file.py
@@ -1,4 +1,4 @@
-"""The voter's file of the maintenance register."""
+"""The file in which a voter on maintenance stores its acceptor's state."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
 
 
 def initial_state(voters: tuple[str, ...]) -> MaintenanceState:
-    """Return the state that all relays start from: voters with the files that the operator creates for them."""
+    """Return the state that all relays start from: the voters with the files that operators create once."""
     return MaintenanceState(dict.fromkeys(sorted(voters), INITIAL_IDENTITY))
 
 
 class MaintenanceVoterFile(VoterFile[MaintenanceState]):
-    """The file in which a relay that votes on maintenance stores its promises."""
+    """The file in which a relay that votes on maintenance stores its promises and accepted state."""
 
     def __init__(self, directory: str, owner: str, cluster: str) -> None:
         super().__init__(directory, owner, cluster, FILE)
 
     def initialize(self, voters: tuple[str, ...]) -> None:
-        """Create the first file, for a register with these voters. Raises as `VoterFile.create_initial` does."""
+        """Create the first file, for these voters. Raises the errors of `VoterFile.create_initial`."""
         self.create_initial(initial_state(voters))
