--- a/tests/daemon/configuration_processes.py
+++ b/tests/daemon/configuration_processes.py
@@ -1,4 +1,4 @@
-"""Controllers as processes on loopback, and relays that are attached to them, for tests of the real program."""
+"""Controllers as processes on loopback, and relay processes that are attached to them."""
 
 from __future__ import annotations
 
@@ -26,29 +26,29 @@
 
 CHAT = dict(SETTINGS["categories"][0])
 ENTRIES = read_platform_settings(SETTINGS).entries
-# A client's wait as long as this is accepted only where the class's deadline is 1.5 s or more.
+# A deadline of a client this long is accepted only if the class's deadline is 1.5 s or more.
 LONG_WAIT_MS = 2500
 addresses = iter(range(1 << 16))
 
 
 def address() -> Address:
-    """Returns an unused address on a loopback network of this process, so that parallel runs do not meet."""
+    """Return an unused address on a loopback network of this process, so that parallel runs do not conflict."""
     number = next(addresses)
     return f"{own_net()}.{1 + number // 250 % 250}.{1 + number % 250}", 7946
 
 
 def address_text(of: Address) -> str:
-    """Returns an address as settings have it."""
+    """Return an address in the form of the settings."""
     return f"{of[0]}:{of[1]}"
 
 
 def deadline_change(deadline_ms: float) -> str:
-    """Returns the argument of `control set` that gives the class this deadline."""
+    """Return the argument of `control set` that gives the class this deadline."""
     return f"categories={entry_value([CHAT | {'deadline_ms': deadline_ms}])}"
 
 
 class ControllerProcess:
-    """One controller, whose process may be started several times."""
+    """One controller, whose process can be started several times."""
 
     def __init__(self, name: str, folder: Path) -> None:
         self.name, self.folder = name, folder
@@ -61,11 +61,11 @@
 
     @property
     def directory(self) -> Path:
-        """Its own directory."""
+        """The directory of its files."""
         return self.folder / self.name
 
     def environment(self, controller_tables: str, cluster: str) -> dict[str, str]:
-        """Writes its operator's file, and returns the environment of a process with it."""
+        """Write the operator's file, and return the environment of a process that uses it."""
         file = self.folder / f"{self.name}.toml"
         file.write_text(
             f'[control]\nrole = "controller"\nlisten = "{address_text(self.address)}"\ncluster = "{cluster}"\n'
@@ -76,7 +76,7 @@
         return inherited | {"YARROWSPINDLE_OPERATOR": str(file)}
 
     async def start(self, env: dict[str, str]) -> None:
-        """Starts the process and waits until it accepts commands."""
+        """Start the process and wait until it accepts commands."""
         self.process = await asyncio.create_subprocess_exec(
             sys.executable, "-B", "-m", "yarrowspindle", cwd=ROOT, env=env, stderr=asyncio.subprocess.PIPE
         )
@@ -90,20 +90,20 @@
             self.log.put_nowait(line)
 
     async def logged(self, text: str) -> str:
-        """Waits for the next line with this text."""
+        """Wait for the next log line that contains the text."""
         while text not in (line := await asyncio.wait_for(self.log.get(), WAIT_S)):
             pass
         return line
 
     async def wait_for_log(self, text: str, first_index: int = 0) -> None:
-        """Waits for a line that was logged at any time. first: the index in log_lines from which lines count."""
+        """Wait for a log line that contains the text, among those from `first_index` on, including past lines."""
         deadline = time.monotonic() + WAIT_S
         while not any(text in line for line in self.log_lines[first_index:]):
             assert time.monotonic() < deadline, self.log_lines
             await asyncio.sleep(0.05)
 
     async def end(self, signal_number: signal.Signals = signal.SIGKILL) -> None:
-        """Ends the process, if it runs, and reads the rest of its log."""
+        """End the process if it is running, and read the rest of its log."""
         if self.process.returncode is None:
             self.process.send_signal(signal_number)
             await asyncio.wait_for(self.process.wait(), WAIT_S)
@@ -112,7 +112,7 @@
 
 
 class ControllerCluster:
-    """Controllers with the operator's files of one fleet."""
+    """The controllers of a cluster, and the operator's files of its relays."""
 
     def __init__(self, folder: Path, names: list[str], name: str = "lab") -> None:
         self.folder, self.name = folder, name
@@ -128,22 +128,22 @@
         )
 
     def relay(self, name: str, extra: str = "", at: Address | None = None) -> str:
-        """The content of a relay's operator file."""
+        """Return the text of a relay's operator's file."""
         return (
             f'[control]\nrole = "relay"\nlisten = "{address_text(at or address())}"\nname = "{name}"\n'
             f'cluster = "{self.name}"\ndirectory = "{self.folder}/{name}-kept"\n{extra}{self.controller_tables}'
         )
 
     def file(self, name: str) -> DurableFile[Persist]:
-        """The file with the settings that a relay applied."""
+        """Return the file with the settings that a relay has applied."""
         return DurableFile(f"{self.folder}/{name}-kept", name, self.name, "taken", APPLIED_SETTINGS_FILE)
 
     async def run_command(self, at: int, *words: str) -> int:
-        """Runs an operator's command at a controller and returns its exit status."""
+        """Run an operator's command at a controller and return its exit status."""
         return await asyncio.to_thread(main, ["--at", address_text(self.controllers[at].command), *words])
 
     async def show(self, at: int, capsys: pytest.CaptureFixture[str]) -> dict[str, Any]:
-        """Returns the status of a controller."""
+        """Return the status of a controller."""
         capsys.readouterr()
         assert await self.run_command(at, "show", "--json") == 0
         status: dict[str, Any] = json.loads(capsys.readouterr().out)
@@ -152,7 +152,7 @@
     async def wait_until_applied(
         self, at: int, version: int, relays: int, capsys: pytest.CaptureFixture[str]
     ) -> dict[str, Any]:
-        """Waits until this many relays apply a version, and returns the status."""
+        """Wait until this many relays have applied a version, and return the status."""
         deadline = time.monotonic() + WAIT_S
         while True:
             status = await self.show(at, capsys)
@@ -170,7 +170,10 @@
     create_files: bool = True,
     existing: ControllerCluster | None = None,
 ) -> AsyncIterator[ControllerCluster]:
-    """Runs controllers, and checks at the end that none logged a traceback. first: create the voters' files."""
+    """Run controllers, and check at the end that none has logged a traceback.
+
+    create_files: whether to create the voters' files. existing: a cluster to run instead of a new one.
+    """
     existing = existing or ControllerCluster(folder, names, name)
     try:
         for controller in existing.controllers:
@@ -197,7 +200,7 @@
 
 
 async def relays(stack: AsyncExitStack, tmp: Path, operators: list[str]) -> list[World]:
-    """Starts a relay for each operator's file."""
+    """Start a relay for each operator's file."""
     folders = [tmp / f"relay{n}" for n in range(len(operators))]
     for folder in folders:
         folder.mkdir()
@@ -206,12 +209,12 @@
 
 
 async def wait_until_all_applied(worlds: list[World], version: int) -> None:
-    """Waits until all of these relays log that they apply a version."""
+    """Wait until all of these relays have logged that they applied a version."""
     await asyncio.gather(*(world.logged(f"applied version {version};") for world in worlds))
 
 
 async def is_placed(world: World, wait_ms: int) -> bool:
-    """Whether the request of a client that waits for so long is placed."""
+    """Return whether a request with this deadline is placed."""
     client = await world.request(wait_ms=wait_ms)
     answered = asyncio.ensure_future(client.hear())
     placed = [asyncio.ensure_future(backend.next()) for backend in world.backends.values()]
@@ -227,12 +230,12 @@
 
 
 def environment_of(cluster: ControllerCluster, number: int) -> dict[str, str]:
-    """Returns the environment of the process of a controller."""
+    """Return the environment of a controller's process."""
     return cluster.controllers[number].environment(cluster.controller_tables, cluster.name)
 
 
 async def shown_table(cluster: ControllerCluster, capsys: pytest.CaptureFixture[str]) -> str:
-    """Returns the status of the third controller as operators read it."""
+    """Return the printed status of the third controller."""
     capsys.readouterr()
     assert await cluster.run_command(2, "show") == 0
     return capsys.readouterr().out
--- a/tests/daemon/test_background_store.py
+++ b/tests/daemon/test_background_store.py
@@ -1,4 +1,4 @@
-"""A version that could not be stored yet is stored at the shutdown, if the disk has recovered."""
+"""A version that could not be stored yet is stored at shutdown if the disk has recovered."""
 
 from __future__ import annotations
 
--- a/tests/daemon/test_configuration_daemon.py
+++ b/tests/daemon/test_configuration_daemon.py
@@ -1,4 +1,4 @@
-"""The configuration in the real program: controllers and relays as processes, the command, and stored files."""
+"""Shared configuration with controllers and relays as processes: the command, stored files and faults."""
 
 from __future__ import annotations
 
@@ -83,7 +83,7 @@
             )
             assert (await cluster.show(0, capsys))["version"] == 2
 
-            # One controller fails, whichever: the next change is applied within 3 s.
+            # If any one controller fails, the next change is still applied within 3 s.
             await cluster.controllers[0].end()
             start_time = time.monotonic()
             assert await cluster.run_command(1, "set", deadline_change(1900.0)) == 0
@@ -98,7 +98,7 @@
             assert time.monotonic() < start_time + 3.0
             cluster.controllers[1].process.send_signal(signal.SIGCONT)
 
-            # A reload reads the rest of the file, not its settings.
+            # A reload applies the file, but not its settings.
             worlds[3].reload(settings=SETTINGS | {"categories": [CHAT | {"deadline_ms": 1950.0}]})
             await worlds[3].logged("the controllers' settings stay in force")
             assert not await is_placed(worlds[3], LONG_WAIT_MS)
@@ -116,7 +116,7 @@
             started = await stack.enter_async_context(relay(again, (tmp_path / "relay2/operator.toml").read_text()))
             assert not await is_placed(started, LONG_WAIT_MS) and await is_placed(started, 1000)
 
-            # One controller that starts alone, without a majority, still distributes the committed state.
+            # A single controller that starts without a majority still distributes the committed state.
             await cluster.controllers[2].start(environment_of(cluster, 2))
             status = await cluster.show(2, capsys)
             assert (
@@ -150,7 +150,7 @@
             await flood(flooded)
             assert await is_placed(other, LONG_WAIT_MS)
             lines = [other.log.get_nowait() for _ in range(other.log.qsize())]
-            assert 0 < sum("dropped a datagram of" in line for line in lines) <= 60, "20 a second at most"
+            assert 0 < sum("dropped a datagram of" in line for line in lines) <= 60, "at most 20 a second"
             await controller.wait_for_log("two relays are called twin")
             await controller.wait_for_log("another cluster")
             # A relay with a newer version than the controllers applies nothing older.
@@ -182,7 +182,7 @@
 
 
 async def flood(target: Address) -> None:
-    """Sends datagrams of many unknown senders, some of them like valid ones."""
+    """Send datagrams from many unknown senders, some of them similar to valid ones."""
     valid = Link("x", address(), "lab", 1, 1, 0.0).encode(0.0, target, LatestVersion(1, bytes(8)))[0]
     for n in range(150):
         with socket.socket(type=socket.SOCK_DGRAM) as sender:
@@ -215,7 +215,7 @@
 def test_loss_and_a_partition_between_relays_and_controllers(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    """Eight processes behind proxies: a third of datagrams is lost, one relay is cut off from two controllers."""
+    """Eight processes behind proxies: 30 % of the datagrams are lost, and one relay is cut off from two controllers."""
 
     async def body() -> None:
         cluster = ControllerCluster(tmp_path, ["r7", "r8", "r9"])  # the faults apply to parties with such names
--- a/tests/daemon/test_daemon.py
+++ b/tests/daemon/test_daemon.py
@@ -1,4 +1,4 @@
-"""The real program on real sockets, against stand-ins for submitters, execute nodes and the machine list."""
+"""A relay process on real sockets, with stand-ins for clients, backends and the discovery service."""
 
 from __future__ import annotations
 
@@ -57,7 +57,7 @@
         client = await w.request(wait_ms=300)
         _, backend, _ = await w.placed()
         assert (await client.hear()).startswith("BUSY") and 0.25 < time.monotonic() - start < 0.35
-        assert await backend.hear() == "", "the attempt is given up"
+        assert await backend.hear() == "", "the attempt is aborted"
 
     run(tmp_path, body)
 
@@ -115,7 +115,7 @@
         w.answer_watch(w.member("s-1"), w.member("s-2"))
         w.tell("s-1", "draining")
         w.tell("s-2", "gone")
-        while (answer := await (await w.request(wait_ms=300)).hear()) == "":  # nodes hold their answers meanwhile
+        while (answer := await (await w.request(wait_ms=300)).hear()) == "":  # the backends do not answer meanwhile
             pass
         assert answer.startswith("BUSY")
         assert await w.watched() == f"GET /api/targets?stream=1&index={w.version} HTTP/1.1"
@@ -135,21 +135,21 @@
 def test_pushed_lists_are_watched_and_a_silent_watch_is_detected_within_the_drain_grace(
     tmp_path: Path,
 ) -> None:
-    """No watch was ever opened where settings say that lists come by themselves, and drains were not kept."""
+    """Guards against opening no watch if the settings say that lists are pushed: drains were missed."""
 
     async def body(w: World) -> None:
         assert await w.watched() == "GET /api/targets?stream=1&index=1 HTTP/1.1"
-        w.answer_watch(w.member("s-1"), w.member("s-2"))  # and falls silent: nothing more comes on this one
-        w.members(False)  # the agent has a newer list
+        w.answer_watch(w.member("s-1"), w.member("s-2"))  # nothing more is sent on this watch
+        w.members(False)  # discovery has a newer list
         while (await w.watched()).split("index=")[1] != "2 HTTP/1.1":
             pass
         w.answer_watch(w.member("s-2"))  # s-1 is gone
         start = time.monotonic()
         await w.watched()
-        assert time.monotonic() - start < 0.4, "half of the grace and what the machine needs"
+        assert time.monotonic() - start < 0.4, "half of the grace, plus scheduling delays"
         assert "s-1 gone" in await w.logged(f"machine list {w.version}:")
         assert [(await w.standing())[1] for _ in range(6)] == ["s-2"] * 6
-        w.watch.writer.close()  # the watch is renewed all the same
+        w.watch.writer.close()  # the watch is still renewed
         await w.watched()
 
     run(tmp_path, body, discovery="automatic")
@@ -179,7 +179,7 @@
         assert await backend.hear() == "still here"
         await w.watched()
         w.watch.writer.write(b"HTTP/1.1 200 OK\r\n\r\nnot a list\n")
-        await w.watched()  # asked again
+        await w.watched()  # requested again
         w.watch.writer.write(b"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n")
         await w.watched()
         backend.say("and here")
@@ -205,14 +205,14 @@
         await w.watched()
         w.answer_watch(w.member("s-1"), w.member("s-2"))
         old, w.list = w.list, await Server().open()
-        for text in ("{", "[]", '{"name": "n0"}'):  # a file that makes no sense changes nothing
+        for text in ("{", "[]", '{"name": "n0"}'):  # an invalid file changes nothing
             whole = w.file.read_text()
             w.reload(text)
             assert "ERROR" in await w.logged("the old one stays in force")
             w.file.write_text(whole)
         for _ in range(3):
             w.reload(discovery=f"127.0.0.1:{w.list.port}", seed="1")
-        assert await w.watched() == "GET /api/targets?stream=1&index=0 HTTP/1.1", "another service's whole list"
+        assert await w.watched() == "GET /api/targets?stream=1&index=0 HTTP/1.1", "the full list of another service"
         w.answer_watch(w.member("s-1"), w.member("s-2"))
         w.tell("s-1", "draining")
         w.reload(listen="127.0.0.1:1")
@@ -252,7 +252,7 @@
         impatient = await w.request()
         _, asked, _ = await w.placed()
         impatient.say("PING")
-        assert await impatient.hear() == "ERR" and await asked.hear() == "", "the attempt is given up"
+        assert await impatient.hear() == "ERR" and await asked.hear() == "", "the attempt is aborted"
         backend.say("still here")
         assert await standing.hear() == "still here"
         assert all(server.came.empty() for server in w.backends.values())
--- a/tests/daemon/test_endpoint_list_faults.py
+++ b/tests/daemon/test_endpoint_list_faults.py
@@ -1,4 +1,4 @@
-"""Bad input of a crowded machine list, against the real program: few calls, the last good list kept, jobs served."""
+"""Invalid responses of the discovery service: calls back off, and the last valid list stays in use."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 async def check_request_served(w: World) -> None:
-    """A job is placed on a node of the list that was known before."""
+    """Check that a request is placed on a backend of the last valid list."""
     client, _, backend = await w.standing()
     backend.say("BYE")
     backend.writer.close()
@@ -40,13 +40,14 @@
         async with relay(tmp_path) as w:
             call_times = []
             for _ in range(5):
-                assert (await w.watched()).endswith("index=1 HTTP/1.1"), "from the last good revision on"
+                assert (await w.watched()).endswith("index=1 HTTP/1.1"), "from the last valid revision on"
                 call_times.append(time.monotonic())
                 w.watch.writer.write(BAD_RESPONSES[fault])
                 await w.watch.writer.drain()
                 w.watch.writer.close()
                 await check_request_served(w)
-            # From the second on a wait is 0.3 to 0.6 of what there is (200 ms here): a call that hangs must fit in too.
+            # From the second one on, a delay is 0.3 to 0.6 of the time available (200 ms here), so that a hanging call
+            # fits in as well.
             assert call_times[-1] - call_times[0] >= 0.3 * 0.2 * 3
             await w.watched()
             w.answer_watch(w.member("s-1"), w.member("s-2"))
@@ -68,7 +69,7 @@
 
 
 def test_an_older_revision_does_not_undo_a_drain(tmp_path: Path) -> None:
-    """A stale copy of the service told the list of before a drain, and the draining node got jobs again."""
+    """Guards against a stale replica of the discovery service, whose list from before a drain made a backend ready."""
 
     async def body() -> None:
         async with relay(tmp_path) as w:
@@ -77,13 +78,13 @@
             w.answer_watch(w.member("s-1"), w.member("s-2"))
             w.tell("s-1", "draining")
             w.version = 20
-            w.tell("s-1", "ready")  # late word: passed over
+            w.tell("s-1", "ready")  # a late message, which is ignored
             w.version = 42
             w.tell("s-2", "ready")
             w.watch.writer.write(b"0\r\n\r\n")
             assert (await w.watched()).endswith("index=43 HTTP/1.1")
             w.version = 30
-            w.answer_watch(w.member("s-1"), w.member("s-2"))  # a whole list that is older: asked for once more
+            w.answer_watch(w.member("s-1"), w.member("s-2"))  # an older full list: requested once more
             assert (await w.watched()).endswith("index=43 HTTP/1.1")
             for _ in range(8):
                 client, name, backend = await w.standing()
@@ -92,7 +93,7 @@
                 backend.writer.close()
                 await client.hear()
             w.version = 30
-            w.answer_watch(w.member("s-1"), w.member("s-2"))  # it says so again: the service counts anew
+            w.answer_watch(w.member("s-1"), w.member("s-2"))  # the same again: the service has restarted its revisions
             w.tell("s-2", "gone")
             while True:
                 client = await w.request()
--- a/tests/daemon/test_endpoint_list_responses.py
+++ b/tests/daemon/test_endpoint_list_responses.py
@@ -1,4 +1,4 @@
-"""Calls for the list that are answered slowly, and members that make no sense, on the real program."""
+"""Slow responses with the endpoint list, and lists with invalid members."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 @pytest.mark.parametrize("discovery", ("automatic", "subscribe"))
 def test_a_slow_endpoint_list_response_is_used(tmp_path: Path, discovery: str) -> None:
-    """Where lists are pushed the call is renewed before so slow an answer comes: each renewal must not end the last."""
+    """Guards against a renewed call that ends the one before: pushed lists are renewed before a slow response."""
 
     async def body(w: World) -> None:
         async def answer(peer: Peer) -> None:
--- a/tests/daemon/test_event_races.py
+++ b/tests/daemon/test_event_races.py
@@ -1,6 +1,7 @@
-"""Where two events cross: real sockets and the real program; a stand-in holds one side until the other has happened.
+"""Races between two events, on real sockets and a real relay; a stand-in delays one event until the other has happened.
 
-`docs/design/crossings.md` lists the pairs."""
+`docs/design/crossings.md` lists the pairs of events.
+"""
 
 from __future__ import annotations
 
@@ -19,7 +20,7 @@
 from tests.stand_ins import HEAD, SETTINGS, WAIT_S, Peer, Server, World, run
 
 CHAT = dict(SETTINGS["categories"][0])
-LONG_CONNECT_TIMEOUT = SETTINGS["limits"] | {"connect_timeout_ms": 8000.0}  # a connection that is held stays on its way
+LONG_CONNECT_TIMEOUT = SETTINGS["limits"] | {"connect_timeout_ms": 8000.0}  # a delayed connection keeps connecting
 SHORT_DEADLINE: dict[str, Any] = {"categories": [CHAT | {"deadline_ms": 900.0}]}
 
 
@@ -28,20 +29,20 @@
         if condition():
             return
         await asyncio.sleep(0.005)
-    raise AssertionError("it did not come about")
+    raise AssertionError("the condition did not become true")
 
 
 ESTABLISHED, SYN_SENT = "01", "02"  # states in /proc/net/tcp
 
 
 def tcp_sockets() -> list[list[str]]:
-    """The rows of /proc/net/tcp: 1 is the local address, 2 the remote one, 3 the state, 4 the bytes unsent:unread."""
+    """Return the rows of /proc/net/tcp. Columns: 1 local address, 2 remote address, 3 state, 4 bytes unsent:unread."""
     with Path("/proc/net/tcp").open(encoding="ascii") as table:
         return [line.split() for line in table]
 
 
 class UnacceptingBackend(Server):
-    """An execute node to which no connection comes up until it is let go: its accept queue is full."""
+    """A backend to which no connection is established before `accept`, since its accept queue is full."""
 
     async def open(self) -> UnacceptingBackend:
         self.sock = socket.socket()
@@ -52,7 +53,7 @@
         return self
 
     def has_pending_connection(self) -> bool:
-        """Whether a connection is on its way here."""
+        """Return whether a connection to this backend is being established."""
         return any(row[2].endswith(f":{self.port:04X}") and row[3] == SYN_SENT for row in tcp_sockets())
 
     async def accept(self) -> None:
@@ -65,14 +66,14 @@
 
 
 def has_unread_bytes(port: int, client: bool = False) -> bool:
-    """Whether bytes wait in the kernel, at the server that has this port or at a client of it."""
+    """Return whether the kernel has unread bytes for the server at this port, or for a client of it."""
     address = 2 if client else 1
     rows = [row for row in tcp_sockets() if row[3] == ESTABLISHED and row[address].endswith(f":{port:04X}")]
     return any(int(row[4].split(":")[1], 16) > 0 for row in rows)
 
 
 async def announce_endpoints(w: World, **phases: str) -> None:
-    """The whole list as told on the watch that is open, or on the next, and taken."""
+    """Send the full endpoint list on the open watch, or on the next one, and wait until the relay uses it."""
     if not hasattr(w, "watch"):
         await w.watched()
         w.watch.writer.write(HEAD)
@@ -81,24 +82,24 @@
 
 
 async def unaccepting_backend(w: World) -> UnacceptingBackend:
-    """s-1 takes no connection, and nothing else is ready."""
+    """Make s-1 accept no connection, and leave no other backend ready."""
     w.backends["s-1"] = backend = await UnacceptingBackend().open()
     await announce_endpoints(w, s_1="ready", s_2="draining")
     return backend
 
 
 async def begin_shutdown(w: World) -> None:
-    """Asked to stop, and about it: the line is logged a little before."""
+    """Stop the relay and wait until it is shutting down, which is slightly after the log line."""
     w.stop()
     await w.logged("shutting down")
     assert await (await w.client("PING")).hear() == "NO"
 
 
-# --- the end of the relay -------------------------------------------------------------------------
+# --- shutdown of the relay ------------------------------------------------------------------------
 
 
 def test_shutdown_finishes_within_the_longest_deadline_and_the_kill_grace(tmp_path: Path) -> None:
-    """The relay took 3.3 s whatever the settings said; where the longest deadline is 2 s, SIGKILL came after 2.7 s."""
+    """Guards against a fixed shutdown time of 3.3 s: with a longest deadline of 2 s, SIGKILL comes after 2.7 s."""
 
     async def body(w: World) -> None:
         first, _, _ = await w.standing()
@@ -115,7 +116,7 @@
 
 
 def test_requests_unread_at_shutdown_are_answered_and_not_reset(tmp_path: Path) -> None:
-    """The relay is held while they come and its time runs out; the first thing it does then is to end."""
+    """The relay is stopped while requests arrive and until its shutdown time has passed; then it continues."""
 
     async def body(w: World) -> None:
         idle = await w.client()
@@ -123,11 +124,11 @@
         w.process.send_signal(signal.SIGSTOP)
         idle.say("OPEN 00000000000000aa 7f3a9c21e0b4d655 c=chat,t=acme,d=800")
         late = [await w.request(wait_ms=800) for _ in range(20)]
-        await asyncio.sleep(1.3)  # the time to end has come
+        await asyncio.sleep(1.3)  # the shutdown time has passed
         w.process.send_signal(signal.SIGCONT)
         for peer in (idle, *late):
             assert [(await peer.hear())[:4], await peer.hear()] == ["BUSY", ""]
-        assert all(backend.came.empty() for backend in w.backends.values()), "nothing is begun any more"
+        assert all(backend.came.empty() for backend in w.backends.values()), "no attempt starts any more"
 
     run(tmp_path, body, **SHORT_DEADLINE)
 
@@ -141,11 +142,11 @@
         while True:
             try:
                 (await w.client()).writer.close()
-            except OSError:  # the door has closed
+            except OSError:  # the relay has stopped listening
                 break
         idle[0].say("OPEN 00000000000000aa 7f3a9c21e0b4d655 c=chat,t=acme,d=800")
         assert (await idle[0].hear()).split(" ")[0] in ("BUSY", "")
-        assert await idle[1].hear() == ""  # ended in order while it still rests
+        assert await idle[1].hear() == ""  # closed without a reset while it is idle
         idle[1].say("OPEN 00000000000000bb 7f3a9c21e0b4d655 c=chat,t=acme,d=800")
         assert await asyncio.wait_for(w.process.wait(), WAIT_S) == 0
         assert all(backend.came.empty() for backend in w.backends.values())
@@ -154,7 +155,7 @@
 
 
 def test_a_partial_line_from_a_backend_does_not_delay_move_at_shutdown(tmp_path: Path) -> None:
-    """The move waited for the rest of the line for longer than the process still lived."""
+    """Guards against a MOVE that waits for the rest of the line until the process has exited."""
 
     async def body(w: World) -> None:
         client, _, backend = await w.standing()
@@ -162,7 +163,7 @@
         assert await client.reader.readexactly(8) == b"half a l"
         await begin_shutdown(w)
         w.process.send_signal(signal.SIGSTOP)
-        await asyncio.sleep(1.3)  # all that was to be done before the end is due at once
+        await asyncio.sleep(1.3)  # all steps of the shutdown are due at once
         w.process.send_signal(signal.SIGCONT)
         assert [await client.hear() for _ in range(3)] == ["", "MOVE", ""]
 
@@ -176,19 +177,19 @@
         assert await peer.hear() == ""  # after 2 s
         peer.say("OPEN 00000000000000aa 7f3a9c21e0b4d655 c=chat,t=acme,d=800")
         await peer.writer.drain()
-        peer.writer.write_eof()  # raises where the connection was reset
+        peer.writer.write_eof()  # raises if the connection was reset
         await w.standing()
         assert all(backend.came.empty() for backend in w.backends.values())
 
     run(tmp_path, body)
 
 
-# --- an answer and the end of its connection --------------------------------------------------------
+# --- an answer and the close of its connection-------------------------------------------------------
 
 
 @pytest.mark.parametrize("last", ["UP r1", "UP r1\r\nthe last line"])
 def test_an_answer_followed_by_eof_reaches_the_client(tmp_path: Path, last: str) -> None:
-    """The submitter's connection was cut with the answer still to be written."""
+    """Guards against closing the client's connection before the answer is written."""
 
     async def body(w: World) -> None:
         client = await w.request()
@@ -210,7 +211,7 @@
         _, twice, _ = await w.placed()
         twice.say("BUSY")
         _, endless, _ = await w.placed()
-        twice.say("UP r1")  # the second comes once the next attempt is out
+        twice.say("UP r1")  # its second answer arrives after the next attempt has started
         endless.writer.write(b"x" * 8192)
         _, backend, _ = await w.placed()
         endless.say("UP r2")
@@ -221,7 +222,7 @@
     run(tmp_path, body)
 
 
-# --- the submitter leaves -----------------------------------------------------------------------------
+# --- the client disconnects-----------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize("how", ["close", "half", "reset"])
@@ -248,7 +249,7 @@
         stays = await w.request(wait_ms=1900)
         for peer in leavers:
             peer.writer.write_eof()
-            assert await peer.hear() == ""  # the relay has seen it
+            assert await peer.hear() == ""  # the relay has noticed that the client left
         await announce_endpoints(w, s_1="ready", s_2="draining")
         _, backend, _ = await w.placed()
         backend.say("UP r1")
@@ -281,7 +282,7 @@
 def test_nothing_is_sent_to_a_backend_that_drains_one_iteration_after_connecting(
     tmp_path: Path,
 ) -> None:
-    """The relay is held until a request and the drain wait for it: the connection stands and nothing was sent on it."""
+    """The relay is stopped until a request and the drain are unread: it connects, and then sends nothing on it."""
 
     async def body(w: World) -> None:
         await announce_endpoints(w, s_1="ready", s_2="draining")
@@ -301,7 +302,7 @@
 
 
 def test_an_attempt_is_not_sent_to_a_backend_that_restarted_while_connecting(tmp_path: Path) -> None:
-    """It had been chosen as warm, and came on top of the budget of a cold node."""
+    """Guards against a request to a backend that was chosen as warm and now exceeds its slow-start budget."""
 
     async def body(w: World) -> None:
         backend = await unaccepting_backend(w)
@@ -320,7 +321,7 @@
 
 
 def test_a_retry_starts_within_the_deduplication_window_or_not_at_all(tmp_path: Path) -> None:
-    """A connection that came up late carried a repeat that nobody took for one any more."""
+    """Guards against a retry on a late connection, which the backend no longer recognizes as a duplicate."""
     deduplicated = CHAT | {"effect": "token", "group": "all", "window_ms": 700.0}
 
     async def body(w: World) -> None:
@@ -330,21 +331,21 @@
         _, first, _ = await w.placed()
         w.backends["s-1"] = backend = await UnacceptingBackend().open()
         await announce_endpoints(w, s_1="ready", s_2="draining")
-        first.writer.close()  # it may have run
+        first.writer.close()  # the request may have been executed
         await wait_until(backend.has_pending_connection)
-        await backend.accept()  # the system tries again a second after the first time: the window has closed by then
+        await backend.accept()  # SYN is resent after 1 s, when the window has ended
         assert (await client.hear()).split(" ")[0] in ("BUSY", "ERR") and time.monotonic() - start < 1.9
         assert not backend.first_lines()
 
     run(tmp_path, body, limits=LONG_CONNECT_TIMEOUT, categories=[deduplicated])
 
 
-# --- the list -----------------------------------------------------------------------------------------
+# --- the endpoint list ----------------------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize("sends_empty_lines", [False, True])
 def test_a_watch_that_is_silent_or_sends_only_empty_lines_is_reopened(tmp_path: Path, sends_empty_lines: bool) -> None:
-    """With the call that follows it the change is known within 6 s of the last word, also where one call hangs."""
+    """A change is known within 6 s of the last message of the watch, even if the first call after it hangs."""
 
     async def body(w: World) -> None:
         await w.watched()
@@ -357,7 +358,7 @@
                 await asyncio.sleep(0.5)
 
         sender = asyncio.ensure_future(send_empty_lines())
-        await w.watched()  # and this one hangs
+        await w.watched()  # this call hangs
         await w.watched()
         sender.cancel()
         w.answer_watch(w.member("s-1", "draining"), w.member("s-2"))
@@ -367,10 +368,13 @@
     run(tmp_path, body)
 
 
-@pytest.mark.parametrize("seed", ["2", "16"])  # whose first draws come late
+@pytest.mark.parametrize("seed", ["2", "16"])  # seeds whose first random delays are long
 def test_a_drain_that_began_before_the_start_is_known_within_its_grace(tmp_path: Path, seed: str) -> None:
-    """It counts as told 6 s after discovery had it, also by a process that has started since: with a fleet of 182 the
-    first call was made up to 4.8 s after the start. Drained 4 s before the start, and the grace is 0.4 s."""
+    """Guards against a first list call as late as 4.8 s after the start, which a fleet of 182 relays led to.
+
+    A drain counts as known 6 s after discovery has it, also in a process that started later. Here the drain began 4 s
+    before the start, and the grace is 0.4 s.
+    """
 
     async def body(w: World) -> None:
         start, sent = time.monotonic(), []
@@ -400,13 +404,13 @@
         await w.standing()
         w.watch.writer.write(b"%x\r\n%s\r\n" % (len(text) - 70, text[70:].encode()))
         await w.logged("machine list 9: s-1 gone")
-        assert w.list.came.empty(), "the same watch goes on"
+        assert w.list.came.empty(), "the same watch continues"
 
     run(tmp_path, body)
 
 
 def test_revisions_of_the_former_discovery_service_are_not_resumed_from(tmp_path: Path) -> None:
-    """Its revision was asked of the new service, which counts in another way and left out what came before."""
+    """Guards against requesting the old service's revision from the new one, which counts revisions differently."""
 
     async def body(w: World) -> None:
         await announce_endpoints(w, s_1="draining", s_2="ready")
@@ -418,11 +422,11 @@
         old.writer.write(w.members(False, w.member("s-1", "gone")))
         await w.logged("s-1 gone")
         w.watch.writer.close()
-        assert (await w.watched()).endswith("index=0 HTTP/1.1"), "the whole list, as before"
+        assert (await w.watched()).endswith("index=0 HTTP/1.1"), "the full list is requested again"
         w.version = 3
         w.answer_watch(w.member("s-1"), w.member("s-2", "draining"))
         await w.logged("machine list 4: s-1 ready, s-2 draining")
-        old.writer.write(w.members(True, w.member("s-2")))  # late word of the old one
+        old.writer.write(w.members(True, w.member("s-2")))  # a late message of the old service
         assert [(await w.standing())[1] for _ in range(6)] == ["s-1"] * 6
 
     run(tmp_path, body)
@@ -436,7 +440,7 @@
         crowd = []
         for _ in range(300):
             peer = Peer(*await asyncio.open_connection("127.0.0.1", w.port))
-            peer.writer.write(b"OPEN 0000")  # and no more of it
+            peer.writer.write(b"OPEN 0000")  # the rest of the line never follows
             crowd.append(peer)
         w.list = await Server().open()
         w.reload(discovery=f"127.0.0.1:{w.list.port}")
--- a/tests/daemon/test_idle_client_log.py
+++ b/tests/daemon/test_idle_client_log.py
@@ -1,4 +1,4 @@
-"""Idle clients whose connections the relay ends: the log says which, and why."""
+"""Log lines for idle clients whose connections the relay closes: address, reason and idle time."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 LOG_AT_DEBUG = '[log]\nlevel = "DEBUG"\n'
 DESCRIPTORS = 90
-CLIENTS = 40  # more than may be idle with so many descriptors
+CLIENTS = 40  # more than may be idle with this number of descriptors
 LINE = re.compile(r"idle client (?P<address>\S+) ended reason=(?P<reason>\w+) idle_ms=(?P<idle_ms>\d+)")
 
 
--- a/tests/daemon/test_internal_failures.py
+++ b/tests/daemon/test_internal_failures.py
@@ -1,4 +1,4 @@
-"""A step of the program that fails leaves nobody without an answer, and no task that ends unseen."""
+"""Internal failures: every request still gets an answer, and no exception of a task is lost."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 DEADLINE_S = 0.9
 FAULTS: dict[str, Callable[[RelayService, LineFront], None]] = {
     "the decision on a request": lambda service, front: fail_in_reducer(service, RequestReceived),
-    "the step of a connection that came up": lambda service, front: fail_in_reducer(service, BackendConnected),
+    "the event of an established connection": lambda service, front: fail_in_reducer(service, BackendConnected),
     "opening the connection": lambda service, front: fail_effect(front, OpenBackendConnection),
     "writing the request": lambda service, front: fail_effect(front, ForwardRequest),
     "setting the deadline": lambda service, front: fail_deadlines(service),
@@ -41,7 +41,7 @@
 
 
 class InjectedFault(Exception):
-    """The fault of a test."""
+    """The exception that the tests inject."""
 
 
 def fail(*_: Any) -> None:
@@ -49,7 +49,7 @@
 
 
 def fail_in_reducer(service: RelayService, event: type[Event]) -> None:
-    """After the reducer has done half of its step: the module fails."""
+    """Make the reducer fail in the middle of its step for this type of event."""
     handle = service.reducer.balancer.handle
     step = service.reducer.step
 
@@ -101,7 +101,9 @@
         writer.write(f"OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=charge,t=acme,d={1000 * DEADLINE_S:.0f}\r\n".encode())
         answer = await asyncio.wait_for(reader.read(), DEADLINE_S + 0.5)
         assert answer.split()[0] in (b"ERR", b"BUSY") and answer.count(b"\r\n") == 1
-        assert not front.backends and not front.connect_attempts and not service.reducer.requests, "nothing is kept of it"
+        assert not front.backends and not front.connect_attempts and not service.reducer.requests, (
+            "no state of the request remains"
+        )
         assert not service.runtime.owners
 
     uvloop.run(body())
@@ -109,15 +111,17 @@
 
 @pytest.fixture(autouse=True)
 def plain_log() -> Iterator[None]:
-    """As the daemon sets it up. What a fault leaves behind is collected at once: a task whose exception nobody saw is
-    told of when it is collected, and that must not fall into another's parsing of source (CPython 3.11 raises
-    SystemError there)."""
+    """Set up the log as the daemon does, and collect garbage after each test.
+
+    A task whose exception was never retrieved reports it when it is collected. If that happens while another test
+    parses source code, CPython 3.11 raises SystemError.
+    """
     configure_log("INFO")
     yield
     gc.collect()
 
 
-INVALID_ADDRESS = ("a..b", 3000)  # a host that no encoding of names knows: UnicodeError, which is no OSError
+INVALID_ADDRESS = ("a..b", 3000)  # a host name that cannot be encoded: UnicodeError, not OSError
 
 
 async def watch_fails() -> None:
--- a/tests/daemon/test_local_network_errors.py
+++ b/tests/daemon/test_local_network_errors.py
@@ -1,4 +1,4 @@
-"""A moment's fault of this machine's own network is not held against the servers."""
+"""Errors of the local network do not count against the backends."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class FailingNetworkLoop(uvloop.Loop):
-    """A loop whose way to these ports is gone."""
+    """An event loop whose connections to `unreachable_ports` fail with `error`."""
 
     error = ""
     unreachable_ports: frozenset[int] = frozenset()
@@ -54,7 +54,7 @@
         assert isinstance(loop, FailingNetworkLoop)
         loop.error, loop.unreachable_ports = error, frozenset(backend.port for backend in backends)
         answers = await asyncio.gather(*(send_request(service, n) for n in range(1, REQUESTS + 1)))
-        assert all(answer.split()[0] == b"BUSY" for answer in answers), "none was sent"
+        assert all(answer.split()[0] == b"BUSY" for answer in answers), "no request was sent"
         reducer = service.reducer
         assert len(reducer.balancer.ejected(reducer.now)) <= 1
 
--- a/tests/daemon/test_maintenance_daemon.py
+++ b/tests/daemon/test_maintenance_daemon.py
@@ -1,4 +1,4 @@
-"""Maintenance in the real program: the first voter file, registration, a backend out and back, the command."""
+"""Maintenance by relay processes: the first voter's file, registration, a backend out and back, the command."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 def operator(tmp: Path, port: int, more: str = "") -> str:
-    """The operator's file of a relay that votes alone, with its commands at this port."""
+    """Return the operator's file of a relay that is the only voter, with its API at this port."""
     return (
         f'[peers]\nlisten = "127.0.0.1:{free_port()}"\n[turns]\ndirectory = "{tmp}/turns"\nvoters = ["n0"]\n'
         f'command = "127.0.0.1:{port}"\n{more}'
@@ -36,7 +36,7 @@
 
 
 async def connection_at(world: World, name: str) -> tuple[Any, Any]:
-    """Return a connection to this backend; those to other backends stay open."""
+    """Return a connection to this backend; connections to other backends stay open."""
     while True:
         client, at, backend = await world.standing()
         if at == name:
--- a/tests/daemon/test_operations.py
+++ b/tests/daemon/test_operations.py
@@ -1,4 +1,4 @@
-"""The operators' parts: the hand-over of an upgrade, the operators' API, figures, drain and settings that change."""
+"""Operation of a relay: upgrades, the operators' API, telemetry, drain and changes of settings."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
 
 
 async def call(port: int, request: bytes) -> tuple[int, str]:
-    """One call of the operators' API: its status and body; (0, "") where the connection ends without an answer."""
+    """Return status and body of a call of the operators' API; (0, "") if the connection ends without a response."""
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     writer.write(request)
     answer = await asyncio.wait_for(reader.read(), WAIT_S)
@@ -59,7 +59,7 @@
 
 @pytest.fixture
 def port(monkeypatch: pytest.MonkeyPatch) -> int:
-    """Where the relay's operators' API is to listen."""
+    """Return the port at which the relay's operators' API is to listen."""
     unused_port = free_port()
     monkeypatch.setenv("ROUTER_OPERATOR", f"127.0.0.1:{unused_port}")
     return unused_port
@@ -74,12 +74,12 @@
     async def body(w: World) -> None:
         assert await call(port, http_request("GET", "/api/ready")) == (200, "ready\n")
         client, _, _ = await w.standing()
-        for _ in range(2):  # twice is one evacuation
+        for _ in range(2):  # the second call changes nothing
             assert (await call(port, http_request("PUT", "/api/evacuate")))[0] == 200
         assert (await call(port, http_request("GET", "/api/ready")))[0] == 503
         ping = await w.client("PING")
         assert await ping.hear() == "NO"
-        assert await client.hear() == "MOVE", "who stands is moved, not held"
+        assert await client.hear() == "MOVE", "established connections are migrated"
         assert w.process.returncode is None, "the process keeps running"
         assert (await call(port, http_request("PUT", "/api/rejoin")))[0] == 200
         assert await call(port, http_request("GET", "/api/ready")) == (200, "ready\n")
@@ -101,7 +101,7 @@
         (b"PUT /api/evacuate HTTP/1.1\r\ncontent-length: 99999\r\n\r\n", 413),
         (b"GET /api/ready HTTP/1.1\r\nx: " + b"y" * 9000 + b"\r\n\r\n", 431),
         (b"what is this\r\n\r\n", 400),
-        (b"GET /api/ready HTTP/1.1\r\nhost", 400),  # cut off: the end of sending says it is whole
+        (b"GET /api/ready HTTP/1.1\r\nhost", 400),  # incomplete, followed by EOF
     ],
 )
 def test_bad_calls_get_a_plain_4xx_and_the_connection_closed(
@@ -115,7 +115,7 @@
             writer.write_eof()
         answer = await asyncio.wait_for(reader.read(), WAIT_S)
         assert int(answer.split()[1]) == status
-        assert (await call(port, http_request("GET", "/api/ready")))[0] == 200, "and the API goes on"
+        assert (await call(port, http_request("GET", "/api/ready")))[0] == 200, "the API still works"
 
     run(tmp_path, body)
 
@@ -129,7 +129,7 @@
         started = asyncio.get_running_loop().time()
         assert (await call(port, http_request("GET", "/api/ready")))[0] == 200
         assert asyncio.get_running_loop().time() - started < 1.0
-        ended = await asyncio.wait_for(idle[-1][0].read(), WAIT_S)  # ended on the deadline, unanswered
+        ended = await asyncio.wait_for(idle[-1][0].read(), WAIT_S)  # closed at its timeout without a response
         assert ended == b""
         for _, writer in idle:
             writer.close()
@@ -168,7 +168,7 @@
         fewer = SETTINGS["limits"] | {"max_attempts": 0}
         invalid_texts.append(json.dumps(config | {"settings": SETTINGS | {"limits": fewer}}))
         for text in invalid_texts:
-            w.file.write_text(text)  # as it is, also empty
+            w.file.write_text(text)  # the exact text, even if empty
             w.process.send_signal(signal.SIGHUP)
             await w.logged("is rejected")
         new_settings = SETTINGS | {"categories": [chat | {"name": "video", "deadline_ms": 900.0}]}
@@ -176,14 +176,14 @@
         await w.logged("new settings are in force")
         figures = figures_of((await call(port, http_request("GET", "/api/telemetry")))[1])
         assert figures["reconfig_failed"] == len(invalid_texts) and figures["reconfig_ok"] == 1
-        refused = await w.request()  # chat has vanished: no new connection of it is taken
+        refused = await w.request()  # the class chat was removed: its new requests are rejected
         assert await refused.hear() == "ERR"
         video = await w.client("OPEN 00000000000000aa 7f3a9c21e0b4d655 c=video,t=acme,d=800,g=5c0f")
         _, other, _ = await w.placed()
         other.say("UP r2")
         assert await video.hear() == "UP r2"
         backend.say("still here")
-        assert await client.hear() == "still here", "a connection under way keeps its class"
+        assert await client.hear() == "still here", "an established connection keeps its class"
         figures = figures_of((await call(port, http_request("GET", "/api/telemetry")))[1])
         assert figures["success.chat"] == 1 and figures["success.video"] == 1 and figures["failure.chat"] == 0
 
@@ -191,7 +191,7 @@
 
 
 def test_telemetry_tells_a_bounded_number_of_class_names_apart() -> None:
-    """Settings change thousands of times a day, and each may name another class."""
+    """Guards against unbounded counters: settings change thousands of times a day, each with another class name."""
     reducer = Reducer(Settings(classes=(RequestClass(setup_latency_objective_ms=800.0, deadline_ms=4800.0),)), 1, 0.0)
     telemetry = Telemetry(reducer, lambda cls: f"class{cls}")
     for request in range(1000):
--- a/tests/daemon/test_rebalancing_daemon.py
+++ b/tests/daemon/test_rebalancing_daemon.py
@@ -1,4 +1,4 @@
-"""Rebalancing by the real program on real sockets: a node joins, and submitters come over to it."""
+"""Rebalancing by a relay process on real sockets: clients are migrated to a backend that joins."""
 
 from __future__ import annotations
 
@@ -22,9 +22,9 @@
 
 
 async def serve(world: World, name: str, connected: dict[str, list[int]]) -> None:
-    """An execute node: takes all and brings each line back, in two parts so that a MOVE could cut one.
+    """Serve as a backend that accepts each client and echoes its lines in two parts, between which a MOVE could come.
 
-    standing: by node, the keys of the clients that stand there.
+    connected: the keys of the connected clients by backend.
     """
 
     async def serve_connection(peer: Peer) -> None:
@@ -56,7 +56,7 @@
                 heard = await peer.hear()
                 if heard == "MOVE":
                     break
-                assert heard == f"line {number}", "only a MOVE between two lines ends it"
+                assert heard == f"line {number}", "the stream ends only with a MOVE between two lines"
                 await asyncio.sleep(0.01)
             moves.append(key)
             up.clear()
@@ -69,7 +69,7 @@
         w.answer_watch(w.member("s-1"))
         all_up = [asyncio.Event() for _ in range(CLIENTS)]
         tasks = [asyncio.ensure_future(serve(w, name, connected)) for name in connected]
-        # The list without the second node is taken up before the first submitter comes.
+        # The relay uses the list without the second backend before the first client connects.
         probe = await w.request()
         tasks += [asyncio.ensure_future(client(w, key + 1, up)) for key, up in enumerate(all_up)]
         await asyncio.wait_for(asyncio.gather(*(up.wait() for up in all_up)), WAIT_S)
@@ -77,7 +77,7 @@
         w.tell("s-2", "ready")
 
         def connection_counts() -> Counter[int]:
-            """At how many nodes each client stands."""
+            """Return the number of backends that each client is connected to."""
             return Counter(key for keys in connected.values() for key in keys if 1 <= key <= CLIENTS)
 
         async def wait_until_level() -> None:
@@ -89,12 +89,12 @@
                 await asyncio.sleep(0.01)
 
         await asyncio.wait_for(wait_until_level(), 2 * WAIT_S)
-        # The relay writes MOVE and ends the node's side at once: who stands nowhere has its MOVE, read or not.
+        # The relay writes MOVE and closes the backend connection at once, so clients without a backend were sent MOVE.
         await asyncio.wait_for(wait_until_moved(set(range(1, CLIENTS + 1)) - connection_counts().keys()), WAIT_S)
         assert not first
         assert CLIENTS // 3 <= len(moves) <= CLIENTS // 2 + 4 and len(moves) == len(set(moves))
         probe.writer.close()
-        # Taken out by SIGHUP, and a file that makes no sense changes nothing.
+        # SIGHUP turns rebalancing off, but an invalid file changes nothing.
         (tmp_path / "operator.toml").write_text("[rebalance]\nsprad = 1\n")
         w.reload()
         await w.logged("sprad is not a known key; did you mean spread?")
--- a/tests/daemon/test_relay_stalls.py
+++ b/tests/daemon/test_relay_stalls.py
@@ -1,4 +1,4 @@
-"""A relay that is held up for as long as the operators' terms allow does not take its backends for slow."""
+"""Stalls of a relay within the operators' limit are not counted as slowness of its backends."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 async def connections_at_both(w: World) -> list[tuple[Peer, Peer]]:
-    """Connections at both backends."""
+    """Return established connections, one at each backend."""
     connections: dict[str, tuple[Peer, Peer]] = {}
     while len(connections) < len(w.backends):
         client, name, backend = await w.standing()
@@ -26,7 +26,7 @@
 
 
 async def exchange(w: World, pairs: list[tuple[Peer, Peer]], stalled: bool, answer_after_s: float = 0.0) -> None:
-    """A line of each client, and its answer, which comes while the relay is held."""
+    """Send a line from each client and its answer, which arrives during the stall if `stalled`."""
     for client, backend in pairs:
         client.say("a line")
         assert await backend.hear() == "a line"
@@ -43,7 +43,7 @@
 
 
 async def rejected(w: World) -> bool:
-    """Whether a new request is answered BUSY at once."""
+    """Return whether a new request is answered BUSY at once."""
     client = await w.request()
     answer = asyncio.ensure_future(client.hear())
     placed = asyncio.ensure_future(w.placed())
@@ -58,7 +58,7 @@
 
 @pytest.mark.parametrize("stalled", [True, False])
 def test_answers_read_late_after_a_stall_do_not_mark_a_backend_as_slow(tmp_path: Path, stalled: bool) -> None:
-    """Guards against shedding for delays of the relay itself; backends that are as slow themselves are still shed."""
+    """Guards against load shedding for the relay's own delays; backends with the same delay are still shed."""
 
     async def body(w: World) -> None:
         pairs = await connections_at_both(w)
--- a/tests/daemon/test_reload_failures.py
+++ b/tests/daemon/test_reload_failures.py
@@ -1,4 +1,4 @@
-"""SIGHUP with files that make no sense: whole or not at all, on the real program."""
+"""SIGHUP with invalid files: a relay process applies a new configuration completely or not at all."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 INVALID_FILES = {
     "not UTF-8": b"\xff\xfe[log]\n",
     "not TOML": b"[log\n",
-    "a level that is no level": b'[log]\nlevel = "LOUD"\n',
+    "an unknown log level": b'[log]\nlevel = "LOUD"\n',
     "a number for a section": b"log = 5\n",
     "a list for a section": b"rebalance = []\n",
     "a number for an address": b"[metrics]\ngraphite = 7\n",
--- a/tests/daemon/test_requests_read_late.py
+++ b/tests/daemon/test_requests_read_late.py
@@ -1,4 +1,4 @@
-"""Requests that lay unread in the kernel while the relay stood still, or could take nobody in."""
+"""Requests that stay unread in the kernel while the relay is stalled or accepts no connection."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 STALL_S = 0.7
 REQUEST_IDS = iter(range(0xAA, 0xFFFF))
-ARRIVALS = ("new connection", "resting connection", "second half of a line")
+ARRIVALS = ("new connection", "idle connection", "second half of a line")
 
 
 def open_line(wait_ms: int) -> str:
@@ -20,7 +20,7 @@
 
 
 async def send_during_stall(w: World, arrival: str, wait_ms: int) -> Peer:
-    """A request whose last byte comes while the process is held; it is held for HELD_S from then on."""
+    """Send a request whose last byte arrives during a stall, which lasts STALL_S from then on."""
     text = open_line(wait_ms).encode()
     peer = None if arrival == "new connection" else await w.client()
     if peer is not None and arrival == "second half of a line":
@@ -37,7 +37,7 @@
 
 @pytest.mark.parametrize("arrival", ARRIVALS)
 def test_a_request_read_after_its_deadline_is_rejected_and_not_forwarded(tmp_path: Path, arrival: str) -> None:
-    """Guards against counting a deadline from the reading of a line: attempts began long after the client's time."""
+    """Guards against counting a deadline from the reading of a line: attempts started after the client's deadline."""
 
     async def body(w: World) -> None:
         peer = await send_during_stall(w, arrival, 300)
@@ -64,7 +64,7 @@
 def test_a_request_read_at_once_keeps_its_full_time(tmp_path: Path) -> None:
     async def body(w: World) -> None:
         peer = await w.client()
-        await asyncio.sleep(0.5)  # its connection is old, its line is not
+        await asyncio.sleep(0.5)  # the connection is old, but its line is new
         peer.writer.write(open_line(1500).encode())
         _, _, forwarded = await w.placed()
         (left,) = (int(part[2:]) for part in forwarded.split(" ")[3].split(",") if part.startswith("d="))
--- a/tests/daemon/test_shared_settings.py
+++ b/tests/daemon/test_shared_settings.py
@@ -1,4 +1,4 @@
-"""Shared settings in the service: classes over many changes, and the check of entries."""
+"""Shared settings in the service: class numbers over many changes, and the validation of entries."""
 
 from __future__ import annotations
 
--- a/tests/daemon/test_shutdown_stalls.py
+++ b/tests/daemon/test_shutdown_stalls.py
@@ -1,7 +1,7 @@
-"""The end of a relay that is held up (SIGSTOP) at one of its steps: whoever the kernel took in is answered.
+"""Shutdown of a relay that stalls (SIGSTOP): every client whose connection the kernel accepted is answered.
 
-The operators' terms allow a hold of 0.15 s between two steps of the process. Nothing here waits for a step by its time:
-holds follow one another, each after another pause.
+The operators' requirements allow a stall of 0.15 s between two steps of the process. The tests do not wait for a
+specific step: stalls follow one another after varying pauses.
 """
 
 from __future__ import annotations
@@ -21,28 +21,28 @@
 
 STALL_S = 0.06
 STALLS = 4
-KILL_AFTER_S = 0.9 + 0.7  # after SIGTERM, for the deadline of SHORT
+KILL_AFTER_S = 0.9 + 0.7  # seconds from SIGTERM to SIGKILL, for the deadline of SHORT
 REQUEST_IDS = itertools.count(0xAA)
 
 
 async def stall(w: World, pause_s: float, stalls: int = STALLS) -> None:
-    """Holds the process again and again, each time after it went on for `pause_s`."""
+    """Stall the process repeatedly, each time after it has run for `pause_s`."""
     for _ in range(stalls):
         await asyncio.sleep(pause_s)
-        with suppress(ProcessLookupError):  # it has ended by now
+        with suppress(ProcessLookupError):  # the process has ended
             os.kill(w.process.pid, signal.SIGSTOP)
             await asyncio.sleep(STALL_S)
             os.kill(w.process.pid, signal.SIGCONT)
 
 
 def send_request(peer: Peer) -> None:
-    """Sends a whole OPEN line on a connection that has rested so far."""
+    """Send a complete OPEN line on an idle connection."""
     peer.say(f"OPEN {next(REQUEST_IDS):016x} 7f3a9c21e0b4d655 c=chat,t=acme,d=800")
 
 
 @pytest.mark.parametrize("pause_ms", [0.0, 0.5, 1.0, 2.0, 4.0, 7.5])
 def test_stalls_at_shutdown_leave_no_unread_request_unanswered(tmp_path: Path, pause_ms: float) -> None:
-    """Guards against an end that counts time where it has to count what it has read: clients got '' for BUSY."""
+    """Guards against a shutdown that ends by time, not once all input is read: clients got '' instead of BUSY."""
 
     async def body(w: World) -> None:
         idle = await w.client()
@@ -55,14 +55,14 @@
         await stall(w, pause_ms / 1000.0)
         answers = [[(await peer.hear())[:4], await peer.hear()] for peer in (idle, *late)]
         assert answers == [["BUSY", ""]] * 41
-        assert all(backend.came.empty() for backend in w.backends.values()), "nothing is begun any more"
+        assert all(backend.came.empty() for backend in w.backends.values()), "no attempt starts any more"
 
     run(tmp_path, body, **SHORT_DEADLINE)
 
 
 @pytest.mark.parametrize("pause_ms", [0.0, 1.0, 4.0, 15.0])
 def test_stalls_at_shutdown_leave_no_line_of_an_idle_client_unread(tmp_path: Path, pause_ms: float) -> None:
-    """Guards against ending a connection as resting whose OPEN line lies in its socket, or is half read."""
+    """Guards against closing a connection as idle while its OPEN line is unread or partly read."""
 
     async def body(w: World) -> None:
         pinged = [await w.client("PING") for _ in range(5)]
@@ -87,7 +87,7 @@
 
 @pytest.mark.parametrize("pause_ms", [0.0, 2.0, 20.0])
 def test_stalls_at_shutdown_leave_no_established_connection_without_move(tmp_path: Path, pause_ms: float) -> None:
-    """Guards against an end of the process before MOVE is written; whoever rests is ended in order, all within time."""
+    """Guards against an exit before MOVE is written. Idle connections are closed without a reset, all in time."""
 
     async def body(w: World) -> None:
         standing = [(await w.standing())[0] for _ in range(10)]
@@ -97,20 +97,20 @@
         idle = [await w.client("PING") for _ in range(3)]
         assert [await peer.hear() for peer in idle] == ["NO"] * 3
         for peer in standing:
-            peer.say("a line")  # goes on to use the connection
+            peer.say("a line")  # keeps using the connection
         await asyncio.sleep(1.1 - (time.monotonic() - start))
         await stall(w, pause_ms / 1000.0)
         answers = [[await peer.hear(), await peer.hear()] for peer in standing]
         assert answers == [["MOVE", ""]] * 10
         assert [await peer.hear() for peer in idle] == [""] * 3
         assert await asyncio.wait_for(w.process.wait(), WAIT_S) == 0
-        assert time.monotonic() - start < KILL_AFTER_S, "the end comes before the kill, holds included"
+        assert time.monotonic() - start < KILL_AFTER_S, "the process exits before SIGKILL, stalls included"
 
     run(tmp_path, body, **SHORT_DEADLINE)
 
 
 def test_shutdown_is_in_time_when_the_signal_arrives_during_a_stall(tmp_path: Path) -> None:
-    """Guards against counting the shutdown from the end of a hold: the kill counts from the signal."""
+    """Guards against counting the shutdown time from the end of a stall: SIGKILL counts from the signal."""
 
     async def body(w: World) -> None:
         w.process.send_signal(signal.SIGSTOP)
@@ -118,8 +118,8 @@
         start = time.monotonic()
         await asyncio.sleep(0.15)
         w.process.send_signal(signal.SIGCONT)
-        await asyncio.sleep(0.2)  # connections still come
-        waiting = [await w.request(wait_ms=850) for _ in range(5)]  # no backend answers, and they go on afterwards
+        await asyncio.sleep(0.2)  # connections are still accepted
+        waiting = [await w.request(wait_ms=850) for _ in range(5)]  # no backend answers within the shutdown time
         assert await asyncio.wait_for(w.process.wait(), WAIT_S) == 0
         assert time.monotonic() - start < KILL_AFTER_S
         assert [(await peer.hear())[:4] for peer in waiting] == ["BUSY"] * 5
@@ -128,7 +128,7 @@
 
 
 def test_a_line_received_during_a_stall_longer_than_the_first_line_timeout_is_read(tmp_path: Path) -> None:
-    """Guards against a time limit on silence that falls due before the loop has read what came while it was held."""
+    """Guards against an idle timeout that fires before the loop has read the input that arrived during a stall."""
 
     async def body(w: World) -> None:
         peer = await w.client("PING")
@@ -138,16 +138,16 @@
         await asyncio.sleep(2.2)
         w.process.send_signal(signal.SIGCONT)
         answer = await peer.hear()
-        assert answer.split(" ")[0] in ("BUSY", "ERR"), "its time has passed, but it is answered"
+        assert answer.split(" ")[0] in ("BUSY", "ERR"), "its deadline has passed, but it is answered"
 
     run(tmp_path, body)
 
 
-@pytest.mark.parametrize(("stop_s", "hold_s"), [(0.7, 0.3), (0.7, 1.2), (0.65, 0.3), (0.75, 0.4)])
+@pytest.mark.parametrize(("stop_s", "stall_s"), [(0.7, 0.3), (0.7, 1.2), (0.65, 0.3), (0.75, 0.4)])
 def test_a_line_read_while_its_connection_is_migrated_does_not_reset_it(
-    tmp_path: Path, stop_s: float, hold_s: float
+    tmp_path: Path, stop_s: float, stall_s: float
 ) -> None:
-    """Guards against using a connection that ended in the very call that told of its data: resets overtook MOVE."""
+    """Guards against using a connection that was closed within its own data callback: resets overtook MOVE."""
 
     async def body(w: World) -> None:
         standing = [(await w.standing())[0] for _ in range(20)]
@@ -157,10 +157,10 @@
         w.process.send_signal(signal.SIGSTOP)
         for peer in standing:
             peer.say("a line")
-        await asyncio.sleep(hold_s)
+        await asyncio.sleep(stall_s)
         w.process.send_signal(signal.SIGCONT)
         answers = [[await peer.hear(), await peer.hear()] for peer in standing]
         assert answers == [["MOVE", ""]] * 20
         assert await asyncio.wait_for(w.process.wait(), WAIT_S) == 0
 
-    run(tmp_path, body, **SHORT_DEADLINE)  # which finds a traceback in the relay's log
+    run(tmp_path, body, **SHORT_DEADLINE)  # `run` fails on a traceback in the relay's log
--- a/tests/daemon/test_startup_and_shutdown.py
+++ b/tests/daemon/test_startup_and_shutdown.py
@@ -1,4 +1,4 @@
-"""Starts while an address or descriptors cannot be had for a moment; ends of which one side is missing."""
+"""Starts without a free address or descriptor; shutdown with stalls, signals and closed connections."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 @pytest.mark.parametrize("member", ("listen", "operator"))
 def test_a_relay_retries_an_address_in_use_until_it_is_free(tmp_path: Path, member: str) -> None:
-    """So does one that gets no descriptor just then: ready within 10 s, not ended."""
+    """The same holds for a relay without a free descriptor: it must be ready within 10 s and not exit."""
 
     async def body() -> None:
         configuration = config([Backend()]) | {"operator": f"127.0.0.1:{free_port()}"}
@@ -55,7 +55,7 @@
             occupied.close()
             deadline = asyncio.get_running_loop().time() + WAIT_S
             while asyncio.get_running_loop().time() < deadline:
-                assert process.returncode is None, "it has ended"
+                assert process.returncode is None, "the relay has exited"
                 try:
                     reader, writer = await asyncio.open_connection(*configuration["listen"].split(":"))
                 except OSError:
@@ -67,7 +67,7 @@
                 if answer == b"PONG\r\n":
                     return
                 await asyncio.sleep(0.05)
-            raise AssertionError("it does not serve")
+            raise AssertionError("the relay does not serve")
         finally:
             if process.returncode is None:
                 process.kill()
@@ -90,7 +90,7 @@
         return {}
 
 
-# Starts the program with a module that sends its own process a signal at a step of the interpreter's end.
+# Starts the program with a module that sends its own process a signal at a step of the interpreter's exit.
 SIGNAL_DURING_EXIT = """
 import os, signal, sys
 from types import ModuleType
@@ -120,7 +120,7 @@
 def test_a_signal_during_interpreter_exit_does_not_change_the_exit_status(
     tmp_path: Path, number: signal.Signals, step: str
 ) -> None:
-    """Guards against the default actions that the interpreter restores as it ends: -1 in place of 0."""
+    """Guards against the default signal actions that the interpreter restores on exit: status -1 instead of 0."""
 
     async def body() -> None:
         (tmp_path / "config.json").write_text(json.dumps(config([Backend()])))
@@ -129,7 +129,7 @@
         process = await asyncio.create_subprocess_exec(*command, cwd=ROOT, env=env, stderr=asyncio.subprocess.PIPE)
         assert process.stderr is not None
         while b"serves at" not in (line := await asyncio.wait_for(process.stderr.readline(), WAIT_S)):
-            assert line, "it has ended"
+            assert line, "the relay has exited"
         process.terminate()
         _, log = await asyncio.wait_for(process.communicate(), WAIT_S)
         assert process.returncode == 0 and b"stopped: " in log and b"Traceback" not in log
@@ -138,7 +138,7 @@
 
 
 def test_reports_continue_after_a_failed_one(monkeypatch: pytest.MonkeyPatch) -> None:
-    """No descriptor at the start, a source that raises, a way that is gone for a moment: one report each."""
+    """Each failure costs one report: no descriptor at the start, a source that raises, an unreachable network."""
 
     async def body() -> None:
         source, opened, sent = FailingSource(), list[int](), list[bytes]()
@@ -190,8 +190,8 @@
     uvloop.run(body())
 
 
-STALL_S = 0.7  # beyond the end, and the time for hearing clients out
-STEP_BEFORE_END_S = 0.4  # before the end: a step of the shutdown that leaves a part of the connections to later ones
+STALL_S = 0.7  # longer than the rest of the shutdown, including CONNECTION_CLOSE_S
+STEP_BEFORE_END_S = 0.4  # a shutdown step this long before the end leaves some connections to later steps
 CLIENTS = 20
 
 
@@ -199,7 +199,7 @@
 def test_a_stall_within_a_shutdown_step_leaves_no_client_unanswered(
     monkeypatch: pytest.MonkeyPatch, established: bool
 ) -> None:
-    """Guards against an end that waits for a timer, which a hold sets late: connections ended without MOVE or BUSY."""
+    """Guards against a shutdown that relies on a timer, which a stall delays: connections got no MOVE or BUSY."""
 
     async def body() -> None:
         backend, answer = Backend(), b"UP r1\r\n" if established else b""
@@ -219,7 +219,7 @@
         if not established:
             await asyncio.sleep(
                 deadline - loop.time() - 1.1 * STEP_BEFORE_END_S
-            )  # their own time is over long after the end
+            )  # their deadline is long after the end
         for number, (_, writer) in enumerate(clients):
             writer.write(f"OPEN {number:016x} 7f3a9c21e0b4d655 c=charge,t=acme,d=900\r\n".encode())
         stalls: list[float] = []
@@ -236,7 +236,9 @@
         await front.shut_down(deadline + CONNECTION_CLOSE_S)
         assert stalls
         assert not service.reducer.requests
-        final = b"MOVE\r\n" if established else b"ERR\r\n"  # what waits was sent to its backend, and may have run there
+        final = (
+            b"MOVE\r\n" if established else b"ERR\r\n"
+        )  # a waiting request was sent to its backend and may have been executed
         assert [await asyncio.wait_for(reader.read(), WAIT_S) for reader, _ in clients] == [answer + final] * CLIENTS
         for _, writer in clients:
             writer.close()
