--- a/tests/daemon/configuration_processes.py
+++ b/tests/daemon/configuration_processes.py
@@ -28,18 +28,18 @@
 ENTRIES = read_platform_settings(SETTINGS).entries
 # A deadline of a client this long is accepted only if the class's deadline is 1.5 s or more.
 LONG_WAIT_MS = 2500
-addresses = iter(range(1 << 16))
+address_numbers = iter(range(1 << 16))
 
 
-def address() -> Address:
+def unused_address() -> Address:
     """Return an unused address on a loopback network of this process, so that parallel runs do not conflict."""
-    number = next(addresses)
+    number = next(address_numbers)
     return f"{own_net()}.{1 + number // 250 % 250}.{1 + number % 250}", 7946
 
 
-def address_text(of: Address) -> str:
+def address_text(address: Address) -> str:
     """Return an address in the form of the settings."""
-    return f"{of[0]}:{of[1]}"
+    return f"{address[0]}:{address[1]}"
 
 
 def deadline_change(deadline_ms: float) -> str:
@@ -52,7 +52,7 @@
 
     def __init__(self, name: str, folder: Path) -> None:
         self.name, self.folder = name, folder
-        self.address, self.command = address(), address()
+        self.address, self.command = unused_address(), unused_address()
         self.advertised_address = self.address  # where other processes reach it
         self.process: asyncio.subprocess.Process
         self.log: asyncio.Queue[str] = asyncio.Queue()
@@ -130,7 +130,7 @@
     def relay(self, name: str, extra: str = "", at: Address | None = None) -> str:
         """Return the text of a relay's operator's file."""
         return (
-            f'[control]\nrole = "relay"\nlisten = "{address_text(at or address())}"\nname = "{name}"\n'
+            f'[control]\nrole = "relay"\nlisten = "{address_text(at or unused_address())}"\nname = "{name}"\n'
             f'cluster = "{self.name}"\ndirectory = "{self.folder}/{name}-kept"\n{extra}{self.controller_tables}'
         )
 
@@ -199,7 +199,7 @@
         assert "Traceback" not in log, log
 
 
-async def relays(stack: AsyncExitStack, tmp: Path, operators: list[str]) -> list[World]:
+async def start_relays(stack: AsyncExitStack, tmp: Path, operators: list[str]) -> list[World]:
     """Start a relay for each operator's file."""
     folders = [tmp / f"relay{n}" for n in range(len(operators))]
     for folder in folders:
@@ -234,7 +234,7 @@
     return cluster.controllers[number].environment(cluster.controller_tables, cluster.name)
 
 
-async def shown_table(cluster: ControllerCluster, capsys: pytest.CaptureFixture[str]) -> str:
+async def status_text(cluster: ControllerCluster, capsys: pytest.CaptureFixture[str]) -> str:
     """Return the printed status of the third controller."""
     capsys.readouterr()
     assert await cluster.run_command(2, "show") == 0
--- a/tests/daemon/test_configuration_daemon.py
+++ b/tests/daemon/test_configuration_daemon.py
@@ -18,14 +18,14 @@
     ENTRIES,
     LONG_WAIT_MS,
     ControllerCluster,
-    address,
     address_text,
     deadline_change,
     environment_of,
     is_placed,
-    relays,
     running_cluster,
-    shown_table,
+    start_relays,
+    status_text,
+    unused_address,
     wait_until_all_applied,
 )
 from tests.stand_ins import SETTINGS, WAIT_S, relay
@@ -52,7 +52,7 @@
         async with AsyncExitStack() as stack:
             cluster = await stack.enter_async_context(running_cluster(tmp_path, ["c0", "c1", "c2"]))
             zones = ['zone = "a"\n', 'zone = "b"\n', "", "", ""]
-            worlds = await relays(stack, tmp_path, [cluster.relay(f"r{n}", zones[n]) for n in range(5)])
+            worlds = await start_relays(stack, tmp_path, [cluster.relay(f"r{n}", zones[n]) for n in range(5)])
             await cluster.wait_until_applied(0, 0, 5, capsys)
             assert await is_placed(worlds[0], LONG_WAIT_MS)
 
@@ -104,7 +104,7 @@
             assert not await is_placed(worlds[3], LONG_WAIT_MS)
 
             # Without any controller a relay that restarts applies the settings that it stored.
-            assert "version 4 is agreed on" in await shown_table(cluster, capsys)
+            assert "version 4 is agreed on" in await status_text(cluster, capsys)
             for controller in cluster.controllers[::2]:
                 await controller.end(signal.SIGTERM)
                 assert controller.process.returncode == 0 and "stopped" in controller.log_lines[-1]
@@ -139,10 +139,10 @@
                 file.store(Persist(version, ENTRIES | {"categories": deadline_change(900.0).partition("=")[2]}))
             file.path.write_bytes(file.path.read_bytes()[:-9])
             names = ["ahead", "cut", "twin", "twin"]
-            flooded = address()
+            flooded = unused_address()
             operators = [cluster.relay(name) for name in names] + [foreign.relay("foreign", at=flooded)]
             operators[3] = operators[3].replace("twin-kept", "twin2-kept")
-            ahead, cut, twin, _, other = await relays(stack, tmp_path, operators)
+            ahead, cut, twin, _, other = await start_relays(stack, tmp_path, operators)
 
             # Stored settings apply from the first request on, unless the file is damaged.
             assert not await is_placed(ahead, LONG_WAIT_MS) and await is_placed(cut, LONG_WAIT_MS)
@@ -183,7 +183,7 @@
 
 async def flood(target: Address) -> None:
     """Send datagrams from many unknown senders, some of them similar to valid ones."""
-    valid = Link("x", address(), "lab", 1, 1, 0.0).encode(0.0, target, LatestVersion(1, bytes(8)))[0]
+    valid = Link("x", unused_address(), "lab", 1, 1, 0.0).encode(0.0, target, LatestVersion(1, bytes(8)))[0]
     for n in range(150):
         with socket.socket(type=socket.SOCK_DGRAM) as sender:
             for data in (b"", os.urandom(1 + n), valid, valid[:-n] + os.urandom(n), os.urandom(1400)):
@@ -219,10 +219,10 @@
 
     async def body() -> None:
         cluster = ControllerCluster(tmp_path, ["r7", "r8", "r9"])  # the faults apply to parties with such names
-        own_addresses = {f"r{n}": address() for n in range(5)} | {
+        own_addresses = {f"r{n}": unused_address() for n in range(5)} | {
             controller.name: controller.address for controller in cluster.controllers
         }
-        proxy_addresses = {name: address() for name in own_addresses}
+        proxy_addresses = {name: unused_address() for name in own_addresses}
         faulty_network, parties = FaultyNetwork(11), {at: name for name, at in own_addresses.items()}
         datagrams: dict[bool, int] = {True: 0, False: 0}
 
@@ -242,7 +242,7 @@
                 )
                 for n in range(5)
             ]
-            worlds = await relays(stack, tmp_path, operators)
+            worlds = await start_relays(stack, tmp_path, operators)
             (tmp_path / "settings.json").write_text(json.dumps(SETTINGS))
             faulty_network.start(Fault("loss", 0.0, 9.0, 0.3))
             assert await cluster.run_command(0, "load", str(tmp_path / "settings.json")) == 0
