--- a/yarrowspindle/daemon/controller_api.py
+++ b/yarrowspindle/daemon/controller_api.py
@@ -14,7 +14,7 @@
 from yarrowspindle.configuration.events import ChangeRequested
 from yarrowspindle.configuration.state import ControlError, Entries, Step
 from yarrowspindle.operator_api import OperatorApi
-from yarrowspindle.operator_api.http import Answer as HttpAnswer
+from yarrowspindle.operator_api.http import Response
 from yarrowspindle.routing.address import Address
 
 MAX_ANSWERS = 1024
@@ -72,22 +72,22 @@
         """Store the result of a change until the operator's command polls it."""
         self.answers[answer.ticket] = answer
 
-    def _status(self) -> HttpAnswer:
+    def _status(self) -> Response:
         return HTTP_OK, self._json(self.sources.status())
 
     @staticmethod
     def _json(value: object) -> str:
         return msgspec.json.encode(value).decode() + "\n"
 
-    def _handler(self, action: Callable[[dict[str, Any]], object]) -> Callable[[bytes], HttpAnswer]:
-        def answer(body: bytes) -> HttpAnswer:
+    def _handler(self, action: Callable[[dict[str, Any]], object]) -> Callable[[bytes], Response]:
+        def respond(body: bytes) -> Response:
             try:
                 parameters = msgspec.json.decode(body or b"{}", type=dict[str, Any])
                 return HTTP_OK, self._json(action(parameters))
             except (ControlError, msgspec.DecodeError, msgspec.ValidationError) as error:
                 return HTTP_CONFLICT, self._json({"error": str(error)})
 
-        return answer
+        return respond
 
     def _change(self, parameters: dict[str, Any]) -> object:
         step = msgspec.convert(parameters.get("step"), dict[str, str | None])
--- a/yarrowspindle/daemon/maintenance_commands.py
+++ b/yarrowspindle/daemon/maintenance_commands.py
@@ -26,7 +26,7 @@
 from yarrowspindle.maintenance.requests import QUEUED, MaintenanceError
 from yarrowspindle.maintenance.settings import RequestSettings, read_request_settings
 from yarrowspindle.maintenance.state import FREE, WARMING
-from yarrowspindle.operator_api.http import Answer, BodyRoutes
+from yarrowspindle.operator_api.http import BodyRoutes, Response
 
 MAX_REASON_LENGTH = 200
 MAX_NAMED_BACKENDS = 8  # in an error message
@@ -76,8 +76,8 @@
         }
         return {f"/turns/{name}": {"PUT": self._call(action)} for name, action in actions.items()}
 
-    def _call(self, action: Callable[[Parameters], object]) -> Callable[[bytes], Answer]:
-        def answer(body: bytes) -> Answer:
+    def _call(self, action: Callable[[Parameters], object]) -> Callable[[bytes], Response]:
+        def respond(body: bytes) -> Response:
             try:
                 parameters = msgspec.json.decode(body or b"{}", type=Parameters)
                 result = action(parameters)
@@ -85,7 +85,7 @@
                 return 409, json_body({"error": str(error)})
             return 200, json_body({"done": result, "registered": self.coordinator.registered})
 
-        return answer
+        return respond
 
     def queue_request(self, settings: RequestSettings, known_version: float) -> str:
         """Queue a request for the backends that the settings select, and return its id.
--- a/yarrowspindle/operator_api/http.py
+++ b/yarrowspindle/operator_api/http.py
@@ -40,12 +40,12 @@
     503: "Service Unavailable",
 }
 
-Answer = tuple[int, str]  # status and text body
-Routes = Mapping[str, Mapping[str, Callable[[], Answer]]]  # path -> method -> function
-BodyRoutes = Mapping[str, Mapping[str, Callable[[bytes], Answer]]]  # the same for functions that take the body
+Response = tuple[int, str]  # status and text body
+Routes = Mapping[str, Mapping[str, Callable[[], Response]]]  # path -> method -> function
+BodyRoutes = Mapping[str, Mapping[str, Callable[[bytes], Response]]]  # the same for functions that take the body
 
 
-def response(status: int, text: str = "") -> bytes:
+def encode_response(status: int, text: str = "") -> bytes:
     """Return the bytes of a response that announces the close of the connection."""
     body = text.encode()
     head = (
@@ -98,17 +98,17 @@
             if not self.headers_complete and self.bytes_before_body > MAX_HEADER_BYTES:
                 raise CallRejectedError(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE)
         except CallRejectedError as rejected:
-            self.answer(rejected.status)
+            self.respond(rejected.status)
         except httptools.HttpParserUpgrade:
-            self.answer(HTTPStatus.BAD_REQUEST)
+            self.respond(HTTPStatus.BAD_REQUEST)
         except httptools.HttpParserError as error:
             cause = error.__context__  # the parser wraps exceptions of its callbacks
-            self.answer(cause.status if isinstance(cause, CallRejectedError) else HTTPStatus.BAD_REQUEST)
+            self.respond(cause.status if isinstance(cause, CallRejectedError) else HTTPStatus.BAD_REQUEST)
 
     def eof_received(self) -> bool:
         """Reject a call that ends before it is complete."""
         if not self.done:
-            self.answer(HTTPStatus.BAD_REQUEST)
+            self.respond(HTTPStatus.BAD_REQUEST)
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -153,45 +153,45 @@
         try:
             path = httptools.parse_url(self.url).path.decode("ascii")
         except (httptools.HttpParserInvalidURLError, UnicodeDecodeError):
-            self.answer(HTTPStatus.BAD_REQUEST)
+            self.respond(HTTPStatus.BAD_REQUEST)
             return
         call = self._route(method, path)
         if call is None:
             return
         if self.body_bytes and method in ("GET", "HEAD"):
-            self.answer(HTTPStatus.BAD_REQUEST, "a body where none is meant")
+            self.respond(HTTPStatus.BAD_REQUEST, "a body where none is meant")
             return
         try:
             status, text = call()
         except Exception as error:  # a failing call must not end the process
             self.api.log_failure(f"{method} {path}: {error!r}")
             status, text = HTTPStatus.SERVICE_UNAVAILABLE, "the call failed"
-        self.answer(status, text)
+        self.respond(status, text)
 
-    def _route(self, method: str, path: str) -> Callable[[], Answer] | None:
+    def _route(self, method: str, path: str) -> Callable[[], Response] | None:
         """Return the function for this call, or None after sending an error response if there is none."""
         calls = self.api.routes.get(path, {})
         body_calls = self.api.body_routes.get(path, {})
         if not calls and not body_calls:
-            self.answer(HTTPStatus.NOT_FOUND)
+            self.respond(HTTPStatus.NOT_FOUND)
             return None
         if method in calls:
             return calls[method]
         if method in body_calls:
             return partial(body_calls[method], self.body)
         allowed = ", ".join(sorted({*calls, *body_calls}))
-        self.answer(HTTPStatus.METHOD_NOT_ALLOWED, f"allowed: {allowed}")
+        self.respond(HTTPStatus.METHOD_NOT_ALLOWED, f"allowed: {allowed}")
         return None
 
     # --- responses --------------------------------------------------------------------------------
 
-    def answer(self, status: int, text: str = "") -> None:
+    def respond(self, status: int, text: str = "") -> None:
         """Send the response, at most once, and give the caller LINGER_S to close the connection."""
         if self.done:
             return
         self.done = True
         if self.transport is not None and not self.transport.is_closing():
-            self.transport.write(response(status, text))
+            self.transport.write(encode_response(status, text))
             if self.transport.can_write_eof():
                 self.transport.write_eof()
         if self.timeout is not None:
