--- a/tests/daemon/test_event_races.py
+++ b/tests/daemon/test_event_races.py
@@ -81,7 +81,7 @@
     await w.logged(f"machine list {w.version}:")
 
 
-async def unaccepting_backend(w: World) -> UnacceptingBackend:
+async def stop_accepting_at_s1(w: World) -> UnacceptingBackend:
     """Make s-1 accept no connection, and leave no other backend ready."""
     w.backends["s-1"] = backend = await UnacceptingBackend().open()
     await announce_endpoints(w, s_1="ready", s_2="draining")
@@ -184,7 +184,7 @@
     run(tmp_path, body)
 
 
-# --- an answer and the close of its connection-------------------------------------------------------
+# --- an answer and the close of its connection ----------------------------------------------------
 
 
 @pytest.mark.parametrize("last", ["UP r1", "UP r1\r\nthe last line"])
@@ -222,22 +222,22 @@
     run(tmp_path, body)
 
 
-# --- the client disconnects-----------------------------------------------------------------------------
+# --- the client disconnects -----------------------------------------------------------------------
 
 
 @pytest.mark.parametrize("how", ["close", "half", "reset"])
 def test_no_attempt_starts_for_a_client_that_left_while_connecting(tmp_path: Path, how: str) -> None:
     async def body(w: World) -> None:
-        backend = await unaccepting_backend(w)
-        leavers = [await w.request(wait_ms=1900) for _ in range(10)]
+        backend = await stop_accepting_at_s1(w)
+        leaving_clients = [await w.request(wait_ms=1900) for _ in range(10)]
         await wait_until(backend.has_pending_connection)
-        for peer in leavers:
+        for peer in leaving_clients:
             {"close": peer.writer.close, "half": peer.writer.write_eof, "reset": peer.writer.transport.abort}[how]()
         await wait_until(lambda: not backend.has_pending_connection())
         await backend.accept()
-        stays, name, _ = await w.standing()
+        remaining_client, name, _ = await w.standing()
         assert name == "s-1" and not backend.first_lines()
-        stays.say("hello")
+        remaining_client.say("hello")
 
     run(tmp_path, body, limits=LONG_CONNECT_TIMEOUT)
 
@@ -245,27 +245,27 @@
 def test_no_attempt_starts_for_a_client_that_left_while_waiting_for_a_backend(tmp_path: Path) -> None:
     async def body(w: World) -> None:
         await announce_endpoints(w, s_1="draining", s_2="draining")
-        leavers = [await w.request(wait_ms=1900) for _ in range(10)]
-        stays = await w.request(wait_ms=1900)
-        for peer in leavers:
+        leaving_clients = [await w.request(wait_ms=1900) for _ in range(10)]
+        remaining_client = await w.request(wait_ms=1900)
+        for peer in leaving_clients:
             peer.writer.write_eof()
             assert await peer.hear() == ""  # the relay has noticed that the client left
         await announce_endpoints(w, s_1="ready", s_2="draining")
         _, backend, _ = await w.placed()
         backend.say("UP r1")
-        assert await stays.hear() == "UP r1"
+        assert await remaining_client.hear() == "UP r1"
         assert all(backend.came.empty() for backend in w.backends.values())
 
     run(tmp_path, body)
 
 
-# --- drains -------------------------------------------------------------------------------------------
+# --- drains ---------------------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize("phase", ["draining", "gone"])
 def test_nothing_is_sent_to_a_backend_that_drains_while_connecting(tmp_path: Path, phase: str) -> None:
     async def body(w: World) -> None:
-        backend = await unaccepting_backend(w)
+        backend = await stop_accepting_at_s1(w)
         client = await w.request(wait_ms=1900)
         await wait_until(backend.has_pending_connection)
         await announce_endpoints(w, s_1=phase, s_2="ready")
@@ -282,7 +282,7 @@
 def test_nothing_is_sent_to_a_backend_that_drains_one_iteration_after_connecting(
     tmp_path: Path,
 ) -> None:
-    """The relay is stopped until a request and the drain are unread: it connects, and then sends nothing on it."""
+    """The relay resumes with a request and a drain unread: it connects to s-1 before it reads the drain."""
 
     async def body(w: World) -> None:
         await announce_endpoints(w, s_1="ready", s_2="draining")
@@ -305,7 +305,7 @@
     """Guards against a request to a backend that was chosen as warm and now exceeds its slow-start budget."""
 
     async def body(w: World) -> None:
-        backend = await unaccepting_backend(w)
+        backend = await stop_accepting_at_s1(w)
         client = await w.request(wait_ms=1900)
         await wait_until(backend.has_pending_connection)
         cold = w.member("s-1") | {"up_since_ms": time.time() * 1000.0}
@@ -340,7 +340,7 @@
     run(tmp_path, body, limits=LONG_CONNECT_TIMEOUT, categories=[deduplicated])
 
 
-# --- the endpoint list ----------------------------------------------------------------------------------------
+# --- the endpoint list ----------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize("sends_empty_lines", [False, True])
