--- a/tests/daemon/test_maintenance_daemon.py
+++ b/tests/daemon/test_maintenance_daemon.py
@@ -190,4 +190,6 @@
     )
     print(result)
     assert not result.report.violations, str(result)
-    assert result.completed and result.turns >= 2 and result.max_out_at_once == 1 and result.report.datagrams["lost"] > 0
+    assert (
+        result.completed and result.turns >= 2 and result.max_out_at_once == 1 and result.report.datagrams["lost"] > 0
+    )
