--- a/tests/lab/test_fleet_model.py
+++ b/tests/lab/test_fleet_model.py
@@ -42,14 +42,14 @@
 
 
 def total_connections(backends: list[ModelBackend]) -> int:
-    return sum(len(n.connections) for n in backends)
+    return sum(len(backend.connections) for backend in backends)
 
 
 @pytest.mark.parametrize("seed", [1, 2])
 def test_six_in_ten_backends_are_replaced_and_the_new_ones_hold_their_part_when_the_old_ones_stop(seed: int) -> None:
     fleet = start_large_fleet(seed)
     old = list(fleet.backends.values())[:36]
-    new = [fleet.add_backend(n.size, cold=True) for n in old]
+    new = [fleet.add_backend(backend.size, cold=True) for backend in old]
     fleet.update_endpoints(EndpointState.READY, *new)
     fleet.update_endpoints(EndpointState.DRAINING, *old)
     fleet.run(7.0)
@@ -62,7 +62,7 @@
 @pytest.mark.parametrize("seed", [3, 4])
 def test_a_lost_zone_returns_cold_and_is_filled_without_a_fall(seed: int) -> None:
     fleet = start_large_fleet(seed)
-    zone_backends = [n for n in fleet.backends.values() if n.zone == 0]
+    zone_backends = [backend for backend in fleet.backends.values() if backend.zone == 0]
     fleet.kill(*zone_backends)
     fleet.run(10.0)
     fleet.restart_backends(*zone_backends)
@@ -79,9 +79,9 @@
     fleet.update_endpoints(EndpointState.READY, *new)
     fleet.restart_relays(fleet.relays[:28], 500.0)
     fleet.run(6.0)
-    warm = [n for n in fleet.backends.values() if n not in new]
-    mean = sum(n.utilization() for n in warm) / len(warm)
-    assert max(n.utilization() for n in warm) < 2.5 * mean and total_connections(new) > 0
+    warm = [backend for backend in fleet.backends.values() if backend not in new]
+    mean = sum(backend.utilization() for backend in warm) / len(warm)
+    assert max(backend.utilization() for backend in warm) < 2.5 * mean and total_connections(new) > 0
     assert served_fraction(fleet, 10.0) > 0.85
     fleet.rules.check()
 
@@ -91,32 +91,32 @@
     2 s; all these relays of the fleet ask from the same start on."""
     random = Random(1)
     balancers = [
-        Balancer(settings(polls_discovery=True, poll_interval_ms=10_000.0, balancers=fleet), n, 0.0)
-        for n in range(relays)
+        Balancer(settings(polls_discovery=True, poll_interval_ms=10_000.0, balancers=fleet), relay, 0.0)
+        for relay in range(relays)
     ]
     due: list[tuple[float, int, int]] = []  # timers: when, whose, token
     answered_at: dict[int, float] = {}
     calls: list[float] = []
     free_at = 0.0
 
-    def handle(now: float, n: int, event: EndpointList | TimerFired) -> None:
+    def handle(now: float, relay: int, event: EndpointList | TimerFired) -> None:
         nonlocal free_at
-        for action in balancers[n].handle(now, event):
+        for action in balancers[relay].handle(now, event):
             if isinstance(action, SetTimer):
-                heapq.heappush(due, (now + action.delay_ms, n, action.token))
+                heapq.heappush(due, (now + action.delay_ms, relay, action.token))
             elif isinstance(action, WatchEndpoints):
                 calls.append(now)
                 if free_at > now + 2000.0:  # its turn would come too late
-                    heapq.heappush(due, (now + 2000.0 + random.random(), n, -1))
+                    heapq.heappush(due, (now + 2000.0 + random.random(), relay, -1))
                 else:
                     free_at = max(free_at, now) + call_ms
-                    answered_at[n] = free_at
+                    answered_at[relay] = free_at
 
-    for n in range(relays):
-        handle(0.0, n, EndpointList(ListKind.CACHED, [Endpoint(1)]))
+    for relay in range(relays):
+        handle(0.0, relay, EndpointList(ListKind.CACHED, [Endpoint(1)]))
     while due:
-        now, n, token = heapq.heappop(due)
-        handle(now, n, EndpointList(ListKind.FAILED) if token < 0 else TimerFired(token))
+        now, relay, token = heapq.heappop(due)
+        handle(now, relay, EndpointList(ListKind.FAILED) if token < 0 else TimerFired(token))
     assert len(answered_at) == relays
     return sorted(answered_at.values()), calls
 
@@ -126,9 +126,9 @@
     answered_at, calls = poll_discovery(40, 40, 250.0)
     assert answered_at[-1] < 15_000.0
     assert len(calls) <= 2 * 40
-    after = [c for c in calls if c >= 1500.0]
-    assert max(sum(1 for c in after if at <= c < at + 1000.0) for at in after) <= 16
-    assert max(sum(1 for c in calls if at <= c < at + 1000.0) for at in calls) <= 32
+    later_calls = [call for call in calls if call >= 1500.0]
+    assert max(sum(1 for call in later_calls if start <= call < start + 1000.0) for start in later_calls) <= 16
+    assert max(sum(1 for call in calls if start <= call < start + 1000.0) for start in calls) <= 32
 
 
 def test_relays_of_a_lost_zone_that_start_together_are_told_before_what_they_missed_is_due() -> None:
@@ -142,13 +142,13 @@
     rejecting = list(fleet.backends.values())[:6]
     attempts = 0
 
-    def turn_away(*_: object) -> bool:
+    def reject(*_: object) -> bool:
         nonlocal attempts
         attempts += 1
         return False
 
     for backend in rejecting:
-        backend.accept = turn_away  # type: ignore[method-assign,assignment]
+        backend.accept = reject  # type: ignore[method-assign,assignment]
     assert served_fraction(fleet, 60.0) > 0.85
     # Passed over for 2.4 to 7.2 s, then for 4.8 to 14.4 s each time: some seven tries a relay and node, not 43 jobs'.
     assert attempts <= 40 * len(rejecting) * (60.0 / 4.8 + 2.0)
--- a/yarrowspindle/lab/model/fleet.py
+++ b/yarrowspindle/lab/model/fleet.py
@@ -363,11 +363,11 @@
     def connect(self, client: Client) -> None:
         if client.finished or self.arrivals_stopped:
             return
-        alive = [r for r in self.relays if r.alive]
+        alive = [relay for relay in self.relays if relay.alive]
         if len(alive) == len(self.relays) and not self.spec.relay_weights:
             relay = alive[int(self.random.random() * len(alive))]
         else:
-            (relay,) = self.random.choices(alive, [self.relay_weights[r.index] for r in alive])
+            (relay,) = self.random.choices(alive, [self.relay_weights[relay.index] for relay in alive])
         deadline_ms = self.classes[client.class_index].deadline_ms
         client.deadline = self.clock.time + deadline_ms
         client.attempts += 1
@@ -513,8 +513,10 @@
     def min_rebalancing_moves(self) -> int:
         """The fewest moves that would even the fleet out now: from each node above the mean, heaviest first, single
         connections that fit into what lies above it. No plan that must not overshoot needs fewer."""
-        backends = [n for n in self.backends.values() if n.alive and n.state is EndpointState.READY]
-        mean = sum(n.load for n in backends) / sum(n.size for n in backends)
+        backends = [
+            backend for backend in self.backends.values() if backend.alive and backend.state is EndpointState.READY
+        ]
+        mean = sum(backend.load for backend in backends) / sum(backend.size for backend in backends)
         moves = 0
         for backend in backends:
             above = backend.load - mean * backend.size
--- a/yarrowspindle/lab/model/maintenance_defects.py
+++ b/yarrowspindle/lab/model/maintenance_defects.py
@@ -114,8 +114,8 @@
         self, current: ProposalRound[MaintenanceState], source: str, promise: Promise[MaintenanceState]
     ) -> Any:
         if current.promises:
-            oldest = min([*current.promises.values(), promise], key=lambda p: p.accepted)
-            current.promises = {name: replace(p, state=oldest.state) for name, p in current.promises.items()}
+            oldest = min([*current.promises.values(), promise], key=lambda other: other.accepted)
+            current.promises = {name: replace(other, state=oldest.state) for name, other in current.promises.items()}
             promise = replace(promise, state=oldest.state)
         return super()._on_promise(current, source, promise)
 
@@ -166,7 +166,9 @@
         granted = super()._with_next_evacuation(backends)
         if granted is None:
             return None
-        evacuations = {m: structs.replace(o, number=1) for m, o in granted.evacuations.items()}
+        evacuations = {
+            backend: structs.replace(evacuation, number=1) for backend, evacuation in granted.evacuations.items()
+        }
         return structs.replace(granted, last_evacuation_number=1, evacuations=evacuations)
 
 
@@ -183,11 +185,17 @@
     """One more out than allowed."""
 
     def _with_next_evacuation(self, backends: Mapping[str, BackendObservation]) -> MaintenanceState | None:
-        requests = {i: structs.replace(r, request=_with_raised_limits(r.request)) for i, r in self.requests.items()}
+        requests = {
+            request_id: structs.replace(status, request=_with_raised_limits(status.request))
+            for request_id, status in self.requests.items()
+        }
         granted = structs.replace(self, requests=requests)._unmodified_next_evacuation(backends)
         if granted is None:
             return None
-        restored = {i: structs.replace(r, request=self.requests[i].request) for i, r in granted.requests.items()}
+        restored = {
+            request_id: structs.replace(status, request=self.requests[request_id].request)
+            for request_id, status in granted.requests.items()
+        }
         return structs.replace(granted, requests=restored)
 
     def _unmodified_next_evacuation(self, backends: Mapping[str, BackendObservation]) -> MaintenanceState | None:
@@ -199,7 +207,10 @@
 
     def _with_next_evacuation(self, backends: Mapping[str, BackendObservation]) -> MaintenanceState | None:
         return super()._with_next_evacuation(
-            {m: replace(s, zone=1000 + n) for n, (m, s) in enumerate(backends.items())}
+            {
+                name: replace(observation, zone=1000 + index)
+                for index, (name, observation) in enumerate(backends.items())
+            }
         )
 
 
@@ -210,10 +221,12 @@
         granted = super()._with_next_evacuation(backends)
         if granted is None:
             return None
-        previous_confirmations = frozenset(c for o in self.evacuations.values() for c in o.confirmed_by)
+        previous_confirmations = frozenset(
+            confirmation for evacuation in self.evacuations.values() for confirmation in evacuation.confirmed_by
+        )
         evacuations: dict[str, Evacuation] = {
-            m: structs.replace(o, confirmed_by=o.confirmed_by | previous_confirmations)
-            for m, o in granted.evacuations.items()
+            backend: structs.replace(evacuation, confirmed_by=evacuation.confirmed_by | previous_confirmations)
+            for backend, evacuation in granted.evacuations.items()
         }
         return structs.replace(granted, evacuations=evacuations)
 
@@ -226,7 +239,11 @@
 
     def _releases(self) -> dict[str, int]:
         return (
-            {m: evacuation.number for m, evacuation in self.adopted.evacuations.items() if evacuation.stage == EMPTYING}
+            {
+                backend: evacuation.number
+                for backend, evacuation in self.adopted.evacuations.items()
+                if evacuation.stage == EMPTYING
+            }
             if self.registered
             else {}
         )
@@ -246,9 +263,9 @@
 
     def _confirm_own_releases(self, state: MaintenanceState) -> MaintenanceState | None:
         releases = {
-            m: evacuation.number
-            for m, evacuation in state.evacuations.items()
-            if evacuation.stage == EMPTYING and m not in self.fleet.used_backends
+            backend: evacuation.number
+            for backend, evacuation in state.evacuations.items()
+            if evacuation.stage == EMPTYING and backend not in self.fleet.used_backends
         }
         return state.with_confirmations(self.name, self.incarnation, releases) if releases else None
 
