--- a/tests/lab/test_fleet_model.py
+++ b/tests/lab/test_fleet_model.py
@@ -1,4 +1,8 @@
-"""Forty relays and sixty nodes on virtual time: a lost zone, a mass replacement, a herd, a crowded machine list."""
+"""Model fleets of forty relays and sixty backends on a virtual clock.
+
+The tests cover the replacement of most backends, the loss of a zone, relays that restart together, an overloaded
+discovery service, and backends that reject every request.
+"""
 
 from __future__ import annotations
 
@@ -28,6 +32,7 @@
 
 
 def start_large_fleet(seed: int) -> Fleet:
+    """Return a large fleet in steady state."""
     fleet = Fleet(LARGE_FLEET, seed)
     fleet.fill(4.0)
     fleet.run(12.0)
@@ -35,7 +40,7 @@
 
 
 def served_fraction(fleet: Fleet, seconds: float) -> float:
-    """Of what was wanted from now on, the part that was served."""
+    """Run the fleet for this time and return the fraction of the demand that it serves."""
     demand_before, served_before = fleet.demand, fleet.served
     fleet.run(seconds)
     return (fleet.served - served_before) / (fleet.demand - demand_before)
@@ -46,21 +51,21 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_six_in_ten_backends_are_replaced_and_the_new_ones_hold_their_part_when_the_old_ones_stop(seed: int) -> None:
+def test_new_backends_have_taken_their_share_when_the_six_in_ten_that_they_replace_stop(seed: int) -> None:
     fleet = start_large_fleet(seed)
     old = list(fleet.backends.values())[:36]
     new = [fleet.add_backend(backend.size, cold=True) for backend in old]
     fleet.update_endpoints(EndpointState.READY, *new)
     fleet.update_endpoints(EndpointState.DRAINING, *old)
     fleet.run(7.0)
-    assert total_connections(new) >= 0.15 * len(fleet.clients)  # 0.01 with a budget in whole connections for each node
+    assert total_connections(new) >= 0.15 * len(fleet.clients)  # 0.01 with a budget of whole connections per backend
     fleet.kill(*old)
     assert served_fraction(fleet, 20.0) > 0.85
     fleet.rules.check()
 
 
 @pytest.mark.parametrize("seed", [3, 4])
-def test_a_lost_zone_returns_cold_and_is_filled_without_a_fall(seed: int) -> None:
+def test_a_zone_that_restarts_cold_is_filled_without_a_crash(seed: int) -> None:
     fleet = start_large_fleet(seed)
     zone_backends = [backend for backend in fleet.backends.values() if backend.zone == 0]
     fleet.kill(*zone_backends)
@@ -73,7 +78,7 @@
 
 
 @pytest.mark.parametrize("seed", [5, 6])
-def test_a_herd_of_relays_that_start_again_spreads_its_requests_and_feeds_cold_backends(seed: int) -> None:
+def test_relays_that_restart_together_spread_their_requests_and_use_cold_backends(seed: int) -> None:
     fleet = start_large_fleet(seed)
     new = [fleet.add_backend(4.8, cold=True) for _ in range(6)]
     fleet.update_endpoints(EndpointState.READY, *new)
@@ -87,14 +92,24 @@
 
 
 def poll_discovery(relays: int, fleet: int, call_ms: float) -> tuple[list[float], list[float]]:
-    """When each relay is told, and all calls: the list serves one call at a time and fails those that have waited for
-    2 s; all these relays of the fleet ask from the same start on."""
+    """Poll an overloaded discovery service from relays that all start at time 0.
+
+    The service handles one call at a time. A call that cannot start within 2 s fails after that time.
+
+    Args:
+        relays: number of relays that poll.
+        fleet: number of relays that the settings state.
+        call_ms: duration of a call.
+
+    Returns:
+        The sorted times at which each relay has received the list, and the times of all calls.
+    """
     random = Random(1)
     balancers = [
         Balancer(settings(polls_discovery=True, poll_interval_ms=10_000.0, balancers=fleet), relay, 0.0)
         for relay in range(relays)
     ]
-    due: list[tuple[float, int, int]] = []  # timers: when, whose, token
+    due: list[tuple[float, int, int]] = []  # time, relay, token of a timer; token -1: the call fails
     answered_at: dict[int, float] = {}
     calls: list[float] = []
     free_at = 0.0
@@ -106,7 +121,7 @@
                 heapq.heappush(due, (now + action.delay_ms, relay, action.token))
             elif isinstance(action, WatchEndpoints):
                 calls.append(now)
-                if free_at > now + 2000.0:  # its turn would come too late
+                if free_at > now + 2000.0:  # the call would wait for too long
                     heapq.heappush(due, (now + 2000.0 + random.random(), relay, -1))
                 else:
                     free_at = max(free_at, now) + call_ms
@@ -121,8 +136,8 @@
     return sorted(answered_at.values()), calls
 
 
-def test_forty_relays_get_through_to_a_crowded_machine_list_without_a_wave() -> None:
-    """Their first calls come soon, as far as the list bears them; those that failed make no wave of it again."""
+def test_polls_of_an_overloaded_discovery_service_succeed_without_a_wave_of_retries() -> None:
+    """The first calls are made soon, at a rate that the service can bear; failed calls are not repeated at once."""
     answered_at, calls = poll_discovery(40, 40, 250.0)
     assert answered_at[-1] < 15_000.0
     assert len(calls) <= 2 * 40
@@ -131,13 +146,13 @@
     assert max(sum(1 for call in calls if start <= call < start + 1000.0) for start in calls) <= 32
 
 
-def test_relays_of_a_lost_zone_that_start_together_are_told_before_what_they_missed_is_due() -> None:
-    """Gone 2.75 s before their start, a node counts as told 3.25 s after it, and the grace is 0.4 s."""
+def test_relays_of_a_zone_that_start_together_receive_the_list_before_missed_changes_must_be_applied() -> None:
+    """A backend that left 2.75 s before the relays' start counts as announced 3.25 s after it; the grace is 0.4 s."""
     answered_at, calls = poll_discovery(27, 182, 25.0)
     assert answered_at[-1] < 2000.0 and len(calls) == 27
 
 
-def test_backends_that_turn_everything_away_for_a_minute_cost_each_relay_few_tries() -> None:
+def test_backends_that_reject_every_request_for_a_minute_receive_few_attempts_of_each_relay() -> None:
     fleet = start_large_fleet(7)
     rejecting = list(fleet.backends.values())[:6]
     attempts = 0
@@ -150,6 +165,7 @@
     for backend in rejecting:
         backend.accept = reject  # type: ignore[method-assign,assignment]
     assert served_fraction(fleet, 60.0) > 0.85
-    # Passed over for 2.4 to 7.2 s, then for 4.8 to 14.4 s each time: some seven tries a relay and node, not 43 jobs'.
+    # A backend that rejects is excluded for 2.4 to 7.2 s, then for 4.8 to 14.4 s each time: about seven attempts per
+    # relay and backend, instead of those of 43 requests.
     assert attempts <= 40 * len(rejecting) * (60.0 / 4.8 + 2.0)
     fleet.rules.check()
--- a/yarrowspindle/lab/model/__init__.py
+++ b/yarrowspindle/lab/model/__init__.py
@@ -1,4 +1,7 @@
-"""A fleet on virtual time round the real reducers of several relays; no sockets, and the same run for the same seed."""
+"""Model fleet: the real reducers of several relays on a virtual clock.
+
+Backends, clients, the front, discovery and the network are modelled without sockets. The same seed gives the same run.
+"""
 
 from yarrowspindle.lab.model.backend import ModelBackend
 from yarrowspindle.lab.model.fleet import Fleet, FleetSpec, ModelClass
--- a/yarrowspindle/lab/model/client.py
+++ b/yarrowspindle/lab/model/client.py
@@ -1,4 +1,4 @@
-"""A submitter in the model: it wants one connection until its time is over, and comes again until then."""
+"""Model of a client: it needs one connection for its lifetime, and reconnects if the connection ends earlier."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class ServingRelay(Protocol):
-    """The relay at which a submitter stands, as far as the submitter's side knows it."""
+    """The relay that handles a client's request, with the operations of the client's side."""
 
     zone: int
 
@@ -18,6 +18,16 @@
 
 
 class Client:
+    """A client and the state of its current request.
+
+    Args:
+        key: placement key.
+        group: number of its group, or 0.
+        load: load of its connection in milliseconds of work per second; varies around `base_load`.
+        ends_at: virtual time in milliseconds at which the client no longer needs a connection.
+        class_index: index of its request class.
+    """
+
     __slots__ = (
         "key",
         "group",
@@ -44,4 +54,4 @@
         self.request = self.answer_count = self.moves = self.attempts = 0
         self.deadline = 0.0
         self.returned = self.established = self.finished = False
-        self.migration_pending = False  # it was moved and is not up again yet
+        self.migration_pending = False  # its connection was migrated and is not established again yet
--- a/yarrowspindle/lab/model/clock.py
+++ b/yarrowspindle/lab/model/clock.py
@@ -1,4 +1,7 @@
-"""Virtual time: one heap ordered by (time, sequence), so that what falls due together has one stated order."""
+"""Virtual clock: a heap of timers ordered by (time, sequence).
+
+Timers that are due at the same time fire in the order in which they were set.
+"""
 
 from __future__ import annotations
 
@@ -8,6 +11,8 @@
 
 
 class Timer:
+    """A callback with its arguments, to be called once unless it is cancelled before."""
+
     __slots__ = ("callback", "args")
 
     def __init__(self, callback: Callable[..., None], args: tuple[Any, ...]) -> None:
@@ -19,7 +24,7 @@
 
 
 class VirtualClock:
-    """Milliseconds since the start of the run plus `start`. Nothing here waits."""
+    """A clock in milliseconds that starts at `start` and jumps from timer to timer, without waiting."""
 
     def __init__(self, start: float = 1_700_000_000_000.0) -> None:
         self.time = self.start = start
@@ -31,12 +36,14 @@
         return self.time
 
     def after(self, delay_ms: float, callback: Callable[..., None], *args: Any) -> Timer:
+        """Set a timer; a negative delay counts as 0."""
         timer = Timer(callback, args)
         self.sequence += 1
         heapq.heappush(self.heap, (self.time + max(delay_ms, 0.0), self.sequence, timer))
         return timer
 
     def run_until(self, end: float) -> None:
+        """Fire all timers that are due up to this time, in order, and set the clock to it."""
         heap = self.heap
         while heap and heap[0][0] <= end:
             due, _, timer = heapq.heappop(heap)
@@ -48,4 +55,5 @@
 
     @property
     def seconds(self) -> float:
+        """Seconds since the start of the run."""
         return (self.time - self.start) / 1000.0
--- a/yarrowspindle/lab/model/deployments.py
+++ b/yarrowspindle/lab/model/deployments.py
@@ -1,8 +1,11 @@
-"""Two deployments as their settings state them, at a size that runs in seconds, and what goes wrong there.
+"""Two deployments as model fleets of a size that runs within seconds, and the scenarios that they are run through.
 
-`ASKED`: discovery is asked, nodes tell each connection's load and are not probed, weights are sizes, one class, three
-zones. `PROBED`: lists are pushed, no load is told, nodes answer probes with a load report, weights are live, four
-classes of unequal worth and load, groups that are dear, two zones of which one gets most of the traffic.
+`ASKED`: backends report the load of each connection and are not health-checked; their weights are their sizes; one
+request class, three zones. It models a deployment whose relays poll discovery.
+
+`PROBED`: backends report no load of connections, but return a load report to health checks; discovery publishes live
+weights; four request classes of different priority weight and load, groups of high cost, and two zones, one of which
+receives most of the traffic. It models a deployment whose discovery pushes its updates.
 """
 
 from __future__ import annotations
@@ -62,12 +65,13 @@
 
 
 def most_loaded(fleet: Fleet, fraction: float) -> list[ModelBackend]:
-    """The nodes that hold most, so that a trouble is never spent on one that holds nothing."""
+    """Return this fraction of the backends, at least one: those with most connections, so that a fault matters."""
     backends = sorted(fleet.backends.values(), key=lambda backend: (-len(backend.connections), backend.name))
     return backends[: max(1, round(fraction * len(backends)))]
 
 
 def hang(fleet: Fleet) -> None:
+    """Some backends accept connections and answer nothing, and recover at the end."""
     backends = most_loaded(fleet, 0.15)
     for backend in backends:
         backend.hanging = True
@@ -77,7 +81,7 @@
 
 
 def vanish(fleet: Fleet) -> None:
-    """Nothing is said: the list learns of it only after six seconds. They come back cold."""
+    """Some backends leave the network without a notice; the endpoint list follows 6 s later. They restart cold."""
     backends = most_loaded(fleet, 0.15)
     for backend in backends:
         backend.unreachable = True
@@ -88,6 +92,7 @@
 
 
 def slow(fleet: Fleet) -> None:
+    """Some backends are six times slower."""
     backends = most_loaded(fleet, 0.2)
     for backend in backends:
         backend.slowdown = 6.0
@@ -97,7 +102,7 @@
 
 
 def pauses(fleet: Fleet) -> None:
-    """Half of the nodes stand still for 170 ms, each every two seconds: no reason to call them sick."""
+    """Half of the backends pause for 170 ms every 2 s, which is too short to treat them as failed."""
     backends = most_loaded(fleet, 0.5)
     for step in range(round(SCENARIO_S)):
         for index, backend in enumerate(backends):
@@ -107,12 +112,14 @@
 
 
 def burst(fleet: Fleet) -> None:
+    """Additional clients, 60 % of the usual number, arrive within 5 s."""
     for _ in range(round(0.6 * fleet.spec.connections)):
         fleet.clock.after(fleet.random.uniform(0.0, 5000.0), fleet.add_client)
     fleet.run(SCENARIO_S)
 
 
 def drain(fleet: Fleet) -> None:
+    """Some backends drain for 6 s, stop, and restart cold."""
     backends = most_loaded(fleet, 0.2)
     fleet.drain(*backends)
     fleet.run(6.0)
@@ -122,6 +129,7 @@
 
 
 def calm(fleet: Fleet) -> None:
+    """Run without a fault."""
     fleet.run(SCENARIO_S)
 
 
@@ -137,7 +145,16 @@
 
 
 def run_scenario(spec: FleetSpec, scenario: str, seed: int) -> dict[str, float]:
-    """A day: filled, some calm, the trouble, some more calm. Raises BrokenRule; the figures count from the calm on."""
+    """Fill the fleet and run it without a fault, through the scenario, and without a fault again.
+
+    Returns:
+        `served`: fraction of the demand that was served after the fleet was filled. `crossed`: fraction of the
+        connection time that was spent across zones. `moves`: number of migrations. `probes_a_try`: health checks per
+        attempt. `refused`: rejections of the whole run per attempt after the fleet was filled.
+
+    Raises:
+        RuleViolation: if a rule was violated.
+    """
     fleet = Fleet(spec, seed)
     fleet.fill(4.0)
     fleet.run(4.0)
--- a/yarrowspindle/lab/model/fleet.py
+++ b/yarrowspindle/lab/model/fleet.py
@@ -1,4 +1,4 @@
-"""The fleet: nodes, relays, the front between them and the submitters, the machine list, and what is measured."""
+"""Model fleet: backends, relays, the front that assigns clients to relays, the endpoint list, and the measurements."""
 
 from __future__ import annotations
 
@@ -19,13 +19,16 @@
 from yarrowspindle.routing.events import EndpointsUpdated, PeerLoadsUpdated, RebalancingConfigured
 from yarrowspindle.routing.termination import TerminationReason
 
-RECONNECT_DELAY_MS = (60.0, 1400.0)  # a moved or broken submitter comes again within this time
-BACKEND_SIZES = (6.0, 4.8, 2.4)  # kinds of machines: three fast cores, four middling, three slow
+RECONNECT_DELAY_MS = (60.0, 1400.0)  # a client whose connection was migrated or broken reconnects after this time
+BACKEND_SIZES = (6.0, 4.8, 2.4)  # three fast cores, four medium ones, three slow ones; in 1000 ms of work per second
 
 
 @dataclass(slots=True, frozen=True)
 class ModelClass:
-    """A class of connections: its share of those that come, and load and life as multiples of the usual ones."""
+    """A request class: its share of the arrivals, and its load and lifetime as multiples of the fleet's mean.
+
+    Latency objectives and deadline are in milliseconds.
+    """
 
     share: float = 1.0
     load: float = 1.0
@@ -38,67 +41,80 @@
 
 @dataclass(slots=True, frozen=True)
 class FleetSpec:
-    """Times in seconds where the name says `_s`, else milliseconds; loads in milliseconds of work a second."""
+    """Parameters of a model fleet.
+
+    Times are in seconds if the name ends in `_s`, else in milliseconds; loads are in milliseconds of work per second.
+    """
 
     relays: int = 3
     backends: int = 12
-    connections: int = 2000
-    lifetime_s: float = 600.0
-    utilization: float = 0.5  # load over the capacity of all nodes
-    load_cv: float = 0.4
-    load_change_interval_s: float = 30.0  # a connection's load changes about this often
-    load_change_cv: float = 0.25
-    grouped_fraction: float = 0.3  # the share of submitters that belong to a group
+    connections: int = 2000  # mean number of clients that need a connection at the same time
+    lifetime_s: float = 600.0  # mean time for which a client needs a connection
+    utilization: float = 0.5  # total load over the total capacity of the backends
+    load_cv: float = 0.4  # coefficient of variation of the load between connections
+    load_change_interval_s: float = 30.0  # mean time between changes of a connection's load
+    load_change_cv: float = 0.25  # coefficient of variation of a connection's load over time
+    grouped_fraction: float = 0.3  # fraction of the clients that belong to a group
     group_size: int = 4
-    speed_cv: float = 0.1  # how far nodes are from what their size says
-    relay_weights: tuple[float, ...] = ()  # of the relays at the front; equal where empty
-    list_delay_ms: tuple[float, float] = (200.0, 1500.0)  # of the machine list
-    never_return_fraction: float = 0.0  # the share of moved submitters that do not come again
-    late_return_fraction: float = 0.0  # the share that comes again within 20 s only
+    speed_cv: float = 0.1  # coefficient of variation of the actual capacity of a backend around its size
+    relay_weights: tuple[float, ...] = ()  # shares of the relays at the front; empty: equal shares
+    list_delay_ms: tuple[float, float] = (200.0, 1500.0)  # delay of an endpoint list update to each relay
+    never_return_fraction: float = 0.0  # fraction of migrated clients that do not reconnect
+    late_return_fraction: float = 0.0  # fraction that reconnects only after 5 to 20 s
+    # Warm-up, overload and set-up of the backends, as described in ModelBackend.
     warmup_ms: float = 9000.0
     initial_capacity_fraction: float = 0.31
     overload_multiple: float = 3.0
     overload_window_ms: float = 1500.0
     setup_work_ms: float = 8.0
-    max_connections_per_backend: int = 10_000  # connections that a node takes; beyond that it turns new ones away
+    max_connections_per_backend: int = 10_000  # at this number, a backend rejects new connections
     deadline_ms: float = 4800.0
     answer_slack_ms: float = 50.0
     clients_heed_retry_after: bool = True
     backend_reports_latency: bool = True
     backend_reports_load: bool = True
-    clients_report_load: bool = True  # a connection's load is told as it comes
-    backend_reports_slow_messages: bool = False  # nodes tell message times while they are long
-    load_report_interval_ms: float = (
-        0.0  # nodes answer probes with a load report that is renewed so often; 0: they are not probed
-    )
-    list_weight_interval_ms: float = 0.0  # the list's weights are live and renewed so often; 0: they are sizes
-    cores_per_backend: float = 2.0  # of a node, by which live weights are lowered
-    group_cost: float = 1.0  # mean connections that a node pays for each group of which it holds any
+    clients_report_load: bool = True  # a request states the load of its connection
+    backend_reports_slow_messages: bool = False  # backends report message latencies while these are long
+    # Interval at which a backend renews the load report that it returns to health checks; 0: no health checks.
+    load_report_interval_ms: float = 0.0
+    list_weight_interval_ms: float = 0.0  # interval at which live weights are published; 0: weights are the sizes
+    cores_per_backend: float = 2.0  # used to lower live weights by the number of connections
+    group_cost: float = 1.0  # load of each group at a backend, in connections of mean load
     drain_grace_ms: float = 400.0
     cross_zone_price: float = 0.1
-    classes: tuple[ModelClass, ...] = ()  # one class with `deadline_ms` where empty
-    uses_own_load: bool = False  # as the platform's relays judge
-    zones: int = 1  # nodes and relays lie in them by turns; crossing has a price where there are several
+    classes: tuple[ModelClass, ...] = ()  # empty: one class with `deadline_ms`
+    uses_own_load: bool = False  # relays also judge a backend by the load of their own connections to it
+    zones: int = 1  # backends and relays are assigned in turn; with several zones, crossing has a price
     rebalance: RebalanceSettings | None = None
-    # "net": relays hear one another over a virtual network; "known": each knows at once; "": not at all
+    # Exchange of loads between relays. "net": over a virtual network; "known": at once and exactly; "": none.
     peers: str = ""
-    peer_settings: tuple[tuple[str, float], ...] = ()  # changes of the peers' settings
-    same_planning_seed: bool = field(default=False)  # all relays plan in the same instant
+    peer_settings: tuple[tuple[str, float], ...] = ()  # overridden settings of the peer exchange
+    same_planning_seed: bool = field(default=False)  # all relays plan migrations at the same instant
 
 
 class Fleet:
+    """A run of a model fleet. `counts`, `served`, `demand` and the connection times add up from its start.
+
+    `counts` has the keys that benchmarks report: `tries` (attempts of clients to connect), `up` (connections that were
+    established), `refused` (rejected and failed requests), `moves` (migrations), `never_back` (migrated clients that do
+    not reconnect), `broken` (connections that ended early), `fallen` (backends that crashed), `probes` (health checks).
+
+    `served` and `demand` are priority weight times seconds: the part of the clients' weight whose messages meet their
+    objective, and the weight of all clients that need a connection.
+    """
+
     def __init__(self, spec: FleetSpec, seed: int) -> None:
         self.spec, self.seed = spec, seed
         self.clock = VirtualClock()
         self.rules = Rules()
-        self.random = Random(seed)  # of the submitters and the network
+        self.random = Random(seed)  # for clients and the network
         self.counts: Counter[str] = Counter()
-        self.moves_by_second: Counter[int] = Counter()  # moves in each second of the run
+        self.moves_by_second: Counter[int] = Counter()  # migrations in each second of the run
         self.backends: dict[str, ModelBackend] = {}
         self.backend_indexes: dict[str, int] = {}
         self.clients: set[Client] = set()
         self.last_client_key = 0
-        self.arrivals_stopped = False  # nobody opens a connection any more
+        self.arrivals_stopped = False  # neither new nor returning clients connect any more
         self.version = 1
         self.max_moves_per_client = 0
         self.demand = self.served = 0.0
@@ -112,9 +128,9 @@
         self.unit_load = (
             spec.utilization * sum(sizes) * 1000.0 / max(spec.connections, 1) / (1.0 + spec.grouped_fraction / 3.0)
         )
-        self.unit_load /= mean_load_multiple  # of a connection of load 1
+        self.unit_load /= mean_load_multiple  # load of a connection with a load multiple of 1
         self.group_load = spec.group_cost * self.unit_load * mean_load_multiple
-        self.cross_zone_s = self.established_s = 0.0  # seconds of standing connections: across zones, and all
+        self.cross_zone_s = self.established_s = 0.0  # connection time: across zones, and total
         for size in sizes:
             self.add_backend(size, rng)
         settings = Settings(
@@ -167,7 +183,7 @@
             self.clock.after(spec.list_weight_interval_ms, self._publish_weights)
 
     def _new_relay(self, index: int) -> ModelRelay:
-        """A relay as it starts, with a seed of its own."""
+        """Return a newly started relay. Each start of a relay has its own seed."""
         self.relay_starts += 1
         relay_settings = replace(self.settings, number=index, zone=index % self.spec.zones)
         return ModelRelay(self, index, relay_settings, self.seed * 1009 + self.relay_starts - 1)
@@ -181,16 +197,17 @@
             )
 
     def kill_relay(self, index: int) -> None:
-        """It ends at once; what it held breaks."""
+        """Kill a relay; its connections break."""
         self.relays[index].kill()
         if self.peer_exchange is not None:
             self.peer_exchange.remove_relay(index)
 
     def start_relay(self, index: int) -> None:
+        """Start a relay that was killed before."""
         self._restart_relay(index)
 
     def restart_relays(self, relays: list[ModelRelay], delay_ms: float) -> None:
-        """They are killed at once, and start again from nothing; what they held breaks and comes again."""
+        """Kill the relays and start them again without state after a delay; their connections break and reconnect."""
         for relay in relays:
             self.kill_relay(relay.index)
             self.clock.after(delay_ms, self._restart_relay, relay.index)
@@ -201,16 +218,23 @@
         self._join_peer_exchange(self.relays[index])
 
     def configure(self, settings: RebalanceSettings | None) -> None:
-        """What SIGHUP does at all relays at once."""
+        """Reconfigure rebalancing at all relays at once, as SIGHUP does."""
         for relay in self.relays:
             if settings is not None or relay.reducer.rebalancer is not None:
                 relay.post(
                     RebalancingConfigured(settings, 7 if self.spec.same_planning_seed else self.seed * 31 + relay.index)
                 )
 
-    # --- nodes and the list ---------------------------------------------------------------------
+    # --- backends and the endpoint list ---------------------------------------------------------
 
     def add_backend(self, size: float, rng: Random | None = None, cold: bool = False) -> ModelBackend:
+        """Add a backend without announcing it in the endpoint list.
+
+        Args:
+            size: capacity in units of 1000 ms of work per second.
+            rng: source of the actual capacity; the fleet's own if None.
+            cold: whether the backend has just started and must warm up.
+        """
         spec = self.spec
         name = f"s-{len(self.backend_indexes):04d}"
         power = size * max(0.5, (rng or self.random).gauss(1.0, spec.speed_cv))
@@ -233,6 +257,7 @@
         return backend
 
     def full_endpoint_list(self) -> EndpointsUpdated:
+        """Return the list of all backends that are not gone."""
         endpoints = [
             endpoint_of(backend, self.backend_indexes[backend.name], backend.state)
             for backend in self.backends.values()
@@ -241,7 +266,7 @@
         return EndpointsUpdated(ListKind.CACHED, endpoints, self.version)
 
     def update_endpoints(self, state: EndpointState, *backends: ModelBackend) -> None:
-        """The list says so, in one change; each relay hears of it in its own time."""
+        """Publish the state of these backends in one update, which each relay receives after a delay of its own."""
         self.version += 1
         for backend in backends:
             backend.state = state
@@ -251,15 +276,18 @@
             self.clock.after(self.random.uniform(*self.spec.list_delay_ms), relay.receive_endpoints, update)
 
     def drain(self, *backends: ModelBackend) -> None:
+        """Publish these backends as draining."""
         self.update_endpoints(EndpointState.DRAINING, *backends)
 
     def kill(self, *backends: ModelBackend) -> None:
+        """Kill these backends and publish that they are gone."""
         for backend in backends:
             backend.alive = False
             self.backend_died(backend)
         self.update_endpoints(EndpointState.GONE, *backends)
 
     def backend_died(self, backend: ModelBackend) -> None:
+        """Break the connections of a backend whose process has ended; a crash is a violation."""
         if backend.crashed:
             self.rules.record("no cold node falls", self.clock.seconds, backend.name)
             self.counts["fallen"] += 1
@@ -268,8 +296,9 @@
         backend.drop_connections()
 
     def restart_backends(self, *backends: ModelBackend) -> None:
+        """Start these backends again, cold, and publish them as ready."""
         for backend in backends:
-            if backend.alive:  # a draining one: what it holds ends with its process
+            if backend.alive:  # e.g. draining: its connections end with its process
                 backend.alive = False
                 self.backend_died(backend)
             backend.restart(self.clock.time)
@@ -295,16 +324,16 @@
         return self.classes[class_index].priority_weight
 
     def mean_load(self, class_index: int) -> float:
-        """Of a class, where loads differ by class."""
+        """Return the mean load of a class, or 0 if the fleet has no classes of its own."""
         return self.unit_load * self.classes[class_index].load if self.spec.classes else 0.0
 
     def network_latency_ms(self) -> float:
         return self.random.uniform(0.2, 3.0)
 
-    # --- submitters -----------------------------------------------------------------------------
+    # --- clients --------------------------------------------------------------------------------
 
     def fill(self, over_s: float) -> None:
-        """The standing connections, then as many new ones as end."""
+        """Connect the initial clients within this time, and start arrivals at the rate at which clients end."""
         for _ in range(self.spec.connections):
             self.clock.after(self.random.uniform(0.0, over_s * 1000.0), self._create_client, True)
         self._schedule_arrival()
@@ -318,7 +347,7 @@
         self._schedule_arrival()
 
     def add_client(self) -> None:
-        """One more submitter than usual."""
+        """Add one client to the usual arrivals."""
         self._create_client(False)
 
     def _create_client(self, initial: bool) -> None:
@@ -326,7 +355,7 @@
         self.last_client_key += 1
         class_index = 0
         if len(self.classes) > 1:
-            # Those that stand from the start on are a sample of what stands, in which long lives are the more.
+            # Initial clients are a sample of the clients present, in which those of long lifetime are more frequent.
             shares = [
                 request_class.share * (request_class.lifetime if initial else 1.0) for request_class in self.classes
             ]
@@ -361,6 +390,7 @@
         self.clock.after(self._next_load_change_ms(), self._change_load, client)
 
     def connect(self, client: Client) -> None:
+        """Send the client's request to a relay that the front chooses."""
         if client.finished or self.arrivals_stopped:
             return
         alive = [relay for relay in self.relays if relay.alive]
@@ -375,10 +405,12 @@
         relay.receive_request(client, deadline_ms)
 
     def client_established(self, client: Client) -> None:
+        """Record that a client's connection is established."""
         client.established, client.attempts, client.migration_pending = True, 0, False
         self.counts["up"] += 1
 
     def client_rejected(self, client: Client, retry_after_ms: float) -> None:
+        """Let a client retry after the time that the relay states, or else after exponential backoff."""
         self.counts["refused"] += 1
         backoff_ms = retry_after_ms or min(200.0 * 2.0 ** min(client.attempts, 5), 5000.0)
         self.clock.after(backoff_ms * self.random.uniform(1.0, 1.2), self.connect, client)
@@ -388,6 +420,7 @@
         self.clock.after(self.random.uniform(*RECONNECT_DELAY_MS), self.connect, client)
 
     def client_migrated(self, client: Client, backend: ModelBackend | None) -> None:
+        """Let a migrated client reconnect at once, late or never, by the fractions of the specification."""
         self.counts["moves"] += 1
         self.moves_by_second[int(self.clock.seconds)] += 1
         client.moves += 1
@@ -405,6 +438,7 @@
             self._reconnect(client)
 
     def client_closed(self, client: Client, reason: TerminationReason) -> None:
+        """Remove a client whose connection completed; let any other client reconnect."""
         if reason is TerminationReason.COMPLETED:
             self._remove_client(client)
             return
@@ -412,7 +446,7 @@
         self._reconnect(client)
 
     def _end_client(self, client: Client) -> None:
-        """Its time is over: the node ends a standing connection, and one that waits is left."""
+        """End a client at its lifetime: the backend closes an established connection; a waiting client disconnects."""
         if client.finished:
             return
         relay = client.relay
@@ -427,9 +461,10 @@
         client.finished, client.established, client.migration_pending = True, False, False
         self.clients.discard(client)
 
-    # --- what is measured -----------------------------------------------------------------------
+    # --- measurements ---------------------------------------------------------------------------
 
     def _sample(self) -> None:
+        """Add one second to the sums of demand, served work and connection time, and call the samplers."""
         self.clock.after(1000.0, self._sample)
         now = self.clock.time
         self.demand += sum(self.classes[client.class_index].priority_weight for client in self.clients)
@@ -448,7 +483,7 @@
             sample(self.clock.seconds)
 
     def _exchange_messages(self, now: float) -> None:
-        """What passes on standing connections: lines that nobody answers, and word of long messages."""
+        """Pass messages on established connections: lines that remain unanswered, and reports of long latencies."""
         objective_ms = min(c.message_objective_ms for c in self.classes)
         for backend in self.backends.values():
             if not backend.connections:
@@ -469,7 +504,7 @@
                 backend.refresh_load_report(self.clock.time)
 
     def _publish_weights(self) -> None:
-        """The list's weights change, late and the same at all relays."""
+        """Publish live weights; each relay receives the same weights after a delay of its own."""
         self.clock.after(self.spec.list_weight_interval_ms, self._publish_weights)
         self.version += 1
         ready = [backend for backend in self.backends.values() if backend.state is EndpointState.READY]
@@ -487,7 +522,7 @@
             self.clock.after(self.random.uniform(*self.spec.list_delay_ms), self._deliver_weights, relay, update)
 
     def _deliver_weights(self, relay: ModelRelay, update: EndpointsUpdated) -> None:
-        """A weight must not bring back what the list has taken out meanwhile."""
+        """Deliver live weights, except for backends that stopped since, which the update would make ready again."""
         update.endpoints = [
             endpoint
             for endpoint in update.endpoints
@@ -496,7 +531,7 @@
         relay.receive_endpoints(update)
 
     def imbalance(self, warm_only: bool = True) -> float:
-        """Greatest minus mean of load over the capacity told, over usable nodes (those that are warm)."""
+        """Return the greatest minus the mean utilization over the usable backends, or over the warm ones of them."""
         now = self.clock.time
         backends = [
             backend
@@ -511,8 +546,11 @@
         return max(backend.utilization() for backend in backends) - mean
 
     def min_rebalancing_moves(self) -> int:
-        """The fewest moves that would even the fleet out now: from each node above the mean, heaviest first, single
-        connections that fit into what lies above it. No plan that must not overshoot needs fewer."""
+        """Return the least number of migrations that even out the load now.
+
+        From each backend above the mean, connections that fit into its excess are counted, heaviest first. No plan that
+        does not take a backend below the mean needs fewer.
+        """
         backends = [
             backend for backend in self.backends.values() if backend.alive and backend.state is EndpointState.READY
         ]
@@ -527,13 +565,15 @@
         return moves
 
     def lost_clients(self) -> int:
-        """Submitters that were moved, want to come again, and have not been up since for longer than they need."""
+        """Return the number of migrated clients that are not established again after more than six attempts."""
         return sum(1 for client in self.clients if client.migration_pending and client.attempts > 6)
 
     def relay_counts(self, name: str) -> int:
+        """Return the sum of a rebalancing counter over all relays."""
         return sum(
             relay.reducer.rebalancer.counts[name] for relay in self.relays if relay.reducer.rebalancer is not None
         )
 
     def run(self, seconds: float) -> None:
+        """Advance the virtual clock."""
         self.clock.run_until(self.clock.time + seconds * 1000.0)
--- a/yarrowspindle/lab/model/maintenance_defects.py
+++ b/yarrowspindle/lab/model/maintenance_defects.py
@@ -1,5 +1,8 @@
-"""Defects planted into the agreement on turns, each the kind of thing that a review lets pass; the checker must find
-them."""
+"""Planted defects of maintenance coordination and its consensus protocol, which the simulation's checks must find.
+
+Each defect is of a kind that a code review may miss. A class overrides the method of the product that holds the
+correct behaviour; `DEFECTS` names the defects.
+"""
 
 from __future__ import annotations
 
@@ -18,11 +21,11 @@
 from yarrowspindle.maintenance.requests import MaintenanceRequest
 from yarrowspindle.maintenance.state import EMPTYING, BackendObservation, Evacuation, MaintenanceState
 
-# --- the voter ----------------------------------------------------------------------------------
+# --- acceptor -----------------------------------------------------------------------------------
 
 
 class BreaksPromises(Acceptor[MaintenanceState]):
-    """Accepts what is below its promise."""
+    """Accepts a proposal with a lower ballot than it has promised."""
 
     def on_message(
         self, message: Prepare | Accept[MaintenanceState]
@@ -34,7 +37,7 @@
 
 
 class ForgetsPromises(Acceptor[MaintenanceState]):
-    """Promises, and does not keep in mind what."""
+    """Sends promises without storing them."""
 
     def on_message(
         self, message: Prepare | Accept[MaintenanceState]
@@ -45,7 +48,7 @@
 
 
 class HidesAcceptedState(Acceptor[MaintenanceState]):
-    """Promises with the state that it started from."""
+    """Sends promises with its initial state instead of the state that it accepted."""
 
     def __init__(self, stored: AcceptorState[MaintenanceState], store: Any, now_ms: Any) -> None:
         super().__init__(stored, store, now_ms)
@@ -62,11 +65,11 @@
         )
 
 
-# --- the proposer -------------------------------------------------------------------------------
+# --- proposer -----------------------------------------------------------------------------------
 
 
 class CountsDuplicateVotes(Proposer[MaintenanceState]):
-    """A promise or an acceptance that comes twice counts twice."""
+    """Counts a duplicate promise or acceptance as that of another acceptor."""
 
     def _on_promise(
         self, current: ProposalRound[MaintenanceState], source: str, promise: Promise[MaintenanceState]
@@ -84,7 +87,7 @@
 
 
 class MajorityOffByOne(Proposer[MaintenanceState]):
-    """A majority is one too few: half of an odd number, rounded down."""
+    """Takes one acceptor less than a majority as a majority: half of an odd number, rounded down."""
 
     def _on_promise(
         self, current: ProposalRound[MaintenanceState], source: str, promise: Promise[MaintenanceState]
@@ -99,7 +102,7 @@
 
 
 class ProposesOwnState(Proposer[MaintenanceState]):
-    """Changes the state that it knows, not the one that the voters tell."""
+    """Proposes changes to the state that it knows instead of the state in the promises."""
 
     def _on_promise(
         self, current: ProposalRound[MaintenanceState], source: str, promise: Promise[MaintenanceState]
@@ -108,7 +111,7 @@
 
 
 class AdoptsOldestPromise(Proposer[MaintenanceState]):
-    """Of the promises it goes by the lowest ballot."""
+    """Bases its proposal on the promise with the lowest accepted ballot instead of the highest."""
 
     def _on_promise(
         self, current: ProposalRound[MaintenanceState], source: str, promise: Promise[MaintenanceState]
@@ -121,7 +124,7 @@
 
 
 class AcceptsEarlierBallots(Proposer[MaintenanceState]):
-    """An answer to an earlier round counts for this one."""
+    """Counts responses to earlier rounds for the current round."""
 
     def on_message(self, source: str, message: Any) -> Any:
         if self.round is not None and not isinstance(message, Rejected):
@@ -130,7 +133,7 @@
 
 
 class CommitsOnProposal(Proposer[MaintenanceState]):
-    """Takes a state for committed as soon as it is proposed."""
+    """Treats a state as committed as soon as it is proposed."""
 
     def _on_promise(
         self, current: ProposalRound[MaintenanceState], source: str, promise: Promise[MaintenanceState]
@@ -143,24 +146,24 @@
 
 
 class SkipsVersionCheck(Proposer[MaintenanceState]):
-    """Takes up whatever state comes last."""
+    """Records the last state that it receives, without comparing versions."""
 
     def on_committed(self, state: MaintenanceState) -> None:
         self.newest_committed = self.membership_hint = state
 
 
-# --- the state ----------------------------------------------------------------------------------
+# --- maintenance state --------------------------------------------------------------------------
 
 
 class SkipsOneConfirmation(MaintenanceState, frozen=True):
-    """Free though one confirmation is missing."""
+    """Treats a backend as free while one confirmation is missing."""
 
     def unconfirmed_relays(self, backend: str) -> list[str]:
         return super().unconfirmed_relays(backend)[1:]
 
 
 class ReusesEvacuationNumbers(MaintenanceState, frozen=True):
-    """Turns are not numbered anew, and any number confirms."""
+    """Gives each evacuation the number 1, so that a confirmation of an earlier one counts."""
 
     def _with_next_evacuation(self, backends: Mapping[str, BackendObservation]) -> MaintenanceState | None:
         granted = super()._with_next_evacuation(backends)
@@ -182,7 +185,7 @@
 
 
 class ExceedsUnavailableLimit(MaintenanceState, frozen=True):
-    """One more out than allowed."""
+    """Evacuates one backend more than the limits of the request allow."""
 
     def _with_next_evacuation(self, backends: Mapping[str, BackendObservation]) -> MaintenanceState | None:
         requests = {
@@ -203,7 +206,7 @@
 
 
 class IgnoresZoneLimit(MaintenanceState, frozen=True):
-    """The bound of each zone is forgotten."""
+    """Ignores the limit per zone: each backend counts as in a zone of its own."""
 
     def _with_next_evacuation(self, backends: Mapping[str, BackendObservation]) -> MaintenanceState | None:
         return super()._with_next_evacuation(
@@ -215,7 +218,7 @@
 
 
 class InheritsConfirmations(MaintenanceState, frozen=True):
-    """A cancelled or later turn inherits the confirmations of the one before."""
+    """Keeps the confirmations of earlier evacuations for a new one."""
 
     def _with_next_evacuation(self, backends: Mapping[str, BackendObservation]) -> MaintenanceState | None:
         granted = super()._with_next_evacuation(backends)
@@ -231,11 +234,11 @@
         return structs.replace(granted, evacuations=evacuations)
 
 
-# --- the relay ----------------------------------------------------------------------------------
+# --- coordinator --------------------------------------------------------------------------------
 
 
 class ConfirmsWhileUsed(MaintenanceCoordinator):
-    """Confirms while it still holds something there."""
+    """Confirms an evacuation while it still has connections to the backend."""
 
     def _releases(self) -> dict[str, int]:
         return (
@@ -250,7 +253,7 @@
 
 
 class ConfirmsFromOldObservation(MaintenanceCoordinator):
-    """Confirms by what it held before it took up the turn."""
+    """Confirms an evacuation by an observation that it made before it adopted the evacuation."""
 
     def _adopt(self) -> None:
         observed = self.observed_since_adoption
@@ -259,7 +262,7 @@
 
 
 class ConfirmsBeforeAdoption(MaintenanceCoordinator):
-    """Confirms a turn that it reads of, before it has taken it up."""
+    """Confirms an evacuation of a state that it has read but not adopted yet."""
 
     def _confirm_own_releases(self, state: MaintenanceState) -> MaintenanceState | None:
         releases = {
@@ -271,7 +274,7 @@
 
 
 class AdoptsOlderStates(MaintenanceCoordinator):
-    """Takes up whatever state it hears of last, older ones too."""
+    """Adopts the last state that it receives, even if it is older than the adopted one."""
 
     def _adopt(self) -> None:
         if self.state.version != self.adopted.version:
@@ -280,12 +283,13 @@
 
 
 class PlacesBeforeRegistration(MaintenanceCoordinator):
-    """Places before it has read what is out."""
+    """Places connections before it is registered, when it may not know the evacuations."""
 
     def may_place(self, backend: str) -> bool:
         return not self.state.excludes(backend)
 
 
+# By the names that tests and benchmarks print.
 DEFECTS: dict[str, MaintenanceComponents] = {
     "forgets to sync its file": MaintenanceComponents(discard_acceptor_writes=True),
     "a lost file comes back under its old identity": MaintenanceComponents(reuse_lost_identity=True),
@@ -309,7 +313,7 @@
     "confirms what it has not taken up": MaintenanceComponents(coordinator=ConfirmsBeforeAdoption),
     "places before it has read": MaintenanceComponents(coordinator=PlacesBeforeRegistration),
 }
-FAULT_SETS = (
+FAULT_SETS = (  # kinds of faults that occur in the same run; a kind listed twice occurs twice
     ("loss",),
     ("loss", "kill"),
     ("split",),
--- a/yarrowspindle/lab/model/relay.py
+++ b/yarrowspindle/lab/model/relay.py
@@ -1,4 +1,4 @@
-"""A relay in the model: the real reducer, its effects carried out on model nodes and submitters."""
+"""Model of a relay: the real reducer, whose effects are carried out on modelled backends and clients."""
 
 from __future__ import annotations
 
@@ -42,11 +42,11 @@
 from yarrowspindle.routing.termination import TerminationReason
 from yarrowspindle.runtime import Runtime, Timers
 
-DRAIN_GRACE_TOLERANCE_MS = 50.0  # the rules allow it beyond the drain's grace
+DRAIN_GRACE_TOLERANCE_MS = 50.0  # of the rule, on top of the drain grace of the settings
 
 
 class Environment(Protocol):
-    """What a relay meets: nodes, the time and the network between, and submitters that come and go."""
+    """The surroundings of a relay: the clock, the backends, the network and the clients."""
 
     clock: VirtualClock
     rules: Rules
@@ -73,6 +73,8 @@
 
 
 class Attempt:
+    """An attempt of a request at a backend."""
+
     __slots__ = ("request", "number", "backend", "forwarded", "established")
 
     def __init__(self, request: int, number: int, backend: ModelBackend | None) -> None:
@@ -81,7 +83,7 @@
 
 
 class VirtualTimers(Timers):
-    """Timers on the fleet's clock."""
+    """Timers of a relay on the virtual clock."""
 
     def __init__(self, clock: VirtualClock) -> None:
         super().__init__(clock)
@@ -107,6 +109,11 @@
 
 
 class ModelRelay:
+    """A relay of the model fleet: its runtime, the clients and attempts at it, and the state of its endpoint list.
+
+    The rules are checked on the effects that the reducer returns.
+    """
+
     def __init__(self, fleet: Environment, index: int, settings: Settings, seed: int) -> None:
         self.fleet, self.index, self.clock = fleet, index, fleet.clock
         self.runtime = Runtime(
@@ -117,7 +124,7 @@
         self.zone = settings.zone
         self.clients: dict[int, Client] = {}
         self.attempts: dict[int, Attempt] = {}
-        self.stopped_backends: dict[str, float] = {}  # told draining or gone: since when
+        self.stopped_backends: dict[str, float] = {}  # draining or gone by the endpoint list: since when
         self.alive = True
         self.log: list[tuple[float, str]] = []
         self.effect_handlers: dict[type, Callable[[Any], None]] = {
@@ -132,21 +139,23 @@
         }
 
     def post(self, event: Event) -> None:
+        """Pass an event to the reducer, unless the relay was killed."""
         if self.alive:
             self.runtime.post(event)
 
     def _log(self, level: str, text: str) -> None:
         if level == "error":
-            raise  # noqa: PLE0704 - called while an exception is handled: a model run must not go on after one
+            raise  # noqa: PLE0704 - called while an exception is handled: a run must not continue after one
         self.log.append((self.clock.seconds, text))
 
     def carry_out(self, effect: Effect) -> None:
+        """Carry out an effect of the reducer; effects without a handler are ignored."""
         handler = self.effect_handlers.get(type(effect))
         if handler is not None:
             handler(effect)
 
     def kill(self) -> None:
-        """Killed: its connections break on both sides."""
+        """Kill the relay; its connections break on both sides."""
         self.alive = False
         self.runtime.close()
         for attempt in list(self.attempts.values()):
@@ -155,9 +164,10 @@
         for client in clients:
             self.fleet.client_closed(client, TerminationReason.CONNECTION_RESET)
 
-    # --- the list -------------------------------------------------------------------------------
+    # --- endpoint list --------------------------------------------------------------------------
 
     def receive_endpoints(self, update: EndpointsUpdated) -> None:
+        """Pass an update of the endpoint list to the reducer, and record which backends stopped."""
         for endpoint in update.endpoints:
             if endpoint.state is EndpointState.READY:
                 self.stopped_backends.pop(endpoint.name, None)
@@ -165,9 +175,10 @@
                 self.stopped_backends.setdefault(endpoint.name, self.clock.now())
         self.post(update)
 
-    # --- submitters -----------------------------------------------------------------------------
+    # --- clients --------------------------------------------------------------------------------
 
     def receive_request(self, client: Client, deadline_ms: float) -> None:
+        """Start a new request of the client."""
         request = client.request = self.runtime.new_request(self)
         client.relay, client.answer_count = self, 0
         self.clients[request] = client
@@ -185,36 +196,40 @@
         )
 
     def has_request_of(self, client: Client) -> bool:
+        """Return whether the client's current request is at this relay."""
         return self.clients.get(client.request) is client
 
     def backend_zone(self, client: Client) -> int | None:
-        """The zone of the node at which it stands."""
+        """Return the zone of the client's backend, if it has an attempt."""
         attempt = self.attempts.get(client.request)
         return attempt.backend.zone if attempt is not None and attempt.backend is not None else None
 
     def disconnect(self, client: Client) -> None:
+        """Close the client's connection from the client's side."""
         self.clients.pop(client.request, None)
         self.post(ClientDisconnected(client.request))
 
     def complete(self, client: Client) -> None:
+        """Complete the client's request: its backend closes the connection."""
         attempt = self.attempts.get(client.request)
         if attempt is not None:
             self._release(attempt)
             self.post(AttemptEnded(attempt.request, attempt.number, TerminationReason.COMPLETED))
 
     def load_changed(self, client: Client, load: float) -> None:
+        """Set the load of an established connection; the backend reports it if the fleet's backends do so."""
         attempt = self.attempts.get(client.request)
         if attempt is not None and attempt.established and attempt.backend is not None:
             attempt.backend.change_load((self.index, attempt.request), load)
             if self.fleet.backend_reports_load:
                 self.post(LoadReported(attempt.request, load))
 
-    # --- nodes ----------------------------------------------------------------------------------
+    # --- backends -------------------------------------------------------------------------------
 
     def _open_connection(self, effect: OpenBackendConnection) -> None:
         if effect.request in self.attempts:
             self.fleet.rules.record(
-                "one attempt out", self.clock.seconds, f"job {effect.request} at relay {self.index}"
+                "one attempt out", self.clock.seconds, f"request {effect.request} at relay {self.index}"
             )
         attempt = self.attempts[effect.request] = Attempt(
             effect.request, effect.attempt, self.fleet.backends.get(effect.backend)
@@ -247,7 +262,7 @@
             stopped_at is not None
             and self.clock.now() > stopped_at + self.fleet.drain_grace_ms + DRAIN_GRACE_TOLERANCE_MS
         ):
-            self.fleet.rules.record("drain", self.clock.seconds, f"{backend.name} was sent job {effect.request}")
+            self.fleet.rules.record("drain", self.clock.seconds, f"{backend.name} was sent request {effect.request}")
         client = self.clients[effect.request]
         now = self.clock.now()
         priority_weight, mean_load = (
@@ -274,11 +289,12 @@
             self.post(BackendAccepted(attempt.request, attempt.number))
 
     def backend_died(self, backend: ModelBackend) -> None:
+        """Reset the connections to a backend whose process has ended."""
         for attempt in [a for a in self.attempts.values() if a.backend is backend and a.forwarded]:
             del self.attempts[attempt.request]
             self.post(AttemptEnded(attempt.request, attempt.number, TerminationReason.CONNECTION_RESET))
 
-    # --- what nodes tell ------------------------------------------------------------------------
+    # --- health checks and reports --------------------------------------------------------------
 
     def _check_health(self, effect: CheckHealth) -> None:
         backend = self.fleet.backends[effect.backend]
@@ -300,15 +316,16 @@
         )
 
     def established_attempts(self, backend: ModelBackend) -> list[Attempt]:
+        """Return the attempts that are established at the backend."""
         return [a for a in self.attempts.values() if a.backend is backend and a.established]
 
     def report_slow_message(self, backend: ModelBackend, message_latency_ms: float) -> None:
-        """The node tells it on one connection of each relay."""
+        """Report the message latency of the backend on one of the established connections to it."""
         for attempt in self.established_attempts(backend)[:1]:
             self.post(UnclassifiedReport(attempt.request, message_latency_ms))
 
     def forward_unanswered_lines(self, backend: ModelBackend) -> None:
-        """Each submitter that stands there sends a line, and none comes back."""
+        """Send a line on each established connection to the backend, which does not answer."""
         for attempt in self.established_attempts(backend):
             if attempt.request in self.attempts:
                 self.post(ClientDataForwarded(attempt.request))
@@ -323,17 +340,17 @@
         if attempt is not None:
             self._release(attempt)
 
-    # --- answers --------------------------------------------------------------------------------
+    # --- answers to clients ---------------------------------------------------------------------
 
     def _record_answer(self, request: int, answer: str) -> Client | None:
-        """Each job has one final answer; the submitter may have left before it."""
+        """Check that a request has one final answer, in time. Return its client, or None if it disconnected before."""
         client = self.clients.get(request)
         if client is not None:
             client.answer_count += 1
             if client.answer_count > 1:
-                self.fleet.rules.record("one final answer", self.clock.seconds, f"job {request} got {answer}")
+                self.fleet.rules.record("one final answer", self.clock.seconds, f"request {request} got {answer}")
             if self.clock.now() > client.deadline + self.fleet.answer_slack_ms:
-                self.fleet.rules.record("in time", self.clock.seconds, f"job {request} got {answer}")
+                self.fleet.rules.record("in time", self.clock.seconds, f"request {request} got {answer}")
         return client
 
     def _start_relaying(self, effect: StartRelaying) -> None:
@@ -356,7 +373,9 @@
     def _migrate(self, effect: MigrateConnection) -> None:
         client, attempt = self.clients.pop(effect.request, None), self.attempts.get(effect.request)
         if attempt is None or client is None:
-            self.fleet.rules.record("moves only what stands", self.clock.seconds, f"job {effect.request}")
+            self.fleet.rules.record(
+                "moves only what stands", self.clock.seconds, f"request {effect.request} has no attempt or client"
+            )
             return
         backend = attempt.backend
         self._release(attempt)
@@ -371,6 +390,7 @@
 
 
 def endpoint_of(backend: ModelBackend, index: int, state: EndpointState, weight: float = 0.0) -> Endpoint:
+    """Return the backend's entry in the endpoint list; without a weight, its capacity is its size."""
     return Endpoint(
         backend.name, ("model", index), state, backend.zone, 0, 0, weight or backend.size, backend.started_at
     )
--- a/yarrowspindle/lab/model/rules.py
+++ b/yarrowspindle/lab/model/rules.py
@@ -1,4 +1,14 @@
-"""The rules, checked on what passes between the parties of the model, not on the reducer's own books."""
+"""Rules of a model run, checked on messages between the modelled parties and not on the reducer's own state.
+
+The rules by their names in reports:
+
+    one final answer        a request gets a single final answer
+    in time                 the answer comes within the deadline of the request, plus a tolerance
+    one attempt out         a request has at most one open attempt
+    drain                   a draining or removed backend gets no request after the drain grace
+    no cold node falls      no backend crashes of overload while it warms up
+    moves only what stands  only a request with a client and an attempt is migrated
+"""
 
 from __future__ import annotations
 
@@ -6,20 +16,22 @@
 
 
 class RuleViolation(AssertionError):
-    """A rule of the run does not hold; the text names the rule and its step."""
+    """Raised if a rule was violated; the text names each violated rule with the time of its first violation."""
 
 
 class Rules:
-    """Counts what is forbidden; `first` keeps the first break of each rule with its time."""
+    """Violations of a run, counted by rule, with a description of the first violation of each rule."""
 
     def __init__(self) -> None:
         self.violations: Counter[str] = Counter()
         self.first_violations: dict[str, str] = {}
 
     def record(self, rule: str, at_s: float, detail: str) -> None:
+        """Record a violation of the rule at this time of the run."""
         self.violations[rule] += 1
         self.first_violations.setdefault(rule, f"{rule} at {at_s:.3f} s: {detail}")
 
     def check(self) -> None:
+        """Raise RuleViolation if a rule was violated."""
         if self.violations:
             raise RuleViolation("; ".join(self.first_violations.values()))
