--- a/benchmarks/library.py
+++ b/benchmarks/library.py
@@ -86,7 +86,7 @@
                 backend.setup_work_ms = trouble.choice((8.0, 4000.0, 60_000.0))  # set-ups that time out
             elif what < 0.8:
                 relay.receive_endpoints(EndpointsUpdated(ListKind.FAILED))
-        fleet.arrivals_stopped = True
+        fleet.connecting_stopped = True
         fleet.run(spec.deadline_ms / 1000.0 + 1.0)  # whoever waits has its answer by then
         return recorder.events
 
--- a/yarrowspindle/lab/model/fleet.py
+++ b/yarrowspindle/lab/model/fleet.py
@@ -114,7 +114,7 @@
         self.backend_indexes: dict[str, int] = {}
         self.clients: set[Client] = set()
         self.last_client_key = 0
-        self.arrivals_stopped = False  # neither new nor returning clients connect any more
+        self.connecting_stopped = False  # neither new nor returning clients connect any more
         self.version = 1
         self.max_moves_per_client = 0
         self.demand = self.served = 0.0
@@ -391,7 +391,7 @@
 
     def connect(self, client: Client) -> None:
         """Send the client's request to a relay that the front chooses."""
-        if client.finished or self.arrivals_stopped:
+        if client.finished or self.connecting_stopped:
             return
         alive = [relay for relay in self.relays if relay.alive]
         if len(alive) == len(self.relays) and not self.spec.relay_weights:
