--- a/yarrowspindle/configuration/change_queue.py
+++ b/yarrowspindle/configuration/change_queue.py
@@ -163,9 +163,12 @@
             self._answer_from_step(pending, step)
 
     def _is_overtaken(self, pending: PendingChange) -> bool:
-        """Whether this order, which has no recent step, was skipped because one of a later incarnation was settled.
+        """Return whether a pending change's order was certainly skipped: no version settled it, and none will.
 
-        This is certain if the order was never forwarded, or if the recent steps cover all versions since it was.
+        `recent_steps`, the newest committed versions, must contain none for this order. True if an order of a later
+        incarnation (series of order numbers) of this controller is settled, which rules out this one, and it was not
+        settled before that: it was never sent to a leader nor proposed here, so no controller could commit it, or
+        `recent_steps` contain all versions since it first was. False if the order was settled or may have been.
         """
         if pending.order.incarnation >= self._settled_incarnation():
             return False
--- a/yarrowspindle/decisions/placement.py
+++ b/yarrowspindle/decisions/placement.py
@@ -62,10 +62,12 @@
         return self._two_choices(request, local, fleet)
 
     def _spills_over(self, local: WeightedRing[Backend]) -> bool:
-        """Return whether to send the request to the whole fleet because the own zone has lost capacity.
+        """Return whether to draw a request's backend from the whole fleet without trying the balancer's own zone first.
 
-        Decides at random, in proportion to the lost capacity. This load is spread over all zones, since otherwise the
-        first backends to return in the own zone would receive all of it.
+        True at random, with a probability equal to the fraction that `local`, the own zone's ring, has lost of its
+        nominal capacity (its highest total so far); False if it has lost none. The fleet includes the own zone, so the
+        load of the lost backends is spread over all zones. If it stayed in the own zone, the first backends to return
+        there would receive all of it. The result has no effect if one ring serves as both.
         """
         nominal, present = local.nominal_capacity, local.total_capacity
         return present < nominal and self.state.random() * nominal >= present
--- a/yarrowspindle/transport/inactivity_timer.py
+++ b/yarrowspindle/transport/inactivity_timer.py
@@ -33,13 +33,12 @@
 
 
 def half_close_unless_readable(transport: asyncio.BaseTransport | None) -> bool:
-    """Close the sending direction of a connection at once, unless the kernel holds unread data of the peer.
+    """Close the sending direction of a connection at once, unless data or the end of stream of the peer is unread.
 
-    The transport's own `write_eof` takes effect only in the next iteration of the event loop, and data that the peer
-    sends until then would be lost unread.
-
-    Returns:
-        Whether there was no unread data.
+    Return False, with nothing closed, if the kernel holds such unread input. Return True if the sending direction was
+    closed, or if there was nothing to close: no transport, no socket, or a socket that is being closed already.
+    After True the relay closes the connection and discards all that still arrives. The transport's own `write_eof`
+    would act only in the next iteration of the event loop, and data that arrived after the check would be lost, too.
     """
     sock = transport.get_extra_info("socket") if transport is not None else None
     if sock is None:
