--- a/tests/daemon/configuration_processes.py
+++ b/tests/daemon/configuration_processes.py
@@ -15,8 +15,8 @@
 
 import pytest
 
-from tests.ports import own_net
-from tests.stand_ins import ROOT, SETTINGS, WAIT_S, World, relay
+from tests.ports import loopback_prefix
+from tests.stand_ins import ROOT, SETTINGS, TIMEOUT_S, RelayEnvironment, relay
 from yarrowspindle.commands.configuration import main
 from yarrowspindle.configuration.codec import APPLIED_SETTINGS_FILE
 from yarrowspindle.configuration.effects import Persist
@@ -27,14 +27,14 @@
 CHAT = dict(SETTINGS["categories"][0])
 ENTRIES = read_platform_settings(SETTINGS).entries
 # A deadline of a client this long is accepted only if the class's deadline is 1.5 s or more.
-LONG_WAIT_MS = 2500
+LONG_DEADLINE_MS = 2500
 address_numbers = iter(range(1 << 16))
 
 
 def unused_address() -> Address:
     """Return an unused address on a loopback network of this process, so that parallel runs do not conflict."""
     number = next(address_numbers)
-    return f"{own_net()}.{1 + number // 250 % 250}.{1 + number % 250}", 7946
+    return f"{loopback_prefix()}.{1 + number // 250 % 250}.{1 + number % 250}", 7946
 
 
 def address_text(address: Address) -> str:
@@ -81,7 +81,7 @@
             sys.executable, "-B", "-m", "yarrowspindle", cwd=ROOT, env=env, stderr=asyncio.subprocess.PIPE
         )
         self.reading = asyncio.ensure_future(self._read())
-        await self.logged("commands are accepted")
+        await self.next_log_line("commands are accepted")
 
     async def _read(self) -> None:
         assert self.process.stderr is not None
@@ -89,15 +89,15 @@
             self.log_lines.append(line)
             self.log.put_nowait(line)
 
-    async def logged(self, text: str) -> str:
+    async def next_log_line(self, text: str) -> str:
         """Wait for the next log line that contains the text."""
-        while text not in (line := await asyncio.wait_for(self.log.get(), WAIT_S)):
+        while text not in (line := await asyncio.wait_for(self.log.get(), TIMEOUT_S)):
             pass
         return line
 
     async def wait_for_log(self, text: str, first_index: int = 0) -> None:
         """Wait for a log line that contains the text, among those from `first_index` on, including past lines."""
-        deadline = time.monotonic() + WAIT_S
+        deadline = time.monotonic() + TIMEOUT_S
         while not any(text in line for line in self.log_lines[first_index:]):
             assert time.monotonic() < deadline, self.log_lines
             await asyncio.sleep(0.05)
@@ -106,7 +106,7 @@
         """End the process if it is running, and read the rest of its log."""
         if self.process.returncode is None:
             self.process.send_signal(signal_number)
-            await asyncio.wait_for(self.process.wait(), WAIT_S)
+            await asyncio.wait_for(self.process.wait(), TIMEOUT_S)
         if self.reading is not None:
             await self.reading
 
@@ -153,7 +153,7 @@
         self, at: int, version: int, relays: int, capsys: pytest.CaptureFixture[str]
     ) -> dict[str, Any]:
         """Wait until this many relays have applied a version, and return the status."""
-        deadline = time.monotonic() + WAIT_S
+        deadline = time.monotonic() + TIMEOUT_S
         while True:
             status = await self.show(at, capsys)
             if status["in_force"] >= version and status["relays"] == relays:
@@ -199,7 +199,7 @@
         assert "Traceback" not in log, log
 
 
-async def start_relays(stack: AsyncExitStack, tmp: Path, operators: list[str]) -> list[World]:
+async def start_relays(stack: AsyncExitStack, tmp: Path, operators: list[str]) -> list[RelayEnvironment]:
     """Start a relay for each operator's file."""
     folders = [tmp / f"relay{n}" for n in range(len(operators))]
     for folder in folders:
@@ -208,17 +208,17 @@
     return list(await asyncio.gather(*starting))
 
 
-async def wait_until_all_applied(worlds: list[World], version: int) -> None:
+async def wait_until_all_applied(envs: list[RelayEnvironment], version: int) -> None:
     """Wait until all of these relays have logged that they applied a version."""
-    await asyncio.gather(*(world.logged(f"applied version {version};") for world in worlds))
+    await asyncio.gather(*(env.next_log_line(f"applied version {version};") for env in envs))
 
 
-async def is_placed(world: World, wait_ms: int) -> bool:
+async def is_placed(env: RelayEnvironment, deadline_ms: int) -> bool:
     """Return whether a request with this deadline is placed."""
-    client = await world.request(wait_ms=wait_ms)
-    answered = asyncio.ensure_future(client.hear())
-    placed = [asyncio.ensure_future(backend.next()) for backend in world.backends.values()]
-    done, _ = await asyncio.wait((answered, *placed), return_when=asyncio.FIRST_COMPLETED, timeout=WAIT_S)
+    client = await env.open_request(deadline_ms=deadline_ms)
+    answered = asyncio.ensure_future(client.read_line())
+    placed = [asyncio.ensure_future(backend.next_connection()) for backend in env.backends.values()]
+    done, _ = await asyncio.wait((answered, *placed), return_when=asyncio.FIRST_COMPLETED, timeout=TIMEOUT_S)
     for task in (answered, *placed):
         task.cancel()
     if answered in done:
--- a/tests/daemon/test_configuration_daemon.py
+++ b/tests/daemon/test_configuration_daemon.py
@@ -16,7 +16,7 @@
 from tests.daemon.configuration_processes import (
     CHAT,
     ENTRIES,
-    LONG_WAIT_MS,
+    LONG_DEADLINE_MS,
     ControllerCluster,
     address_text,
     deadline_change,
@@ -28,7 +28,7 @@
     unused_address,
     wait_until_all_applied,
 )
-from tests.stand_ins import SETTINGS, WAIT_S, relay
+from tests.stand_ins import SETTINGS, TIMEOUT_S, relay
 from yarrowspindle.configuration.effects import Persist
 from yarrowspindle.configuration.link import Link
 from yarrowspindle.configuration.messages import LatestVersion
@@ -52,9 +52,9 @@
         async with AsyncExitStack() as stack:
             cluster = await stack.enter_async_context(running_cluster(tmp_path, ["c0", "c1", "c2"]))
             zones = ['zone = "a"\n', 'zone = "b"\n', "", "", ""]
-            worlds = await start_relays(stack, tmp_path, [cluster.relay(f"r{n}", zones[n]) for n in range(5)])
+            envs = await start_relays(stack, tmp_path, [cluster.relay(f"r{n}", zones[n]) for n in range(5)])
             await cluster.wait_until_applied(0, 0, 5, capsys)
-            assert await is_placed(worlds[0], LONG_WAIT_MS)
+            assert await is_placed(envs[0], LONG_DEADLINE_MS)
 
             await rejected(
                 cluster, "limits.max_attempts is missing", "set", deadline_change(900.0)
@@ -63,15 +63,15 @@
             out = capsys.readouterr().out
             assert "specific to each relay: azs, realms, skus, slot_no, zone" in out
             assert "unknown to the program: color" in out and "version 1 is agreed on" in out
-            await wait_until_all_applied(worlds, 1)
+            await wait_until_all_applied(envs, 1)
             assert await cluster.run_command(1, "load", str(tmp_path / "platform.json")) == 0
             assert "nothing differs from the committed settings" in capsys.readouterr().out
             assert await cluster.run_command(2, "set", deadline_change(900.0)) == 0
-            await asyncio.gather(*(world.logged("applied version 2; changed: categories") for world in worlds))
+            await asyncio.gather(*(env.next_log_line("applied version 2; changed: categories") for env in envs))
             status = await cluster.wait_until_applied(1, 2, 5, capsys)
             assert not status["named"] and status["voters"] == ["c0", "c1", "c2"]
-            for world in worlds:
-                assert not await is_placed(world, LONG_WAIT_MS) and await is_placed(world, 1000)
+            for env in envs:
+                assert not await is_placed(env, LONG_DEADLINE_MS) and await is_placed(env, 1000)
 
             await rejected(cluster, "is not JSON", "set", "limits={")
             await rejected(cluster, "limits.max_attempts is missing", "set", "limits={}")
@@ -87,21 +87,21 @@
             await cluster.controllers[0].end()
             start_time = time.monotonic()
             assert await cluster.run_command(1, "set", deadline_change(1900.0)) == 0
-            await wait_until_all_applied(worlds, 3)
+            await wait_until_all_applied(envs, 3)
             assert time.monotonic() < start_time + 3.0
-            assert await is_placed(worlds[4], LONG_WAIT_MS)
+            assert await is_placed(envs[4], LONG_DEADLINE_MS)
             await cluster.controllers[0].start(environment_of(cluster, 0))
             cluster.controllers[1].process.send_signal(signal.SIGSTOP)
             start_time = time.monotonic()
             assert await cluster.run_command(2, "set", deadline_change(900.0)) == 0
-            await wait_until_all_applied(worlds, 4)
+            await wait_until_all_applied(envs, 4)
             assert time.monotonic() < start_time + 3.0
             cluster.controllers[1].process.send_signal(signal.SIGCONT)
 
             # A reload applies the file, but not its settings.
-            worlds[3].reload(settings=SETTINGS | {"categories": [CHAT | {"deadline_ms": 1950.0}]})
-            await worlds[3].logged("the controllers' settings stay in force")
-            assert not await is_placed(worlds[3], LONG_WAIT_MS)
+            envs[3].reload(settings=SETTINGS | {"categories": [CHAT | {"deadline_ms": 1950.0}]})
+            await envs[3].next_log_line("the controllers' settings stay in force")
+            assert not await is_placed(envs[3], LONG_DEADLINE_MS)
 
             # Without any controller a relay that restarts applies the settings that it stored.
             assert "version 4 is agreed on" in await status_text(cluster, capsys)
@@ -109,12 +109,12 @@
                 await controller.end(signal.SIGTERM)
                 assert controller.process.returncode == 0 and "stopped" in controller.log_lines[-1]
             await cluster.controllers[1].end()
-            worlds[2].stop()
-            await asyncio.wait_for(worlds[2].process.wait(), WAIT_S)
+            envs[2].stop()
+            await asyncio.wait_for(envs[2].process.wait(), TIMEOUT_S)
             again = tmp_path / "again"
             again.mkdir()
             started = await stack.enter_async_context(relay(again, (tmp_path / "relay2/operator.toml").read_text()))
-            assert not await is_placed(started, LONG_WAIT_MS) and await is_placed(started, 1000)
+            assert not await is_placed(started, LONG_DEADLINE_MS) and await is_placed(started, 1000)
 
             # A single controller that starts without a majority still distributes the committed state.
             await cluster.controllers[2].start(environment_of(cluster, 2))
@@ -145,10 +145,10 @@
             ahead, cut, twin, _, other = await start_relays(stack, tmp_path, operators)
 
             # Stored settings apply from the first request on, unless the file is damaged.
-            assert not await is_placed(ahead, LONG_WAIT_MS) and await is_placed(cut, LONG_WAIT_MS)
-            assert await is_placed(other, LONG_WAIT_MS)
+            assert not await is_placed(ahead, LONG_DEADLINE_MS) and await is_placed(cut, LONG_DEADLINE_MS)
+            assert await is_placed(other, LONG_DEADLINE_MS)
             await flood(flooded)
-            assert await is_placed(other, LONG_WAIT_MS)
+            assert await is_placed(other, LONG_DEADLINE_MS)
             lines = [other.log.get_nowait() for _ in range(other.log.qsize())]
             assert 0 < sum("dropped a datagram of" in line for line in lines) <= 60, "at most 20 a second"
             await controller.wait_for_log("two relays are called twin")
@@ -169,13 +169,13 @@
             assert await loading == 0
             status = await cluster.wait_until_applied(0, 1, 4, capsys)
             assert status["version"] == 1 and not status["named"]
-            await twin.logged("version 1 is applied, but cannot be stored yet")
-            assert await is_placed(twin, LONG_WAIT_MS)
+            await twin.next_log_line("version 1 is applied, but cannot be stored yet")
+            assert await is_placed(twin, LONG_DEADLINE_MS)
             blocked_settings.rmdir()
-            await twin.logged("version 1 is stored in")
+            await twin.next_log_line("version 1 is stored in")
             assert cluster.file("twin").load().version == 1
 
-            assert not await is_placed(ahead, LONG_WAIT_MS) and cluster.file("ahead").load().version == 50
+            assert not await is_placed(ahead, LONG_DEADLINE_MS) and cluster.file("ahead").load().version == 50
             assert controller.process.returncode is None and other.process.returncode is None
 
     asyncio.run(body())
@@ -205,7 +205,7 @@
             assert any("the file is truncated" in line for line in restarted.log_lines[lines_before:])
             await restarted.wait_for_log("has its voter's file, promised 0", first_index=lines_before)
             assert (restarted.directory / "voter.bad").exists()
-            await cluster.controllers[0].logged("version 2 is committed: voters")
+            await cluster.controllers[0].next_log_line("version 2 is committed: voters")
             await cluster.controllers[0].end()  # the remaining voters are a majority again
             assert await cluster.run_command(1, "set", deadline_change(900.0)) == 0
 
@@ -242,19 +242,19 @@
                 )
                 for n in range(5)
             ]
-            worlds = await start_relays(stack, tmp_path, operators)
+            envs = await start_relays(stack, tmp_path, operators)
             (tmp_path / "settings.json").write_text(json.dumps(SETTINGS))
             faulty_network.start(Fault("loss", 0.0, 9.0, 0.3))
             assert await cluster.run_command(0, "load", str(tmp_path / "settings.json")) == 0
-            await wait_until_all_applied(worlds, 1)
+            await wait_until_all_applied(envs, 1)
             faulty_network.start(Fault("cut", 0.0, 9.0, participants=("r0",), other_side=("r7", "r8")))
             start_time = time.monotonic()
             assert await cluster.run_command(1, "set", deadline_change(900.0)) == 0
-            await wait_until_all_applied(worlds, 2)
+            await wait_until_all_applied(envs, 2)
             assert time.monotonic() < start_time + 3.0
             await cluster.wait_until_applied(1, 2, 5, capsys)
-            for world in worlds:
-                assert not await is_placed(world, LONG_WAIT_MS)
+            for env in envs:
+                assert not await is_placed(env, LONG_DEADLINE_MS)
             assert datagrams[False] > 20 and datagrams[True] > 50
         for proxy in proxies:
             proxy.close()
--- a/tests/daemon/test_endpoint_list_faults.py
+++ b/tests/daemon/test_endpoint_list_faults.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from tests.stand_ins import World, relay
+from tests.stand_ins import RelayEnvironment, relay
 
 
 def chunk(line: str) -> bytes:
@@ -26,44 +26,44 @@
 }
 
 
-async def check_request_served(w: World) -> None:
+async def check_request_served(env: RelayEnvironment) -> None:
     """Check that a request is placed on a backend of the last valid list."""
-    client, _, backend = await w.standing()
-    backend.say("BYE")
+    client, _, backend = await env.established_connection()
+    backend.send_lines("BYE")
     backend.writer.close()
-    assert await client.hear() == "BYE"
+    assert await client.read_line() == "BYE"
 
 
 @pytest.mark.parametrize("fault", BAD_RESPONSES)
 def test_failed_list_calls_back_off_and_the_last_valid_list_stays_in_use(fault: str, tmp_path: Path) -> None:
     async def body() -> None:
-        async with relay(tmp_path) as w:
+        async with relay(tmp_path) as env:
             call_times = []
             for _ in range(5):
-                assert (await w.watched()).endswith("index=1 HTTP/1.1"), "from the last valid revision on"
+                assert (await env.next_watch()).endswith("index=1 HTTP/1.1"), "from the last valid revision on"
                 call_times.append(time.monotonic())
-                w.watch.writer.write(BAD_RESPONSES[fault])
-                await w.watch.writer.drain()
-                w.watch.writer.close()
-                await check_request_served(w)
+                env.watch.writer.write(BAD_RESPONSES[fault])
+                await env.watch.writer.drain()
+                env.watch.writer.close()
+                await check_request_served(env)
             # From the second one on, a delay is 0.3 to 0.6 of the time available (200 ms here), so that a hanging call
             # fits in as well.
             assert call_times[-1] - call_times[0] >= 0.3 * 0.2 * 3
-            await w.watched()
-            w.answer_watch(w.member("s-1"), w.member("s-2"))
-            w.tell("s-1", "draining")
-            await check_request_served(w)
+            await env.next_watch()
+            env.answer_watch(env.endpoint("s-1"), env.endpoint("s-2"))
+            env.update_endpoint("s-1", "draining")
+            await check_request_served(env)
 
     asyncio.run(body())
 
 
 def test_a_hanging_list_call_is_not_repeated_and_delays_no_request(tmp_path: Path) -> None:
     async def body() -> None:
-        async with relay(tmp_path) as w:
-            await w.watched()
+        async with relay(tmp_path) as env:
+            await env.next_watch()
             for _ in range(5):
-                await check_request_served(w)
-            assert w.list.came.empty()
+                await check_request_served(env)
+            assert env.discovery.accepted.empty()
 
     asyncio.run(body())
 
@@ -72,35 +72,37 @@
     """Guards against a stale replica of the discovery service, whose list from before a drain made a backend ready."""
 
     async def body() -> None:
-        async with relay(tmp_path) as w:
-            await w.watched()
-            w.version = 40
-            w.answer_watch(w.member("s-1"), w.member("s-2"))
-            w.tell("s-1", "draining")
-            w.version = 20
-            w.tell("s-1", "ready")  # a late message, which is ignored
-            w.version = 42
-            w.tell("s-2", "ready")
-            w.watch.writer.write(b"0\r\n\r\n")
-            assert (await w.watched()).endswith("index=43 HTTP/1.1")
-            w.version = 30
-            w.answer_watch(w.member("s-1"), w.member("s-2"))  # an older full list: requested once more
-            assert (await w.watched()).endswith("index=43 HTTP/1.1")
+        async with relay(tmp_path) as env:
+            await env.next_watch()
+            env.revision = 40
+            env.answer_watch(env.endpoint("s-1"), env.endpoint("s-2"))
+            env.update_endpoint("s-1", "draining")
+            env.revision = 20
+            env.update_endpoint("s-1", "ready")  # a late message, which is ignored
+            env.revision = 42
+            env.update_endpoint("s-2", "ready")
+            env.watch.writer.write(b"0\r\n\r\n")
+            assert (await env.next_watch()).endswith("index=43 HTTP/1.1")
+            env.revision = 30
+            env.answer_watch(env.endpoint("s-1"), env.endpoint("s-2"))  # an older full list: requested once more
+            assert (await env.next_watch()).endswith("index=43 HTTP/1.1")
             for _ in range(8):
-                client, name, backend = await w.standing()
+                client, name, backend = await env.established_connection()
                 assert name == "s-2"
-                backend.say("BYE")
+                backend.send_lines("BYE")
                 backend.writer.close()
-                await client.hear()
-            w.version = 30
-            w.answer_watch(w.member("s-1"), w.member("s-2"))  # the same again: the service has restarted its revisions
-            w.tell("s-2", "gone")
+                await client.read_line()
+            env.revision = 30
+            env.answer_watch(
+                env.endpoint("s-1"), env.endpoint("s-2")
+            )  # the same again: the service has restarted its revisions
+            env.update_endpoint("s-2", "gone")
             while True:
-                client = await w.request()
-                name, backend, _ = await w.placed()
-                backend.say("UP r1", "BYE")
+                client = await env.open_request()
+                name, backend, _ = await env.next_attempt()
+                backend.send_lines("UP r1", "BYE")
                 backend.writer.close()
-                await client.hear()
+                await client.read_line()
                 if name == "s-1":
                     break
 
--- a/tests/daemon/test_endpoint_list_responses.py
+++ b/tests/daemon/test_endpoint_list_responses.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from tests.stand_ins import HEAD, SETTINGS, Peer, World, run
+from tests.stand_ins import SETTINGS, WATCH_RESPONSE_HEAD, LinePeer, RelayEnvironment, run
 from yarrowspindle.daemon.config import ConfigError, read_config
 from yarrowspindle.decisions.events import EndpointState
 from yarrowspindle.protocol.endpoint_list import ListError, ZoneAndKindNames, parse_list
@@ -39,21 +39,24 @@
 def test_a_slow_endpoint_list_response_is_used(tmp_path: Path, discovery: str) -> None:
     """Guards against a renewed call that ends the one before: pushed lists are renewed before a slow response."""
 
-    async def body(w: World) -> None:
-        async def answer(peer: Peer) -> None:
-            while await peer.hear():
+    async def body(env: RelayEnvironment) -> None:
+        async def answer(peer: LinePeer) -> None:
+            while await peer.read_line():
                 pass
             await asyncio.sleep(RESPONSE_DELAY_S)
-            peer.writer.write(HEAD + w.members(True, w.member("s-1", "draining"), w.member("s-2")))
+            peer.writer.write(
+                WATCH_RESPONSE_HEAD
+                + env.endpoint_list_chunk(True, env.endpoint("s-1", "draining"), env.endpoint("s-2"))
+            )
 
         answering: list[asyncio.Future[None]] = []
 
         async def serve() -> None:
             while True:
-                answering.append(asyncio.ensure_future(answer(await w.list.came.get())))
+                answering.append(asyncio.ensure_future(answer(await env.discovery.accepted.get())))
 
         serving = asyncio.ensure_future(serve())
-        await asyncio.wait_for(w.logged("s-1 draining"), 6.0)
+        await asyncio.wait_for(env.next_log_line("s-1 draining"), 6.0)
         serving.cancel()
 
     run(tmp_path, body, discovery=discovery)
--- a/tests/daemon/test_event_races.py
+++ b/tests/daemon/test_event_races.py
@@ -17,7 +17,7 @@
 import pytest
 
 from tests.ports import free_port
-from tests.stand_ins import HEAD, SETTINGS, WAIT_S, Peer, Server, World, run
+from tests.stand_ins import SETTINGS, TIMEOUT_S, WATCH_RESPONSE_HEAD, LinePeer, LineServer, RelayEnvironment, run
 
 CHAT = dict(SETTINGS["categories"][0])
 LONG_CONNECT_TIMEOUT = SETTINGS["limits"] | {"connect_timeout_ms": 8000.0}  # a delayed connection keeps connecting
@@ -25,7 +25,7 @@
 
 
 async def wait_until(condition: Callable[[], bool]) -> None:
-    for _ in range(int(WAIT_S / 0.005)):
+    for _ in range(int(TIMEOUT_S / 0.005)):
         if condition():
             return
         await asyncio.sleep(0.005)
@@ -41,7 +41,7 @@
         return [line.split() for line in table]
 
 
-class UnacceptingBackend(Server):
+class UnacceptingBackend(LineServer):
     """A backend to which no connection is established before `accept`, since its accept queue is full."""
 
     async def open(self) -> UnacceptingBackend:
@@ -59,10 +59,14 @@
     async def accept(self) -> None:
         self.filler.close()
         self.sock.accept()[0].close()
-        self.server = await asyncio.start_server(self._take, sock=self.sock)
+        self.server = await asyncio.start_server(self._accept, sock=self.sock)
 
     def first_lines(self) -> list[bytes]:
-        return [peer.first for peer in (self.came.get_nowait() for _ in range(self.came.qsize())) if peer.first]
+        return [
+            peer.first_line
+            for peer in (self.accepted.get_nowait() for _ in range(self.accepted.qsize()))
+            if peer.first_line
+        ]
 
 
 def has_unread_bytes(port: int, client: bool = False) -> bool:
@@ -72,27 +76,29 @@
     return any(int(row[4].split(":")[1], 16) > 0 for row in rows)
 
 
-async def announce_endpoints(w: World, **phases: str) -> None:
+async def announce_endpoints(env: RelayEnvironment, **phases: str) -> None:
     """Send the full endpoint list on the open watch, or on the next one, and wait until the relay uses it."""
-    if not hasattr(w, "watch"):
-        await w.watched()
-        w.watch.writer.write(HEAD)
-    w.watch.writer.write(w.members(True, *(w.member(name.replace("_", "-"), p) for name, p in phases.items())))
-    await w.logged(f"machine list {w.version}:")
+    if not hasattr(env, "watch"):
+        await env.next_watch()
+        env.watch.writer.write(WATCH_RESPONSE_HEAD)
+    env.watch.writer.write(
+        env.endpoint_list_chunk(True, *(env.endpoint(name.replace("_", "-"), p) for name, p in phases.items()))
+    )
+    await env.next_log_line(f"machine list {env.revision}:")
 
 
-async def stop_accepting_at_s1(w: World) -> UnacceptingBackend:
+async def stop_accepting_at_s1(env: RelayEnvironment) -> UnacceptingBackend:
     """Make s-1 accept no connection, and leave no other backend ready."""
-    w.backends["s-1"] = backend = await UnacceptingBackend().open()
-    await announce_endpoints(w, s_1="ready", s_2="draining")
+    env.backends["s-1"] = backend = await UnacceptingBackend().open()
+    await announce_endpoints(env, s_1="ready", s_2="draining")
     return backend
 
 
-async def begin_shutdown(w: World) -> None:
+async def begin_shutdown(env: RelayEnvironment) -> None:
     """Stop the relay and wait until it is shutting down, which is slightly after the log line."""
-    w.stop()
-    await w.logged("shutting down")
-    assert await (await w.client("PING")).hear() == "NO"
+    env.stop()
+    await env.next_log_line("shutting down")
+    assert await (await env.connect_client("PING")).read_line() == "NO"
 
 
 # --- shutdown of the relay ------------------------------------------------------------------------
@@ -101,16 +107,16 @@
 def test_shutdown_finishes_within_the_longest_deadline_and_the_kill_grace(tmp_path: Path) -> None:
     """Guards against a fixed shutdown time of 3.3 s: with a longest deadline of 2 s, SIGKILL comes after 2.7 s."""
 
-    async def body(w: World) -> None:
-        first, _, _ = await w.standing()
-        waiting = await w.request(wait_ms=900)
-        await w.placed()
-        w.stop()
+    async def body(env: RelayEnvironment) -> None:
+        first, _, _ = await env.established_connection()
+        waiting = await env.open_request(deadline_ms=900)
+        await env.next_attempt()
+        env.stop()
         start = time.monotonic()
-        w.stop()  # a second one changes nothing, nor does a SIGHUP
-        w.reload()
-        assert await first.hear() == "MOVE" and (await waiting.hear()).startswith("BUSY")
-        assert await asyncio.wait_for(w.process.wait(), WAIT_S) == 0 and time.monotonic() - start < 0.9 + 0.7
+        env.stop()  # a second one changes nothing, nor does a SIGHUP
+        env.reload()
+        assert await first.read_line() == "MOVE" and (await waiting.read_line()).startswith("BUSY")
+        assert await asyncio.wait_for(env.process.wait(), TIMEOUT_S) == 0 and time.monotonic() - start < 0.9 + 0.7
 
     run(tmp_path, body, **SHORT_DEADLINE)
 
@@ -118,38 +124,38 @@
 def test_requests_unread_at_shutdown_are_answered_and_not_reset(tmp_path: Path) -> None:
     """The relay is stopped while requests arrive and until its shutdown time has passed; then it continues."""
 
-    async def body(w: World) -> None:
-        idle = await w.client()
-        await begin_shutdown(w)
-        w.process.send_signal(signal.SIGSTOP)
-        idle.say("OPEN 00000000000000aa 7f3a9c21e0b4d655 c=chat,t=acme,d=800")
-        late = [await w.request(wait_ms=800) for _ in range(20)]
+    async def body(env: RelayEnvironment) -> None:
+        idle = await env.connect_client()
+        await begin_shutdown(env)
+        env.process.send_signal(signal.SIGSTOP)
+        idle.send_lines("OPEN 00000000000000aa 7f3a9c21e0b4d655 c=chat,t=acme,d=800")
+        late = [await env.open_request(deadline_ms=800) for _ in range(20)]
         await asyncio.sleep(1.3)  # the shutdown time has passed
-        w.process.send_signal(signal.SIGCONT)
+        env.process.send_signal(signal.SIGCONT)
         for peer in (idle, *late):
-            assert [(await peer.hear())[:4], await peer.hear()] == ["BUSY", ""]
-        assert all(backend.came.empty() for backend in w.backends.values()), "no attempt starts any more"
+            assert [(await peer.read_line())[:4], await peer.read_line()] == ["BUSY", ""]
+        assert all(backend.accepted.empty() for backend in env.backends.values()), "no attempt starts any more"
 
     run(tmp_path, body, **SHORT_DEADLINE)
 
 
 def test_a_request_on_an_idle_connection_after_shutdown_is_not_forwarded(tmp_path: Path) -> None:
-    async def body(w: World) -> None:
-        w.stop()
-        await w.logged("shutting down")
-        idle = [await w.client("PING") for _ in range(3)]
-        assert [await peer.hear() for peer in idle] == ["NO"] * 3
+    async def body(env: RelayEnvironment) -> None:
+        env.stop()
+        await env.next_log_line("shutting down")
+        idle = [await env.connect_client("PING") for _ in range(3)]
+        assert [await peer.read_line() for peer in idle] == ["NO"] * 3
         while True:
             try:
-                (await w.client()).writer.close()
+                (await env.connect_client()).writer.close()
             except OSError:  # the relay has stopped listening
                 break
-        idle[0].say("OPEN 00000000000000aa 7f3a9c21e0b4d655 c=chat,t=acme,d=800")
-        assert (await idle[0].hear()).split(" ")[0] in ("BUSY", "")
-        assert await idle[1].hear() == ""  # closed without a reset while it is idle
-        idle[1].say("OPEN 00000000000000bb 7f3a9c21e0b4d655 c=chat,t=acme,d=800")
-        assert await asyncio.wait_for(w.process.wait(), WAIT_S) == 0
-        assert all(backend.came.empty() for backend in w.backends.values())
+        idle[0].send_lines("OPEN 00000000000000aa 7f3a9c21e0b4d655 c=chat,t=acme,d=800")
+        assert (await idle[0].read_line()).split(" ")[0] in ("BUSY", "")
+        assert await idle[1].read_line() == ""  # closed without a reset while it is idle
+        idle[1].send_lines("OPEN 00000000000000bb 7f3a9c21e0b4d655 c=chat,t=acme,d=800")
+        assert await asyncio.wait_for(env.process.wait(), TIMEOUT_S) == 0
+        assert all(backend.accepted.empty() for backend in env.backends.values())
 
     run(tmp_path, body, **SHORT_DEADLINE)
 
@@ -157,29 +163,29 @@
 def test_a_partial_line_from_a_backend_does_not_delay_move_at_shutdown(tmp_path: Path) -> None:
     """Guards against a MOVE that waits for the rest of the line until the process has exited."""
 
-    async def body(w: World) -> None:
-        client, _, backend = await w.standing()
+    async def body(env: RelayEnvironment) -> None:
+        client, _, backend = await env.established_connection()
         backend.writer.write(b"half a l")
         assert await client.reader.readexactly(8) == b"half a l"
-        await begin_shutdown(w)
-        w.process.send_signal(signal.SIGSTOP)
+        await begin_shutdown(env)
+        env.process.send_signal(signal.SIGSTOP)
         await asyncio.sleep(1.3)  # all steps of the shutdown are due at once
-        w.process.send_signal(signal.SIGCONT)
-        assert [await client.hear() for _ in range(3)] == ["", "MOVE", ""]
+        env.process.send_signal(signal.SIGCONT)
+        assert [await client.read_line() for _ in range(3)] == ["", "MOVE", ""]
 
     run(tmp_path, body, **SHORT_DEADLINE)
 
 
 def test_an_idle_connection_is_closed_without_reset_when_bytes_arrive_meanwhile(tmp_path: Path) -> None:
-    async def body(w: World) -> None:
-        peer = await w.client("PING")
-        assert await peer.hear() == "PONG"
-        assert await peer.hear() == ""  # after 2 s
-        peer.say("OPEN 00000000000000aa 7f3a9c21e0b4d655 c=chat,t=acme,d=800")
+    async def body(env: RelayEnvironment) -> None:
+        peer = await env.connect_client("PING")
+        assert await peer.read_line() == "PONG"
+        assert await peer.read_line() == ""  # after 2 s
+        peer.send_lines("OPEN 00000000000000aa 7f3a9c21e0b4d655 c=chat,t=acme,d=800")
         await peer.writer.drain()
         peer.writer.write_eof()  # raises if the connection was reset
-        await w.standing()
-        assert all(backend.came.empty() for backend in w.backends.values())
+        await env.established_connection()
+        assert all(backend.accepted.empty() for backend in env.backends.values())
 
     run(tmp_path, body)
 
@@ -191,33 +197,33 @@
 def test_an_answer_followed_by_eof_reaches_the_client(tmp_path: Path, last: str) -> None:
     """Guards against closing the client's connection before the answer is written."""
 
-    async def body(w: World) -> None:
-        client = await w.request()
-        _, backend, _ = await w.placed()
-        w.process.send_signal(signal.SIGSTOP)
-        backend.say(last)
+    async def body(env: RelayEnvironment) -> None:
+        client = await env.open_request()
+        _, backend, _ = await env.next_attempt()
+        env.process.send_signal(signal.SIGSTOP)
+        backend.send_lines(last)
         backend.writer.close()
         await backend.writer.wait_closed()
-        w.process.send_signal(signal.SIGCONT)
-        assert [await client.hear() for _ in last.split("\r\n")] == last.split("\r\n")
-        assert await client.hear() == ""
+        env.process.send_signal(signal.SIGCONT)
+        assert [await client.read_line() for _ in last.split("\r\n")] == last.split("\r\n")
+        assert await client.read_line() == ""
 
     run(tmp_path, body)
 
 
 def test_one_answer_when_a_backend_answers_twice_or_sends_an_endless_line(tmp_path: Path) -> None:
-    async def body(w: World) -> None:
-        client = await w.request()
-        _, twice, _ = await w.placed()
-        twice.say("BUSY")
-        _, endless, _ = await w.placed()
-        twice.say("UP r1")  # its second answer arrives after the next attempt has started
+    async def body(env: RelayEnvironment) -> None:
+        client = await env.open_request()
+        _, twice, _ = await env.next_attempt()
+        twice.send_lines("BUSY")
+        _, endless, _ = await env.next_attempt()
+        twice.send_lines("UP r1")  # its second answer arrives after the next attempt has started
         endless.writer.write(b"x" * 8192)
-        _, backend, _ = await w.placed()
-        endless.say("UP r2")
-        backend.say("UP r3", "LOAD 5")
-        assert [await client.hear(), await client.hear()] == ["UP r3", "LOAD 5"]
-        assert [await twice.hear(), await endless.hear()] == ["", ""]
+        _, backend, _ = await env.next_attempt()
+        endless.send_lines("UP r2")
+        backend.send_lines("UP r3", "LOAD 5")
+        assert [await client.read_line(), await client.read_line()] == ["UP r3", "LOAD 5"]
+        assert [await twice.read_line(), await endless.read_line()] == ["", ""]
 
     run(tmp_path, body)
 
@@ -227,34 +233,34 @@
 
 @pytest.mark.parametrize("how", ["close", "half", "reset"])
 def test_no_attempt_starts_for_a_client_that_left_while_connecting(tmp_path: Path, how: str) -> None:
-    async def body(w: World) -> None:
-        backend = await stop_accepting_at_s1(w)
-        leaving_clients = [await w.request(wait_ms=1900) for _ in range(10)]
+    async def body(env: RelayEnvironment) -> None:
+        backend = await stop_accepting_at_s1(env)
+        leaving_clients = [await env.open_request(deadline_ms=1900) for _ in range(10)]
         await wait_until(backend.has_pending_connection)
         for peer in leaving_clients:
             {"close": peer.writer.close, "half": peer.writer.write_eof, "reset": peer.writer.transport.abort}[how]()
         await wait_until(lambda: not backend.has_pending_connection())
         await backend.accept()
-        remaining_client, name, _ = await w.standing()
+        remaining_client, name, _ = await env.established_connection()
         assert name == "s-1" and not backend.first_lines()
-        remaining_client.say("hello")
+        remaining_client.send_lines("hello")
 
     run(tmp_path, body, limits=LONG_CONNECT_TIMEOUT)
 
 
 def test_no_attempt_starts_for_a_client_that_left_while_waiting_for_a_backend(tmp_path: Path) -> None:
-    async def body(w: World) -> None:
-        await announce_endpoints(w, s_1="draining", s_2="draining")
-        leaving_clients = [await w.request(wait_ms=1900) for _ in range(10)]
-        remaining_client = await w.request(wait_ms=1900)
+    async def body(env: RelayEnvironment) -> None:
+        await announce_endpoints(env, s_1="draining", s_2="draining")
+        leaving_clients = [await env.open_request(deadline_ms=1900) for _ in range(10)]
+        remaining_client = await env.open_request(deadline_ms=1900)
         for peer in leaving_clients:
             peer.writer.write_eof()
-            assert await peer.hear() == ""  # the relay has noticed that the client left
-        await announce_endpoints(w, s_1="ready", s_2="draining")
-        _, backend, _ = await w.placed()
-        backend.say("UP r1")
-        assert await remaining_client.hear() == "UP r1"
-        assert all(backend.came.empty() for backend in w.backends.values())
+            assert await peer.read_line() == ""  # the relay has noticed that the client left
+        await announce_endpoints(env, s_1="ready", s_2="draining")
+        _, backend, _ = await env.next_attempt()
+        backend.send_lines("UP r1")
+        assert await remaining_client.read_line() == "UP r1"
+        assert all(backend.accepted.empty() for backend in env.backends.values())
 
     run(tmp_path, body)
 
@@ -264,17 +270,17 @@
 
 @pytest.mark.parametrize("phase", ["draining", "gone"])
 def test_nothing_is_sent_to_a_backend_that_drains_while_connecting(tmp_path: Path, phase: str) -> None:
-    async def body(w: World) -> None:
-        backend = await stop_accepting_at_s1(w)
-        client = await w.request(wait_ms=1900)
+    async def body(env: RelayEnvironment) -> None:
+        backend = await stop_accepting_at_s1(env)
+        client = await env.open_request(deadline_ms=1900)
         await wait_until(backend.has_pending_connection)
-        await announce_endpoints(w, s_1=phase, s_2="ready")
+        await announce_endpoints(env, s_1=phase, s_2="ready")
         await wait_until(lambda: not backend.has_pending_connection())
         await backend.accept()
-        name, other, _ = await w.placed()
+        name, other, _ = await env.next_attempt()
         assert name == "s-2"
-        other.say("UP r1")
-        assert await client.hear() == "UP r1" and not backend.first_lines()
+        other.send_lines("UP r1")
+        assert await client.read_line() == "UP r1" and not backend.first_lines()
 
     run(tmp_path, body, limits=LONG_CONNECT_TIMEOUT)
 
@@ -284,19 +290,19 @@
 ) -> None:
     """The relay resumes with a request and a drain unread: it connects to s-1 before it reads the drain."""
 
-    async def body(w: World) -> None:
-        await announce_endpoints(w, s_1="ready", s_2="draining")
-        idle = await w.client("PING")
-        assert await idle.hear() == "PONG"
-        w.process.send_signal(signal.SIGSTOP)
-        idle.say("OPEN 00000000000000aa 7f3a9c21e0b4d655 c=chat,t=acme,d=1500")
-        await wait_until(lambda: has_unread_bytes(w.port))
-        w.watch.writer.write(w.members(True, w.member("s-1", "draining"), w.member("s-2")))
-        await wait_until(lambda: has_unread_bytes(w.list.port, client=True))
-        w.process.send_signal(signal.SIGCONT)
-        name, backend, _ = await w.placed()
-        backend.say("UP r1")
-        assert (name, await idle.hear()) == ("s-2", "UP r1")
+    async def body(env: RelayEnvironment) -> None:
+        await announce_endpoints(env, s_1="ready", s_2="draining")
+        idle = await env.connect_client("PING")
+        assert await idle.read_line() == "PONG"
+        env.process.send_signal(signal.SIGSTOP)
+        idle.send_lines("OPEN 00000000000000aa 7f3a9c21e0b4d655 c=chat,t=acme,d=1500")
+        await wait_until(lambda: has_unread_bytes(env.port))
+        env.watch.writer.write(env.endpoint_list_chunk(True, env.endpoint("s-1", "draining"), env.endpoint("s-2")))
+        await wait_until(lambda: has_unread_bytes(env.discovery.port, client=True))
+        env.process.send_signal(signal.SIGCONT)
+        name, backend, _ = await env.next_attempt()
+        backend.send_lines("UP r1")
+        assert (name, await idle.read_line()) == ("s-2", "UP r1")
 
     run(tmp_path, body)
 
@@ -304,18 +310,18 @@
 def test_an_attempt_is_not_sent_to_a_backend_that_restarted_while_connecting(tmp_path: Path) -> None:
     """Guards against a request to a backend that was chosen as warm and now exceeds its slow-start budget."""
 
-    async def body(w: World) -> None:
-        backend = await stop_accepting_at_s1(w)
-        client = await w.request(wait_ms=1900)
+    async def body(env: RelayEnvironment) -> None:
+        backend = await stop_accepting_at_s1(env)
+        client = await env.open_request(deadline_ms=1900)
         await wait_until(backend.has_pending_connection)
-        cold = w.member("s-1") | {"up_since_ms": time.time() * 1000.0}
-        w.watch.writer.write(w.members(False, cold, w.member("s-2")))
-        await w.logged("s-2 ready")
+        cold = env.endpoint("s-1") | {"up_since_ms": time.time() * 1000.0}
+        env.watch.writer.write(env.endpoint_list_chunk(False, cold, env.endpoint("s-2")))
+        await env.next_log_line("s-2 ready")
         await backend.accept()
-        name, other, _ = await w.placed()
+        name, other, _ = await env.next_attempt()
         assert name == "s-2"
-        other.say("UP r1")
-        assert await client.hear() == "UP r1" and not backend.first_lines()
+        other.send_lines("UP r1")
+        assert await client.read_line() == "UP r1" and not backend.first_lines()
 
     run(tmp_path, body, limits=LONG_CONNECT_TIMEOUT)
 
@@ -324,17 +330,17 @@
     """Guards against a retry on a late connection, which the backend no longer recognizes as a duplicate."""
     deduplicated = CHAT | {"effect": "token", "group": "all", "window_ms": 700.0}
 
-    async def body(w: World) -> None:
-        await announce_endpoints(w, s_1="draining", s_2="ready")
-        client = await w.request(wait_ms=1900)
+    async def body(env: RelayEnvironment) -> None:
+        await announce_endpoints(env, s_1="draining", s_2="ready")
+        client = await env.open_request(deadline_ms=1900)
         start = time.monotonic()
-        _, first, _ = await w.placed()
-        w.backends["s-1"] = backend = await UnacceptingBackend().open()
-        await announce_endpoints(w, s_1="ready", s_2="draining")
+        _, first, _ = await env.next_attempt()
+        env.backends["s-1"] = backend = await UnacceptingBackend().open()
+        await announce_endpoints(env, s_1="ready", s_2="draining")
         first.writer.close()  # the request may have been executed
         await wait_until(backend.has_pending_connection)
         await backend.accept()  # SYN is resent after 1 s, when the window has ended
-        assert (await client.hear()).split(" ")[0] in ("BUSY", "ERR") and time.monotonic() - start < 1.9
+        assert (await client.read_line()).split(" ")[0] in ("BUSY", "ERR") and time.monotonic() - start < 1.9
         assert not backend.first_lines()
 
     run(tmp_path, body, limits=LONG_CONNECT_TIMEOUT, categories=[deduplicated])
@@ -347,10 +353,13 @@
 def test_a_watch_that_is_silent_or_sends_only_empty_lines_is_reopened(tmp_path: Path, sends_empty_lines: bool) -> None:
     """A change is known within 6 s of the last message of the watch, even if the first call after it hangs."""
 
-    async def body(w: World) -> None:
-        await w.watched()
-        start, peer = time.monotonic(), w.watch
-        w.watch.writer.write(HEAD + (b"" if sends_empty_lines else w.members(True, w.member("s-1"), w.member("s-2"))))
+    async def body(env: RelayEnvironment) -> None:
+        await env.next_watch()
+        start, peer = time.monotonic(), env.watch
+        env.watch.writer.write(
+            WATCH_RESPONSE_HEAD
+            + (b"" if sends_empty_lines else env.endpoint_list_chunk(True, env.endpoint("s-1"), env.endpoint("s-2")))
+        )
 
         async def send_empty_lines() -> None:
             while sends_empty_lines:
@@ -358,11 +367,11 @@
                 await asyncio.sleep(0.5)
 
         sender = asyncio.ensure_future(send_empty_lines())
-        await w.watched()  # this call hangs
-        await w.watched()
+        await env.next_watch()  # this call hangs
+        await env.next_watch()
         sender.cancel()
-        w.answer_watch(w.member("s-1", "draining"), w.member("s-2"))
-        await w.logged(f"machine list {w.version}: s-1 draining")
+        env.answer_watch(env.endpoint("s-1", "draining"), env.endpoint("s-2"))
+        await env.next_log_line(f"machine list {env.revision}: s-1 draining")
         assert time.monotonic() - start < 5.5
 
     run(tmp_path, body)
@@ -376,20 +385,20 @@
     before the start, and the grace is 0.4 s.
     """
 
-    async def body(w: World) -> None:
+    async def body(env: RelayEnvironment) -> None:
         start, sent = time.monotonic(), []
 
         async def discovery() -> None:
-            await w.watched()
-            w.answer_watch(w.member("s-1", "draining"), w.member("s-2"))
+            await env.next_watch()
+            env.answer_watch(env.endpoint("s-1", "draining"), env.endpoint("s-2"))
 
-        asked = asyncio.ensure_future(discovery())
+        discovery_task = asyncio.ensure_future(discovery())
         while time.monotonic() - start < 3.4:
-            client, name, _ = await w.standing()
+            client, name, _ = await env.established_connection()
             sent.append((time.monotonic() - start, name))
             client.writer.close()
             await asyncio.sleep(0.05)
-        await asked
+        await discovery_task
         assert all(at < 6.0 - 4.0 + 0.4 for at, name in sent if name == "s-1")
 
     obligations = SETTINGS["obligations"] | {"ask_within_ms": 10_000.0}
@@ -397,14 +406,14 @@
 
 
 def test_an_indented_endpoint_list_in_two_chunks_is_accepted(tmp_path: Path) -> None:
-    async def body(w: World) -> None:
-        await w.watched()
-        text = json.dumps({"revision": 9, "complete": True, "members": [w.member("s-2")]}, indent=2) + "\n"
-        w.watch.writer.write(HEAD + b"%x\r\n%s\r\n" % (70, text[:70].encode()))
-        await w.standing()
-        w.watch.writer.write(b"%x\r\n%s\r\n" % (len(text) - 70, text[70:].encode()))
-        await w.logged("machine list 9: s-1 gone")
-        assert w.list.came.empty(), "the same watch continues"
+    async def body(env: RelayEnvironment) -> None:
+        await env.next_watch()
+        text = json.dumps({"revision": 9, "complete": True, "members": [env.endpoint("s-2")]}, indent=2) + "\n"
+        env.watch.writer.write(WATCH_RESPONSE_HEAD + b"%x\r\n%s\r\n" % (70, text[:70].encode()))
+        await env.established_connection()
+        env.watch.writer.write(b"%x\r\n%s\r\n" % (len(text) - 70, text[70:].encode()))
+        await env.next_log_line("machine list 9: s-1 gone")
+        assert env.discovery.accepted.empty(), "the same watch continues"
 
     run(tmp_path, body)
 
@@ -412,43 +421,43 @@
 def test_revisions_of_the_former_discovery_service_are_not_resumed_from(tmp_path: Path) -> None:
     """Guards against requesting the old service's revision from the new one, which counts revisions differently."""
 
-    async def body(w: World) -> None:
-        await announce_endpoints(w, s_1="draining", s_2="ready")
-        old = w.watch
-        w.list = await Server().open()
-        w.reload(discovery=f"127.0.0.1:{w.list.port}")
-        assert (await w.watched()).endswith("index=0 HTTP/1.1")
-        w.version = 70
-        old.writer.write(w.members(False, w.member("s-1", "gone")))
-        await w.logged("s-1 gone")
-        w.watch.writer.close()
-        assert (await w.watched()).endswith("index=0 HTTP/1.1"), "the full list is requested again"
-        w.version = 3
-        w.answer_watch(w.member("s-1"), w.member("s-2", "draining"))
-        await w.logged("machine list 4: s-1 ready, s-2 draining")
-        old.writer.write(w.members(True, w.member("s-2")))  # a late message of the old service
-        assert [(await w.standing())[1] for _ in range(6)] == ["s-1"] * 6
+    async def body(env: RelayEnvironment) -> None:
+        await announce_endpoints(env, s_1="draining", s_2="ready")
+        old = env.watch
+        env.discovery = await LineServer().open()
+        env.reload(discovery=f"127.0.0.1:{env.discovery.port}")
+        assert (await env.next_watch()).endswith("index=0 HTTP/1.1")
+        env.revision = 70
+        old.writer.write(env.endpoint_list_chunk(False, env.endpoint("s-1", "gone")))
+        await env.next_log_line("s-1 gone")
+        env.watch.writer.close()
+        assert (await env.next_watch()).endswith("index=0 HTTP/1.1"), "the full list is requested again"
+        env.revision = 3
+        env.answer_watch(env.endpoint("s-1"), env.endpoint("s-2", "draining"))
+        await env.next_log_line("machine list 4: s-1 ready, s-2 draining")
+        old.writer.write(env.endpoint_list_chunk(True, env.endpoint("s-2")))  # a late message of the old service
+        assert [(await env.established_connection())[1] for _ in range(6)] == ["s-1"] * 6
 
     run(tmp_path, body)
 
 
 def test_idle_clients_leave_descriptors_for_the_watch_and_backends_while_discovery_is_down(tmp_path: Path) -> None:
-    async def body(w: World) -> None:
-        await w.watched()
-        w.list.server.close()
-        w.watch.writer.transport.abort()
+    async def body(env: RelayEnvironment) -> None:
+        await env.next_watch()
+        env.discovery.server.close()
+        env.watch.writer.transport.abort()
         crowd = []
         for _ in range(300):
-            peer = Peer(*await asyncio.open_connection("127.0.0.1", w.port))
+            peer = LinePeer(*await asyncio.open_connection("127.0.0.1", env.port))
             peer.writer.write(b"OPEN 0000")  # the rest of the line never follows
             crowd.append(peer)
-        w.list = await Server().open()
-        w.reload(discovery=f"127.0.0.1:{w.list.port}")
-        await w.watched()
-        w.answer_watch(w.member("s-1"), w.member("s-2", "draining"))
-        await w.logged("s-2 draining")
-        standing = [await w.standing() for _ in range(10)]
-        ping = await w.client("PING")
-        assert await ping.hear() == "PONG" and [name for _, name, _ in standing] == ["s-1"] * 10
+        env.discovery = await LineServer().open()
+        env.reload(discovery=f"127.0.0.1:{env.discovery.port}")
+        await env.next_watch()
+        env.answer_watch(env.endpoint("s-1"), env.endpoint("s-2", "draining"))
+        await env.next_log_line("s-2 draining")
+        connections = [await env.established_connection() for _ in range(10)]
+        ping = await env.connect_client("PING")
+        assert await ping.read_line() == "PONG" and [name for _, name, _ in connections] == ["s-1"] * 10
 
     run(tmp_path, body, sockets=96)
--- a/tests/daemon/test_idle_client_log.py
+++ b/tests/daemon/test_idle_client_log.py
@@ -9,7 +9,7 @@
 import pytest
 
 from tests.daemon.test_event_races import SHORT_DEADLINE
-from tests.stand_ins import Peer, World, run
+from tests.stand_ins import LinePeer, RelayEnvironment, run
 
 LOG_AT_DEBUG = '[log]\nlevel = "DEBUG"\n'
 DESCRIPTORS = 90
@@ -17,18 +17,18 @@
 LINE = re.compile(r"idle client (?P<address>\S+) ended reason=(?P<reason>\w+) idle_ms=(?P<idle_ms>\d+)")
 
 
-async def many_clients(w: World) -> list[Peer]:
-    return [await w.client("PING") for _ in range(CLIENTS)]
+async def many_clients(env: RelayEnvironment) -> list[LinePeer]:
+    return [await env.connect_client("PING") for _ in range(CLIENTS)]
 
 
-async def one_client(w: World) -> list[Peer]:
-    return [await w.client("PING")]
+async def one_client(env: RelayEnvironment) -> list[LinePeer]:
+    return [await env.connect_client("PING")]
 
 
-async def one_client_and_shutdown(w: World) -> list[Peer]:
-    peers = await one_client(w)
-    assert await peers[0].hear() == "PONG"
-    w.stop()
+async def one_client_and_shutdown(env: RelayEnvironment) -> list[LinePeer]:
+    peers = await one_client(env)
+    assert await peers[0].read_line() == "PONG"
+    env.stop()
     return peers
 
 
@@ -41,11 +41,11 @@
     ),
 )
 def test_the_log_names_a_closed_idle_client_and_the_reason(
-    tmp_path: Path, connect: Callable[[World], Awaitable[list[Peer]]], reason: str, least_ms: int
+    tmp_path: Path, connect: Callable[[RelayEnvironment], Awaitable[list[LinePeer]]], reason: str, least_ms: int
 ) -> None:
-    async def body(w: World) -> None:
-        peers = await connect(w)
-        match = LINE.search(await w.logged("idle client "))
+    async def body(env: RelayEnvironment) -> None:
+        peers = await connect(env)
+        match = LINE.search(await env.next_log_line("idle client "))
         assert match is not None and match["reason"] == reason and int(match["idle_ms"]) >= least_ms
         addresses = ["{}:{}".format(*peer.writer.get_extra_info("sockname")) for peer in peers]
         assert match["address"] in addresses
--- a/tests/daemon/test_maintenance_daemon.py
+++ b/tests/daemon/test_maintenance_daemon.py
@@ -12,7 +12,7 @@
 import pytest
 
 from tests.ports import free_port
-from tests.stand_ins import SETTINGS, World, relay
+from tests.stand_ins import SETTINGS, RelayEnvironment, relay
 from yarrowspindle.commands.maintenance import main
 from yarrowspindle.daemon.voter_file import MaintenanceVoterFile
 from yarrowspindle.lab.faults import Fault
@@ -35,10 +35,10 @@
     return await asyncio.to_thread(main, ["--at", f"127.0.0.1:{port}", *arguments])
 
 
-async def connection_at(world: World, name: str) -> tuple[Any, Any]:
+async def connection_at(env: RelayEnvironment, name: str) -> tuple[Any, Any]:
     """Return a connection to this backend; connections to other backends stay open."""
     while True:
-        client, at, backend = await world.standing()
+        client, at, backend = await env.established_connection()
         if at == name:
             return client, backend
 
@@ -47,9 +47,9 @@
     async def body() -> None:
         port = free_port()
         MaintenanceVoterFile(f"{tmp_path}/turns", "n0", "default").initialize(("n0",))
-        async with relay(tmp_path, operator(tmp_path, port), **COLD) as world:
-            await world.logged("has its voter's file")
-            client, backend = await connection_at(world, "s-1")
+        async with relay(tmp_path, operator(tmp_path, port), **COLD) as env:
+            await env.next_log_line("has its voter's file")
+            client, backend = await connection_at(env, "s-1")
             assert await command(port, "ask", "s-1", "s-9") == 1
             assert "not in the machine list: s-9" in capsys.readouterr().err
             assert await command(port, "ask", "s-1", "--floor", "5") == 0
@@ -62,23 +62,23 @@
             assert await command(port, "done", "s-1") == 1
             assert "s-1 is not out" in capsys.readouterr().err
             assert await command(port, "ask", "s-1") == 0
-            assert "emptying" in await world.logged("turn 1: s-1 is")
-            assert await client.hear() == "MOVE" and await backend.hear() == ""
-            await world.logged("turn 1: s-1 is free")
+            assert "emptying" in await env.next_log_line("turn 1: s-1 is")
+            assert await client.read_line() == "MOVE" and await backend.read_line() == ""
+            await env.next_log_line("turn 1: s-1 is free")
             for _ in range(6):
-                assert (await world.standing())[1] == "s-2"
+                assert (await env.established_connection())[1] == "s-2"
             assert await command(port, "done", "s-1", "--turn", "9") == 1
             assert "by turn 1, not 9" in capsys.readouterr().err
             assert await command(port, "show", "--json") == 0
             shown = json.loads(capsys.readouterr().out)
             assert shown["out"][0]["stage"] == "free" and shown["out"][0]["waits_for"] == ["the operator's done"]
             assert await command(port, "done", "s-1") == 0
-            await world.logged("turn 1: s-1 is warming")
-            await world.logged("turn 1: s-1 is back")
-            await connection_at(world, "s-1")
+            await env.next_log_line("turn 1: s-1 is warming")
+            await env.next_log_line("turn 1: s-1 is back")
+            await connection_at(env, "s-1")
             assert await command(port, "ended", "n0") == 1, "it answers"
-            world.stop()
-            await world.logged("stopped")
+            env.stop()
+            await env.next_log_line("stopped")
 
     asyncio.run(body())
 
@@ -88,35 +88,35 @@
         port = free_port()
         MaintenanceVoterFile(f"{tmp_path}/turns", "n0", "default").initialize(("n0",))
         text = operator(tmp_path, port)
-        async with relay(tmp_path, text, **COLD) as world:
-            await world.standing()
+        async with relay(tmp_path, text, **COLD) as env:
+            await env.established_connection()
             request_table = '[[turns.request]]\nname = "kernel"\nmachines = ["s-2"]\n'
             (tmp_path / "operator.toml").write_text(text + request_table)
-            world.process.send_signal(signal.SIGHUP)
-            await world.logged("turn 1: s-2 is free")
+            env.process.send_signal(signal.SIGHUP)
+            await env.next_log_line("turn 1: s-2 is free")
             await command(port, "done", "s-2")
-            await world.logged("for 1 machines is done")
+            await env.next_log_line("for 1 machines is done")
             (tmp_path / "operator.toml").write_text(text)
-            world.process.send_signal(signal.SIGHUP)
-            await world.logged("the configuration was reloaded")
+            env.process.send_signal(signal.SIGHUP)
+            await env.next_log_line("the configuration was reloaded")
             (tmp_path / "operator.toml").write_text(
                 text + request_table + '[[turns.request]]\nname = "x"\nzone = "c"\n'
             )
-            world.process.send_signal(signal.SIGHUP)
-            await world.logged("'c' is unknown; expected one of a, b")
+            env.process.send_signal(signal.SIGHUP)
+            await env.next_log_line("'c' is unknown; expected one of a, b")
             await command(port, "ask", "s-1")
-            assert "s-1" in await world.logged("turn 2:"), "the old name is not queued again"
+            assert "s-1" in await env.next_log_line("turn 2:"), "the old name is not queued again"
 
     asyncio.run(body())
 
 
 def test_without_a_voter_file_nothing_is_placed_and_requests_are_rejected(tmp_path: Path) -> None:
     async def body() -> None:
-        async with relay(tmp_path, operator(tmp_path, free_port()), **COLD) as world:
-            await world.logged("no voter's file")
-            client = await world.request(wait_ms=1000)
-            assert (await client.hear()).startswith("BUSY")
-            assert all(backend.came.empty() for backend in world.backends.values())
+        async with relay(tmp_path, operator(tmp_path, free_port()), **COLD) as env:
+            await env.next_log_line("no voter's file")
+            client = await env.open_request(deadline_ms=1000)
+            assert (await client.read_line()).startswith("BUSY")
+            assert all(backend.accepted.empty() for backend in env.backends.values())
 
     asyncio.run(body())
 
@@ -126,11 +126,11 @@
         former = MaintenanceVoterFile(f"{tmp_path}/turns", "n0", "default")
         former.initialize(("n0",))
         assert former.acquire_lock()
-        async with relay(tmp_path, operator(tmp_path, free_port()), **COLD) as world:
-            await world.logged("another process has the lock")
-            assert (await (await world.request(wait_ms=500)).hear()).startswith("BUSY")
+        async with relay(tmp_path, operator(tmp_path, free_port()), **COLD) as env:
+            await env.next_log_line("another process has the lock")
+            assert (await (await env.open_request(deadline_ms=500)).read_line()).startswith("BUSY")
             os.close(former.lock_descriptor)
-            await world.standing()
+            await env.established_connection()
 
     asyncio.run(body())
 
@@ -139,15 +139,15 @@
     async def body() -> None:
         port = free_port()
         MaintenanceVoterFile(f"{tmp_path}/turns", "n0", "default").initialize(("n0",))
-        async with relay(tmp_path, operator(tmp_path, port), **COLD) as world:
-            await world.standing()
+        async with relay(tmp_path, operator(tmp_path, port), **COLD) as env:
+            await env.established_connection()
             obstacle = tmp_path / "turns" / "voter.new"
             obstacle.mkdir()
             await command(port, "ask", "s-1")
-            await world.logged("the voter's file cannot be written")
-            await world.standing()
+            await env.next_log_line("the voter's file cannot be written")
+            await env.established_connection()
             obstacle.rmdir()
-            await world.logged("turn 1: s-1 is emptying")
+            await env.next_log_line("turn 1: s-1 is emptying")
 
     asyncio.run(body())
 
--- a/tests/daemon/test_operations.py
+++ b/tests/daemon/test_operations.py
@@ -12,7 +12,7 @@
 import pytest
 
 from tests.ports import free_port
-from tests.stand_ins import SETTINGS, WAIT_S, World, relay
+from tests.stand_ins import SETTINGS, TIMEOUT_S, RelayEnvironment, relay
 from yarrowspindle.daemon.config import read_config
 from yarrowspindle.daemon.settings_update import merge_settings
 from yarrowspindle.decisions.settings import RequestClass, Settings
@@ -23,12 +23,12 @@
 from yarrowspindle.transport.listener import Listener
 
 
-def run(tmp: Path, body: Callable[[World], Awaitable[None]]) -> None:
+def run(tmp: Path, body: Callable[[RelayEnvironment], Awaitable[None]]) -> None:
     async def inside() -> None:
-        async with relay(tmp) as world:
+        async with relay(tmp) as env:
             if os.environ.get("ROUTER_OPERATOR"):
-                await world.logged("operators' API")
-            await asyncio.wait_for(body(world), 6 * WAIT_S)
+                await env.next_log_line("operators' API")
+            await asyncio.wait_for(body(env), 6 * TIMEOUT_S)
 
     asyncio.run(inside())
 
@@ -49,7 +49,7 @@
     """Return status and body of a call of the operators' API; (0, "") if the connection ends without a response."""
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     writer.write(request)
-    answer = await asyncio.wait_for(reader.read(), WAIT_S)
+    answer = await asyncio.wait_for(reader.read(), TIMEOUT_S)
     writer.close()
     if not answer:
         return 0, ""
@@ -71,20 +71,20 @@
 
 def test_evacuate_answers_no_to_ping_and_migrates_connections_until_rejoin(tmp_path: Path, port: int) -> None:
 
-    async def body(w: World) -> None:
+    async def body(env: RelayEnvironment) -> None:
         assert await call(port, http_request("GET", "/api/ready")) == (200, "ready\n")
-        client, _, _ = await w.standing()
+        client, _, _ = await env.established_connection()
         for _ in range(2):  # the second call changes nothing
             assert (await call(port, http_request("PUT", "/api/evacuate")))[0] == 200
         assert (await call(port, http_request("GET", "/api/ready")))[0] == 503
-        ping = await w.client("PING")
-        assert await ping.hear() == "NO"
-        assert await client.hear() == "MOVE", "established connections are migrated"
-        assert w.process.returncode is None, "the process keeps running"
+        ping = await env.connect_client("PING")
+        assert await ping.read_line() == "NO"
+        assert await client.read_line() == "MOVE", "established connections are migrated"
+        assert env.process.returncode is None, "the process keeps running"
         assert (await call(port, http_request("PUT", "/api/rejoin")))[0] == 200
         assert await call(port, http_request("GET", "/api/ready")) == (200, "ready\n")
-        again = await w.client("PING")
-        assert await again.hear() == "PONG"
+        again = await env.connect_client("PING")
+        assert await again.read_line() == "PONG"
         figures = dict(line.split("=") for line in (await call(port, http_request("GET", "/api/telemetry")))[1].split())
         assert figures["success.chat"] == "1" and figures["hosts_listed"] == "2" and figures["backend_calls"] == "1"
 
@@ -108,12 +108,12 @@
     tmp_path: Path, port: int, sent: bytes, status: int
 ) -> None:
 
-    async def body(w: World) -> None:
+    async def body(env: RelayEnvironment) -> None:
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         writer.write(sent)
         if sent.endswith(b"host"):
             writer.write_eof()
-        answer = await asyncio.wait_for(reader.read(), WAIT_S)
+        answer = await asyncio.wait_for(reader.read(), TIMEOUT_S)
         assert int(answer.split()[1]) == status
         assert (await call(port, http_request("GET", "/api/ready")))[0] == 200, "the API still works"
 
@@ -122,14 +122,14 @@
 
 def test_incomplete_calls_do_not_delay_other_callers(tmp_path: Path, port: int) -> None:
 
-    async def body(w: World) -> None:
+    async def body(env: RelayEnvironment) -> None:
         idle = [await asyncio.open_connection("127.0.0.1", port) for _ in range(100)]
         for _, writer in idle:
             writer.write(b"GET /api/re")
         started = asyncio.get_running_loop().time()
         assert (await call(port, http_request("GET", "/api/ready")))[0] == 200
         assert asyncio.get_running_loop().time() - started < 1.0
-        ended = await asyncio.wait_for(idle[-1][0].read(), WAIT_S)  # closed at its timeout without a response
+        ended = await asyncio.wait_for(idle[-1][0].read(), TIMEOUT_S)  # closed at its timeout without a response
         assert ended == b""
         for _, writer in idle:
             writer.close()
@@ -159,31 +159,31 @@
 def test_settings_at_sighup_are_applied_completely_or_not_at_all(tmp_path: Path, port: int) -> None:
     chat = dict(SETTINGS["categories"][0])
 
-    async def body(w: World) -> None:
-        config = json.loads(w.file.read_text())
-        client, _, backend = await w.standing()
+    async def body(env: RelayEnvironment) -> None:
+        config = json.loads(env.config_file.read_text())
+        client, _, backend = await env.established_connection()
         invalid_texts = ["", json.dumps(config)[:-40], json.dumps(config | {"settings": {}})]
         for changed in ({"deadline_ms": 0.0}, {"deadline_ms": -5.0}):
             invalid_texts.append(json.dumps(config | {"settings": SETTINGS | {"categories": [chat | changed]}}))
         fewer = SETTINGS["limits"] | {"max_attempts": 0}
         invalid_texts.append(json.dumps(config | {"settings": SETTINGS | {"limits": fewer}}))
         for text in invalid_texts:
-            w.file.write_text(text)  # the exact text, even if empty
-            w.process.send_signal(signal.SIGHUP)
-            await w.logged("is rejected")
+            env.config_file.write_text(text)  # the exact text, even if empty
+            env.process.send_signal(signal.SIGHUP)
+            await env.next_log_line("is rejected")
         new_settings = SETTINGS | {"categories": [chat | {"name": "video", "deadline_ms": 900.0}]}
-        w.reload(json.dumps(config | {"settings": new_settings}))
-        await w.logged("new settings are in force")
+        env.reload(json.dumps(config | {"settings": new_settings}))
+        await env.next_log_line("new settings are in force")
         figures = figures_of((await call(port, http_request("GET", "/api/telemetry")))[1])
         assert figures["reconfig_failed"] == len(invalid_texts) and figures["reconfig_ok"] == 1
-        refused = await w.request()  # the class chat was removed: its new requests are rejected
-        assert await refused.hear() == "ERR"
-        video = await w.client("OPEN 00000000000000aa 7f3a9c21e0b4d655 c=video,t=acme,d=800,g=5c0f")
-        _, other, _ = await w.placed()
-        other.say("UP r2")
-        assert await video.hear() == "UP r2"
-        backend.say("still here")
-        assert await client.hear() == "still here", "an established connection keeps its class"
+        refused = await env.open_request()  # the class chat was removed: its new requests are rejected
+        assert await refused.read_line() == "ERR"
+        video = await env.connect_client("OPEN 00000000000000aa 7f3a9c21e0b4d655 c=video,t=acme,d=800,g=5c0f")
+        _, other, _ = await env.next_attempt()
+        other.send_lines("UP r2")
+        assert await video.read_line() == "UP r2"
+        backend.send_lines("still here")
+        assert await client.read_line() == "still here", "an established connection keeps its class"
         figures = figures_of((await call(port, http_request("GET", "/api/telemetry")))[1])
         assert figures["success.chat"] == 1 and figures["success.video"] == 1 and figures["failure.chat"] == 0
 
--- a/tests/daemon/test_rebalancing_daemon.py
+++ b/tests/daemon/test_rebalancing_daemon.py
@@ -6,7 +6,7 @@
 from collections import Counter
 from pathlib import Path
 
-from tests.stand_ins import WAIT_S, Peer, World, relay
+from tests.stand_ins import TIMEOUT_S, LinePeer, RelayEnvironment, relay
 
 OPERATOR = """
 [rebalance]
@@ -21,17 +21,17 @@
 CLIENTS = 24
 
 
-async def serve(world: World, name: str, connected: dict[str, list[int]]) -> None:
+async def serve(env: RelayEnvironment, name: str, connected: dict[str, list[int]]) -> None:
     """Serve as a backend that accepts each client and echoes its lines in two parts, between which a MOVE could come.
 
     connected: the keys of the connected clients by backend.
     """
 
-    async def serve_connection(peer: Peer) -> None:
-        key = int((await peer.hear()).split(" ")[2], 16)
-        peer.say("UP r1")
+    async def serve_connection(peer: LinePeer) -> None:
+        key = int((await peer.read_line()).split(" ")[2], 16)
+        peer.send_lines("UP r1")
         connected[name].append(key)
-        while line := await peer.hear():
+        while line := await peer.read_line():
             peer.writer.write(line[:3].encode())
             await asyncio.sleep(0)
             peer.writer.write(f"{line[3:]}\r\n".encode())
@@ -39,42 +39,44 @@
 
     tasks = []
     while True:
-        tasks.append(asyncio.ensure_future(serve_connection(await world.backends[name].came.get())))
+        tasks.append(asyncio.ensure_future(serve_connection(await env.backends[name].accepted.get())))
 
 
 def test_clients_migrated_to_a_new_backend_reconnect_with_no_line_cut(tmp_path: Path) -> None:
     moves: list[int] = []
 
-    async def client(world: World, key: int, up: asyncio.Event) -> None:
+    async def client(env: RelayEnvironment, key: int, up: asyncio.Event) -> None:
         again = ""
         while True:
-            peer = await world.client(f"OPEN {next(world.ids):016x} {key:016x} c=chat,t=acme,d=1500,g={key:x}{again}")
-            assert await peer.hear() == "UP r1"
+            peer = await env.connect_client(
+                f"OPEN {next(env.request_ids):016x} {key:016x} c=chat,t=acme,d=1500,g={key:x}{again}"
+            )
+            assert await peer.read_line() == "UP r1"
             up.set()
             for number in range(1_000_000):
-                peer.say(f"line {number}")
-                heard = await peer.hear()
-                if heard == "MOVE":
+                peer.send_lines(f"line {number}")
+                line = await peer.read_line()
+                if line == "MOVE":
                     break
-                assert heard == f"line {number}", "the stream ends only with a MOVE between two lines"
+                assert line == f"line {number}", "the stream ends only with a MOVE between two lines"
                 await asyncio.sleep(0.01)
             moves.append(key)
             up.clear()
-            assert await peer.hear() == ""
+            assert await peer.read_line() == ""
             again = ",again=1"
 
-    async def body(w: World) -> None:
+    async def body(env: RelayEnvironment) -> None:
         connected: dict[str, list[int]] = {"s-1": [], "s-2": []}
-        await w.watched()
-        w.answer_watch(w.member("s-1"))
+        await env.next_watch()
+        env.answer_watch(env.endpoint("s-1"))
         all_up = [asyncio.Event() for _ in range(CLIENTS)]
-        tasks = [asyncio.ensure_future(serve(w, name, connected)) for name in connected]
+        tasks = [asyncio.ensure_future(serve(env, name, connected)) for name in connected]
         # The relay uses the list without the second backend before the first client connects.
-        probe = await w.request()
-        tasks += [asyncio.ensure_future(client(w, key + 1, up)) for key, up in enumerate(all_up)]
-        await asyncio.wait_for(asyncio.gather(*(up.wait() for up in all_up)), WAIT_S)
+        probe = await env.open_request()
+        tasks += [asyncio.ensure_future(client(env, key + 1, up)) for key, up in enumerate(all_up)]
+        await asyncio.wait_for(asyncio.gather(*(up.wait() for up in all_up)), TIMEOUT_S)
         first = list(connected["s-2"])
-        w.tell("s-2", "ready")
+        env.update_endpoint("s-2", "ready")
 
         def connection_counts() -> Counter[int]:
             """Return the number of backends that each client is connected to."""
@@ -88,26 +90,26 @@
             while not missing <= set(moves) or max(connection_counts().values()) > 1:
                 await asyncio.sleep(0.01)
 
-        await asyncio.wait_for(wait_until_level(), 2 * WAIT_S)
+        await asyncio.wait_for(wait_until_level(), 2 * TIMEOUT_S)
         # The relay writes MOVE and closes the backend connection at once, so clients without a backend were sent MOVE.
-        await asyncio.wait_for(wait_until_moved(set(range(1, CLIENTS + 1)) - connection_counts().keys()), WAIT_S)
+        await asyncio.wait_for(wait_until_moved(set(range(1, CLIENTS + 1)) - connection_counts().keys()), TIMEOUT_S)
         assert not first
         assert CLIENTS // 3 <= len(moves) <= CLIENTS // 2 + 4 and len(moves) == len(set(moves))
         probe.writer.close()
         # SIGHUP turns rebalancing off, but an invalid file changes nothing.
         (tmp_path / "operator.toml").write_text("[rebalance]\nsprad = 1\n")
-        w.reload()
-        await w.logged("sprad is not a known key; did you mean spread?")
+        env.reload()
+        await env.next_log_line("sprad is not a known key; did you mean spread?")
         (tmp_path / "operator.toml").write_text("")
-        w.reload()
-        await w.logged("[rebalance] was reloaded: off")
+        env.reload()
+        await env.next_log_line("[rebalance] was reloaded: off")
         for task in tasks:
             failed = task.done() and task.exception()
             assert not failed, failed
             task.cancel()
 
     async def inside() -> None:
-        async with relay(tmp_path, OPERATOR) as world:
-            await body(world)
+        async with relay(tmp_path, OPERATOR) as env:
+            await body(env)
 
     asyncio.run(inside())
--- a/tests/daemon/test_reload_failures.py
+++ b/tests/daemon/test_reload_failures.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from tests.stand_ins import World, run
+from tests.stand_ins import RelayEnvironment, run
 
 WAIT_S = 5.0
 INVALID_FILES = {
@@ -22,26 +22,26 @@
 
 @pytest.mark.parametrize("fault", INVALID_FILES)
 def test_an_invalid_operators_file_is_rejected_and_the_relay_keeps_serving(tmp_path: Path, fault: str) -> None:
-    async def body(w: World) -> None:
-        await w.standing()
+    async def body(env: RelayEnvironment) -> None:
+        await env.established_connection()
         (tmp_path / "operator.toml").write_bytes(INVALID_FILES[fault])
-        w.reload()
-        await asyncio.wait_for(w.logged("is rejected"), WAIT_S)
-        await w.standing()
+        env.reload()
+        await asyncio.wait_for(env.next_log_line("is rejected"), WAIT_S)
+        await env.established_connection()
         (tmp_path / "operator.toml").write_bytes(b"")
-        w.reload()
-        await asyncio.wait_for(w.logged("was reloaded"), WAIT_S)
-        await w.standing()
+        env.reload()
+        await asyncio.wait_for(env.next_log_line("was reloaded"), WAIT_S)
+        await env.established_connection()
 
     run(tmp_path, body)
 
 
 @pytest.mark.parametrize("text", ("[]", "\x00", '{"settings": {"categories": 7}}', "[" * 100_000))
 def test_an_invalid_configuration_is_rejected_and_the_relay_keeps_serving(tmp_path: Path, text: str) -> None:
-    async def body(w: World) -> None:
-        await w.standing()
-        w.reload(text)
-        await asyncio.wait_for(w.logged("is rejected"), WAIT_S)
-        await w.standing()
+    async def body(env: RelayEnvironment) -> None:
+        await env.established_connection()
+        env.reload(text)
+        await asyncio.wait_for(env.next_log_line("is rejected"), WAIT_S)
+        await env.established_connection()
 
     run(tmp_path, body)
--- a/tests/decisions/reporting_relay.py
+++ b/tests/decisions/reporting_relay.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from tests.helpers import full_list, sends, settings
+from tests.helpers import full_list, settings, started_attempts
 from yarrowspindle.decisions.actions import Action, CheckHealth, MigrateConnection, SetTimer
 from yarrowspindle.decisions.balancer import Balancer
 from yarrowspindle.decisions.events import (
@@ -80,7 +80,7 @@
         """Place a request; return its backend, or 0 if it is rejected."""
         self.requests += 1
         actions = self.handle(RequestReceived(self.requests, cls, left_ms=4800.0, group=group))
-        return sends(actions)[0].backend if sends(actions) else 0
+        return started_attempts(actions)[0].backend if started_attempts(actions) else 0
 
 
 def warmed(**changes: Any) -> Relay:
--- a/tests/decisions/test_admission.py
+++ b/tests/decisions/test_admission.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from tests.helpers import WITH_MESSAGE_OBJECTIVE, balancer, end, full_list, open_one, place, settings
+from tests.helpers import WITH_MESSAGE_OBJECTIVE, balancer, end_attempt, establish_request, full_list, place, settings
 from yarrowspindle.decisions.actions import RejectRequest
 from yarrowspindle.decisions.admission import (
     SETUP_SAMPLES,
@@ -26,7 +26,7 @@
 
 def test_a_request_that_would_miss_its_objective_everywhere_is_rejected_at_once_with_spread_waits() -> None:
     b = balancer(1, classes=WITH_MESSAGE_OBJECTIVE, clients_heed_retry_after=True, max_retry_after_ms=1000.0)
-    backend = open_one(b, 0.0, 1)
+    backend = establish_request(b, 0.0, 1)
     b.handle(1.0, SlowMessageObserved(1, backend, 500.0))
     answers = [a for n in range(2, 12) for a in b.handle(2.0, RequestReceived(n, left_ms=2000.0))]
     waits = [a.retry_after_ms for a in answers if isinstance(a, RejectRequest)]
@@ -37,7 +37,7 @@
     """An overloaded local zone must not cause rejections of requests for other zones."""
     b = Balancer(settings(classes=WITH_MESSAGE_OBJECTIVE, zones=2, cross_zone_price=0.1), 3, 0.0)
     b.handle(0.0, full_list(Endpoint(1), Endpoint(2, zone=1), Endpoint(3, zone=1)))
-    assert open_one(b, 0.0, 1) == 1
+    assert establish_request(b, 0.0, 1) == 1
     b.handle(1.0, SlowMessageObserved(1, 1, 80.0))
     placed = [place(b, 2.0, n) for n in range(2, 30)]
     assert placed.count(None) == 0 and set(placed) & {2, 3}
@@ -48,7 +48,7 @@
     b = balancer(8, max_attempts=1)
     for n in range(1, 40):
         if (backend := place(b, 1.0, n)) is not None:
-            end(b, 1.0, n, backend, Outcome.TIMEOUT, finished=False)
+            end_attempt(b, 1.0, n, backend, Outcome.TIMEOUT, finished=False)
     assert 1 <= sum(place(b, 2.0, n) is not None for n in range(100, 200)) <= 30
     for n in range(200, 300):  # setups that succeed in time end the shedding
         if (backend := place(b, 3.0, n)) is not None:
@@ -91,7 +91,7 @@
 
 def test_each_rejection_as_overloaded_is_counted_under_the_rule_that_made_it() -> None:
     b = balancer(1, classes=WITH_MESSAGE_OBJECTIVE, clients_heed_retry_after=True, max_retry_after_ms=1000.0)
-    backend = open_one(b, 0.0, 1)
+    backend = establish_request(b, 0.0, 1)
     assert not b.overload_rejections
     b.handle(1.0, SlowMessageObserved(1, backend, 500.0))
     b.handle(2.0, RequestReceived(2, left_ms=2000.0))
--- a/tests/decisions/test_balancer.py
+++ b/tests/decisions/test_balancer.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from tests.helpers import balancer, end, open_one, settings
+from tests.helpers import balancer, end_attempt, establish_request, settings
 from yarrowspindle.decisions.actions import FailRequest
 from yarrowspindle.decisions.events import (
     ConnectionEstablished,
@@ -14,13 +14,13 @@
 
 def test_invalid_events_raise_plain_exceptions() -> None:
     b = balancer()
-    backend = open_one(b, 5.0, 1)
+    backend = establish_request(b, 5.0, 1)
     with pytest.raises(ValueError, match="clock"):
         b.handle(4.0, RequestReceived(2, left_ms=100.0))
     with pytest.raises(ValueError, match="unknown request"):
         b.handle(5.0, ConnectionEstablished(77, 0, 1))
     with pytest.raises(ValueError, match="not in flight"):
-        end(b, 5.0, 1, backend, attempt=3)
+        end_attempt(b, 5.0, 1, backend, attempt=3)
     with pytest.raises(ValueError, match="unknown class"):
         b.handle(5.0, RequestReceived(3, cls=9, left_ms=100.0))
     with pytest.raises(ValueError, match="already known"):
--- a/tests/decisions/test_large_fleet.py
+++ b/tests/decisions/test_large_fleet.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from tests.helpers import end, open_one, sends, settings
+from tests.helpers import end_attempt, establish_request, settings, started_attempts
 from yarrowspindle.decisions.balancer import Balancer
 from yarrowspindle.decisions.events import Endpoint, EndpointList, ListKind, RequestReceived
 from yarrowspindle.decisions.settings import RequestClass
@@ -40,10 +40,12 @@
         b = own_load_balancer(number)
         b.handle(0.0, EndpointList(ListKind.CACHED, old))
         for n in range(1, 30):  # one connection per second is opened and closed
-            end(b, 1000.0 * n, n, open_one(b, 1000.0 * n, n, load=40.0))
+            end_attempt(b, 1000.0 * n, n, establish_request(b, 1000.0 * n, n, load=40.0))
         b.handle(30_000.0, EndpointList(ListKind.DELTA, new))
         for n in range(100, 104):
-            for send in sends(b.handle(30_000.0 + 300.0 * (n - 100), RequestReceived(n, left_ms=4800.0, load=40.0))):
+            for send in started_attempts(
+                b.handle(30_000.0 + 300.0 * (n - 100), RequestReceived(n, left_ms=4800.0, load=40.0))
+            ):
                 if send.backend > 24:
                     placed_on_new += 1
                     connections_by_backend[send.backend] += 1
--- a/tests/decisions/test_load_estimates.py
+++ b/tests/decisions/test_load_estimates.py
@@ -8,7 +8,7 @@
 import pytest
 
 from tests.decisions.reporting_relay import REPORTING, Relay, established, warmed
-from tests.helpers import end, full_list, open_one, sends, settings
+from tests.helpers import end_attempt, establish_request, full_list, settings, started_attempts
 from yarrowspindle.decisions.actions import RejectRequest
 from yarrowspindle.decisions.backends import Backend
 from yarrowspindle.decisions.balancer import Balancer
@@ -161,7 +161,7 @@
     assert b.estimates is not None and len(b.estimates.backends_by_group) == 5
     for n in range(1, 40):
         if n in b.requests and (backend := b.requests[n].backend) is not None:
-            end(b, 1.0, n, backend.id)
+            end_attempt(b, 1.0, n, backend.id)
     assert not b.estimates.backends_by_group and not any(
         s.connections_by_group or s.connections_by_class for s in b.backends.values()
     )
@@ -176,9 +176,9 @@
     for seed in range(20):
         b = Balancer(settings(**(REPORTING | {"classes": (keyed,)})), seed, 0.0)
         b.handle(0.0, full_list(*(Endpoint(n, zone=n % 2) for n in range(1, 9))))
-        open_one(b, 0.0, 1)
-        (send,) = sends(b.handle(1.0, RequestReceived(2, left_ms=4800.0, group=9)))
-        again = sends(end(b, 2.0, 2, send.backend, Outcome.TIMEOUT, finished=False))
+        establish_request(b, 0.0, 1)
+        (send,) = started_attempts(b.handle(1.0, RequestReceived(2, left_ms=4800.0, group=9)))
+        again = started_attempts(end_attempt(b, 2.0, 2, send.backend, Outcome.TIMEOUT, finished=False))
         assert not again or again[0].backend % 2 == send.backend % 2
 
 
--- a/tests/decisions/test_outlier_detection.py
+++ b/tests/decisions/test_outlier_detection.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from tests.helpers import WITH_MESSAGE_OBJECTIVE, balancer, end, open_one, place, sends
+from tests.helpers import WITH_MESSAGE_OBJECTIVE, balancer, end_attempt, establish_request, place, started_attempts
 from yarrowspindle.decisions import outlier_detection
 from yarrowspindle.decisions.backends import Backend
 from yarrowspindle.decisions.events import (
@@ -21,8 +21,8 @@
 
 def test_a_failing_backend_is_ejected_and_tried_again_later() -> None:
     b = balancer(4, seed=2, warmup_ms=20_000.0)
-    (send,) = sends(b.handle(0.0, RequestReceived(1, left_ms=2000.0)))
-    (retry,) = sends(end(b, 1.0, 1, send.backend, Outcome.ERROR, finished=False))
+    (send,) = started_attempts(b.handle(0.0, RequestReceived(1, left_ms=2000.0)))
+    (retry,) = started_attempts(end_attempt(b, 1.0, 1, send.backend, Outcome.ERROR, finished=False))
     assert retry.backend != send.backend
     for n in range(2, 40):
         place(b, 2.0, n)
@@ -39,7 +39,7 @@
         backend = place(b, 0.0, n)
         assert backend is not None
         for attempt in (0, 1):
-            retry = sends(end(b, 0.0, n, backend, Outcome.CONNECT_FAILED, attempt, finished=False))
+            retry = started_attempts(end_attempt(b, 0.0, n, backend, Outcome.CONNECT_FAILED, attempt, finished=False))
             if retry:
                 backend = retry[0].backend
     assert place(b, 1.0, 99) is not None
@@ -50,7 +50,7 @@
     b = balancer(1, max_attempts=1)
     backend = place(b, 0.0, 1)
     assert backend is not None
-    end(b, 1.0, 1, backend, Outcome.ERROR, finished=False)
+    end_attempt(b, 1.0, 1, backend, Outcome.ERROR, finished=False)
     assert b.backends[backend].ejected_until > 1.0
     b.handle(2.0, EndpointList(ListKind.DELTA, [Endpoint(backend, started_ms=2.0)]))
     assert b.backends[backend].ejected_until < 2.0 and not b.backends[backend].consecutive_failures
@@ -60,17 +60,17 @@
 def test_connections_reset_together_show_that_their_backend_is_overloaded(interval_ms: float, overloaded: bool) -> None:
     """Incident iee6bba: a backend that sheds load resets many connections, while networks reset single ones."""
     b = balancer(2, seed=1, classes=WITH_MESSAGE_OBJECTIVE, backend_reports_latency=False)
-    backends = {n: open_one(b, 0.0, n) for n in range(1, 20)}
+    backends = {n: establish_request(b, 0.0, n) for n in range(1, 20)}
     for i, n in enumerate([n for n, s in backends.items() if s == 1][:RESETS_BEFORE_EJECTION]):
-        end(b, 1.0 + i * interval_ms, n, 1, Outcome.RESET)
+        end_attempt(b, 1.0 + i * interval_ms, n, 1, Outcome.RESET)
     now = 2.0 + RESETS_BEFORE_EJECTION * interval_ms
     assert (1 in {place(b, now, n) for n in range(20, 40)}) != overloaded
 
 
 def test_a_restarted_backend_is_not_taken_to_be_overloaded() -> None:
     b = balancer(2, seed=1, classes=WITH_MESSAGE_OBJECTIVE)
-    for n in [n for n in range(1, 20) if open_one(b, 0.0, n) == 1]:
-        end(b, 1.0, n, 1, Outcome.RESET)
+    for n in [n for n in range(1, 20) if establish_request(b, 0.0, n) == 1]:
+        end_attempt(b, 1.0, n, 1, Outcome.RESET)
     assert b.backends[1].slow_until > 2.0
     b.handle(2.0, EndpointList(ListKind.DELTA, [Endpoint(1, started_ms=2.0)]))
     assert b.backends[1].slow_until < 2.0
@@ -80,7 +80,7 @@
     b = balancer(1, max_attempts=2)
     backend = place(b, 0.0, 1)
     assert backend is not None
-    (retry,) = sends(end(b, 1.0, 1, backend, Outcome.CONNECT_FAILED, finished=False))
+    (retry,) = started_attempts(end_attempt(b, 1.0, 1, backend, Outcome.CONNECT_FAILED, finished=False))
     assert b.backends[backend].ejected_until > 1.0
     b.handle(2.0, ConnectionEstablished(1, 1, retry.backend))
     assert b.backends[backend].ejected_until < 2.0
@@ -89,7 +89,7 @@
 def test_a_single_slow_message_does_not_end_placement_by_own_load() -> None:
     """A backend may report latency occasionally although the platform's protocol does not guarantee it."""
     b = balancer(3, seed=1, backend_reports_latency=False, classes=WITH_MESSAGE_OBJECTIVE)
-    backends = {n: open_one(b, 0.0, n, load=50.0) for n in range(1, 10)}
+    backends = {n: establish_request(b, 0.0, n, load=50.0) for n in range(1, 10)}
     b.handle(1.0, SlowMessageObserved(1, backends[1], 500.0))
     assert b.state.uses_own_load_only and b.backends[backends[1]].slow_until > 1.0
 
--- a/tests/decisions/test_peer_loads.py
+++ b/tests/decisions/test_peer_loads.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from tests.decisions.reporting_relay import Relay, warmed
-from tests.helpers import balancer, end, open_one, settings
+from tests.helpers import balancer, end_attempt, establish_request, settings
 from yarrowspindle.decisions.backends import Backend
 from yarrowspindle.decisions.events import BACKEND_KEY_MASK, PeerLoads, SettingsChanged, group_key
 from yarrowspindle.decisions.health_checks import HEALTH_CHECK_INTERVAL_MS
@@ -17,8 +17,8 @@
 def place_and_end(b: Any, now: float, times: int) -> list[int]:
     backends = []
     for n in range(times):
-        backend = open_one(b, now, 1000 + n, load=1.0)
-        end(b, now, 1000 + n, backend)
+        backend = establish_request(b, now, 1000 + n, load=1.0)
+        end_attempt(b, now, 1000 + n, backend)
         backends.append(backend)
     return backends
 
@@ -36,7 +36,7 @@
     b = balancer(2, balancers=2)
     b.handle(0.0, PeerLoads({1: (3, 3.0)}, reporting_relays=1, relays=2))
     for n in range(9):
-        open_one(b, 0.0, n, load=1.0)
+        establish_request(b, 0.0, n, load=1.0)
     connections = {s.id: s.connections for s in b.backends.values()}
     assert connections[2] - connections[1] in range(1, 6) and sum(connections.values()) == 9
 
@@ -45,7 +45,7 @@
     alone, with_peers = balancer(4, seed=3, balancers=4), balancer(4, seed=3, balancers=4)
     with_peers.handle(0.0, PeerLoads({1: (50, 50.0)}, reporting_relays=3, relays=4))
     for n in range(60):
-        assert open_one(alone, 6000.0, n, 1.0) == open_one(with_peers, 6000.0, n, 1.0)
+        assert establish_request(alone, 6000.0, n, 1.0) == establish_request(with_peers, 6000.0, n, 1.0)
 
 
 def test_a_backend_ejected_by_most_peers_is_used_only_if_no_other_is_drawn() -> None:
--- a/tests/decisions/test_placement.py
+++ b/tests/decisions/test_placement.py
@@ -6,7 +6,16 @@
 
 import pytest
 
-from tests.helpers import WITH_MESSAGE_OBJECTIVE, balancer, end, full_list, open_one, place, sends, settings
+from tests.helpers import (
+    WITH_MESSAGE_OBJECTIVE,
+    balancer,
+    end_attempt,
+    establish_request,
+    full_list,
+    place,
+    settings,
+    started_attempts,
+)
 from yarrowspindle.decisions.balancer import Balancer
 from yarrowspindle.decisions.events import (
     Endpoint,
@@ -45,7 +54,7 @@
 
 def test_a_connection_counts_by_its_load() -> None:
     b = balancer(2, seed=1)
-    heavy = open_one(b, 0.0, 1, load=10.0)
+    heavy = establish_request(b, 0.0, 1, load=10.0)
     others = [place(b, 1.0, n, load=1.0) for n in range(2, 10)]
     # Requests for which both draws hit the heavy backend still go there; all others avoid it.
     assert others.count(heavy) <= 4
@@ -58,15 +67,17 @@
         backends = set()
         for number in range(40):
             b = balancer(30, seed=number, number=number, balancers=40, groups_share_work=groups, max_attempts=2)
-            (send,) = sends(b.handle(1.0, RequestReceived(1, left_ms=2000.0, group=77)))
+            (send,) = started_attempts(b.handle(1.0, RequestReceived(1, left_ms=2000.0, group=77)))
             backends.add(send.backend)
         return backends
 
     assert len(chosen_backends(True)) == 1 and len(chosen_backends(False)) > 10
     b, retried_at = balancer(30, groups_share_work=True, max_attempts=2), set()
     for number in range(20):
-        (send,) = sends(b.handle(float(number), RequestReceived(number, left_ms=2000.0, group=77)))
-        (other,) = sends(end(b, float(number), number, send.backend, Outcome.CONNECT_FAILED, finished=False))
+        (send,) = started_attempts(b.handle(float(number), RequestReceived(number, left_ms=2000.0, group=77)))
+        (other,) = started_attempts(
+            end_attempt(b, float(number), number, send.backend, Outcome.CONNECT_FAILED, finished=False)
+        )
         retried_at.add(other.backend)
     assert len(retried_at) > 4
 
--- a/tests/decisions/test_retries.py
+++ b/tests/decisions/test_retries.py
@@ -4,7 +4,7 @@
 
 from math import inf
 
-from tests.helpers import balancer, end, place, sends, settings
+from tests.helpers import balancer, end_attempt, place, settings, started_attempts
 from yarrowspindle.decisions.actions import (
     FailRequest,
     SetTimer,
@@ -28,12 +28,12 @@
     for n in range(1, 5):
         backend = place(b, 1.0, n)
         assert backend is not None
-        for action in end(b, 1.0, n, backend, Outcome.ERROR, finished=False):
-            at_once += bool(sends([action]))
+        for action in end_attempt(b, 1.0, n, backend, Outcome.ERROR, finished=False):
+            at_once += bool(started_attempts([action]))
             if isinstance(action, SetTimer):
                 waits.append(action)
     assert at_once == 2 and len(waits) == 2
-    assert sends(b.handle(1.0 + waits[0].delay_ms, TimerFired(waits[0].token)))
+    assert started_attempts(b.handle(1.0 + waits[0].delay_ms, TimerFired(waits[0].token)))
 
 
 def test_a_failed_connect_is_retried_at_once_regardless_of_the_budget() -> None:
@@ -41,17 +41,17 @@
     for n in range(1, 30):
         backend = place(b, 1.0, n)
         assert backend is not None
-        assert sends(end(b, 1.0, n, backend, Outcome.CONNECT_FAILED, finished=False))
+        assert started_attempts(end_attempt(b, 1.0, n, backend, Outcome.CONNECT_FAILED, finished=False))
 
 
 def test_a_request_keeps_the_number_of_attempts_that_it_was_admitted_with() -> None:
     b = balancer(2, max_attempts=1)
-    (send,) = sends(b.handle(1.0, RequestReceived(1, left_ms=2000.0)))
+    (send,) = started_attempts(b.handle(1.0, RequestReceived(1, left_ms=2000.0)))
     b.handle(2.0, SettingsChanged(settings(max_attempts=4)))
-    assert sends(end(b, 3.0, 1, send.backend, Outcome.REJECTED, finished=False)) == []
+    assert started_attempts(end_attempt(b, 3.0, 1, send.backend, Outcome.REJECTED, finished=False)) == []
     b.handle(4.0, RequestReceived(2, left_ms=2000.0))
     b.handle(5.0, SettingsChanged(settings(max_attempts=1)))
-    assert sends(end(b, 6.0, 2, b.requests[2].backend.id, Outcome.REJECTED, finished=False)) == []  # type: ignore[union-attr]
+    assert started_attempts(end_attempt(b, 6.0, 2, b.requests[2].backend.id, Outcome.REJECTED, finished=False)) == []  # type: ignore[union-attr]
 
 
 def test_a_retry_begins_within_its_idempotency_window_and_a_request_that_may_have_run_fails() -> None:
@@ -63,12 +63,12 @@
         idempotency_window_ms=400.0,
     )
     b = balancer(2, classes=(keyed,), answer_slack_ms=8.0, tick_ms=2.0)
-    (first,) = sends(b.handle(10.0, RequestReceived(1, left_ms=2000.0)))
+    (first,) = started_attempts(b.handle(10.0, RequestReceived(1, left_ms=2000.0)))
     assert first.begin_ms == inf
-    (retry,) = sends(end(b, 110.0, 1, first.backend, Outcome.RESET, finished=False))
+    (retry,) = started_attempts(end_attempt(b, 110.0, 1, first.backend, Outcome.RESET, finished=False))
     assert retry.begin_ms == 400.0 - 100.0 - 10.0
     b.lifecycle.retries.available = 0.0
-    assert sends(end(b, 120.0, 1, retry.backend, Outcome.RESET, attempt=1, finished=False)) == []
+    assert started_attempts(end_attempt(b, 120.0, 1, retry.backend, Outcome.RESET, attempt=1, finished=False)) == []
     assert (
         b.handle(130.0, DeadlineReached(1)) == [FailRequest(1, RejectionReason.DEADLINE_EXCEEDED)]
         and b.handle(131.0, DeadlineReached(1)) == []
--- a/tests/decisions/test_slow_start.py
+++ b/tests/decisions/test_slow_start.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from tests.helpers import balancer, end, full_list, open_one, place, sends, settings
+from tests.helpers import balancer, end_attempt, establish_request, full_list, place, settings, started_attempts
 from yarrowspindle.decisions.balancer import Balancer
 from yarrowspindle.decisions.events import (
     ConnectionEstablished,
@@ -33,7 +33,7 @@
     )
     b.handle(0.0, full_list(Endpoint(1), Endpoint(2, zone=1)))
     for n in range(1, 60):
-        end(b, 100.0 * n, n, open_one(b, 100.0 * n, n, load=50.0))
+        end_attempt(b, 100.0 * n, n, establish_request(b, 100.0 * n, n, load=50.0))
     b.handle(6000.0, EndpointList(ListKind.DELTA, [Endpoint(2, zone=1, started_ms=6000.0)]))
     assert 2 in [place(b, 6001.0 + n, n, load=50.0) for n in range(100, 130)]
 
@@ -59,18 +59,18 @@
         gap, request, now = balancers / steady_rate, 0, 0.0
         while now < 3 * warmup_ms:  # learns the steady rate
             request, now = request + 1, now + gap
-            (send,) = sends(b.handle(now, RequestReceived(request, left_ms=2000.0, load=1.0)))
+            (send,) = started_attempts(b.handle(now, RequestReceived(request, left_ms=2000.0, load=1.0)))
             b.handle(now, ConnectionEstablished(request, 0, send.backend))
-            end(b, now, request, send.backend)
+            end_attempt(b, now, request, send.backend)
         start = now
         b.handle(now, EndpointList(ListKind.DELTA, [Endpoint(1, started_ms=start)]))
         while now < start + warmup_ms / 2:  # a burst of twenty times the steady rate that no backend accepts
             request, now = request + 1, now + gap / 20.0
-            for send in sends(b.handle(now, RequestReceived(request, left_ms=100.0, load=1.0))):
+            for send in started_attempts(b.handle(now, RequestReceived(request, left_ms=100.0, load=1.0))):
                 if send.backend == 1:
                     sent.append((now - start, 1.0))
                 b.handle(now, ConnectionEstablished(request, 0, send.backend))
-                end(b, now, request, send.backend, Outcome.RESET)
+                end_attempt(b, now, request, send.backend, Outcome.RESET)
     for step in range(10):
         low, high = step * window / 2, step * window / 2 + window
         capacity = (initial + (1 - initial) * low / warmup_ms) * steady_rate / 8 * window
@@ -87,7 +87,7 @@
         0, warmup_ms=20_000.0, initial_capacity_fraction=0.1, overload_multiple=3.0, overload_window_ms=1_000.0
     )
     b.handle(1.0, EndpointList(ListKind.FULL, [Endpoint(i, started_ms=1.0) for i in (1, 2, 3)]))
-    assert sum(len(sends(b.handle(2.0, RequestReceived(n, left_ms=1000.0)))) for n in range(50)) <= 3
+    assert sum(len(started_attempts(b.handle(2.0, RequestReceived(n, left_ms=1000.0)))) for n in range(50)) <= 3
 
 
 def test_the_first_backend_to_return_in_a_failed_zone_is_not_overloaded_by_its_balancers() -> None:
@@ -109,13 +109,14 @@
         fleet = [Endpoint(i + 1, zone=i % 2) for i in range(20)]
         b.handle(0.0, EndpointList(ListKind.FULL, fleet))
         for n in range(60):  # about one connection per second completes at each balancer
-            (send,) = sends(b.handle(1000.0 * n, RequestReceived(n, left_ms=2000.0, load=1.0)))
-            end(b, 1000.0 * n, n, send.backend)
+            (send,) = started_attempts(b.handle(1000.0 * n, RequestReceived(n, left_ms=2000.0, load=1.0)))
+            end_attempt(b, 1000.0 * n, n, send.backend)
         b.handle(60_000.0, EndpointList(ListKind.FULL, [e for e in fleet if e.zone == 1]))
         b.handle(70_000.0, EndpointList(ListKind.DELTA, [Endpoint(1, zone=0, started_ms=70_000.0)]))
         for n in range(100, 110):
             count += sum(
-                s.backend == 1 for s in sends(b.handle(70_100.0, RequestReceived(n, left_ms=2000.0, load=1.0)))
+                s.backend == 1
+                for s in started_attempts(b.handle(70_100.0, RequestReceived(n, left_ms=2000.0, load=1.0)))
             )
     # The fleet completes 40 connections per second on 20 backends: 2 at a warm one, 0.6 at a newly started one.
     assert count <= 3 * 0.6 + 3 * (3 * 0.6) ** 0.5
--- a/tests/fronts/test_quic_front.py
+++ b/tests/fronts/test_quic_front.py
@@ -39,7 +39,7 @@
 
     async def connected_client(self) -> QuicClient:
         client = await self.client()
-        await asyncio.wait_for(client.up, 5.0)
+        await asyncio.wait_for(client.established, 5.0)
         return client
 
     def update_endpoint(self, name: str, state: EndpointState) -> None:
@@ -97,14 +97,16 @@
 def test_streams_stay_on_their_backend_when_clients_rebind_their_ports() -> None:
     async def body(setup: QuicSetup) -> None:
         clients = [await setup.connected_client() for _ in range(6)]
-        backend_names = [setup.backend_of(await client.ask(b"0")) for client in clients]
+        backend_names = [setup.backend_of(await client.exchange(b"0")) for client in clients]
         for step in range(1, 4):
             for client in clients:
                 await client.rebind()
-            answers = await asyncio.gather(*(client.ask(b"%d" % step) for client in clients))
+            answers = await asyncio.gather(*(client.exchange(b"%d" % step) for client in clients))
             assert answers == [f"{backend_name}:{step}".encode() for backend_name in backend_names]
-        assert sum(len(backend.links) for backend in setup.backends) == 6, "no connection was established twice"
-        assert all(client.got.empty() and not client.ended.done() for client in clients), "nothing was answered twice"
+        assert sum(len(backend.connections) for backend in setup.backends) == 6, "no connection was established twice"
+        assert all(client.received.empty() and not client.terminated.done() for client in clients), (
+            "nothing was answered twice"
+        )
         assert len(set(backend_names)) == 2
         counted = {load.connections for load in setup.service.reducer.balancer.backends.values()}
         assert counted == {backend_names.count("node-0"), backend_names.count("node-1")}
@@ -115,12 +117,12 @@
 def test_a_known_id_reaches_a_draining_backend_until_it_is_removed_and_a_new_request_never_does() -> None:
     async def body(setup: QuicSetup) -> None:
         first = await setup.connected_client()
-        backend_name = setup.backend_of(await first.ask(b"a"))
+        backend_name = setup.backend_of(await first.exchange(b"a"))
         setup.update_endpoint(backend_name, EndpointState.DRAINING)
         await first.rebind()
-        assert await first.ask(b"b") == f"{backend_name}:b".encode()
+        assert await first.exchange(b"b") == f"{backend_name}:b".encode()
         others = [await setup.connected_client() for _ in range(5)]
-        assert backend_name not in [setup.backend_of(await client.ask(b"c")) for client in others]
+        assert backend_name not in [setup.backend_of(await client.exchange(b"c")) for client in others]
         setup.update_endpoint(backend_name, EndpointState.GONE)
         await asyncio.wait_for(first.reset, 5.0)
         assert len(setup.front.table.flows) == 5
@@ -131,12 +133,14 @@
 def test_a_rejected_client_gets_one_close_with_retry_advice_and_never_a_second() -> None:
     async def body(setup: QuicSetup) -> None:
         client = await setup.client()
-        event = await asyncio.wait_for(client.ended, 5.0)
+        event = await asyncio.wait_for(client.terminated, 5.0)
         assert event.error_code == quic.CONNECTION_REFUSED and event.reason_phrase.startswith("retry after ")
-        assert [backend.initials for backend in setup.backends] == [3], "one attempt after another, up to max_attempts"
-        client.repeat()
+        assert [backend.initials_received for backend in setup.backends] == [3], (
+            "one attempt after another, up to max_attempts"
+        )
+        client.send_first_flight()
         await asyncio.wait_for(
-            (await setup.client()).ended, 5.0
+            (await setup.client()).terminated, 5.0
         )  # by then any answer to the repeated datagrams has arrived
         assert len(client.datagrams) == 1 and setup.front.counts["answered_before"] > 0
 
@@ -146,7 +150,7 @@
 def test_at_the_deadline_the_answer_is_a_close() -> None:
     async def body(setup: QuicSetup) -> None:
         start = time.monotonic()
-        event = await asyncio.wait_for((await setup.client()).ended, 5.0)
+        event = await asyncio.wait_for((await setup.client()).terminated, 5.0)
         assert event.error_code == quic.CONNECTION_REFUSED and 0.2 < time.monotonic() - start < 0.4
         assert not setup.front.table.flows and not setup.service.reducer.requests
 
@@ -157,7 +161,7 @@
     async def body(setup: QuicSetup) -> None:
         setup.backends[0].close()
         for _ in range(6):
-            assert setup.backend_of(await (await setup.connected_client()).ask(b"x")) == "node-1"
+            assert setup.backend_of(await (await setup.connected_client()).exchange(b"x")) == "node-1"
 
     run_with_backends(body, {}, {})
 
@@ -165,8 +169,8 @@
 def test_an_unresponsive_backend_is_abandoned_after_the_answer_timeout() -> None:
     async def body(setup: QuicSetup) -> None:
         for _ in range(3):
-            assert setup.backend_of(await (await setup.connected_client()).ask(b"x")) == "node-1"
-        assert setup.backends[0].initials <= 3
+            assert setup.backend_of(await (await setup.connected_client()).exchange(b"x")) == "node-1"
+        assert setup.backends[0].initials_received <= 3
 
     run_with_backends(body, {"answers": False}, {})
 
@@ -174,7 +178,7 @@
 def test_a_backend_that_closes_its_port_ends_its_connections_with_a_reset() -> None:
     async def body(setup: QuicSetup) -> None:
         client = await setup.connected_client()
-        backend_name = setup.backend_of(await client.ask(b"x"))
+        backend_name = setup.backend_of(await client.exchange(b"x"))
         next(backend for backend in setup.backends if backend.name == backend_name).close()
         client.connection.send_stream_data(0, b"y")
         client.flush(client.connection)
@@ -187,11 +191,11 @@
 def test_a_restarted_relay_forwards_known_ids() -> None:
     async def body(setup: QuicSetup) -> None:
         client = await setup.connected_client()
-        backend_name = setup.backend_of(await client.ask(b"x"))
+        backend_name = setup.backend_of(await client.exchange(b"x"))
         for flow in list(setup.front.table.flows.values()):  # as after a restart: the table is empty
             setup.front._forget(flow, remember=False)
         setup.service.reducer.context.requests.clear()
-        assert await client.ask(b"y") == f"{backend_name}:y".encode()
+        assert await client.exchange(b"y") == f"{backend_name}:y".encode()
         assert setup.front.counts["taken_over"] == 1
 
     run_with_backends(body, {}, {})
@@ -201,7 +205,7 @@
     async def body(setup: QuicSetup) -> None:
         for _ in range(20):
             await setup.connected_client()
-        assert len(setup.backends[0].links) <= 3
+        assert len(setup.backends[0].connections) <= 3
 
     cold: dict[str, Any] = {
         "warmup_ms": 60_000.0,
@@ -218,7 +222,7 @@
         client = await setup.client()
         while not setup.front.counts["no_room"]:
             await asyncio.sleep(0)
-        assert not client.up.done() and len(setup.front.table.flows) == 1
+        assert not client.established.done() and len(setup.front.table.flows) == 1
         (flow,) = setup.front.table.flows.values()
         flow.last_received_at -= setup.front.config.idle_s
         setup.front._sweep()
@@ -236,9 +240,9 @@
             setup.front.on_client_datagram(data, ("127.0.0.1", 9))
         assert setup.front.counts["malformed"] == 4 and setup.front.counts["unknown_id"] == 1
         assert setup.service.metrics.counters()["quic.malformed"] == 4.0
-        assert await client.ask(b"x")
+        assert await client.exchange(b"x")
         other = b"\xc0\x0a\x0a\x0a\x0a\x08abcdefgh\x08abcdefgh" + bytes(1200)
-        client.raw(other)
+        client.send_datagram(other)
         assert setup.front.ids.decode(b"\x10" + bytes(16)) is not None and len(setup.front.table.flows) == 1
 
     run_with_backends(body, {})
@@ -248,16 +252,16 @@
     async def scenario() -> None:
         port = free_port()
         operator = f'[quic]\nlisten = "127.0.0.1:{port}"\nid_key = "{ID_KEY.hex()}"\nreset_key = "{RESET_KEY.hex()}"\n'
-        async with relay(tmp_path, operator) as world:
-            backends = [QuicBackend(name) for name in world.backends]
+        async with relay(tmp_path, operator) as env:
+            backends = [QuicBackend(name) for name in env.backends]
             for backend in backends:
-                await backend.open(world.backends[backend.name].port)
+                await backend.open(env.backends[backend.name].port)
             client = await QuicClient(("127.0.0.1", port)).start()
-            backend_name = (await client.ask(b"x")).split(b":")[0]
+            backend_name = (await client.exchange(b"x")).split(b":")[0]
             await client.rebind()
-            assert await client.ask(b"y") == backend_name + b":y"
-            await world.standing()
-            world.stop()
+            assert await client.exchange(b"y") == backend_name + b":y"
+            await env.established_connection()
+            env.stop()
             await asyncio.wait_for(client.reset, 5.0)
             for end in (*backends, client):
                 end.close()
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -40,19 +40,19 @@
     return b
 
 
-def sends(actions: list[Action]) -> list[StartAttempt]:
+def started_attempts(actions: list[Action]) -> list[StartAttempt]:
     """Return the attempts that the actions start."""
     return [a for a in actions if isinstance(a, StartAttempt)]
 
 
-def open_one(b: Balancer, now: float, request: int, load: float = 0.0, tenant: int = 0) -> int:
+def establish_request(b: Balancer, now: float, request: int, load: float = 0.0, tenant: int = 0) -> int:
     """Place a request and establish it; return its backend."""
-    (send,) = sends(b.handle(now, RequestReceived(request, left_ms=2000.0, load=load, tenant=tenant)))
-    b.handle(now, ConnectionEstablished(request, 0, send.backend))
-    return send.backend
+    (attempt,) = started_attempts(b.handle(now, RequestReceived(request, left_ms=2000.0, load=load, tenant=tenant)))
+    b.handle(now, ConnectionEstablished(request, 0, attempt.backend))
+    return attempt.backend
 
 
-def end(
+def end_attempt(
     b: Balancer,
     now: float,
     request: int,
@@ -65,10 +65,10 @@
     return b.handle(now, AttemptEnded(request, attempt, backend, outcome, finished))
 
 
-def place(b: Balancer, now: float, request: int, load: float = 1.0, left: float = 2000.0) -> int | None:
+def place(b: Balancer, now: float, request: int, load: float = 1.0, deadline_ms: float = 2000.0) -> int | None:
     """Place a request; return its backend, or None where it is rejected or queued."""
-    got = sends(b.handle(now, RequestReceived(request, left_ms=left, load=load)))
-    return got[0].backend if got else None
+    attempts = started_attempts(b.handle(now, RequestReceived(request, left_ms=deadline_ms, load=load)))
+    return attempts[0].backend if attempts else None
 
 
 def timers(actions: list[Action]) -> list[SetTimer]:
--- a/tests/lab/test_processes.py
+++ b/tests/lab/test_processes.py
@@ -154,12 +154,12 @@
             port = free_port()
             occupied.bind(("127.0.0.1", port))
             async with relay(tmp_path, f'[peers]\nlisten = "127.0.0.1:{port}"\nseeds = []\n') as environment:
-                await environment.logged(f"cannot listen at 127.0.0.1:{port} yet")
-                await environment.standing()
+                await environment.next_log_line(f"cannot listen at 127.0.0.1:{port} yet")
+                await environment.established_connection()
                 occupied.close()
-                await environment.logged(f"listens at 127.0.0.1:{port}")
-                await environment.standing()
+                await environment.next_log_line(f"listens at 127.0.0.1:{port}")
+                await environment.established_connection()
                 environment.stop()
-                await environment.logged("stopped")
+                await environment.next_log_line("stopped")
 
     asyncio.run(body())
--- a/tests/library/test_library.py
+++ b/tests/library/test_library.py
@@ -14,7 +14,7 @@
 
 from benchmarks.library import both, record, stalling
 from examples.plan_status import run_demo
-from tests.stand_ins import Server
+from tests.stand_ins import LineServer
 from yarrowspindle.decisions.events import EndpointState, ListKind
 from yarrowspindle.library import (
     BackendDropped,
@@ -358,9 +358,9 @@
 
 def test_the_list_is_watched_over_http_as_the_daemon_does() -> None:
     async def body() -> None:
-        service = await Server().open()
+        service = await LineServer().open()
         async with Placer(SETTINGS, WatchedList(f"127.0.0.1:{service.port}"), seed=1) as placer:
-            watch, request = await service.asked()
+            watch, request = await service.next_request()
             assert request.startswith("GET /api/targets?stream=1")
             line = (
                 '{"revision":4,"complete":true,"members":[{"id":"s-1","host_port":"10.1.0.18:3000","phase":"ready",'
--- a/tests/ports.py
+++ b/tests/ports.py
@@ -9,26 +9,26 @@
 
 # Below what Linux gives out by itself (32768 and up, to whoever binds port 0 or connects), so that between the draw of
 # a port and its use nothing else gets it, nor after it was closed in a test that wants it closed.
-FIRST, SHARE, SHARES = 12_000, 400, 50
+FIRST_PORT, PORTS_PER_PROCESS, MAX_PROCESSES = 12_000, 400, 50
 
 
 @cache
-def share() -> tuple[socket.socket, Iterator[int]]:
+def reserved_ports() -> tuple[socket.socket, Iterator[int]]:
     """This process's own ports, taken in turn. Whose they are says the first of them, kept bound until its end."""
-    for first in range(FIRST, FIRST + SHARE * SHARES, SHARE):
-        held = socket.socket()
+    for first_port in range(FIRST_PORT, FIRST_PORT + PORTS_PER_PROCESS * MAX_PROCESSES, PORTS_PER_PROCESS):
+        lock_socket = socket.socket()
         try:
-            held.bind(("127.0.0.1", first))
+            lock_socket.bind(("127.0.0.1", first_port))
         except OSError:
-            held.close()
+            lock_socket.close()
         else:
-            return held, itertools.cycle(range(first + 1, first + SHARE))
-    raise RuntimeError(f"all {SHARES} shares of ports are taken")
+            return lock_socket, itertools.cycle(range(first_port + 1, first_port + PORTS_PER_PROCESS))
+    raise RuntimeError(f"all {MAX_PROCESSES} shares of ports are taken")
 
 
-def own_net() -> str:
+def loopback_prefix() -> str:
     """The first half of addresses of loopback that no other process of tests has."""
-    return f"127.{200 + (share()[0].getsockname()[1] - FIRST) // SHARE}"
+    return f"127.{200 + (reserved_ports()[0].getsockname()[1] - FIRST_PORT) // PORTS_PER_PROCESS}"
 
 
 def is_free(port: int) -> bool:
@@ -43,4 +43,4 @@
 
 def free_port() -> int:
     """A port of 127.0.0.1 that nobody has, for TCP and for UDP."""
-    return next(port for port in itertools.islice(share()[1], SHARE) if is_free(port))
+    return next(port for port in itertools.islice(reserved_ports()[1], PORTS_PER_PROCESS) if is_free(port))
--- a/tests/quic_stand_ins.py
+++ b/tests/quic_stand_ins.py
@@ -30,12 +30,12 @@
     key = ec.generate_private_key(ec.SECP256R1())
     name = x509.Name([x509.NameAttribute(NameOID.COMMON_NAME, "node.test")])
     start = datetime.datetime(2020, 1, 1)
-    built = x509.CertificateBuilder().subject_name(name).issuer_name(name).public_key(key.public_key())
-    built = built.serial_number(1).not_valid_before(start).not_valid_after(start.replace(year=2120))
-    return built.sign(key, hashes.SHA256()), key
+    builder = x509.CertificateBuilder().subject_name(name).issuer_name(name).public_key(key.public_key())
+    builder = builder.serial_number(1).not_valid_before(start).not_valid_after(start.replace(year=2120))
+    return builder.sign(key, hashes.SHA256()), key
 
 
-class Endpoint(asyncio.DatagramProtocol):
+class QuicEndpoint(asyncio.DatagramProtocol):
     """Carries one or more connections over a socket: sends what they want sent and keeps their timers."""
 
     def __init__(self) -> None:
@@ -60,45 +60,45 @@
     def flush(self, connection: QuicConnection) -> None:
         event = connection.next_event()
         while event is not None:
-            self.happened(connection, event)
+            self.handle_event(connection, event)
             event = connection.next_event()
         for data, address in connection.datagrams_to_send(self.loop.time()):
             if self.transport is not None and not self.transport.is_closing():
                 self.transport.sendto(data, address)
         if connection in self.timers:
             self.timers.pop(connection).cancel()
-        at = connection.get_timer()
-        if at is not None:
-            self.timers[connection] = self.loop.call_at(at, self._due, connection)
+        deadline = connection.get_timer()
+        if deadline is not None:
+            self.timers[connection] = self.loop.call_at(deadline, self._on_timer, connection)
 
-    def _due(self, connection: QuicConnection) -> None:
+    def _on_timer(self, connection: QuicConnection) -> None:
         connection.handle_timer(self.loop.time())
         self.flush(connection)
 
-    def happened(self, connection: QuicConnection, event: events.QuicEvent) -> None:
+    def handle_event(self, connection: QuicConnection, event: events.QuicEvent) -> None:
         raise NotImplementedError
 
 
 class BackendConnection(QuicConnection):
     """Issues ids that name their node and its number for the connection."""
 
-    def __init__(self, server: int, link: int, **options: Any) -> None:
+    def __init__(self, server: int, number: int, **options: Any) -> None:
         super().__init__(**options)
-        self.server, self.link = server, link
-        self._host_cids = [self._named(0)]
+        self.server, self.number = server, number
+        self._host_cids = [self._connection_id(0)]
         self.host_cid = self._local_initial_source_connection_id = self._host_cids[0].cid
 
-    def _named(self, sequence: int) -> QuicConnectionId:
-        cid = IDS.encode(self.server, self.link, sequence)
+    def _connection_id(self, sequence: int) -> QuicConnectionId:
+        cid = IDS.encode(self.server, self.number, sequence)
         return QuicConnectionId(cid, sequence, quic.reset_token(RESET_KEY, cid))
 
     def _replenish_connection_ids(self) -> None:
         while len(self._host_cids) < min(8, self._remote_active_connection_id_limit):
-            self._host_cids.append(self._named(self._host_cid_seq))
+            self._host_cids.append(self._connection_id(self._host_cid_seq))
             self._host_cid_seq += 1
 
 
-class QuicBackend(Endpoint):
+class QuicBackend(QuicEndpoint):
     """Echoes what comes on a stream, with its name before it. `answers`: False keeps it silent."""
 
     def __init__(self, name: str, answers: bool = True, refuses: bool = False) -> None:
@@ -108,16 +108,20 @@
             is_client=False, alpn_protocols=["t"], connection_id_length=quic.CONNECTION_ID_BYTES
         )
         self.configuration.certificate, self.configuration.private_key = certificate()
-        self.links: dict[int, BackendConnection] = {}
-        self.originals: dict[bytes, BackendConnection] = {}
-        self.initials = 0
+        self.connections: dict[int, BackendConnection] = {}
+        self.connections_by_initial_id: dict[bytes, BackendConnection] = {}
+        self.initials_received = 0
 
     def datagram_received(self, data: bytes, addr: Address) -> None:
         header = quic.parse_header(data)
-        link = IDS.decode(header.destination)
-        connection = self.links.get(link[1]) if link else self.originals.get(header.destination)
+        decoded_id = IDS.decode(header.destination)
+        connection = (
+            self.connections.get(decoded_id[1])
+            if decoded_id
+            else self.connections_by_initial_id.get(header.destination)
+        )
         if connection is None and not header.short:
-            self.initials += 1
+            self.initials_received += 1
             if self.refuses and self.transport is not None:
                 close = quic.initial_close(
                     header.version, header.destination, header.source, quic.CONNECTION_REFUSED, "full"
@@ -125,24 +129,24 @@
                 self.transport.sendto(close, addr)
             if self.refuses or not self.answers:
                 return
-            number = len(self.links) + 1
+            number = len(self.connections) + 1
             connection = BackendConnection(
                 backend_id(self.name),
                 number,
                 configuration=self.configuration,
                 original_destination_connection_id=header.destination,
             )
-            self.links[number] = self.originals[header.destination] = connection
+            self.connections[number] = self.connections_by_initial_id[header.destination] = connection
         if connection is not None and self.answers:
             connection.receive_datagram(data, addr, self.loop.time())
             self.flush(connection)
 
-    def happened(self, connection: QuicConnection, event: events.QuicEvent) -> None:
+    def handle_event(self, connection: QuicConnection, event: events.QuicEvent) -> None:
         if isinstance(event, events.StreamDataReceived):
             connection.send_stream_data(event.stream_id, self.name.encode() + b":" + event.data)
 
 
-class QuicClient(Endpoint):
+class QuicClient(QuicEndpoint):
     def __init__(self, relay: Address) -> None:
         super().__init__()
         configuration = QuicConfiguration(
@@ -150,27 +154,27 @@
         )
         self.connection, self.relay = QuicConnection(configuration=configuration), relay
         self.stream = 0
-        self.got: asyncio.Queue[bytes] = asyncio.Queue()
-        self.ended: asyncio.Future[events.ConnectionTerminated] = self.loop.create_future()
-        self.up: asyncio.Future[None] = self.loop.create_future()
+        self.received: asyncio.Queue[bytes] = asyncio.Queue()
+        self.terminated: asyncio.Future[events.ConnectionTerminated] = self.loop.create_future()
+        self.established: asyncio.Future[None] = self.loop.create_future()
         self.reset: asyncio.Future[None] = self.loop.create_future()  # a Stateless Reset with the right token
         self.datagrams: list[bytes] = []
-        self.first: list[bytes] = []
+        self.first_flight: list[bytes] = []
 
     async def start(self) -> QuicClient:
         await self.open()
         self.connection.connect(self.relay, self.loop.time())
-        self.first = [data for data, _ in self.connection.datagrams_to_send(self.loop.time())]
-        self.repeat()
+        self.first_flight = [data for data, _ in self.connection.datagrams_to_send(self.loop.time())]
+        self.send_first_flight()
         self.flush(self.connection)
         return self
 
-    def repeat(self) -> None:
+    def send_first_flight(self) -> None:
         """Send the first flight (again)."""
-        for data in self.first:
-            self.raw(data)
+        for data in self.first_flight:
+            self.send_datagram(data)
 
-    def raw(self, data: bytes) -> None:
+    def send_datagram(self, data: bytes) -> None:
         assert self.transport is not None
         self.transport.sendto(data, self.relay)
 
@@ -180,10 +184,10 @@
         self.transport.abort()
         await self.open()
 
-    async def ask(self, data: bytes) -> bytes:
+    async def exchange(self, data: bytes) -> bytes:
         self.connection.send_stream_data(self.stream, data)
         self.flush(self.connection)
-        return await asyncio.wait_for(self.got.get(), 5.0)
+        return await asyncio.wait_for(self.received.get(), 5.0)
 
     def datagram_received(self, data: bytes, addr: Address) -> None:
         self.datagrams.append(data)
@@ -194,12 +198,12 @@
             return
         self.connection.receive_datagram(data, addr, self.loop.time())
         close = self.connection._close_event  # told as an event only after the closing period
-        if close is not None and not self.ended.done():
-            self.ended.set_result(close)
+        if close is not None and not self.terminated.done():
+            self.terminated.set_result(close)
         self.flush(self.connection)
 
-    def happened(self, connection: QuicConnection, event: events.QuicEvent) -> None:
+    def handle_event(self, connection: QuicConnection, event: events.QuicEvent) -> None:
         if isinstance(event, events.StreamDataReceived):
-            self.got.put_nowait(event.data)
+            self.received.put_nowait(event.data)
         elif isinstance(event, events.HandshakeCompleted):
-            self.up.set_result(None)
+            self.established.set_result(None)
--- a/tests/stand_ins.py
+++ b/tests/stand_ins.py
@@ -15,12 +15,12 @@
 from typing import Any
 
 from tests.ports import free_port
-from yarrowspindle.lab.processes.run import SETTINGS as LAB
+from yarrowspindle.lab.processes.run import SETTINGS as LAB_SETTINGS
 
 ROOT = Path(__file__).resolve().parent.parent
-WAIT_S = 10.0  # no test waits longer for anything; none waits for a time to pass
-HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"  # of the machine list's answer
-SETTINGS: dict[str, Any] = LAB | {
+TIMEOUT_S = 10.0  # no test waits longer for anything; none waits for a time to pass
+WATCH_RESPONSE_HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"  # of the machine list's answer
+SETTINGS: dict[str, Any] = LAB_SETTINGS | {
     "zone": 0,
     "balancers": 1,
     "slot_no": 0,
@@ -36,88 +36,88 @@
 }
 
 
-class Peer:
+class LinePeer:
     """One end of a connection that speaks lines."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, first: bytes = b"") -> None:
-        self.reader, self.writer, self.first = reader, writer, first  # first: a line that was read already
+        self.reader, self.writer, self.first_line = reader, writer, first  # first: a line that was read already
 
-    def say(self, *lines: str) -> None:
+    def send_lines(self, *lines: str) -> None:
         self.writer.write("".join(f"{line}\r\n" for line in lines).encode())
 
-    async def hear(self) -> str:
+    async def read_line(self) -> str:
         """The next line; empty where the connection has ended or broken."""
-        first, self.first = self.first, b""
+        first, self.first_line = self.first_line, b""
         if first:
             return first.decode().rstrip("\r\n")
         try:
-            return (await asyncio.wait_for(self.reader.readline(), WAIT_S)).decode().rstrip("\r\n")
+            return (await asyncio.wait_for(self.reader.readline(), TIMEOUT_S)).decode().rstrip("\r\n")
         except ConnectionError:
             return ""
 
 
-class Server:
+class LineServer:
     """Hands each connection that comes in to whoever waits for it; probes it answers itself, with `stats`."""
 
     def __init__(self) -> None:
-        self.came: asyncio.Queue[Peer] = asyncio.Queue()
+        self.accepted: asyncio.Queue[LinePeer] = asyncio.Queue()
         self.port = 0
-        self.probed = self.probe_connections = 0
-        self.stats: str | None = None  # None: it says nothing to a probe
+        self.probes_received = self.probe_connections = 0
+        self.stats_reply: str | None = None  # None: it says nothing to a probe
 
-    async def open(self) -> Server:
+    async def open(self) -> LineServer:
         self.port = free_port()
-        self.server = await asyncio.start_server(self._take, "127.0.0.1", self.port)
+        self.server = await asyncio.start_server(self._accept, "127.0.0.1", self.port)
         return self
 
-    async def _take(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
-            first = await reader.readline()
+            line = await reader.readline()
         except (ConnectionError, ValueError):
-            first = b""
-        if first != b"STATS\r\n":
-            self.came.put_nowait(Peer(reader, writer, first))
+            line = b""
+        if line != b"STATS\r\n":
+            self.accepted.put_nowait(LinePeer(reader, writer, line))
             return
         self.probe_connections += 1
-        while first == b"STATS\r\n":
-            self.probed += 1
-            if self.stats is not None:
-                writer.write(f"{self.stats}\r\n".encode())
+        while line == b"STATS\r\n":
+            self.probes_received += 1
+            if self.stats_reply is not None:
+                writer.write(f"{self.stats_reply}\r\n".encode())
             try:
-                first = await reader.readline()
+                line = await reader.readline()
             except ConnectionError:
                 break
         writer.close()
 
-    async def next(self) -> Peer:
-        return await asyncio.wait_for(self.came.get(), WAIT_S)
+    async def next_connection(self) -> LinePeer:
+        return await asyncio.wait_for(self.accepted.get(), TIMEOUT_S)
 
-    async def asked(self) -> tuple[Peer, str]:
+    async def next_request(self) -> tuple[LinePeer, str]:
         """The next connection that carries a request, and the first line of it.
 
         One that the relay ended without a byte was no attempt: a drain was told while it came up, for instance.
         """
-        peer = await self.next()
-        while not peer.first and peer.reader.at_eof():
-            peer = await self.next()
-        return peer, await peer.hear()
+        peer = await self.next_connection()
+        while not peer.first_line and peer.reader.at_eof():
+            peer = await self.next_connection()
+        return peer, await peer.read_line()
 
 
-class World:
+class RelayEnvironment:
     """One relay, two execute nodes and the machine list."""
 
     def __init__(self) -> None:
-        self.backends = {"s-1": Server(), "s-2": Server()}
-        self.list = Server()
+        self.backends = {"s-1": LineServer(), "s-2": LineServer()}
+        self.discovery = LineServer()
         self.port = 0
         self.process: asyncio.subprocess.Process
-        self.file = Path()
+        self.config_file = Path()
         self.log: asyncio.Queue[str] = asyncio.Queue()
-        self.version = 1
-        self.ids = itertools.count(0x9B1F03AA5C7E2D41)  # new with each connection
-        self.watch: Peer
+        self.revision = 1
+        self.request_ids = itertools.count(0x9B1F03AA5C7E2D41)  # new with each connection
+        self.watch: LinePeer
 
-    def member(self, name: str, phase: str = "ready") -> dict[str, Any]:
+    def endpoint(self, name: str, phase: str = "ready") -> dict[str, Any]:
         return {
             "id": name,
             "host_port": f"127.0.0.1:{self.backends[name].port}",
@@ -129,48 +129,48 @@
             "up_since_ms": 0,
         }
 
-    def members(self, complete: bool, *members: dict[str, Any]) -> bytes:
-        self.version += 1
-        line = json.dumps({"revision": self.version, "complete": complete, "members": list(members)}) + "\n"
+    def endpoint_list_chunk(self, complete: bool, *endpoints: dict[str, Any]) -> bytes:
+        self.revision += 1
+        line = json.dumps({"revision": self.revision, "complete": complete, "members": list(endpoints)}) + "\n"
         return f"{len(line):x}\r\n{line}\r\n".encode()
 
-    async def watched(self) -> str:
+    async def next_watch(self) -> str:
         """The relay's next watch; its request line."""
-        self.watch = await self.list.next()
-        request = await self.watch.hear()
-        while await self.watch.hear():
+        self.watch = await self.discovery.next_connection()
+        request = await self.watch.read_line()
+        while await self.watch.read_line():
             pass
         return request
 
-    def tell(self, name: str, phase: str) -> None:
-        self.watch.writer.write(self.members(False, self.member(name, phase)))
+    def update_endpoint(self, name: str, phase: str) -> None:
+        self.watch.writer.write(self.endpoint_list_chunk(False, self.endpoint(name, phase)))
 
-    def answer_watch(self, *members: dict[str, Any]) -> None:
-        self.watch.writer.write(HEAD + self.members(True, *members))
+    def answer_watch(self, *endpoints: dict[str, Any]) -> None:
+        self.watch.writer.write(WATCH_RESPONSE_HEAD + self.endpoint_list_chunk(True, *endpoints))
 
-    async def client(self, *lines: str) -> Peer:
-        peer = Peer(*await asyncio.open_connection("127.0.0.1", self.port))
-        peer.say(*lines)
+    async def connect_client(self, *lines: str) -> LinePeer:
+        peer = LinePeer(*await asyncio.open_connection("127.0.0.1", self.port))
+        peer.send_lines(*lines)
         return peer
 
-    async def request(self, more: str = "", wait_ms: int = 1500) -> Peer:
-        name = f"{next(self.ids):016x} 7f3a9c21e0b4d655"
-        return await self.client(f"OPEN {name} c=chat,t=acme,d={wait_ms},g=5c0f{more}")
+    async def open_request(self, extra_fields: str = "", deadline_ms: int = 1500) -> LinePeer:
+        ids = f"{next(self.request_ids):016x} 7f3a9c21e0b4d655"
+        return await self.connect_client(f"OPEN {ids} c=chat,t=acme,d={deadline_ms},g=5c0f{extra_fields}")
 
-    async def placed(self) -> tuple[str, Peer, str]:
+    async def next_attempt(self) -> tuple[str, LinePeer, str]:
         """The node that the next attempt reaches, the connection, and its first line."""
-        waits = {asyncio.ensure_future(backend.asked()): name for name, backend in self.backends.items()}
-        done, rest = await asyncio.wait(waits, timeout=WAIT_S, return_when=asyncio.FIRST_COMPLETED)
-        for wait in rest:
-            wait.cancel()
-        (first,) = done
-        return waits[first], *first.result()
-
-    async def standing(self) -> tuple[Peer, str, Peer]:
-        client = await self.request()
-        name, backend, _ = await self.placed()
-        backend.say("UP r1")
-        assert await client.hear() == "UP r1"
+        tasks = {asyncio.ensure_future(backend.next_request()): name for name, backend in self.backends.items()}
+        done, pending = await asyncio.wait(tasks, timeout=TIMEOUT_S, return_when=asyncio.FIRST_COMPLETED)
+        for task in pending:
+            task.cancel()
+        (completed,) = done
+        return tasks[completed], *completed.result()
+
+    async def established_connection(self) -> tuple[LinePeer, str, LinePeer]:
+        client = await self.open_request()
+        name, backend, _ = await self.next_attempt()
+        backend.send_lines("UP r1")
+        assert await client.read_line() == "UP r1"
         return client, name, backend
 
     def stop(self) -> None:
@@ -178,13 +178,13 @@
 
     def reload(self, text: str = "", **changes: Any) -> None:
         """Replaces the configuration's file as operators do, and tells the relay."""
-        new = self.file.with_suffix(".new")
-        new.write_text(text or json.dumps(json.loads(self.file.read_text()) | changes))
-        new.replace(self.file)
+        new_file = self.config_file.with_suffix(".new")
+        new_file.write_text(text or json.dumps(json.loads(self.config_file.read_text()) | changes))
+        new_file.replace(self.config_file)
         self.process.send_signal(signal.SIGHUP)
 
-    async def logged(self, text: str) -> str:
-        while text not in (line := await asyncio.wait_for(self.log.get(), WAIT_S)):
+    async def next_log_line(self, text: str) -> str:
+        while text not in (line := await asyncio.wait_for(self.log.get(), TIMEOUT_S)):
             pass
         return line
 
@@ -192,68 +192,68 @@
 @asynccontextmanager
 async def relay(
     tmp: Path, operator: str = "", sockets: int = 0, seed: str = "8c1f30d27a5be964", **changes: Any
-) -> AsyncIterator[World]:
+) -> AsyncIterator[RelayEnvironment]:
     """The real program, serving; it is told of both nodes in its cached list."""
-    world = World()
-    for server in (*world.backends.values(), world.list):
+    env = RelayEnvironment()
+    for server in (*env.backends.values(), env.discovery):
         await server.open()
-    world.port = free_port()
-    known = {"revision": 1, "complete": True, "members": [world.member(n) for n in world.backends]}
+    env.port = free_port()
+    cached_list = {"revision": 1, "complete": True, "members": [env.endpoint(n) for n in env.backends]}
     config = {
         "name": "n0",
-        "listen": f"127.0.0.1:{world.port}",
-        "discovery": f"127.0.0.1:{world.list.port}",
+        "listen": f"127.0.0.1:{env.port}",
+        "discovery": f"127.0.0.1:{env.discovery.port}",
         "seed": seed,
         "settings": SETTINGS | changes,
-        "known": known,
+        "known": cached_list,
         "limits": {"sockets": sockets},
     }
-    world.file = tmp / "config.json"
-    world.file.write_text(json.dumps(config))
+    env.config_file = tmp / "config.json"
+    env.config_file.write_text(json.dumps(config))
     (tmp / "operator.toml").write_text(operator)
-    told = {"ROUTER_CONFIG": str(tmp / "config.json"), "YARROWSPINDLE_OPERATOR": str(tmp / "operator.toml")}
-    env = os.environ | told
+    variables = {"ROUTER_CONFIG": str(tmp / "config.json"), "YARROWSPINDLE_OPERATOR": str(tmp / "operator.toml")}
+    process_env = os.environ | variables
 
-    def limit() -> None:
+    def limit_descriptors() -> None:
         resource.setrlimit(resource.RLIMIT_NOFILE, (sockets, sockets))
 
-    world.process = await asyncio.create_subprocess_exec(
+    env.process = await asyncio.create_subprocess_exec(
         sys.executable,
         "-B",
         "-m",
         "yarrowspindle",
         cwd=ROOT,
-        env=env,
+        env=process_env,
         stderr=asyncio.subprocess.PIPE,
-        preexec_fn=limit if sockets else None,
+        preexec_fn=limit_descriptors if sockets else None,
     )
-    said: list[str] = []
+    log_lines: list[str] = []
 
-    async def read() -> None:
-        assert world.process.stderr is not None
-        while line := (await world.process.stderr.readline()).decode():
-            said.append(line)
-            world.log.put_nowait(line)
-        world.log.put_nowait("serves at: no, it has ended")
+    async def read_log() -> None:
+        assert env.process.stderr is not None
+        while line := (await env.process.stderr.readline()).decode():
+            log_lines.append(line)
+            env.log.put_nowait(line)
+        env.log.put_nowait("serves at: the relay process has ended")
 
-    reading = asyncio.ensure_future(read())
-    assert "no, it has ended" not in await world.logged("serves at")
+    log_task = asyncio.ensure_future(read_log())
+    assert "the relay process has ended" not in await env.next_log_line("serves at")
     try:
-        yield world
-        assert world.process.returncode in (None, 0), "the relay stays up"
+        yield env
+        assert env.process.returncode in (None, 0), "the relay stays up"
     finally:
-        if world.process.returncode is None:
-            world.process.kill()
-            await world.process.wait()
-        await reading
-        print("".join(said))  # pytest shows it where the test fails
-        assert "Traceback" not in "".join(said), "".join(said)
-        assert not [line for line in said if " invariant " in line], "".join(said)
+        if env.process.returncode is None:
+            env.process.kill()
+            await env.process.wait()
+        await log_task
+        print("".join(log_lines))  # pytest shows it where the test fails
+        assert "Traceback" not in "".join(log_lines), "".join(log_lines)
+        assert not [line for line in log_lines if " invariant " in line], "".join(log_lines)
 
 
-def run(tmp: Path, body: Callable[[World], Awaitable[None]], operator: str = "", **changes: Any) -> None:
-    async def inside() -> None:
-        async with relay(tmp, operator, **changes) as world:
-            await body(world)
+def run(tmp: Path, body: Callable[[RelayEnvironment], Awaitable[None]], operator: str = "", **changes: Any) -> None:
+    async def scenario() -> None:
+        async with relay(tmp, operator, **changes) as env:
+            await body(env)
 
-    asyncio.run(inside())
+    asyncio.run(scenario())
--- a/tests/storage/test_durable_file.py
+++ b/tests/storage/test_durable_file.py
@@ -48,11 +48,11 @@
         with pytest.raises(OSError):
             file.load()
         async with relay(tmp_path, operator(tmp_path, free_port()), **COLD) as service:
-            await service.logged("cannot be read")
-            assert (await (await service.request(wait_ms=500)).hear()).startswith("BUSY")
+            await service.next_log_line("cannot be read")
+            assert (await (await service.open_request(deadline_ms=500)).read_line()).startswith("BUSY")
             make_readable(file.path)
-            await service.logged("has its voter's file")
-            await service.standing()
+            await service.next_log_line("has its voter's file")
+            await service.established_connection()
         assert not list(file.directory.glob("*.bad"))
 
     asyncio.run(scenario())
--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -53,8 +53,8 @@
 
 
 def modules() -> list[Path]:
-    found = sorted(PRODUCT.rglob("*.py"))
-    return [path for path in found if path not in (PRODUCT / "__init__.py", PRODUCT / "interface.py")]
+    paths = sorted(PRODUCT.rglob("*.py"))
+    return [path for path in paths if path not in (PRODUCT / "__init__.py", PRODUCT / "interface.py")]
 
 
 def test_each_package_has_its_place() -> None:
@@ -64,5 +64,5 @@
 @pytest.mark.parametrize("path", modules(), ids=lambda path: str(path.relative_to(PRODUCT)))
 def test_imports_run_down_only(path: Path) -> None:
     package = package_of(path)
-    above = {other for other in imported_packages(path) if other != package and RANKS[other] <= RANKS[package]}
-    assert not above, f"{package} imports from {sorted(above)}"
+    upward_imports = {other for other in imported_packages(path) if other != package and RANKS[other] <= RANKS[package]}
+    assert not upward_imports, f"{package} imports from {sorted(upward_imports)}"
