--- a/benchmarks/capacity/__main__.py
+++ b/benchmarks/capacity/__main__.py
@@ -13,7 +13,9 @@
 from collections.abc import Sequence
 from typing import Any
 
-from benchmarks.capacity import change, data, slopes
+from benchmarks.capacity import configuration_changes as change
+from benchmarks.capacity import data_path as data
+from benchmarks.capacity import scaling as slopes
 from benchmarks.common import finish, options
 
 PARTS = ("slopes", "change", "faults", "data")
--- a/benchmarks/capacity/change.py
+++ b/benchmarks/capacity/configuration_changes.py
@@ -1,6 +1,6 @@
 """A change of configuration on its way to all relays, on the virtual clock: how soon it is in force, and what it costs.
 
-    python -m benchmarks.capacity.change [--seed N] [--size small|machine|large] [--json] [--relays N]
+    python -m benchmarks.capacity.configuration_changes [--seed N] [--size small|machine|large] [--json] [--relays N]
 
 `in force`: all living relays serve by it, counted from the operator's order (where the controller that took the order
 died, from when it was agreed on). Bytes are sent and taken together, with the headers of IP and UDP. Processor time is
@@ -19,9 +19,9 @@
 from statistics import fmean, median
 from typing import Any
 
-from benchmarks.capacity import sockets
-from benchmarks.capacity.hollow import HEADER
-from benchmarks.capacity.slopes import AHEAD, ALLOWED, WRONG, fitted
+from benchmarks.capacity import configuration_sockets as sockets
+from benchmarks.capacity.membership_relays import HEADER
+from benchmarks.capacity.scaling import AHEAD, ALLOWED, WRONG, fitted
 from benchmarks.common import finish, options
 from benchmarks.signals import datagram_s, deep_kb
 from yarrowspindle.lab.model.configuration_cluster import (
--- a/benchmarks/capacity/data.py
+++ b/benchmarks/capacity/data_path.py
@@ -1,6 +1,6 @@
 """What lines cost on the real relay: memory and processor time by connection, set-up and line, and delays of lines.
 
-    python -m benchmarks.capacity.data [--seed N] [--size small|machine|large] [--json] [--line BYTES]
+    python -m benchmarks.capacity.data_path [--seed N] [--size small|machine|large] [--json] [--line BYTES]
 
 The relay is the program itself in a process of its own; execute nodes and submitters stand in other processes, and all
 of it on loopback. A bare splicer takes the relay's place afterwards, with the same stand-ins. Costs are processor time
--- a/benchmarks/capacity/slopes.py
+++ b/benchmarks/capacity/scaling.py
@@ -1,6 +1,7 @@
 """How what control costs a relay grows with the fleet, by hollow relays: each to all, and in cells.
 
-    python -m benchmarks.capacity.slopes [--seed N] [--size small|machine|large] [--json] [--plot FILE.png] [--relays N]
+    python -m benchmarks.capacity.scaling [--seed N] [--size small|machine|large] [--json] [--plot FILE.png]
+                                         [--relays N]
 
 Bytes are sent and taken together, with the headers of IP and UDP. Three sizes are fitted, a fourth checks the fit: more
 than 15 % off it is called wrong. `over` names who misses what control may cost a relay; only for cells, which are there
@@ -22,7 +23,7 @@
 from typing import Any
 
 from benchmarks import signals
-from benchmarks.capacity.hollow import CELL, HELD, Day, cells_of, on_sockets, play
+from benchmarks.capacity.membership_relays import CELL, HELD, Day, cells_of, on_sockets, play
 from benchmarks.common import finish, options
 from benchmarks.signals import deep_kb
 from yarrowspindle.consensus.acceptor import AcceptorState
--- a/tests/benchmarks/test_capacity.py
+++ b/tests/benchmarks/test_capacity.py
@@ -4,7 +4,8 @@
 
 import pytest
 
-from benchmarks.capacity import change, sockets
+from benchmarks.capacity import configuration_changes as change
+from benchmarks.capacity import configuration_sockets as sockets
 from yarrowspindle.lab.model.membership_simulation import MembershipSimulation
 
 
