--- a/benchmarks/capacity/configuration_changes.py
+++ b/benchmarks/capacity/configuration_changes.py
@@ -19,11 +19,11 @@
 from statistics import fmean, median
 from typing import Any
 
-from benchmarks.capacity import configuration_sockets as sockets
-from benchmarks.capacity.membership_relays import HEADER
-from benchmarks.capacity.scaling import AHEAD, ALLOWED, WRONG, fitted
-from benchmarks.common import finish, options
-from benchmarks.signals import datagram_s, deep_kb
+from benchmarks.capacity import configuration_sockets
+from benchmarks.capacity.membership_relays import HEADER_BYTES
+from benchmarks.capacity.scaling import LIMITS, MAX_FIT_ERROR, TARGET_RELAYS, fit_curve
+from benchmarks.common import argument_parser, print_result
+from benchmarks.signals import datagram_cpu_s, deep_size_kb
 from yarrowspindle.lab.model.configuration_cluster import (
     ZONES,
     Change,
@@ -34,339 +34,373 @@
 )
 from yarrowspindle.lab.model.configuration_scenarios import run_seeds
 
-RELAYS = {"small": 96, "machine": AHEAD, "large": 2 * AHEAD}
-SLOPES = {"small": (24, 48), "machine": (100, 200, 400), "large": (100, 200, 400)}  # fitted; checked at the whole fleet
+FLEET_RELAYS = {"small": 96, "machine": TARGET_RELAYS, "large": 2 * TARGET_RELAYS}
+FIT_RELAYS = {
+    "small": (24, 48),
+    "machine": (100, 200, 400),
+    "large": (100, 200, 400),
+}  # fitted; checked at the whole fleet
 PROCESSES = 3
-CONTENT, STEP = 8000, 200  # characters of all entries, and of a change
-IN_FORCE_S, START_S, FLAT = 3.0, 10.0, 0.10
-BURST, BURST_S = 10.0, {"small": 2.0}  # changes a second, and for how long
-STEADY_S, CUT_S = {"small": 5.0}, {"small": 15.0}
-STANDS_MS = 5000.0
-STEPS = ("Order", "Prepare", "Promise", "Accept", "Accepted", "Learn", "Difference", "Sum", "Newest")
-SMALL_STEPS = ("Accept", "Accepted", "Learn", "Difference")
-RESTARTS, RESTARTS_S = 150, 60.0
-DAYS = {"small": 16, "machine": 1000, "large": 10_000}
-SOCKETS = {"machine": ((200, 4), (400, 6)), "large": ((200, 4), (400, 6))}  # hollow relays, and processes of them
-
-
-class Day:
+CONTENT_CHARACTERS, CHANGE_CHARACTERS = 8000, 200  # characters of all entries, and of a change
+MAX_IN_FORCE_S, MAX_START_S, MAX_GROWTH = 3.0, 10.0, 0.10
+BURST_CHANGES_PER_S, BURST_DURATION_S = 10.0, {"small": 2.0}  # changes a second, and for how long
+STEADY_DURATION_S, PARTITION_DURATION_S = {"small": 5.0}, {"small": 15.0}
+STALL_MS = 5000.0
+MESSAGE_KINDS = ("Order", "Prepare", "Promise", "Accept", "Accepted", "Learn", "Difference", "Sum", "Newest")
+SMALL_MESSAGE_KINDS = ("Accept", "Accepted", "Learn", "Difference")
+RESTART_COUNT, RESTART_PERIOD_S = 150, 60.0
+SAFETY_RUNS = {"small": 16, "machine": 1000, "large": 10_000}
+SOCKET_FLEETS = {"machine": ((200, 4), (400, 6)), "large": ((200, 4), (400, 6))}  # hollow relays, and processes of them
+
+
+class Simulation:
     """One fleet, with entries as a real one has them; and what was asked of it."""
 
     def __init__(self, relays: int, seed: int, started: bool = True, measures: bool = False) -> None:
         self.world = ConfigurationCluster(relays, seed, measure_cpu=measures)
-        self.drawn, self.numbers, self.seed = Random(f"changes {seed}"), 0, seed
-        self.asked = list[tuple[str, Change]]()
+        self.random, self.change_count, self.seed = Random(f"changes {seed}"), 0, seed
+        self.requested = list[tuple[str, Change]]()
         for name in self.world.locations:
             if started or name[0] == "c":
                 self.world.start(name)
         self.world.run(3.0)
-        for _ in range(CONTENT // 2000):
-            self.order("c00", 2000)
+        for _ in range(CONTENT_CHARACTERS // 2000):
+            self.request_change("c00", 2000)
             self.world.run(0.5)
-        self.asked.clear()
+        self.requested.clear()
 
-    def order(self, controller: str, characters: int = STEP) -> Change:
-        self.numbers += 1
-        value = f'"{self.drawn.getrandbits(4 * characters):0{characters}x}"'
-        change = self.world.request_change(controller, {f"settings.{self.numbers % 8}": value})
-        self.asked.append((controller, change))
+    def request_change(self, controller: str, characters: int = CHANGE_CHARACTERS) -> Change:
+        self.change_count += 1
+        value = f'"{self.random.getrandbits(4 * characters):0{characters}x}"'
+        change = self.world.request_change(controller, {f"settings.{self.change_count % 8}": value})
+        self.requested.append((controller, change))
         return change
 
-    def orders(self, a_second: float, for_s: float, at: Sequence[str] = ()) -> None:
+    def request_changes(self, rate_per_s: float, duration_s: float, controllers: Sequence[str] = ()) -> None:
         """By turns at these controllers, or at all that are alive."""
-        ends = self.world.clock.seconds + for_s
-        while self.world.clock.seconds < ends:
-            some = at or [host.name for host in self.world.controllers]
-            self.order(some[self.numbers % len(some)])
-            self.world.run(1.0 / a_second)
+        end_s = self.world.clock.seconds + duration_s
+        while self.world.clock.seconds < end_s:
+            names = controllers or [host.name for host in self.world.controllers]
+            self.request_change(names[self.change_count % len(names)])
+            self.world.run(1.0 / rate_per_s)
 
-    def took_s(self, change: Change, controller: str) -> float:
+    def delay_s(self, change: Change, controller: str) -> float:
         """Until it was in force; below 0: it is not."""
         if change.in_force_s < 0.0:
             return -1.0
-        lost = change.answered_s < 0.0 and controller == self.world.crashed_process
-        return change.in_force_s - (change.committed_s if lost else change.requested_s)
+        answer_lost = change.answered_s < 0.0 and controller == self.world.crashed_process
+        return change.in_force_s - (change.committed_s if answer_lost else change.requested_s)
 
-    def row(
+    def result(
         self,
-        what: str,
-        broken: list[str],
-        more: dict[str, Any] | None = None,
-        took: Iterable[float] | None = None,
-        within_s: float = IN_FORCE_S,
+        scenario: str,
+        failures: list[str],
+        extra: dict[str, Any] | None = None,
+        delays_s: Iterable[float] | None = None,
+        within_s: float = MAX_IN_FORCE_S,
     ) -> dict[str, Any]:
         """took: where something else than the orders in force is counted."""
         world = self.world
         # What a controller was told and did not say to anybody before it died is nobody's; the operator has no answer.
-        gone = [c for name, c in self.asked if (c.committed_s < 0.0 and not world.hosts[name].alive) or c.answer]
-        times = (
-            list(took)
-            if took is not None
-            else [self.took_s(change, name) for name, change in self.asked if change not in gone]
+        unanswered = [
+            change
+            for name, change in self.requested
+            if (change.committed_s < 0.0 and not world.hosts[name].alive) or change.answer
+        ]
+        delays = (
+            list(delays_s)
+            if delays_s is not None
+            else [self.delay_s(change, name) for name, change in self.requested if change not in unanswered]
         )
         newest = world.newest_version()
         behind = sum(relay.applied_version < newest for relay in world.relays)
-        never = sum(t < 0.0 for t in times)
-        good = [t for t in times if t >= 0.0] or [0.0]
-        found = {
-            "what": what,
+        never_in_force = sum(delay < 0.0 for delay in delays)
+        completed = [delay for delay in delays if delay >= 0.0] or [0.0]
+        row = {
+            "what": scenario,
             "relays": len(world.relays),
-            "changes": len(times),
-            "p50_s": round(median(good), 3),
-            "max_s": round(max(good), 3),
-            "never": never,
+            "changes": len(delays),
+            "p50_s": round(median(completed), 3),
+            "max_s": round(max(completed), 3),
+            "never": never_in_force,
             "behind": behind,
             "older": world.checker.version_regressions,
             "two": world.checker.conflicting_commits,
             "violations": world.checker.violations[:3],
-            "unanswered": len(gone),
+            "unanswered": len(unanswered),
             "seed": self.seed,
-        } | (more or {})
-        if max(good) > within_s or never or behind:
-            broken.append(
-                f"{what}, {found['relays']} relays: in force after {max(good):.2f} s at the latest "
-                f"({within_s:g} s allowed), {never} changes never, {behind} relays behind"
+        } | (extra or {})
+        if max(completed) > within_s or never_in_force or behind:
+            failures.append(
+                f"{scenario}, {row['relays']} relays: in force after {max(completed):.2f} s at the latest "
+                f"({within_s:g} s allowed), {never_in_force} changes never, {behind} relays behind"
             )
         if world.checker.violations:
-            broken.append(f"{what}: {world.checker.violations[0]}")
-        return found
+            failures.append(f"{scenario}: {world.checker.violations[0]}")
+        return row
 
 
-def burst(relays: int, seed: int, size: str, broken: list[str]) -> dict[str, Any]:
-    day = Day(relays, seed)
-    day.orders(BURST, BURST_S.get(size, 10.0))
-    day.world.run(IN_FORCE_S)
-    return day.row("10 a second", broken)
+def burst(relays: int, seed: int, size: str, failures: list[str]) -> dict[str, Any]:
+    simulation = Simulation(relays, seed)
+    simulation.request_changes(BURST_CHANGES_PER_S, BURST_DURATION_S.get(size, 10.0))
+    simulation.world.run(MAX_IN_FORCE_S)
+    return simulation.result("10 a second", failures)
 
 
-def loss(relays: int, seed: int, size: str, broken: list[str]) -> dict[str, Any]:
-    day = Day(relays, seed)
-    day.world.loss_probability = 0.05
-    day.orders(BURST, BURST_S.get(size, 10.0))
-    day.world.run(IN_FORCE_S)
-    return day.row("10 a second, 5 % lost", broken)
+def loss(relays: int, seed: int, size: str, failures: list[str]) -> dict[str, Any]:
+    simulation = Simulation(relays, seed)
+    simulation.world.loss_probability = 0.05
+    simulation.request_changes(BURST_CHANGES_PER_S, BURST_DURATION_S.get(size, 10.0))
+    simulation.world.run(MAX_IN_FORCE_S)
+    return simulation.result("10 a second, 5 % lost", failures)
 
 
-def _dies(relays: int, seed: int, size: str, broken: list[str], crash_stall_ms: float) -> dict[str, Any]:
+def _stop_controller_at_each_message(
+    relays: int, seed: int, size: str, failures: list[str], stall_ms: float
+) -> dict[str, Any]:
     """A controller dies (or stands still) at its first or third message of each kind, and is back 3 s later."""
-    day, row, died = Day(relays, seed), list[float](), list[str]()
-    world = day.world
-    world.crash_stall_ms = crash_stall_ms
+    simulation, delays_s, stopped = Simulation(relays, seed), list[float](), list[str]()
+    world = simulation.world
+    world.crash_stall_ms = stall_ms
     unanswered = 0
-    for kind in SMALL_STEPS if size == "small" else STEPS:
+    for kind in SMALL_MESSAGE_KINDS if size == "small" else MESSAGE_KINDS:
         for nth in (1,) if size == "small" else (1, 3):
-            day.asked.clear()
+            simulation.requested.clear()
             world.crashed_process, world.crash_at = "", (kind, nth)
             for _ in range(6):
-                day.order(day.drawn.choice([host.name for host in world.controllers]))
+                simulation.request_change(simulation.random.choice([host.name for host in world.controllers]))
                 world.run(0.2)
             world.crash_at = ("", 0)
-            world.run(3.5 + crash_stall_ms / 1000.0)
-            died.append(f"{world.crashed_process or 'nobody'} at {kind} {nth}")
-            for name, change in day.asked:
+            world.run(3.5 + stall_ms / 1000.0)
+            stopped.append(f"{world.crashed_process or 'nobody'} at {kind} {nth}")
+            for name, change in simulation.requested:
                 if change.committed_s < 0.0 and (name == world.crashed_process or change.answer):
                     unanswered += 1
-                elif name != world.crashed_process or not crash_stall_ms or change.in_force_s >= 0.0:
-                    row.append(
-                        day.took_s(change, name)
-                        if name != world.crashed_process or not crash_stall_ms
+                elif name != world.crashed_process or not stall_ms or change.in_force_s >= 0.0:
+                    delays_s.append(
+                        simulation.delay_s(change, name)
+                        if name != world.crashed_process or not stall_ms
                         else change.in_force_s - max(change.committed_s, change.requested_s)
                     )
-            if world.crashed_process and not crash_stall_ms:
+            if world.crashed_process and not stall_ms:
                 world.start(world.crashed_process)
                 world.run(1.5)
-    day.asked.clear()
-    what = "a controller stops at each step" if crash_stall_ms else "a controller dies at each step"
-    return day.row(what, broken, {"died": died, "unanswered": unanswered}, row)
+    simulation.requested.clear()
+    scenario = "a controller stops at each step" if stall_ms else "a controller dies at each step"
+    return simulation.result(scenario, failures, {"died": stopped, "unanswered": unanswered}, delays_s)
 
 
-def dies(relays: int, seed: int, size: str, broken: list[str]) -> dict[str, Any]:
-    return _dies(relays, seed, size, broken, 0.0)
+def controller_crash(relays: int, seed: int, size: str, failures: list[str]) -> dict[str, Any]:
+    return _stop_controller_at_each_message(relays, seed, size, failures, 0.0)
 
 
-def stops(relays: int, seed: int, size: str, broken: list[str]) -> dict[str, Any]:
-    return _dies(relays, seed, size, broken, STANDS_MS)
+def controller_stall(relays: int, seed: int, size: str, failures: list[str]) -> dict[str, Any]:
+    return _stop_controller_at_each_message(relays, seed, size, failures, STALL_MS)
 
 
-def restarts(relays: int, seed: int, size: str, broken: list[str]) -> dict[str, Any]:
+def relay_restarts(relays: int, seed: int, size: str, failures: list[str]) -> dict[str, Any]:
     """An eighth of the relays within a minute, one after the other, and a change a second."""
-    day = Day(relays, seed)
-    world, count = day.world, relays * RESTARTS // AHEAD
-    chosen = day.drawn.sample([relay.name for relay in world.relays], count)
+    simulation = Simulation(relays, seed)
+    world, count = simulation.world, relays * RESTART_COUNT // TARGET_RELAYS
+    restarted = simulation.random.sample([relay.name for relay in world.relays], count)
     world.catch_up_s.clear()
-    for n, name in enumerate(chosen):
-        if n % max(count * 1 // int(RESTARTS_S), 1) == 0:
-            day.order("c01")
+    for n, name in enumerate(restarted):
+        if n % max(count * 1 // int(RESTART_PERIOD_S), 1) == 0:
+            simulation.request_change("c01")
         world.kill(name)
         world.clock.after(500.0, world.restart, name)
-        world.run(RESTARTS_S / count if size != "small" else 0.2)
-    world.run(IN_FORCE_S)
-    late = max(world.catch_up_s[name] for name in chosen)
-    if late > START_S:
-        broken.append(f"restarts: the newest is known {late:.1f} s after a start")
-    return day.row(f"{count} restarts in a minute", broken, {"known_most_s": round(late, 2)})
+        world.run(RESTART_PERIOD_S / count if size != "small" else 0.2)
+    world.run(MAX_IN_FORCE_S)
+    latest_known_s = max(world.catch_up_s[name] for name in restarted)
+    if latest_known_s > MAX_START_S:
+        failures.append(f"restarts: the newest is known {latest_known_s:.1f} s after a start")
+    return simulation.result(f"{count} restarts in a minute", failures, {"known_most_s": round(latest_known_s, 2)})
 
 
-def zone(relays: int, seed: int, size: str, broken: list[str]) -> dict[str, Any]:
+def zone_loss(relays: int, seed: int, size: str, failures: list[str]) -> dict[str, Any]:
     """A zone with its relays and controllers is gone in one instant, and is back 10 s later."""
-    day = Day(relays, seed)
-    world = day.world
-    gone = [name for name, (_, where) in world.locations.items() if where == ZONES[0]]
-    others = [m.name for m in world.controller_addresses if m.zone != ZONES[0]]
-    day.orders(BURST, 1.0, others)
-    for name in gone:
+    simulation = Simulation(relays, seed)
+    world = simulation.world
+    lost_names = [name for name, (_, zone_name) in world.locations.items() if zone_name == ZONES[0]]
+    other_controllers = [controller.name for controller in world.controller_addresses if controller.zone != ZONES[0]]
+    simulation.request_changes(BURST_CHANGES_PER_S, 1.0, other_controllers)
+    for name in lost_names:
         world.kill(name)
-    day.orders(BURST, 5.0, others)
-    world.run(IN_FORCE_S)
+    simulation.request_changes(BURST_CHANGES_PER_S, 5.0, other_controllers)
+    world.run(MAX_IN_FORCE_S)
     world.catch_up_s.clear()
-    for name in gone:
+    for name in lost_names:
         world.start(name)
-    world.run(START_S / 2.0)
-    known = [world.catch_up_s.get(name, 99.0) for name in gone if name[0] == "r"]
-    if max(known) > START_S:
-        broken.append(f"zone: the newest is known {max(known):.1f} s after its return")
-    return day.row("a zone is lost", broken, {"gone": len(gone), "known_most_s": round(max(known), 2)})
+    world.run(MAX_START_S / 2.0)
+    known_s = [world.catch_up_s.get(name, 99.0) for name in lost_names if name[0] == "r"]
+    if max(known_s) > MAX_START_S:
+        failures.append(f"zone: the newest is known {max(known_s):.1f} s after its return")
+    return simulation.result(
+        "a zone is lost", failures, {"gone": len(lost_names), "known_most_s": round(max(known_s), 2)}
+    )
 
 
-def regions(relays: int, seed: int, size: str, broken: list[str]) -> dict[str, Any]:
+def region_partition(relays: int, seed: int, size: str, failures: list[str]) -> dict[str, Any]:
     """The regions do not hear one another; one has the majority of the voters."""
-    day = Day(relays, seed)
-    world, for_s = day.world, CUT_S.get(size, 120.0)
+    simulation = Simulation(relays, seed)
+    world, duration_s = simulation.world, PARTITION_DURATION_S.get(size, 120.0)
     world.regions_partitioned = True
-    began = world.clock.seconds
-    majority = [m.name for m in world.controller_addresses if m.region == "a"]
-    other = [m.name for m in world.controller_addresses if m.region == "b"]
-    alone = [world.request_change(name, {"settings.b": f'"{name}"'}) for name in other[:2]]
-    day.orders(0.5, for_s - 2.0, majority)
-    world.run(began + for_s - world.clock.seconds)
-    held = [max(change.in_force_s_by_region.get("a", 999.0) - change.requested_s, 0.0) for _, change in day.asked]
-    served = len({relay.applied_version for relay in world.relays if relay.region == "b"})
+    cut_at_s = world.clock.seconds
+    majority = [controller.name for controller in world.controller_addresses if controller.region == "a"]
+    minority = [controller.name for controller in world.controller_addresses if controller.region == "b"]
+    minority_changes = [world.request_change(name, {"settings.b": f'"{name}"'}) for name in minority[:2]]
+    simulation.request_changes(0.5, duration_s - 2.0, majority)
+    world.run(cut_at_s + duration_s - world.clock.seconds)
+    majority_delays_s = [
+        max(change.in_force_s_by_region.get("a", 999.0) - change.requested_s, 0.0) for _, change in simulation.requested
+    ]
+    served_versions = len({relay.applied_version for relay in world.relays if relay.region == "b"})
     world.regions_partitioned = False
-    heals = world.clock.seconds
-    late = day.order(other[0])  # the side that was cut off can change things again
-    world.run(2.0 * IN_FORCE_S)
-    after = [change.in_force_s_by_region.get("b", 999.0) - heals for _, change in day.asked]
-    told = [change.answer or "" for change in alone]
-    if max(held) > IN_FORCE_S or max(after) > IN_FORCE_S or not all("may still" in text for text in told):
-        broken.append(
-            f"regions: with the majority after {max(held):.2f} s, elsewhere {max(after):.2f} s after the "
-            f"cut, operators there were told {told}"
+    healed_at_s = world.clock.seconds
+    late_change = simulation.request_change(minority[0])  # the side that was cut off can change things again
+    world.run(2.0 * MAX_IN_FORCE_S)
+    minority_delays_s = [
+        change.in_force_s_by_region.get("b", 999.0) - healed_at_s for _, change in simulation.requested
+    ]
+    answers = [change.answer or "" for change in minority_changes]
+    if (
+        max(majority_delays_s) > MAX_IN_FORCE_S
+        or max(minority_delays_s) > MAX_IN_FORCE_S
+        or not all("may still" in text for text in answers)
+    ):
+        failures.append(
+            f"regions: with the majority after {max(majority_delays_s):.2f} s, elsewhere "
+            f"{max(minority_delays_s):.2f} s after the cut, operators there were told {answers}"
         )
-    return day.row(
-        f"regions cut for {for_s:g} s",
-        broken,
+    return simulation.result(
+        f"regions cut for {duration_s:g} s",
+        failures,
         {
-            "majority_max_s": round(max(held), 3),
-            "after_cut_max_s": round(max(after), 3),
-            "versions_served_there": served,
-            "first_after_s": round(day.took_s(late, other[0]), 3),
+            "majority_max_s": round(max(majority_delays_s), 3),
+            "after_cut_max_s": round(max(minority_delays_s), 3),
+            "versions_served_there": served_versions,
+            "first_after_s": round(simulation.delay_s(late_change, minority[0]), 3),
         },
-        [*held, *after],
+        [*majority_delays_s, *minority_delays_s],
     )
 
 
-def start(relays: int, seed: int, size: str, broken: list[str]) -> dict[str, Any]:
+def cold_start(relays: int, seed: int, size: str, failures: list[str]) -> dict[str, Any]:
     """All relays at once, with nothing kept."""
-    day = Day(relays, seed, started=False)
-    for name in day.world.locations:
+    simulation = Simulation(relays, seed, started=False)
+    for name in simulation.world.locations:
         if name[0] == "r":
-            day.world.start(name)
-    day.world.run(START_S)
-    known = [day.world.catch_up_s.get(r.name, 99.0) for r in day.world.relays]
-    return day.row("all relays start at once", broken, None, known, START_S)
+            simulation.world.start(name)
+    simulation.world.run(MAX_START_S)
+    known_s = [simulation.world.catch_up_s.get(r.name, 99.0) for r in simulation.world.relays]
+    return simulation.result("all relays start at once", failures, None, known_s, MAX_START_S)
 
 
-def _spent(hosts: Sequence[Host], over_s: float, kernel_s: float) -> tuple[list[float], list[float]]:
+def _resource_use(hosts: Sequence[Host], duration_s: float, kernel_cpu_s: float) -> tuple[list[float], list[float]]:
     """Bytes a second, share of a core; of each."""
     counts = [host.link.counts for host in hosts]
-    datagrams = [(count["sent"] + count["came"]) / over_s for count in counts]
-    sizes = [(count["sent_bytes"] + count["came_bytes"]) / over_s for count in counts]
+    datagram_rates = [(count["sent"] + count["came"]) / duration_s for count in counts]
+    payload_rates = [(count["sent_bytes"] + count["came_bytes"]) / duration_s for count in counts]
     return (
-        [size + HEADER * number for size, number in zip(sizes, datagrams, strict=True)],
+        [size + HEADER_BYTES * number for size, number in zip(payload_rates, datagram_rates, strict=True)],
         # the kernel's part was measured for one datagram sent and taken: half of it each
-        [host.cpu_s / over_s + number * kernel_s / 2.0 for host, number in zip(hosts, datagrams, strict=True)],
+        [
+            host.cpu_s / duration_s + number * kernel_cpu_s / 2.0
+            for host, number in zip(hosts, datagram_rates, strict=True)
+        ],
     )
 
 
-def cost(relays: int, seed: int, size: str, broken: list[str]) -> dict[str, Any]:
+def resource_cost(relays: int, seed: int, size: str, failures: list[str]) -> dict[str, Any]:
     """At 6,500 changes a day (one in 13 s), and at 10 a second: what one relay and one controller spend."""
-    day = Day(relays, seed, measures=True)
-    world, kernel_s = day.world, datagram_s()
-    found: dict[str, Any] = {"relays": relays, "seed": seed}
-    for what, a_second in (("steady", 1.0 / 13.0), ("burst", BURST)):
+    simulation = Simulation(relays, seed, measures=True)
+    world, kernel_s = simulation.world, datagram_cpu_s()
+    result: dict[str, Any] = {"relays": relays, "seed": seed}
+    for load, rate_per_s in (("steady", 1.0 / 13.0), ("burst", BURST_CHANGES_PER_S)):
         for host in world.hosts.values():
             host.link.counts.clear()
             host.cpu_s = 0.0
-        over = STEADY_S.get(size, 20.0) if what == "steady" else BURST_S.get(size, 10.0)
-        day.orders(a_second, over)
-        over = max(over, 1.0 / a_second) if what == "steady" else over
+        duration_s = STEADY_DURATION_S.get(size, 20.0) if load == "steady" else BURST_DURATION_S.get(size, 10.0)
+        simulation.request_changes(rate_per_s, duration_s)
+        duration_s = max(duration_s, 1.0 / rate_per_s) if load == "steady" else duration_s
         for kind, cls in (("relay", RelayHost), ("controller", ControllerHost)):
             hosts = [host for host in world.hosts.values() if isinstance(host, cls)]
-            sent, cores = _spent(hosts, over if what == "burst" else 13.0 * len(day.asked), kernel_s)
-            found |= {
-                f"{kind}_{what}_bytes_per_s": round(fmean(sent)),
-                f"{kind}_{what}_most_bytes_per_s": round(max(sent)),
-                f"{kind}_{what}_cpu": round(fmean(cores), 6),
-                f"{kind}_{what}_most_cpu": round(max(cores), 6),
+            bytes_per_s, core_shares = _resource_use(
+                hosts, duration_s if load == "burst" else 13.0 * len(simulation.requested), kernel_s
+            )
+            result |= {
+                f"{kind}_{load}_bytes_per_s": round(fmean(bytes_per_s)),
+                f"{kind}_{load}_most_bytes_per_s": round(max(bytes_per_s)),
+                f"{kind}_{load}_cpu": round(fmean(core_shares), 6),
+                f"{kind}_{load}_most_cpu": round(max(core_shares), 6),
             }
-        day.asked.clear()
+        simulation.requested.clear()
     for kind, host in (
         ("relay", world.relays[0]),
-        ("controller", max(world.controllers, key=lambda one: len(one.core.sessions.relays))),
+        ("controller", max(world.controllers, key=lambda host: len(host.core.sessions.relays))),
     ):
-        found[f"{kind}_kb"] = round(deep_kb([host.core, host.link]), 1)
-    found["controller_relays"] = max(len(host.core.sessions.relays) for host in world.controllers)
-    return found
+        result[f"{kind}_kb"] = round(deep_size_kb([host.core, host.link]), 1)
+    result["controller_relays"] = max(len(host.core.sessions.relays) for host in world.controllers)
+    return result
 
 
 SCENARIOS: dict[str, Callable[[int, int, str, list[str]], dict[str, Any]]] = {
     "burst": burst,
     "loss": loss,
-    "restarts": restarts,
-    "start": start,
+    "restarts": relay_restarts,
+    "start": cold_start,
 }
 FAULTS: dict[str, Callable[[int, int, str, list[str]], dict[str, Any]]] = {
-    "regions": regions,
-    "dies": dies,
-    "stops": stops,
-    "zone": zone,
+    "regions": region_partition,
+    "dies": controller_crash,
+    "stops": controller_stall,
+    "zone": zone_loss,
 }
 
 
-def one(task: tuple[str, int, int, str]) -> tuple[dict[str, Any], list[str]]:
+def run_task(task: tuple[str, int, int, str]) -> tuple[dict[str, Any], list[str]]:
     name, relays, seed, size = task
-    broken = list[str]()
-    return (SCENARIOS | FAULTS | {"cost": cost})[name](relays, seed, size, broken), broken
+    failures = list[str]()
+    return (SCENARIOS | FAULTS | {"cost": resource_cost})[name](relays, seed, size, failures), failures
 
 
-def played(
-    pool: Executor, names: Iterable[str], relays: int, seed: int, size: str, broken: list[str]
+def run_scenarios(
+    pool: Executor, scenarios: Iterable[str], relays: int, seed: int, size: str, failures: list[str]
 ) -> list[dict[str, Any]]:
     """The rows, printed as they come."""
     rows = list[dict[str, Any]]()
-    for row, wrong in pool.map(one, [(name, relays, seed, size) for name in names]):
+    for row, task_failures in pool.map(run_task, [(name, relays, seed, size) for name in scenarios]):
         rows.append(row)
-        broken += wrong
+        failures += task_failures
         shown = {key: value for key, value in row.items() if key not in ("seed", "violations")}
         print("  ".join(f"{key} {value}" for key, value in shown.items()), flush=True)
     return rows
 
 
-def safety(pool: Executor, first: int, count: int, broken: list[str]) -> dict[str, Any]:
+def check_safety(pool: Executor, first_seed: int, count: int, failures: list[str]) -> dict[str, Any]:
     """Days of small fleets with faults drawn from the seed, and all that may never be."""
-    each = 8
-    played = list(pool.map(run_seeds, range(first, first + count, each), [each] * -(-count // each)))
-    bad = {seed: text for some in played for seed, text in [*some.violations.items(), *some.stuck.items()]}
-    versions = sum(some.counts["versions"] for some in played)
-    print(f"{sum(some.runs for some in played)} days from seed {first} on: {len(bad)} broke a rule or were stuck")
-    broken += [f"safety, seed {seed}: {text}" for seed, text in sorted(bad.items())[:5]]
-    return {"days": sum(some.runs for some in played), "days_broken": len(bad), "days_versions": versions}
+    runs_per_task = 8
+    results = list(
+        pool.map(
+            run_seeds,
+            range(first_seed, first_seed + count, runs_per_task),
+            [runs_per_task] * -(-count // runs_per_task),
+        )
+    )
+    failed_seeds = {seed: text for batch in results for seed, text in [*batch.violations.items(), *batch.stuck.items()]}
+    versions = sum(batch.counts["versions"] for batch in results)
+    print(
+        f"{sum(batch.runs for batch in results)} days from seed {first_seed} on: {len(failed_seeds)} broke a rule or "
+        "were stuck"
+    )
+    failures += [f"safety, seed {seed}: {text}" for seed, text in sorted(failed_seeds.items())[:5]]
+    return {"days": sum(batch.runs for batch in results), "days_broken": len(failed_seeds), "days_versions": versions}
 
 
-def flat(costs: Sequence[dict[str, Any]], broken: list[str]) -> dict[str, Any]:
+def check_flat(costs: Sequence[dict[str, Any]], failures: list[str]) -> dict[str, Any]:
     """Of a relay: fitted without the largest fleet, checked there; and at most a tenth more there than in the least."""
-    least, whole = costs[0], costs[-1]
-    found = dict[str, Any]()
+    smallest, largest = costs[0], costs[-1]
+    result = dict[str, Any]()
     for key in (
         "relay_steady_bytes_per_s",
         "relay_burst_bytes_per_s",
@@ -375,86 +409,96 @@
         "controller_burst_bytes_per_s",
         "controller_burst_cpu",
     ):
-        fit = fitted([row["relays"] for row in costs[:-1]], [row[key] for row in costs[:-1]])
-        told, got = fit.at(whole["relays"]), whole[key]
-        found[key] = {"form": fit.form, "told": round(told, 6), "measured": got, "error": round(told / got - 1.0, 3)}
+        fit = fit_curve([row["relays"] for row in costs[:-1]], [row[key] for row in costs[:-1]])
+        predicted, measured = fit.at(largest["relays"]), largest[key]
+        result[key] = {
+            "form": fit.form,
+            "told": round(predicted, 6),
+            "measured": measured,
+            "error": round(predicted / measured - 1.0, 3),
+        }
         print(
-            f"{key}: {fit.form}, {told:.6g} told for {whole['relays']}, {got:.6g} measured"
-            + (", wrong" if abs(told / got - 1.0) > WRONG else "")
+            f"{key}: {fit.form}, {predicted:.6g} told for {largest['relays']}, {measured:.6g} measured"
+            + (", wrong" if abs(predicted / measured - 1.0) > MAX_FIT_ERROR else "")
         )
-        if key.startswith("relay") and got > (1.0 + FLAT) * least[key]:
-            broken.append(f"{key}: {got:g} at {whole['relays']} relays, {least[key]:g} at {least['relays']}: not flat")
-    return found
+        if key.startswith("relay") and measured > (1.0 + MAX_GROWTH) * smallest[key]:
+            failures.append(
+                f"{key}: {measured:g} at {largest['relays']} relays, {smallest[key]:g} at {smallest['relays']}: "
+                "not flat"
+            )
+    return result
 
 
 def run(
-    seed: int, size: str, relays: int | None, broken: list[str], only: Sequence[str] = ("change", "faults")
+    seed: int, size: str, relays: int | None, failures: list[str], only: Sequence[str] = ("change", "faults")
 ) -> dict[str, Any]:
     """Keys: relays, in_force_p50_s, in_force_max_s, behind, older_after_newer; with "change" also bytes_per_s,
     cpu_share, memory_mb (of a relay, at 10 changes a second), control_cpu_share, control_bytes_per_s (of the busiest
     controller); rows, costs, fits."""
-    whole, costs = relays or RELAYS[size], list[dict[str, Any]]()
+    relay_count, costs = relays or FLEET_RELAYS[size], list[dict[str, Any]]()
     with ProcessPoolExecutor(PROCESSES) as pool:
-        names = [*(SCENARIOS if "change" in only else ()), *(FAULTS if "faults" in only else ())]
-        rows = played(pool, names, whole, seed, size, broken)
-        days = safety(pool, 1000 * seed, DAYS[size], broken) if "faults" in only else {}
+        scenarios = [*(SCENARIOS if "change" in only else ()), *(FAULTS if "faults" in only else ())]
+        rows = run_scenarios(pool, scenarios, relay_count, seed, size, failures)
+        safety_result = check_safety(pool, 1000 * seed, SAFETY_RUNS[size], failures) if "faults" in only else {}
         if "change" in only:
-            sizes = [n for n in SLOPES[size] if n < whole] + [whole]
-            costs = [found for found, _ in pool.map(one, [("cost", n, seed, size) for n in reversed(sizes)])][::-1]
-    found = {
-        "relays": whole,
+            sizes = [count for count in FIT_RELAYS[size] if count < relay_count] + [relay_count]
+            costs = [
+                result for result, _ in pool.map(run_task, [("cost", count, seed, size) for count in reversed(sizes)])
+            ][::-1]
+    result = {
+        "relays": relay_count,
         "in_force_p50_s": median(row["p50_s"] for row in rows),
         "in_force_max_s": max(row["max_s"] for row in rows if row["what"] != "all relays start at once"),
         "behind": sum(row["behind"] for row in rows),
         "older_after_newer": sum(row["older"] for row in rows),
         "rows": rows,
-    } | days
-    if "change" in only and size in SOCKETS:
-        found["sockets"] = [sockets.play(*one, seed, broken) for one in SOCKETS[size]]
+    } | safety_result
+    if "change" in only and size in SOCKET_FLEETS:
+        result["sockets"] = [configuration_sockets.measure(*fleet, seed, failures) for fleet in SOCKET_FLEETS[size]]
     for row in costs:
         print("  ".join(f"{key} {value}" for key, value in row.items()))
     if costs:
         last = costs[-1]
-        found |= {
+        result |= {
             "bytes_per_s": last["relay_burst_most_bytes_per_s"],
             "cpu_share": last["relay_burst_cpu"],
             "memory_mb": round(last["relay_kb"] / 1024.0, 3),
             "control_cpu_share": last["controller_burst_most_cpu"],
             "control_bytes_per_s": last["controller_burst_most_bytes_per_s"],
             "costs": costs,
-            "fits": flat(costs, broken) if len(costs) > 2 else {},
+            "fits": check_flat(costs, failures) if len(costs) > 2 else {},
         }
-        _allowed("a relay's part in changes", found, whole, broken)
-    return found
+        _check_limits("a relay's part in changes", result, relay_count, failures)
+    return result
 
 
-def _allowed(what: str, found: dict[str, Any], relays: int, broken: list[str]) -> None:
-    for key, most in ALLOWED.items():
-        if found[key] > most:
-            broken.append(f"{what}, {relays} relays: {key} is {found[key]:g}, {most:g} are allowed")
+def _check_limits(name: str, result: dict[str, Any], relays: int, failures: list[str]) -> None:
+    for key, limit in LIMITS.items():
+        if result[key] > limit:
+            failures.append(f"{name}, {relays} relays: {key} is {result[key]:g}, {limit:g} are allowed")
 
 
-def together(slopes: dict[str, Any], changes: dict[str, Any], broken: list[str]) -> None:
+def check_combined(scaling_result: dict[str, Any], change_result: dict[str, Any], failures: list[str]) -> None:
     """All of control at one relay: peers in a cell, and changes at 10 a second."""
-    cell = slopes["cells"][-1]
-    whole = {
-        "bytes_per_s": cell["most_bytes_per_s"] + changes["bytes_per_s"],
-        "cpu_share": cell["cpu_share"] + changes["cpu_share"],
-        "memory_mb": cell["memory_mb"] + changes["memory_mb"],
+    cells_row = scaling_result["cells"][-1]
+    total = {
+        "bytes_per_s": cells_row["most_bytes_per_s"] + change_result["bytes_per_s"],
+        "cpu_share": cells_row["cpu_share"] + change_result["cpu_share"],
+        "memory_mb": cells_row["memory_mb"] + change_result["memory_mb"],
     }
-    print("all of control at a relay: " + ", ".join(f"{key} {value:.5g}" for key, value in whole.items()))
-    changes["together"] = whole
-    _allowed("all of control at a relay", whole, changes["relays"], broken)
+    print("all of control at a relay: " + ", ".join(f"{key} {value:.5g}" for key, value in total.items()))
+    change_result["together"] = total
+    _check_limits("all of control at a relay", total, change_result["relays"], failures)
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
-    parser = options("A change of configuration on its way to all relays.")
+    parser = argument_parser("A change of configuration on its way to all relays.")
     parser.add_argument("--relays", type=int, help="another size of the fleet")
-    chosen = parser.parse_args(arguments)
-    started, broken = time.perf_counter(), list[str]()
-    result = run(chosen.seed, chosen.size, chosen.relays, broken)
+    args = parser.parse_args(arguments)
+    started, failures = time.perf_counter(), list[str]()
+    result = run(args.seed, args.size, args.relays, failures)
     print(f"load {os.getloadavg()[0]:.1f}")
-    return finish({"change": result}, broken, started, chosen.json, chosen.seed, chosen.size)
+    return print_result({"change": result}, failures, started, args.json, args.seed, args.size)
 
 
 if __name__ == "__main__":
--- a/benchmarks/capacity/configuration_sockets.py
+++ b/benchmarks/capacity/configuration_sockets.py
@@ -41,21 +41,23 @@
 from yarrowspindle.storage.voter_file import VoterFile
 from yarrowspindle.transport.datagrams import UdpListener
 
-PARCELS_S, LOOK_S = 0.05, 0.02
-MAX_LATE_MS = 50.0  # of the event loop, in 99 of 100 looks: beyond that the machine is measured, not the relays
-A_SECOND, WARM_S, IN_FORCE_S = 2.0, 3.0, 3.0
+FRAGMENT_INTERVAL_S, LATENESS_INTERVAL_S = 0.05, 0.02
+MAX_LATENESS_MS = 50.0  # of the event loop, in 99 of 100 looks: beyond that the machine is measured, not the relays
+CHANGES_PER_S, WARMUP_S, MAX_IN_FORCE_S = 2.0, 3.0, 3.0
 FAULTS = ("none", "loss", "kill", "stop", "cut")
 
 
-def machines_at(port: int) -> tuple[ControllerAddress, ...]:
+def controller_addresses(port: int) -> tuple[ControllerAddress, ...]:
     """As in the model, on the loopback network."""
     return tuple(
-        ControllerAddress(m.name, (f"127.30.{n + 1}.1", port), m.zone, m.region, m.voter)
-        for n, m in enumerate(spread_controllers(11, 5))
+        ControllerAddress(
+            controller.name, (f"127.30.{n + 1}.1", port), controller.zone, controller.region, controller.voter
+        )
+        for n, controller in enumerate(spread_controllers(11, 5))
     )
 
 
-def relay_at(number: int, port: int) -> tuple[Address, str]:
+def relay_location(number: int, port: int) -> tuple[Address, str]:
     """Its address and zone; the second byte says in which region."""
     zone = ZONES[number % len(ZONES)]
     region = 40 if REGIONS[zone] == "a" else 41
@@ -69,191 +71,203 @@
         self.network, self.name, self.address, self.region = network, name, address, region
         self.loop = asyncio.get_running_loop()
         self.link = Link(name, address, CLUSTER, int(time.time() * 1000), Random(name).getrandbits(40), self.now())
-        self.front = UdpListener(self._came)
+        self.listener = UdpListener(self._on_datagram)
         self.core: Agent | Controller
 
     async def open(self) -> None:
-        await self.loop.create_datagram_endpoint(lambda: self.front, local_addr=self.address)
-        self.carry_out(self.core.take_effects())
+        await self.loop.create_datagram_endpoint(lambda: self.listener, local_addr=self.address)
+        self.perform(self.core.take_effects())
 
     def now(self) -> float:
         return self.loop.time() * 1000.0
 
     def post(self, event: Event) -> None:
-        self.carry_out(self.core.step(self.now(), event))
-
-    def carry_out(self, effects: Sequence[Any]) -> None:
-        for effect in effects:
-            if isinstance(effect, SendMessage):
-                if effect.to.address == self.address:
-                    self.loop.call_soon(self.post, MessageReceived(Sender(self.name, self.address), effect.message))
+        self.perform(self.core.step(self.now(), event))
+
+    def perform(self, effects: Sequence[Any]) -> None:
+        for perform_effect in effects:
+            if isinstance(perform_effect, SendMessage):
+                if perform_effect.to.address == self.address:
+                    self.loop.call_soon(
+                        self.post, MessageReceived(Sender(self.name, self.address), perform_effect.message)
+                    )
                 else:
-                    for data in self.link.encode(self.now(), effect.to.address, effect.message):
-                        self.put(effect.to.address, data)
-            elif isinstance(effect, SetTimer):
-                self.loop.call_later(effect.delay_ms / 1000.0, self.post, TimerFired())
+                    for data in self.link.encode(self.now(), perform_effect.to.address, perform_effect.message):
+                        self.send(perform_effect.to.address, data)
+            elif isinstance(perform_effect, SetTimer):
+                self.loop.call_later(perform_effect.delay_ms / 1000.0, self.post, TimerFired())
             else:
-                self.effect(effect)
+                self.perform_effect(perform_effect)
 
-    def effect(self, effect: Any) -> None:
+    def perform_effect(self, effect: Any) -> None:
         """What only one of the roles asks for."""
 
-    def put(self, to: Address, data: bytes) -> None:
-        if not self.network.lost(self.region, to):
-            self.front.send(data, to)
+    def send(self, to: Address, data: bytes) -> None:
+        if not self.network.drops(self.region, to):
+            self.listener.send(data, to)
 
-    def _came(self, data: bytes, source: Address) -> None:
+    def _on_datagram(self, data: bytes, source: Address) -> None:
         try:
             received = self.link.receive(self.now(), data, source)
         except DroppedDatagramError:
             return
         for datagram in received.replies:
-            self.put(received.sender.address, datagram)
+            self.send(received.sender.address, datagram)
         if received.message is not None:
             self.post(MessageReceived(received.sender, received.message))
 
-    def parcels(self) -> None:
+    def request_missing_fragments(self) -> None:
         for request in self.link.missing_fragment_requests(self.now()):
-            self.put(request.to, request.data)
+            self.send(request.to, request.data)
 
 
-class Relay(Endpoint):
-    def __init__(self, network: Network, number: int, port: int, machines: tuple[ControllerAddress, ...]) -> None:
-        address, zone = relay_at(number, port)
+class RelayEndpoint(Endpoint):
+    def __init__(self, network: Network, number: int, port: int, controllers: tuple[ControllerAddress, ...]) -> None:
+        address, zone = relay_location(number, port)
         super().__init__(network, f"r{number:04d}", address, REGIONS[zone])
-        self.took: list[tuple[int, float]] = []
+        self.applied: list[tuple[int, float]] = []
         self.core = Agent(
-            controllers_by_preference(machines, self.name, zone, self.region), check_entries, number, self.now()
+            controllers_by_preference(controllers, self.name, zone, self.region), check_entries, number, self.now()
         )
 
-    def effect(self, effect: Any) -> None:
-        if isinstance(effect, ApplySettings):
-            self.took.append((effect.version, time.monotonic()))
+    def perform_effect(self, perform_effect: Any) -> None:
+        if isinstance(perform_effect, ApplySettings):
+            self.applied.append((perform_effect.version, time.monotonic()))
 
 
-class Control(Endpoint):
+class ControllerEndpoint(Endpoint):
     def __init__(
-        self, network: Network, machine: ControllerAddress, machines: tuple[ControllerAddress, ...], folder: str
+        self, network: Network, controller: ControllerAddress, controllers: tuple[ControllerAddress, ...], folder: str
     ) -> None:
-        super().__init__(network, machine.name, machine.address, machine.region)
-        first = ControlState({m.name: "the first file" for m in machines if m.voter})
-        self.file = VoterFile(str(Path(folder) / machine.name), machine.name, CLUSTER, ACCEPTOR_FILE)
-        self.voter: Acceptor[ControlState] | None = None
-        if machine.voter:
+        super().__init__(network, controller.name, controller.address, controller.region)
+        initial_state = ControlState({member.name: "the first file" for member in controllers if member.voter})
+        self.file = VoterFile(str(Path(folder) / controller.name), controller.name, CLUSTER, ACCEPTOR_FILE)
+        self.acceptor: Acceptor[ControlState] | None = None
+        if controller.voter:
             try:
-                kept = self.file.load()
+                acceptor_state = self.file.load()
             except FileUnavailableError:
-                self.file.create_initial(first)
-                kept = self.file.load()
-            self.voter = Acceptor(kept, self.file.store, self.now)
+                self.file.create_initial(initial_state)
+                acceptor_state = self.file.load()
+            self.acceptor = Acceptor(acceptor_state, self.file.store, self.now)
         self.disk = ThreadPoolExecutor(1)
         self.answers: list[tuple[int, int, str, float]] = []
         self.core = Controller(
-            machine,
-            machines,
-            first,
-            self.voter.stored.identity if self.voter else "",
-            self.voter.stored.state if self.voter else first,
+            controller,
+            controllers,
+            initial_state,
+            self.acceptor.stored.identity if self.acceptor else "",
+            self.acceptor.stored.state if self.acceptor else initial_state,
             self.link.incarnation,
             check_entries,
             int.from_bytes(os.urandom(4), "big"),
             self.now(),
         )
 
-    def effect(self, effect: Any) -> None:
-        if isinstance(effect, AskAcceptor) and self.voter is not None:
-            done = self.disk.submit(self.voter.on_message, effect.message)
-            done.add_done_callback(lambda it: self.loop.call_soon_threadsafe(self._voted, effect.sender, it))
-        elif isinstance(effect, ChangeAnswered):
-            self.answers.append((effect.ticket, effect.version, effect.reason, time.monotonic()))
+    def perform_effect(self, perform_effect: Any) -> None:
+        if isinstance(perform_effect, AskAcceptor) and self.acceptor is not None:
+            vote = self.disk.submit(self.acceptor.on_message, perform_effect.message)
+            vote.add_done_callback(
+                lambda completed: self.loop.call_soon_threadsafe(self._on_vote, perform_effect.sender, completed)
+            )
+        elif isinstance(perform_effect, ChangeAnswered):
+            self.answers.append(
+                (perform_effect.ticket, perform_effect.version, perform_effect.reason, time.monotonic())
+            )
 
-    def _voted(self, to: Sender, done: Any) -> None:
-        if done.exception() is None:
-            self.carry_out([SendMessage(to, done.result())])
+    def _on_vote(self, to: Sender, vote: Any) -> None:
+        if vote.exception() is None:
+            self.perform([SendMessage(to, vote.result())])
 
 
 class Network:
     """What this process drops of what it sends."""
 
     def __init__(self, seed: int) -> None:
-        self.random, self.share, self.cut = Random(seed), 0.0, False
+        self.random, self.loss_share, self.partitioned = Random(seed), 0.0, False
         self.regions: dict[str, str] = {}
 
-    def lost(self, region: str, to: Address) -> bool:
-        if self.cut and region != self._region(to[0]):
+    def drops(self, region: str, to: Address) -> bool:
+        if self.partitioned and region != self._region(to[0]):
             return True
-        return self.share > 0.0 and self.random.random() < self.share
+        return self.loss_share > 0.0 and self.random.random() < self.loss_share
 
     def _region(self, host: str) -> str:
         second, third = host.split(".")[1:3]
         return ("a" if second == "40" else "b") if second != "30" else REGIONS[ZONES[(int(third) - 1) % len(ZONES)]]
 
 
-async def _held(pipe: Connection, make: Callable[[Network], list[Endpoint]], seed: int) -> None:
+async def _serve(pipe: Connection, make_endpoints: Callable[[Network], list[Endpoint]], seed: int) -> None:
     """Endpoints until the parent says `end`; its words come by the pipe."""
-    network, loop, late = Network(seed), asyncio.get_running_loop(), list[float]()
-    ends, words = make(network), asyncio.Queue[Any]()
+    network, loop, lateness_ms = Network(seed), asyncio.get_running_loop(), list[float]()
+    endpoints, commands = make_endpoints(network), asyncio.Queue[Any]()
 
-    def said() -> None:
+    def on_command() -> None:
         try:
-            words.put_nowait(pipe.recv())
+            commands.put_nowait(pipe.recv())
         except EOFError:
             loop.remove_reader(pipe.fileno())
-            words.put_nowait(("end", None))
+            commands.put_nowait(("end", None))
 
-    loop.add_reader(pipe.fileno(), said)
-    for end in ends:
-        await end.open()
+    loop.add_reader(pipe.fileno(), on_command)
+    for endpoint in endpoints:
+        await endpoint.open()
 
-    async def parcels() -> None:
+    async def request_fragments() -> None:
         while True:
-            began = loop.time()
-            await asyncio.sleep(PARCELS_S)
-            late.append(1000.0 * (loop.time() - began - PARCELS_S))
-            for end in ends:
-                end.parcels()
+            started_s = loop.time()
+            await asyncio.sleep(FRAGMENT_INTERVAL_S)
+            lateness_ms.append(1000.0 * (loop.time() - started_s - FRAGMENT_INTERVAL_S))
+            for endpoint in endpoints:
+                endpoint.request_missing_fragments()
 
-    beat = loop.create_task(parcels())
+    fragment_task = loop.create_task(request_fragments())
     pipe.send("there")
     while True:
-        word, value = await words.get()
-        if word == "end":
+        command, value = await commands.get()
+        if command == "end":
             break
-        if word == "loss":
-            network.share = value
-        elif word == "cut":
-            network.cut = value
-        elif word == "order":
-            ends[0].post(ChangeRequested(*value))
-        elif word == "clear":
-            late.clear()
-            for end in ends:
-                end.link.counts.clear()
+        if command == "loss":
+            network.loss_share = value
+        elif command == "cut":
+            network.partitioned = value
+        elif command == "order":
+            endpoints[0].post(ChangeRequested(*value))
+        elif command == "clear":
+            lateness_ms.clear()
+            for endpoint in endpoints:
+                endpoint.link.counts.clear()
             pipe.send(time.process_time())
-        elif word == "tell":
+        elif command == "tell":
             pipe.send(
                 {
-                    "took": [end.took for end in ends if isinstance(end, Relay)],
-                    "answers": [end.answers for end in ends if isinstance(end, Control)],
-                    "counts": [dict(end.link.counts) for end in ends],
+                    "took": [endpoint.applied for endpoint in endpoints if isinstance(endpoint, RelayEndpoint)],
+                    "answers": [endpoint.answers for endpoint in endpoints if isinstance(endpoint, ControllerEndpoint)],
+                    "counts": [dict(endpoint.link.counts) for endpoint in endpoints],
                     "spent": time.process_time(),
-                    "late": sorted(late),
+                    "late": sorted(lateness_ms),
                     "rss_kb": resource.getrusage(resource.RUSAGE_SELF).ru_maxrss,
                 }
             )
-    beat.cancel()
+    fragment_task.cancel()
 
 
-def agents(pipe: Connection, first: int, count: int, port: int) -> None:
-    machines = machines_at(port)
+def run_relays(pipe: Connection, first: int, count: int, port: int) -> None:
+    controllers = controller_addresses(port)
     uvloop.run(
-        _held(pipe, lambda network: [Relay(network, n, port, machines) for n in range(first, first + count)], first)
+        _serve(
+            pipe,
+            lambda network: [RelayEndpoint(network, n, port, controllers) for n in range(first, first + count)],
+            first,
+        )
     )
 
 
-def controller(pipe: Connection, number: int, port: int, folder: str) -> None:
-    machines = machines_at(port)
-    uvloop.run(_held(pipe, lambda network: [Control(network, machines[number], machines, folder)], number))
+def run_controller(pipe: Connection, number: int, port: int, folder: str) -> None:
+    controllers = controller_addresses(port)
+    uvloop.run(
+        _serve(pipe, lambda network: [ControllerEndpoint(network, controllers[number], controllers, folder)], number)
+    )
 
 
 class Fleet:
@@ -266,60 +280,61 @@
             self.port = probe.getsockname()[1]  # hardly ever taken at one of the many addresses as well
         self.relays, self.controllers, self.tickets = list[Connection](), dict[int, Connection](), 0
         self.processes: list[SpawnProcess] = []
-        self.of: dict[int, SpawnProcess] = {}
-        each = -(-relays // processes)
+        self.process_by_number: dict[int, SpawnProcess] = {}
+        relays_per_process = -(-relays // processes)
         for number in range(11):
-            self.control(number)
+            self.start_controller(number)
         self.relays = [
-            self._start(agents, first, min(each, relays - first), self.port) for first in range(0, relays, each)
+            self._start(run_relays, first, min(relays_per_process, relays - first), self.port)
+            for first in range(0, relays, relays_per_process)
         ]
         for pipe in [*self.relays, *self.controllers.values()]:
-            self._hear(pipe)
+            self._receive(pipe)
 
-    def control(self, number: int) -> Connection:
-        self.controllers[number] = self._start(controller, number, self.port, self.folder.name)
-        self.of[number] = self.processes[-1]
+    def start_controller(self, number: int) -> Connection:
+        self.controllers[number] = self._start(run_controller, number, self.port, self.folder.name)
+        self.process_by_number[number] = self.processes[-1]
         return self.controllers[number]
 
-    def _start(self, target: Callable[..., None], *more: Any) -> Connection:
-        ours, theirs = self.context.Pipe()
-        process = self.context.Process(target=target, args=(theirs, *more), daemon=True)
+    def _start(self, target: Callable[..., None], *arguments: Any) -> Connection:
+        own_end, child_end = self.context.Pipe()
+        process = self.context.Process(target=target, args=(child_end, *arguments), daemon=True)
         process.start()
-        theirs.close()
+        child_end.close()
         self.processes.append(process)
-        return ours
+        return own_end
 
     @staticmethod
-    def _hear(pipe: Connection) -> Any:
+    def _receive(pipe: Connection) -> Any:
         if not pipe.poll(30.0):
             raise TimeoutError("a process of the fleet does not answer within 30 s")
         return pipe.recv()
 
-    def say(self, word: str, value: object, pipes: Sequence[Connection] | None = None) -> None:
+    def send_command(self, command: str, value: object, pipes: Sequence[Connection] | None = None) -> None:
         for pipe in pipes if pipes is not None else [*self.relays, *self.controllers.values()]:
             try:
-                pipe.send((word, value))
+                pipe.send((command, value))
             except OSError:
                 pass  # killed
 
-    def asked(self, word: str, pipes: Sequence[Connection]) -> list[Any]:
-        self.say(word, None, pipes)
-        return [self._hear(pipe) for pipe in pipes]
+    def request(self, command: str, pipes: Sequence[Connection]) -> list[Any]:
+        self.send_command(command, None, pipes)
+        return [self._receive(pipe) for pipe in pipes]
 
-    def order(self, number: int, step: dict[str, str]) -> float:
+    def request_change(self, number: int, entries: dict[str, str]) -> float:
         self.tickets += 1
-        at = time.monotonic()
-        self.say("order", (self.tickets, step), [self.controllers[number]])
-        return at
+        requested_s = time.monotonic()
+        self.send_command("order", (self.tickets, entries), [self.controllers[number]])
+        return requested_s
 
-    def took(self) -> list[list[tuple[int, float]]]:
-        return [took for told in self.asked("tell", self.relays) for took in told["took"]]
+    def applied_versions(self) -> list[list[tuple[int, float]]]:
+        return [applied_versions for report in self.request("tell", self.relays) for applied_versions in report["took"]]
 
     def close(self) -> None:
-        self.say("end", None)
-        ends = time.monotonic() + 5.0
+        self.send_command("end", None)
+        deadline_s = time.monotonic() + 5.0
         for process in self.processes:
-            process.join(max(0.0, ends - time.monotonic()))
+            process.join(max(0.0, deadline_s - time.monotonic()))
             if process.is_alive() and process.pid:
                 os.kill(process.pid, signal.SIGCONT)
                 process.kill()
@@ -327,101 +342,111 @@
         self.folder.cleanup()
 
 
-def play(
-    relays: int, processes: int, seed: int, broken: list[str], changes: int = 10, faults: Sequence[str] = FAULTS
+def measure(
+    relays: int, processes: int, seed: int, failures: list[str], changes: int = 10, faults: Sequence[str] = FAULTS
 ) -> dict[str, Any]:
     """Each fault in turn on one fleet; a change each half second by the controllers that live and hear a majority."""
-    fleet, drawn, rows = Fleet(relays, processes), Random(f"sockets {seed}"), list[dict[str, Any]]()
+    fleet, random, rows = Fleet(relays, processes), Random(f"sockets {seed}"), list[dict[str, Any]]()
     version = 0
     try:
-        time.sleep(WARM_S)
-        spent = fleet.asked("clear", fleet.relays)
-        began = time.monotonic()
+        time.sleep(WARMUP_S)
+        initial_cpu_s = fleet.request("clear", fleet.relays)
+        started_s = time.monotonic()
         for fault in faults:
-            asked = list[float]()
-            fleet.say("loss", 0.05 if fault == "loss" else 0.0)
-            fleet.say("cut", fault == "cut")
+            requested_s = list[float]()
+            fleet.send_command("loss", 0.05 if fault == "loss" else 0.0)
+            fleet.send_command("cut", fault == "cut")
             if fault in ("kill", "stop"):
-                os.kill(fleet.of[0].pid or 0, signal.SIGKILL if fault == "kill" else signal.SIGSTOP)
-            able = [2, 6, 1] if fault == "cut" else [3, 4, 7, 1]
+                os.kill(fleet.process_by_number[0].pid or 0, signal.SIGKILL if fault == "kill" else signal.SIGSTOP)
+            accepting = [2, 6, 1] if fault == "cut" else [3, 4, 7, 1]
             for n in range(changes):
-                asked.append(fleet.order(able[n % len(able)], {f"k{n % 5}": f'"{drawn.getrandbits(400):x}"'}))
-                time.sleep(1.0 / A_SECOND)
+                requested_s.append(
+                    fleet.request_change(accepting[n % len(accepting)], {f"k{n % 5}": f'"{random.getrandbits(400):x}"'})
+                )
+                time.sleep(1.0 / CHANGES_PER_S)
             if fault == "kill":
-                fleet._hear(fleet.control(0))
+                fleet._receive(fleet.start_controller(0))
             if fault == "stop":
-                os.kill(fleet.of[0].pid or 0, signal.SIGCONT)
-            healed = time.monotonic()
-            fleet.say("cut", False)
-            time.sleep(IN_FORCE_S)
-            fleet.say("loss", 0.0)
-            rows.append(_row(fault, fleet.took(), version, asked, healed if fault == "cut" else 0.0, broken))
+                os.kill(fleet.process_by_number[0].pid or 0, signal.SIGCONT)
+            healed_s = time.monotonic()
+            fleet.send_command("cut", False)
+            time.sleep(MAX_IN_FORCE_S)
+            fleet.send_command("loss", 0.0)
+            rows.append(
+                _fault_row(
+                    fault, fleet.applied_versions(), version, requested_s, healed_s if fault == "cut" else 0.0, failures
+                )
+            )
             version += changes
-        over = time.monotonic() - began
-        told = fleet.asked("tell", fleet.relays)
-        late = [one["late"][int(0.99 * len(one["late"]))] for one in told]
-        sent = [
+        elapsed_s = time.monotonic() - started_s
+        reports = fleet.request("tell", fleet.relays)
+        lateness_ms = [report["late"][int(0.99 * len(report["late"]))] for report in reports]
+        bytes_per_s = [
             sum(
-                count.get(key, 0) * times
-                for key, times in (("sent_bytes", 1), ("came_bytes", 1), ("sent", 28), ("came", 28))
+                count.get(key, 0) * bytes_each
+                for key, bytes_each in (("sent_bytes", 1), ("came_bytes", 1), ("sent", 28), ("came", 28))
             )
-            / over
-            for one in told
-            for count in one["counts"]
+            / elapsed_s
+            for report in reports
+            for count in report["counts"]
+        ]
+        core_shares = [
+            (report["spent"] - initial) / elapsed_s for report, initial in zip(reports, initial_cpu_s, strict=True)
         ]
-        cores = [(one["spent"] - was) / over for one, was in zip(told, spent, strict=True)]
     finally:
         fleet.close()
-    found = {
+    result = {
         "relays": relays,
         "processes": processes + 11,
-        "bytes_per_s": round(sum(sent) / len(sent)),
-        "cpu_share": round(sum(cores) / relays, 6),
-        "busiest_process": round(max(cores), 3),
-        "rss_mb_of_a_process": round(max(one["rss_kb"] for one in told) / 1024),
-        "late_ms": round(max(late), 1),
-        "machine_bound": max(late) > MAX_LATE_MS or max(cores) > 0.7,
+        "bytes_per_s": round(sum(bytes_per_s) / len(bytes_per_s)),
+        "cpu_share": round(sum(core_shares) / relays, 6),
+        "busiest_process": round(max(core_shares), 3),
+        "rss_mb_of_a_process": round(max(report["rss_kb"] for report in reports) / 1024),
+        "late_ms": round(max(lateness_ms), 1),
+        "machine_bound": max(lateness_ms) > MAX_LATENESS_MS or max(core_shares) > 0.7,
         "load": os.getloadavg()[0],
         "seed": seed,
         "rows": rows,
     }
-    print("  ".join(f"{key} {value}" for key, value in found.items() if key != "rows"))
-    return found
+    print("  ".join(f"{key} {value}" for key, value in result.items() if key != "rows"))
+    return result
 
 
-def _row(
+def _fault_row(
     fault: str,
-    took: Sequence[Sequence[tuple[int, float]]],
-    before: int,
-    asked: Sequence[float],
-    healed: float,
-    broken: list[str],
+    applied: Sequence[Sequence[tuple[int, float]]],
+    first_version: int,
+    requested_s: Sequence[float],
+    healed_s: float,
+    failures: list[str],
 ) -> dict[str, Any]:
     """healed: from when on the relays of the other region count; 0: at once."""
-    last, times, older = before + len(asked), list[float](), 0
-    for relay in took:
+    last_version, delays_s, older = first_version + len(requested_s), list[float](), 0
+    for relay in applied:
         versions = [version for version, _ in relay]
         older += versions != sorted(set(versions))
-    for number, at in enumerate(asked):
-        whole = list[float]()
-        for index, relay in enumerate(took):
-            has = min((when for version, when in relay if version > before + number), default=at + 99.0)
-            other = healed and REGIONS[ZONES[index % len(ZONES)]] == "b"
-            whole.append(has - (max(at, healed) if other else at))
-        times.append(max(whole))
-    behind = sum(not relay or relay[-1][0] != last for relay in took)
+    for number, change_s in enumerate(requested_s):
+        relay_delays_s = list[float]()
+        for index, relay in enumerate(applied):
+            applied_s = min(
+                (seen_s for version, seen_s in relay if version > first_version + number), default=change_s + 99.0
+            )
+            minority = healed_s and REGIONS[ZONES[index % len(ZONES)]] == "b"
+            relay_delays_s.append(applied_s - (max(change_s, healed_s) if minority else change_s))
+        delays_s.append(max(relay_delays_s))
+    behind = sum(not relay or relay[-1][0] != last_version for relay in applied)
     row = {
         "fault": fault,
-        "changes": len(asked),
-        "p50_s": round(median(times), 3),
-        "max_s": round(max(times), 3),
+        "changes": len(requested_s),
+        "p50_s": round(median(delays_s), 3),
+        "max_s": round(max(delays_s), 3),
         "behind": behind,
         "older": older,
     }
     print("  ".join(f"{key} {value}" for key, value in row.items()), flush=True)
-    if max(times) > IN_FORCE_S or behind or older:
-        broken.append(
-            f"sockets, {fault}: in force after {max(times):.2f} s at {len(took)} relays, {behind} behind, "
+    if max(delays_s) > MAX_IN_FORCE_S or behind or older:
+        failures.append(
+            f"sockets, {fault}: in force after {max(delays_s):.2f} s at {len(applied)} relays, {behind} behind, "
             f"{older} took an older version"
         )
     return row
--- a/benchmarks/capacity/data_path.py
+++ b/benchmarks/capacity/data_path.py
@@ -27,25 +27,25 @@
 from types import FrameType
 from typing import Any
 
-from benchmarks.common import finish, options
+from benchmarks.common import argument_parser, print_result
 from yarrowspindle.lab.processes.run import SETTINGS
 
 ROOT = Path(__file__).resolve().parents[2]
 BACKENDS = 64
-AT_ONCE = 32  # set-ups that are under way together
-GROUP = 1400
-ASKED_LINES_S, ASKED_CONNECTIONS = 27_500.0, 63_300
-LIVES = (("30 s", 30.0), ("10 min", 600.0), ("3 h", 10_800.0))
-P99_MS = 350.0  # a rate holds where 99 in 100 lines come within this ...
-QUEUE_MS = 50.0  # ... and half of those of its last quarter within this: no queue grows
-BUSY = 0.9  # of a core: a stand-in that takes more, or sends so late, is the bottleneck itself
-LAG_MS = 50.0
-WAITS = 0.2  # of the time: a process that waits longer for its core says more of the machine than of the relay
-DRAIN_S = 30.0  # by when the last line has to have come
-WAIT_MS = 8000.0
-AGAIN = 2  # times that a disturbed row is tried again
-SPARE = 200  # descriptors of the relay that are no connection's
-TICKS = os.sysconf("SC_CLK_TCK")
+SETUP_CONCURRENCY = 32  # set-ups that are under way together
+GROUP_SIZE = 1400
+TARGET_LINES_PER_S, TARGET_CONNECTIONS = 27_500.0, 63_300
+CONNECTION_LIFETIMES = (("30 s", 30.0), ("10 min", 600.0), ("3 h", 10_800.0))
+MAX_P99_MS = 350.0  # a rate holds where 99 in 100 lines come within this ...
+MAX_QUEUE_MS = 50.0  # ... and half of those of its last quarter within this: no queue grows
+MAX_CORE_SHARE = 0.9  # of a core: a stand-in that takes more, or sends so late, is the bottleneck itself
+MAX_SEND_LAG_MS = 50.0
+MAX_WAIT_SHARE = 0.2  # of the time: a process that waits longer for its core says more of the machine than of the relay
+MAX_DRAIN_S = 30.0  # by when the last line has to have come
+TIMEOUT_MS = 8000.0
+MAX_REPEATS = 2  # times that a disturbed row is tried again
+SPARE_DESCRIPTORS = 200  # descriptors of the relay that are no connection's
+CLOCK_TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 PR_SET_PDEATHSIG = 1
 
 
@@ -55,11 +55,11 @@
 
     connections: tuple[int, ...]
     rates: tuple[float, ...]
-    rest_s: float
-    rate_s: float
-    steps: int  # of the search
-    step_s: float
-    hold_s: float  # for the rate that was found, once more
+    idle_s: float
+    window_s: float
+    search_steps: int  # of the search
+    search_step_s: float
+    confirm_s: float  # for the rate that was found, once more
     bursts: int
 
 
@@ -72,32 +72,32 @@
 class Process:
     """A child that dies with this process; orders and answers are JSON lines."""
 
-    def __init__(self, name: str, arguments: Sequence[str], log: Path, **environ: str) -> None:
-        def begin() -> None:
+    def __init__(self, name: str, arguments: Sequence[str], log: Path, **environment: str) -> None:
+        def prepare_child() -> None:
             ctypes.CDLL(None).prctl(PR_SET_PDEATHSIG, signal.SIGKILL)
-            os.sched_setaffinity(0, may)
+            os.sched_setaffinity(0, cpus)
 
-        may = cores()
+        cpus = shared_cores()
         self.name, self.log = name, log
-        with log.open("wb") as errors:
+        with log.open("wb") as log_file:
             self.child = subprocess.Popen(
                 [sys.executable, "-B", "-m", *arguments],
                 cwd=ROOT,
-                env=os.environ | environ,
+                env=os.environ | environment,
                 stdin=subprocess.PIPE,
                 stdout=subprocess.PIPE,
-                stderr=errors,
+                stderr=log_file,
                 bufsize=0,
-                preexec_fn=begin,  # noqa: PLW1509  # no other thread runs yet
+                preexec_fn=prepare_child,  # noqa: PLW1509  # no other thread runs yet
             )
 
-    def tell(self, order: dict[str, Any]) -> None:
+    def send_command(self, command: dict[str, Any]) -> None:
         assert self.child.stdin is not None
-        self.child.stdin.write(json.dumps(order).encode() + b"\n")
+        self.child.stdin.write(json.dumps(command).encode() + b"\n")
 
-    def ask(self, do: str, within_s: float = 60.0, **order: Any) -> dict[str, Any]:
+    def request(self, do: str, within_s: float = 60.0, **command: Any) -> dict[str, Any]:
         """Gives an order and waits for its answer; TimeoutError after so many seconds, RuntimeError where it ended."""
-        self.tell({"do": do} | order)
+        self.send_command({"do": do} | command)
         return self.answer(within_s)
 
     def answer(self, within_s: float) -> dict[str, Any]:
@@ -106,9 +106,9 @@
             raise TimeoutError(f"{self.name} has not answered for {within_s:g} s")
         line = b""
         while not line.endswith(b"\n"):
-            if not (more := self.child.stdout.readline()):
+            if not (chunk := self.child.stdout.readline()):
                 raise RuntimeError(f"{self.name} has ended: {self.log.read_text()[-2000:]}")
-            line += more
+            line += chunk
         answer: dict[str, Any] = json.loads(line)
         return answer
 
@@ -119,14 +119,14 @@
         if threads:
             return sum(int(thread[0]) for thread in threads) / 1e9, sum(int(thread[1]) for thread in threads) / 1e9
         fields = Path(f"/proc/{self.child.pid}/stat").read_text().rpartition(")")[2].split()
-        return (int(fields[11]) + int(fields[12])) / TICKS, 0.0
+        return (int(fields[11]) + int(fields[12])) / CLOCK_TICKS_PER_S, 0.0
 
-    def memory_kb(self, what: str = "Pss") -> int:
+    def memory_kb(self, kind: str = "Pss") -> int:
         """Pss or Rss in kB; what the kernel holds for sockets is in neither."""
         lines = Path(f"/proc/{self.child.pid}/smaps_rollup").read_text().splitlines()
-        return next(int(line.split()[1]) for line in lines if line.startswith(f"{what}:"))
+        return next(int(line.split()[1]) for line in lines if line.startswith(f"{kind}:"))
 
-    def end(self) -> None:
+    def kill(self) -> None:
         self.child.kill()
         self.child.wait()
 
@@ -136,18 +136,18 @@
     """What a stretch of time took: shares of a core."""
 
     seconds: float
-    hop: float  # the relay, or the splicer
+    proxy: float  # the relay, or the splicer
     backends: float
     clients: float
-    hop_waits: float  # while others have its core
-    stand_in_waits: float  # of the stand-in that waits most
+    proxy_wait_share: float  # while others have its core
+    stand_in_wait_share: float  # of the stand-in that waits most
 
 
 @dataclass
 class Row:
-    what: str
+    name: str
     connections: int
-    asked: float  # lines a second
+    target_rate: float  # lines a second
     rate: float  # as they were sent
     window: Window
     sent: dict[str, Any]
@@ -156,202 +156,225 @@
     @property
     def disturbed(self) -> bool:
         """Whether somebody other than the relay may have made lines late: a stand-in, or who shares the cores."""
-        w = self.window
+        window = self.window
         return (
-            max(w.backends, w.clients) > BUSY
-            or max(w.hop_waits, w.stand_in_waits) > WAITS
-            or (self.sent["lag_ms"] > LAG_MS)
+            max(window.backends, window.clients) > MAX_CORE_SHARE
+            or max(window.proxy_wait_share, window.stand_in_wait_share) > MAX_WAIT_SHARE
+            or (self.sent["lag_ms"] > MAX_SEND_LAG_MS)
         )
 
     @property
-    def holds(self) -> bool:
+    def sustained(self) -> bool:
         """Whether lines left as asked, 99 in 100 came in time (ms), and no queue grew."""
-        d, on_time = self.delays, self.rate >= 0.97 * self.asked
-        return bool(on_time and max(d["p99_ms"], d["tail_p99_ms"]) <= P99_MS and d["tail_p50_ms"] <= QUEUE_MS)
+        delays, on_time = self.delays, self.rate >= 0.97 * self.target_rate
+        return bool(
+            on_time
+            and max(delays["p99_ms"], delays["tail_p99_ms"]) <= MAX_P99_MS
+            and delays["tail_p50_ms"] <= MAX_QUEUE_MS
+        )
 
     def __str__(self) -> str:
-        w, d = self.window, self.delays
+        window, delays = self.window, self.delays
         return (
-            f"  {self.what:14} {self.connections:6} {self.rate:8,.0f} {100 * w.hop:6.1f} {100 * w.backends:6.1f} "
-            f"{100 * w.clients:6.1f} {100 * w.hop_waits:6.1f} {100 * w.stand_in_waits:6.1f} "
+            f"  {self.name:14} {self.connections:6} {self.rate:8,.0f} {100 * window.proxy:6.1f} "
+            f"{100 * window.backends:6.1f} {100 * window.clients:6.1f} {100 * window.proxy_wait_share:6.1f} "
+            f"{100 * window.stand_in_wait_share:6.1f} "
             f"{os.getloadavg()[0]:5.1f} {self.sent['lag_ms']:7.1f} "
-            f"{d['p50_ms']:7.1f} {d['p99_ms']:8.1f} {d['tail_p50_ms']:8.1f}" + " disturbed" * self.disturbed
+            f"{delays['p50_ms']:7.1f} {delays['p99_ms']:8.1f} {delays['tail_p50_ms']:8.1f}"
+            + " disturbed"
+            * self.disturbed
         )
 
 
-HEAD = "  row             conns  lines/s  hop %  nod %  sub % hopw % stiw %  load  lag ms  p50 ms   p99 ms  tail ms"
+TABLE_HEADER = (
+    "  row             conns  lines/s  hop %  nod %  sub % hopw % stiw %  load  lag ms  p50 ms   p99 ms  tail ms"
+)
 
 
 @dataclass
-class Found:
+class Measurements:
     """By each number of standing connections; times are microseconds of the hop's process."""
 
     connections: list[int] = field(default_factory=list)
     pss_kb: list[int] = field(default_factory=list)
     rss_kb: list[int] = field(default_factory=list)
-    rest_us_s: list[float] = field(default_factory=list)  # of all that stand, a second
+    idle_us_per_s: list[float] = field(default_factory=list)  # of all that stand, a second
     us_setup: list[float] = field(default_factory=list)
     us_line: list[float] = field(default_factory=list)
     rows: list[Row] = field(default_factory=list)  # of the last number
-    us_end: float = 0.0
+    us_close: float = 0.0
     us_echo: float = 0.0
 
 
 def slope(xs: Sequence[float], ys: Sequence[float]) -> float:
     """Of the least squares."""
-    mx, my = sum(xs) / len(xs), sum(ys) / len(ys)
-    return sum((x - mx) * (y - my) for x, y in zip(xs, ys, strict=True)) / sum((x - mx) ** 2 for x in xs)
+    mean_x, mean_y = sum(xs) / len(xs), sum(ys) / len(ys)
+    return sum((x - mean_x) * (y - mean_y) for x, y in zip(xs, ys, strict=True)) / sum((x - mean_x) ** 2 for x in xs)
 
 
-class Bench:
-    def __init__(self, plan: Plan, broken: list[str], backends: Process, clients: Process) -> None:
-        self.plan, self.broken, self.backends, self.clients = plan, broken, backends, clients
-        self.hop = backends  # the process whose cost is measured
+class Benchmark:
+    def __init__(self, plan: Plan, failures: list[str], backends: Process, clients: Process) -> None:
+        self.plan, self.failures, self.backends, self.clients = plan, failures, backends, clients
+        self.proxy = backends  # the process whose cost is measured
         self.standing = 0
 
     def window(self, work: Callable[[], dict[str, Any]]) -> tuple[Window, dict[str, Any]]:
-        parties = (self.hop, self.backends, self.clients)
-        began, before = time.perf_counter(), [p.cpu_s() for p in parties]
-        done = work()
-        after, took = [p.cpu_s() for p in parties], time.perf_counter() - began
-        ran = [(b[0] - a[0]) / took for a, b in zip(before, after, strict=True)]
-        waited = [(b[1] - a[1]) / took for a, b in zip(before, after, strict=True)]
-        return Window(took, ran[0], ran[1], ran[2], waited[0], max(waited[1:])), done
-
-    def rest(self, seconds: float) -> Window:
-        def nothing() -> dict[str, Any]:
+        parties = (self.proxy, self.backends, self.clients)
+        started_s, before = time.perf_counter(), [process.cpu_s() for process in parties]
+        result = work()
+        after, elapsed_s = [process.cpu_s() for process in parties], time.perf_counter() - started_s
+        core_shares = [(start[0] - end[0]) / elapsed_s for end, start in zip(before, after, strict=True)]
+        wait_shares = [(start[1] - end[1]) / elapsed_s for end, start in zip(before, after, strict=True)]
+        return Window(
+            elapsed_s, core_shares[0], core_shares[1], core_shares[2], wait_shares[0], max(wait_shares[1:])
+        ), result
+
+    def measure_idle(self, seconds: float) -> Window:
+        def sleep() -> dict[str, Any]:
             time.sleep(seconds)
             return {}
 
-        return self.window(nothing)[0]
+        return self.window(sleep)[0]
 
-    def lines(self, what: str, rate: float, seconds: float, bursts: Sequence[float] = (), echo: bool = False) -> Row:
+    def send_lines(
+        self, name: str, rate: float, seconds: float, send_bursts: Sequence[float] = (), echo: bool = False
+    ) -> Row:
         """Lines at a rate, until the last has come; every one has to come, and whole."""
-        before = self.clients.ask("begin")
+        before = self.clients.request("begin")
         sender = self.clients if echo else self.backends
         window, sent = self.window(
-            lambda: sender.ask("send", rate=rate, seconds=seconds, bursts=list(bursts), within_s=4 * seconds + 20)
+            lambda: sender.request(
+                "send", rate=rate, seconds=seconds, bursts=list(send_bursts), within_s=4 * seconds + 20
+            )
         )
-        until, expected = time.monotonic() + DRAIN_S, sent["sent"] - sent["missed"] + len(bursts) * sent["burst_size"]
-        while (heard := self.clients.ask("standing"))["received"] < expected and time.monotonic() < until:
+        deadline_s, expected = (
+            time.monotonic() + MAX_DRAIN_S,
+            sent["sent"] - sent["missed"] + len(send_bursts) * sent["burst_size"],
+        )
+        while (status := self.clients.request("standing"))["received"] < expected and time.monotonic() < deadline_s:
             time.sleep(0.1)
-        row = Row(what, self.standing, rate, sent["sent"] / sent["took_s"], window, sent, self.clients.ask("delays"))
+        row = Row(
+            name, self.standing, rate, sent["sent"] / sent["took_s"], window, sent, self.clients.request("delays")
+        )
         print(row, flush=True)
-        wrong = heard["broken"] - before["broken"], heard["bad"] - before["bad"], sent["missed"]
-        if heard["received"] != expected or any(wrong):
-            self.broken.append(
-                f"{what}, {self.standing} connections, {rate:,.0f} lines/s: {heard['received']} of {expected} lines "
-                f"came; {wrong[0]} connections lost, {wrong[1]} lines not whole, {wrong[2]} not sent"
+        faults = status["broken"] - before["broken"], status["bad"] - before["bad"], sent["missed"]
+        if status["received"] != expected or any(faults):
+            self.failures.append(
+                f"{name}, {self.standing} connections, {rate:,.0f} lines/s: {status['received']} of {expected} lines "
+                f"came; {faults[0]} connections lost, {faults[1]} lines not whole, {faults[2]} not sent"
             )
         return row
 
-    def to(self, count: int, address: Sequence[Any]) -> float:
+    def open_connections(self, count: int, address: Sequence[Any]) -> float:
         """Connections until so many stand; processor time of the hop in microseconds for each."""
-        new, before = count - self.standing, self.clients.ask("standing")
-        window, done = self.window(
-            lambda: self.clients.ask(
-                "open", count=new, host=address[0], port=address[1], at_once=AT_ONCE, within_s=90.0
+        new, before = count - self.standing, self.clients.request("standing")
+        window, status = self.window(
+            lambda: self.clients.request(
+                "open", count=new, host=address[0], port=address[1], at_once=SETUP_CONCURRENCY, within_s=90.0
             )
         )
-        us = window.hop * window.seconds / new * 1e6
-        broken = done["broken"] - before["broken"]
+        us_each = window.proxy * window.seconds / new * 1e6
+        lost = status["broken"] - before["broken"]
         print(
-            f"  {self.hop.name} set-ups to {count}: {us:.0f} us each, {new / window.seconds:,.0f} a second, "
-            f"UP within {done['p99_ms']:.1f} ms (99 %), {AT_ONCE} at once; {self.shares(window)}",
+            f"  {self.proxy.name} set-ups to {count}: {us_each:.0f} us each, {new / window.seconds:,.0f} a second, "
+            f"UP within {status['p99_ms']:.1f} ms (99 %), {SETUP_CONCURRENCY} at once; {self.shares(window)}",
             flush=True,
         )
-        if done["standing"] != count or done["failed"] or broken:
-            self.broken.append(
-                f"{self.hop.name} set-ups to {count}: {done['standing']} stand, {done['failed']} "
-                f"failed, {broken} lost; {self.shares(window)}"
+        if status["standing"] != count or status["failed"] or lost:
+            self.failures.append(
+                f"{self.proxy.name} set-ups to {count}: {status['standing']} stand, {status['failed']} "
+                f"failed, {lost} lost; {self.shares(window)}"
             )
-        self.standing = done["standing"]
-        return us
+        self.standing = status["standing"]
+        return us_each
 
     def shares(self, window: Window) -> str:
         return (
-            f"hop {100 * window.hop:.0f} %, nodes {100 * window.backends:.0f} %, submitters "
-            f"{100 * window.clients:.0f} %; waits: hop {100 * window.hop_waits:.0f} %, stand-ins "
-            f"{100 * window.stand_in_waits:.0f} %; load {os.getloadavg()[0]:.1f}"
+            f"hop {100 * window.proxy:.0f} %, nodes {100 * window.backends:.0f} %, submitters "
+            f"{100 * window.clients:.0f} %; waits: hop {100 * window.proxy_wait_share:.0f} %, stand-ins "
+            f"{100 * window.stand_in_wait_share:.0f} %; load {os.getloadavg()[0]:.1f}"
         )
 
-    def points(self, address: Sequence[Any], counts: Sequence[int], rates: Sequence[float]) -> Found:
+    def measure_points(self, address: Sequence[Any], counts: Sequence[int], rates: Sequence[float]) -> Measurements:
         """Memory, rest and lines at each number of standing connections."""
-        found = Found()
-        print(HEAD)
+        measurements = Measurements()
+        print(TABLE_HEADER)
         for count in counts:
-            found.us_setup.append(self.to(count, address))
-            time.sleep(min(1.0, self.plan.rest_s))  # what set-ups leave behind
-            window = self.rest(self.plan.rest_s)
-            found.connections.append(count)
-            found.pss_kb.append(self.hop.memory_kb())
-            found.rss_kb.append(self.hop.memory_kb("Rss"))
-            found.rest_us_s.append(window.hop * 1e6)
+            measurements.us_setup.append(self.open_connections(count, address))
+            time.sleep(min(1.0, self.plan.idle_s))  # what set-ups leave behind
+            window = self.measure_idle(self.plan.idle_s)
+            measurements.connections.append(count)
+            measurements.pss_kb.append(self.proxy.memory_kb())
+            measurements.rss_kb.append(self.proxy.memory_kb("Rss"))
+            measurements.idle_us_per_s.append(window.proxy * 1e6)
             print(
-                f"  {self.hop.name} {count} at rest: {window.hop * 1e6:.0f} us a second, PSS {found.pss_kb[-1]} kB, "
-                f"RSS {found.rss_kb[-1]} kB; {self.shares(window)}",
+                f"  {self.proxy.name} {count} at rest: {window.proxy * 1e6:.0f} us a second, "
+                f"PSS {measurements.pss_kb[-1]} kB, RSS {measurements.rss_kb[-1]} kB; {self.shares(window)}",
                 flush=True,
             )
-            rows = [self.lines(f"{self.hop.name} rate", rate, self.plan.rate_s) for rate in rates]
-            found.us_line.append(slope([r.rate for r in rows], [r.window.hop * 1e6 for r in rows]))
-            found.rows = rows
-        row = self.lines(f"{self.hop.name} echo", rates[0], self.plan.rate_s, echo=True)
-        found.us_echo = (row.window.hop * 1e6 - found.rest_us_s[-1]) / row.rate
-        return found
-
-    def search(self, rows: list[Row]) -> tuple[Row | None, Row | None]:
+            rows = [self.send_lines(f"{self.proxy.name} rate", rate, self.plan.window_s) for rate in rates]
+            measurements.us_line.append(slope([row.rate for row in rows], [row.window.proxy * 1e6 for row in rows]))
+            measurements.rows = rows
+        row = self.send_lines(f"{self.proxy.name} echo", rates[0], self.plan.window_s, echo=True)
+        measurements.us_echo = (row.window.proxy * 1e6 - measurements.idle_us_per_s[-1]) / row.rate
+        return measurements
+
+    def find_highest_rate(self, rows: list[Row]) -> tuple[Row | None, Row | None]:
         """Steps to the highest rate that holds, from the asked one up or down, halving what is between at last; what
         was disturbed is tried again. The highest row that holds, and the lowest above it that does not."""
-        low, high, rate = 0.0, 0.0, ASKED_LINES_S
-        for _ in range(self.plan.steps):
-            row = self.lines("search", rate, self.plan.step_s)
+        low, high, rate = 0.0, 0.0, TARGET_LINES_PER_S
+        for _ in range(self.plan.search_steps):
+            row = self.send_lines("search", rate, self.plan.search_step_s)
             rows.append(row)
-            if row.holds:
+            if row.sustained:
                 low = rate
-            elif row.disturbed and sum(one.what == "search" and one.asked == rate for one in rows) <= AGAIN:
+            elif (
+                row.disturbed
+                and sum(earlier.name == "search" and earlier.target_rate == rate for earlier in rows) <= MAX_REPEATS
+            ):
                 continue
             else:
                 high = rate
             if high and low and high / low < 1.06:
                 break
-            rate = (low + high) / 2.0 if low and high else rate * (1.25 if row.holds else 0.75)
-        tried = sorted({row.asked for row in rows if row.holds}, reverse=True)
-        held: Row | None = None
-        for asked in tried[:3] if self.plan.hold_s else ():
-            for _ in range(1 + AGAIN):
-                rows.append(self.lines("held longer", asked, self.plan.hold_s))
-                if rows[-1].holds:
-                    held = rows[-1]
-                if held or not rows[-1].disturbed:
+            rate = (low + high) / 2.0 if low and high else rate * (1.25 if row.sustained else 0.75)
+        sustained_rates = sorted({row.target_rate for row in rows if row.sustained}, reverse=True)
+        best: Row | None = None
+        for target_rate in sustained_rates[:3] if self.plan.confirm_s else ():
+            for _ in range(1 + MAX_REPEATS):
+                rows.append(self.send_lines("held longer", target_rate, self.plan.confirm_s))
+                if rows[-1].sustained:
+                    best = rows[-1]
+                if best or not rows[-1].disturbed:
                     break
-            if held:
+            if best:
                 break
-        held = held or max((row for row in rows if row.holds), key=lambda row: row.rate, default=None)
-        above = [row for row in rows if not row.holds and row.asked > (held.asked if held else 0.0)]
-        return held, min(above, key=lambda row: (row.asked, row.disturbed), default=None)
-
-    def bursts(self, rate: float, what: str) -> tuple[Row, list[dict[str, Any]]]:
-        at = [0.3 + 1.5 * n for n in range(self.plan.bursts)]
-        row = self.lines(what, rate, at[-1] + 1.1, at)
-        bursts: list[dict[str, Any]] = row.delays["bursts"]
-        for number, burst in enumerate(bursts):
+        best = best or max((row for row in rows if row.sustained), key=lambda row: row.rate, default=None)
+        above = [row for row in rows if not row.sustained and row.target_rate > (best.target_rate if best else 0.0)]
+        return best, min(above, key=lambda row: (row.target_rate, row.disturbed), default=None)
+
+    def send_bursts(self, rate: float, name: str) -> tuple[Row, list[dict[str, Any]]]:
+        burst_times_s = [0.3 + 1.5 * n for n in range(self.plan.bursts)]
+        row = self.send_lines(name, rate, burst_times_s[-1] + 1.1, burst_times_s)
+        results: list[dict[str, Any]] = row.delays["bursts"]
+        for number, burst in enumerate(results):
             print(
                 f"    burst {number}: the last of {burst['count']} after {burst['last_ms']:.1f} ms; p99 of the other "
                 f"lines of that second {burst['others_p99_ms']:.1f} ms"
             )
-        if len(bursts) != len(at) or any(b["count"] != row.sent["burst_size"] for b in bursts):
-            self.broken.append(f"{what}, {row.rate:,.0f} lines/s: a burst did not reach all of its group")
-        return row, bursts
+        if len(results) != len(burst_times_s) or any(burst["count"] != row.sent["burst_size"] for burst in results):
+            self.failures.append(f"{name}, {row.rate:,.0f} lines/s: a burst did not reach all of its group")
+        return row, results
 
-    def ended(self) -> float:
+    def close_connections(self) -> float:
         """All connections end; processor time of the hop in microseconds for each."""
 
         def close() -> dict[str, Any]:
-            self.clients.ask("close")
-            until = time.monotonic() + 15.0
-            while any(party.ask("standing")["standing"] for party in (self.clients, self.backends)):
-                if time.monotonic() > until:
-                    self.broken.append(f"{self.hop.name} ends: connections are left after 15 s")
+            self.clients.request("close")
+            deadline_s = time.monotonic() + 15.0
+            while any(party.request("standing")["standing"] for party in (self.clients, self.backends)):
+                if time.monotonic() > deadline_s:
+                    self.failures.append(f"{self.proxy.name} ends: connections are left after 15 s")
                     break
                 time.sleep(0.05)
             time.sleep(0.7)  # the relay hears its peers out for half a second
@@ -359,9 +382,9 @@
 
         window, _ = self.window(close)
         count, self.standing = self.standing, 0
-        us = window.hop * window.seconds / count * 1e6
-        print(f"  {self.hop.name} ends of {count}: {us:.0f} us each; {self.shares(window)}", flush=True)
-        return us
+        us_each = window.proxy * window.seconds / count * 1e6
+        print(f"  {self.proxy.name} ends of {count}: {us_each:.0f} us each; {self.shares(window)}", flush=True)
+        return us_each
 
 
 def free_port() -> int:
@@ -371,14 +394,14 @@
 
 
 def start_relay(
-    folder: Path, discovery: Sequence[Any], known: dict[str, Any], seed: int
+    folder: Path, discovery: Sequence[Any], endpoints: dict[str, Any], seed: int
 ) -> tuple[Process, tuple[str, int]]:
     """The program as operators start it, serving."""
     address = ("127.0.0.1", free_port())
     settings = SETTINGS | {
         # Long waits, so that a stand-in that others keep from its core is not taken for a node that is lost.
-        "categories": [SETTINGS["categories"][0] | {"deadline_ms": WAIT_MS}],
-        "limits": SETTINGS["limits"] | {"connect_timeout_ms": WAIT_MS},
+        "categories": [SETTINGS["categories"][0] | {"deadline_ms": TIMEOUT_MS}],
+        "limits": SETTINGS["limits"] | {"connect_timeout_ms": TIMEOUT_MS},
         "zone": 0,
         "balancers": 1,
         "slot_no": 0,
@@ -398,7 +421,7 @@
         "discovery": f"{discovery[0]}:{discovery[1]}",
         "seed": f"{seed:x}",
         "settings": settings,
-        "known": known,
+        "known": endpoints,
         "limits": {"sockets": 0},
     }
     (folder / "config.json").write_text(json.dumps(config))
@@ -414,9 +437,9 @@
 
 
 def wait_for_relay(relay: Process) -> None:
-    until = time.monotonic() + 15.0
+    deadline_s = time.monotonic() + 15.0
     while "serves at" not in relay.log.read_text():
-        if relay.child.poll() is not None or time.monotonic() > until:
+        if relay.child.poll() is not None or time.monotonic() > deadline_s:
             raise RuntimeError(f"the relay does not serve: {relay.log.read_text()[-2000:]}")
         time.sleep(0.05)
 
@@ -425,199 +448,221 @@
 def terminable() -> Iterator[None]:
     """SIGTERM ends the run in order, and its children with it."""
 
-    def end(number: int, frame: FrameType | None) -> None:
+    def exit_on_signal(number: int, frame: FrameType | None) -> None:
         raise SystemExit(128 + number)
 
-    before = signal.signal(signal.SIGTERM, end)
+    previous_handler = signal.signal(signal.SIGTERM, exit_on_signal)
     try:
         yield
     finally:
-        signal.signal(signal.SIGTERM, before)
+        signal.signal(signal.SIGTERM, previous_handler)
 
 
-def cores() -> set[int]:
+def shared_cores() -> set[int]:
     """The last four that this process may use: the relay, the stand-ins and nothing else of this run share them."""
     return set(sorted(os.sched_getaffinity(0))[-4:])
 
 
-def extrapolate(found: Found, kb: float, us_beat: float, us_line: float) -> dict[str, Any]:
+def extrapolate(measurements: Measurements, kb: float, us_idle: float, us_line: float) -> dict[str, Any]:
     """Shares of one core at the asked size, by how long connections live."""
-    us_life = found.us_setup[-1] + found.us_end
-    beats, lines = ASKED_CONNECTIONS * us_beat / 1e6, ASKED_LINES_S * us_line / 1e6
+    us_connection = measurements.us_setup[-1] + measurements.us_close
+    idle_share, line_share = TARGET_CONNECTIONS * us_idle / 1e6, TARGET_LINES_PER_S * us_line / 1e6
     print(
-        f"EXTRAPOLATION, not measured: from {found.connections[-1]:,} connections on one relay to "
-        f"{ASKED_CONNECTIONS:,}, {ASKED_LINES_S:,.0f} lines/s\n  (set-up and end {us_life:.0f} us, line "
-        f"{us_line:.1f} us, rest {us_beat:.2f} us a connection and second; {ASKED_CONNECTIONS * kb / 1024:.0f} "
-        f"MB, {2 * ASKED_CONNECTIONS:,} descriptors)\n  life     set-ups/s  set-ups  lines  rest  share of a core  "
+        f"EXTRAPOLATION, not measured: from {measurements.connections[-1]:,} connections on one relay to "
+        f"{TARGET_CONNECTIONS:,}, {TARGET_LINES_PER_S:,.0f} lines/s\n  (set-up and end {us_connection:.0f} us, line "
+        f"{us_line:.1f} us, rest {us_idle:.2f} us a connection and second; {TARGET_CONNECTIONS * kb / 1024:.0f} "
+        f"MB, {2 * TARGET_CONNECTIONS:,} descriptors)\n  life     set-ups/s  set-ups  lines  rest  share of a core  "
         f"lines/s that one core carries"
     )
     shares, rates = {}, {}
-    for name, lifetime_s in LIVES:
-        setups = ASKED_CONNECTIONS / lifetime_s
-        part = setups * us_life / 1e6
-        shares[name], rates[name] = round(part + lines + beats, 3), round(max(0.0, (1 - part - beats) / us_line * 1e6))
-        print(f"  {name:8} {setups:9,.1f} {part:8.2f} {lines:6.2f} {beats:5.2f} {shares[name]:16.2f} {rates[name]:15,}")
-    left = 1.0 - lines - beats
-    shortest = round(ASKED_CONNECTIONS * us_life / 1e6 / left, 1) if left > 0.0 else None
+    for label, lifetime_s in CONNECTION_LIFETIMES:
+        setups = TARGET_CONNECTIONS / lifetime_s
+        setup_share = setups * us_connection / 1e6
+        shares[label], rates[label] = (
+            round(setup_share + line_share + idle_share, 3),
+            round(max(0.0, (1 - setup_share - idle_share) / us_line * 1e6)),
+        )
+        print(
+            f"  {label:8} {setups:9,.1f} {setup_share:8.2f} {line_share:6.2f} {idle_share:5.2f} "
+            f"{shares[label]:16.2f} {rates[label]:15,}"
+        )
+    free_share = 1.0 - line_share - idle_share
+    shortest_lifetime_s = round(TARGET_CONNECTIONS * us_connection / 1e6 / free_share, 1) if free_share > 0.0 else None
     print(
-        f"  one core carries {ASKED_LINES_S:,.0f} lines/s "
-        + (f"where connections live for {shortest:,} s or longer" if shortest else "at no life")
+        f"  one core carries {TARGET_LINES_PER_S:,.0f} lines/s "
+        + (f"where connections live for {shortest_lifetime_s:,} s or longer" if shortest_lifetime_s else "at no life")
     )
-    return {"extrapolated_core_share": shares, "extrapolated_lines_s": rates, "extrapolated_shortest_life_s": shortest}
+    return {
+        "extrapolated_core_share": shares,
+        "extrapolated_lines_s": rates,
+        "extrapolated_shortest_life_s": shortest_lifetime_s,
+    }
 
 
-def run(seed: int, size: str, broken: list[str], line: int = 100) -> dict[str, Any]:
+def run(seed: int, size: str, failures: list[str], line_bytes: int = 100) -> dict[str, Any]:
     """Measures, prints tables, and adds to `broken` a sentence for each rule that fails. line: bytes, CRLF included."""
     plan = PLANS.get(size, PLANS["machine"])  # what is real has no larger size than the machine's
-    limit = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
-    reach = (limit - SPARE) // 2
-    counts = tuple(sorted({min(count, reach) for count in plan.connections}))
-    short = f" instead of {plan.connections[-1]}" if counts[-1] < plan.connections[-1] else ""
+    descriptor_limit = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
+    max_connections = (descriptor_limit - SPARE_DESCRIPTORS) // 2
+    counts = tuple(sorted({min(count, max_connections) for count in plan.connections}))
+    shortfall = f" instead of {plan.connections[-1]}" if counts[-1] < plan.connections[-1] else ""
     print(
-        f"lines of {line} bytes with CRLF; {BACKENDS} execute nodes; descriptors: {limit}, so at most {reach} "
-        f"connections through one relay{short}"
+        f"lines of {line_bytes} bytes with CRLF; {BACKENDS} execute nodes; descriptors: {descriptor_limit}, so at "
+        f"most {max_connections} connections through one relay{shortfall}"
     )
-    group = min(GROUP, counts[-1])
+    group = min(GROUP_SIZE, counts[-1])
     print(
-        f"cores {sorted(cores())} for relay or splicer, nodes and submitters, each of which runs on one at a time\n"
+        f"cores {sorted(shared_cores())} for relay or splicer, nodes and submitters, each of which runs on one at a "
+        "time\n"
         "hop: share of a core of the relay or splicer; hopw, stiw: part of the time that it, or a stand-in, waited\n"
         "for a core while others had it; lag: how late lines left (99 %); tail: the median of the last quarter;\n"
         "lines leave in ticks of 1 ms, on connections in turn; delays count from when a line was due"
     )
-    with terminable(), tempfile.TemporaryDirectory(prefix="capacity-") as name, ExitStack() as stack:
-        folder = Path(name)
+    with terminable(), tempfile.TemporaryDirectory(prefix="capacity-") as folder_name, ExitStack() as stack:
+        folder = Path(folder_name)
 
-        def started(process: Process) -> Process:
-            stack.callback(process.end)
+        def register(process: Process) -> Process:
+            stack.callback(process.kill)
             return process
 
         stand_in = "benchmarks.capacity.stand_in"
-        backends = started(Process("nodes", [stand_in, "nodes"], folder / "nodes.log"))
-        clients = started(Process("submitters", [stand_in, "submitters"], folder / "submitters.log"))
-        splicer = started(Process("splicer", [stand_in, "splicer"], folder / "splicer.log"))
-        backends.tell({"seed": seed, "length": line, "nodes": BACKENDS})
-        clients.tell({"seed": seed, "length": line, "group": group})
-        there = backends.ask("start")
-        relay, address = start_relay(folder, there["discovery"], there["list"], seed)
-        started(relay)
+        backends = register(Process("nodes", [stand_in, "nodes"], folder / "nodes.log"))
+        clients = register(Process("submitters", [stand_in, "submitters"], folder / "submitters.log"))
+        splicer = register(Process("splicer", [stand_in, "splicer"], folder / "splicer.log"))
+        backends.send_command({"seed": seed, "length": line_bytes, "nodes": BACKENDS})
+        clients.send_command({"seed": seed, "length": line_bytes, "group": group})
+        endpoints = backends.request("start")
+        relay, address = start_relay(folder, endpoints["discovery"], endpoints["list"], seed)
+        register(relay)
         wait_for_relay(relay)
-        clients.ask("standing")  # it has started as well
-        bench = Bench(plan, broken, backends, clients)
-        bench.hop = relay
-        found = bench.points(address, counts, plan.rates)
-        rows = found.rows
-        held, above = bench.search(rows)
-        held_rate = held.asked if held else plan.rates[0]
-        if held is None:
-            broken.append(f"search, {counts[-1]} connections: no rate holds a p99 of {P99_MS:.0f} ms")
-        background = 0.5 * min(held_rate, ASKED_LINES_S)
-        row, bursts = bench.bursts(background, "burst")
-        if any(b["others_p99_ms"] > P99_MS for b in bursts) and not row.disturbed:
-            broken.append(f"burst, {row.rate:,.0f} lines/s: p99 of the other lines over {P99_MS:.0f} ms")
-        found.us_end = bench.ended()
+        clients.request("standing")  # it has started as well
+        bench = Benchmark(plan, failures, backends, clients)
+        bench.proxy = relay
+        relay_results = bench.measure_points(address, counts, plan.rates)
+        rows = relay_results.rows
+        best, above = bench.find_highest_rate(rows)
+        best_rate = best.target_rate if best else plan.rates[0]
+        if best is None:
+            failures.append(f"search, {counts[-1]} connections: no rate holds a p99 of {MAX_P99_MS:.0f} ms")
+        background_rate = 0.5 * min(best_rate, TARGET_LINES_PER_S)
+        burst_row, bursts = bench.send_bursts(background_rate, "burst")
+        if any(burst["others_p99_ms"] > MAX_P99_MS for burst in bursts) and not burst_row.disturbed:
+            failures.append(f"burst, {burst_row.rate:,.0f} lines/s: p99 of the other lines over {MAX_P99_MS:.0f} ms")
+        relay_results.us_close = bench.close_connections()
         relay.child.send_signal(signal.SIGTERM)  # its end is seen below
-        splicer.tell({"addresses": there["addresses"]})
-        bench.hop = splicer
-        plain = bench.points(splicer.ask("start")["address"], counts, plan.rates)
-        plain_row = bench.lines("splicer high", held_rate, plan.step_s)
-        _, plain_bursts = bench.bursts(background, "splicer burst")
-        plain.us_end = bench.ended()
+        splicer.send_command({"addresses": endpoints["addresses"]})
+        bench.proxy = splicer
+        splicer_results = bench.measure_points(splicer.request("start")["address"], counts, plan.rates)
+        splicer_row = bench.send_lines("splicer high", best_rate, plan.search_step_s)
+        _, splicer_bursts = bench.send_bursts(background_rate, "splicer burst")
+        splicer_results.us_close = bench.close_connections()
         try:
             status: int | None = relay.child.wait(10.0)
         except subprocess.TimeoutExpired:
             status = None
         if status != 0 or "Traceback" in relay.log.read_text():
-            broken.append(f"the relay's end: status {status}; its log ends {relay.log.read_text()[-300:]!r}")
-    return report(found, plain, held, above, plain_row, bursts, plain_bursts, background, line)
+            failures.append(f"the relay's end: status {status}; its log ends {relay.log.read_text()[-300:]!r}")
+    return report(
+        relay_results, splicer_results, best, above, splicer_row, bursts, splicer_bursts, background_rate, line_bytes
+    )
 
 
 def report(
-    found: Found,
-    plain: Found,
-    held: Row | None,
+    relay_results: Measurements,
+    splicer_results: Measurements,
+    best: Row | None,
     above: Row | None,
-    plain_row: Row,
+    splicer_row: Row,
     bursts: list[dict[str, Any]],
-    plain_bursts: list[dict[str, Any]],
-    background: float,
-    line: int,
+    splicer_bursts: list[dict[str, Any]],
+    background_rate: float,
+    line_bytes: int,
 ) -> dict[str, Any]:
-    def each(one: Found) -> tuple[float, float]:
+    def idle_cost(results: Measurements) -> tuple[float, float]:
         """kB a connection, and microseconds of a resting connection and second."""
-        return slope(one.connections, one.pss_kb), max(0.0, slope(one.connections, one.rest_us_s))
+        return slope(results.connections, results.pss_kb), max(0.0, slope(results.connections, results.idle_us_per_s))
 
-    (kb, us_beat), (plain_kb, plain_beat) = each(found), each(plain)
-    rows = found.rows
-    tried = [row for row in rows if row.asked == ASKED_LINES_S]
-    asked = next((row for row in tried if row.holds), tried[-1])
-    bound = "not reached" if above is None else "stand-ins or others" if above.disturbed else "relay"
+    (relay_kb, relay_idle_us), (splicer_kb, splicer_idle_us) = idle_cost(relay_results), idle_cost(splicer_results)
+    rows = relay_results.rows
+    target_rows = [row for row in rows if row.target_rate == TARGET_LINES_PER_S]
+    target_row = next((row for row in target_rows if row.sustained), target_rows[-1])
+    bottleneck = "not reached" if above is None else "stand-ins or others" if above.disturbed else "relay"
     # At the highest rate that holds: what a line costs less there than at low rates counts as well.
-    high = held or asked
-    us_line_high = (high.window.hop * 1e6 - found.rest_us_s[-1]) / high.rate if held else found.us_line[-1]
-    plain_high = (plain_row.window.hop * 1e6 - plain.rest_us_s[-1]) / plain_row.rate
+    best_row = best or target_row
+    relay_line_us = (
+        (best_row.window.proxy * 1e6 - relay_results.idle_us_per_s[-1]) / best_row.rate
+        if best
+        else relay_results.us_line[-1]
+    )
+    splicer_line_us = (splicer_row.window.proxy * 1e6 - splicer_results.idle_us_per_s[-1]) / splicer_row.rate
     print("  cost                              relay   splicer   ratio")
-    for what, own, bare in [
-        ("kB a connection (PSS)", kb, plain_kb),
-        ("us a set-up, most standing", found.us_setup[-1], plain.us_setup[-1]),
-        ("us an end", found.us_end, plain.us_end),
-        ("us a line, slope, most standing", found.us_line[-1], plain.us_line[-1]),
-        ("us a line at the held rate", us_line_high, plain_high),
-        ("us a line and its echo", found.us_echo, plain.us_echo),
-        ("us at rest, connection and s", us_beat, plain_beat),
-        ("p99 ms at the held rate", high.delays["p99_ms"], plain_row.delays["p99_ms"]),
+    for label, relay_value, splicer_value in [
+        ("kB a connection (PSS)", relay_kb, splicer_kb),
+        ("us a set-up, most standing", relay_results.us_setup[-1], splicer_results.us_setup[-1]),
+        ("us an end", relay_results.us_close, splicer_results.us_close),
+        ("us a line, slope, most standing", relay_results.us_line[-1], splicer_results.us_line[-1]),
+        ("us a line at the held rate", relay_line_us, splicer_line_us),
+        ("us a line and its echo", relay_results.us_echo, splicer_results.us_echo),
+        ("us at rest, connection and s", relay_idle_us, splicer_idle_us),
+        ("p99 ms at the held rate", best_row.delays["p99_ms"], splicer_row.delays["p99_ms"]),
         (
             "last of the burst, worst, ms",
-            max((b["last_ms"] for b in bursts), default=0.0),
-            max((b["last_ms"] for b in plain_bursts), default=0.0),
+            max((burst["last_ms"] for burst in bursts), default=0.0),
+            max((burst["last_ms"] for burst in splicer_bursts), default=0.0),
         ),
     ]:
-        print(f"  {what:32} {own:7.2f} {bare:9.2f} " + (f"{own / bare:7.2f}" if bare > 0.005 else "      -"))
+        print(
+            f"  {label:32} {relay_value:7.2f} {splicer_value:9.2f} "
+            + (f"{relay_value / splicer_value:7.2f}" if splicer_value > 0.005 else "      -")
+        )
     print(
-        f"  {ASKED_LINES_S:,.0f} lines/s asked: p99 {asked.delays['p99_ms']:.0f} ms, "
-        + ("held" if asked.holds else "not held")
+        f"  {TARGET_LINES_PER_S:,.0f} lines/s asked: p99 {target_row.delays['p99_ms']:.0f} ms, "
+        + ("held" if target_row.sustained else "not held")
         + "; highest rate held: "
-        + (f"{held.rate:,.0f} lines/s, p99 {held.delays['p99_ms']:.0f} ms" if held else "none")
-        + f" (bound above it: {bound})"
+        + (f"{best.rate:,.0f} lines/s, p99 {best.delays['p99_ms']:.0f} ms" if best else "none")
+        + f" (bound above it: {bottleneck})"
     )
     return {
-        "line_bytes": line,
-        "connections": found.connections,
-        "kb_connection": round(kb, 2),
-        "pss_kb": found.pss_kb,
-        "rss_kb": found.rss_kb,
-        "us_line": [round(us, 2) for us in found.us_line],
-        "us_line_held": round(us_line_high, 2),
-        "us_setup": [round(us, 1) for us in found.us_setup],
-        "us_end": round(found.us_end, 1),
-        "us_echo": round(found.us_echo, 1),
-        "us_beat": round(us_beat, 3),
-        "lines_s": round(held.rate) if held else 0,
-        "p99_ms": round(held.delays["p99_ms"], 1) if held else None,
-        "bound": bound,
-        "asked_held": asked.holds,
-        "asked_p99_ms": round(asked.delays["p99_ms"], 1),
-        "search": [[round(r.rate), round(r.delays["p99_ms"], 1), r.holds] for r in rows],
-        "burst_ms": [round(b["last_ms"], 1) for b in bursts],
-        "burst_background_lines_s": round(background),
-        "burst_others_p99_ms": [round(b["others_p99_ms"], 1) for b in bursts],
-        "splicer_us_line": [round(us, 2) for us in plain.us_line],
-        "splicer_us_line_held": round(plain_high, 2),
-        "splicer_kb_connection": round(plain_kb, 2),
-        "splicer_us_setup": [round(us, 1) for us in plain.us_setup],
-        "splicer_p99_ms": round(plain_row.delays["p99_ms"], 1),
-        "splicer_burst_ms": [round(b["last_ms"], 1) for b in plain_bursts],
-    } | extrapolate(found, kb, us_beat, us_line_high)
+        "line_bytes": line_bytes,
+        "connections": relay_results.connections,
+        "kb_connection": round(relay_kb, 2),
+        "pss_kb": relay_results.pss_kb,
+        "rss_kb": relay_results.rss_kb,
+        "us_line": [round(us, 2) for us in relay_results.us_line],
+        "us_line_held": round(relay_line_us, 2),
+        "us_setup": [round(us, 1) for us in relay_results.us_setup],
+        "us_end": round(relay_results.us_close, 1),
+        "us_echo": round(relay_results.us_echo, 1),
+        "us_beat": round(relay_idle_us, 3),
+        "lines_s": round(best.rate) if best else 0,
+        "p99_ms": round(best.delays["p99_ms"], 1) if best else None,
+        "bound": bottleneck,
+        "asked_held": target_row.sustained,
+        "asked_p99_ms": round(target_row.delays["p99_ms"], 1),
+        "search": [[round(row.rate), round(row.delays["p99_ms"], 1), row.sustained] for row in rows],
+        "burst_ms": [round(burst["last_ms"], 1) for burst in bursts],
+        "burst_background_lines_s": round(background_rate),
+        "burst_others_p99_ms": [round(burst["others_p99_ms"], 1) for burst in bursts],
+        "splicer_us_line": [round(us, 2) for us in splicer_results.us_line],
+        "splicer_us_line_held": round(splicer_line_us, 2),
+        "splicer_kb_connection": round(splicer_kb, 2),
+        "splicer_us_setup": [round(us, 1) for us in splicer_results.us_setup],
+        "splicer_p99_ms": round(splicer_row.delays["p99_ms"], 1),
+        "splicer_burst_ms": [round(burst["last_ms"], 1) for burst in splicer_bursts],
+    } | extrapolate(relay_results, relay_kb, relay_idle_us, relay_line_us)
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
-    parser = options("What lines, set-ups and standing connections cost on the real relay, beside a bare splicer.")
+    parser = argument_parser(
+        "What lines, set-ups and standing connections cost on the real relay, beside a bare splicer."
+    )
     parser.add_argument("--line", type=int, default=100, help="bytes of a line, 24 to 4000")
-    chosen = parser.parse_args(arguments)
-    if not 24 <= chosen.line <= 4000:
+    args = parser.parse_args(arguments)
+    if not 24 <= args.line <= 4000:
         parser.error("--line is from 24 to 4000")
-    started, broken = time.perf_counter(), list[str]()
-    result = run(chosen.seed, chosen.size, broken, chosen.line)
-    return finish(result, broken, started, chosen.json, chosen.seed, chosen.size)
+    started, failures = time.perf_counter(), list[str]()
+    result = run(args.seed, args.size, failures, args.line)
+    return print_result(result, failures, started, args.json, args.seed, args.size)
 
 
 if __name__ == "__main__":
--- a/benchmarks/capacity/scaling.py
+++ b/benchmarks/capacity/scaling.py
@@ -23,9 +23,16 @@
 from typing import Any
 
 from benchmarks import signals
-from benchmarks.capacity.membership_relays import CELL, HELD, Day, cells_of, on_sockets, play
-from benchmarks.common import finish, options
-from benchmarks.signals import deep_kb
+from benchmarks.capacity.membership_relays import (
+    HELD_BACKENDS,
+    MAX_CELL_RELAYS,
+    SimulationPlan,
+    cell_sizes,
+    measure_on_sockets,
+    simulate,
+)
+from benchmarks.common import argument_parser, print_result
+from benchmarks.signals import deep_size_kb
 from yarrowspindle.consensus.acceptor import AcceptorState
 from yarrowspindle.decisions.events import group_key
 from yarrowspindle.maintenance.codec import encode, encode_file
@@ -37,9 +44,9 @@
 from yarrowspindle.membership.local_load_log import MAX_KEYS, LocalLoadLog
 from yarrowspindle.protocol.fragments import FRAGMENT_BYTES
 
-AHEAD = 1200  # relays of the fleet ahead
-ALLOWED = {"bytes_per_s": 8000.0, "cpu_share": 0.012, "memory_mb": 32.0}  # of one relay
-WRONG, FLAT, PLAIN = 0.15, 0.10, 0.05
+TARGET_RELAYS = 1200  # relays of the fleet ahead
+LIMITS = {"bytes_per_s": 8000.0, "cpu_share": 0.012, "memory_mb": 32.0}  # of one relay
+MAX_FIT_ERROR, MAX_GROWTH, MAX_CONSTANT_RESIDUAL = 0.15, 0.10, 0.05
 QUANTITIES = ("bytes_per_s", "datagrams_per_s", "members_bytes_per_s", "cpu_share", "memory_mb", "age_s", "known_s")
 FORMS: dict[str, Callable[[float], float]] = {
     "constant": lambda n: 0.0,
@@ -48,15 +55,17 @@
     "n log n": lambda n: n * log2(n),
 }
 PROCESSES = 3
-CELL_BYTES = 1800.0  # bytes_per_s of the peers' settings in a cell: with changes at 10 a second all fits in 8 KB/s
-CELL_CHANGES: tuple[tuple[str, Any], ...] = (("bytes_per_s", CELL_BYTES), ("cluster", "cell"))
-POINTS = {"small": (20, 40, 60), "machine": (50, 100, 200, 400), "large": (50, 100, 200, 400)}
-HELD_AT = {"small": 20}
-CELLS = {"small": (24, 48), "machine": (120, 408, 1200), "large": (120, 408, 1200)}  # full cells
+CELL_BYTES_PER_S = (
+    1800.0  # bytes_per_s of the peers' settings in a cell: with changes at 10 a second all fits in 8 KB/s
+)
+CELL_PEER_SETTINGS: tuple[tuple[str, Any], ...] = (("bytes_per_s", CELL_BYTES_PER_S), ("cluster", "cell"))
+FULL_MESH_RELAYS = {"small": (20, 40, 60), "machine": (50, 100, 200, 400), "large": (50, 100, 200, 400)}
+HELD_BACKENDS_BY_SIZE = {"small": 20}
+CELL_FLEET_RELAYS = {"small": (24, 48), "machine": (120, 408, 1200), "large": (120, 408, 1200)}  # full cells
 CELL_WINDOW_S = {"small": 6.0}
-LOST_RELAYS, LOST_CELL, LOST_SEEDS = 40, 10, 6
+COMPARED_RELAYS, COMPARED_CELL_RELAYS, COMPARED_SEEDS = 40, 10, 6
 # Relays, in cells or not, processes.
-SOCKETS = {
+SOCKET_RUNS = {
     "small": ((12, True, 2),),
     "machine": (
         (50, True, 2),
@@ -69,10 +78,10 @@
         (200, False, 10),
     ),
 }
-TABLE_KEYS = (1000, 4000, 16_000, 64_000)
-for _name in list(signals.BASES):  # the same fleets with relays that hear a cell only
-    signals.BASES[f"{_name}, cells"] = replace(
-        signals.BASES[_name], peer_settings=(("cell", LOST_CELL), ("bytes_per_s", CELL_BYTES))
+TABLE_BACKENDS = (1000, 4000, 16_000, 64_000)
+for _fleet_name in list(signals.FLEETS):  # the same fleets with relays that hear a cell only
+    signals.FLEETS[f"{_fleet_name}, cells"] = replace(
+        signals.FLEETS[_fleet_name], peer_settings=(("cell", COMPARED_CELL_RELAYS), ("bytes_per_s", CELL_BYTES_PER_S))
     )
 
 
@@ -81,26 +90,28 @@
     """first + slope x form(n). residual: root of the mean square at the sizes that it was made from, over the mean."""
 
     form: str
-    first: float
+    intercept: float
     slope: float
     residual: float
 
     def at(self, relays: float) -> float:
-        return self.first + self.slope * FORMS[self.form](relays)
+        return self.intercept + self.slope * FORMS[self.form](relays)
 
 
-def fitted(sizes: Sequence[float], values: Sequence[float]) -> Fit:
+def fit_curve(sizes: Sequence[float], values: Sequence[float]) -> Fit:
     """Constant where that is within 5 %, else the form that lies nearest."""
     mean, fits = fmean(values), list[Fit]()
-    for form, of in FORMS.items():
-        slope, first = (0.0, mean) if form == "constant" else linear_regression([of(n) for n in sizes], values)
-        plain = Fit(form, first, slope, 0.0)
-        off = sqrt(fmean((plain.at(n) - value) ** 2 for n, value in zip(sizes, values, strict=True)))
-        fits.append(replace(plain, residual=round(off / abs(mean), 4) if mean else 0.0))
-    return fits[0] if fits[0].residual <= PLAIN else min(fits, key=lambda fit: fit.residual)
+    for form, transform in FORMS.items():
+        slope, intercept = (
+            (0.0, mean) if form == "constant" else linear_regression([transform(n) for n in sizes], values)
+        )
+        fit = Fit(form, intercept, slope, 0.0)
+        residual = sqrt(fmean((fit.at(n) - value) ** 2 for n, value in zip(sizes, values, strict=True)))
+        fits.append(replace(fit, residual=round(residual / abs(mean), 4) if mean else 0.0))
+    return fits[0] if fits[0].residual <= MAX_CONSTANT_RESIDUAL else min(fits, key=lambda candidate: candidate.residual)
 
 
-def shown(rows: Sequence[dict[str, Any]], keys: Sequence[str]) -> None:
+def print_table(rows: Sequence[dict[str, Any]], keys: Sequence[str]) -> None:
     print("  ".join(f"{key:>8}" for key in keys))
     for row in rows:
         print(
@@ -111,58 +122,62 @@
         )
 
 
-def exceeded(what: str, row: dict[str, Any]) -> list[str]:
+def limit_violations(name: str, row: dict[str, Any]) -> list[str]:
     return [
-        f"{what}: {key} is {row[key]:.4g}, {most:g} are allowed"
-        for key, most in ALLOWED.items()
-        if key in row and row[key] > most
+        f"{name}: {key} is {row[key]:.4g}, {limit:g} are allowed"
+        for key, limit in LIMITS.items()
+        if key in row and row[key] > limit
     ]
 
 
-def slopes(rows: list[dict[str, Any]]) -> dict[str, dict[str, Any]]:
+def fit_and_check(rows: list[dict[str, Any]]) -> dict[str, dict[str, Any]]:
     """Made from all rows but the last, checked at that one, worked out at the fleet ahead."""
-    found, check = dict[str, dict[str, Any]](), rows[-1]
+    result, check_row = dict[str, dict[str, Any]](), rows[-1]
     for key in QUANTITIES:
-        fit = fitted([row["relays"] for row in rows[:-1]], [row[key] for row in rows[:-1]])
-        told = fit.at(check["relays"])
-        error = told / check[key] - 1.0 if check[key] else 0.0
-        found[key] = {
+        fit = fit_curve([row["relays"] for row in rows[:-1]], [row[key] for row in rows[:-1]])
+        predicted = fit.at(check_row["relays"])
+        error = predicted / check_row[key] - 1.0 if check_row[key] else 0.0
+        result[key] = {
             "form": fit.form,
-            "first": fit.first,
+            "first": fit.intercept,
             "slope": fit.slope,
             "residual": fit.residual,
-            "told": told,
-            "measured": check[key],
+            "told": predicted,
+            "measured": check_row[key],
             "error": round(error, 4),
-            "verdict": "wrong" if abs(error) > WRONG else "holds",
-            "ahead": fit.at(AHEAD) if abs(error) <= WRONG else None,
+            "verdict": "wrong" if abs(error) > MAX_FIT_ERROR else "holds",
+            "ahead": fit.at(TARGET_RELAYS) if abs(error) <= MAX_FIT_ERROR else None,
         }
-    return found
+    return result
 
 
-def each_to_all(rows: list[dict[str, Any]], over: list[str], broken: list[str]) -> dict[str, dict[str, Any]]:
+def report_full_mesh(
+    rows: list[dict[str, Any]], violations: list[str], failures: list[str]
+) -> dict[str, dict[str, Any]]:
     print(f"\nEach to all on the virtual clock, one relay; {rows[-1]['relays']} relays check the fit")
-    shown(rows, ("relays", *QUANTITIES, "known_most_s", "heard", "beat_s", "untold", "load"))
+    print_table(rows, ("relays", *QUANTITIES, "known_most_s", "heard", "beat_s", "untold", "load"))
     for row in rows:
-        over += exceeded(f"each to all, {row['relays']} relays", row)
+        violations += limit_violations(f"each to all, {row['relays']} relays", row)
         if row["known_most_s"] < 0.0:
-            broken.append(f"each to all, {row['relays']} relays: not all know that one was killed")
-    found = slopes(rows)
-    print(f"\nFits; `ahead` is worked out at {AHEAD} relays, not measured, and only by a fit that holds")
-    shown(
-        [{"quantity": key} | fit for key, fit in found.items()],
+            failures.append(f"each to all, {row['relays']} relays: not all know that one was killed")
+    fits = fit_and_check(rows)
+    print(f"\nFits; `ahead` is worked out at {TARGET_RELAYS} relays, not measured, and only by a fit that holds")
+    print_table(
+        [{"quantity": key} | fit for key, fit in fits.items()],
         ("quantity", "form", "first", "slope", "residual", "told", "measured", "error", "verdict", "ahead"),
     )
-    over += exceeded(
-        f"each to all, {AHEAD} relays as the fits have it",
-        {key: fit["ahead"] for key, fit in found.items() if fit["ahead"] is not None},
+    violations += limit_violations(
+        f"each to all, {TARGET_RELAYS} relays as the fits have it",
+        {key: fit["ahead"] for key, fit in fits.items() if fit["ahead"] is not None},
     )
-    return found
+    return fits
 
 
-def in_cells(played: dict[int, list[dict[str, Any]]], over: list[str], broken: list[str]) -> list[dict[str, Any]]:
+def report_cells(
+    simulations: dict[int, list[dict[str, Any]]], violations: list[str], failures: list[str]
+) -> list[dict[str, Any]]:
     rows = list[dict[str, Any]]()
-    for relays, cells in played.items():
+    for relays, cells in simulations.items():
         row = {key: sum(cell[key] * cell["relays"] for cell in cells) / relays for key in cells[0]}
         rows.append(
             row
@@ -171,232 +186,260 @@
                 "cells": len(cells),
                 "load": cells[-1]["load"],
                 "known_most_s": max(cell["known_most_s"] for cell in cells),
-                "errors": {key: stdev([cell[key] for cell in cells]) / sqrt(len(cells)) for key in ALLOWED},
+                "errors": {key: stdev([cell[key] for cell in cells]) / sqrt(len(cells)) for key in LIMITS},
                 "all_know": min(cell["known_most_s"] for cell in cells) >= 0.0,
                 "most_bytes_per_s": max(cell["bytes_per_s"] for cell in cells),
             }
         )
-    print(f"\nIn cells of {CELL} at most on the virtual clock, bytes_per_s {CELL_BYTES:g}, one relay; all are played")
-    shown(
+    print(
+        f"\nIn cells of {MAX_CELL_RELAYS} at most on the virtual clock, bytes_per_s {CELL_BYTES_PER_S:g}, one relay; "
+        "all are played"
+    )
+    print_table(
         rows, ("relays", "cells", *QUANTITIES, "known_most_s", "most_bytes_per_s", "heard", "beat_s", "untold", "load")
     )
     for row in rows:
         name = f"cells, {row['relays']} relays"
-        missed = exceeded(name, row) + exceeded(f"{name}, worst cell", {"bytes_per_s": row["most_bytes_per_s"]})
-        over += missed
-        broken += missed
+        row_violations = limit_violations(name, row) + limit_violations(
+            f"{name}, worst cell", {"bytes_per_s": row["most_bytes_per_s"]}
+        )
+        violations += row_violations
+        failures += row_violations
         if not row["all_know"]:
-            broken.append(f"{name}: not all know that one was killed")
-        broken += [
+            failures.append(f"{name}: not all know that one was killed")
+        failures += [
             f"{name}: {key} is {row[key]:.4g}, at {rows[0]['relays']} relays it is {rows[0][key]:.4g}: not flat"
-            for key in ALLOWED
+            for key in LIMITS
             if abs(row[key] - rows[0][key])
-            > FLAT * rows[0][key] + 2.0 * sqrt(row["errors"][key] ** 2 + rows[0]["errors"][key] ** 2)
+            > MAX_GROWTH * rows[0][key] + 2.0 * sqrt(row["errors"][key] ** 2 + rows[0]["errors"][key] ** 2)
         ]
     return rows
 
 
-def lost(pool: Executor, seed: int, broken: list[str]) -> Callable[[], list[dict[str, Any]]]:
+def compare_cells(pool: Executor, seed: int, failures: list[str]) -> Callable[[], list[dict[str, Any]]]:
     """What hearing only a cell costs: the parts of the way from off to bound that are closed."""
-    ways = (("", "off"), ("", "bound"), ("", "on"), (", cells", "on"))
+    variants = (("", "off"), ("", "bound"), ("", "on"), (", cells", "on"))
     tasks = [
-        (name + cells, LOST_RELAYS, way, 1000 * seed + n)
+        (name + cells, COMPARED_RELAYS, mode, 1000 * seed + n)
         for name in ("asked", "probed")
-        for cells, way in ways
-        for n in range(LOST_SEEDS)
+        for cells, mode in variants
+        for n in range(COMPARED_SEEDS)
     ]
-    days = [pool.submit(signals.one, task) for task in tasks]
+    runs = [pool.submit(signals.run_task, task) for task in tasks]
 
-    def told() -> list[dict[str, Any]]:
+    def collect() -> list[dict[str, Any]]:
         figures, rows = dict[tuple[str, str], list[float]](), list[dict[str, Any]]()
         ages = dict[tuple[str, str], list[float]]()
-        for (name, _, way, _), got in (day.result() for day in days):
-            if isinstance(got, str):
-                broken.append(f"{name}, {LOST_RELAYS} relays, {way}: {got}")
+        for (name, _, mode, _), outcome in (run.result() for run in runs):
+            if isinstance(outcome, str):
+                failures.append(f"{name}, {COMPARED_RELAYS} relays, {mode}: {outcome}")
             else:
-                figures.setdefault((name, way), []).append(got[0])
-                ages.setdefault((name, way), []).append(got[2])
+                figures.setdefault((name, mode), []).append(outcome[0])
+                ages.setdefault((name, mode), []).append(outcome[2])
         mean = {key: fmean(values) for key, values in figures.items()}
         for name in ("asked", "probed"):
-            off, whole = mean[name, "off"], mean[name, "bound"] - mean[name, "off"]
+            off_mean, full_gain = mean[name, "off"], mean[name, "bound"] - mean[name, "off"]
             cells = (f"{name}, cells", "on")
-            parts = [
-                (got - low) / (high - low)
-                for got, low, high in zip(figures[cells], figures[name, "off"], figures[name, "bound"], strict=True)
+            gain_shares = [
+                (outcome - off_share) / (bound_share - off_share)
+                for outcome, off_share, bound_share in zip(
+                    figures[cells], figures[name, "off"], figures[name, "bound"], strict=True
+                )
             ]
             rows.append(
                 {
                     "fleet": name,
-                    "relays": LOST_RELAYS,
-                    "cell": LOST_CELL,
-                    "seeds": LOST_SEEDS,
-                    "off": off,
+                    "relays": COMPARED_RELAYS,
+                    "cell": COMPARED_CELL_RELAYS,
+                    "seeds": COMPARED_SEEDS,
+                    "off": off_mean,
                     "bound": mean[name, "bound"],
                     "all": mean[name, "on"],
                     "cells": mean[cells],
-                    "closed_all": (mean[name, "on"] - off) / whole,
-                    "closed_cells": (mean[cells] - off) / whole,
-                    "least": min(parts),
-                    "most": max(parts),
+                    "closed_all": (mean[name, "on"] - off_mean) / full_gain,
+                    "closed_cells": (mean[cells] - off_mean) / full_gain,
+                    "least": min(gain_shares),
+                    "most": max(gain_shares),
                     "age_all_s": fmean(ages[name, "on"]),
                     "age_cells_s": fmean(ages[cells]),
                 }
             )
         print("\nWhat cells lose: share of the worth served; the part of the way from off to bound closed")
-        shown(rows, tuple(rows[0]))
+        print_table(rows, tuple(rows[0]))
         return rows
 
-    return told
+    return collect
 
 
-def real_sockets(row: dict[str, Any], cells: bool, over: list[str], broken: list[str]) -> None:
+def check_socket_run(row: dict[str, Any], cells: bool, violations: list[str], failures: list[str]) -> None:
     name = f"sockets, {'cells' if cells else 'each to all'}, {row['relays']} relays"
-    missed = exceeded(name, row)
-    over += missed
+    row_violations = limit_violations(name, row)
+    violations += row_violations
     if cells and not row["machine_bound"]:
-        broken += missed
+        failures += row_violations
     if row["known_s"] < 0.0:  # where the machine is what was measured, it says nothing of the relays
-        (over if row["machine_bound"] else broken).append(f"{name}: not all know that one was silenced")
+        (violations if row["machine_bound"] else failures).append(f"{name}: not all know that one was silenced")
     if row["strangers"]:
-        broken.append(f"{name}: {row['strangers']} datagrams came from another cell")
+        failures.append(f"{name}: {row['strangers']} datagrams came from another cell")
 
 
-def turns_state(over: list[str], sizes: Sequence[int] = (50, 200, 600, MAX_RELAYS)) -> list[dict[str, Any]]:
+def measure_maintenance_state(
+    violations: list[str], sizes: Sequence[int] = (50, 200, 600, MAX_RELAYS)
+) -> list[dict[str, Any]]:
     """Bytes of the settled state, as a message to one relay and in a voter's file, with so many machines out that all
     relays but one have confirmed. told_mb: what the relay that settles one change sends, as it tells all others."""
     rows = list[dict[str, Any]]()
-    for machines in (0, 1, 16):
-        found: dict[str, list[float]] = {"message": [], "file": []}
-        names = tuple(f"node-{n:04}" for n in range(machines))
+    for backends in (0, 1, 16):
+        sizes_by_form: dict[str, list[float]] = {"message": [], "file": []}
+        names = tuple(f"node-{n:04}" for n in range(backends))
         for relays in sizes:
             random = Random(relays)
             state = MaintenanceState(voters={f"relay-{n:04}": f"{random.getrandbits(128):032x}" for n in range(5)})
             for n in range(relays):
                 state = state.with_relay(f"relay-{n:04}", f"{random.getrandbits(128):032x}") or state
-            if machines:
-                state = state.with_request(MaintenanceRequest(names, machines, machines)) or state
+            if backends:
+                state = state.with_request(MaintenanceRequest(names, backends, backends)) or state
                 for _ in names:
                     state = state.advanced({name: BackendObservation(0, 1.0, True) for name in names}) or state
-                turns = {name: out.number for name, out in state.evacuations.items()}
-                for relay, life in list(state.relays.items())[:-1]:
-                    state = state.with_confirmations(relay, life, turns) or state
-            found["message"].append(len(encode(StateUpdate(state))))
-            kept = AcceptorState("v" * 32, (1, "relay-0000"), (1, "relay-0000"), state)
-            found["file"].append(len(encode_file(kept, "r", "c")))
-        for what, values in found.items():
+                confirmed_numbers = {name: evacuation.number for name, evacuation in state.evacuations.items()}
+                for relay, identity in list(state.relays.items())[:-1]:
+                    state = state.with_confirmations(relay, identity, confirmed_numbers) or state
+            sizes_by_form["message"].append(len(encode(StateUpdate(state))))
+            acceptor_state = AcceptorState("v" * 32, (1, "relay-0000"), (1, "relay-0000"), state)
+            sizes_by_form["file"].append(len(encode_file(acceptor_state, "r", "c")))
+        for form, values in sizes_by_form.items():
             slope, first = linear_regression(sizes, values)
-            off = sqrt(fmean((first + slope * n - value) ** 2 for n, value in zip(sizes, values, strict=True)))
-            ahead = first + AHEAD * slope
+            residual = sqrt(fmean((first + slope * n - value) ** 2 for n, value in zip(sizes, values, strict=True)))
+            predicted = first + TARGET_RELAYS * slope
             rows.append(
-                {"bytes of": what, "machines out": machines}
+                {"bytes of": form, "machines out": backends}
                 | dict(zip(map(str, sizes), values, strict=True))
                 | {
                     "a relay": slope,
-                    "residual": off / fmean(values),
-                    "ahead": ahead,
-                    "datagrams": ceil(ahead / FRAGMENT_BYTES) if what == "message" else "",
-                    "told_mb": ahead * (AHEAD - 1) / 1e6 if what == "message" else "",
+                    "residual": residual / fmean(values),
+                    "ahead": predicted,
+                    "datagrams": ceil(predicted / FRAGMENT_BYTES) if form == "message" else "",
+                    "told_mb": predicted * (TARGET_RELAYS - 1) / 1e6 if form == "message" else "",
                 }
             )
-    print(f"\nTurns' state, bytes over registered relays; `ahead` is worked out at {AHEAD} relays, not measured")
-    shown(rows, tuple(rows[0]))
-    over += [
-        f"turns, {AHEAD} relays, {row['machines out']} machines out: one change is {row['told_mb']:.0f} MB "
+    print(
+        f"\nTurns' state, bytes over registered relays; `ahead` is worked out at {TARGET_RELAYS} relays, not measured"
+    )
+    print_table(rows, tuple(rows[0]))
+    violations += [
+        f"turns, {TARGET_RELAYS} relays, {row['machines out']} machines out: one change is {row['told_mb']:.0f} MB "
         "from the relay that settles it"
         for row in rows
         if row["bytes of"] == "message"
     ]
-    if AHEAD > MAX_RELAYS:
-        over.append(f"turns: {MAX_RELAYS} relays may register, {AHEAD} are ahead")
+    if TARGET_RELAYS > MAX_RELAYS:
+        violations.append(f"turns: {MAX_RELAYS} relays may register, {TARGET_RELAYS} are ahead")
     return rows
 
 
-def signal_table(over: list[str]) -> list[dict[str, Any]]:
+def measure_signal_table(violations: list[str]) -> list[dict[str, Any]]:
     """What one other relay's word takes in the table of one that hears it, over the keys that it holds something at: a
     node is one, and each group there one more."""
     rows = list[dict[str, Any]]()
-    for backends, groups in [(backends, 0) for backends in TABLE_KEYS] + [(1000, 4), (4000, 4)]:
+    for backends, groups in [(backends, 0) for backends in TABLE_BACKENDS] + [(1000, 4), (4000, 4)]:
         keys = [
             *range(1, backends + 1),
             *(group_key(backend, group) for backend in range(1, backends + 1) for group in range(1, groups + 1)),
         ]
-        teller, hearer = LocalLoadLog(), LoadSignals()
-        teller.next_signal(LocalLoad({key: (1 + key % 9, 100.0 + key % 500) for key in keys}), 0.0)
-        words = teller.full_signals()
-        hearer.peer_view("r1", 1).observe_clock(0.0, 0.0)
-        for at, word in enumerate(words):
-            hearer.receive("r1", 1, at, word, float(at))
-        hearer.take_peer_loads(float(len(words)), 2, 0)
+        sender, receiver = LocalLoadLog(), LoadSignals()
+        sender.next_signal(LocalLoad({key: (1 + key % 9, 100.0 + key % 500) for key in keys}), 0.0)
+        signals = sender.full_signals()
+        receiver.peer_view("r1", 1).observe_clock(0.0, 0.0)
+        for number, signal in enumerate(signals):
+            receiver.receive("r1", 1, number, signal, float(number))
+        receiver.take_peer_loads(float(len(signals)), 2, 0)
         rows.append(
             {
                 "nodes": backends,
                 "groups": groups,
                 "keys": len(keys),
-                "kept": len(hearer.peers["r1"].loads),
-                "datagrams": len(words),
-                "kb": deep_kb(hearer),
+                "kept": len(receiver.peers["r1"].loads),
+                "datagrams": len(signals),
+                "kb": deep_size_kb(receiver),
             }
         )
         if len(keys) > MAX_KEYS:
-            over.append(f"signals: {len(keys)} keys, {rows[-1]['kept']} are told and kept")
+            violations.append(f"signals: {len(keys)} keys, {rows[-1]['kept']} are told and kept")
     print("\nPeers' table of signals: one relay heard, all that it holds told once")
-    shown(rows, tuple(rows[0]))
+    print_table(rows, tuple(rows[0]))
     return rows
 
 
-def timed(day: Day) -> dict[str, float]:
-    return play(day) | {"relays": day.relays, "load": os.getloadavg()[0]}
+def simulate_with_load(plan: SimulationPlan) -> dict[str, float]:
+    return simulate(plan) | {"relays": plan.relays, "load": os.getloadavg()[0]}
 
 
 def run(
-    seed: int, size: str, relays: int | None, plot: str | None, broken: list[str], each: bool = True
+    seed: int, size: str, relays: int | None, plot: str | None, failures: list[str], full_mesh: bool = True
 ) -> dict[str, Any]:
     """relays: the size by which the fits are checked; an eighth, a quarter and a half of it are fitted. each: each to
     all is played as well, which takes most of the time."""
-    over, points = list[str](), POINTS[size]
+    violations, relay_counts = list[str](), FULL_MESH_RELAYS[size]
     if relays is not None:
-        points = (*(max(4, relays // part) for part in (8, 4, 2)), relays)
-    day = Day(
+        relay_counts = (*(max(4, relays // divisor) for divisor in (8, 4, 2)), relays)
+    plan = SimulationPlan(
         0,
         1000 * seed,
-        held=HELD_AT.get(size, HELD),
+        held=HELD_BACKENDS_BY_SIZE.get(size, HELD_BACKENDS),
         window_s=3.0 if size == "small" else 8.0,
-        warm_s=3.0 if size == "small" else 6.0,
+        warmup_s=3.0 if size == "small" else 6.0,
     )
     with ProcessPoolExecutor(PROCESSES) as pool:
-        alone = [pool.submit(timed, replace(day, relays=n)) for n in reversed(points)] if each else []
-        parts = {
-            n: [
+        full_mesh_runs = (
+            [
+                pool.submit(simulate_with_load, replace(plan, relays=relay_count))
+                for relay_count in reversed(relay_counts)
+            ]
+            if full_mesh
+            else []
+        )
+        cell_runs = {
+            relay_count: [
                 pool.submit(
-                    timed,
+                    simulate_with_load,
                     replace(
-                        day,
+                        plan,
                         relays=cell,
-                        seed=day.seed + 1 + number,
-                        changes=CELL_CHANGES,
+                        seed=plan.seed + 1 + number,
+                        peer_settings=CELL_PEER_SETTINGS,
                         window_s=CELL_WINDOW_S.get(size, 20.0),
                     ),
                 )
-                for number, cell in enumerate(cells_of(n))
+                for number, cell in enumerate(cell_sizes(relay_count))
             ]
-            for n in CELLS[size]
+            for relay_count in CELL_FLEET_RELAYS[size]
         }
-        told = None if size == "small" else lost(pool, seed, broken)
-        sockets = sockets_of(seed, size, over, broken) if size == "small" else []
-        rows = [future.result() for future in reversed(alone)]
-        fits = each_to_all(rows, over, broken) if each else {}
-        cells = in_cells({n: [future.result() for future in futures] for n, futures in parts.items()}, over, broken)
-        losses = told() if told is not None else []
+        collect_comparison = None if size == "small" else compare_cells(pool, seed, failures)
+        socket_rows = run_on_sockets(seed, size, violations, failures) if size == "small" else []
+        rows = [future.result() for future in reversed(full_mesh_runs)]
+        fits = report_full_mesh(rows, violations, failures) if full_mesh else {}
+        cells = report_cells(
+            {relay_count: [future.result() for future in futures] for relay_count, futures in cell_runs.items()},
+            violations,
+            failures,
+        )
+        comparison = collect_comparison() if collect_comparison is not None else []
     if size == "small":
         print("\nWhat cells lose: not run at this size")
     else:
-        sockets = sockets_of(seed, size, over, broken, each)  # once nothing else of this run takes a core
-    shown_sockets(sockets)
-    turns = turns_state(over, (50, 100, 200)) if size == "small" else turns_state(over)
-    table = signal_table(over)
-    print("\nOver what control may cost a relay:" + "".join(f"\n  {row}" for row in over))
-    if plot and each:
-        draw(rows, fits, cells, plot)
+        socket_rows = run_on_sockets(
+            seed, size, violations, failures, full_mesh
+        )  # once nothing else of this run takes a core
+    print_socket_table(socket_rows)
+    maintenance_state = (
+        measure_maintenance_state(violations, (50, 100, 200))
+        if size == "small"
+        else measure_maintenance_state(violations)
+    )
+    signal_table = measure_signal_table(violations)
+    print("\nOver what control may cost a relay:" + "".join(f"\n  {row}" for row in violations))
+    if plot and full_mesh:
+        plot_fits(rows, fits, cells, plot)
     lists = {key: [round(row[key], 5) for row in rows] for key in QUANTITIES}
     return (
         {"relays": [row["relays"] for row in rows]}
@@ -405,34 +448,38 @@
             "control_memory_mb": lists["memory_mb"],  # the last line has the machine's under the other name
             "fit_error": {key: fit["error"] for key, fit in fits.items()},
             "fits": fits,
-            "over": over,
+            "over": violations,
             "all": rows,
             "cells": cells,
-            "lost": losses,
-            "sockets": sockets,
-            "turns_state": turns,
-            "signal_table": table,
+            "lost": comparison,
+            "sockets": socket_rows,
+            "turns_state": maintenance_state,
+            "signal_table": signal_table,
         }
     )
 
 
-def sockets_of(seed: int, size: str, over: list[str], broken: list[str], each: bool = True) -> list[dict[str, Any]]:
+def run_on_sockets(
+    seed: int, size: str, violations: list[str], failures: list[str], full_mesh: bool = True
+) -> list[dict[str, Any]]:
     rows = list[dict[str, Any]]()
-    for relays, celled, processes in [row for row in SOCKETS[size] if each or row[1]]:
-        cells = len(cells_of(relays)) if celled else 1
-        warm, window = (3.0, 2.0) if size == "small" else (6.0 + relays / cells / 20.0, 12.0)
-        row = on_sockets(relays, cells, processes, seed, warm, window, (("bytes_per_s", CELL_BYTES),) if celled else ())
-        rows.append({"way": "cells" if celled else "each to all"} | row)
-        real_sockets(row, celled, over, broken)
+    for relays, in_cells, processes in [row for row in SOCKET_RUNS[size] if full_mesh or row[1]]:
+        cells = len(cell_sizes(relays)) if in_cells else 1
+        warmup_s, window_s = (3.0, 2.0) if size == "small" else (6.0 + relays / cells / 20.0, 12.0)
+        row = measure_on_sockets(
+            relays, cells, processes, seed, warmup_s, window_s, (("bytes_per_s", CELL_BYTES_PER_S),) if in_cells else ()
+        )
+        rows.append({"way": "cells" if in_cells else "each to all"} | row)
+        check_socket_run(row, in_cells, violations, failures)
     return rows
 
 
-def shown_sockets(rows: list[dict[str, Any]]) -> None:
+def print_socket_table(rows: list[dict[str, Any]]) -> None:
     print(
         "\nOn real sockets, one relay; `late_ms`: of the event loops, 99 of 100 looks; `busiest`: the greatest "
         "share of a core\nthat one process took; `load`: of the machine, all that runs there"
     )
-    shown(
+    print_table(
         rows,
         (
             "way",
@@ -457,22 +504,24 @@
     )
 
 
-def draw(rows: list[dict[str, Any]], fits: dict[str, dict[str, Any]], cells: list[dict[str, Any]], path: str) -> None:
+def plot_fits(
+    rows: list[dict[str, Any]], fits: dict[str, dict[str, Any]], cells: list[dict[str, Any]], path: str
+) -> None:
     import matplotlib  # an extra
 
     matplotlib.use("Agg")
     from matplotlib import pyplot
 
     figure, axes = pyplot.subplots(2, 3, figsize=(13, 7))
-    sizes = [rows[0]["relays"] + (AHEAD - rows[0]["relays"]) * part / 100.0 for part in range(101)]
-    drawn = ("bytes_per_s", "cpu_share", "memory_mb", "age_s", "known_s", "members_bytes_per_s")
-    for axis, key in zip(axes.flat, drawn, strict=True):
+    sizes = [rows[0]["relays"] + (TARGET_RELAYS - rows[0]["relays"]) * part / 100.0 for part in range(101)]
+    quantities = ("bytes_per_s", "cpu_share", "memory_mb", "age_s", "known_s", "members_bytes_per_s")
+    for axis, key in zip(axes.flat, quantities, strict=True):
         fit = Fit(fits[key]["form"], fits[key]["first"], fits[key]["slope"], 0.0)
         axis.plot(sizes, [fit.at(n) for n in sizes], "--", label=f"{fit.form}, {fits[key]['verdict']}")
         axis.plot([row["relays"] for row in rows], [row[key] for row in rows], "o", label="each to all")
         axis.plot([row["relays"] for row in cells], [row[key] for row in cells], "s-", label="cells")
-        if key in ALLOWED:
-            axis.axhline(ALLOWED[key], color="red", linewidth=0.8, label="allowed")
+        if key in LIMITS:
+            axis.axhline(LIMITS[key], color="red", linewidth=0.8, label="allowed")
         axis.set_title(key)
         axis.set_xlabel("relays")
         axis.legend(fontsize=7)
@@ -481,16 +530,16 @@
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
-    parser = options("What control costs a relay, over the size of the fleet.")
+    parser = argument_parser("What control costs a relay, over the size of the fleet.")
     parser.add_argument("--plot", metavar="FILE.png", help="draw the slopes and their fits (needs matplotlib)")
     parser.add_argument("--relays", type=int, metavar="N", help="by which the fits are checked, 32 to 800")
     parser.add_argument("--cells", action="store_true", help="without each to all, which takes most of the time")
-    chosen = parser.parse_args(arguments)
-    if chosen.relays is not None and not 32 <= chosen.relays <= 800:
+    args = parser.parse_args(arguments)
+    if args.relays is not None and not 32 <= args.relays <= 800:
         parser.error("--relays is 32 to 800")
-    started, broken = time.perf_counter(), list[str]()
-    result = run(chosen.seed, chosen.size, chosen.relays, chosen.plot, broken, not chosen.cells)
-    return finish(result, broken, started, chosen.json, chosen.seed, chosen.size)
+    started, failures = time.perf_counter(), list[str]()
+    result = run(args.seed, args.size, args.relays, args.plot, failures, not args.cells)
+    return print_result(result, failures, started, args.json, args.seed, args.size)
 
 
 if __name__ == "__main__":
--- a/benchmarks/capacity/stand_in.py
+++ b/benchmarks/capacity/stand_in.py
@@ -21,28 +21,28 @@
 
 from yarrowspindle.lab.processes.stand_ins import Backend, EndpointListServer
 
-END = b"\r\n"
-GROUP = "5c0f6e1a"  # of the connections that get a line in the same instant
+LINE_END = b"\r\n"
+GROUP_KEY = "5c0f6e1a"  # of the connections that get a line in the same instant
 TICK_S = 0.001
-WAIT_S = 10.0
-LATEST_US = 5_000  # a batch that takes longer looks at the clock again
+OPEN_TIMEOUT_S = 10.0
+MAX_BATCH_US = 5_000  # a batch that takes longer looks at the clock again
 
 
-def percentile(ordered: Sequence[float], part: float) -> float:
-    return ordered[min(len(ordered) - 1, int(part * len(ordered)))] if ordered else 0.0
+def percentile(ordered: Sequence[float], share: float) -> float:
+    return ordered[min(len(ordered) - 1, int(share * len(ordered)))] if ordered else 0.0
 
 
 def now_us() -> int:
     return time.monotonic_ns() // 1000
 
 
-class End(asyncio.Protocol):
+class StandInConnection(asyncio.Protocol):
     """One end of a connection; what comes before its first whole line is kept."""
 
     def __init__(self) -> None:
         self.transport: asyncio.Transport
-        self.up = False
-        self.rest = b""
+        self.established = False
+        self.buffer = b""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
@@ -53,49 +53,54 @@
 
     def __init__(self, seed: int, length: int) -> None:
         self.random, self.length = Random(seed), length
-        self.ends: dict[End, bool] = {}  # those that stand, and whether they are of the group
+        self.in_group_by_connection: dict[
+            StandInConnection, bool
+        ] = {}  # those that stand, and whether they are of the group
 
     def line(self, kind: str, due_us: int) -> bytes:
-        return f"{kind} {due_us:015d} ".encode().ljust(self.length - len(END), b"x") + END
+        return f"{kind} {due_us:015d} ".encode().ljust(self.length - len(LINE_END), b"x") + LINE_END
 
     async def send(self, rate: float, seconds: float, bursts: Sequence[float] = ()) -> dict[str, Any]:
         """bursts: seconds from the start at which each end of the group gets a line more."""
-        order, group = list(self.ends), [end for end, one in self.ends.items() if one]
-        self.random.shuffle(order)
+        connections, group = (
+            list(self.in_group_by_connection),
+            [connection for connection, in_group in self.in_group_by_connection.items() if in_group],
+        )
+        self.random.shuffle(connections)
         start, total, sent, missed = now_us(), int(rate * seconds), 0, 0
-        lags, dues, left = array("q"), [], list(bursts)
-        while sent < total or left:
+        lags_us, burst_times, pending_bursts = array("q"), [], list(bursts)
+        while sent < total or pending_bursts:
             now = now_us()
-            if left and now >= start + left[0] * 1e6:
-                left.pop(0)
-                dues.append(now)
-                for end in group:
-                    end.transport.write(self.line("B", now))
-            upto = min(total, int((now - start) * rate / 1e6) + 1)
-            while sent < upto:
-                due = start + int(sent * 1e6 / rate)
-                end = order[sent % len(order)]
-                if end.transport.is_closing():
+            if pending_bursts and now >= start + pending_bursts[0] * 1e6:
+                pending_bursts.pop(0)
+                burst_times.append(now)
+                for connection in group:
+                    connection.transport.write(self.line("B", now))
+            due_count = min(total, int((now - start) * rate / 1e6) + 1)
+            while sent < due_count:
+                due_us = start + int(sent * 1e6 / rate)
+                connection = connections[sent % len(connections)]
+                if connection.transport.is_closing():
                     missed += 1
                 else:
-                    end.transport.write(self.line("L", due))
+                    connection.transport.write(self.line("L", due_us))
                 sent += 1
                 if not sent % 32:
-                    lags.append(now_us() - due)
-                    if lags[-1] > LATEST_US and now_us() - now > LATEST_US:
+                    lags_us.append(now_us() - due_us)
+                    if lags_us[-1] > MAX_BATCH_US and now_us() - now > MAX_BATCH_US:
                         break
-            await asyncio.sleep(TICK_S if sent >= upto else 0)
+            await asyncio.sleep(TICK_S if sent >= due_count else 0)
         return {
             "sent": sent,
             "missed": missed,
-            "bursts": dues,
+            "bursts": burst_times,
             "burst_size": len(group),
             "took_s": (now_us() - start) / 1e6,
-            "lag_ms": percentile(sorted(lags), 0.99) / 1000.0,
+            "lag_ms": percentile(sorted(lags_us), 0.99) / 1000.0,
         }
 
 
-class BackendEnd(End):
+class BackendConnection(StandInConnection):
     """An execute node's: says UP, then brings each line back."""
 
     def __init__(self, sender: Sender) -> None:
@@ -103,17 +108,17 @@
         self.sender = sender
 
     def data_received(self, data: bytes) -> None:
-        if self.up:
+        if self.established:
             self.transport.write(data)
             return
-        self.rest += data
-        if self.rest.endswith(END):
-            self.up = True
-            self.sender.ends[self] = f"g={GROUP}".encode() in self.rest
-            self.transport.write(b"UP r1" + END)
+        self.buffer += data
+        if self.buffer.endswith(LINE_END):
+            self.established = True
+            self.sender.in_group_by_connection[self] = f"g={GROUP_KEY}".encode() in self.buffer
+            self.transport.write(b"UP r1" + LINE_END)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.sender.ends.pop(self, None)
+        self.sender.in_group_by_connection.pop(self, None)
 
 
 class Backends:
@@ -122,46 +127,48 @@
 
     async def start(self) -> dict[str, Any]:
         loop = asyncio.get_running_loop()
-        known: dict[str, Backend] = {}
+        backends: dict[str, Backend] = {}
         for n in range(self.count):
-            server = await loop.create_server(lambda: BackendEnd(self.sender), f"127.0.1.{1 + n}", 0, backlog=1024)
-            known[f"n{n}"] = Backend(f"n{n}", server.sockets[0].getsockname(), Random(n), 0.0)
-        machines = EndpointListServer(known, lambda relay, backend: known[backend].address)
-        await machines.open("n0", ("127.0.0.1", 0))
+            server = await loop.create_server(
+                lambda: BackendConnection(self.sender), f"127.0.1.{1 + n}", 0, backlog=1024
+            )
+            backends[f"n{n}"] = Backend(f"n{n}", server.sockets[0].getsockname(), Random(n), 0.0)
+        endpoint_list = EndpointListServer(backends, lambda relay, backend: backends[backend].address)
+        await endpoint_list.open("n0", ("127.0.0.1", 0))
         return {
-            "discovery": machines.servers[0].sockets[0].getsockname(),
-            "list": machines.full_list("n0"),
-            "addresses": [backend.address for backend in known.values()],
+            "discovery": endpoint_list.servers[0].sockets[0].getsockname(),
+            "list": endpoint_list.full_list("n0"),
+            "addresses": [backend.address for backend in backends.values()],
         }
 
     async def send(self, **order: Any) -> dict[str, Any]:
         return await self.sender.send(**order)
 
     async def standing(self) -> dict[str, Any]:
-        return {"standing": len(self.sender.ends)}
+        return {"standing": len(self.sender.in_group_by_connection)}
 
 
-class ClientEnd(End):
-    def __init__(self, all_of: Clients, first: bytes) -> None:
+class ClientConnection(StandInConnection):
+    def __init__(self, clients: Clients, open_line: bytes) -> None:
         super().__init__()
-        self.all_of, self.first = all_of, first
+        self.clients, self.open_line = clients, open_line
         self.answer: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         super().connection_made(transport)
-        self.transport.write(self.first)
+        self.transport.write(self.open_line)
 
     def data_received(self, data: bytes) -> None:
-        *lines, self.rest = (self.rest + data).split(END)
-        if lines and not self.up:
-            self.up = lines.pop(0).startswith(b"UP ")
+        *lines, self.buffer = (self.buffer + data).split(LINE_END)
+        if lines and not self.established:
+            self.established = lines.pop(0).startswith(b"UP ")
             if not self.answer.done():
-                self.answer.set_result(self.up)
+                self.answer.set_result(self.established)
         if lines:
-            self.all_of.heard(lines)
+            self.clients.on_lines(lines)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.all_of.lost(self)
+        self.clients.on_connection_lost(self)
         if not self.answer.done():
             self.answer.set_result(False)
 
@@ -169,67 +176,67 @@
 class Clients:
     def __init__(self, seed: int, length: int, group: int) -> None:
         self.sender, self.random = Sender(seed, length), Random(seed)
-        self.length, self.group, self.opened = length - len(END), group, 0
+        self.length, self.group, self.opened = length - len(LINE_END), group, 0
         self.closing = False
         self.broken = self.bad = 0  # connections that ended by themselves; lines that are not whole
         self.lines: tuple[array[int], array[int]] = (array("q"), array("q"))  # when each was due, and its delay
         self.bursts: dict[int, list[int]] = {}  # by when they were due: the delays
 
-    def heard(self, lines: list[bytes]) -> None:
+    def on_lines(self, lines: list[bytes]) -> None:
         now = now_us()
         for line in lines:
             if len(line) != self.length:
                 self.bad += 1  # MOVE among them
                 continue
-            due = int(line[2:17])
+            due_us = int(line[2:17])
             if line[:1] == b"B":
-                self.bursts.setdefault(due, []).append(now - due)
+                self.bursts.setdefault(due_us, []).append(now - due_us)
             else:
-                self.lines[0].append(due)
-                self.lines[1].append(now - due)
+                self.lines[0].append(due_us)
+                self.lines[1].append(now - due_us)
 
-    def lost(self, end: ClientEnd) -> None:
-        self.sender.ends.pop(end, None)
+    def on_connection_lost(self, connection: ClientConnection) -> None:
+        self.sender.in_group_by_connection.pop(connection, None)
         self.broken += not self.closing
 
     async def open(self, count: int, host: str, port: int, at_once: int) -> dict[str, Any]:
         """So many more connections, some at once, each from its OPEN line to its UP line."""
-        took, failed, left = array("q"), 0, iter(range(count))
+        delays_us, failed, remaining = array("q"), 0, iter(range(count))
         self.closing = False
 
-        async def some() -> None:
+        async def open_serially() -> None:
             nonlocal failed
-            for _ in left:
-                begun = now_us()
+            for _ in remaining:
+                started_us = now_us()
                 if await self._one(host, port):
-                    took.append(now_us() - begun)
+                    delays_us.append(now_us() - started_us)
                 else:
                     failed += 1
 
-        await asyncio.gather(*(some() for _ in range(at_once)))
-        return await self.standing() | {"failed": failed, "p99_ms": percentile(sorted(took), 0.99) / 1000.0}
+        await asyncio.gather(*(open_serially() for _ in range(at_once)))
+        return await self.standing() | {"failed": failed, "p99_ms": percentile(sorted(delays_us), 0.99) / 1000.0}
 
     async def _one(self, host: str, port: int) -> bool:
         number, self.opened = self.opened, self.opened + 1
-        name = GROUP if number < self.group else f"{self.random.getrandbits(60):x}"
-        first = (
+        name = GROUP_KEY if number < self.group else f"{self.random.getrandbits(60):x}"
+        open_line = (
             f"OPEN {self.random.getrandbits(64):016x} {self.random.getrandbits(64):016x} c=chat,t=acme,d=8000,g={name}"
-        ).encode() + END
-        end, source = ClientEnd(self, first), (f"127.0.0.{2 + number % 8}", 0)
+        ).encode() + LINE_END
+        connection, source = ClientConnection(self, open_line), (f"127.0.0.{2 + number % 8}", 0)
         try:
-            await asyncio.get_running_loop().create_connection(lambda: end, host, port, local_addr=source)
-            up = await asyncio.wait_for(end.answer, WAIT_S)
+            await asyncio.get_running_loop().create_connection(lambda: connection, host, port, local_addr=source)
+            established = await asyncio.wait_for(connection.answer, OPEN_TIMEOUT_S)
         except (OSError, TimeoutError):
             return False
-        if up:
-            self.sender.ends[end] = number < self.group
-        return up
+        if established:
+            self.sender.in_group_by_connection[connection] = number < self.group
+        return established
 
     async def close(self) -> dict[str, Any]:
         """Ends all connections; the next ones begin with the group again."""
         self.closing, self.opened = True, 0
-        for end in list(self.sender.ends):
-            end.transport.close()
+        for connection in list(self.sender.in_group_by_connection):
+            connection.transport.close()
         return await self.standing()
 
     async def send(self, **order: Any) -> dict[str, Any]:
@@ -237,7 +244,7 @@
 
     async def standing(self) -> dict[str, Any]:
         return {
-            "standing": len(self.sender.ends),
+            "standing": len(self.sender.in_group_by_connection),
             "broken": self.broken,
             "bad": self.bad,
             "received": len(self.lines[0]) + sum(map(len, self.bursts.values())),
@@ -249,13 +256,15 @@
 
     async def delays(self) -> dict[str, Any]:
         """Milliseconds; `tail`: of the last quarter; `others`: of lines that were due in a burst's second."""
-        dues, taken = self.lines
-        ordered = sorted(taken)
-        last = dues[0] + 0.75 * (max(dues) - dues[0]) if dues else 0.0
-        tail = sorted(delay for due, delay in zip(dues, taken, strict=True) if due >= last)
+        due_times, delays_us = self.lines
+        ordered = sorted(delays_us)
+        tail_start_us = due_times[0] + 0.75 * (max(due_times) - due_times[0]) if due_times else 0.0
+        tail = sorted(delay for due_us, delay in zip(due_times, delays_us, strict=True) if due_us >= tail_start_us)
         bursts = []
         for at, delays in sorted(self.bursts.items()):
-            others = sorted(delay for due, delay in zip(dues, taken, strict=True) if at <= due < at + 1_000_000)
+            others = sorted(
+                delay for due_us, delay in zip(due_times, delays_us, strict=True) if at <= due_us < at + 1_000_000
+            )
             bursts.append(
                 {
                     "count": len(delays),
@@ -272,28 +281,28 @@
         }
 
 
-class Spliced(asyncio.Protocol):
+class SplicedConnection(asyncio.Protocol):
     """A bare splicer's side: bytes go on as they come, and an end ends the other side; nothing else."""
 
-    def __init__(self, other: Spliced | None = None) -> None:
-        self.other, self.early = other, b""
+    def __init__(self, peer: SplicedConnection | None = None) -> None:
+        self.peer, self.buffered = peer, b""
         self.transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
-        if self.other is not None:
-            self.other.other = self
-            self.transport.write(self.other.early)
+        if self.peer is not None:
+            self.peer.peer = self
+            self.transport.write(self.peer.buffered)
 
     def data_received(self, data: bytes) -> None:
-        if self.other is not None and self.other.transport is not None:
-            self.other.transport.write(data)
+        if self.peer is not None and self.peer.transport is not None:
+            self.peer.transport.write(data)
         else:
-            self.early += data
+            self.buffered += data
 
     def connection_lost(self, exc: Exception | None) -> None:
-        if self.other is not None and self.other.transport is not None:
-            self.other.transport.close()
+        if self.peer is not None and self.peer.transport is not None:
+            self.peer.transport.close()
 
 
 class Splicer:
@@ -301,18 +310,18 @@
         self.addresses, self.count = addresses, 0
         self.tasks: set[asyncio.Task[Any]] = set()
 
-    def taken(self) -> Spliced:
-        side = Spliced()
+    def accept(self) -> SplicedConnection:
+        side = SplicedConnection()
         host, port = self.addresses[self.count % len(self.addresses)]
         self.count += 1
         loop = asyncio.get_running_loop()
-        task = loop.create_task(loop.create_connection(lambda: Spliced(side), host, port))
+        task = loop.create_task(loop.create_connection(lambda: SplicedConnection(side), host, port))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
         return side
 
     async def start(self) -> dict[str, Any]:
-        server = await asyncio.get_running_loop().create_server(self.taken, "127.0.0.1", 0, backlog=1024)
+        server = await asyncio.get_running_loop().create_server(self.accept, "127.0.0.1", 0, backlog=1024)
         return {"address": server.sockets[0].getsockname()}
 
 
@@ -320,12 +329,12 @@
     """Carries out one order after the other until the input ends."""
     reader = asyncio.StreamReader(limit=1 << 20)
     await asyncio.get_running_loop().connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
-    made = {"nodes": Backends, "submitters": Clients, "splicer": Splicer}[role]
-    party: Any = made(**json.loads(await reader.readline()))
-    while order := await reader.readline():
-        told = json.loads(order)
-        carry_out: Callable[..., Awaitable[dict[str, Any]]] = getattr(party, told.pop("do"))
-        print(json.dumps(await carry_out(**told)), flush=True)
+    role_class = {"nodes": Backends, "submitters": Clients, "splicer": Splicer}[role]
+    stand_in: Any = role_class(**json.loads(await reader.readline()))
+    while line := await reader.readline():
+        arguments = json.loads(line)
+        execute: Callable[..., Awaitable[dict[str, Any]]] = getattr(stand_in, arguments.pop("do"))
+        print(json.dumps(await execute(**arguments)), flush=True)
 
 
 if __name__ == "__main__":
--- a/benchmarks/deployments.py
+++ b/benchmarks/deployments.py
@@ -10,57 +10,57 @@
 from collections.abc import Sequence
 from dataclasses import replace
 
-from benchmarks.common import finish, options
+from benchmarks.common import argument_parser, print_result
 from yarrowspindle.lab.model import FleetSpec, RuleViolation
 from yarrowspindle.lab.model.deployments import DEPLOYMENTS, SCENARIOS, run_scenario
 
 SEEDS = {"small": 2, "machine": 10, "large": 2}
-LARGER = 6  # times the relays, nodes and connections of the small fleet, in the large one
+LARGE_FACTOR = 6  # times the relays, nodes and connections of the small fleet, in the large one
 
 
-def sized(spec: FleetSpec, size: str) -> FleetSpec:
+def scale_fleet(spec: FleetSpec, size: str) -> FleetSpec:
     if size != "large":
         return spec
     return replace(
         spec,
-        relays=LARGER * spec.relays,
-        backends=LARGER * spec.backends,
-        relay_weights=LARGER * spec.relay_weights,
-        connections=LARGER * spec.connections,
+        relays=LARGE_FACTOR * spec.relays,
+        backends=LARGE_FACTOR * spec.backends,
+        relay_weights=LARGE_FACTOR * spec.relay_weights,
+        connections=LARGE_FACTOR * spec.connections,
     )
 
 
-def mean(spec: FleetSpec, scenario: str, seeds: range, broken: list[str]) -> dict[str, float]:
-    days = []
+def mean_results(spec: FleetSpec, scenario: str, seeds: range, failures: list[str]) -> dict[str, float]:
+    results = []
     for seed in seeds:
         try:
-            days.append(run_scenario(spec, scenario, seed))
+            results.append(run_scenario(spec, scenario, seed))
         except RuleViolation as error:
-            broken.append(f"{scenario}, seed {seed}: {error}")
-    return {key: sum(day[key] for day in days) / len(days) for key in days[0]} if days else {}
+            failures.append(f"{scenario}, seed {seed}: {error}")
+    return {key: sum(result[key] for result in results) / len(results) for key in results[0]} if results else {}
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
-    chosen = options("Both deployments through each trouble, with probes and without.").parse_args(arguments)
-    started, broken = time.perf_counter(), list[str]()
-    seeds = range(chosen.seed, chosen.seed + SEEDS[chosen.size])
+    args = argument_parser("Both deployments through each trouble, with probes and without.").parse_args(arguments)
+    started, failures = time.perf_counter(), list[str]()
+    seeds = range(args.seed, args.seed + SEEDS[args.size])
     result: dict[str, float] = {}
-    for name, usual in DEPLOYMENTS.items():
-        spec = sized(usual, chosen.size)
+    for name, base_spec in DEPLOYMENTS.items():
+        spec = scale_fleet(base_spec, args.size)
         print(
             f"{name}: {spec.relays} relays, {spec.backends} nodes, {spec.connections} connections, {len(seeds)} seeds"
         )
         for scenario in SCENARIOS:
-            day = mean(spec, scenario, seeds, broken)
-            line = "  ".join(f"{key} {value:7.3f}" for key, value in day.items())
-            if spec.load_report_interval_ms > 0.0 and day:
-                plain = mean(replace(spec, load_report_interval_ms=0.0), scenario, seeds, broken)
-                lost = (1.0 - day["served"]) / max(1.0 - plain.get("served", 1.0), 1e-9)
-                line += f"  lost {lost:.2f} times what is lost without probes"
-                result[f"{name}_{scenario}_lost_ratio"] = round(lost, 3)
-            print(f"  {scenario:7} {line}")
-            result |= {f"{name}_{scenario}_{key}": round(value, 4) for key, value in day.items()}
-    return finish(result, broken, started, chosen.json, chosen.seed, chosen.size)
+            means = mean_results(spec, scenario, seeds, failures)
+            columns = "  ".join(f"{key} {value:7.3f}" for key, value in means.items())
+            if spec.load_report_interval_ms > 0.0 and means:
+                unprobed = mean_results(replace(spec, load_report_interval_ms=0.0), scenario, seeds, failures)
+                loss_ratio = (1.0 - means["served"]) / max(1.0 - unprobed.get("served", 1.0), 1e-9)
+                columns += f"  lost {loss_ratio:.2f} times what is lost without probes"
+                result[f"{name}_{scenario}_lost_ratio"] = round(loss_ratio, 3)
+            print(f"  {scenario:7} {columns}")
+            result |= {f"{name}_{scenario}_{key}": round(value, 4) for key, value in means.items()}
+    return print_result(result, failures, started, args.json, args.seed, args.size)
 
 
 if __name__ == "__main__":
--- a/benchmarks/library.py
+++ b/benchmarks/library.py
@@ -23,7 +23,7 @@
 from starlette.responses import PlainTextResponse
 from starlette.routing import Route
 
-from benchmarks.common import finish, options
+from benchmarks.common import argument_parser, print_result
 from yarrowspindle.decisions.events import EndpointState, ListKind
 from yarrowspindle.lab.model import Fleet, FleetSpec
 from yarrowspindle.library import ConnectionClass, Endpoint, Failed, LibrarySettings, Placer, Rejected, StaticList
@@ -40,16 +40,16 @@
 from yarrowspindle.routing.termination import TerminationReason
 
 ROOT = Path(__file__).resolve().parent.parent
-MACHINES = [Endpoint(f"s-{i}", ("127.0.0.1", 3000 + i)) for i in range(1, 9)]
-EVENTS = {"small": 20_000, "machine": 200_000, "large": 2_000_000}
-STALLS = 50
-LATE_S = 0.05  # an answer may come so long after its deadline, or after the stall that it passed in
+ENDPOINTS = [Endpoint(f"s-{i}", ("127.0.0.1", 3000 + i)) for i in range(1, 9)]
+MIN_EVENTS = {"small": 20_000, "machine": 200_000, "large": 2_000_000}
+STALL_COUNT = 50
+MAX_LATE_S = 0.05  # an answer may come so long after its deadline, or after the stall that it passed in
 
 
 # --- one sequence, told to both -----------------------------------------------------------------
 
 
-def record(path: Path, seed: int, least: int) -> int:
+def record_sequence(path: Path, seed: int, min_events: int) -> int:
     """All that one relay of a troubled model fleet was told: arrivals, lists, drains, deaths, loads, time-outs."""
     spec = FleetSpec(
         relays=2,
@@ -62,7 +62,7 @@
     )
     fleet = Fleet(spec, seed)
     relay = fleet.relays[0]
-    trouble = Random(seed + 17)
+    faults = Random(seed + 17)
     with path.open("wb") as out:
         # The relay is made anew, so that the sequence begins with its first event.
         settings = relay.reducer.settings
@@ -72,43 +72,53 @@
         relay.runtime.event_observers.append(recorder.event)
         relay.post(fleet.full_endpoint_list())
         fleet.fill(5.0)
-        while recorder.events < least:
-            fleet.run(trouble.uniform(1.0, 4.0))
-            backend = trouble.choice(list(fleet.backends.values()))
-            what = trouble.random()
+        while recorder.events < min_events:
+            fleet.run(faults.uniform(1.0, 4.0))
+            backend = faults.choice(list(fleet.backends.values()))
+            draw = faults.random()
             if backend.state is not EndpointState.READY:
                 fleet.restart_backends(backend)
-            elif what < 0.3 and sum(n.state is EndpointState.READY for n in fleet.backends.values()) > 5:
+            elif draw < 0.3 and sum(other.state is EndpointState.READY for other in fleet.backends.values()) > 5:
                 fleet.kill(backend)
-            elif what < 0.6 and sum(n.state is EndpointState.READY for n in fleet.backends.values()) > 5:
+            elif draw < 0.6 and sum(other.state is EndpointState.READY for other in fleet.backends.values()) > 5:
                 fleet.update_endpoints(EndpointState.DRAINING, backend)
-            elif what < 0.7:
-                backend.setup_work_ms = trouble.choice((8.0, 4000.0, 60_000.0))  # set-ups that time out
-            elif what < 0.8:
+            elif draw < 0.7:
+                backend.setup_work_ms = faults.choice((8.0, 4000.0, 60_000.0))  # set-ups that time out
+            elif draw < 0.8:
                 relay.receive_endpoints(EndpointsUpdated(ListKind.FAILED))
         fleet.connecting_stopped = True
         fleet.run(spec.deadline_ms / 1000.0 + 1.0)  # whoever waits has its answer by then
         return recorder.events
 
 
-def both(path: Path) -> tuple[dict[str, Any], Played]:
+def replay_both(path: Path) -> tuple[dict[str, Any], Played]:
     """The daemon in a process of its own, the library in this one."""
     command = [sys.executable, "-m", "yarrowspindle.replay", str(path), "--by", "daemon", "--choices"]
-    done = subprocess.run(command, cwd=ROOT, capture_output=True, check=False)
-    if done.returncode not in (0, 1):
-        raise RuntimeError(done.stderr.decode())
-    *choices, summary = done.stdout.decode().splitlines()
+    process = subprocess.run(command, cwd=ROOT, capture_output=True, check=False)
+    if process.returncode not in (0, 1):
+        raise RuntimeError(process.stderr.decode())
+    *choices, summary = process.stdout.decode().splitlines()
     with path.open("rb") as source:
         played = play_library(*read_sequence(source))
-    own = [list(choice) for choice in played.choices]
-    theirs = [json.loads(line) for line in choices]
+    library_choices = [list(choice) for choice in played.choices]
+    daemon_choices = [json.loads(line) for line in choices]
     daemon = json.loads(summary)
-    first = next((i for i, (a, b) in enumerate(zip(own, theirs, strict=False)) if a != b), None)
-    if first is not None:
-        print(f"first difference at choice {first}: library {own[first]}, daemon {theirs[first]}")
+    first_difference = next(
+        (
+            index
+            for index, (library_choice, daemon_choice) in enumerate(zip(library_choices, daemon_choices, strict=False))
+            if library_choice != daemon_choice
+        ),
+        None,
+    )
+    if first_difference is not None:
+        print(
+            f"first difference at choice {first_difference}: library {library_choices[first_difference]}, "
+            f"daemon {daemon_choices[first_difference]}"
+        )
     return {
-        "identical": own == theirs,
-        "choices": len(own),
+        "identical": library_choices == daemon_choices,
+        "choices": len(library_choices),
         "daemon": daemon["answers"],
         "library": played.counts(),
     }, played
@@ -117,12 +127,12 @@
 # --- a host that stalls -------------------------------------------------------------------------
 
 
-async def stalling(seed: int, stalls: int) -> dict[str, int]:
+async def run_with_stalls(seed: int, stalls: int) -> dict[str, int]:
     """Jobs come and go while the loop is blocked again and again; each must have one final answer, in time."""
     random = Random(seed)
     settings = LibrarySettings(classes=(ConnectionClass("c", aim_s=0.1, deadline_s=0.4),))
-    placer = Placer(settings, StaticList(MACHINES), seed=seed)
-    found = dict.fromkeys(("second_answers", "unanswered", "late_after_stall", "jobs"), 0)
+    placer = Placer(settings, StaticList(ENDPOINTS), seed=seed)
+    result = dict.fromkeys(("second_answers", "unanswered", "late_after_stall", "jobs"), 0)
     loop = asyncio.get_running_loop()
     stalled_until = 0.0
 
@@ -142,11 +152,11 @@
                 await asyncio.sleep(random.uniform(0.0, 0.5))
         except (Rejected, Failed):
             answers += 1
-            if loop.time() > max(deadline, stalled_until) + LATE_S + (0.5 if draw > 0.8 else 0.1):
-                found["late_after_stall"] += 1  # it had to come back from its own wait before it could see it
-        found["second_answers"] += answers > 1
-        found["unanswered"] += answers == 0
-        found["jobs"] += 1
+            if loop.time() > max(deadline, stalled_until) + MAX_LATE_S + (0.5 if draw > 0.8 else 0.1):
+                result["late_after_stall"] += 1  # it had to come back from its own wait before it could see it
+        result["second_answers"] += answers > 1
+        result["unanswered"] += answers == 0
+        result["jobs"] += 1
 
     async with placer:
         tasks = []
@@ -157,9 +167,9 @@
                 time.sleep(random.uniform(0.2, 0.45))
                 stalled_until = loop.time()
         await asyncio.gather(*tasks)
-        found["leaked_jobs"] = len(placer.reducer.requests) + len(placer.placements) + len(placer.entered)
-        found["stalls"] = placer.counters().get("stalls", 0)
-    return found
+        result["leaked_jobs"] = len(placer.reducer.requests) + len(placer.placements) + len(placer.entered)
+        result["stalls"] = placer.counters().get("stalls", 0)
+    return result
 
 
 # --- what it costs ------------------------------------------------------------------------------
@@ -180,76 +190,78 @@
 START = {"type": "http.response.start", "status": 200, "headers": []}
 
 
-async def app(scope: Scope, receive: Callable[[], Awaitable[Any]], send: Callable[[Any], Awaitable[None]]) -> None:
+async def empty_app(
+    scope: Scope, receive: Callable[[], Awaitable[Any]], send: Callable[[Any], Awaitable[None]]
+) -> None:
     await send(START)
     await send({"type": "http.response.body", "body": b""})
 
 
-async def nothing(message: Any) -> None:
+async def discard_message(message: Any) -> None:
     return None
 
 
-async def never() -> dict[str, Any]:
+async def receive_disconnect() -> dict[str, Any]:
     return {"type": "http.disconnect"}
 
 
-async def endpoint(request: Request) -> PlainTextResponse:
+async def respond(request: Request) -> PlainTextResponse:
     return PlainTextResponse("up")
 
 
-async def costs(seed: int, times: int, served: Any) -> tuple[float, float]:
+async def measure_placement_cost(seed: int, calls: int, app: Any) -> tuple[float, float]:
     """Microseconds of a call of this application through the middleware, and without it beside the reducer's own steps:
     the best of five rounds of each, in turn."""
     settings = LibrarySettings(retry_after_s=0.0)
-    async with Placer(settings, StaticList(MACHINES), seed=seed) as placer:
-        wrapped = PlacementMiddleware(served, placer)
-        bare = Reducer(settings.core(), seed, placer.clock.now())
-        bare.step(placer.clock.now(), EndpointsUpdated(ListKind.FULL, MACHINES, 1))
-        through = alone = 1e9
+    async with Placer(settings, StaticList(ENDPOINTS), seed=seed) as placer:
+        middleware = PlacementMiddleware(app, placer)
+        reducer = Reducer(settings.core(), seed, placer.clock.now())
+        reducer.step(placer.clock.now(), EndpointsUpdated(ListKind.FULL, ENDPOINTS, 1))
+        middleware_us = direct_us = 1e9
         number = 0
         for _ in range(5):
-            begun = time.perf_counter()
-            for _ in range(times):
-                await wrapped(dict(SCOPE), never, nothing)
-            through = min(through, (time.perf_counter() - begun) / times * 1e6)
-            begun = time.perf_counter()
-            for _ in range(times):
+            started_s = time.perf_counter()
+            for _ in range(calls):
+                await middleware(dict(SCOPE), receive_disconnect, discard_message)
+            middleware_us = min(middleware_us, (time.perf_counter() - started_s) / calls * 1e6)
+            started_s = time.perf_counter()
+            for _ in range(calls):
                 number += 1
                 now = placer.clock.now()
-                bare.step(now, RequestReceived(number, 4800.0))
-                bare.step(now, BackendConnected(number, 0))
-                await served(dict(SCOPE), never, nothing)
-                bare.step(now, BackendAccepted(number, 0))
-                bare.step(now, AttemptEnded(number, 0, TerminationReason.COMPLETED))
-            alone = min(alone, (time.perf_counter() - begun) / times * 1e6)
-    return through, alone
+                reducer.step(now, RequestReceived(number, 4800.0))
+                reducer.step(now, BackendConnected(number, 0))
+                await app(dict(SCOPE), receive_disconnect, discard_message)
+                reducer.step(now, BackendAccepted(number, 0))
+                reducer.step(now, AttemptEnded(number, 0, TerminationReason.COMPLETED))
+            direct_us = min(direct_us, (time.perf_counter() - started_s) / calls * 1e6)
+    return middleware_us, direct_us
 
 
-async def memory(seed: int, requests: int) -> tuple[float, int]:
+async def measure_placement_memory(seed: int, requests: int) -> tuple[float, int]:
     """kB for each standing placement, and the jobs left over after all have ended at once."""
-    async with Placer(LibrarySettings(), StaticList(MACHINES), seed=seed) as placer:
-        go, up = asyncio.Event(), 0
+    async with Placer(LibrarySettings(), StaticList(ENDPOINTS), seed=seed) as placer:
+        release, established = asyncio.Event(), 0
 
-        async def one(number: int) -> None:
-            nonlocal up
+        async def place_request(number: int) -> None:
+            nonlocal established
             async with placer.place(key=number) as placement:
                 placement.up()
-                up += 1
-                await go.wait()
+                established += 1
+                await release.wait()
 
         tracemalloc.start()
-        before = tracemalloc.get_traced_memory()[0]
-        tasks = [asyncio.ensure_future(one(n)) for n in range(requests)]
-        while up < requests:
+        start_bytes = tracemalloc.get_traced_memory()[0]
+        tasks = [asyncio.ensure_future(place_request(number)) for number in range(requests)]
+        while established < requests:
             await asyncio.sleep(0)
-        held = tracemalloc.get_traced_memory()[0] - before
+        allocated_bytes = tracemalloc.get_traced_memory()[0] - start_bytes
         tracemalloc.stop()
-        go.set()
+        release.set()
         await asyncio.gather(*tasks)
-        return held / requests / 1024.0, len(placer.reducer.requests)
+        return allocated_bytes / requests / 1024.0, len(placer.reducer.requests)
 
 
-def imports() -> tuple[float, float, bool]:
+def measure_import() -> tuple[float, float, bool]:
     """What `import yarrowspindle` takes beyond bare Python: ms, MB; and whether it pulls a framework in."""
     code = (
         "import sys,time;rss=lambda:int(open('/proc/self/statm').read().split()[1])*4/1024;b=rss();"
@@ -267,58 +279,61 @@
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
-    parser = options("Daemon and library told the same; stalls; the cost of the middleware.")
-    parser.add_argument("--stalls", type=int, default=STALLS)
-    chosen = parser.parse_args(arguments)
+    parser = argument_parser("Daemon and library told the same; stalls; the cost of the middleware.")
+    parser.add_argument("--stalls", type=int, default=STALL_COUNT)
+    args = parser.parse_args(arguments)
     started = time.perf_counter()
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "sequence.jsonl"
-        events = record(path, chosen.seed, EVENTS[chosen.size])
-        same, _ = both(path)
+        events = record_sequence(path, args.seed, MIN_EVENTS[args.size])
+        comparison, _ = replay_both(path)
     logging.getLogger("yarrowspindle").setLevel(logging.ERROR)  # each stall is logged: 50 of them are wanted here
-    stalls = asyncio.run(stalling(chosen.seed, chosen.stalls))
-    starlette = asyncio.run(costs(chosen.seed, 2000, Starlette(routes=[Route("/", endpoint)])))
-    empty = asyncio.run(costs(chosen.seed, 2000, app))
-    kb, left = asyncio.run(memory(chosen.seed, 10_000))
-    ms, mb, pulled = imports()
+    stalls = asyncio.run(run_with_stalls(args.seed, args.stalls))
+    starlette_us = asyncio.run(measure_placement_cost(args.seed, 2000, Starlette(routes=[Route("/", respond)])))
+    empty_app_us = asyncio.run(measure_placement_cost(args.seed, 2000, empty_app))
+    kb_per_placement, leaked_requests = asyncio.run(measure_placement_memory(args.seed, 10_000))
+    import_ms, import_mb, framework_imported = measure_import()
     result: dict[str, Any] = {
         "sequence_events": events,
-        "choices": same["choices"],
-        "identical": same["identical"],
-        "daemon_answers": same["daemon"],
-        "library_answers": same["library"],
-        "second_answers": stalls["second_answers"] + same["daemon"]["second"] + same["library"]["second"],
+        "choices": comparison["choices"],
+        "identical": comparison["identical"],
+        "daemon_answers": comparison["daemon"],
+        "library_answers": comparison["library"],
+        "second_answers": stalls["second_answers"] + comparison["daemon"]["second"] + comparison["library"]["second"],
         "unanswered": stalls["unanswered"],
         "stalls": stalls["stalls"],
         "stall_jobs": stalls["jobs"],
         "late_after_stall": stalls["late_after_stall"],
-        "leaked_jobs": stalls["leaked_jobs"] + left,
-        "us_per_place": round(starlette[0], 1),
-        "us_per_place_bare": round(starlette[1], 1),
-        "overhead_ratio": round(starlette[0] / starlette[1], 2),
-        "us_per_place_empty": round(empty[0], 1),
-        "us_per_place_bare_empty": round(empty[1], 1),
-        "overhead_ratio_empty": round(empty[0] / empty[1], 2),
-        "kb_per_standing": round(kb, 2),
-        "import_ms": round(ms, 1),
-        "import_mb": round(mb, 1),
-        "import_pulls_framework": pulled,
+        "leaked_jobs": stalls["leaked_jobs"] + leaked_requests,
+        "us_per_place": round(starlette_us[0], 1),
+        "us_per_place_bare": round(starlette_us[1], 1),
+        "overhead_ratio": round(starlette_us[0] / starlette_us[1], 2),
+        "us_per_place_empty": round(empty_app_us[0], 1),
+        "us_per_place_bare_empty": round(empty_app_us[1], 1),
+        "overhead_ratio_empty": round(empty_app_us[0] / empty_app_us[1], 2),
+        "kb_per_standing": round(kb_per_placement, 2),
+        "import_ms": round(import_ms, 1),
+        "import_mb": round(import_mb, 1),
+        "import_pulls_framework": framework_imported,
     }
     for name, value in result.items():
         print(f"  {name:24} {value}")
-    must = [
+    rules = [
         (result["identical"], "daemon and library chose differently"),
         (result["daemon_answers"] == result["library_answers"], "daemon and library answered differently"),
         (result["second_answers"] == 0, "a job had two final answers"),
-        (result["unanswered"] + same["daemon"]["none"] + same["library"]["none"] == 0, "a job had no final answer"),
+        (
+            result["unanswered"] + comparison["daemon"]["none"] + comparison["library"]["none"] == 0,
+            "a job had no final answer",
+        ),
         (result["leaked_jobs"] == 0, "jobs are left over"),
         (result["late_after_stall"] == 0, "answers came late after a stall"),
-        (result["stalls"] >= chosen.stalls, "stalls were not found"),
+        (result["stalls"] >= args.stalls, "stalls were not found"),
         (result["overhead_ratio"] <= 2.0, "the middleware costs more than twice the bare call and the reducer's steps"),
-        (mb < 15.0 and not pulled, "the import is too heavy"),
+        (import_mb < 15.0 and not framework_imported, "the import is too heavy"),
     ]
-    broken = [what for holds, what in must if not holds]
-    return finish(result, broken, started, chosen.json, chosen.seed, chosen.size)
+    failures = [rule for holds, rule in rules if not holds]
+    return print_result(result, failures, started, args.json, args.seed, args.size)
 
 
 if __name__ == "__main__":
