--- a/benchmarks/subsets.py
+++ b/benchmarks/subsets.py
@@ -19,7 +19,7 @@
 from statistics import fmean
 from typing import Any
 
-from benchmarks.common import finish, options
+from benchmarks.common import argument_parser, print_result
 from yarrowspindle.subsets import SubsetRing
 
 SIZES = {
@@ -27,147 +27,157 @@
     "machine": ((3, 10), (10, 100), (40, 400), (200, 90), (100, 1000)),
     "large": ((3, 10), (10, 100), (40, 400), (200, 90), (200, 2000), (400, 4000)),
 }
-PART, LEAST = 0.1, 12
-A_BACKEND = 20  # connections held for each node
-MAX_COVER, MAX_LOAD, MAX_MOVED, REDRAW_MOST_US = 1.15, 0.05, 2.0, 5000.0
-Way = Callable[[list[str], list[str]], dict[str, dict[str, int]]]  # relays, nodes -> the nodes of each, how often
+SUBSET_SHARE, MIN_SUBSET = 0.1, 12
+CONNECTIONS_PER_BACKEND = 20  # connections held for each node
+MAX_COVERAGE, MAX_LOAD_EXCESS, MAX_MOVED_RATIO, MAX_REDRAW_US = 1.15, 0.05, 2.0, 5000.0
+Method = Callable[[list[str], list[str]], dict[str, dict[str, int]]]  # relays, nodes -> the nodes of each, how often
 
 
-def number(text: str) -> int:
+def hash_value(text: str) -> int:
     return int.from_bytes(blake2b(text.encode(), digest_size=8).digest(), "big")
 
 
-def size_of(relays: list[str], backends: list[str]) -> int:
+def subset_size(relays: list[str], backends: list[str]) -> int:
     """Nodes of a relay, the same for all ways: a tenth, but enough that each node has eight relays."""
-    return min(len(backends), max(LEAST, round(PART * len(backends)), -(-8 * len(backends) // len(relays))))
+    return min(
+        len(backends), max(MIN_SUBSET, round(SUBSET_SHARE * len(backends)), -(-8 * len(backends) // len(relays)))
+    )
 
 
 def rendezvous(relays: list[str], backends: list[str]) -> dict[str, dict[str, int]]:
-    size = size_of(relays, backends)
+    size = subset_size(relays, backends)
     return {
-        r: dict.fromkeys(nlargest(size, backends, key=lambda n, r=r: number(f"{r} {n}")), 1)  # type: ignore[misc]
+        r: dict.fromkeys(nlargest(size, backends, key=lambda n, r=r: hash_value(f"{r} {n}")), 1)  # type: ignore[misc]
         for r in relays
     }
 
 
 def rounds(relays: list[str], backends: list[str]) -> dict[str, dict[str, int]]:
-    size, ranked, found = size_of(relays, backends), sorted(relays, key=number), dict[str, dict[str, int]]()
+    size, ranked, subsets = subset_size(relays, backends), sorted(relays, key=hash_value), dict[str, dict[str, int]]()
     chunks = max(1, len(backends) // size)
     for rank, relay in enumerate(ranked):
-        turn, chunk = divmod(rank, chunks)
-        shuffled = sorted(backends, key=number)
-        Random(turn).shuffle(shuffled)
-        found[relay] = dict.fromkeys(
+        round_number, chunk = divmod(rank, chunks)
+        shuffled = sorted(backends, key=hash_value)
+        Random(round_number).shuffle(shuffled)
+        subsets[relay] = dict.fromkeys(
             shuffled[chunk * len(backends) // chunks : (chunk + 1) * len(backends) // chunks], 1
         )
-    return found
+    return subsets
 
 
 def ranks(relays: list[str], backends: list[str]) -> dict[str, dict[str, int]]:
-    size, ordered = size_of(relays, backends), sorted(backends, key=number)
-    found = {}
-    for rank, relay in enumerate(sorted(relays, key=number)):
+    size, ordered = subset_size(relays, backends), sorted(backends, key=hash_value)
+    subsets = {}
+    for rank, relay in enumerate(sorted(relays, key=hash_value)):
         first = int((rank * (5**0.5 - 1) / 2 % 1.0) * len(backends))
-        found[relay] = dict.fromkeys((ordered * 2)[first : first + size], 1)
-    return found
+        subsets[relay] = dict.fromkeys((ordered * 2)[first : first + size], 1)
+    return subsets
 
 
 def arcs(relays: list[str], backends: list[str]) -> dict[str, dict[str, int]]:
-    view = SubsetRing(PART)
-    view.set_view(dict.fromkeys(relays, 1.0), backends)
-    return {relay: dict(view.subset(relay).weights) for relay in relays}
+    ring = SubsetRing(SUBSET_SHARE)
+    ring.set_view(dict.fromkeys(relays, 1.0), backends)
+    return {relay: dict(ring.subset(relay).weights) for relay in relays}
 
 
-WAYS: dict[str, Way] = {"rendezvous": rendezvous, "rounds": rounds, "ranks": ranks, "arcs": arcs}
+METHODS: dict[str, Method] = {"rendezvous": rendezvous, "rounds": rounds, "ranks": ranks, "arcs": arcs}
 
 
-def covered(parts: dict[str, dict[str, int]], backends: list[str]) -> float:
+def coverage_ratio(subsets: dict[str, dict[str, int]], backends: list[str]) -> float:
     """Of each node by the relays' traffic: the fullest over the mean."""
-    found: Counter[str] = Counter()
-    for part in parts.values():
-        whole = sum(part.values())
-        for backend, times in part.items():
-            found[backend] += times / whole  # type: ignore[assignment]
-    return max(found.values()) * len(backends) / len(parts)
+    traffic: Counter[str] = Counter()
+    for subset in subsets.values():
+        total = sum(subset.values())
+        for backend, occurrences in subset.items():
+            traffic[backend] += occurrences / total  # type: ignore[assignment]
+    return max(traffic.values()) * len(backends) / len(subsets)
 
 
-def loaded(parts: dict[str, dict[str, int]], backends: list[str], seed: int) -> float:
+def load_ratio(subsets: dict[str, dict[str, int]], backends: list[str], seed: int) -> float:
     """Connections come and stay, each at a relay; of two drawn from its part the one with fewer of its own takes it."""
-    drawn, total = Random(seed), Counter[str]()
-    lists = {relay: [backend for backend, times in part.items() for _ in range(times)] for relay, part in parts.items()}
-    own: dict[str, Counter[str]] = {relay: Counter() for relay in parts}
-    relays = list(parts)
-    for _ in range(A_BACKEND * len(backends)):
-        relay = drawn.choice(relays)
-        one, other = drawn.choice(lists[relay]), drawn.choice(lists[relay])
-        held = own[relay]
-        backend = one if held[one] <= held[other] else other
-        held[backend] += 1
-        total[backend] += 1
-    return max(total.values()) / A_BACKEND
-
-
-def moved(before: dict[str, dict[str, int]], after: dict[str, dict[str, int]]) -> int:
+    random, totals = Random(seed), Counter[str]()
+    lists = {
+        relay: [backend for backend, occurrences in subset.items() for _ in range(occurrences)]
+        for relay, subset in subsets.items()
+    }
+    connections_by_relay: dict[str, Counter[str]] = {relay: Counter() for relay in subsets}
+    relays = list(subsets)
+    for _ in range(CONNECTIONS_PER_BACKEND * len(backends)):
+        relay = random.choice(relays)
+        first, second = random.choice(lists[relay]), random.choice(lists[relay])
+        connections = connections_by_relay[relay]
+        backend = first if connections[first] <= connections[second] else second
+        connections[backend] += 1
+        totals[backend] += 1
+    return max(totals.values()) / CONNECTIONS_PER_BACKEND
+
+
+def moved_backends(before: dict[str, dict[str, int]], after: dict[str, dict[str, int]]) -> int:
     """Nodes that came into a part or left it."""
-    return sum(len(before.get(r, {}).keys() ^ after.get(r, {}).keys()) for r in before.keys() | after.keys())
-
-
-def measured(way: str, relays: int, backends: int, seed: int) -> dict[str, Any]:
-    names, machines = [f"{seed}-r{n}" for n in range(relays)], [f"{seed}-s{n}" for n in range(backends)]
-    give = WAYS[way]
-    parts = give(names, machines)
-    whole = {name: dict.fromkeys(machines, 1) for name in names}
-    joined, listed = give([*names, f"{seed}-new"], machines), give(names, [*machines, f"{seed}-node"])
-    least = len(joined[f"{seed}-new"]) or 1
-    least_backend = sum(f"{seed}-node" in part for part in listed.values()) or 1
-    if way == "arcs":
-        view = SubsetRing(PART)
-        view.set_view(dict.fromkeys(names, 1.0), machines)
-        began = time.perf_counter()
-        view.set_relay(f"{seed}-new")
-        view.subset(names[0])
+    return sum(
+        len(before.get(relay, {}).keys() ^ after.get(relay, {}).keys()) for relay in before.keys() | after.keys()
+    )
+
+
+def measure(method: str, relays: int, backends: int, seed: int) -> dict[str, Any]:
+    relay_names, backend_names = [f"{seed}-r{n}" for n in range(relays)], [f"{seed}-s{n}" for n in range(backends)]
+    assign = METHODS[method]
+    subsets = assign(relay_names, backend_names)
+    all_backends = {name: dict.fromkeys(backend_names, 1) for name in relay_names}
+    after_relay, after_backend = (
+        assign([*relay_names, f"{seed}-new"], backend_names),
+        assign(relay_names, [*backend_names, f"{seed}-node"]),
+    )
+    least_relay_moves = len(after_relay[f"{seed}-new"]) or 1
+    least_backend_moves = sum(f"{seed}-node" in subset for subset in after_backend.values()) or 1
+    if method == "arcs":
+        ring = SubsetRing(SUBSET_SHARE)
+        ring.set_view(dict.fromkeys(relay_names, 1.0), backend_names)
+        started_s = time.perf_counter()
+        ring.set_relay(f"{seed}-new")
+        ring.subset(relay_names[0])
     else:
-        began = time.perf_counter()
-        give(names, machines)
-    took = time.perf_counter() - began
+        started_s = time.perf_counter()
+        assign(relay_names, backend_names)
+    elapsed_s = time.perf_counter() - started_s
     return {
-        "way": way,
+        "way": method,
         "relays": relays,
         "nodes": backends,
-        "size": round(fmean(map(len, parts.values())), 1),
-        "coverage_max_over_mean": round(covered(parts, machines), 3),
-        "load_max_over_mean": round(loaded(parts, machines, seed), 3),
-        "load_all": round(loaded(whole, machines, seed), 3),
-        "moved_share": round(moved(parts, joined) / least, 2),
-        "least_possible": least,
-        "moved_share_node": round(moved(parts, listed) / least_backend, 2),
-        "took_us": round(1e6 * took / (1 if way == "arcs" else relays)),
+        "size": round(fmean(map(len, subsets.values())), 1),
+        "coverage_max_over_mean": round(coverage_ratio(subsets, backend_names), 3),
+        "load_max_over_mean": round(load_ratio(subsets, backend_names, seed), 3),
+        "load_all": round(load_ratio(all_backends, backend_names, seed), 3),
+        "moved_share": round(moved_backends(subsets, after_relay) / least_relay_moves, 2),
+        "least_possible": least_relay_moves,
+        "moved_share_node": round(moved_backends(subsets, after_backend) / least_backend_moves, 2),
+        "took_us": round(1e6 * elapsed_s / (1 if method == "arcs" else relays)),
     }
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
-    chosen = options("Four ways to give each relay a part of the nodes.").parse_args(arguments)
-    started, broken, rows = time.perf_counter(), list[str](), list[dict[str, Any]]()
-    for relays, backends in SIZES[chosen.size]:
-        for way in WAYS:
-            row = measured(way, relays, backends, chosen.seed)
+    args = argument_parser("Four ways to give each relay a part of the nodes.").parse_args(arguments)
+    started, failures, rows = time.perf_counter(), list[str](), list[dict[str, Any]]()
+    for relays, backends in SIZES[args.size]:
+        for method in METHODS:
+            row = measure(method, relays, backends, args.seed)
             rows.append(row)
             print("  ".join(f"{key} {value}" for key, value in row.items()), flush=True)
-            if way != "arcs":
+            if method != "arcs":
                 continue
-            where = f"{relays} relays, {backends} nodes"
-            for key, most in (
-                ("coverage_max_over_mean", MAX_COVER),
-                ("moved_share", MAX_MOVED),
-                ("moved_share_node", MAX_MOVED),
-                ("took_us", REDRAW_MOST_US),
+            label = f"{relays} relays, {backends} nodes"
+            for key, limit in (
+                ("coverage_max_over_mean", MAX_COVERAGE),
+                ("moved_share", MAX_MOVED_RATIO),
+                ("moved_share_node", MAX_MOVED_RATIO),
+                ("took_us", MAX_REDRAW_US),
             ):
-                if row[key] > most:
-                    broken.append(f"{where}: {key} is {row[key]}, {most:g} at most")
-            if row["load_max_over_mean"] > row["load_all"] + MAX_LOAD:
-                broken.append(f"{where}: load {row['load_max_over_mean']}, {row['load_all']} from all nodes")
+                if row[key] > limit:
+                    failures.append(f"{label}: {key} is {row[key]}, {limit:g} at most")
+            if row["load_max_over_mean"] > row["load_all"] + MAX_LOAD_EXCESS:
+                failures.append(f"{label}: load {row['load_max_over_mean']}, {row['load_all']} from all nodes")
     result = {key: [row[key] for row in rows] for key in rows[0]}
-    return finish(result, broken, started, chosen.json, chosen.seed, chosen.size)
+    return print_result(result, failures, started, args.json, args.seed, args.size)
 
 
 if __name__ == "__main__":
--- a/tests/library/test_library.py
+++ b/tests/library/test_library.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from benchmarks.library import both, record, stalling
+from benchmarks.library import record_sequence, replay_both, run_with_stalls
 from examples.plan_status import run_demo
 from tests.stand_ins import LineServer
 from yarrowspindle.decisions.events import EndpointState, ListKind
@@ -124,7 +124,7 @@
 
 
 def test_many_stalls_leave_every_request_with_one_answer() -> None:
-    counts = asyncio.run(stalling(11, 8))
+    counts = asyncio.run(run_with_stalls(11, 8))
     assert {name: count for name, count in counts.items() if name not in ("jobs", "stalls")} == dict.fromkeys(
         ("second_answers", "unanswered", "late_after_stall", "leaked_jobs"), 0
     )
@@ -401,8 +401,8 @@
 
 def test_daemon_and_library_choose_alike_on_a_recorded_sequence(tmp_path: Path) -> None:
     path = tmp_path / "sequence.jsonl"
-    assert record(path, 20261201, 4000) >= 4000
-    comparison, played = both(path)
+    assert record_sequence(path, 20261201, 4000) >= 4000
+    comparison, played = replay_both(path)
     assert (
         comparison["identical"]
         and comparison["daemon"] == comparison["library"]
--- a/tests/maintenance/test_maintenance_simulation.py
+++ b/tests/maintenance/test_maintenance_simulation.py
@@ -4,8 +4,7 @@
 
 import pytest
 
-from benchmarks.turns import day_of as simulate
-from benchmarks.turns import dies
+from benchmarks.turns import crash_at_step, simulate
 from yarrowspindle.lab.faults import Fault
 from yarrowspindle.lab.model.maintenance_cluster import CRASH_POINTS, Plan, run_maintenance_scenario
 from yarrowspindle.lab.model.maintenance_defects import DEFECTS
@@ -46,7 +45,7 @@
 @pytest.mark.parametrize("kind", CRASH_POINTS)
 def test_maintenance_survives_the_death_of_a_relay_at_each_step(kind: str) -> None:
     for number in (1, 2, 5, 13):
-        scenario, violation = dies((kind, number, 3 + number))
+        scenario, violation = crash_at_step((kind, number, 3 + number))
         assert not violation, f"{scenario}: {violation}"
 
 
--- a/tests/subsets/test_subset_ring.py
+++ b/tests/subsets/test_subset_ring.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from benchmarks.subsets import measured
+from benchmarks.subsets import measure
 from yarrowspindle.subsets.subset_ring import MIN_BACKENDS, POINTS_PER_RELAY, SubsetRing, point_count
 
 
@@ -18,7 +18,7 @@
 
 @pytest.mark.parametrize(("relays", "backends"), [(3, 10), (200, 90), (100, 1000)])
 def test_coverage_is_even_and_a_join_moves_few_backends(relays: int, backends: int) -> None:
-    row = measured("arcs", relays, backends, 11)
+    row = measure("arcs", relays, backends, 11)
     assert row["coverage_max_over_mean"] <= 1.15 and row["moved_share"] <= 2.0 and row["moved_share_node"] <= 2.0
     assert row["load_max_over_mean"] <= row["load_all"] + 0.05 or backends <= 90
 
