--- a/benchmarks/capacity/data_path.py
+++ b/benchmarks/capacity/data_path.py
@@ -529,7 +529,7 @@
         backends = register(Process("nodes", [stand_in, "nodes"], folder / "nodes.log"))
         clients = register(Process("submitters", [stand_in, "submitters"], folder / "submitters.log"))
         splicer = register(Process("splicer", [stand_in, "splicer"], folder / "splicer.log"))
-        backends.send_command({"seed": seed, "length": line_bytes, "nodes": BACKENDS})
+        backends.send_command({"seed": seed, "length": line_bytes, "backends": BACKENDS})
         clients.send_command({"seed": seed, "length": line_bytes, "group": group})
         endpoints = backends.request("start")
         relay, address = start_relay(folder, endpoints["discovery"], endpoints["list"], seed)
