--- a/benchmarks/capacity/configuration_changes.py
+++ b/benchmarks/capacity/configuration_changes.py
@@ -1,11 +1,11 @@
-"""A change of configuration on its way to all relays, on the virtual clock: how soon it is in force, and what it costs.
+"""Distribution of configuration changes to all relays, on the virtual clock: time until in force, and cost.
 
     python -m benchmarks.capacity.configuration_changes [--seed N] [--size small|machine|large] [--json] [--relays N]
 
-`in force`: all living relays serve by it, counted from the operator's order (where the controller that took the order
-died, from when it was agreed on). Bytes are sent and taken together, with the headers of IP and UDP. Processor time is
-the core's and the link's, told apart by process, beside the kernel's part as this machine has it; all processes share
-one here, so it is an upper bound for what lies in caches.
+A change is in force when all living relays apply it. The time counts from the operator's request, or from the agreement
+if the controller that took the request died. Bytes count what is sent and received, with the headers of IP and UDP.
+Processor time is that of the core and the link of each simulated process, plus the kernel's share as measured on this
+machine. The simulated processes share one real process and its caches, so cache misses make it an upper bound.
 """
 
 from __future__ import annotations
@@ -39,22 +39,25 @@
     "small": (24, 48),
     "machine": (100, 200, 400),
     "large": (100, 200, 400),
-}  # fitted; checked at the whole fleet
+}  # fitted sizes; the whole fleet checks the fit
 PROCESSES = 3
-CONTENT_CHARACTERS, CHANGE_CHARACTERS = 8000, 200  # characters of all entries, and of a change
+CONTENT_CHARACTERS, CHANGE_CHARACTERS = 8000, 200  # size of all entries, and of one change
 MAX_IN_FORCE_S, MAX_START_S, MAX_GROWTH = 3.0, 10.0, 0.10
-BURST_CHANGES_PER_S, BURST_DURATION_S = 10.0, {"small": 2.0}  # changes a second, and for how long
+BURST_CHANGES_PER_S, BURST_DURATION_S = 10.0, {"small": 2.0}  # duration by the run's size, else 10 s
 STEADY_DURATION_S, PARTITION_DURATION_S = {"small": 5.0}, {"small": 15.0}
 STALL_MS = 5000.0
 MESSAGE_KINDS = ("Order", "Prepare", "Promise", "Accept", "Accepted", "Learn", "Difference", "Sum", "Newest")
 SMALL_MESSAGE_KINDS = ("Accept", "Accepted", "Learn", "Difference")
 RESTART_COUNT, RESTART_PERIOD_S = 150, 60.0
 SAFETY_RUNS = {"small": 16, "machine": 1000, "large": 10_000}
-SOCKET_FLEETS = {"machine": ((200, 4), (400, 6)), "large": ((200, 4), (400, 6))}  # hollow relays, and processes of them
+SOCKET_FLEETS = {
+    "machine": ((200, 4), (400, 6)),
+    "large": ((200, 4), (400, 6)),
+}  # relays, and the processes that they share
 
 
 class Simulation:
-    """One fleet, with entries as a real one has them; and what was asked of it."""
+    """A simulated fleet that holds entries of a realistic size, and the changes requested of it."""
 
     def __init__(self, relays: int, seed: int, started: bool = True, measures: bool = False) -> None:
         self.world = ConfigurationCluster(relays, seed, measure_cpu=measures)
@@ -77,7 +80,7 @@
         return change
 
     def request_changes(self, rate_per_s: float, duration_s: float, controllers: Sequence[str] = ()) -> None:
-        """By turns at these controllers, or at all that are alive."""
+        """Request changes at these controllers in turn, or at all living ones if none is named."""
         end_s = self.world.clock.seconds + duration_s
         while self.world.clock.seconds < end_s:
             names = controllers or [host.name for host in self.world.controllers]
@@ -85,7 +88,7 @@
             self.world.run(1.0 / rate_per_s)
 
     def delay_s(self, change: Change, controller: str) -> float:
-        """Until it was in force; below 0: it is not."""
+        """Return the seconds until the change was in force, -1 if it is not."""
         if change.in_force_s < 0.0:
             return -1.0
         answer_lost = change.answered_s < 0.0 and controller == self.world.crashed_process
@@ -99,9 +102,17 @@
         delays_s: Iterable[float] | None = None,
         within_s: float = MAX_IN_FORCE_S,
     ) -> dict[str, Any]:
-        """took: where something else than the orders in force is counted."""
+        """Return the row of a scenario, and append a sentence to `failures` for each rule that it breaks.
+
+        Args:
+            scenario: Name of the row.
+            failures: Sentences about rules that do not hold.
+            extra: More columns of the row.
+            delays_s: Delays that replace those of the requested changes.
+            within_s: Longest delay that is allowed.
+        """
         world = self.world
-        # What a controller was told and did not say to anybody before it died is nobody's; the operator has no answer.
+        # A request that its controller had not passed on when it died is lost, and the operator has no answer.
         unanswered = [
             change
             for name, change in self.requested
@@ -158,7 +169,7 @@
 def _stop_controller_at_each_message(
     relays: int, seed: int, size: str, failures: list[str], stall_ms: float
 ) -> dict[str, Any]:
-    """A controller dies (or stands still) at its first or third message of each kind, and is back 3 s later."""
+    """Kill or stall a controller at its first or third message of each kind; a killed one restarts 3 s later."""
     simulation, delays_s, stopped = Simulation(relays, seed), list[float](), list[str]()
     world = simulation.world
     world.crash_stall_ms = stall_ms
@@ -199,7 +210,7 @@
 
 
 def relay_restarts(relays: int, seed: int, size: str, failures: list[str]) -> dict[str, Any]:
-    """An eighth of the relays within a minute, one after the other, and a change a second."""
+    """Restart an eighth of the relays one after the other within a minute, with one change a second."""
     simulation = Simulation(relays, seed)
     world, count = simulation.world, relays * RESTART_COUNT // TARGET_RELAYS
     restarted = simulation.random.sample([relay.name for relay in world.relays], count)
@@ -213,12 +224,12 @@
     world.run(MAX_IN_FORCE_S)
     latest_known_s = max(world.catch_up_s[name] for name in restarted)
     if latest_known_s > MAX_START_S:
-        failures.append(f"restarts: the newest is known {latest_known_s:.1f} s after a start")
+        failures.append(f"restarts: a relay has the newest version {latest_known_s:.1f} s after its start")
     return simulation.result(f"{count} restarts in a minute", failures, {"known_most_s": round(latest_known_s, 2)})
 
 
 def zone_loss(relays: int, seed: int, size: str, failures: list[str]) -> dict[str, Any]:
-    """A zone with its relays and controllers is gone in one instant, and is back 10 s later."""
+    """Kill all relays and controllers of a zone at once, and start them 10 s later."""
     simulation = Simulation(relays, seed)
     world = simulation.world
     lost_names = [name for name, (_, zone_name) in world.locations.items() if zone_name == ZONES[0]]
@@ -234,14 +245,14 @@
     world.run(MAX_START_S / 2.0)
     known_s = [world.catch_up_s.get(name, 99.0) for name in lost_names if name[0] == "r"]
     if max(known_s) > MAX_START_S:
-        failures.append(f"zone: the newest is known {max(known_s):.1f} s after its return")
+        failures.append(f"zone: a relay has the newest version {max(known_s):.1f} s after the zone's return")
     return simulation.result(
         "a zone is lost", failures, {"gone": len(lost_names), "known_most_s": round(max(known_s), 2)}
     )
 
 
 def region_partition(relays: int, seed: int, size: str, failures: list[str]) -> dict[str, Any]:
-    """The regions do not hear one another; one has the majority of the voters."""
+    """Cut the network between the regions, of which one has the majority of the voters."""
     simulation = Simulation(relays, seed)
     world, duration_s = simulation.world, PARTITION_DURATION_S.get(size, 120.0)
     world.regions_partitioned = True
@@ -257,7 +268,7 @@
     served_versions = len({relay.applied_version for relay in world.relays if relay.region == "b"})
     world.regions_partitioned = False
     healed_at_s = world.clock.seconds
-    late_change = simulation.request_change(minority[0])  # the side that was cut off can change things again
+    late_change = simulation.request_change(minority[0])  # the minority side can make changes again
     world.run(2.0 * MAX_IN_FORCE_S)
     minority_delays_s = [
         change.in_force_s_by_region.get("b", 999.0) - healed_at_s for _, change in simulation.requested
@@ -269,8 +280,8 @@
         or not all("may still" in text for text in answers)
     ):
         failures.append(
-            f"regions: with the majority after {max(majority_delays_s):.2f} s, elsewhere "
-            f"{max(minority_delays_s):.2f} s after the cut, operators there were told {answers}"
+            f"regions: in force after {max(majority_delays_s):.2f} s on the majority side, "
+            f"{max(minority_delays_s):.2f} s after the cut on the other; operators there were answered {answers}"
         )
     return simulation.result(
         f"regions cut for {duration_s:g} s",
@@ -286,7 +297,7 @@
 
 
 def cold_start(relays: int, seed: int, size: str, failures: list[str]) -> dict[str, Any]:
-    """All relays at once, with nothing kept."""
+    """Start all relays at once, without stored settings."""
     simulation = Simulation(relays, seed, started=False)
     for name in simulation.world.locations:
         if name[0] == "r":
@@ -297,13 +308,13 @@
 
 
 def _resource_use(hosts: Sequence[Host], duration_s: float, kernel_cpu_s: float) -> tuple[list[float], list[float]]:
-    """Bytes a second, share of a core; of each."""
+    """Return bytes per second and the share of a core, for each host."""
     counts = [host.link.counts for host in hosts]
     datagram_rates = [(count["sent"] + count["came"]) / duration_s for count in counts]
     payload_rates = [(count["sent_bytes"] + count["came_bytes"]) / duration_s for count in counts]
     return (
         [size + HEADER_BYTES * number for size, number in zip(payload_rates, datagram_rates, strict=True)],
-        # the kernel's part was measured for one datagram sent and taken: half of it each
+        # the kernel's time was measured for one datagram sent and received: half of it for each
         [
             host.cpu_s / duration_s + number * kernel_cpu_s / 2.0
             for host, number in zip(hosts, datagram_rates, strict=True)
@@ -312,7 +323,7 @@
 
 
 def resource_cost(relays: int, seed: int, size: str, failures: list[str]) -> dict[str, Any]:
-    """At 6,500 changes a day (one in 13 s), and at 10 a second: what one relay and one controller spend."""
+    """Measure the cost for a relay and a controller at 6,500 changes a day (one in 13 s) and at 10 a second."""
     simulation = Simulation(relays, seed, measures=True)
     world, kernel_s = simulation.world, datagram_cpu_s()
     result: dict[str, Any] = {"relays": relays, "seed": seed}
@@ -367,7 +378,7 @@
 def run_scenarios(
     pool: Executor, scenarios: Iterable[str], relays: int, seed: int, size: str, failures: list[str]
 ) -> list[dict[str, Any]]:
-    """The rows, printed as they come."""
+    """Run the scenarios, print each row when it arrives, and return them."""
     rows = list[dict[str, Any]]()
     for row, task_failures in pool.map(run_task, [(name, relays, seed, size) for name in scenarios]):
         rows.append(row)
@@ -378,7 +389,7 @@
 
 
 def check_safety(pool: Executor, first_seed: int, count: int, failures: list[str]) -> dict[str, Any]:
-    """Days of small fleets with faults drawn from the seed, and all that may never be."""
+    """Simulate small fleets with faults drawn from the seed, and check the safety rules and progress."""
     runs_per_task = 8
     results = list(
         pool.map(
@@ -390,15 +401,18 @@
     failed_seeds = {seed: text for batch in results for seed, text in [*batch.violations.items(), *batch.stuck.items()]}
     versions = sum(batch.counts["versions"] for batch in results)
     print(
-        f"{sum(batch.runs for batch in results)} days from seed {first_seed} on: {len(failed_seeds)} broke a rule or "
-        "were stuck"
+        f"{sum(batch.runs for batch in results)} runs from seed {first_seed} on: {len(failed_seeds)} broke a rule or "
+        "made no progress"
     )
     failures += [f"safety, seed {seed}: {text}" for seed, text in sorted(failed_seeds.items())[:5]]
     return {"days": sum(batch.runs for batch in results), "days_broken": len(failed_seeds), "days_versions": versions}
 
 
 def check_flat(costs: Sequence[dict[str, Any]], failures: list[str]) -> dict[str, Any]:
-    """Of a relay: fitted without the largest fleet, checked there; and at most a tenth more there than in the least."""
+    """Fit costs without the largest fleet, check the fits there, and check that a relay's costs do not grow.
+
+    In the largest fleet they may be a tenth above those in the smallest.
+    """
     smallest, largest = costs[0], costs[-1]
     result = dict[str, Any]()
     for key in (
@@ -418,7 +432,7 @@
             "error": round(predicted / measured - 1.0, 3),
         }
         print(
-            f"{key}: {fit.form}, {predicted:.6g} told for {largest['relays']}, {measured:.6g} measured"
+            f"{key}: {fit.form}, {predicted:.6g} predicted for {largest['relays']}, {measured:.6g} measured"
             + (", wrong" if abs(predicted / measured - 1.0) > MAX_FIT_ERROR else "")
         )
         if key.startswith("relay") and measured > (1.0 + MAX_GROWTH) * smallest[key]:
@@ -432,9 +446,13 @@
 def run(
     seed: int, size: str, relays: int | None, failures: list[str], only: Sequence[str] = ("change", "faults")
 ) -> dict[str, Any]:
-    """Keys: relays, in_force_p50_s, in_force_max_s, behind, older_after_newer; with "change" also bytes_per_s,
-    cpu_share, memory_mb (of a relay, at 10 changes a second), control_cpu_share, control_bytes_per_s (of the busiest
-    controller); rows, costs, fits."""
+    """Run the chosen parts, and append a sentence to `failures` for each rule that does not hold.
+
+    Returns:
+        relays, in_force_p50_s, in_force_max_s, behind, older_after_newer and rows; with "change" also bytes_per_s,
+        cpu_share and memory_mb of a relay at 10 changes a second, control_cpu_share and control_bytes_per_s of the
+        busiest controller, costs and fits.
+    """
     relay_count, costs = relays or FLEET_RELAYS[size], list[dict[str, Any]]()
     with ProcessPoolExecutor(PROCESSES) as pool:
         scenarios = [*(SCENARIOS if "change" in only else ()), *(FAULTS if "faults" in only else ())]
@@ -468,31 +486,31 @@
             "costs": costs,
             "fits": check_flat(costs, failures) if len(costs) > 2 else {},
         }
-        _check_limits("a relay's part in changes", result, relay_count, failures)
+        _check_limits("cost of changes for a relay", result, relay_count, failures)
     return result
 
 
 def _check_limits(name: str, result: dict[str, Any], relays: int, failures: list[str]) -> None:
     for key, limit in LIMITS.items():
         if result[key] > limit:
-            failures.append(f"{name}, {relays} relays: {key} is {result[key]:g}, {limit:g} are allowed")
+            failures.append(f"{name}, {relays} relays: {key} is {result[key]:g}, at most {limit:g} is allowed")
 
 
 def check_combined(scaling_result: dict[str, Any], change_result: dict[str, Any], failures: list[str]) -> None:
-    """All of control at one relay: peers in a cell, and changes at 10 a second."""
+    """Check the whole control cost of one relay: peers in a cell, and configuration changes at 10 a second."""
     cells_row = scaling_result["cells"][-1]
     total = {
         "bytes_per_s": cells_row["most_bytes_per_s"] + change_result["bytes_per_s"],
         "cpu_share": cells_row["cpu_share"] + change_result["cpu_share"],
         "memory_mb": cells_row["memory_mb"] + change_result["memory_mb"],
     }
-    print("all of control at a relay: " + ", ".join(f"{key} {value:.5g}" for key, value in total.items()))
+    print("whole control cost of a relay: " + ", ".join(f"{key} {value:.5g}" for key, value in total.items()))
     change_result["together"] = total
-    _check_limits("all of control at a relay", total, change_result["relays"], failures)
+    _check_limits("whole control cost of a relay", total, change_result["relays"], failures)
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
-    parser = argument_parser("A change of configuration on its way to all relays.")
+    parser = argument_parser("Distribution of configuration changes to all relays.")
     parser.add_argument("--relays", type=int, help="another size of the fleet")
     args = parser.parse_args(arguments)
     started, failures = time.perf_counter(), list[str]()
--- a/benchmarks/capacity/configuration_sockets.py
+++ b/benchmarks/capacity/configuration_sockets.py
@@ -1,6 +1,7 @@
-"""Changes of configuration on real UDP sockets: hollow relays, many to a process; a process for each controller.
+"""Configuration changes on real UDP sockets: many relays to a process, and a process for each controller.
 
-What is lost and cut is dropped where it would be sent. A controller is killed and stopped by its process id. Times are
+The relays run the configuration agent only, without connections. Loss and network partitions are simulated by the
+sender, which drops the datagrams. Controllers are killed and stopped by signals to their processes. Times are those of
 the system's monotonic clock, which all processes share.
 """
 
@@ -42,13 +43,13 @@
 from yarrowspindle.transport.datagrams import UdpListener
 
 FRAGMENT_INTERVAL_S, LATENESS_INTERVAL_S = 0.05, 0.02
-MAX_LATENESS_MS = 50.0  # of the event loop, in 99 of 100 looks: beyond that the machine is measured, not the relays
+MAX_LATENESS_MS = 50.0  # 99th percentile of the event loops; beyond it the machine is measured and not the relays
 CHANGES_PER_S, WARMUP_S, MAX_IN_FORCE_S = 2.0, 3.0, 3.0
 FAULTS = ("none", "loss", "kill", "stop", "cut")
 
 
 def controller_addresses(port: int) -> tuple[ControllerAddress, ...]:
-    """As in the model, on the loopback network."""
+    """Return the controllers of the simulated fleet, with addresses on the loopback network."""
     return tuple(
         ControllerAddress(
             controller.name, (f"127.30.{n + 1}.1", port), controller.zone, controller.region, controller.voter
@@ -58,14 +59,14 @@
 
 
 def relay_location(number: int, port: int) -> tuple[Address, str]:
-    """Its address and zone; the second byte says in which region."""
+    """Return a relay's address and zone; the second byte of the address encodes the region."""
     zone = ZONES[number % len(ZONES)]
     region = 40 if REGIONS[zone] == "a" else 41
     return (f"127.{region}.{number >> 8}.{number & 255}", port), zone
 
 
 class Endpoint:
-    """One agent or controller on a socket."""
+    """An agent or controller with a socket of its own."""
 
     def __init__(self, network: Network, name: str, address: Address, region: str) -> None:
         self.network, self.name, self.address, self.region = network, name, address, region
@@ -85,22 +86,20 @@
         self.perform(self.core.step(self.now(), event))
 
     def perform(self, effects: Sequence[Any]) -> None:
-        for perform_effect in effects:
-            if isinstance(perform_effect, SendMessage):
-                if perform_effect.to.address == self.address:
-                    self.loop.call_soon(
-                        self.post, MessageReceived(Sender(self.name, self.address), perform_effect.message)
-                    )
+        for effect in effects:
+            if isinstance(effect, SendMessage):
+                if effect.to.address == self.address:
+                    self.loop.call_soon(self.post, MessageReceived(Sender(self.name, self.address), effect.message))
                 else:
-                    for data in self.link.encode(self.now(), perform_effect.to.address, perform_effect.message):
-                        self.send(perform_effect.to.address, data)
-            elif isinstance(perform_effect, SetTimer):
-                self.loop.call_later(perform_effect.delay_ms / 1000.0, self.post, TimerFired())
+                    for data in self.link.encode(self.now(), effect.to.address, effect.message):
+                        self.send(effect.to.address, data)
+            elif isinstance(effect, SetTimer):
+                self.loop.call_later(effect.delay_ms / 1000.0, self.post, TimerFired())
             else:
-                self.perform_effect(perform_effect)
+                self.perform_effect(effect)
 
     def perform_effect(self, effect: Any) -> None:
-        """What only one of the roles asks for."""
+        """Perform an effect that only one of the roles has."""
 
     def send(self, to: Address, data: bytes) -> None:
         if not self.network.drops(self.region, to):
@@ -130,9 +129,9 @@
             controllers_by_preference(controllers, self.name, zone, self.region), check_entries, number, self.now()
         )
 
-    def perform_effect(self, perform_effect: Any) -> None:
-        if isinstance(perform_effect, ApplySettings):
-            self.applied.append((perform_effect.version, time.monotonic()))
+    def perform_effect(self, effect: Any) -> None:
+        if isinstance(effect, ApplySettings):
+            self.applied.append((effect.version, time.monotonic()))
 
 
 class ControllerEndpoint(Endpoint):
@@ -164,16 +163,14 @@
             self.now(),
         )
 
-    def perform_effect(self, perform_effect: Any) -> None:
-        if isinstance(perform_effect, AskAcceptor) and self.acceptor is not None:
-            vote = self.disk.submit(self.acceptor.on_message, perform_effect.message)
+    def perform_effect(self, effect: Any) -> None:
+        if isinstance(effect, AskAcceptor) and self.acceptor is not None:
+            vote = self.disk.submit(self.acceptor.on_message, effect.message)
             vote.add_done_callback(
-                lambda completed: self.loop.call_soon_threadsafe(self._on_vote, perform_effect.sender, completed)
-            )
-        elif isinstance(perform_effect, ChangeAnswered):
-            self.answers.append(
-                (perform_effect.ticket, perform_effect.version, perform_effect.reason, time.monotonic())
+                lambda completed: self.loop.call_soon_threadsafe(self._on_vote, effect.sender, completed)
             )
+        elif isinstance(effect, ChangeAnswered):
+            self.answers.append((effect.ticket, effect.version, effect.reason, time.monotonic()))
 
     def _on_vote(self, to: Sender, vote: Any) -> None:
         if vote.exception() is None:
@@ -181,7 +178,7 @@
 
 
 class Network:
-    """What this process drops of what it sends."""
+    """Decides which outgoing datagrams of this process are dropped."""
 
     def __init__(self, seed: int) -> None:
         self.random, self.loss_share, self.partitioned = Random(seed), 0.0, False
@@ -198,7 +195,7 @@
 
 
 async def _serve(pipe: Connection, make_endpoints: Callable[[Network], list[Endpoint]], seed: int) -> None:
-    """Endpoints until the parent says `end`; its words come by the pipe."""
+    """Run endpoints, carrying out the commands that the parent sends through the pipe, until the command `end`."""
     network, loop, lateness_ms = Network(seed), asyncio.get_running_loop(), list[float]()
     endpoints, commands = make_endpoints(network), asyncio.Queue[Any]()
 
@@ -271,13 +268,13 @@
 
 
 class Fleet:
-    """Processes of relays and of controllers; ended by their ids, whatever happens."""
+    """Processes of relays and controllers. `close` ends each of them, stopped ones included."""
 
     def __init__(self, relays: int, processes: int) -> None:
         self.context, self.folder = get_context("spawn"), TemporaryDirectory()
         with socket.socket(type=socket.SOCK_DGRAM) as probe:
             probe.bind(("127.0.0.1", 0))
-            self.port = probe.getsockname()[1]  # hardly ever taken at one of the many addresses as well
+            self.port = probe.getsockname()[1]  # very likely free on the other loopback addresses too
         self.relays, self.controllers, self.tickets = list[Connection](), dict[int, Connection](), 0
         self.processes: list[SpawnProcess] = []
         self.process_by_number: dict[int, SpawnProcess] = {}
@@ -307,7 +304,7 @@
     @staticmethod
     def _receive(pipe: Connection) -> Any:
         if not pipe.poll(30.0):
-            raise TimeoutError("a process of the fleet does not answer within 30 s")
+            raise TimeoutError("a process of the fleet did not answer within 30 s")
         return pipe.recv()
 
     def send_command(self, command: str, value: object, pipes: Sequence[Connection] | None = None) -> None:
@@ -315,7 +312,7 @@
             try:
                 pipe.send((command, value))
             except OSError:
-                pass  # killed
+                pass  # the process was killed
 
     def request(self, command: str, pipes: Sequence[Connection]) -> list[Any]:
         self.send_command(command, None, pipes)
@@ -328,7 +325,7 @@
         return requested_s
 
     def applied_versions(self) -> list[list[tuple[int, float]]]:
-        return [applied_versions for report in self.request("tell", self.relays) for applied_versions in report["took"]]
+        return [applied for report in self.request("tell", self.relays) for applied in report["took"]]
 
     def close(self) -> None:
         self.send_command("end", None)
@@ -345,7 +342,10 @@
 def measure(
     relays: int, processes: int, seed: int, failures: list[str], changes: int = 10, faults: Sequence[str] = FAULTS
 ) -> dict[str, Any]:
-    """Each fault in turn on one fleet; a change each half second by the controllers that live and hear a majority."""
+    """Run each fault in turn on one fleet; return the figures of a relay and a row for each fault.
+
+    A change is requested every half second, at controllers that are alive and connected to a majority.
+    """
     fleet, random, rows = Fleet(relays, processes), Random(f"sockets {seed}"), list[dict[str, Any]]()
     version = 0
     try:
@@ -420,7 +420,10 @@
     healed_s: float,
     failures: list[str],
 ) -> dict[str, Any]:
-    """healed: from when on the relays of the other region count; 0: at once."""
+    """Return the row of a fault, and append a sentence to `failures` if it breaks a rule.
+
+    `healed_s` is the time from which delays in the minority region count, 0 if they count from the request.
+    """
     last_version, delays_s, older = first_version + len(requested_s), list[float](), 0
     for relay in applied:
         versions = [version for version, _ in relay]
@@ -447,6 +450,6 @@
     if max(delays_s) > MAX_IN_FORCE_S or behind or older:
         failures.append(
             f"sockets, {fault}: in force after {max(delays_s):.2f} s at {len(applied)} relays, {behind} behind, "
-            f"{older} took an older version"
+            f"{older} applied an older version after a newer one"
         )
     return row
--- a/benchmarks/capacity/data_path.py
+++ b/benchmarks/capacity/data_path.py
@@ -1,10 +1,10 @@
-"""What lines cost on the real relay: memory and processor time by connection, set-up and line, and delays of lines.
+"""Cost of lines on a real relay: memory and processor time per connection, set-up and line, and delays of lines.
 
     python -m benchmarks.capacity.data_path [--seed N] [--size small|machine|large] [--json] [--line BYTES]
 
-The relay is the program itself in a process of its own; execute nodes and submitters stand in other processes, and all
-of it on loopback. A bare splicer takes the relay's place afterwards, with the same stand-ins. Costs are processor time
-of the relay's process alone. Lines go from execute nodes to submitters where nothing else is said.
+The relay is the daemon in a process of its own. Stand-ins for backends and clients run in other processes, all on
+loopback. Afterwards a plain TCP splicer takes the relay's place, with the same stand-ins. Costs are processor time of
+the proxy's process alone, which is the relay or the splicer. Lines go from backends to clients unless noted otherwise.
 """
 
 from __future__ import annotations
@@ -32,34 +32,34 @@
 
 ROOT = Path(__file__).resolve().parents[2]
 BACKENDS = 64
-SETUP_CONCURRENCY = 32  # set-ups that are under way together
+SETUP_CONCURRENCY = 32
 GROUP_SIZE = 1400
 TARGET_LINES_PER_S, TARGET_CONNECTIONS = 27_500.0, 63_300
 CONNECTION_LIFETIMES = (("30 s", 30.0), ("10 min", 600.0), ("3 h", 10_800.0))
-MAX_P99_MS = 350.0  # a rate holds where 99 in 100 lines come within this ...
-MAX_QUEUE_MS = 50.0  # ... and half of those of its last quarter within this: no queue grows
-MAX_CORE_SHARE = 0.9  # of a core: a stand-in that takes more, or sends so late, is the bottleneck itself
+MAX_P99_MS = 350.0  # a rate is sustained if the 99th percentile of the delays is within this ...
+MAX_QUEUE_MS = 50.0  # ... and the median of its last quarter within this, so that no queue grows
+MAX_CORE_SHARE = 0.9  # a stand-in that uses more, or sends later than the lag below, is the bottleneck
 MAX_SEND_LAG_MS = 50.0
-MAX_WAIT_SHARE = 0.2  # of the time: a process that waits longer for its core says more of the machine than of the relay
-MAX_DRAIN_S = 30.0  # by when the last line has to have come
+MAX_WAIT_SHARE = 0.2  # of the time spent waiting for a core; beyond it the machine is measured and not the relay
+MAX_DRAIN_S = 30.0  # after the last line was sent
 TIMEOUT_MS = 8000.0
-MAX_REPEATS = 2  # times that a disturbed row is tried again
-SPARE_DESCRIPTORS = 200  # descriptors of the relay that are no connection's
+MAX_REPEATS = 2  # of a measurement that was disturbed
+SPARE_DESCRIPTORS = 200  # descriptors that the relay needs for other uses than connections
 CLOCK_TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 PR_SET_PDEATHSIG = 1
 
 
 @dataclass(frozen=True)
 class Plan:
-    """connections: standing at the measured points; rates: lines a second there; seconds of each window."""
+    """Sizes of a run: established connections at the measured points, lines per second there, and durations."""
 
     connections: tuple[int, ...]
     rates: tuple[float, ...]
     idle_s: float
     window_s: float
-    search_steps: int  # of the search
+    search_steps: int  # of the search for the highest rate
     search_step_s: float
-    confirm_s: float  # for the rate that was found, once more
+    confirm_s: float  # duration of the run that confirms the rate found
     bursts: int
 
 
@@ -70,7 +70,7 @@
 
 
 class Process:
-    """A child that dies with this process; orders and answers are JSON lines."""
+    """A child process that is killed when this process ends; commands and answers are JSON lines."""
 
     def __init__(self, name: str, arguments: Sequence[str], log: Path, **environment: str) -> None:
         def prepare_child() -> None:
@@ -96,14 +96,19 @@
         self.child.stdin.write(json.dumps(command).encode() + b"\n")
 
     def request(self, do: str, within_s: float = 60.0, **command: Any) -> dict[str, Any]:
-        """Gives an order and waits for its answer; TimeoutError after so many seconds, RuntimeError where it ended."""
+        """Send a command and return its answer.
+
+        Raises:
+            TimeoutError: There is no answer within `within_s`.
+            RuntimeError: The process has ended.
+        """
         self.send_command({"do": do} | command)
         return self.answer(within_s)
 
     def answer(self, within_s: float) -> dict[str, Any]:
         assert self.child.stdout is not None
         if not select.select([self.child.stdout], [], [], within_s)[0]:
-            raise TimeoutError(f"{self.name} has not answered for {within_s:g} s")
+            raise TimeoutError(f"{self.name} did not answer within {within_s:g} s")
         line = b""
         while not line.endswith(b"\n"):
             if not (chunk := self.child.stdout.readline()):
@@ -113,8 +118,10 @@
         return answer
 
     def cpu_s(self) -> tuple[float, float]:
-        """Processor time of the process, and for how long it could have run and did not: from the scheduler's
-        nanoseconds where there are any, else in ticks, and without the wait."""
+        """Return the seconds of processor time, and of waiting for a core, of the process so far.
+
+        The source is the scheduler's statistics in nanoseconds if the kernel has them, else clock ticks and no wait.
+        """
         threads = [path.read_text().split() for path in Path(f"/proc/{self.child.pid}/task").glob("*/schedstat")]
         if threads:
             return sum(int(thread[0]) for thread in threads) / 1e9, sum(int(thread[1]) for thread in threads) / 1e9
@@ -122,7 +129,7 @@
         return (int(fields[11]) + int(fields[12])) / CLOCK_TICKS_PER_S, 0.0
 
     def memory_kb(self, kind: str = "Pss") -> int:
-        """Pss or Rss in kB; what the kernel holds for sockets is in neither."""
+        """Return Pss or Rss in kB; neither includes socket buffers of the kernel."""
         lines = Path(f"/proc/{self.child.pid}/smaps_rollup").read_text().splitlines()
         return next(int(line.split()[1]) for line in lines if line.startswith(f"{kind}:"))
 
@@ -133,14 +140,14 @@
 
 @dataclass
 class Window:
-    """What a stretch of time took: shares of a core."""
+    """Use of processor time in a measured period, as shares of a core."""
 
     seconds: float
     proxy: float  # the relay, or the splicer
     backends: float
     clients: float
-    proxy_wait_share: float  # while others have its core
-    stand_in_wait_share: float  # of the stand-in that waits most
+    proxy_wait_share: float  # waiting for its core
+    stand_in_wait_share: float  # of the stand-in that waits longest
 
 
 @dataclass
@@ -148,14 +155,14 @@
     name: str
     connections: int
     target_rate: float  # lines a second
-    rate: float  # as they were sent
+    rate: float  # as the lines were sent
     window: Window
     sent: dict[str, Any]
     delays: dict[str, Any]
 
     @property
     def disturbed(self) -> bool:
-        """Whether somebody other than the relay may have made lines late: a stand-in, or who shares the cores."""
+        """Whether lines may be late for another cause than the relay: a stand-in, or other processes on the cores."""
         window = self.window
         return (
             max(window.backends, window.clients) > MAX_CORE_SHARE
@@ -165,7 +172,7 @@
 
     @property
     def sustained(self) -> bool:
-        """Whether lines left as asked, 99 in 100 came in time (ms), and no queue grew."""
+        """Whether lines left at the target rate, their 99th percentile was within the limit, and no queue grew."""
         delays, on_time = self.delays, self.rate >= 0.97 * self.target_rate
         return bool(
             on_time
@@ -187,27 +194,27 @@
 
 
 TABLE_HEADER = (
-    "  row             conns  lines/s  hop %  nod %  sub % hopw % stiw %  load  lag ms  p50 ms   p99 ms  tail ms"
+    "  row             conns  lines/s  hop %  bck %  cli % hopw % stiw %  load  lag ms  p50 ms   p99 ms  tail ms"
 )
 
 
 @dataclass
 class Measurements:
-    """By each number of standing connections; times are microseconds of the hop's process."""
+    """Results by number of established connections; times are microseconds of the proxy's process."""
 
     connections: list[int] = field(default_factory=list)
     pss_kb: list[int] = field(default_factory=list)
     rss_kb: list[int] = field(default_factory=list)
-    idle_us_per_s: list[float] = field(default_factory=list)  # of all that stand, a second
+    idle_us_per_s: list[float] = field(default_factory=list)  # of all connections, per second
     us_setup: list[float] = field(default_factory=list)
     us_line: list[float] = field(default_factory=list)
-    rows: list[Row] = field(default_factory=list)  # of the last number
+    rows: list[Row] = field(default_factory=list)  # at the last number of connections
     us_close: float = 0.0
     us_echo: float = 0.0
 
 
 def slope(xs: Sequence[float], ys: Sequence[float]) -> float:
-    """Of the least squares."""
+    """Return the slope of the least-squares line."""
     mean_x, mean_y = sum(xs) / len(xs), sum(ys) / len(ys)
     return sum((x - mean_x) * (y - mean_y) for x, y in zip(xs, ys, strict=True)) / sum((x - mean_x) ** 2 for x in xs)
 
@@ -239,7 +246,7 @@
     def send_lines(
         self, name: str, rate: float, seconds: float, send_bursts: Sequence[float] = (), echo: bool = False
     ) -> Row:
-        """Lines at a rate, until the last has come; every one has to come, and whole."""
+        """Send lines at a rate and wait for the last one; each has to arrive, and unchanged in length."""
         before = self.clients.request("begin")
         sender = self.clients if echo else self.backends
         window, sent = self.window(
@@ -261,12 +268,12 @@
         if status["received"] != expected or any(faults):
             self.failures.append(
                 f"{name}, {self.standing} connections, {rate:,.0f} lines/s: {status['received']} of {expected} lines "
-                f"came; {faults[0]} connections lost, {faults[1]} lines not whole, {faults[2]} not sent"
+                f"received; {faults[0]} connections lost, {faults[1]} lines of a wrong length, {faults[2]} not sent"
             )
         return row
 
     def open_connections(self, count: int, address: Sequence[Any]) -> float:
-        """Connections until so many stand; processor time of the hop in microseconds for each."""
+        """Open connections until `count` are established; return the proxy's processor time in us for each."""
         new, before = count - self.standing, self.clients.request("standing")
         window, status = self.window(
             lambda: self.clients.request(
@@ -282,7 +289,7 @@
         )
         if status["standing"] != count or status["failed"] or lost:
             self.failures.append(
-                f"{self.proxy.name} set-ups to {count}: {status['standing']} stand, {status['failed']} "
+                f"{self.proxy.name} set-ups to {count}: {status['standing']} established, {status['failed']} "
                 f"failed, {lost} lost; {self.shares(window)}"
             )
         self.standing = status["standing"]
@@ -290,25 +297,25 @@
 
     def shares(self, window: Window) -> str:
         return (
-            f"hop {100 * window.proxy:.0f} %, nodes {100 * window.backends:.0f} %, submitters "
-            f"{100 * window.clients:.0f} %; waits: hop {100 * window.proxy_wait_share:.0f} %, stand-ins "
+            f"proxy {100 * window.proxy:.0f} %, backends {100 * window.backends:.0f} %, clients "
+            f"{100 * window.clients:.0f} %; waits: proxy {100 * window.proxy_wait_share:.0f} %, stand-ins "
             f"{100 * window.stand_in_wait_share:.0f} %; load {os.getloadavg()[0]:.1f}"
         )
 
     def measure_points(self, address: Sequence[Any], counts: Sequence[int], rates: Sequence[float]) -> Measurements:
-        """Memory, rest and lines at each number of standing connections."""
+        """Measure memory, the idle cost and the cost of lines at each number of established connections."""
         measurements = Measurements()
         print(TABLE_HEADER)
         for count in counts:
             measurements.us_setup.append(self.open_connections(count, address))
-            time.sleep(min(1.0, self.plan.idle_s))  # what set-ups leave behind
+            time.sleep(min(1.0, self.plan.idle_s))  # until work that follows the set-ups has ended
             window = self.measure_idle(self.plan.idle_s)
             measurements.connections.append(count)
             measurements.pss_kb.append(self.proxy.memory_kb())
             measurements.rss_kb.append(self.proxy.memory_kb("Rss"))
             measurements.idle_us_per_s.append(window.proxy * 1e6)
             print(
-                f"  {self.proxy.name} {count} at rest: {window.proxy * 1e6:.0f} us a second, "
+                f"  {self.proxy.name} {count} idle: {window.proxy * 1e6:.0f} us a second, "
                 f"PSS {measurements.pss_kb[-1]} kB, RSS {measurements.rss_kb[-1]} kB; {self.shares(window)}",
                 flush=True,
             )
@@ -320,8 +327,13 @@
         return measurements
 
     def find_highest_rate(self, rows: list[Row]) -> tuple[Row | None, Row | None]:
-        """Steps to the highest rate that holds, from the asked one up or down, halving what is between at last; what
-        was disturbed is tried again. The highest row that holds, and the lowest above it that does not."""
+        """Search for the highest sustained rate, from the target rate up or down and then by bisection.
+
+        A measurement that was disturbed is repeated.
+
+        Returns:
+            The row of the highest sustained rate, and that of the lowest rate above it that is not sustained.
+        """
         low, high, rate = 0.0, 0.0, TARGET_LINES_PER_S
         for _ in range(self.plan.search_steps):
             row = self.send_lines("search", rate, self.plan.search_step_s)
@@ -359,25 +371,25 @@
         results: list[dict[str, Any]] = row.delays["bursts"]
         for number, burst in enumerate(results):
             print(
-                f"    burst {number}: the last of {burst['count']} after {burst['last_ms']:.1f} ms; p99 of the other "
-                f"lines of that second {burst['others_p99_ms']:.1f} ms"
+                f"    burst {number}: the last of {burst['count']} lines after {burst['last_ms']:.1f} ms; p99 of the "
+                f"other lines of that second {burst['others_p99_ms']:.1f} ms"
             )
         if len(results) != len(burst_times_s) or any(burst["count"] != row.sent["burst_size"] for burst in results):
             self.failures.append(f"{name}, {row.rate:,.0f} lines/s: a burst did not reach all of its group")
         return row, results
 
     def close_connections(self) -> float:
-        """All connections end; processor time of the hop in microseconds for each."""
+        """Close all connections; return the proxy's processor time for each in microseconds."""
 
         def close() -> dict[str, Any]:
             self.clients.request("close")
             deadline_s = time.monotonic() + 15.0
             while any(party.request("standing")["standing"] for party in (self.clients, self.backends)):
                 if time.monotonic() > deadline_s:
-                    self.failures.append(f"{self.proxy.name} ends: connections are left after 15 s")
+                    self.failures.append(f"{self.proxy.name} ends: connections are still established after 15 s")
                     break
                 time.sleep(0.05)
-            time.sleep(0.7)  # the relay hears its peers out for half a second
+            time.sleep(0.7)  # the relay waits half a second for data of its clients and backends
             return {}
 
         window, _ = self.window(close)
@@ -396,10 +408,10 @@
 def start_relay(
     folder: Path, discovery: Sequence[Any], endpoints: dict[str, Any], seed: int
 ) -> tuple[Process, tuple[str, int]]:
-    """The program as operators start it, serving."""
+    """Start the daemon as operators start it; return its process and address."""
     address = ("127.0.0.1", free_port())
     settings = SETTINGS | {
-        # Long waits, so that a stand-in that others keep from its core is not taken for a node that is lost.
+        # Long time-outs, so that a stand-in that waits for a core is not taken for a failed backend.
         "categories": [SETTINGS["categories"][0] | {"deadline_ms": TIMEOUT_MS}],
         "limits": SETTINGS["limits"] | {"connect_timeout_ms": TIMEOUT_MS},
         "zone": 0,
@@ -440,13 +452,15 @@
     deadline_s = time.monotonic() + 15.0
     while "serves at" not in relay.log.read_text():
         if relay.child.poll() is not None or time.monotonic() > deadline_s:
-            raise RuntimeError(f"the relay does not serve: {relay.log.read_text()[-2000:]}")
+            raise RuntimeError(
+                f"the relay has ended or did not serve within 15 s; its log ends: {relay.log.read_text()[-2000:]}"
+            )
         time.sleep(0.05)
 
 
 @contextmanager
 def terminable() -> Iterator[None]:
-    """SIGTERM ends the run in order, and its children with it."""
+    """Make SIGTERM end the run by an exception, so that its children are ended too."""
 
     def exit_on_signal(number: int, frame: FrameType | None) -> None:
         raise SystemExit(128 + number)
@@ -459,12 +473,12 @@
 
 
 def shared_cores() -> set[int]:
-    """The last four that this process may use: the relay, the stand-ins and nothing else of this run share them."""
+    """Return the last four cores that this process may use, which the relay and the stand-ins share."""
     return set(sorted(os.sched_getaffinity(0))[-4:])
 
 
 def extrapolate(measurements: Measurements, kb: float, us_idle: float, us_line: float) -> dict[str, Any]:
-    """Shares of one core at the asked size, by how long connections live."""
+    """Extrapolate to the target size: shares of one core by the lifetime of connections."""
     us_connection = measurements.us_setup[-1] + measurements.us_close
     idle_share, line_share = TARGET_CONNECTIONS * us_idle / 1e6, TARGET_LINES_PER_S * us_line / 1e6
     print(
@@ -490,7 +504,7 @@
     shortest_lifetime_s = round(TARGET_CONNECTIONS * us_connection / 1e6 / free_share, 1) if free_share > 0.0 else None
     print(
         f"  one core carries {TARGET_LINES_PER_S:,.0f} lines/s "
-        + (f"where connections live for {shortest_lifetime_s:,} s or longer" if shortest_lifetime_s else "at no life")
+        + (f"if connections live for {shortest_lifetime_s:,} s or longer" if shortest_lifetime_s else "at no lifetime")
     )
     return {
         "extrapolated_core_share": shares,
@@ -500,23 +514,26 @@
 
 
 def run(seed: int, size: str, failures: list[str], line_bytes: int = 100) -> dict[str, Any]:
-    """Measures, prints tables, and adds to `broken` a sentence for each rule that fails. line: bytes, CRLF included."""
-    plan = PLANS.get(size, PLANS["machine"])  # what is real has no larger size than the machine's
+    """Run the benchmark, print its tables, and append a sentence to `failures` for each rule that does not hold.
+
+    `line_bytes` is the length of a line, CRLF included.
+    """
+    plan = PLANS.get(size, PLANS["machine"])  # real processes have no larger size than `machine`
     descriptor_limit = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
     max_connections = (descriptor_limit - SPARE_DESCRIPTORS) // 2
     counts = tuple(sorted({min(count, max_connections) for count in plan.connections}))
     shortfall = f" instead of {plan.connections[-1]}" if counts[-1] < plan.connections[-1] else ""
     print(
-        f"lines of {line_bytes} bytes with CRLF; {BACKENDS} execute nodes; descriptors: {descriptor_limit}, so at "
+        f"lines of {line_bytes} bytes with CRLF; {BACKENDS} backends; descriptors: {descriptor_limit}, so at "
         f"most {max_connections} connections through one relay{shortfall}"
     )
     group = min(GROUP_SIZE, counts[-1])
     print(
-        f"cores {sorted(shared_cores())} for relay or splicer, nodes and submitters, each of which runs on one at a "
-        "time\n"
-        "hop: share of a core of the relay or splicer; hopw, stiw: part of the time that it, or a stand-in, waited\n"
-        "for a core while others had it; lag: how late lines left (99 %); tail: the median of the last quarter;\n"
-        "lines leave in ticks of 1 ms, on connections in turn; delays count from when a line was due"
+        f"cores {sorted(shared_cores())} for relay or splicer, backends and clients, each of which uses one at a time\n"
+        "hop, bck, cli: share of a core of the relay or splicer, the backends and the clients; hopw, stiw: share of\n"
+        "the time that the relay or splicer, or a stand-in, waited for a core; lag: 99th percentile of how late lines\n"
+        "left; tail: median delay of the last quarter;\n"
+        "lines leave in ticks of 1 ms, on the connections in turn; delays count from the time at which a line was due"
     )
     with terminable(), tempfile.TemporaryDirectory(prefix="capacity-") as folder_name, ExitStack() as stack:
         folder = Path(folder_name)
@@ -535,7 +552,7 @@
         relay, address = start_relay(folder, endpoints["discovery"], endpoints["list"], seed)
         register(relay)
         wait_for_relay(relay)
-        clients.request("standing")  # it has started as well
+        clients.request("standing")  # wait until it has started too
         bench = Benchmark(plan, failures, backends, clients)
         bench.proxy = relay
         relay_results = bench.measure_points(address, counts, plan.rates)
@@ -543,13 +560,13 @@
         best, above = bench.find_highest_rate(rows)
         best_rate = best.target_rate if best else plan.rates[0]
         if best is None:
-            failures.append(f"search, {counts[-1]} connections: no rate holds a p99 of {MAX_P99_MS:.0f} ms")
+            failures.append(f"search, {counts[-1]} connections: no rate is sustained with a p99 of {MAX_P99_MS:.0f} ms")
         background_rate = 0.5 * min(best_rate, TARGET_LINES_PER_S)
         burst_row, bursts = bench.send_bursts(background_rate, "burst")
         if any(burst["others_p99_ms"] > MAX_P99_MS for burst in bursts) and not burst_row.disturbed:
             failures.append(f"burst, {burst_row.rate:,.0f} lines/s: p99 of the other lines over {MAX_P99_MS:.0f} ms")
         relay_results.us_close = bench.close_connections()
-        relay.child.send_signal(signal.SIGTERM)  # its end is seen below
+        relay.child.send_signal(signal.SIGTERM)  # its exit status is checked below
         splicer.send_command({"addresses": endpoints["addresses"]})
         bench.proxy = splicer
         splicer_results = bench.measure_points(splicer.request("start")["address"], counts, plan.rates)
@@ -561,7 +578,7 @@
         except subprocess.TimeoutExpired:
             status = None
         if status != 0 or "Traceback" in relay.log.read_text():
-            failures.append(f"the relay's end: status {status}; its log ends {relay.log.read_text()[-300:]!r}")
+            failures.append(f"relay shutdown: exit status {status}; its log ends {relay.log.read_text()[-300:]!r}")
     return report(
         relay_results, splicer_results, best, above, splicer_row, bursts, splicer_bursts, background_rate, line_bytes
     )
@@ -579,7 +596,7 @@
     line_bytes: int,
 ) -> dict[str, Any]:
     def idle_cost(results: Measurements) -> tuple[float, float]:
-        """kB a connection, and microseconds of a resting connection and second."""
+        """Return kB per connection, and microseconds per idle connection and second."""
         return slope(results.connections, results.pss_kb), max(0.0, slope(results.connections, results.idle_us_per_s))
 
     (relay_kb, relay_idle_us), (splicer_kb, splicer_idle_us) = idle_cost(relay_results), idle_cost(splicer_results)
@@ -587,7 +604,7 @@
     target_rows = [row for row in rows if row.target_rate == TARGET_LINES_PER_S]
     target_row = next((row for row in target_rows if row.sustained), target_rows[-1])
     bottleneck = "not reached" if above is None else "stand-ins or others" if above.disturbed else "relay"
-    # At the highest rate that holds: what a line costs less there than at low rates counts as well.
+    # At the highest sustained rate, because a line costs less there than at low rates.
     best_row = best or target_row
     relay_line_us = (
         (best_row.window.proxy * 1e6 - relay_results.idle_us_per_s[-1]) / best_row.rate
@@ -598,12 +615,12 @@
     print("  cost                              relay   splicer   ratio")
     for label, relay_value, splicer_value in [
         ("kB a connection (PSS)", relay_kb, splicer_kb),
-        ("us a set-up, most standing", relay_results.us_setup[-1], splicer_results.us_setup[-1]),
+        ("us a set-up, most connections", relay_results.us_setup[-1], splicer_results.us_setup[-1]),
         ("us an end", relay_results.us_close, splicer_results.us_close),
-        ("us a line, slope, most standing", relay_results.us_line[-1], splicer_results.us_line[-1]),
+        ("us a line, slope, most connections", relay_results.us_line[-1], splicer_results.us_line[-1]),
         ("us a line at the held rate", relay_line_us, splicer_line_us),
         ("us a line and its echo", relay_results.us_echo, splicer_results.us_echo),
-        ("us at rest, connection and s", relay_idle_us, splicer_idle_us),
+        ("us idle, connection and s", relay_idle_us, splicer_idle_us),
         ("p99 ms at the held rate", best_row.delays["p99_ms"], splicer_row.delays["p99_ms"]),
         (
             "last of the burst, worst, ms",
@@ -654,12 +671,12 @@
 
 def main(arguments: Sequence[str] | None = None) -> int:
     parser = argument_parser(
-        "What lines, set-ups and standing connections cost on the real relay, beside a bare splicer."
+        "Cost of lines, set-ups and idle connections on a real relay, compared with a plain TCP splicer."
     )
-    parser.add_argument("--line", type=int, default=100, help="bytes of a line, 24 to 4000")
+    parser.add_argument("--line", type=int, default=100, help="bytes of a line with CRLF, 24 to 4000")
     args = parser.parse_args(arguments)
     if not 24 <= args.line <= 4000:
-        parser.error("--line is from 24 to 4000")
+        parser.error(f"--line is {args.line}: expected 24 to 4000")
     started, failures = time.perf_counter(), list[str]()
     result = run(args.seed, args.size, failures, args.line)
     return print_result(result, failures, started, args.json, args.seed, args.size)
--- a/benchmarks/capacity/membership_relays.py
+++ b/benchmarks/capacity/membership_relays.py
@@ -1,7 +1,7 @@
-"""Hollow relays: the control code as it is (peers' core and pump), with connections that are only numbers.
+"""Relays that run membership only: the production core and driver, with simulated load instead of connections.
 
-On the virtual clock (`play`), and on real UDP sockets with many relays to a process (`on_sockets`). Cells are peers'
-clusters: relays of one hear one another and nobody else.
+`simulate` runs them on the virtual clock, `measure_on_sockets` on real UDP sockets with many relays in each process. A
+cell is a membership cluster: its relays exchange datagrams with one another and with no other relay.
 """
 
 from __future__ import annotations
@@ -29,21 +29,20 @@
 from yarrowspindle.runtime.membership_driver import MembershipDriver
 from yarrowspindle.transport.datagrams import UdpListener
 
-HEADER_BYTES = 28  # bytes of IP and UDP round each datagram
-BACKENDS, HELD_BACKENDS = 2000, 80  # nodes of the fleet, and those at which one relay holds something
-SWAP_INTERVAL_S = (
-    0.1  # at one node a relay's last connection ends and at another its first comes: 20 changes told a second
-)
-MAX_CELL_RELAYS = 12  # relays
-START_SPREAD_MS = 2000.0  # over which the relays start
+HEADER_BYTES = 28  # IP and UDP headers of a datagram
+BACKENDS, HELD_BACKENDS = 2000, 80  # backends of the fleet, and those to which one relay holds connections
+# Each swap ends a relay's last connection to one backend and opens its first to another: 20 changes a second to send.
+SWAP_INTERVAL_S = 0.1
+MAX_CELL_RELAYS = 12
+START_SPREAD_MS = 2000.0  # relays start at random times within this period
 MAX_DETECTION_S = 20.0
 LATENESS_INTERVAL_S = 0.025
-MAX_LATENESS_MS = 50.0  # of the event loop, in 99 of 100 looks: beyond that the machine is measured, not the relays
+MAX_LATENESS_MS = 50.0  # 99th percentile of the event loops; beyond it the machine is measured and not the relays
 HeldLoad = dict[int, tuple[int, float]]
 
 
 def swap_backend(held_load: HeldLoad, backends: int, random: Random) -> None:
-    """As many are held as before."""
+    """Replace a random backend of the held load by one that is not in it; the number of backends stays the same."""
     held_load.pop(random.choice(list(held_load)), None)
     while (backend := random.randint(1, backends)) in held_load:
         pass
@@ -52,25 +51,29 @@
 
 @dataclass(frozen=True, slots=True)
 class SimulationPlan:
-    """So many relays that all hear one another. changes: of the peers' settings. window_s: what is measured."""
+    """A simulation of relays that all exchange datagrams with one another.
+
+    `held` is the number of backends to which each relay holds connections, `window_s` the measured period, and
+    `peer_settings` the settings of `PeerSettings` that differ from their defaults.
+    """
 
     relays: int
     seed: int
     backends: int = BACKENDS
     held: int = HELD_BACKENDS
     window_s: float = 8.0
-    warmup_s: float = 6.0  # and a second for each 20 relays, until all clocks are known
+    warmup_s: float = 6.0  # plus a second for each 20 relays, until each relay knows the clocks of all others
     peer_settings: tuple[tuple[str, Any], ...] = ()
 
 
 class VirtualRelays(MembershipSimulation):
-    """Relays on the virtual clock whose holdings change without growing."""
+    """Relays on the virtual clock whose held load changes without growing."""
 
     def __init__(self, plan: SimulationPlan) -> None:
         super().__init__(plan.relays, plan.seed, plan.backends, plan.held, **dict(plan.peer_settings))
         self.load_reads: Counter[int] = Counter()
         self.start(0)
-        for index in range(1, plan.relays):  # not all in step: else all words of a second fall into one instant
+        for index in range(1, plan.relays):  # spread: in step, all signals of a second would be sent at once
             self.clock.after(self.random.uniform(0.0, START_SPREAD_MS), self.start, index)
 
     def start(self, index: int) -> None:
@@ -86,8 +89,18 @@
 
 
 def per_relay_rates(counts: Counter[str], load_reads: int, relays: int, peers: int, seconds: float) -> dict[str, float]:
-    """Bytes and datagrams a second of one relay, both ways and with headers; `members`: without signals, sent and (as
-    all that is sent comes in) taken."""
+    """Return bytes and datagrams per second of one relay, sent and received, headers included.
+
+    Keys that begin with `members` leave load signals out. They are derived from what was sent, taken twice, as each
+    datagram that is sent is also received.
+
+    Args:
+        counts: Counters of all relays, summed.
+        load_reads: Number of signals that the relays built; each goes to all peers.
+        relays: Number of relays that the counters cover.
+        peers: Number of peers that receive each signal.
+        seconds: Length of the measured period.
+    """
     sent, received, signals = counts["sent"], counts["came"], load_reads * peers
     total_bytes = counts["sent_bytes"] + counts["came_bytes"] + HEADER_BYTES * (sent + received)
     member_bytes = 2 * (counts["sent_bytes"] - counts["signal_bytes"] + HEADER_BYTES * (sent - signals))
@@ -105,8 +118,12 @@
 
 
 def simulate(plan: SimulationPlan) -> dict[str, float]:
-    """Figures of one relay on the virtual clock, and after how long all know of a killed one: the mean of up to three
-    killed at once. Of three plays of the core alone the least time counts, as others use the machine too."""
+    """Simulate a fleet on the virtual clock; return the figures of one relay and the time to detect a killed one.
+
+    Up to three relays are killed at once: `known_s` is the mean time until no living relay lists the killed one as a
+    member, `known_most_s` the longest, -1 if it exceeds `MAX_DETECTION_S`. Processor time is the least of three replays
+    of one core alone, because other processes use the machine too.
+    """
     world = VirtualRelays(plan)
     events = record_events(world.network.peers[0].core)
 
@@ -126,18 +143,18 @@
     counts = sum((peer.core.counts for peer in peers), Counter[str]())
     result = per_relay_rates(counts, world.load_reads.total(), plan.relays, plan.relays - 1, plan.window_s)
     peer_loads = list(world.peer_loads.values())
-    core_cpu_s = min(replay_cpu_s(peers[0].core_arguments, events, start) for _ in range(3)) / plan.window_s
+    core_share = min(replay_cpu_s(peers[0].core_arguments, events, start) for _ in range(3)) / plan.window_s
     core = peers[0].core
     unsent_changes = [
         sum(len(c.keys) for c in peer.core.signals.local.pending if not c.transmissions) for peer in peers
     ]
     result |= {
-        "core_cpu": core_cpu_s,
-        "cpu_share": core_cpu_s + counts["sent"] / plan.relays / plan.window_s * datagram_cpu_s(),
+        "core_cpu": core_share,
+        "cpu_share": core_share + counts["sent"] / plan.relays / plan.window_s * datagram_cpu_s(),
         "memory_mb": deep_size_kb([core.members.table, core.signals, core.probing.pings]) / 1024.0,
         "age_s": fmean(load.age_ms / 1000.0 for load in peer_loads),
         "heard": fmean(load.reporting_relays for load in peer_loads),
-        "untold": fmean(unsent_changes),  # changes that no word has told yet
+        "untold": fmean(unsent_changes),  # changes that no signal has carried yet
         "beat_s": plan.window_s * plan.relays / max(world.load_reads.total(), 1),
     }
     killed_indices = range(plan.relays - max(1, min(3, plan.relays // MAX_CELL_RELAYS)), plan.relays)
@@ -166,7 +183,11 @@
 
 @dataclass(frozen=True, slots=True)
 class SocketPlan:
-    """So many relays in cells on real sockets, over so many processes. net: second figure of their addresses."""
+    """A run of relays in cells on real sockets, spread over processes.
+
+    `subnet` is the second byte of the relays' loopback addresses, `start_at_s` the time at which all processes start
+    their relays, and `silenced_relay` the index of the relay that stops at the end of the measured period.
+    """
 
     relays: int
     cells: int
@@ -196,7 +217,7 @@
 
 
 class SocketRelay:
-    """One hollow relay: its own socket, core and driver, as `daemon/membership_endpoint.py` has them."""
+    """One relay without connections: its own socket, core and driver, wired as in `daemon/membership_endpoint.py`."""
 
     def __init__(self, plan: SocketPlan, index: int) -> None:
         self.index, self.loop = index, asyncio.get_running_loop()
@@ -215,7 +236,7 @@
             lambda text, bounded: None,
         )
         self.load_reads = 0
-        self.detected_at_s = -1.0  # when it knew that the silenced one has ended
+        self.detected_at_s = -1.0  # when it dropped the silenced relay from its members; below 0: not yet
 
     def now(self) -> float:
         return self.loop.time() * 1000.0
@@ -242,11 +263,11 @@
             self.listener.transport.close()
 
 
-_detected_count: Any = None  # shared by the processes: how many of them know that the silenced relay has ended
+_detected_count: Any = None  # shared counter: processes in which all relays have detected the silenced one
 
 
 def _set_detected_count(count: Any) -> None:
-    global _detected_count  # noqa: PLW0603  # how a pool hands a shared value to its processes
+    global _detected_count  # noqa: PLW0603  # a pool hands a shared value to its processes by an initializer
     _detected_count = count
 
 
@@ -255,7 +276,7 @@
 
 
 async def _swap_held_load(relays: list[SocketRelay]) -> None:
-    """Spread over the beat, so that the process does not work in bursts."""
+    """Swap backends of all relays, a quarter at a time, so that the process does not work in bursts."""
     while True:
         for part in range(4):
             for relay in relays[part::4]:
@@ -320,7 +341,7 @@
             for relay in observers:
                 if relay.detected_at_s < 0.0 and name not in relay.core.members.names:
                     relay.detected_at_s = time.monotonic()
-        if _detected_count is not None:  # others of the cell must still be served until all of them know
+        if _detected_count is not None:  # relays of other processes need answers until they have detected it too
             with _detected_count.get_lock():
                 _detected_count.value += 1
             while _detected_count.value < plan.processes and time.monotonic() < silenced_at_s + MAX_DETECTION_S:
@@ -334,7 +355,7 @@
 
 
 def run_part(task: tuple[SocketPlan, int]) -> dict[str, Any]:
-    """One process of `on_sockets`."""
+    """Run one process of `measure_on_sockets`."""
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         return runner.run(_run_part(*task))
 
@@ -348,8 +369,13 @@
     window_s: float,
     peer_settings: tuple[tuple[str, Any], ...] = (),
 ) -> dict[str, Any]:
-    """Figures of one relay on real sockets, and how far the machine was from being the bottleneck. Raises OSError where
-    an address is taken."""
+    """Run relays on real sockets; return the figures of one relay and those of the machine.
+
+    `machine_bound` says that the event loops were too late for the figures to describe the relays.
+
+    Raises:
+        OSError: An address is in use.
+    """
     process_id, context = os.getpid(), get_context("spawn")
     plan = SocketPlan(
         relays,
@@ -390,6 +416,6 @@
 
 
 def cell_sizes(relays: int) -> list[int]:
-    """The sizes of the cells: as few as hold them all, alike but for one relay."""
+    """Return the sizes of the cells: as few cells as possible, whose sizes differ by one relay at most."""
     cells = ceil(relays / MAX_CELL_RELAYS)
     return [len(range(cell, relays, cells)) for cell in range(cells)]
--- a/benchmarks/capacity/scaling.py
+++ b/benchmarks/capacity/scaling.py
@@ -1,12 +1,13 @@
-"""How what control costs a relay grows with the fleet, by hollow relays: each to all, and in cells.
+"""How the cost of membership and maintenance for one relay grows with the fleet: as a full mesh and in cells.
 
     python -m benchmarks.capacity.scaling [--seed N] [--size small|machine|large] [--json] [--plot FILE.png]
                                          [--relays N]
 
-Bytes are sent and taken together, with the headers of IP and UDP. Three sizes are fitted, a fourth checks the fit: more
-than 15 % off it is called wrong. `over` names who misses what control may cost a relay; only for cells, which are there
-to keep it, is that a broken rule. "Flat" allows for 10 % and two standard errors of the cells. Processor time, never
-wall time: the machine may be busy with other things.
+The relays run membership only, without connections. Bytes count what is sent and received, with the headers of IP and
+UDP. A curve is fitted to all sizes but the largest, which checks it: a prediction that is more than 15 % off is called
+wrong. `over` lists what exceeds the limits for one relay. That fails the run only for cells, whose purpose is to keep
+them. "Flat" allows for 10 % and two standard errors of the cells. Costs are processor time and not wall time, because
+the machine may be busy with other work.
 """
 
 from __future__ import annotations
@@ -44,8 +45,8 @@
 from yarrowspindle.membership.local_load_log import MAX_KEYS, LocalLoadLog
 from yarrowspindle.protocol.fragments import FRAGMENT_BYTES
 
-TARGET_RELAYS = 1200  # relays of the fleet ahead
-LIMITS = {"bytes_per_s": 8000.0, "cpu_share": 0.012, "memory_mb": 32.0}  # of one relay
+TARGET_RELAYS = 1200  # size of the planned fleet
+LIMITS = {"bytes_per_s": 8000.0, "cpu_share": 0.012, "memory_mb": 32.0}  # cost of one relay
 MAX_FIT_ERROR, MAX_GROWTH, MAX_CONSTANT_RESIDUAL = 0.15, 0.10, 0.05
 QUANTITIES = ("bytes_per_s", "datagrams_per_s", "members_bytes_per_s", "cpu_share", "memory_mb", "age_s", "known_s")
 FORMS: dict[str, Callable[[float], float]] = {
@@ -55,16 +56,15 @@
     "n log n": lambda n: n * log2(n),
 }
 PROCESSES = 3
-CELL_BYTES_PER_S = (
-    1800.0  # bytes_per_s of the peers' settings in a cell: with changes at 10 a second all fits in 8 KB/s
-)
+# `PeerSettings.bytes_per_s` in a cell: together with 10 configuration changes a second, a relay stays within 8 kB/s.
+CELL_BYTES_PER_S = 1800.0
 CELL_PEER_SETTINGS: tuple[tuple[str, Any], ...] = (("bytes_per_s", CELL_BYTES_PER_S), ("cluster", "cell"))
 FULL_MESH_RELAYS = {"small": (20, 40, 60), "machine": (50, 100, 200, 400), "large": (50, 100, 200, 400)}
 HELD_BACKENDS_BY_SIZE = {"small": 20}
 CELL_FLEET_RELAYS = {"small": (24, 48), "machine": (120, 408, 1200), "large": (120, 408, 1200)}  # full cells
 CELL_WINDOW_S = {"small": 6.0}
 COMPARED_RELAYS, COMPARED_CELL_RELAYS, COMPARED_SEEDS = 40, 10, 6
-# Relays, in cells or not, processes.
+# Number of relays, whether they form cells, number of processes.
 SOCKET_RUNS = {
     "small": ((12, True, 2),),
     "machine": (
@@ -79,7 +79,7 @@
     ),
 }
 TABLE_BACKENDS = (1000, 4000, 16_000, 64_000)
-for _fleet_name in list(signals.FLEETS):  # the same fleets with relays that hear a cell only
+for _fleet_name in list(signals.FLEETS):  # the same fleets, with relays that exchange signals within a cell only
     signals.FLEETS[f"{_fleet_name}, cells"] = replace(
         signals.FLEETS[_fleet_name], peer_settings=(("cell", COMPARED_CELL_RELAYS), ("bytes_per_s", CELL_BYTES_PER_S))
     )
@@ -87,7 +87,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Fit:
-    """first + slope x form(n). residual: root of the mean square at the sizes that it was made from, over the mean."""
+    """The curve `intercept + slope * form(n)`.
+
+    `residual` is the root mean square error at the fitted sizes, divided by the mean of the values.
+    """
 
     form: str
     intercept: float
@@ -99,7 +102,7 @@
 
 
 def fit_curve(sizes: Sequence[float], values: Sequence[float]) -> Fit:
-    """Constant where that is within 5 %, else the form that lies nearest."""
+    """Return the constant fit if its residual is at most 5 %, else the form with the least residual."""
     mean, fits = fmean(values), list[Fit]()
     for form, transform in FORMS.items():
         slope, intercept = (
@@ -131,7 +134,10 @@
 
 
 def fit_and_check(rows: list[dict[str, Any]]) -> dict[str, dict[str, Any]]:
-    """Made from all rows but the last, checked at that one, worked out at the fleet ahead."""
+    """Fit each quantity to all rows but the last, check it there, and extrapolate it to `TARGET_RELAYS`.
+
+    A fit that fails its check has no extrapolated value.
+    """
     result, check_row = dict[str, dict[str, Any]](), rows[-1]
     for key in QUANTITIES:
         fit = fit_curve([row["relays"] for row in rows[:-1]], [row[key] for row in rows[:-1]])
@@ -154,20 +160,22 @@
 def report_full_mesh(
     rows: list[dict[str, Any]], violations: list[str], failures: list[str]
 ) -> dict[str, dict[str, Any]]:
-    print(f"\nEach to all on the virtual clock, one relay; {rows[-1]['relays']} relays check the fit")
+    print(f"\nFull mesh on the virtual clock, figures of one relay; {rows[-1]['relays']} relays check the fit")
     print_table(rows, ("relays", *QUANTITIES, "known_most_s", "heard", "beat_s", "untold", "load"))
     for row in rows:
-        violations += limit_violations(f"each to all, {row['relays']} relays", row)
+        violations += limit_violations(f"full mesh, {row['relays']} relays", row)
         if row["known_most_s"] < 0.0:
-            failures.append(f"each to all, {row['relays']} relays: not all know that one was killed")
+            failures.append(
+                f"full mesh, {row['relays']} relays: a killed relay was not detected by all within the time limit"
+            )
     fits = fit_and_check(rows)
-    print(f"\nFits; `ahead` is worked out at {TARGET_RELAYS} relays, not measured, and only by a fit that holds")
+    print(f"\nFits; `ahead` is extrapolated to {TARGET_RELAYS} relays, not measured, and only if the fit holds")
     print_table(
         [{"quantity": key} | fit for key, fit in fits.items()],
         ("quantity", "form", "first", "slope", "residual", "told", "measured", "error", "verdict", "ahead"),
     )
     violations += limit_violations(
-        f"each to all, {TARGET_RELAYS} relays as the fits have it",
+        f"full mesh, {TARGET_RELAYS} relays, extrapolated",
         {key: fit["ahead"] for key, fit in fits.items() if fit["ahead"] is not None},
     )
     return fits
@@ -192,8 +200,8 @@
             }
         )
     print(
-        f"\nIn cells of {MAX_CELL_RELAYS} at most on the virtual clock, bytes_per_s {CELL_BYTES_PER_S:g}, one relay; "
-        "all are played"
+        f"\nCells of at most {MAX_CELL_RELAYS} relays on the virtual clock, bytes_per_s {CELL_BYTES_PER_S:g}, "
+        "figures of one relay; all sizes are simulated"
     )
     print_table(
         rows, ("relays", "cells", *QUANTITIES, "known_most_s", "most_bytes_per_s", "heard", "beat_s", "untold", "load")
@@ -206,7 +214,7 @@
         violations += row_violations
         failures += row_violations
         if not row["all_know"]:
-            failures.append(f"{name}: not all know that one was killed")
+            failures.append(f"{name}: a killed relay was not detected by all within the time limit")
         failures += [
             f"{name}: {key} is {row[key]:.4g}, at {rows[0]['relays']} relays it is {rows[0][key]:.4g}: not flat"
             for key in LIMITS
@@ -217,7 +225,13 @@
 
 
 def compare_cells(pool: Executor, seed: int, failures: list[str]) -> Callable[[], list[dict[str, Any]]]:
-    """What hearing only a cell costs: the parts of the way from off to bound that are closed."""
+    """Start runs that show how much of the benefit of load signals remains if relays hear their own cell only.
+
+    The benefit is a share of the gain from `off` (no signals) to `bound` (loads known at once).
+
+    Returns:
+        A function that waits for the runs, prints their table and returns its rows.
+    """
     variants = (("", "off"), ("", "bound"), ("", "on"), (", cells", "on"))
     tasks = [
         (name + cells, COMPARED_RELAYS, mode, 1000 * seed + n)
@@ -264,7 +278,7 @@
                     "age_cells_s": fmean(ages[cells]),
                 }
             )
-        print("\nWhat cells lose: share of the worth served; the part of the way from off to bound closed")
+        print("\nFull mesh and cells compared: share of the worth served; share of the gain from off to bound")
         print_table(rows, tuple(rows[0]))
         return rows
 
@@ -272,22 +286,27 @@
 
 
 def check_socket_run(row: dict[str, Any], cells: bool, violations: list[str], failures: list[str]) -> None:
-    name = f"sockets, {'cells' if cells else 'each to all'}, {row['relays']} relays"
+    name = f"sockets, {'cells' if cells else 'full mesh'}, {row['relays']} relays"
     row_violations = limit_violations(name, row)
     violations += row_violations
     if cells and not row["machine_bound"]:
         failures += row_violations
-    if row["known_s"] < 0.0:  # where the machine is what was measured, it says nothing of the relays
-        (violations if row["machine_bound"] else failures).append(f"{name}: not all know that one was silenced")
+    if row["known_s"] < 0.0:  # if the machine was the bottleneck, the time says nothing about the relays
+        (violations if row["machine_bound"] else failures).append(
+            f"{name}: a silenced relay was not detected by all within the time limit"
+        )
     if row["strangers"]:
-        failures.append(f"{name}: {row['strangers']} datagrams came from another cell")
+        failures.append(f"{name}: {row['strangers']} datagrams were received from another cell")
 
 
 def measure_maintenance_state(
     violations: list[str], sizes: Sequence[int] = (50, 200, 600, MAX_RELAYS)
 ) -> list[dict[str, Any]]:
-    """Bytes of the settled state, as a message to one relay and in a voter's file, with so many machines out that all
-    relays but one have confirmed. told_mb: what the relay that settles one change sends, as it tells all others."""
+    """Measure the bytes of the agreed maintenance state, as a message to one relay and in a voter's file.
+
+    The state has 0, 1 or 16 evacuated backends, which all relays but one have confirmed. `told_mb` is what the relay
+    that settles one change sends, because it sends the state to all others.
+    """
     rows = list[dict[str, Any]]()
     for backends in (0, 1, 16):
         sizes_by_form: dict[str, list[float]] = {"message": [], "file": []}
@@ -323,23 +342,26 @@
                 }
             )
     print(
-        f"\nTurns' state, bytes over registered relays; `ahead` is worked out at {TARGET_RELAYS} relays, not measured"
+        f"\nMaintenance state, bytes by registered relays; `ahead` is extrapolated to {TARGET_RELAYS} relays, "
+        "not measured"
     )
     print_table(rows, tuple(rows[0]))
     violations += [
-        f"turns, {TARGET_RELAYS} relays, {row['machines out']} machines out: one change is {row['told_mb']:.0f} MB "
-        "from the relay that settles it"
+        f"maintenance, {TARGET_RELAYS} relays, {row['machines out']} backends out: one change "
+        f"is {row['told_mb']:.0f} MB from the relay that settles it"
         for row in rows
         if row["bytes of"] == "message"
     ]
     if TARGET_RELAYS > MAX_RELAYS:
-        violations.append(f"turns: {MAX_RELAYS} relays may register, {TARGET_RELAYS} are ahead")
+        violations.append(f"maintenance: at most {MAX_RELAYS} relays can register, {TARGET_RELAYS} are planned")
     return rows
 
 
 def measure_signal_table(violations: list[str]) -> list[dict[str, Any]]:
-    """What one other relay's word takes in the table of one that hears it, over the keys that it holds something at: a
-    node is one, and each group there one more."""
+    """Measure what the load signals of one peer take in a receiver's table, by the number of keys that have load.
+
+    A backend is one key, and each of its groups is one more.
+    """
     rows = list[dict[str, Any]]()
     for backends, groups in [(backends, 0) for backends in TABLE_BACKENDS] + [(1000, 4), (4000, 4)]:
         keys = [
@@ -364,8 +386,8 @@
             }
         )
         if len(keys) > MAX_KEYS:
-            violations.append(f"signals: {len(keys)} keys, {rows[-1]['kept']} are told and kept")
-    print("\nPeers' table of signals: one relay heard, all that it holds told once")
+            violations.append(f"signals: {len(keys)} keys, {rows[-1]['kept']} are sent and stored")
+    print("\nTable of peers' load signals: one peer that sends its whole load once")
     print_table(rows, tuple(rows[0]))
     return rows
 
@@ -377,8 +399,19 @@
 def run(
     seed: int, size: str, relays: int | None, plot: str | None, failures: list[str], full_mesh: bool = True
 ) -> dict[str, Any]:
-    """relays: the size by which the fits are checked; an eighth, a quarter and a half of it are fitted. each: each to
-    all is played as well, which takes most of the time."""
+    """Run all parts, print their tables, and append a sentence to `failures` for each rule that does not hold.
+
+    Args:
+        seed: Seed of the simulations.
+        size: One of `benchmarks.common.SIZES`.
+        relays: Size at which the fits are checked; an eighth, a quarter and a half of it are fitted.
+        plot: Path of the picture of the fits.
+        failures: Sentences about rules that do not hold.
+        full_mesh: Whether the full mesh is simulated as well, which takes most of the time.
+
+    Returns:
+        The output of the benchmark, by its keys.
+    """
     violations, relay_counts = list[str](), FULL_MESH_RELAYS[size]
     if relays is not None:
         relay_counts = (*(max(4, relays // divisor) for divisor in (8, 4, 2)), relays)
@@ -425,11 +458,11 @@
         )
         comparison = collect_comparison() if collect_comparison is not None else []
     if size == "small":
-        print("\nWhat cells lose: not run at this size")
+        print("\nFull mesh and cells compared: not run at this size")
     else:
         socket_rows = run_on_sockets(
             seed, size, violations, failures, full_mesh
-        )  # once nothing else of this run takes a core
+        )  # after the simulations, so that they take no core from the sockets
     print_socket_table(socket_rows)
     maintenance_state = (
         measure_maintenance_state(violations, (50, 100, 200))
@@ -437,7 +470,7 @@
         else measure_maintenance_state(violations)
     )
     signal_table = measure_signal_table(violations)
-    print("\nOver what control may cost a relay:" + "".join(f"\n  {row}" for row in violations))
+    print("\nOver the limits for one relay:" + "".join(f"\n  {row}" for row in violations))
     if plot and full_mesh:
         plot_fits(rows, fits, cells, plot)
     lists = {key: [round(row[key], 5) for row in rows] for key in QUANTITIES}
@@ -445,7 +478,7 @@
         {"relays": [row["relays"] for row in rows]}
         | lists
         | {
-            "control_memory_mb": lists["memory_mb"],  # the last line has the machine's under the other name
+            "control_memory_mb": lists["memory_mb"],  # `memory_mb` of the output is the machine's
             "fit_error": {key: fit["error"] for key, fit in fits.items()},
             "fits": fits,
             "over": violations,
@@ -476,8 +509,9 @@
 
 def print_socket_table(rows: list[dict[str, Any]]) -> None:
     print(
-        "\nOn real sockets, one relay; `late_ms`: of the event loops, 99 of 100 looks; `busiest`: the greatest "
-        "share of a core\nthat one process took; `load`: of the machine, all that runs there"
+        "\nOn real sockets, figures of one relay; `late_ms`: 99th percentile of the event loops' lateness; "
+        "`busiest`: the greatest\nshare of a core that one process took; `load`: load average of the "
+        "machine"
     )
     print_table(
         rows,
@@ -507,7 +541,7 @@
 def plot_fits(
     rows: list[dict[str, Any]], fits: dict[str, dict[str, Any]], cells: list[dict[str, Any]], path: str
 ) -> None:
-    import matplotlib  # an extra
+    import matplotlib  # optional dependency
 
     matplotlib.use("Agg")
     from matplotlib import pyplot
@@ -518,7 +552,7 @@
     for axis, key in zip(axes.flat, quantities, strict=True):
         fit = Fit(fits[key]["form"], fits[key]["first"], fits[key]["slope"], 0.0)
         axis.plot(sizes, [fit.at(n) for n in sizes], "--", label=f"{fit.form}, {fits[key]['verdict']}")
-        axis.plot([row["relays"] for row in rows], [row[key] for row in rows], "o", label="each to all")
+        axis.plot([row["relays"] for row in rows], [row[key] for row in rows], "o", label="full mesh")
         axis.plot([row["relays"] for row in cells], [row[key] for row in cells], "s-", label="cells")
         if key in LIMITS:
             axis.axhline(LIMITS[key], color="red", linewidth=0.8, label="allowed")
@@ -530,13 +564,13 @@
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
-    parser = argument_parser("What control costs a relay, over the size of the fleet.")
-    parser.add_argument("--plot", metavar="FILE.png", help="draw the slopes and their fits (needs matplotlib)")
-    parser.add_argument("--relays", type=int, metavar="N", help="by which the fits are checked, 32 to 800")
-    parser.add_argument("--cells", action="store_true", help="without each to all, which takes most of the time")
+    parser = argument_parser("Cost of membership and maintenance for one relay, by the size of the fleet.")
+    parser.add_argument("--plot", metavar="FILE.png", help="draw the figures and their fits (needs matplotlib)")
+    parser.add_argument("--relays", type=int, metavar="N", help="size at which the fits are checked, 32 to 800")
+    parser.add_argument("--cells", action="store_true", help="leave out the full mesh, which takes most of the time")
     args = parser.parse_args(arguments)
     if args.relays is not None and not 32 <= args.relays <= 800:
-        parser.error("--relays is 32 to 800")
+        parser.error(f"--relays is {args.relays}: expected 32 to 800")
     started, failures = time.perf_counter(), list[str]()
     result = run(args.seed, args.size, args.relays, args.plot, failures, not args.cells)
     return print_result(result, failures, started, args.json, args.seed, args.size)
--- a/benchmarks/capacity/stand_in.py
+++ b/benchmarks/capacity/stand_in.py
@@ -1,9 +1,11 @@
-"""Stand-ins of the capacity benchmark, each in a process of its own: execute nodes, submitters, and a bare splicer.
+"""Stand-ins of the capacity benchmark, each in a process of its own: backends, clients, and a plain TCP splicer.
 
     python -B -m benchmarks.capacity.stand_in nodes|submitters|splicer
 
-Orders come as JSON lines on standard input and are answered by one JSON line each on standard output. The end of the
-input ends the process. Times in lines are microseconds of the monotonic clock, which all processes of a machine share.
+The first line of standard input is a JSON object with the arguments of the stand-in's constructor. Each further line is
+a command: the method's name under `do`, and its arguments. Each command is answered by one JSON line on standard
+output, and the end of the input ends the process. Times within lines are microseconds of the monotonic clock, which
+all processes of a machine share.
 """
 
 from __future__ import annotations
@@ -22,10 +24,10 @@
 from yarrowspindle.lab.processes.stand_ins import Backend, EndpointListServer
 
 LINE_END = b"\r\n"
-GROUP_KEY = "5c0f6e1a"  # of the connections that get a line in the same instant
+GROUP_KEY = "5c0f6e1a"  # group key of the connections that receive the lines of a burst
 TICK_S = 0.001
 OPEN_TIMEOUT_S = 10.0
-MAX_BATCH_US = 5_000  # a batch that takes longer looks at the clock again
+MAX_BATCH_US = 5_000  # a batch that takes longer is interrupted to read the clock again
 
 
 def percentile(ordered: Sequence[float], share: float) -> float:
@@ -37,7 +39,7 @@
 
 
 class StandInConnection(asyncio.Protocol):
-    """One end of a connection; what comes before its first whole line is kept."""
+    """One end of a connection; `buffer` holds an incomplete line."""
 
     def __init__(self) -> None:
         self.transport: asyncio.Transport
@@ -49,19 +51,23 @@
 
 
 class Sender:
-    """Sends lines at a stated rate, whatever becomes of them: each bears the time at which it was due."""
+    """Sends lines at a fixed rate, without waiting for their arrival; each carries the time at which it was due."""
 
     def __init__(self, seed: int, length: int) -> None:
         self.random, self.length = Random(seed), length
-        self.in_group_by_connection: dict[
-            StandInConnection, bool
-        ] = {}  # those that stand, and whether they are of the group
+        self.in_group_by_connection: dict[StandInConnection, bool] = {}  # established ones; whether in the group
 
     def line(self, kind: str, due_us: int) -> bytes:
         return f"{kind} {due_us:015d} ".encode().ljust(self.length - len(LINE_END), b"x") + LINE_END
 
     async def send(self, rate: float, seconds: float, bursts: Sequence[float] = ()) -> dict[str, Any]:
-        """bursts: seconds from the start at which each end of the group gets a line more."""
+        """Send lines on the connections in turn.
+
+        Args:
+            rate: Lines per second.
+            seconds: Duration.
+            bursts: Seconds after the start at which each connection of the group gets one more line.
+        """
         connections, group = (
             list(self.in_group_by_connection),
             [connection for connection, in_group in self.in_group_by_connection.items() if in_group],
@@ -101,7 +107,7 @@
 
 
 class BackendConnection(StandInConnection):
-    """An execute node's: says UP, then brings each line back."""
+    """A backend's end: answers UP, then echoes each line."""
 
     def __init__(self, sender: Sender) -> None:
         super().__init__()
@@ -141,8 +147,8 @@
             "addresses": [backend.address for backend in backends.values()],
         }
 
-    async def send(self, **order: Any) -> dict[str, Any]:
-        return await self.sender.send(**order)
+    async def send(self, **command: Any) -> dict[str, Any]:
+        return await self.sender.send(**command)
 
     async def standing(self) -> dict[str, Any]:
         return {"standing": len(self.sender.in_group_by_connection)}
@@ -178,15 +184,15 @@
         self.sender, self.random = Sender(seed, length), Random(seed)
         self.length, self.group, self.opened = length - len(LINE_END), group, 0
         self.closing = False
-        self.broken = self.bad = 0  # connections that ended by themselves; lines that are not whole
-        self.lines: tuple[array[int], array[int]] = (array("q"), array("q"))  # when each was due, and its delay
-        self.bursts: dict[int, list[int]] = {}  # by when they were due: the delays
+        self.broken = self.bad = 0  # connections that the other side ended; lines of a wrong length
+        self.lines: tuple[array[int], array[int]] = (array("q"), array("q"))  # due time of each line, and its delay
+        self.bursts: dict[int, list[int]] = {}  # due time of a burst -> delays of its lines
 
     def on_lines(self, lines: list[bytes]) -> None:
         now = now_us()
         for line in lines:
             if len(line) != self.length:
-                self.bad += 1  # MOVE among them
+                self.bad += 1  # includes MOVE lines
                 continue
             due_us = int(line[2:17])
             if line[:1] == b"B":
@@ -200,7 +206,7 @@
         self.broken += not self.closing
 
     async def open(self, count: int, host: str, port: int, at_once: int) -> dict[str, Any]:
-        """So many more connections, some at once, each from its OPEN line to its UP line."""
+        """Open `count` more connections, `at_once` concurrently; each counts as set up when its UP line arrives."""
         delays_us, failed, remaining = array("q"), 0, iter(range(count))
         self.closing = False
 
@@ -208,7 +214,7 @@
             nonlocal failed
             for _ in remaining:
                 started_us = now_us()
-                if await self._one(host, port):
+                if await self._open_one(host, port):
                     delays_us.append(now_us() - started_us)
                 else:
                     failed += 1
@@ -216,7 +222,7 @@
         await asyncio.gather(*(open_serially() for _ in range(at_once)))
         return await self.standing() | {"failed": failed, "p99_ms": percentile(sorted(delays_us), 0.99) / 1000.0}
 
-    async def _one(self, host: str, port: int) -> bool:
+    async def _open_one(self, host: str, port: int) -> bool:
         number, self.opened = self.opened, self.opened + 1
         name = GROUP_KEY if number < self.group else f"{self.random.getrandbits(60):x}"
         open_line = (
@@ -233,14 +239,14 @@
         return established
 
     async def close(self) -> dict[str, Any]:
-        """Ends all connections; the next ones begin with the group again."""
+        """Close all connections; the first ones opened afterwards form the group again."""
         self.closing, self.opened = True, 0
         for connection in list(self.sender.in_group_by_connection):
             connection.transport.close()
         return await self.standing()
 
-    async def send(self, **order: Any) -> dict[str, Any]:
-        return await self.sender.send(**order)
+    async def send(self, **command: Any) -> dict[str, Any]:
+        return await self.sender.send(**command)
 
     async def standing(self) -> dict[str, Any]:
         return {
@@ -255,15 +261,21 @@
         return await self.standing()
 
     async def delays(self) -> dict[str, Any]:
-        """Milliseconds; `tail`: of the last quarter; `others`: of lines that were due in a burst's second."""
+        """Return delays of lines in milliseconds.
+
+        `tail` covers the lines of the last quarter of the time, `others_p99_ms` the lines that were due within a second
+        after a burst.
+        """
         due_times, delays_us = self.lines
         ordered = sorted(delays_us)
         tail_start_us = due_times[0] + 0.75 * (max(due_times) - due_times[0]) if due_times else 0.0
         tail = sorted(delay for due_us, delay in zip(due_times, delays_us, strict=True) if due_us >= tail_start_us)
         bursts = []
-        for at, delays in sorted(self.bursts.items()):
+        for burst_us, delays in sorted(self.bursts.items()):
             others = sorted(
-                delay for due_us, delay in zip(due_times, delays_us, strict=True) if at <= due_us < at + 1_000_000
+                delay
+                for due_us, delay in zip(due_times, delays_us, strict=True)
+                if burst_us <= due_us < burst_us + 1_000_000
             )
             bursts.append(
                 {
@@ -282,7 +294,7 @@
 
 
 class SplicedConnection(asyncio.Protocol):
-    """A bare splicer's side: bytes go on as they come, and an end ends the other side; nothing else."""
+    """One side of a spliced connection: forwards bytes to the other side, and closes it when it is closed itself."""
 
     def __init__(self, peer: SplicedConnection | None = None) -> None:
         self.peer, self.buffered = peer, b""
@@ -326,7 +338,7 @@
 
 
 async def serve(role: str) -> None:
-    """Carries out one order after the other until the input ends."""
+    """Run a stand-in, carrying out one command after the other until the input ends."""
     reader = asyncio.StreamReader(limit=1 << 20)
     await asyncio.get_running_loop().connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
     role_class = {"nodes": Backends, "submitters": Clients, "splicer": Splicer}[role]
