--- a/benchmarks/capacity/configuration_changes.py
+++ b/benchmarks/capacity/configuration_changes.py
@@ -46,8 +46,19 @@
 BURST_CHANGES_PER_S, BURST_DURATION_S = 10.0, {"small": 2.0}  # duration by the run's size, else 10 s
 STEADY_DURATION_S, PARTITION_DURATION_S = {"small": 5.0}, {"small": 15.0}
 STALL_MS = 5000.0
-MESSAGE_KINDS = ("Order", "Prepare", "Promise", "Accept", "Accepted", "Learn", "Difference", "Sum", "Newest")
-SMALL_MESSAGE_KINDS = ("Accept", "Accepted", "Learn", "Difference")
+# Class names of messages: the simulation stops a controller when it sends one of this kind.
+MESSAGE_KINDS = (
+    "ChangeOrder",
+    "Prepare",
+    "Promise",
+    "Accept",
+    "Accepted",
+    "StateUpdate",
+    "Delta",
+    "RelaySummary",
+    "LatestVersion",
+)
+SMALL_MESSAGE_KINDS = ("Accept", "Accepted", "StateUpdate", "Delta")
 RESTART_COUNT, RESTART_PERIOD_S = 150, 60.0
 SAFETY_RUNS = {"small": 16, "machine": 1000, "large": 10_000}
 SOCKET_FLEETS = {
