--- a/benchmarks/common.py
+++ b/benchmarks/common.py
@@ -1,4 +1,4 @@
-"""What all benchmarks share: their options, the machine's size, and the last line as JSON."""
+"""Shared by all benchmarks: options, the machine's size, and the last line as JSON."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
     parser = argparse.ArgumentParser(description=description)
     parser.add_argument("--seed", type=int, default=1, help="any whole number")
     parser.add_argument("--size", choices=SIZES, default="small")
-    parser.add_argument("--json", action="store_true", help="the last line is one JSON object")
+    parser.add_argument("--json", action="store_true", help="print the result as one JSON object on the last line")
     return parser
 
 
@@ -28,7 +28,7 @@
 def print_result(
     result: Mapping[str, Any], failures: list[str], started: float, as_json: bool, seed: int, size: str
 ) -> int:
-    """Prints what broke and the JSON line; the exit status: 1 where a rule of the run does not hold."""
+    """Print the failures and the JSON line; return the exit status, 1 if there are failures."""
     for failure in failures:
         print(f"BROKEN: {failure}")
     output = dict(result) | {"seed": seed, "size": size} | machine_size()
--- a/benchmarks/deployments.py
+++ b/benchmarks/deployments.py
@@ -1,4 +1,4 @@
-"""Both deployments on the model fleet, through each trouble, against the same relay without probes.
+"""Both deployments on a simulated fleet, through each fault, compared with the same relay without probes.
 
 python -m benchmarks.deployments [--seed N] [--size small|machine|large] [--json]
 """
@@ -15,7 +15,7 @@
 from yarrowspindle.lab.model.deployments import DEPLOYMENTS, SCENARIOS, run_scenario
 
 SEEDS = {"small": 2, "machine": 10, "large": 2}
-LARGE_FACTOR = 6  # times the relays, nodes and connections of the small fleet, in the large one
+LARGE_FACTOR = 6  # scale of relays, backends and connections in the large fleet
 
 
 def scale_fleet(spec: FleetSpec, size: str) -> FleetSpec:
@@ -41,14 +41,15 @@
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
-    args = argument_parser("Both deployments through each trouble, with probes and without.").parse_args(arguments)
+    args = argument_parser("Both deployments through each fault, with probes and without.").parse_args(arguments)
     started, failures = time.perf_counter(), list[str]()
     seeds = range(args.seed, args.seed + SEEDS[args.size])
     result: dict[str, float] = {}
     for name, base_spec in DEPLOYMENTS.items():
         spec = scale_fleet(base_spec, args.size)
         print(
-            f"{name}: {spec.relays} relays, {spec.backends} nodes, {spec.connections} connections, {len(seeds)} seeds"
+            f"{name}: {spec.relays} relays, {spec.backends} backends, {spec.connections} connections, "
+            f"{len(seeds)} seeds"
         )
         for scenario in SCENARIOS:
             means = mean_results(spec, scenario, seeds, failures)
@@ -56,7 +57,7 @@
             if spec.load_report_interval_ms > 0.0 and means:
                 unprobed = mean_results(replace(spec, load_report_interval_ms=0.0), scenario, seeds, failures)
                 loss_ratio = (1.0 - means["served"]) / max(1.0 - unprobed.get("served", 1.0), 1e-9)
-                columns += f"  lost {loss_ratio:.2f} times what is lost without probes"
+                columns += f"  lost {loss_ratio:.2f} times as much as without probes"
                 result[f"{name}_{scenario}_lost_ratio"] = round(loss_ratio, 3)
             print(f"  {scenario:7} {columns}")
             result |= {f"{name}_{scenario}_{key}": round(value, 4) for key, value in means.items()}
--- a/benchmarks/library.py
+++ b/benchmarks/library.py
@@ -1,4 +1,4 @@
-"""Daemon and library told the same; stalls of the host's loop; what placing through the middleware costs.
+"""Equal decisions of daemon and library; stalls of the host's event loop; cost of placement through the middleware.
 
 python -m benchmarks.library [--seed N] [--size small|machine|large] [--json]
 """
@@ -43,14 +43,17 @@
 ENDPOINTS = [Endpoint(f"s-{i}", ("127.0.0.1", 3000 + i)) for i in range(1, 9)]
 MIN_EVENTS = {"small": 20_000, "machine": 200_000, "large": 2_000_000}
 STALL_COUNT = 50
-MAX_LATE_S = 0.05  # an answer may come so long after its deadline, or after the stall that it passed in
+MAX_LATE_S = 0.05  # allowed delay of an answer after its deadline, or after the stall in which the deadline passed
 
 
-# --- one sequence, told to both -----------------------------------------------------------------
+# --- one event sequence, replayed by both -------------------------------------------------------
 
 
 def record_sequence(path: Path, seed: int, min_events: int) -> int:
-    """All that one relay of a troubled model fleet was told: arrivals, lists, drains, deaths, loads, time-outs."""
+    """Record the events of one relay in a simulated fleet with faults; return their number.
+
+    They are arrivals, endpoint lists, drains, failures, loads and time-outs.
+    """
     spec = FleetSpec(
         relays=2,
         backends=10,
@@ -64,7 +67,7 @@
     relay = fleet.relays[0]
     faults = Random(seed + 17)
     with path.open("wb") as out:
-        # The relay is made anew, so that the sequence begins with its first event.
+        # A new reducer replaces the relay's, so that the sequence begins with its first event.
         settings = relay.reducer.settings
         relay.runtime.timers.clear()
         relay.reducer = relay.runtime.reducer = Reducer(settings, seed, fleet.clock.now())
@@ -87,12 +90,12 @@
             elif draw < 0.8:
                 relay.receive_endpoints(EndpointsUpdated(ListKind.FAILED))
         fleet.connecting_stopped = True
-        fleet.run(spec.deadline_ms / 1000.0 + 1.0)  # whoever waits has its answer by then
+        fleet.run(spec.deadline_ms / 1000.0 + 1.0)  # until all waiting requests are answered
         return recorder.events
 
 
 def replay_both(path: Path) -> tuple[dict[str, Any], Played]:
-    """The daemon in a process of its own, the library in this one."""
+    """Replay a sequence by the daemon, in a process of its own, and by the library, in this one."""
     command = [sys.executable, "-m", "yarrowspindle.replay", str(path), "--by", "daemon", "--choices"]
     process = subprocess.run(command, cwd=ROOT, capture_output=True, check=False)
     if process.returncode not in (0, 1):
@@ -128,7 +131,7 @@
 
 
 async def run_with_stalls(seed: int, stalls: int) -> dict[str, int]:
-    """Jobs come and go while the loop is blocked again and again; each must have one final answer, in time."""
+    """Place requests while the event loop is blocked repeatedly; count those without one final answer in time."""
     random = Random(seed)
     settings = LibrarySettings(classes=(ConnectionClass("c", aim_s=0.1, deadline_s=0.4),))
     placer = Placer(settings, StaticList(ENDPOINTS), seed=seed)
@@ -144,7 +147,9 @@
             async with placer.place(key=number) as placement:
                 if draw < 0.2:
                     await placement.failed(TerminationReason.CONNECT_FAILED)
-                await asyncio.sleep(random.uniform(0.0, 0.5 if draw > 0.8 else 0.1))  # the connection comes up, or late
+                await asyncio.sleep(
+                    random.uniform(0.0, 0.5 if draw > 0.8 else 0.1)
+                )  # until the connection is established, in time or late
                 if placement.moved.is_set() and not placement.over:
                     await placement.failed()
                 placement.up()
@@ -153,7 +158,7 @@
         except (Rejected, Failed):
             answers += 1
             if loop.time() > max(deadline, stalled_until) + MAX_LATE_S + (0.5 if draw > 0.8 else 0.1):
-                result["late_after_stall"] += 1  # it had to come back from its own wait before it could see it
+                result["late_after_stall"] += 1  # beyond the request's own wait
         result["second_answers"] += answers > 1
         result["unanswered"] += answers == 0
         result["jobs"] += 1
@@ -172,7 +177,7 @@
     return result
 
 
-# --- what it costs ------------------------------------------------------------------------------
+# --- cost ---------------------------------------------------------------------------------------
 
 Scope = MutableMapping[str, Any]
 SCOPE: dict[str, Any] = {
@@ -210,8 +215,10 @@
 
 
 async def measure_placement_cost(seed: int, calls: int, app: Any) -> tuple[float, float]:
-    """Microseconds of a call of this application through the middleware, and without it beside the reducer's own steps:
-    the best of five rounds of each, in turn."""
+    """Return microseconds of a call through the middleware, and of a direct call plus the reducer's steps for it.
+
+    Both are the best of five rounds, in turn.
+    """
     settings = LibrarySettings(retry_after_s=0.0)
     async with Placer(settings, StaticList(ENDPOINTS), seed=seed) as placer:
         middleware = PlacementMiddleware(app, placer)
@@ -238,7 +245,7 @@
 
 
 async def measure_placement_memory(seed: int, requests: int) -> tuple[float, int]:
-    """kB for each standing placement, and the jobs left over after all have ended at once."""
+    """Return kB per established placement, and the number of requests left after all have ended at once."""
     async with Placer(LibrarySettings(), StaticList(ENDPOINTS), seed=seed) as placer:
         release, established = asyncio.Event(), 0
 
@@ -262,7 +269,7 @@
 
 
 def measure_import() -> tuple[float, float, bool]:
-    """What `import yarrowspindle` takes beyond bare Python: ms, MB; and whether it pulls a framework in."""
+    """Return ms and MB that `import yarrowspindle` takes, and whether it imports a framework."""
     code = (
         "import sys,time;rss=lambda:int(open('/proc/self/statm').read().split()[1])*4/1024;b=rss();"
         "t=time.perf_counter();import yarrowspindle;d=time.perf_counter()-t;"
@@ -279,7 +286,7 @@
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
-    parser = argument_parser("Daemon and library told the same; stalls; the cost of the middleware.")
+    parser = argument_parser("Equal decisions of daemon and library; stalls; the cost of the middleware.")
     parser.add_argument("--stalls", type=int, default=STALL_COUNT)
     args = parser.parse_args(arguments)
     started = time.perf_counter()
@@ -287,7 +294,7 @@
         path = Path(folder) / "sequence.jsonl"
         events = record_sequence(path, args.seed, MIN_EVENTS[args.size])
         comparison, _ = replay_both(path)
-    logging.getLogger("yarrowspindle").setLevel(logging.ERROR)  # each stall is logged: 50 of them are wanted here
+    logging.getLogger("yarrowspindle").setLevel(logging.ERROR)  # hide the warning for each of the 50 intended stalls
     stalls = asyncio.run(run_with_stalls(args.seed, args.stalls))
     starlette_us = asyncio.run(measure_placement_cost(args.seed, 2000, Starlette(routes=[Route("/", respond)])))
     empty_app_us = asyncio.run(measure_placement_cost(args.seed, 2000, empty_app))
@@ -319,18 +326,18 @@
     for name, value in result.items():
         print(f"  {name:24} {value}")
     rules = [
-        (result["identical"], "daemon and library chose differently"),
-        (result["daemon_answers"] == result["library_answers"], "daemon and library answered differently"),
-        (result["second_answers"] == 0, "a job had two final answers"),
+        (result["identical"], "daemon and library chose different backends"),
+        (result["daemon_answers"] == result["library_answers"], "daemon and library gave different answers"),
+        (result["second_answers"] == 0, "a request had two final answers"),
         (
             result["unanswered"] + comparison["daemon"]["none"] + comparison["library"]["none"] == 0,
-            "a job had no final answer",
+            "a request had no final answer",
         ),
-        (result["leaked_jobs"] == 0, "jobs are left over"),
-        (result["late_after_stall"] == 0, "answers came late after a stall"),
-        (result["stalls"] >= args.stalls, "stalls were not found"),
+        (result["leaked_jobs"] == 0, "requests are left after all have ended"),
+        (result["late_after_stall"] == 0, "answers were late after a stall"),
+        (result["stalls"] >= args.stalls, "the placer did not detect all stalls"),
         (result["overhead_ratio"] <= 2.0, "the middleware costs more than twice the bare call and the reducer's steps"),
-        (import_mb < 15.0 and not framework_imported, "the import is too heavy"),
+        (import_mb < 15.0 and not framework_imported, "the import takes 15 MB or more, or imports a framework"),
     ]
     failures = [rule for holds, rule in rules if not holds]
     return print_result(result, failures, started, args.json, args.seed, args.size)
--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -1,4 +1,4 @@
-"""What a word of the machine list and a job cost in a small and in a large fleet: the core alone, no sockets.
+"""Cost of an endpoint update and of a request in a small and in a large fleet: the reducer alone, without sockets.
 
 python -m benchmarks.limits --scenario large [--seed N] [--json]
 """
@@ -26,11 +26,11 @@
 
 SMALL_BACKENDS, LARGE_BACKENDS = 100, 5000
 ESTABLISHED_REQUESTS, REQUEST_COUNT, DELTA_COUNT, ROUNDS = 400, 1500, 400, 5
-MAX_DELTA_RATIO, MAX_REQUEST_RATIO = 3.0, 1.3  # how much dearer it may be in the large fleet
+MAX_DELTA_RATIO, MAX_REQUEST_RATIO = 3.0, 1.3  # allowed cost in the large fleet, relative to the small one
 
 
 class ReducerLoad:
-    """A reducer that holds standing jobs on so many nodes."""
+    """A reducer with established requests on a number of backends."""
 
     def __init__(self, backends: int, seed: int, without_latency: bool) -> None:
         self.random, self.now, self.request_id = Random(seed), 1000.0, 0
@@ -61,14 +61,14 @@
         return self.request_id
 
     def time_requests(self) -> float:
-        """Microseconds for a job from its arrival to its end, at 200 jobs a second."""
+        """Return microseconds for a request from its arrival to its end, at 200 requests a second."""
         started_s = time.perf_counter()
         for _ in range(REQUEST_COUNT):
             self.reducer.step(self.now, AttemptEnded(self.open(), 0, TerminationReason.COMPLETED))
         return (time.perf_counter() - started_s) / REQUEST_COUNT * 1e6
 
     def time_deltas(self) -> float:
-        """Microseconds for a word of the list on one node: it drains, and is ready again. A job comes between."""
+        """Return microseconds for an update of one endpoint, that drains and is ready again; a request follows each."""
         drawn = [self.random.choice(self.endpoints) for _ in range(DELTA_COUNT // 2)]
         elapsed_s = 0.0
         for endpoint in drawn:
@@ -83,7 +83,10 @@
 
 
 def measure(seed: int) -> dict[str, float]:
-    """The best of some rounds, small and large in turn; `blind`: as where no message times are told."""
+    """Return the best of `ROUNDS` rounds, with the small and the large fleet in turn.
+
+    Keys that end in `_blind` are for backends that do not report message latency.
+    """
     result: dict[str, float] = {}
     for without_latency in (False, True):
         loads = {
@@ -98,7 +101,7 @@
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
-    parser = argument_parser("The cost of list words and jobs by the fleet's size.")
+    parser = argument_parser("Cost of endpoint updates and requests by the size of the fleet.")
     parser.add_argument("--scenario", choices=("large",), default="large")
     args = parser.parse_args(arguments)
     started = time.perf_counter()
@@ -114,7 +117,10 @@
             )
             print(f"  {operation}{variant}: {ratio:.2f} times, {max_ratio} at most")
             if ratio > max_ratio:
-                failures.append(f"a {operation}{variant} costs {ratio:.2f} times as much at {LARGE_BACKENDS} nodes")
+                failures.append(
+                    f"a {operation}{variant} costs {ratio:.2f} times as much with {LARGE_BACKENDS} backends, "
+                    f"{max_ratio} at most"
+                )
     output = {"scenario": args.scenario, "nodes": LARGE_BACKENDS, "relays": 1, **result}
     return print_result(output, failures, started, args.json, args.seed, args.size)
 
--- a/benchmarks/rebalance.py
+++ b/benchmarks/rebalance.py
@@ -1,8 +1,8 @@
-"""What rebalancing does to a fleet: imbalance, moves, what is served; each run against the same run with it off.
+"""Effect of rebalancing on a fleet: imbalance, moves and served load, compared with the same run without it.
 
     python -m benchmarks.rebalance --scenario return|extra|steady|lost-clients|skewed|large [--seed N] [--json]
 
-The real reducers of all relays run on a model of the fleet in virtual time (`yarrowspindle/lab/model`).
+The production reducers of all relays run on a simulated fleet in virtual time (`yarrowspindle/lab/model`).
 """
 
 from __future__ import annotations
@@ -20,30 +20,30 @@
 from yarrowspindle.rebalancing import Rebalancer, RebalanceSettings
 
 SCENARIOS = ("return", "extra", "steady", "lost-clients", "skewed", "large")
-SETTLE_S = 40.0  # from the start until the fleet is as placement leaves it
-MAX_IMBALANCE_RISE = 0.03  # of the imbalance, from one window of 5 s to the next
+SETTLE_S = 40.0  # from the start until placement alone determines the distribution
+MAX_IMBALANCE_RISE = 0.03  # allowed rise of the imbalance from one window of 5 s to the next
 WINDOW_S = 5
 
 
 @dataclass(slots=True)
 class Run:
-    """One run, on or off."""
+    """One run, with rebalancing enabled or disabled."""
 
     fleet: Fleet
-    imbalance_at_event: float = 0.0  # imbalance over all usable nodes as the newcomers come, empty
+    imbalance_at_event: float = 0.0  # over all usable backends, when the empty new ones join
     fewest_moves: int = 0
     half_life_s: float | None = None
-    warm_after_s: float = 0.0  # when the last newcomer was warm, in seconds after the event
+    warm_after_s: float = 0.0  # seconds from the event to the end of the last new backend's slow start
     imbalance: list[tuple[float, float]] | None = None
     moves: int = 0
     served: float = 0.0
     plan_s: float = 0.0
     plans: int = 0
-    plan_costs: list[tuple[int, int, float]] | None = None  # nodes, moves, microseconds of each plan
+    plan_costs: list[tuple[int, int, float]] | None = None  # backends, moves and microseconds of each plan
 
 
 def specification(scenario: str, size: str) -> FleetSpec:
-    """Loads so that the old nodes are short of room: what an imbalance costs can be seen then."""
+    """Return a fleet whose old backends are short of capacity, so that an imbalance reduces what is served."""
     scale = {"small": 1, "machine": 4, "large": 10}[size]
     spec = FleetSpec(relays=3, backends=12 * scale, connections=2000 * scale, utilization=0.65)
     if scenario in ("extra", "skewed"):
@@ -67,7 +67,7 @@
 
 
 def time_plans(run: Run, fleet: Fleet) -> None:
-    """Measures each plan of each relay; the model's run is the same with and without it."""
+    """Measure each plan of each relay; the simulation is the same with and without it."""
     run.plan_costs = []
     for relay in fleet.relays:
         rebalancer = relay.reducer.rebalancer
@@ -101,7 +101,7 @@
         pass
     elif scenario in ("extra", "skewed", "large"):
         newcomers = backends[:: 5 if scenario != "large" else 10][: max(1, ceil(3 * len(backends) / 14))]
-        fleet.kill(*newcomers)  # not switched on yet
+        fleet.kill(*newcomers)  # they join later
     fleet.fill(20.0 if scenario == "large" else 10.0)
     fleet.run(SETTLE_S)
     if scenario in ("return", "lost-clients"):
@@ -130,7 +130,7 @@
     run.imbalance = windows([sample for sample in samples if sample[0] >= run.warm_after_s])
     run.half_life_s = half_life(all_ready, run.imbalance_at_event)
     if not enabled and newcomers and run.half_life_s is None:
-        for _ in range(60):  # it takes long by itself; only the half-life is asked for
+        for _ in range(60):  # without rebalancing it takes long; only the half-life is missing
             fleet.run(10.0)
             run.half_life_s = half_life(all_ready, run.imbalance_at_event)
             if run.half_life_s is not None:
@@ -139,7 +139,7 @@
 
 
 def windows(samples: list[tuple[float, float]]) -> list[tuple[float, float]]:
-    """Means over windows of 5 s: (their end, value)."""
+    """Return means over windows of 5 s as pairs of the window's end and the mean."""
     means = []
     for first in range(0, len(samples) - WINDOW_S + 1, WINDOW_S):
         window = samples[first : first + WINDOW_S]
@@ -152,7 +152,10 @@
 
 
 def cost_growth(run: Run) -> float:
-    """Microseconds of a dear plan (99 of 100 take less) by node * log2(nodes) + 20 * moves: steady if it holds."""
+    """Return the 99th percentile of a plan's microseconds divided by `backends * log2(backends) + 20 * moves`.
+
+    The quotient is constant if the cost of a plan grows as assumed.
+    """
     if not run.plan_costs:
         return 0.0
     normalized = sorted(
@@ -166,11 +169,11 @@
     enabled = run_fleet(scenario, spec, seed, True)
     disabled = (
         run_fleet(scenario, spec, seed, False) if scenario != "large" else Run(enabled.fleet)
-    )  # there the plans are the matter
+    )  # there only the cost of plans counts
     fleet = enabled.fleet
     settings = RebalanceSettings()
     connections = spec.connections
-    # Each relay: its rate and, at once, what one beat may take.
+    # Limit of each relay: its rate, plus the moves that one round may start at once.
     rates = [
         min(settings.moves_per_s, settings.share_per_s * 1.25 * connections * weight / sum(fleet.relay_weights))
         for weight in fleet.relay_weights
@@ -213,10 +216,10 @@
 def check_rules(scenario: str, result: dict[str, Any], fleet: Fleet) -> list[str]:
     failures = list(fleet.rules.first_violations.values())
     rules: list[tuple[bool, str]] = [
-        (result["moves_per_s_peak"] <= result["move_rate_limit"], "moves in a second above the limit"),
+        (result["moves_per_s_peak"] <= result["move_rate_limit"], "more moves in a second than the limit"),
         (
             result["moves_per_submitter_max"] <= RebalanceSettings().moves_per_submitter,
-            "a submitter was moved too often",
+            "a client was moved too often",
         ),
         (result["core_share"] < 0.01, "planning takes 1 % of a core or more"),
     ]
@@ -228,32 +231,38 @@
             (rise <= MAX_IMBALANCE_RISE, f"the imbalance rose by {rise:.3f} in a window"),
             (
                 half_life_s is not None and (disabled_half_life_s is None or half_life_s <= disabled_half_life_s / 3.0),
-                "the half-life is above a third",
+                "the half-life is above a third of that without rebalancing",
             ),
-            (result["lost"] == 0, "moved submitters are lost"),
-            (result["served"] >= result["off_served"], "less is served than with it off"),
+            (result["lost"] == 0, "moved clients are lost"),
+            (result["served"] >= result["off_served"], "less is served than without rebalancing"),
             (result["moves"] <= 1.3 * result["fewest_moves"], "more than 1.3 times the fewest moves"),
         ]
     if scenario == "steady":
-        rules.append((result["moves"] / 5.0 <= 0.005 * result["connections"], "moves though no node came or went"))
+        rules.append(
+            (result["moves"] / 5.0 <= 0.005 * result["connections"], "moves although no backend joined or left")
+        )
     if scenario == "lost-clients":
-        rules.append((result["paused"]["lost"] > 0, "it did not pause though submitters do not come back"))
+        rules.append((result["paused"]["lost"] > 0, "rebalancing did not pause although clients do not return"))
     return failures + [rule for holds, rule in rules if not holds]
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
-    parser = argument_parser("Rebalancing on a model fleet, on and off.")
+    parser = argument_parser("Rebalancing on a simulated fleet, enabled and disabled.")
     parser.add_argument("--scenario", choices=SCENARIOS, default="return")
-    parser.add_argument("--plot", metavar="FILE.png", help="draw the imbalance, on and off (needs matplotlib)")
+    parser.add_argument(
+        "--plot", metavar="FILE.png", help="draw the imbalance, enabled and disabled (needs matplotlib)"
+    )
     args = parser.parse_args(arguments)
     started = time.perf_counter()
     size = args.size
     result, failures = measure(args.scenario, size, args.seed)
-    print(f"{args.scenario}: {result['relays']} relays, {result['nodes']} nodes, {result['connections']} connections")
+    print(
+        f"{args.scenario}: {result['relays']} relays, {result['nodes']} backends, {result['connections']} connections"
+    )
     for name, value in result.items():
         if name not in ("imbalance", "off_imbalance", "scenario", "relays", "nodes", "connections"):
             print(f"  {name:26} {value}")
-    print("  imbalance, s: on / off")
+    print("  s  imbalance enabled  disabled")
     disabled_imbalance = dict(result["off_imbalance"])
     for end_s, value in result["imbalance"][:: 2 if size == "small" else 1]:
         print(f"    {end_s:6.1f}  {value:.3f}  {disabled_imbalance.get(end_s, float('nan')):.3f}")
@@ -263,15 +272,15 @@
 
 
 def plot(result: dict[str, Any], path: str) -> None:
-    import matplotlib  # an extra
+    import matplotlib  # optional dependency
 
     matplotlib.use("Agg")
     from matplotlib import pyplot
 
     for name in ("imbalance", "off_imbalance"):
         pyplot.plot(*zip(*result[name], strict=True), label="off" if name.startswith("off") else "on")
-    pyplot.xlabel("s after the nodes came")
-    pyplot.ylabel("greatest minus mean of load over capacity")
+    pyplot.xlabel("s after the backends joined")
+    pyplot.ylabel("maximum minus mean of load over capacity")
     pyplot.legend()
     pyplot.savefig(path, dpi=120)
 
--- a/benchmarks/relay_cost.py
+++ b/benchmarks/relay_cost.py
@@ -1,9 +1,9 @@
-"""What a set-up and a relayed line cost a relay in processor time, for checkouts side by side.
+"""Processor time of a relay for a connection set-up and for a relayed line, with several checkouts compared.
 
 `python -m benchmarks.relay_cost [ROOT ...] [--rounds N] [--setups N] [--lines N] [--json]`: each round starts a relay
-of each checkout in turn, every other round in the opposite order, and plays the same load. The figures are the least of
-all rounds (what is over it is other work on the machine), with ratios against the first root; then the median of the
-ratios within each round, with their quartiles.
+of each checkout in turn, every other round in the opposite order, and applies the same load. The figures are the
+minimum of all rounds, because other work on the machine only adds to it, with ratios to the first root. Then follow the
+medians of the ratios within each round, with their quartiles.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 
 
 class EchoBackend(asyncio.Protocol):
-    """Serves at once, and brings each line back."""
+    """Accept each request at once, and echo each line."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = transport
@@ -44,7 +44,7 @@
 
 
 def cpu_s(pid: int) -> float:
-    """User and system time of a process so far; the finest that is told: nanoseconds on the processor."""
+    """Return the user and system time of a process so far, from the scheduler's count of nanoseconds."""
     with Path(f"/proc/{pid}/schedstat").open(encoding="ascii") as file:
         return int(file.read().split()[0]) / 1e9
 
@@ -68,7 +68,7 @@
 
 
 async def measure_checkout(root: Path, setup_count: int, line_count: int) -> tuple[float, float]:
-    """Microseconds of the relay's processor time for a set-up, and for a line there and back."""
+    """Start a relay of a checkout; return its processor time for a set-up and for an echoed line, in microseconds."""
     loop = asyncio.get_running_loop()
     backends = [await loop.create_server(EchoBackend, "127.0.0.1", 0) for _ in range(BACKENDS)]
     probe = await loop.create_server(EchoBackend, "127.0.0.1", 0)
@@ -112,7 +112,7 @@
 
 
 async def measure_running_relay(pid: int, port: int, setup_count: int, line_count: int) -> tuple[float, float]:
-    """As `play` returns it, of a relay that is about to serve."""
+    """Measure a relay that is starting, once it serves; return the same as `measure_checkout`."""
     for _ in range(MAX_START_ATTEMPTS):
         try:
             await open_connections(port, 20, 1)
@@ -135,7 +135,7 @@
 
 
 def spread(rows: list[tuple[float, float]], base_rows: list[tuple[float, float]], column: int) -> list[float]:
-    """Lower quartile, median and upper quartile of a figure's ratios, round by round."""
+    """Return the lower quartile, median and upper quartile of a column's ratios, taken within each round."""
     ratios = [row[column] / base_row[column] for row, base_row in zip(rows, base_rows, strict=True)]
     return [round(float(value), 4) for value in (quantiles(ratios, n=4) if len(ratios) > 1 else 3 * ratios)]
 
@@ -146,7 +146,7 @@
     parser.add_argument("--rounds", type=int, default=5)
     parser.add_argument("--setups", type=int, default=3000)
     parser.add_argument("--lines", type=int, default=20_000)
-    parser.add_argument("--json", action="store_true", help="the last line is one JSON object")
+    parser.add_argument("--json", action="store_true", help="print the result as one JSON object on the last line")
     args, started_s = parser.parse_args(), time.perf_counter()
     times_by_root: dict[Path, list[tuple[float, float]]] = {root: [] for root in args.roots}
     for round_number in range(args.rounds):
@@ -160,7 +160,7 @@
         spreads = [spread(times_by_root[root], times_by_root[args.roots[0]], column) for column in range(2)]
         row = {"root": str(root), "setup_us": round(setup_us, 1), "line_us": round(line_us, 2)}
         rows.append(row | {"setup_ratio": setup_ratio, "line_ratio": line_ratio, "spreads": spreads})
-        setup, line = f"{setup_us:.1f} us a set-up", f"{line_us:.2f} us a line there and back"
+        setup, line = f"{setup_us:.1f} us a set-up", f"{line_us:.2f} us a line with its echo"
         print(f"{root}: {setup} ({setup_ratio:.3f}), {line} ({line_ratio:.3f})")
         for name, (low, median, high) in zip(("set-up", "line"), spreads, strict=True):
             print(f"    {name}, ratio within a round: {median:.3f} ({low:.3f} to {high:.3f})")
--- a/benchmarks/signals.py
+++ b/benchmarks/signals.py
@@ -1,10 +1,10 @@
-"""Relays that hear one another, against the same fleet without, and with true sums known at once.
+"""Relays that exchange load signals, compared with the same fleet without them, and with exact loads known at once.
 
     python -m benchmarks.signals [--seed N] [--size small|machine|large] [--json]
 
 The figure of a fleet is the share of the worth that is served, less the price of crossings between zones; `closed` is
-the part of the way from off to bound. A rule on it counts as broken where it is missed by more than two standard errors
-of the seeds. `large`: 200 relays and 2,000 nodes in virtual time, bytes and processor time a relay.
+the share of the gain from `off` to `bound`. A rule on it is broken if it is missed by more than two standard errors of
+the seeds. `large` simulates 200 relays and 2,000 backends, and measures bytes and processor time of a relay.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 from yarrowspindle.membership import Membership
 
 FILL_SHARE, RUN_S = 0.75, 30.0
-FLEETS = {"asked": replace(ASKED, uses_own_load=True), "probed": PROBED}  # the daemon always judges by own load too
+FLEETS = {"asked": replace(ASKED, uses_own_load=True), "probed": PROBED}  # the daemon always weighs its own load too
 MODES = ("off", "on", "loss 0.3", "bound")
 SEED_COUNTS = {
     "small": {3: (16, 6), 10: (10, 5)},
@@ -37,7 +37,7 @@
     "large": {3: (16, 6)},
 }
 MEMBERSHIP_SEED_COUNTS = {"small": 60, "machine": 1000, "large": 200}
-# Loss and a stall of up to 3 s first, by which deaths are counted; relays by turns 3, 5 and 9.
+# The first set, loss and a stall of up to 3 s, counts false failure detections. Fleets have 3, 5 and 9 relays in turn.
 MEMBERSHIP_FAULTS = (
     ("loss", "stall"),
     ("split", "loss"),
@@ -68,7 +68,12 @@
 
 
 def run_fleet(deployment: str, relays: int, mode: str, seed: int) -> tuple[float, float, float]:
-    """The figure; the largest share of a second's connections that one node got, mean over seconds; age of the word."""
+    """Simulate a fleet.
+
+    Returns:
+        The figure of the fleet; the largest share of a second's connections that one backend got, averaged over the
+        seconds; the mean age of the load signals in seconds.
+    """
     peers = {"off": "", "bound": "known"}.get(mode, "net")
     fleet = Fleet(replace(scale_fleet(FLEETS[deployment], relays), peers=peers), seed)
     if fleet.peer_exchange is not None and fleet.peer_exchange.network is not None and mode != "on":
@@ -120,14 +125,14 @@
 
 
 def run_membership(task: tuple[int, tuple[str, ...]]) -> tuple[int, float, int]:
-    """After how long all agree, and who was held dead and was not."""
+    """Return the seed, the seconds until all members agree, and the number of living members declared dead."""
     seed, faults = task
     result = run_membership_scenario((3, 5, 9)[seed % 3], seed, faults)
     return seed, result.converged_s, result.false_deaths
 
 
 def measure_detection_s(seed: int) -> float:
-    """How long after its end a killed relay's part is gone at all others (below 0: not within 10 s)."""
+    """Return the seconds until all relays have dropped a killed relay's load; below 0 if not within 10 s."""
     world = MembershipSimulation(5, seed)
     for index in range(5):
         world.start(index)
@@ -137,7 +142,7 @@
 
 
 def deep_size_kb(root: object) -> float:
-    """What an object and all that only it leads to take, in kB."""
+    """Return the size in kB of an object and all objects that it refers to; classes and plain functions excluded."""
     seen, pending, total_bytes = set[int](), [root], 0
     while pending:
         item = pending.pop()
@@ -151,7 +156,7 @@
 
 
 def datagram_cpu_s() -> float:
-    """Processor time of one datagram through the kernel, sent and taken, on this machine."""
+    """Return the processor time in seconds to send and receive one datagram on this machine."""
     with socket.socket(type=socket.SOCK_DGRAM) as receiver, socket.socket(type=socket.SOCK_DGRAM) as sender:
         receiver.bind(("127.0.0.1", 0))
         sender.connect(receiver.getsockname())
@@ -163,7 +168,7 @@
 
 
 def record_events(core: Membership) -> list[tuple[float, Any]]:
-    """All that this core is told from now on."""
+    """Return a list to which all further events of this core are appended, with their times."""
     events, step = list[tuple[float, Any]](), core.step
 
     def recording_step(now: float, event: Any) -> Any:
@@ -175,7 +180,7 @@
 
 
 def replay_cpu_s(arguments: tuple[Any, ...], events: list[tuple[float, Any]], start: float) -> float:
-    """Processor time in seconds that it takes from `start` on."""
+    """Replay events to a new core; return its processor time in seconds for those from `start` on."""
     core = Membership(*arguments)
     core.take_effects()
     for now, event in events:
@@ -189,7 +194,7 @@
 
 
 def measure_cost(task: tuple[int, int, int, bool]) -> dict[str, float]:
-    """So many relays whose connections come and go: bytes, datagrams and processor time of one, in virtual time."""
+    """Simulate relays whose connections come and go; return bytes, datagrams and processor time of one relay."""
     relays, backends, seed, with_load = task
     world = MembershipSimulation(
         relays, seed, backends, max(2, min(backends, 8 * backends // relays)) if with_load else 0
@@ -197,7 +202,7 @@
     for index in range(relays):
         world.start(index)
     events = record_events(world.network.peers[0].core)
-    world.run(6.0 + relays / 20.0)  # until all clocks are known
+    world.run(6.0 + relays / 20.0)  # until each relay knows the clocks of all others
     peers = list(world.network.peers.values())
     for peer in peers:
         peer.core.counts.clear()
@@ -212,8 +217,8 @@
     signals_per_s = fmean(peer.core.counts["signal_bytes"] for peer in peers) / COST_WINDOW_S
     datagrams_per_s = fmean(peer.core.counts["sent"] for peer in peers) / COST_WINDOW_S
     ages_s = [others.age_ms / 1000.0 for others in world.peer_loads.values()]
-    # One relay by itself is told again what it was told: beside 199 others its books would lie in no cache.
-    # The kernel's part is added.
+    # The events of one relay are replayed alone: among 199 others its tables would not be in the processor's cache, as
+    # they are in a real process. The kernel's time is added.
     core_share = replay_cpu_s(peers[0].core_arguments, events, start) / COST_WINDOW_S
     return {
         "bytes": sent_per_s,
@@ -232,28 +237,28 @@
     relays: int,
     failures: list[str],
 ) -> dict[str, Any]:
-    """One deployment at one size."""
+    """Return the row of one deployment at one size, and append rules that do not hold to `failures`."""
     seeds = sorted({seed for name, relay_count, _, seed in results if (name, relay_count) == (deployment, relays)})
-    values = {
+    figures = {
         mode: [
             results[deployment, relays, mode, seed][0] for seed in seeds if (deployment, relays, mode, seed) in results
         ]
         for mode in MODES
     }
-    mean = {mode: fmean(values) for mode, values in values.items()}
+    mean = {mode: fmean(values) for mode, values in figures.items()}
     full_gain = mean["bound"] - mean["off"]
 
     def gain_share(mode: str, min_share: float) -> float:
-        # Missed by how much, seed by seed, so that what the day brings all ways alike drops out.
+        # The shortfall is taken for each seed, so that variation common to all modes cancels.
         shortfalls = [
             off_value + min_share * (bound_value - off_value) - value
-            for off_value, bound_value, value in zip(values["off"], values["bound"], values[mode], strict=True)
+            for off_value, bound_value, value in zip(figures["off"], figures["bound"], figures[mode], strict=True)
         ]
         standard_error = stdev(shortfalls) / sqrt(len(shortfalls)) if len(shortfalls) > 1 else 0.0
         if fmean(shortfalls) > 2.0 * standard_error:
             failures.append(
-                f"{deployment}, {relays} relays, {mode}: {(mean[mode] - mean['off']) / full_gain:.2f} of the way "
-                f"closed, {min_share:g} is wanted"
+                f"{deployment}, {relays} relays, {mode}: {(mean[mode] - mean['off']) / full_gain:.2f} of the gain "
+                f"reached, at least {min_share:g} is required"
             )
         return (mean[mode] - mean["off"]) / full_gain if abs(full_gain) > 1e-9 else 0.0
 
@@ -275,7 +280,7 @@
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
-    args = argument_parser("Relays that hear one another, off and on, and the bound.").parse_args(arguments)
+    args = argument_parser("Load signals between relays, off and on, and the bound.").parse_args(arguments)
     started, failures, rows = time.perf_counter(), list[str](), list[dict[str, Any]]()
     size, first_seed = args.size, args.seed * 1000
     with ProcessPoolExecutor(len(os.sched_getaffinity(0))) as pool:
@@ -329,22 +334,26 @@
         seed for seed, agreed_s, _ in stall_results + other_results if not 0.0 <= agreed_s <= MAX_AGREEMENT_S
     ]
     if disagreeing_seeds:
-        failures.append(f"members do not agree {MAX_AGREEMENT_S:g} s after the faults: seeds {disagreeing_seeds[:8]}")
+        failures.append(
+            f"members do not agree within {MAX_AGREEMENT_S:g} s after the faults: seeds {disagreeing_seeds[:8]}"
+        )
     if min(detections_s) < 0.0 or max(detections_s) > MAX_DETECTION_S:
-        failures.append(f"a killed relay's part is gone after {max(detections_s):.1f} s: {MAX_DETECTION_S:g} s at most")
+        failures.append(
+            f"a killed relay's load is dropped after {max(detections_s):.1f} s, {MAX_DETECTION_S:g} s at most"
+        )
     print(
-        f"{relays} relays, {backends} nodes: {full_cost['bytes']:.0f} bytes/s sent by each, "
+        f"{relays} relays, {backends} backends: {full_cost['bytes']:.0f} bytes/s sent by each, "
         f"{full_cost['members']:.0f} for members, {full_cost['datagrams']:.0f} datagrams/s, "
         f"{100 * full_cost['cpu']:.2f} % of a core, "
-        f"{full_cost['memory_kb']:.0f} kB, word {full_cost['age_s']:.2f} s old of {full_cost['heard']:.0f}"
+        f"{full_cost['memory_kb']:.0f} kB, signals {full_cost['age_s']:.2f} s old from {full_cost['heard']:.0f} peers"
     )
     print(
-        f"members alone: {members['members']:.0f} bytes/s at {relays} relays, {fewer_relays_cost['members']:.0f} at "
+        f"membership alone: {members['members']:.0f} bytes/s at {relays} relays, {fewer_relays_cost['members']:.0f} at "
         f"{max(relays // 4, 3)}"
     )
     if size == "large" and (full_cost["bytes"] > MAX_BYTES_PER_S or full_cost["cpu"] > MAX_CORE_SHARE):
         failures.append(
-            f"{full_cost['bytes']:.0f} bytes/s and {100 * full_cost['cpu']:.2f} % of a core: "
+            f"{full_cost['bytes']:.0f} bytes/s and {100 * full_cost['cpu']:.2f} % of a core, "
             f"{MAX_BYTES_PER_S:.0f} and {100 * MAX_CORE_SHARE:g} % at most"
         )
     agreed_s, worst_other_s = (max(agreed_s for _, agreed_s, _ in batch) for batch in (stall_results, other_results))
@@ -352,7 +361,7 @@
     false_deaths = sum(false_deaths for *_, false_deaths in stall_results)
     print(
         f"{len(stall_results)} seeds with loss and a stall: all agree at most {agreed_s:.1f} s after the faults, "
-        f"{false_deaths} held dead that ran or stood still; a killed relay's part is gone after "
+        f"{false_deaths} living or stalled members declared dead; a killed relay's load is dropped after "
         f"{max(detections_s):.1f} s at most"
     )
     result = {key: [row[key] for row in rows] for key in rows[0]} | {
--- a/benchmarks/subsets.py
+++ b/benchmarks/subsets.py
@@ -1,10 +1,11 @@
-"""Four ways to give each relay a part of the nodes, at the same sizes and seeds: how even the cover is, how even the
-load, how much one join or leave changes, and what a redraw takes.
+"""Four methods to assign each relay a subset of the backends: evenness of the coverage and of the load, number of
+changes when a relay or backend joins, and the time of a recomputation. All use the same sizes and seeds.
 
     python -m benchmarks.subsets [--seed N] [--size small|machine|large] [--json]
 
-`load_max_over_mean`: connections come and stay, each placed by two draws from its relay's part, by the relay's own
-counts; `load_all` is the same drawing from all nodes. Leases, faults and real processes are not built yet.
+For `load_max_over_mean`, connections arrive and stay; each goes to the better of two random backends of its relay's
+subset, by the relay's own counts. `load_all` draws from all backends instead. Leases, faults and real processes are not
+implemented yet.
 """
 
 from __future__ import annotations
@@ -28,9 +29,11 @@
     "large": ((3, 10), (10, 100), (40, 400), (200, 90), (200, 2000), (400, 4000)),
 }
 SUBSET_SHARE, MIN_SUBSET = 0.1, 12
-CONNECTIONS_PER_BACKEND = 20  # connections held for each node
+CONNECTIONS_PER_BACKEND = 20  # established connections
 MAX_COVERAGE, MAX_LOAD_EXCESS, MAX_MOVED_RATIO, MAX_REDRAW_US = 1.15, 0.05, 2.0, 5000.0
-Method = Callable[[list[str], list[str]], dict[str, dict[str, int]]]  # relays, nodes -> the nodes of each, how often
+Method = Callable[
+    [list[str], list[str]], dict[str, dict[str, int]]
+]  # relays, backends -> weight of each backend of a relay
 
 
 def hash_value(text: str) -> int:
@@ -38,7 +41,7 @@
 
 
 def subset_size(relays: list[str], backends: list[str]) -> int:
-    """Nodes of a relay, the same for all ways: a tenth, but enough that each node has eight relays."""
+    """Return the size of a subset: a tenth of the backends, but enough that each backend has eight relays."""
     return min(
         len(backends), max(MIN_SUBSET, round(SUBSET_SHARE * len(backends)), -(-8 * len(backends) // len(relays)))
     )
@@ -84,7 +87,7 @@
 
 
 def coverage_ratio(subsets: dict[str, dict[str, int]], backends: list[str]) -> float:
-    """Of each node by the relays' traffic: the fullest over the mean."""
+    """Return the largest share of the relays' traffic that a backend gets, divided by the mean share."""
     traffic: Counter[str] = Counter()
     for subset in subsets.values():
         total = sum(subset.values())
@@ -94,7 +97,11 @@
 
 
 def load_ratio(subsets: dict[str, dict[str, int]], backends: list[str], seed: int) -> float:
-    """Connections come and stay, each at a relay; of two drawn from its part the one with fewer of its own takes it."""
+    """Place connections on the less loaded of two backends drawn from a random relay's subset, as that relay counts.
+
+    Returns:
+        The number of connections of the most loaded backend, divided by the mean.
+    """
     random, totals = Random(seed), Counter[str]()
     lists = {
         relay: [backend for backend, occurrences in subset.items() for _ in range(occurrences)]
@@ -113,7 +120,7 @@
 
 
 def moved_backends(before: dict[str, dict[str, int]], after: dict[str, dict[str, int]]) -> int:
-    """Nodes that came into a part or left it."""
+    """Return the number of backends that entered or left a subset, over all relays."""
     return sum(
         len(before.get(relay, {}).keys() ^ after.get(relay, {}).keys()) for relay in before.keys() | after.keys()
     )
@@ -156,7 +163,7 @@
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
-    args = argument_parser("Four ways to give each relay a part of the nodes.").parse_args(arguments)
+    args = argument_parser("Four methods to assign each relay a subset of the backends.").parse_args(arguments)
     started, failures, rows = time.perf_counter(), list[str](), list[dict[str, Any]]()
     for relays, backends in SIZES[args.size]:
         for method in METHODS:
@@ -165,7 +172,7 @@
             print("  ".join(f"{key} {value}" for key, value in row.items()), flush=True)
             if method != "arcs":
                 continue
-            label = f"{relays} relays, {backends} nodes"
+            label = f"{relays} relays, {backends} backends"
             for key, limit in (
                 ("coverage_max_over_mean", MAX_COVERAGE),
                 ("moved_share", MAX_MOVED_RATIO),
@@ -175,7 +182,7 @@
                 if row[key] > limit:
                     failures.append(f"{label}: {key} is {row[key]}, {limit:g} at most")
             if row["load_max_over_mean"] > row["load_all"] + MAX_LOAD_EXCESS:
-                failures.append(f"{label}: load {row['load_max_over_mean']}, {row['load_all']} from all nodes")
+                failures.append(f"{label}: load {row['load_max_over_mean']}, {row['load_all']} with all backends")
     result = {key: [row[key] for row in rows] for key in rows[0]}
     return print_result(result, failures, started, args.json, args.seed, args.size)
 
--- a/benchmarks/turns.py
+++ b/benchmarks/turns.py
@@ -1,10 +1,10 @@
-"""Machines out for work in turns that relays agree on: virtual days with faults, an exhaustive small case, planted
-defects, and real processes against the same run without work.
+"""Backend maintenance that relays coordinate: simulations with faults, an exhaustive search of a small case, planted
+defects, and real processes compared with the same run without maintenance.
 
     python -m benchmarks.turns [--seed N] [--size small|machine|large] [--json] [--only virtual,steps,...]
 
-`per_machine_s` is of the real run in which nothing fails, `least_s` what pace, work and warm-up allow there. `large` is
-virtual time alone, with as many seeds as `machine`.
+`per_machine_s` is the time per backend in the real run without faults, `least_s` the least that the pace, the work and
+the warm-up allow. `large` runs in virtual time only, with as many seeds as `machine`.
 """
 
 from __future__ import annotations
@@ -46,7 +46,7 @@
     ("stall", "held", "stall"),
     ("kill", "kill", "loss"),
 )
-REAL_RUN_CONCURRENCY = 3  # real runs side by side
+REAL_RUN_CONCURRENCY = 3  # concurrent runs of real processes
 MAX_DURATION_RATIO, MAX_SERVED_LOSS = 1.5, 0.01
 
 
@@ -69,7 +69,7 @@
 
 
 def crash_at_step(task: tuple[str, int, int]) -> tuple[tuple[str, int, int], list[str]]:
-    """Whoever comes to this step first, the n-th time in all, dies at it."""
+    """Simulate a fleet in which a relay dies at the n-th step of a kind, counted over all relays."""
     kind, number, seed = task
     plan = replace(Plan.from_seed(seed), crash_at=(kind, number))
     faults = [Fault("loss", 0.5, 10.0, 0.1)] if seed % 2 else []
@@ -84,7 +84,7 @@
 
 
 def find_defects(pool: ProcessPoolExecutor, max_seeds: int, first_seed: int) -> dict[str, tuple[int, str]]:
-    """The first seed of each, from `first` on, at which the checker finds it."""
+    """Return for each planted defect the first seed, from `first_seed` on, at which the checker finds it."""
     found: dict[str, tuple[int, str]] = {}
     for offset in range(0, max_seeds, 48):
         remaining = [name for name in DEFECTS if name not in found]
@@ -133,12 +133,12 @@
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
-    parser = argument_parser("Machines out for work in turns that relays agree on.")
-    parser.add_argument("--only", default=",".join(PARTS), help=f"parts, of {', '.join(PARTS)}")
+    parser = argument_parser("Backend maintenance that relays coordinate.")
+    parser.add_argument("--only", default=",".join(PARTS), help=f"parts, separated by commas, of {', '.join(PARTS)}")
     args = parser.parse_args(arguments)
     only = [part for part in args.only.split(",") if part]
     if not only or set(only) - set(PARTS):
-        parser.error(f"--only takes some of {', '.join(PARTS)}")
+        parser.error(f"--only: expected some of {', '.join(PARTS)}")
     started, failures, size, first_seed = time.perf_counter(), list[str](), args.size, args.seed * 100_000
     result: dict[str, Any] = {"relays": [3, 5, 9], "machines": 6}
     result |= dict.fromkeys(
@@ -146,7 +146,7 @@
     )
     result |= dict.fromkeys(("per_machine_s", "least_s", "served_off", "served_on"), 0.0)
     workers = len(os.sched_getaffinity(0))
-    # Spawned: a fork would take along the loop of a run before it.
+    # Spawned, because a forked process would inherit the event loop of an earlier run.
     with ProcessPoolExecutor(workers, mp_context=get_context("spawn")) as pool:
         parts: dict[str, Callable[[], None]] = {
             "virtual": partial(check_virtual_time, pool, SEED_COUNTS[size], first_seed, result, failures),
@@ -179,7 +179,7 @@
     }
     print(
         f"virtual: {seeds} seeds, {len(violating)} violations, {len(stuck)} stuck, at most {result['most_out']} out, "
-        f"{result['rolled_back']} turns given back unemptied",
+        f"{result['rolled_back']} evacuations rolled back",
         flush=True,
     )
 
@@ -193,7 +193,7 @@
         if violations:
             failures.append(f"a relay dies at {task}: {violations[0]}")
     result["step_runs"] = len(tasks)
-    print(f"steps: a relay dies at each of {', '.join(CRASH_POINTS)}, the n-th time: {len(tasks)} runs", flush=True)
+    print(f"steps: a relay dies at each of {', '.join(CRASH_POINTS)}, the n-th time, {len(tasks)} runs", flush=True)
 
 
 def check_exhaustively(
@@ -205,7 +205,7 @@
         total += search.states
         print(f"exhaustive from {stage}: {search.states} states, depth {search.depth}", flush=True)
         if search.violation or not search.complete:
-            failures.append(f"exhaustive from {stage}: {search.violation or 'more states than are allowed'}")
+            failures.append(f"exhaustive from {stage}: {search.violation or 'more states than the limit'}")
     result |= {"exhaustive_states": total, "exhaustive_depth": depth}
 
 
@@ -264,9 +264,11 @@
         "served_on": round(fmean(served_with), 4),
     }
     if per_backend_s > MAX_DURATION_RATIO * least_s:
-        failures.append(f"{per_backend_s:.2f} s a machine, {MAX_DURATION_RATIO} times {least_s:.2f} s are allowed")
+        failures.append(
+            f"{per_backend_s:.2f} s for each backend, at most {MAX_DURATION_RATIO} times {least_s:.2f} s are allowed"
+        )
     if size != "small" and fmean(served_with) < fmean(served_without) - MAX_SERVED_LOSS:
-        failures.append(f"served {fmean(served_with):.4f} with work, {fmean(served_without):.4f} without")
+        failures.append(f"served {fmean(served_with):.4f} with maintenance, {fmean(served_without):.4f} without")
 
 
 if __name__ == "__main__":
