--- a/benchmarks/capacity/configuration_changes.py
+++ b/benchmarks/capacity/configuration_changes.py
@@ -503,16 +503,16 @@
 
 
 def check_combined(scaling_result: dict[str, Any], change_result: dict[str, Any], failures: list[str]) -> None:
-    """Check the whole control cost of one relay: peers in a cell, and configuration changes at 10 a second."""
+    """Check the total control cost of one relay: peers in a cell, and configuration changes at 10 a second."""
     cells_row = scaling_result["cells"][-1]
     total = {
         "bytes_per_s": cells_row["most_bytes_per_s"] + change_result["bytes_per_s"],
         "cpu_share": cells_row["cpu_share"] + change_result["cpu_share"],
         "memory_mb": cells_row["memory_mb"] + change_result["memory_mb"],
     }
-    print("whole control cost of a relay: " + ", ".join(f"{key} {value:.5g}" for key, value in total.items()))
+    print("total control cost of a relay: " + ", ".join(f"{key} {value:.5g}" for key, value in total.items()))
     change_result["together"] = total
-    _check_limits("whole control cost of a relay", total, change_result["relays"], failures)
+    _check_limits("total control cost of a relay", total, change_result["relays"], failures)
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
--- a/benchmarks/capacity/data_path.py
+++ b/benchmarks/capacity/data_path.py
@@ -103,9 +103,9 @@
             RuntimeError: The process has ended.
         """
         self.send_command({"do": do} | command)
-        return self.answer(within_s)
+        return self.receive_answer(within_s)
 
-    def answer(self, within_s: float) -> dict[str, Any]:
+    def receive_answer(self, within_s: float) -> dict[str, Any]:
         assert self.child.stdout is not None
         if not select.select([self.child.stdout], [], [], within_s)[0]:
             raise TimeoutError(f"{self.name} did not answer within {within_s:g} s")
@@ -225,13 +225,14 @@
         self.proxy = backends  # the process whose cost is measured
         self.standing = 0
 
-    def window(self, work: Callable[[], dict[str, Any]]) -> tuple[Window, dict[str, Any]]:
+    def measure_window(self, work: Callable[[], dict[str, Any]]) -> tuple[Window, dict[str, Any]]:
+        """Do some work; return the use of processor time meanwhile, and the result of the work."""
         parties = (self.proxy, self.backends, self.clients)
         started_s, before = time.perf_counter(), [process.cpu_s() for process in parties]
         result = work()
         after, elapsed_s = [process.cpu_s() for process in parties], time.perf_counter() - started_s
-        core_shares = [(start[0] - end[0]) / elapsed_s for end, start in zip(before, after, strict=True)]
-        wait_shares = [(start[1] - end[1]) / elapsed_s for end, start in zip(before, after, strict=True)]
+        core_shares = [(end[0] - start[0]) / elapsed_s for start, end in zip(before, after, strict=True)]
+        wait_shares = [(end[1] - start[1]) / elapsed_s for start, end in zip(before, after, strict=True)]
         return Window(
             elapsed_s, core_shares[0], core_shares[1], core_shares[2], wait_shares[0], max(wait_shares[1:])
         ), result
@@ -241,22 +242,22 @@
             time.sleep(seconds)
             return {}
 
-        return self.window(sleep)[0]
+        return self.measure_window(sleep)[0]
 
     def send_lines(
-        self, name: str, rate: float, seconds: float, send_bursts: Sequence[float] = (), echo: bool = False
+        self, name: str, rate: float, seconds: float, burst_times_s: Sequence[float] = (), echo: bool = False
     ) -> Row:
         """Send lines at a rate and wait for the last one; each has to arrive, and unchanged in length."""
         before = self.clients.request("begin")
         sender = self.clients if echo else self.backends
-        window, sent = self.window(
+        window, sent = self.measure_window(
             lambda: sender.request(
-                "send", rate=rate, seconds=seconds, bursts=list(send_bursts), within_s=4 * seconds + 20
+                "send", rate=rate, seconds=seconds, bursts=list(burst_times_s), within_s=4 * seconds + 20
             )
         )
         deadline_s, expected = (
             time.monotonic() + MAX_DRAIN_S,
-            sent["sent"] - sent["missed"] + len(send_bursts) * sent["burst_size"],
+            sent["sent"] - sent["missed"] + len(burst_times_s) * sent["burst_size"],
         )
         while (status := self.clients.request("standing"))["received"] < expected and time.monotonic() < deadline_s:
             time.sleep(0.1)
@@ -275,7 +276,7 @@
     def open_connections(self, count: int, address: Sequence[Any]) -> float:
         """Open connections until `count` are established; return the proxy's processor time in us for each."""
         new, before = count - self.standing, self.clients.request("standing")
-        window, status = self.window(
+        window, status = self.measure_window(
             lambda: self.clients.request(
                 "open", count=new, host=address[0], port=address[1], at_once=SETUP_CONCURRENCY, within_s=90.0
             )
@@ -392,7 +393,7 @@
             time.sleep(0.7)  # the relay waits half a second for data of its clients and backends
             return {}
 
-        window, _ = self.window(close)
+        window, _ = self.measure_window(close)
         count, self.standing = self.standing, 0
         us_each = window.proxy * window.seconds / count * 1e6
         print(f"  {self.proxy.name} ends of {count}: {us_each:.0f} us each; {self.shares(window)}", flush=True)
--- a/benchmarks/capacity/scaling.py
+++ b/benchmarks/capacity/scaling.py
@@ -310,12 +310,14 @@
     rows = list[dict[str, Any]]()
     for backends in (0, 1, 16):
         sizes_by_form: dict[str, list[float]] = {"message": [], "file": []}
-        names = tuple(f"node-{n:04}" for n in range(backends))
+        names = tuple(f"node-{index:04}" for index in range(backends))
         for relays in sizes:
             random = Random(relays)
-            state = MaintenanceState(voters={f"relay-{n:04}": f"{random.getrandbits(128):032x}" for n in range(5)})
-            for n in range(relays):
-                state = state.with_relay(f"relay-{n:04}", f"{random.getrandbits(128):032x}") or state
+            state = MaintenanceState(
+                voters={f"relay-{index:04}": f"{random.getrandbits(128):032x}" for index in range(5)}
+            )
+            for index in range(relays):
+                state = state.with_relay(f"relay-{index:04}", f"{random.getrandbits(128):032x}") or state
             if backends:
                 state = state.with_request(MaintenanceRequest(names, backends, backends)) or state
                 for _ in names:
@@ -327,9 +329,11 @@
             acceptor_state = AcceptorState("v" * 32, (1, "relay-0000"), (1, "relay-0000"), state)
             sizes_by_form["file"].append(len(encode_file(acceptor_state, "r", "c")))
         for form, values in sizes_by_form.items():
-            slope, first = linear_regression(sizes, values)
-            residual = sqrt(fmean((first + slope * n - value) ** 2 for n, value in zip(sizes, values, strict=True)))
-            predicted = first + TARGET_RELAYS * slope
+            slope, intercept = linear_regression(sizes, values)
+            residual = sqrt(
+                fmean((intercept + slope * size - value) ** 2 for size, value in zip(sizes, values, strict=True))
+            )
+            predicted = intercept + TARGET_RELAYS * slope
             rows.append(
                 {"bytes of": form, "machines out": backends}
                 | dict(zip(map(str, sizes), values, strict=True))
