--- a/yarrowspindle/lab/model/configuration_scenarios.py
+++ b/yarrowspindle/lab/model/configuration_scenarios.py
@@ -60,7 +60,17 @@
     "dies",
     "dies ",
 )
-MESSAGE_KINDS = ("Prepare", "Promise", "Accept", "Accepted", "Learn", "Difference", "Sum", "Order", "Newest")
+MESSAGE_KINDS = (
+    "Prepare",
+    "Promise",
+    "Accept",
+    "Accepted",
+    "StateUpdate",
+    "Delta",
+    "RelaySummary",
+    "ChangeOrder",
+    "LatestVersion",
+)
 FLEET_SIZES = ((3, 3), (5, 3), (5, 5), (11, 5))  # numbers of controllers and voters
 
 
