--- a/tests/test_deprecated_names.py
+++ b/tests/test_deprecated_names.py
@@ -6,7 +6,11 @@
 
 import pytest
 
+from tests.helpers import settings
 from yarrowspindle import interface, library
+from yarrowspindle.routing.reducer import Reducer
+from yarrowspindle.runtime.runtime import Runtime
+from yarrowspindle.runtime.timers import SystemClock, Timers
 
 LIBRARY = ("Closing", "Ending", "JobClass", "Machine", "NodeDropped", "Refused")
 
@@ -33,6 +37,15 @@
     assert found is getattr(importlib.import_module(f"yarrowspindle.decisions.{module}"), current)
 
 
+def test_the_old_attribute_seen_is_the_list_of_event_observers_with_a_warning() -> None:
+    clock = SystemClock()
+    runtime = Runtime(Reducer(settings(), 1, clock.now()), clock, lambda level, text: None, Timers(clock))
+    with pytest.warns(DeprecationWarning, match=r"Runtime\.seen is now called Runtime\.event_observers") as caught:
+        observers = runtime.seen
+    assert observers is runtime.event_observers
+    assert [warning.filename for warning in caught] == [__file__]
+
+
 def test_a_name_that_never_was_is_no_attribute() -> None:
     with pytest.raises(AttributeError):
         _ = library.Nothing
--- a/yarrowspindle/runtime/runtime.py
+++ b/yarrowspindle/runtime/runtime.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import time
+import warnings
 from collections import Counter, deque
 from collections.abc import Callable
 from math import inf
@@ -104,6 +105,12 @@
         self.handled_wall_step_ms = 0.0
         self.stall_deadline = inf
 
+    @property
+    def seen(self) -> list[Callable[[float, Event], None]]:
+        """The name that `event_observers` had in version 0.1.0, to be removed in the next version."""
+        warnings.warn("Runtime.seen is now called Runtime.event_observers", DeprecationWarning, stacklevel=2)
+        return self.event_observers
+
     def start(self) -> None:
         """Start detecting stalls of the event loop."""
         self._tick()
