--- a/yarrowspindle/maintenance/settings.py
+++ b/yarrowspindle/maintenance/settings.py
@@ -70,7 +70,7 @@
         if sum(map(bool, (self.machines, self.zone, self.kind))) != 1:
             raise MaintenanceError("a request must name either machines, or a zone, or a kind")
         if self.order not in ORDERS:
-            raise MaintenanceError(f"order is {self.order!r}: expected one of {', '.join(ORDERS)}")
+            raise MaintenanceError(f"order is {self.order!r}; expected one of {', '.join(ORDERS)}")
         if len(self.name) > MAX_NAME_LENGTH:
             raise MaintenanceError(f"the name of a request must have at most {MAX_NAME_LENGTH} characters")
         self.request(self.machines or ("any",), {})  # checks the limits
@@ -110,7 +110,7 @@
             raise MaintenanceError(f"turns.request.{key} is {values[key]!r}, which has the wrong type")
     machines = values.get("machines", [])
     if not isinstance(machines, list | tuple) or not all(isinstance(name, str) for name in machines):
-        raise MaintenanceError(f"turns.request.machines is {machines!r}: expected a list of machine names")
+        raise MaintenanceError(f"turns.request.machines is {machines!r}; expected a list of machine names")
     values["machines"] = tuple(machines)
     return RequestSettings(**values)
 
@@ -142,9 +142,9 @@
         for key, (low, high) in NUMBER_RANGES.items():
             value = getattr(self, key)
             if isinstance(value, bool) or not isinstance(value, int | float) or not low <= value <= high:
-                raise MaintenanceError(f"turns.{key} is {value!r}: expected a number from {low:g} to {high:g}")
+                raise MaintenanceError(f"turns.{key} is {value!r}; expected a number from {low:g} to {high:g}")
         if not isinstance(self.directory, str) or not self.directory:
-            raise MaintenanceError("turns.directory is missing: expected a directory that only this relay uses")
+            raise MaintenanceError("turns.directory is missing; expected a directory that only this relay uses")
         if not 1 <= len(self.voters) <= MAX_VOTERS or len(set(self.voters)) != len(self.voters):
             raise MaintenanceError(f"turns.voters must name 1 to {MAX_VOTERS} relays, each once")
         if len(self.requests) > MAX_REQUESTS:
@@ -164,7 +164,7 @@
         raise MaintenanceError("[[turns.request]] must be a list of tables")
     voters = values.get("voters", [])
     if not isinstance(voters, list) or not all(_is_name(voter) for voter in voters):
-        raise MaintenanceError(f"turns.voters is {voters!r}: expected a list of relay names")
+        raise MaintenanceError(f"turns.voters is {voters!r}; expected a list of relay names")
     values["voters"] = tuple(voters)
     values["requests"] = tuple(read_request_settings(request) for request in requests)
     if "command" in values:
@@ -183,7 +183,7 @@
     except PeerError as error:
         raise MaintenanceError(f"turns.{str(error).removeprefix('peers.')}") from None
     if not IPv4Address(address[0]).is_loopback:
-        raise MaintenanceError(f"turns.command is {value!r}: expected a loopback address")
+        raise MaintenanceError(f"turns.command is {value!r}; expected a loopback address")
     return address
 
 
@@ -191,6 +191,4 @@
     known = [field.name for field in fields(settings)]
     for key in set(keys) - set(known):
         similar = get_close_matches(key, known, 1)
-        raise MaintenanceError(
-            f"{section}.{key} is not a known key" + (f"; did you mean {similar[0]}?" if similar else "")
-        )
+        raise MaintenanceError(f"unknown key {section}.{key}" + (f"; did you mean {similar[0]}?" if similar else ""))
--- a/yarrowspindle/membership/settings.py
+++ b/yarrowspindle/membership/settings.py
@@ -115,7 +115,7 @@
     for key in values.keys() - set(known):
         similar = get_close_matches(key, known, 1)
         hint = f"; did you mean {similar[0]}?" if similar else ""
-        raise PeerError(f"peers.{key} is not a known key{hint}")
+        raise PeerError(f"unknown key peers.{key}{hint}")
     if "listen" not in values:
         raise PeerError(
             "peers.listen is missing; expected the address on which this relay receives its peers' datagrams"
--- a/yarrowspindle/rebalancing/settings.py
+++ b/yarrowspindle/rebalancing/settings.py
@@ -148,9 +148,7 @@
     values = dict(section)
     for name in values.keys() - set(known_keys):
         similar = get_close_matches(name, known_keys, 1)
-        raise RebalanceError(
-            f"rebalance.{name} is not a known key" + (f"; did you mean {similar[0]}?" if similar else "")
-        )
+        raise RebalanceError(f"unknown key rebalance.{name}" + (f"; did you mean {similar[0]}?" if similar else ""))
     if "order" in values:
         try:
             values["order"] = Order(values["order"])
