--- a/benchmarks/soak/seed_run.py
+++ b/benchmarks/soak/seed_run.py
@@ -65,7 +65,7 @@
     """All parts of one run, and a handler for each kind of fault; `plan.FAULTS` describes the kinds.
 
     Attributes:
-        finished: the run is over: relays are not restarted any more.
+        finished: whether the run has ended; relays are not restarted afterwards.
     """
 
     def __init__(self, plan: Plan, folder: Path, shim_library: Path | None, planted: str = "") -> None:
--- a/tests/benchmarks/test_soak.py
+++ b/tests/benchmarks/test_soak.py
@@ -305,7 +305,7 @@
 
 @pytest.mark.parametrize("words", SHORT_SOAKS, ids=" ".join)
 def test_a_short_soak_of_ends_holds_and_crowds_keeps_all_rules(words: tuple[str, ...]) -> None:
-    """Guards against unanswered requests at relays that shut down, are suspended, or have many idle clients.
+    """Guard against unanswered requests at relays that shut down, are suspended, or have many idle clients.
 
     The failure: the request stays unread in the relay's socket, or the connection is closed without an answer.
     """
--- a/tests/benchmarks/test_soak_connection.py
+++ b/tests/benchmarks/test_soak_connection.py
@@ -123,7 +123,7 @@
 
 
 def test_the_second_part_of_a_line_is_sent_before_the_first_is_acknowledged() -> None:
-    """Guards against Nagle's algorithm: the second part was sent only after the relay had acknowledged the first."""
+    """Guard against Nagle's algorithm: the second part was sent only after the relay had acknowledged the first."""
 
     async def body() -> None:
         exchange = new_exchange()
@@ -179,7 +179,7 @@
 def test_idle_time_counts_from_the_establishment_even_if_it_is_noticed_late(
     end: Callable[[socket.socket], None],
 ) -> None:
-    """Guards against counting from when the establishment is noticed: by then the relay has closed the connection."""
+    """Guard against counting from when the establishment is noticed: by then the relay has closed the connection."""
 
     async def body() -> None:
         exchange = new_exchange()
@@ -254,7 +254,7 @@
 def test_a_request_has_the_time_of_its_system_call_even_if_this_process_is_blocked(
     before: Callable[[], None], after: Callable[[], None]
 ) -> None:
-    """Guards against judging whether a line was sent promptly by the time of this process's next step."""
+    """Guard against judging whether a line was sent promptly by the time of this process's next step."""
 
     async def body() -> None:
         exchange = new_exchange()
--- a/tests/benchmarks/test_soak_lateness.py
+++ b/tests/benchmarks/test_soak_lateness.py
@@ -21,7 +21,7 @@
 
 
 def test_a_request_belongs_to_the_process_that_accepted_it_even_if_it_has_been_replaced(tmp_path: Path) -> None:
-    """Guards against blaming a relay process for a connection that the process before it had accepted and closed."""
+    """Guard against blaming a relay process for a connection that the process before it had accepted and closed."""
 
     async def body() -> None:
         context = context_in(tmp_path)
--- a/tests/configuration/harness.py
+++ b/tests/configuration/harness.py
@@ -90,7 +90,7 @@
         return [e.message for e in self.effects if isinstance(e, SendMessage) and isinstance(e.message, Heartbeat)]
 
     def log_lines(self) -> list[str]:
-        """Lines for the log."""
+        """Return the texts of the log messages."""
         return [e.text for e in self.effects if isinstance(e, LogMessage)]
 
 
@@ -151,7 +151,7 @@
         return [e.message for e in self.effects if isinstance(e, SendMessage) and isinstance(e.message, kind)]
 
     def log_lines(self) -> list[str]:
-        """Lines for the log."""
+        """Return the texts of the log messages."""
         return [e.text for e in self.effects if isinstance(e, LogMessage)]
 
 
--- a/tests/daemon/configuration_processes.py
+++ b/tests/daemon/configuration_processes.py
@@ -53,7 +53,7 @@
     def __init__(self, name: str, folder: Path) -> None:
         self.name, self.folder = name, folder
         self.address, self.command = unused_address(), unused_address()
-        self.advertised_address = self.address  # where other processes reach it
+        self.advertised_address = self.address  # the address at which other processes connect to it
         self.process: asyncio.subprocess.Process
         self.log: asyncio.Queue[str] = asyncio.Queue()
         self.log_lines: list[str] = []
--- a/tests/daemon/test_daemon.py
+++ b/tests/daemon/test_daemon.py
@@ -137,7 +137,7 @@
 def test_pushed_lists_are_watched_and_a_silent_watch_is_detected_within_the_drain_grace(
     tmp_path: Path,
 ) -> None:
-    """Guards against opening no watch if the settings say that lists are pushed: drains were missed."""
+    """Guard against opening no watch if the settings say that lists are pushed: drains were missed."""
 
     async def body(env: RelayEnvironment) -> None:
         assert await env.next_watch() == "GET /api/targets?stream=1&index=1 HTTP/1.1"
--- a/tests/daemon/test_endpoint_list_faults.py
+++ b/tests/daemon/test_endpoint_list_faults.py
@@ -69,7 +69,7 @@
 
 
 def test_an_older_revision_does_not_undo_a_drain(tmp_path: Path) -> None:
-    """Guards against a stale replica of the discovery service, whose list from before a drain made a backend ready."""
+    """Guard against a stale replica of the discovery service, whose list from before a drain made a backend ready."""
 
     async def body() -> None:
         async with relay(tmp_path) as env:
--- a/tests/daemon/test_endpoint_list_responses.py
+++ b/tests/daemon/test_endpoint_list_responses.py
@@ -37,7 +37,7 @@
 
 @pytest.mark.parametrize("discovery", ("automatic", "subscribe"))
 def test_a_slow_endpoint_list_response_is_used(tmp_path: Path, discovery: str) -> None:
-    """Guards against a renewed call that ends the one before: pushed lists are renewed before a slow response."""
+    """Guard against a renewed call that ends the one before: pushed lists are renewed before a slow response."""
 
     async def body(env: RelayEnvironment) -> None:
         async def answer(peer: LinePeer) -> None:
--- a/tests/daemon/test_event_races.py
+++ b/tests/daemon/test_event_races.py
@@ -105,7 +105,7 @@
 
 
 def test_shutdown_finishes_within_the_longest_deadline_and_the_kill_grace(tmp_path: Path) -> None:
-    """Guards against a fixed shutdown time of 3.3 s: with a longest deadline of 2 s, SIGKILL comes after 2.7 s."""
+    """Guard against a fixed shutdown time of 3.3 s: with a longest deadline of 2 s, SIGKILL comes after 2.7 s."""
 
     async def body(env: RelayEnvironment) -> None:
         first, _, _ = await env.established_connection()
@@ -161,7 +161,7 @@
 
 
 def test_a_partial_line_from_a_backend_does_not_delay_move_at_shutdown(tmp_path: Path) -> None:
-    """Guards against a MOVE that waits for the rest of the line until the process has exited."""
+    """Guard against a MOVE that waits for the rest of the line until the process has exited."""
 
     async def body(env: RelayEnvironment) -> None:
         client, _, backend = await env.established_connection()
@@ -195,7 +195,7 @@
 
 @pytest.mark.parametrize("last", ["UP r1", "UP r1\r\nthe last line"])
 def test_an_answer_followed_by_eof_reaches_the_client(tmp_path: Path, last: str) -> None:
-    """Guards against closing the client's connection before the answer is written."""
+    """Guard against closing the client's connection before the answer is written."""
 
     async def body(env: RelayEnvironment) -> None:
         client = await env.open_request()
@@ -308,7 +308,7 @@
 
 
 def test_an_attempt_is_not_sent_to_a_backend_that_restarted_while_connecting(tmp_path: Path) -> None:
-    """Guards against a request to a backend that was chosen as warm and now exceeds its slow-start budget."""
+    """Guard against a request to a backend that was chosen as warm and now exceeds its slow-start budget."""
 
     async def body(env: RelayEnvironment) -> None:
         backend = await stop_accepting_at_s1(env)
@@ -327,7 +327,7 @@
 
 
 def test_a_retry_starts_within_the_deduplication_window_or_not_at_all(tmp_path: Path) -> None:
-    """Guards against a retry on a late connection, which the backend no longer recognizes as a duplicate."""
+    """Guard against a retry on a late connection, which the backend no longer recognizes as a duplicate."""
     deduplicated = CHAT | {"effect": "token", "group": "all", "window_ms": 700.0}
 
     async def body(env: RelayEnvironment) -> None:
@@ -379,7 +379,7 @@
 
 @pytest.mark.parametrize("seed", ["2", "16"])  # seeds whose first random delays are long
 def test_a_drain_that_began_before_the_start_is_known_within_its_grace(tmp_path: Path, seed: str) -> None:
-    """Guards against a first list call as late as 4.8 s after the start, which a fleet of 182 relays led to.
+    """Guard against a first list call as late as 4.8 s after the start, which a fleet of 182 relays led to.
 
     A drain counts as known 6 s after discovery has it, also in a process that started later. Here the drain began 4 s
     before the start, and the grace is 0.4 s.
@@ -419,7 +419,7 @@
 
 
 def test_revisions_of_the_former_discovery_service_are_not_resumed_from(tmp_path: Path) -> None:
-    """Guards against requesting the old service's revision from the new one, which counts revisions differently."""
+    """Guard against requesting the old service's revision from the new one, which counts revisions differently."""
 
     async def body(env: RelayEnvironment) -> None:
         await announce_endpoints(env, s_1="draining", s_2="ready")
--- a/tests/daemon/test_operations.py
+++ b/tests/daemon/test_operations.py
@@ -191,7 +191,7 @@
 
 
 def test_telemetry_tells_a_bounded_number_of_class_names_apart() -> None:
-    """Guards against unbounded counters: settings change thousands of times a day, each with another class name."""
+    """Guard against unbounded counters: settings change thousands of times a day, each with another class name."""
     reducer = Reducer(Settings(classes=(RequestClass(setup_latency_objective_ms=800.0, deadline_ms=4800.0),)), 1, 0.0)
     telemetry = Telemetry(reducer, lambda cls: f"class{cls}")
     for request in range(1000):
--- a/tests/daemon/test_relay_stalls.py
+++ b/tests/daemon/test_relay_stalls.py
@@ -60,7 +60,7 @@
 
 @pytest.mark.parametrize("stalled", [True, False])
 def test_answers_read_late_after_a_stall_do_not_mark_a_backend_as_slow(tmp_path: Path, stalled: bool) -> None:
-    """Guards against load shedding for the relay's own delays; backends with the same delay are still shed."""
+    """Guard against load shedding for the relay's own delays; backends with the same delay are still shed."""
 
     async def body(env: RelayEnvironment) -> None:
         pairs = await connections_at_both(env)
--- a/tests/daemon/test_requests_read_late.py
+++ b/tests/daemon/test_requests_read_late.py
@@ -37,7 +37,7 @@
 
 @pytest.mark.parametrize("arrival", ARRIVALS)
 def test_a_request_read_after_its_deadline_is_rejected_and_not_forwarded(tmp_path: Path, arrival: str) -> None:
-    """Guards against counting a deadline from the reading of a line: attempts started after the client's deadline."""
+    """Guard against counting a deadline from the reading of a line: attempts started after the client's deadline."""
 
     async def body(env: RelayEnvironment) -> None:
         peer = await send_during_stall(env, arrival, 300)
--- a/tests/daemon/test_shutdown_stalls.py
+++ b/tests/daemon/test_shutdown_stalls.py
@@ -42,7 +42,7 @@
 
 @pytest.mark.parametrize("pause_ms", [0.0, 0.5, 1.0, 2.0, 4.0, 7.5])
 def test_stalls_at_shutdown_leave_no_unread_request_unanswered(tmp_path: Path, pause_ms: float) -> None:
-    """Guards against a shutdown that ends by time, not once all input is read: clients got '' instead of BUSY."""
+    """Guard against a shutdown that ends by time, not once all input is read: clients got '' instead of BUSY."""
 
     async def body(env: RelayEnvironment) -> None:
         idle = await env.connect_client()
@@ -62,7 +62,7 @@
 
 @pytest.mark.parametrize("pause_ms", [0.0, 1.0, 4.0, 15.0])
 def test_stalls_at_shutdown_leave_no_line_of_an_idle_client_unread(tmp_path: Path, pause_ms: float) -> None:
-    """Guards against closing a connection as idle while its OPEN line is unread or partly read."""
+    """Guard against closing a connection as idle while its OPEN line is unread or partly read."""
 
     async def body(env: RelayEnvironment) -> None:
         pinged = [await env.connect_client("PING") for _ in range(5)]
@@ -87,7 +87,7 @@
 
 @pytest.mark.parametrize("pause_ms", [0.0, 2.0, 20.0])
 def test_stalls_at_shutdown_leave_no_established_connection_without_move(tmp_path: Path, pause_ms: float) -> None:
-    """Guards against an exit before MOVE is written. Idle connections are closed without a reset, all in time."""
+    """Guard against an exit before MOVE is written. Idle connections are closed without a reset, all in time."""
 
     async def body(env: RelayEnvironment) -> None:
         clients = [(await env.established_connection())[0] for _ in range(10)]
@@ -110,7 +110,7 @@
 
 
 def test_shutdown_is_in_time_when_the_signal_arrives_during_a_stall(tmp_path: Path) -> None:
-    """Guards against counting the shutdown time from the end of a stall: SIGKILL counts from the signal."""
+    """Guard against counting the shutdown time from the end of a stall: SIGKILL counts from the signal."""
 
     async def body(env: RelayEnvironment) -> None:
         env.process.send_signal(signal.SIGSTOP)
@@ -129,7 +129,7 @@
 
 
 def test_a_line_received_during_a_stall_longer_than_the_first_line_timeout_is_read(tmp_path: Path) -> None:
-    """Guards against an idle timeout that fires before the loop has read the input that arrived during a stall."""
+    """Guard against an idle timeout that fires before the loop has read the input that arrived during a stall."""
 
     async def body(env: RelayEnvironment) -> None:
         peer = await env.connect_client("PING")
@@ -148,7 +148,7 @@
 def test_a_line_read_while_its_connection_is_migrated_does_not_reset_it(
     tmp_path: Path, stop_s: float, stall_s: float
 ) -> None:
-    """Guards against using a connection that was closed within its own data callback: resets overtook MOVE."""
+    """Guard against using a connection that was closed within its own data callback: resets overtook MOVE."""
 
     async def body(env: RelayEnvironment) -> None:
         clients = [(await env.established_connection())[0] for _ in range(20)]
--- a/tests/daemon/test_startup_and_shutdown.py
+++ b/tests/daemon/test_startup_and_shutdown.py
@@ -120,7 +120,7 @@
 def test_a_signal_during_interpreter_exit_does_not_change_the_exit_status(
     tmp_path: Path, number: signal.Signals, step: str
 ) -> None:
-    """Guards against the default signal actions that the interpreter restores on exit: status -1 instead of 0."""
+    """Guard against the default signal actions that the interpreter restores on exit: status -1 instead of 0."""
 
     async def body() -> None:
         (tmp_path / "config.json").write_text(json.dumps(config([Backend()])))
@@ -199,7 +199,7 @@
 def test_a_stall_within_a_shutdown_step_leaves_no_client_unanswered(
     monkeypatch: pytest.MonkeyPatch, established: bool
 ) -> None:
-    """Guards against a shutdown that relies on a timer, which a stall delays: connections got no MOVE or BUSY."""
+    """Guard against a shutdown that relies on a timer, which a stall delays: connections got no MOVE or BUSY."""
 
     async def body() -> None:
         backend, answer = Backend(), b"UP r1\r\n" if established else b""
--- a/tests/decisions/test_backend_registry.py
+++ b/tests/decisions/test_backend_registry.py
@@ -34,7 +34,7 @@
 
 
 def test_an_endpoint_update_costs_the_same_in_a_large_fleet() -> None:
-    """Guards against sums over the whole fleet: only the binary searches of the rings may depend on its size."""
+    """Guard against sums over the whole fleet: only the binary searches of the rings may depend on its size."""
     capacity_reads = 0
 
     class CountingBackend(Backend):
--- a/tests/decisions/test_large_fleet.py
+++ b/tests/decisions/test_large_fleet.py
@@ -1,4 +1,4 @@
-"""Slow start in a large fleet, where each of many balancers seldom sends to a given backend."""
+"""Slow start in a large fleet, in which each of many balancers seldom sends to a given backend."""
 
 from __future__ import annotations
 
--- a/tests/decisions/test_slow_start.py
+++ b/tests/decisions/test_slow_start.py
@@ -40,7 +40,7 @@
 
 @pytest.mark.parametrize("balancers", [1, 10, 20, 30, 200])
 def test_a_warming_backend_gets_no_more_than_its_budget_even_alone_and_in_a_burst(balancers: int) -> None:
-    """Guards the budget under stress: all other backends busy, no connections yet, many clients that reconnect."""
+    """Guard the budget under stress: all other backends busy, no connections yet, many clients that reconnect."""
     warmup_ms, initial, multiple, window = 20_000.0, 0.2, 3.0, 2_000.0
     sent: list[tuple[float, float]] = []
     steady_rate = 1.0 / 40.0  # connections per millisecond that the fleet of 8 backends completes
--- a/tests/fronts/test_connection_limiter.py
+++ b/tests/fronts/test_connection_limiter.py
@@ -55,7 +55,7 @@
 
 
 def test_idle_clients_that_all_send_requests_get_a_descriptor_for_their_backends() -> None:
-    """Guards against counting idle clients once: their simultaneous requests used the descriptors of the watch."""
+    """Guard against counting idle clients once: their simultaneous requests used the descriptors of the watch."""
     limiter = ConnectionLimiter(40 + RESERVED_DESCRIPTORS, lambda: 0.0)
     while limiter.make_room():
         side = cast(Any, StubConnection())
@@ -70,7 +70,7 @@
 
 
 def test_an_idle_client_with_unread_data_is_not_closed() -> None:
-    """Guards against counting a stall of the relay as idle time: clients with an unread line were reset."""
+    """Guard against counting a stall of the relay as idle time: clients with an unread line were reset."""
     now, unread = [0.0], set[Any]()
     limiter = ConnectionLimiter(40 + RESERVED_DESCRIPTORS, lambda: now[0], lambda side: side not in unread)
     sides = []
--- a/tests/fronts/test_reentrancy.py
+++ b/tests/fronts/test_reentrancy.py
@@ -267,7 +267,7 @@
 def test_a_connection_that_ends_while_it_reports_an_event_raises_nothing_and_is_cleaned_up(
     ending: str, trigger_name: str, loop: Callable[[Coroutine[Any, Any, None]], None]
 ) -> None:
-    """Guards against using a connection that ended during the call that reported its data: resets overtook MOVE."""
+    """Guard against using a connection that ended during the call that reported its data: resets overtook MOVE."""
 
     async def body(connection: Connection) -> None:
         event, trigger = TRIGGERS[trigger_name]
@@ -289,7 +289,7 @@
 def test_a_fleet_change_while_data_is_reported_loses_no_line(
     change: str, trigger_name: str, loop: Callable[[Coroutine[Any, Any, None]], None]
 ) -> None:
-    """Guards against losing lines in transit when the endpoint list or the settings change during the call."""
+    """Guard against losing lines in transit when the endpoint list or the settings change during the call."""
 
     async def body(connection: Connection) -> None:
         event, trigger = TRIGGERS[trigger_name]
@@ -315,7 +315,7 @@
 def test_a_connection_that_ends_during_flow_control_raises_nothing(
     ending: str, callback: str, side: str, loop: Callable[[Coroutine[Any, Any, None]], None]
 ) -> None:
-    """Guards against pausing or resuming the other side's transport after that side has ended."""
+    """Guard against pausing or resuming the other side's transport after that side has ended."""
 
     async def body(connection: Connection) -> None:
         side_under_test = connection.client_side if side == "client" else connection.backend_side
--- a/tests/library/test_library.py
+++ b/tests/library/test_library.py
@@ -241,7 +241,7 @@
 
 @pytest.mark.parametrize("late_ms", [398.0, 2000.0], ids=("no time to send it", "answered at the deadline"))
 def test_a_request_that_ends_within_the_call_of_reached_is_not_sent(late_ms: float) -> None:
-    """Guards against a host that sends a request although `reached` has just found that it was rejected or aborted."""
+    """Guard against a host that sends a request although `reached` has just found that it was rejected or aborted."""
     clock = JumpingClock()
 
     async def body(placer: Placer) -> None:
--- a/tests/middleware/test_middleware.py
+++ b/tests/middleware/test_middleware.py
@@ -315,7 +315,7 @@
 
 @pytest.mark.parametrize("late_ms", [298.0, 2000.0], ids=("no time to send it", "answered at the deadline"))
 def test_a_link_is_closed_if_the_request_ends_while_it_is_opened(late_ms: float) -> None:
-    """Guards against a link that stays open and carries a request that was rejected while the link was being opened."""
+    """Guard against a link that stays open and carries a request that was rejected while the link was being opened."""
 
     async def body() -> None:
         clock, links = JumpingClock(), list[FakeLink]()
--- a/tests/routing/test_data_delays.py
+++ b/tests/routing/test_data_delays.py
@@ -45,7 +45,7 @@
 
 @pytest.mark.parametrize(("delay_ms", "expected_ms"), [(0.0, 145.0), (READ_DELAY_MS, 5.0), (500.0, 0.0)])
 def test_setup_latency_excludes_the_delay_in_this_process(delay_ms: float, expected_ms: float) -> None:
-    """Guards against load shedding due to setups that only this process delayed."""
+    """Guard against load shedding due to setups that only this process delayed."""
     reducer, _ = establish_connection(delay_ms)
     fraction = reducer.balancer.admission.setup_latency.fraction
     objective_ms = WITH_MESSAGE_OBJECTIVE[0].setup_latency_objective_ms
@@ -54,7 +54,7 @@
 
 @pytest.mark.parametrize("delay_ms", [0.0, READ_DELAY_MS])
 def test_message_latency_excludes_the_delay_in_this_process(delay_ms: float) -> None:
-    """Guards against counting a backend as slow when its answers were unread here; a slow one is still detected."""
+    """Guard against counting a backend as slow when its answers were unread here; a slow one is still detected."""
     reducer, now = establish_connection(0.0, 5.0)
     for _ in range(20):
         reducer.step(now, ClientDataForwarded(1, 1))
--- a/tests/routing/test_load_reports.py
+++ b/tests/routing/test_load_reports.py
@@ -24,7 +24,7 @@
 
 
 def test_a_message_latency_is_not_classified_as_a_load() -> None:
-    """Guards against taking a message latency of 134 ms for a tiny load, which would attract more connections."""
+    """Guard against taking a message latency of 134 ms for a tiny load, which would attract more connections."""
     classifier = LoadReportClassifier(50.0)
     assert classifier.classify(0.0, 1, 28_489.8, lambda request_id: True) is ReportKind.LOAD
     assert classifier.classify(2000.0, 1, 134.0, lambda request_id: True) is ReportKind.UNDECIDED
--- a/tests/routing/test_start_times.py
+++ b/tests/routing/test_start_times.py
@@ -100,7 +100,7 @@
 
 
 def test_a_restart_is_dated_as_reported_if_the_clocks_agree() -> None:
-    """Guards against a second slow start when the update that reports the restart arrives late, after a gap."""
+    """Guard against a second slow start when the update that reports the restart arrives late, after a gap."""
     relay = Relay()
     relay.serve(2000.0)
     relay.restart("s-3", relay.now - WARMUP_MS, since_last_update_ms=WARMUP_MS + 1000.0)
@@ -117,7 +117,7 @@
 
 @pytest.mark.parametrize("seed", (1, 2, 3))
 def test_a_backend_in_slow_start_gets_no_more_than_its_share(seed: int) -> None:
-    """Guards against overloading a cold backend with permissive settings, since its clients would have to wait."""
+    """Guard against overloading a cold backend with permissive settings, since its clients would have to wait."""
     relay = Relay(seed, warmup_ms=3000.0)
     relay.serve(3000.0)
     relay.restart("s-3", relay.now)
--- a/tests/storage/test_durable_file.py
+++ b/tests/storage/test_durable_file.py
@@ -36,7 +36,7 @@
 
 
 def test_a_temporarily_unreadable_file_does_not_count_as_lost(tmp_path: Path) -> None:
-    """Guards against recreating a voter file that is unreadable for a while.
+    """Guard against recreating a voter file that is unreadable for a while.
 
     The voter would forget its promises and break them; a voter that waits for its disk only does not respond.
     """
--- a/tests/transport/test_callback_order.py
+++ b/tests/transport/test_callback_order.py
@@ -96,7 +96,7 @@
 
 
 def test_callbacks_come_last_or_state_is_rechecked_afterwards() -> None:
-    """Guards against using a connection after a call that may have ended it: resets overtook the MOVE line."""
+    """Guard against using a connection after a call that may have ended it: resets overtook the MOVE line."""
     found: dict[str, list[str]] = {}
     for cls, method in methods():
         for statement in calls_out_with_successor(method.body, True, methods_calling_out(cls)):
--- a/tests/transport/test_callback_reentrancy.py
+++ b/tests/transport/test_callback_reentrancy.py
@@ -212,7 +212,7 @@
 @pytest.mark.parametrize("action", ACTIONS, ids=lambda action: action.__name__)
 @pytest.mark.parametrize("script", SCRIPTS, ids=lambda script: script.__name__)
 def test_any_callback_may_end_a_relayed_connection(script: Script, action: Any, loop: Run) -> None:
-    """Guards against using a connection after a call that may have ended it: uvloop drops a transport that raises."""
+    """Guard against using a connection after a call that may have ended it: uvloop drops a transport that raises."""
 
     async def body() -> None:
         with no_callback_raises():
@@ -259,7 +259,7 @@
 @pytest.mark.parametrize("name", ("endpoints_received", "watch_active", "watch_ended"))
 @pytest.mark.parametrize("last", (b"", b"0\r\n\r\n", b"1\r\n{\r\n0\r\n\r\n", b"nonsense"), ids=repr)
 def test_any_callback_may_end_a_watch(last: bytes, name: str, loop: Run) -> None:
-    """Guards against reporting lists of a watch that the previous report has ended."""
+    """Guard against reporting lists of a watch that the previous report has ended."""
 
     async def body() -> None:
         sink = EndingSink(name, lambda watch: watch.end("by its sink"))
@@ -286,7 +286,7 @@
     "answer", (b"PONG x=1\r\n", b"PONG x=1\r\nPONG x=1\r\n", b"\xff" * 5000), ids=("one", "two", "none")
 )
 def test_any_callback_may_end_a_health_check(answer: bytes, name: str, loop: Run) -> None:
-    """Guards against reading replies on a connection that the previous report has ended."""
+    """Guard against reading replies on a connection that the previous report has ended."""
 
     async def body() -> None:
         sink = EndingSink(name, lambda side: side.end(TerminationReason.NOT_SENT, "by its sink"))
@@ -308,7 +308,7 @@
 @LOOPS
 @pytest.mark.parametrize("next_check", ("leaves the other", "makes room by closing the other"))
 def test_the_report_on_a_cancelled_health_check_may_end_other_health_checks(next_check: str, loop: Run) -> None:
-    """Guards against a KeyError if the report on a cancelled check ends another that is about to be cancelled."""
+    """Guard against a KeyError if the report on a cancelled check ends another that is about to be cancelled."""
 
     async def body() -> None:
         idle = [await QuietBackend().open() for _ in range(2)]
@@ -351,7 +351,7 @@
 @LOOPS
 @pytest.mark.parametrize("event", ("received", "refused"))
 def test_any_callback_may_close_a_datagram_path(event: str, loop: Run) -> None:
-    """Guards against sending queued datagrams on a path that the report on the first datagram has closed."""
+    """Guard against sending queued datagrams on a path that the report on the first datagram has closed."""
 
     async def body() -> None:
         calls: list[str] = []
@@ -387,7 +387,7 @@
 @pytest.mark.parametrize("size", (10, 10_000_000), ids=("a short answer", "an answer larger than the buffers"))
 @pytest.mark.parametrize("ended_by", ("its route", "its caller", "nobody"))
 def test_a_call_of_the_operator_api_may_be_closed_by_its_handler_or_caller(ended_by: str, size: int, loop: Run) -> None:
-    """Guards against answering a call that its handler has closed, or whose caller has disconnected."""
+    """Guard against answering a call that its handler has closed, or whose caller has disconnected."""
 
     async def body() -> None:
         failed: list[str] = []
@@ -417,7 +417,7 @@
 @LOOPS
 @pytest.mark.parametrize("port_is", ("open", "closed"))
 def test_any_callback_may_cancel_a_connector(port_is: str, loop: Run) -> None:
-    """Guards against a second report on a connector that its first report has cancelled."""
+    """Guard against a second report on a connector that its first report has cancelled."""
 
     async def body() -> None:
         events: list[str] = []
--- a/tests/transport/test_inactivity_timer.py
+++ b/tests/transport/test_inactivity_timer.py
@@ -58,7 +58,7 @@
 
 @pytest.mark.parametrize("loop", LOOPS)
 def test_data_received_during_a_stall_is_not_inactivity(loop: Callable[[], asyncio.AbstractEventLoop]) -> None:
-    """Guards against a time-out that takes effect before the loop has polled, with unread data in the kernel."""
+    """Guard against a time-out that takes effect before the loop has polled, with unread data in the kernel."""
 
     async def body() -> None:
         receiver, peer = await connected()
@@ -135,7 +135,7 @@
 
 @pytest.mark.parametrize("loop", LOOPS)
 def test_the_sending_direction_is_closed_at_once_or_not_at_all(loop: Callable[[], asyncio.AbstractEventLoop]) -> None:
-    """Guards against closing one iteration after the check for unread data, which loses data that arrived meanwhile."""
+    """Guard against closing one iteration after the check for unread data, which loses data that arrived meanwhile."""
 
     async def body() -> None:
         receiver, peer = await connected()
@@ -155,7 +155,7 @@
 def test_data_that_arrives_during_a_stalled_poll_is_read(
     loop: Callable[[], asyncio.AbstractEventLoop], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Guards against closing a connection whose data arrived in a stall between the poll and the close."""
+    """Guard against closing a connection whose data arrived in a stall between the poll and the close."""
 
     async def body() -> None:
         receiver, peer = await connected()
@@ -192,7 +192,7 @@
 @pytest.mark.parametrize("loop", LOOPS)
 @pytest.mark.parametrize("timeout_s", (0.0, 0.0004))
 def test_a_time_out_of_zero_calls_back(loop: Callable[[], asyncio.AbstractEventLoop], timeout_s: float) -> None:
-    """Guards against a timer that never calls back: uvloop has no timers below half a millisecond."""
+    """Guard against a timer that never calls back: uvloop has no timers below half a millisecond."""
 
     async def body() -> None:
         receiver = Receiver()
--- a/tests/transport/test_listener.py
+++ b/tests/transport/test_listener.py
@@ -71,7 +71,7 @@
 
 @pytest.mark.parametrize("error", CONNECTION_ERRORS)
 def test_the_queue_is_accepted_before_its_deadlines_though_most_accepts_fail(error: str) -> None:
-    """Guards against a pause after each failing accept, during which requests waited past their deadlines."""
+    """Guard against a pause after each failing accept, during which requests waited past their deadlines."""
 
     async def body() -> None:
         port, number = free_port(), itertools.count()
@@ -88,7 +88,7 @@
 
 @pytest.mark.parametrize("error", SHORTAGES)
 def test_the_queue_is_accepted_before_its_deadlines_though_most_accepts_lack_descriptors(error: str) -> None:
-    """Guards against a pause after each call that fails in a shortage, which may have ended by the next call."""
+    """Guard against a pause after each call that fails in a shortage, which may have ended by the next call."""
 
     async def body() -> None:
         port, number = free_port(), itertools.count()
@@ -125,7 +125,7 @@
 
 @pytest.mark.parametrize("error", ("EPERM", "EMFILE"))
 def test_close_empties_the_queue_though_most_accepts_fail(error: str) -> None:
-    """Guards against closing the listening socket while connections wait in the kernel's accept queue."""
+    """Guard against closing the listening socket while connections wait in the kernel's accept queue."""
 
     async def body() -> None:
         port, number = free_port(), itertools.count()
--- a/tests/transport/test_slow_readers.py
+++ b/tests/transport/test_slow_readers.py
@@ -68,7 +68,7 @@
 
 
 def test_a_peer_that_reads_nothing_is_disconnected() -> None:
-    """Guards against a peer that occupies a descriptor for ever because unsent data is left for it."""
+    """Guard against a peer that occupies a descriptor for ever because unsent data is left for it."""
 
     async def body() -> None:
         port, loop = free_port(), asyncio.get_running_loop()
--- a/yarrowspindle/commands/api_client.py
+++ b/yarrowspindle/commands/api_client.py
@@ -20,7 +20,7 @@
 def resolve_address(option: str | None, configured: Address | None, key: str) -> Address:
     """Return the address of the API: that of the `--at` option, else the configured one.
 
-    Raises click.ClickException if neither is given, and click.BadParameter if the option is invalid. `key` is the key
+    Raise click.ClickException if neither is given, and click.BadParameter if the option is invalid. `key` is the key
     of the configured address for the error message.
     """
     if option is None:
@@ -38,7 +38,7 @@
 def call(address: Address, server: str, method: str, path: str, parameters: dict[str, Any] | None = None) -> Any:
     """Return the decoded JSON response. `server` is the kind of process for error messages.
 
-    Raises click.ClickException if there is no response, or if it reports an error.
+    Raise click.ClickException if there is no response, or if it reports an error.
     """
     connection = http.client.HTTPConnection(*address, timeout=TIMEOUT_S)
     try:
--- a/yarrowspindle/commands/configuration.py
+++ b/yarrowspindle/commands/configuration.py
@@ -31,14 +31,14 @@
 
 
 def call_controller(at: str | None, method: str, path: str, body: dict[str, Any] | None = None) -> Any:
-    """Call the controller at `at`, else at the address in the operator's file. Raises ClickException."""
+    """Call the controller at `at`, else at the address in the operator's file. Raise ClickException."""
     settings = configured_settings() if at is None else None
     address = resolve_address(at, settings.command if settings else None, "control.command")
     return call(address, "controller", method, path, body)
 
 
 def request_change(at: str | None, step: Step) -> None:
-    """Request a change and wait until it is committed. Raises ClickException if it is rejected."""
+    """Request a change and wait until it is committed. Raise ClickException if it is rejected."""
     ticket = call_controller(at, "PUT", "/control/change", {"step": step})["ticket"]
     deadline = time.monotonic() + ANSWER_TIMEOUT_S
     while time.monotonic() < deadline:
@@ -55,7 +55,7 @@
 
 
 def reject_constant(text: str) -> float:
-    """Reject NaN and the infinities, which JSON does not have. Raises ValueError."""
+    """Reject NaN and the infinities, which JSON does not have. Raise ValueError."""
     raise ValueError(f"{text} is not a number in JSON")
 
 
@@ -121,7 +121,7 @@
 
 
 def read_file(file: Path) -> PlatformSettings:
-    """Read a platform's file. Raises ClickException if it has no settings."""
+    """Read a platform's file. Raise ClickException if it has no settings."""
     try:
         data = json.loads(file.read_text(encoding="utf-8"), parse_constant=reject_constant)
         return read_platform_settings(data.get("settings", data))
--- a/yarrowspindle/configuration/change_proposals.py
+++ b/yarrowspindle/configuration/change_proposals.py
@@ -134,7 +134,7 @@
         return bool(context.identity) and committed_identity != context.identity
 
     def _has_orders_to_propose(self) -> bool:
-        """Whether a queued order justifies a round now.
+        """Return whether a queued order justifies a round now.
 
         An order that is not the next of its controller, according to the state known here, starts a round only at
         intervals: its predecessor may never arrive.
--- a/yarrowspindle/configuration/controller.py
+++ b/yarrowspindle/configuration/controller.py
@@ -162,7 +162,7 @@
             handler(event.sender, event.message)
 
     def _is_known_sender(self, event: MessageReceived) -> bool:
-        """Whether a message between controllers comes from the configured address of the controller that it names.
+        """Return whether a message between controllers comes from the configured address of the controller it names.
 
         Otherwise a process that was given a controller's name by mistake could vote in its place. Relays are not listed
         in the settings, so their messages are accepted from any address.
--- a/yarrowspindle/configuration/peer_controllers.py
+++ b/yarrowspindle/configuration/peer_controllers.py
@@ -43,7 +43,7 @@
     lagging_summaries: int = 0
 
     def is_older_than(self, sender: Sender) -> bool:
-        """Whether the sender sent its message after the newest summary received."""
+        """Return whether the sender sent its message after the newest summary received."""
         return (sender.incarnation, sender.sent_at) > (self.incarnation, self.summary_sent_at)
 
 
--- a/yarrowspindle/configuration/relay_sessions.py
+++ b/yarrowspindle/configuration/relay_sessions.py
@@ -56,7 +56,7 @@
     grace_ends_at: float = 0.0
 
     def is_older_than(self, incarnation: int, sent_at: int) -> bool:
-        """Whether a message with this incarnation and sending time is newer than the last one from this relay."""
+        """Return whether a message with this incarnation and sending time is newer than the last one of this relay."""
         return (incarnation, sent_at) > (self.sender.incarnation, self.sender.sent_at)
 
 
@@ -135,7 +135,7 @@
             del self.relays[address]
 
     def is_live(self, relay: AttachedRelay) -> bool:
-        """Whether a heartbeat of the relay was received within RELAY_TIMEOUT_MS."""
+        """Return whether a heartbeat of the relay was received within RELAY_TIMEOUT_MS."""
         return self.context.now <= relay.last_heartbeat_at + RELAY_TIMEOUT_MS
 
     # --- one heartbeat --------------------------------------------------------------------------
--- a/yarrowspindle/configuration/state.py
+++ b/yarrowspindle/configuration/state.py
@@ -138,11 +138,11 @@
         return replace(self, epoch=epoch)
 
     def is_settled(self, order: ChangeOrder) -> bool:
-        """Whether this order, or a later order of the same controller, is settled."""
+        """Return whether this order, or a later order of the same controller, is settled."""
         return (order.incarnation, order.number) <= self.last_settled.get(order.accepted_by, (0, 0))
 
     def is_next(self, order: ChangeOrder) -> bool:
-        """Whether this order is the next one of its controller to be settled."""
+        """Return whether this order is the next one of its controller to be settled."""
         incarnation, number = self.last_settled.get(order.accepted_by, (0, 0))
         follows = (order.incarnation, order.number) == (incarnation, number + 1)
         begins_incarnation = order.incarnation > incarnation and order.number == 1
--- a/yarrowspindle/consensus/acceptor.py
+++ b/yarrowspindle/consensus/acceptor.py
@@ -84,7 +84,7 @@
         return Accepted(message.ballot, stored.identity)
 
     def _promise_expired(self, ballot: Ballot) -> bool:
-        """Whether this ballot was promised more than PROMISE_VALIDITY_MS ago and nothing was accepted under it.
+        """Return whether this ballot was promised more than PROMISE_VALIDITY_MS ago and nothing was accepted under it.
 
         Its proposer has then abandoned the round. This is not needed for safety, but the delayed proposal was computed
         from outdated conditions; a proposer that is rejected retries with current ones.
--- a/yarrowspindle/consensus/proposer.py
+++ b/yarrowspindle/consensus/proposer.py
@@ -49,7 +49,7 @@
         return acceptors
 
     def has_majority(self) -> bool:
-        """Whether a majority of each voter set, and all required acceptors, have accepted the proposed state."""
+        """Return whether a majority of each voter set, and all required acceptors, have accepted the proposed state."""
         if self.proposed is None:
             return False
         for voters in (self.base.voters, self.proposed.voters):
@@ -155,7 +155,7 @@
 
     def _on_rejected(self, current: ProposalRound[StateT], message: Rejected[StateT]) -> list[Effect[StateT]]:
         # A single rejection because of an old epoch is not conclusive: the later epoch may stem from a failed change of
-        # the voters. If that change was committed, so many acceptors reject that the rest are not a majority.
+        # the voters. If that change was committed, the acceptors that do not reject are fewer than a majority.
         current.rejections += 1
         newer = message.newer
         if newer is not None and (current.newer_state is None or newer.epoch > current.newer_state.epoch):
--- a/yarrowspindle/daemon/config.py
+++ b/yarrowspindle/daemon/config.py
@@ -44,7 +44,7 @@
 
     Attributes:
         name: the name of this relay, which a restart does not change.
-        listen: the address where clients connect.
+        listen: the address at which clients connect.
         discovery: the address of the discovery service.
         seed: the seed of the random source; each start has a new one.
         settings: the balancer's settings.
@@ -104,14 +104,14 @@
 
 
 def parse_settings(raw: Mapping[str, Any]) -> Settings:
-    """Read the member `settings`. Raises SettingsError if a member is missing or invalid."""
-    # A single slow-message report cannot be told from a load report (routing/load_reports.py), and it arrives only
-    # after the message was slow, so the balancer also uses the relay's own load.
+    """Read the member `settings`. Raise SettingsError if a member is missing or invalid."""
+    # A single slow-message report cannot be distinguished from a load report (routing/load_reports.py), and it arrives
+    # only after the message was slow, so the balancer also uses the relay's own load.
     return replace(read_settings(dict(flatten(raw))), uses_own_load=True)
 
 
 def read_config(data: Mapping[str, Any]) -> Config:
-    """Read the decoded configuration file. Raises ConfigError if a member is missing or invalid."""
+    """Read the decoded configuration file. Raise ConfigError if a member is missing or invalid."""
     try:
         raw = data["settings"]
         names = ZoneAndKindNames(
@@ -140,7 +140,7 @@
 
 
 def load_config(environ: Mapping[str, str] = os.environ) -> Config:
-    """Read the file that `ROUTER_CONFIG` names. Raises ConfigError if it cannot be read or is invalid."""
+    """Read the file that `ROUTER_CONFIG` names. Raise ConfigError if it cannot be read or is invalid."""
     path = environ.get("ROUTER_CONFIG")
     if not path:
         raise ConfigError("ROUTER_CONFIG is not set; expected the path of the configuration file")
--- a/yarrowspindle/daemon/maintenance_commands.py
+++ b/yarrowspindle/daemon/maintenance_commands.py
@@ -90,7 +90,7 @@
     def queue_request(self, settings: RequestSettings, known_version: float) -> str:
         """Queue a request for the backends that the settings select, and return its id.
 
-        `known_version` is that of `QueueRequest`. Raises MaintenanceError if a zone, kind or backend is unknown.
+        `known_version` is that of `QueueRequest`. Raise MaintenanceError if a zone, kind or backend is unknown.
         """
         listed = {
             name: backend.endpoint
@@ -127,7 +127,7 @@
         return number
 
     def _evacuation(self, parameters: Parameters, stages: tuple[str, ...]) -> tuple[str, int]:
-        """Return the named backend and its evacuation's number. Raises MaintenanceError unless its stage is listed."""
+        """Return the named backend and its evacuation's number. Raise MaintenanceError unless its stage is listed."""
         backend = _required_text(parameters, "machine")
         evacuation = self.coordinator.state.evacuations.get(backend)
         if evacuation is None:
@@ -202,7 +202,7 @@
 
 
 def _select(numbers: Mapping[str, int], wanted_name: str, known: Sequence[str]) -> tuple[str, ...]:
-    """Return the backends whose zone or kind has this name. Raises MaintenanceError if there are none."""
+    """Return the backends whose zone or kind has this name. Raise MaintenanceError if there are none."""
     if wanted_name not in known:
         raise MaintenanceError(f"{wanted_name!r} is unknown; expected one of {', '.join(known)}")
     wanted_number = known.index(wanted_name)
--- a/yarrowspindle/daemon/maintenance_endpoint.py
+++ b/yarrowspindle/daemon/maintenance_endpoint.py
@@ -175,7 +175,7 @@
         self.core.proposer.membership_hint = max(self.initial, stored.state, key=lambda state: state.epoch)
 
     async def _load_voter_file(self) -> AcceptorState[MaintenanceState]:
-        """Return the content of the file, with retries while it cannot be read. Raises FileUnavailableError."""
+        """Return the content of the file, with retries while it cannot be read. Raise FileUnavailableError."""
         last_failure = ""
         while True:
             try:
--- a/yarrowspindle/daemon/metrics_reporter.py
+++ b/yarrowspindle/daemon/metrics_reporter.py
@@ -62,7 +62,7 @@
 
 
 async def open_datagrams(address: Address) -> UdpMetricsSender:
-    """Open a UDP socket to this address. Raises OSError if the system cannot provide one."""
+    """Open a UDP socket to this address. Raise OSError if the system cannot provide one."""
     datagrams = UdpMetricsSender()
     await asyncio.get_running_loop().create_datagram_endpoint(lambda: datagrams, remote_addr=address)
     return datagrams
--- a/yarrowspindle/daemon/operator_config.py
+++ b/yarrowspindle/daemon/operator_config.py
@@ -75,7 +75,7 @@
 
 
 def read_operator_config(text: str) -> OperatorConfig:
-    """Read the text of the file. Raises ConfigError, whose message names the invalid section or key."""
+    """Read the text of the file. Raise ConfigError, whose message names the invalid section or key."""
     try:
         data = tomllib.loads(text)
         _check_sections(data)
@@ -94,7 +94,7 @@
 
 
 def load_operator_config(environ: Mapping[str, str] = os.environ) -> OperatorConfig:
-    """Read the file that the environment names; without one, all features are off. Raises ConfigError."""
+    """Read the file that the environment names; without one, all features are off. Raise ConfigError."""
     path = environ.get(FILE_VARIABLE)
     if not path:
         return OperatorConfig()
--- a/yarrowspindle/daemon/relay_configuration.py
+++ b/yarrowspindle/daemon/relay_configuration.py
@@ -118,7 +118,7 @@
     def _load(file: DurableFile[Persist]) -> Persist:
         """Read the file, with retries, since the stored settings must be in force for the first request.
 
-        Raises FileUnavailableError if there is no usable file.
+        Raise FileUnavailableError if there is no usable file.
         """
         for _ in range(MAX_READ_ATTEMPTS - 1):
             try:
--- a/yarrowspindle/daemon/voter_file.py
+++ b/yarrowspindle/daemon/voter_file.py
@@ -19,5 +19,5 @@
         super().__init__(directory, owner, cluster, FILE)
 
     def initialize(self, voters: tuple[str, ...]) -> None:
-        """Create the first file, for these voters. Raises the errors of `VoterFile.create_initial`."""
+        """Create the first file, for these voters. Raise the errors of `VoterFile.create_initial`."""
         self.create_initial(initial_state(voters))
--- a/yarrowspindle/interface.py
+++ b/yarrowspindle/interface.py
@@ -48,7 +48,7 @@
 
 
 def __getattr__(name: str) -> object:
-    """Return the object that a deprecated name stands for, with a `DeprecationWarning`."""
+    """Return the object of a deprecated name and issue a `DeprecationWarning`."""
     if name not in _CURRENT:
         raise AttributeError(f"module {__name__!r} has no attribute {name!r}")
     module, current = _CURRENT[name]
--- a/yarrowspindle/lab/model/deployments.py
+++ b/yarrowspindle/lab/model/deployments.py
@@ -71,7 +71,7 @@
 
 
 def hang(fleet: Fleet) -> None:
-    """Some backends accept connections and answer nothing, and recover at the end."""
+    """Let some backends accept connections and answer nothing, until the end of the scenario."""
     backends = most_loaded(fleet, 0.15)
     for backend in backends:
         backend.hanging = True
@@ -81,7 +81,7 @@
 
 
 def vanish(fleet: Fleet) -> None:
-    """Some backends leave the network without a notice; the endpoint list follows 6 s later. They restart cold."""
+    """Disconnect some backends without a notice; the endpoint list follows 6 s later. They restart cold."""
     backends = most_loaded(fleet, 0.15)
     for backend in backends:
         backend.unreachable = True
@@ -92,7 +92,7 @@
 
 
 def slow(fleet: Fleet) -> None:
-    """Some backends are six times slower."""
+    """Make some backends six times slower."""
     backends = most_loaded(fleet, 0.2)
     for backend in backends:
         backend.slowdown = 6.0
@@ -102,7 +102,7 @@
 
 
 def pauses(fleet: Fleet) -> None:
-    """Half of the backends pause for 170 ms every 2 s, which is too short to treat them as failed."""
+    """Pause half of the backends for 170 ms every 2 s, which is too short to treat them as failed."""
     backends = most_loaded(fleet, 0.5)
     for step in range(round(SCENARIO_S)):
         for index, backend in enumerate(backends):
@@ -112,14 +112,14 @@
 
 
 def burst(fleet: Fleet) -> None:
-    """Additional clients, 60 % of the usual number, arrive within 5 s."""
+    """Add clients, 60 % of the usual number, within 5 s."""
     for _ in range(round(0.6 * fleet.spec.connections)):
         fleet.clock.after(fleet.random.uniform(0.0, 5000.0), fleet.add_client)
     fleet.run(SCENARIO_S)
 
 
 def drain(fleet: Fleet) -> None:
-    """Some backends drain for 6 s, stop, and restart cold."""
+    """Drain some backends for 6 s, stop them, and restart them cold."""
     backends = most_loaded(fleet, 0.2)
     fleet.drain(*backends)
     fleet.run(6.0)
--- a/yarrowspindle/lab/model/maintenance_model_checker.py
+++ b/yarrowspindle/lab/model/maintenance_model_checker.py
@@ -90,7 +90,7 @@
     path: tuple[str, ...] = ()
 
     def key(self) -> bytes:
-        """Return a digest that is equal for states which need not be told apart."""
+        """Return a digest that is equal for states which need not be distinguished."""
         relays = [(relay.core, sorted(relay.used_backends)) for relay in self.relays]
         encoded = _encode([relays, sorted(self.messages), self.committed, self.crashes, self.placements])
         return blake2b(encoded, digest_size=16).digest()
--- a/yarrowspindle/lab/processes/fleet_messages.py
+++ b/yarrowspindle/lab/processes/fleet_messages.py
@@ -9,7 +9,7 @@
 
 
 class ProxyAddress(msgspec.Struct, frozen=True):
-    """Where the proxy from a relay to a backend listens."""
+    """The address at which the proxy from a relay to a backend listens."""
 
     relay: str
     backend: str
--- a/yarrowspindle/lab/processes/proxy.py
+++ b/yarrowspindle/lab/processes/proxy.py
@@ -23,7 +23,7 @@
 
     Args:
         target: name of the relay.
-        relay_address: where the relay listens.
+        relay_address: address at which the relay listens.
         names_by_address: names of the participants by the addresses that they send from.
         faulty_network: decides which datagrams arrive and when.
         on_datagram: called for each datagram with its source, its target, its data and the number of delivered copies.
@@ -122,7 +122,7 @@
     Args:
         source: name of the relay.
         target: name of the server.
-        server_address: where the server listens.
+        server_address: address at which the server listens.
         faulty_network: knows the active partitions.
 
     Attributes:
--- a/yarrowspindle/lab/processes/stand_ins.py
+++ b/yarrowspindle/lab/processes/stand_ins.py
@@ -23,7 +23,7 @@
 
     Args:
         name: name in the endpoint list: "n" and a number.
-        address: where it listens.
+        address: address at which it listens.
         random: draws the lifetimes of connections.
         lifetime_s: mean lifetime of a connection.
     """
--- a/yarrowspindle/library/placement.py
+++ b/yarrowspindle/library/placement.py
@@ -304,7 +304,7 @@
     def ask_to_end(self, reason: TerminationReason) -> None:
         """Ask the host to end the connection by setting `moved`.
 
-        Does nothing while the host waits for a backend, or if it was asked before.
+        Do nothing while the host waits for a backend, or if it was asked before.
         """
         if self.waiting is None and not self.is_moved:
             self.reason = reason
--- a/yarrowspindle/library/placer.py
+++ b/yarrowspindle/library/placer.py
@@ -237,7 +237,7 @@
     def place(self, **request: Any) -> PlacementContext:
         """Return the context manager that places a request: `async with placer.place(key=7) as placement`.
 
-        Takes the arguments of `arrival`. Entering the context raises the errors of `begin`.
+        The arguments are those of `arrival`. Entering the context raises the errors of `begin`.
         """
         return PlacementContext(self, self.arrival(**request))
 
--- a/yarrowspindle/maintenance/state.py
+++ b/yarrowspindle/maintenance/state.py
@@ -289,7 +289,7 @@
         return self.successor(requests={**self.requests, request_id: cancelled}, evacuations=evacuations)
 
     def with_work_completed(self, backend: str, number: int) -> MaintenanceState | None:
-        """Return a free backend to service, where it warms up. The number of an earlier evacuation has no effect."""
+        """Return a free backend to service, in the stage WARMING. The number of an earlier evacuation has no effect."""
         evacuation = self.evacuations.get(backend)
         if evacuation is None or evacuation.stage != FREE or evacuation.number != number:
             return None
--- a/yarrowspindle/membership/members.py
+++ b/yarrowspindle/membership/members.py
@@ -205,7 +205,7 @@
         return MemberChange(local, update.state)
 
     def _make_room(self) -> bool:
-        """If the table is full, evict the member that has been dead or left the longest.
+        """Evict the member that has been dead or left the longest, if the table is full.
 
         Returns:
             Whether one more member fits.
--- a/yarrowspindle/middleware/streams.py
+++ b/yarrowspindle/middleware/streams.py
@@ -22,7 +22,7 @@
 EVENT_STREAM_RECONNECT_MS = 400  # the delay that an event stream sets for its client to reconnect
 WS_NORMAL_CLOSURE = 1000
 WS_INTERNAL_ERROR = 1011
-ALREADY_CLOSED = 0  # stands for a close code: the client has closed the websocket itself
+ALREADY_CLOSED = 0  # used in place of a close code: the client has closed the websocket itself
 
 
 class Link(Protocol):
@@ -43,7 +43,7 @@
         """
 
     async def close(self) -> None:
-        """Closes the connection."""
+        """Close the connection."""
 
 
 class LineLink:
@@ -67,7 +67,7 @@
         await self.writer.drain()
 
     async def close(self) -> None:
-        """Closes the connection."""
+        """Close the connection."""
         self.writer.close()
 
 
--- a/yarrowspindle/operator_api/http.py
+++ b/yarrowspindle/operator_api/http.py
@@ -230,7 +230,7 @@
         self.server: asyncio.Server | None = None
 
     async def start(self, host: str, port: int) -> None:
-        """Start to listen. Raises OSError if the address is not available."""
+        """Start to listen. Raise OSError if the address is not available."""
         loop = asyncio.get_running_loop()
         self.server = await loop.create_server(lambda: Call(self), host, port, backlog=LISTEN_BACKLOG)
 
--- a/yarrowspindle/protocol/lines.py
+++ b/yarrowspindle/protocol/lines.py
@@ -101,7 +101,7 @@
 class OpeningReader:
     """Parser of a client's data before its connection is established: a few probes, then one OPEN line and no more.
 
-    Memory is bounded and the time is linear in the input, whatever its size and the chunks in which it arrives.
+    Memory is bounded and the time is linear in the input, regardless of its size and of the chunks in which it arrives.
     """
 
     __slots__ = ("rest", "probes")
--- a/yarrowspindle/rebalancing/migration_monitor.py
+++ b/yarrowspindle/rebalancing/migration_monitor.py
@@ -79,7 +79,7 @@
         self.period_migrations = 0.0
 
     def on_migration(self, now: float) -> None:
-        """Record that this relay told a client to reconnect."""
+        """Record that this relay asked a client to reconnect."""
         self.migrated.add(now)
         self.period_migrations += 1.0
 
--- a/yarrowspindle/replay/recorded_form.py
+++ b/yarrowspindle/replay/recorded_form.py
@@ -115,7 +115,7 @@
     events.PeerLoadsUpdated: {"loads": "others"},
 }
 
-# The texts that stand for the termination reasons of attempts in a sequence.
+# The texts that represent the termination reasons of attempts in a sequence.
 ENDINGS: Mapping[TerminationReason, str] = {
     TerminationReason.COMPLETED: "the execute node served it to its end",
     TerminationReason.BACKEND_DRAINING: "the execute node asked the submitter to come again",
--- a/yarrowspindle/replay/sequence.py
+++ b/yarrowspindle/replay/sequence.py
@@ -46,7 +46,7 @@
 
 
 class Recorder:
-    """Write a sequence: append `event` to `Runtime.event_observers`, or call it with each event and its time.
+    """A writer of a sequence: append `event` to `Runtime.event_observers`, or call it with each event and its time.
 
     Args:
         out: The binary file to which the sequence is written.
