--- a/tests/transport/test_callback_reentrancy.py
+++ b/tests/transport/test_callback_reentrancy.py
@@ -340,7 +340,7 @@
 
 
 class QuietBackend:
-    """Accepts connections and sends nothing."""
+    """A backend that accepts connections and sends nothing."""
 
     async def open(self) -> QuietBackend:
         self.server = await asyncio.get_running_loop().create_server(asyncio.Protocol, "127.0.0.1", 0)
--- a/tests/transport/test_inactivity_timer.py
+++ b/tests/transport/test_inactivity_timer.py
@@ -26,7 +26,7 @@
 
 
 class Receiver(asyncio.Protocol):
-    """Cancels its time-out when data arrives."""
+    """A receiver that cancels its time-out when data arrives."""
 
     def __init__(self) -> None:
         self.received = b""
--- a/tests/transport/test_slow_readers.py
+++ b/tests/transport/test_slow_readers.py
@@ -17,7 +17,7 @@
 
 
 class Sender(LineConnection):
-    """Writes `size` bytes as soon as it is connected, and closes the connection gracefully."""
+    """A sender that writes `size` bytes once it is connected, and closes the connection gracefully."""
 
     def __init__(self, size: int) -> None:
         super().__init__()
--- a/yarrowspindle/configuration/agent.py
+++ b/yarrowspindle/configuration/agent.py
@@ -41,7 +41,7 @@
 
 
 class Agent:
-    """Receives the shared settings for one relay.
+    """Receiver of the shared settings for one relay.
 
     Args:
         controllers: The controllers, in this relay's order of preference.
--- a/yarrowspindle/configuration/controller.py
+++ b/yarrowspindle/configuration/controller.py
@@ -38,7 +38,7 @@
 
 
 class Controller:
-    """Dispatches events to the components of a controller.
+    """Dispatcher of events to the components of a controller.
 
     Args:
         address: This controller's own entry of `addresses`.
--- a/yarrowspindle/configuration/link.py
+++ b/yarrowspindle/configuration/link.py
@@ -43,7 +43,7 @@
 
 
 class Link:
-    """Encodes and decodes the messages between this process and all others.
+    """Encoder and decoder of the messages between this process and all others.
 
     All times are in milliseconds of this process's monotonic clock.
 
--- a/yarrowspindle/configuration/status.py
+++ b/yarrowspindle/configuration/status.py
@@ -136,7 +136,7 @@
 
 
 class StatusReporter:
-    """Derives a controller's reports from the state of its components."""
+    """A reporter that derives a controller's reports from the state of its components."""
 
     def __init__(
         self,
--- a/yarrowspindle/consensus/acceptor.py
+++ b/yarrowspindle/consensus/acceptor.py
@@ -30,7 +30,7 @@
 
 
 class Acceptor(Generic[StateT]):
-    """Responds to proposers' requests.
+    """The acceptor, which responds to proposers' requests.
 
     Args:
         stored: The state that was read from the file.
--- a/yarrowspindle/consensus/proposer.py
+++ b/yarrowspindle/consensus/proposer.py
@@ -90,7 +90,7 @@
 
 
 class Proposer(Generic[StateT]):
-    """Proposes changes of the register, under ballots with its own name.
+    """The proposer of changes of the register, under ballots with its own name.
 
     A change is a function that receives the state that was read and returns its successor, or None to leave the state
     unchanged. It may be called again with another state, and an earlier result of it may already be committed.
--- a/yarrowspindle/daemon/settings_update.py
+++ b/yarrowspindle/daemon/settings_update.py
@@ -46,7 +46,7 @@
 
 
 class _ClassNumbering:
-    """Assigns numbers to the request classes of new settings, next to the numbers that are still in use."""
+    """Assignment of numbers to the request classes of new settings, next to the numbers that are still in use."""
 
     def __init__(self, old: Config, used_numbers: Collection[int]) -> None:
         self.names = list(old.classes)
--- a/yarrowspindle/decisions/admission.py
+++ b/yarrowspindle/decisions/admission.py
@@ -100,7 +100,7 @@
 
 
 class Admission:
-    """Decides whether a new request is rejected immediately.
+    """The component that decides whether a new request is rejected immediately.
 
     Attributes:
         cost_placement: the cost model if backends report their load, else None.
--- a/yarrowspindle/decisions/backend_registry.py
+++ b/yarrowspindle/decisions/backend_registry.py
@@ -10,7 +10,10 @@
 
 
 class BackendRegistry:
-    """Applies endpoint lists and counts own connections; keeps rings, slow start and estimates consistent."""
+    """Registry that applies endpoint lists and counts own connections.
+
+    It keeps rings, slow start and estimates consistent.
+    """
 
     def __init__(self, state: BalancerState, slow_start: SlowStart) -> None:
         self.state, self.slow_start = state, slow_start
--- a/yarrowspindle/decisions/cost_placement.py
+++ b/yarrowspindle/decisions/cost_placement.py
@@ -34,7 +34,7 @@
 
 
 class CostPlacement:
-    """Chooses the backend at which a connection costs least.
+    """The component that chooses the backend at which a connection costs least.
 
     Args:
         estimates: the estimated utilization of backends.
--- a/yarrowspindle/decisions/discovery_polling.py
+++ b/yarrowspindle/decisions/discovery_polling.py
@@ -13,7 +13,11 @@
 
 
 class DiscoveryPolling:
-    """Polls discovery with backoff and jitter, one call at a time. failures: number of consecutive failed polls."""
+    """Polling of discovery with backoff and jitter, one call at a time.
+
+    Attributes:
+        failures: number of consecutive failed polls.
+    """
 
     def __init__(self, state: BalancerState) -> None:
         self.state = state
--- a/yarrowspindle/decisions/health_checks.py
+++ b/yarrowspindle/decisions/health_checks.py
@@ -16,7 +16,7 @@
 
 
 class HealthChecks:
-    """Checks backends periodically, within a credit that new connections add to.
+    """Periodic checks of backends, within a credit that new connections add to.
 
     credit: number of health checks that may be sent.
     """
--- a/yarrowspindle/decisions/migration.py
+++ b/yarrowspindle/decisions/migration.py
@@ -39,7 +39,11 @@
 
 
 class Migration:
-    """Decides which connections are migrated. cost_placement: the cost model if backends report their load."""
+    """The component that decides which connections are migrated.
+
+    Args:
+        cost_placement: the cost model if backends report their load.
+    """
 
     def __init__(
         self,
--- a/yarrowspindle/decisions/placement.py
+++ b/yarrowspindle/decisions/placement.py
@@ -29,7 +29,7 @@
 
 
 class Placement:
-    """Chooses backends for attempts.
+    """The component that chooses backends for attempts.
 
     Args:
         state: the state of the balancer.
--- a/yarrowspindle/decisions/request_lifecycle.py
+++ b/yarrowspindle/decisions/request_lifecycle.py
@@ -34,7 +34,7 @@
 
 
 class RequestLifecycle:
-    """Handles the events of requests and carries out the decisions of placement, admission and retries."""
+    """Handler of the events of requests, which carries out the decisions of placement, admission and retries."""
 
     def __init__(
         self,
--- a/yarrowspindle/fronts/connection_limiter.py
+++ b/yarrowspindle/fronts/connection_limiter.py
@@ -39,7 +39,7 @@
 
 
 class ConnectionLimiter:
-    """Counts connections and closes idle ones to make room for new ones.
+    """A limiter that counts connections and closes idle ones to make room for new ones.
 
     Args:
         max_descriptors: descriptors for all connections, including the reserved ones.
--- a/yarrowspindle/lab/faults.py
+++ b/yarrowspindle/lab/faults.py
@@ -219,7 +219,7 @@
 
 
 class FaultyNetwork:
-    """Decides which datagrams arrive, when and how often, while faults are active.
+    """A network that decides which datagrams arrive, when and how often, while faults are active.
 
     Args:
         seed: seed of the random generators; each ordered pair of participants has its own generator.
--- a/yarrowspindle/lab/model/maintenance_defects.py
+++ b/yarrowspindle/lab/model/maintenance_defects.py
@@ -25,7 +25,7 @@
 
 
 class BreaksPromises(Acceptor[MaintenanceState]):
-    """Accepts a proposal with a lower ballot than it has promised."""
+    """An acceptor that accepts a proposal with a lower ballot than it has promised."""
 
     def on_message(
         self, message: Prepare | Accept[MaintenanceState]
@@ -37,7 +37,7 @@
 
 
 class ForgetsPromises(Acceptor[MaintenanceState]):
-    """Sends promises without storing them."""
+    """An acceptor that sends promises without storing them."""
 
     def on_message(
         self, message: Prepare | Accept[MaintenanceState]
@@ -48,7 +48,7 @@
 
 
 class HidesAcceptedState(Acceptor[MaintenanceState]):
-    """Sends promises with its initial state instead of the state that it accepted."""
+    """An acceptor that sends promises with its initial state instead of the state that it accepted."""
 
     def __init__(self, stored: AcceptorState[MaintenanceState], store: Any, now_ms: Any) -> None:
         super().__init__(stored, store, now_ms)
@@ -69,7 +69,7 @@
 
 
 class CountsDuplicateVotes(Proposer[MaintenanceState]):
-    """Counts a duplicate promise or acceptance as that of another acceptor."""
+    """A proposer that counts a duplicate promise or acceptance as that of another acceptor."""
 
     def _on_promise(
         self, current: ProposalRound[MaintenanceState], source: str, promise: Promise[MaintenanceState]
@@ -87,7 +87,7 @@
 
 
 class MajorityOffByOne(Proposer[MaintenanceState]):
-    """Takes one acceptor less than a majority as a majority: half of an odd number, rounded down."""
+    """A proposer that takes one acceptor less than a majority as a majority: half of an odd number, rounded down."""
 
     def _on_promise(
         self, current: ProposalRound[MaintenanceState], source: str, promise: Promise[MaintenanceState]
@@ -102,7 +102,7 @@
 
 
 class ProposesOwnState(Proposer[MaintenanceState]):
-    """Proposes changes to the state that it knows instead of the state in the promises."""
+    """A proposer that proposes changes to the state that it knows instead of the state in the promises."""
 
     def _on_promise(
         self, current: ProposalRound[MaintenanceState], source: str, promise: Promise[MaintenanceState]
@@ -111,7 +111,7 @@
 
 
 class AdoptsOldestPromise(Proposer[MaintenanceState]):
-    """Bases its proposal on the promise with the lowest accepted ballot instead of the highest."""
+    """A proposer that bases its proposal on the promise with the lowest accepted ballot instead of the highest."""
 
     def _on_promise(
         self, current: ProposalRound[MaintenanceState], source: str, promise: Promise[MaintenanceState]
@@ -124,7 +124,7 @@
 
 
 class AcceptsEarlierBallots(Proposer[MaintenanceState]):
-    """Counts responses to earlier rounds for the current round."""
+    """A proposer that counts responses to earlier rounds for the current round."""
 
     def on_message(self, source: str, message: Any) -> Any:
         if self.round is not None and not isinstance(message, Rejected):
@@ -133,7 +133,7 @@
 
 
 class CommitsOnProposal(Proposer[MaintenanceState]):
-    """Treats a state as committed as soon as it is proposed."""
+    """A proposer that treats a state as committed as soon as it is proposed."""
 
     def _on_promise(
         self, current: ProposalRound[MaintenanceState], source: str, promise: Promise[MaintenanceState]
@@ -146,7 +146,7 @@
 
 
 class SkipsVersionCheck(Proposer[MaintenanceState]):
-    """Records the last state that it receives, without comparing versions."""
+    """A proposer that records the last state that it receives, without comparing versions."""
 
     def on_committed(self, state: MaintenanceState) -> None:
         self.newest_committed = self.membership_hint = state
@@ -156,14 +156,14 @@
 
 
 class SkipsOneConfirmation(MaintenanceState, frozen=True):
-    """Treats a backend as free while one confirmation is missing."""
+    """A state that treats a backend as free while one confirmation is missing."""
 
     def unconfirmed_relays(self, backend: str) -> list[str]:
         return super().unconfirmed_relays(backend)[1:]
 
 
 class ReusesEvacuationNumbers(MaintenanceState, frozen=True):
-    """Gives each evacuation the number 1, so that a confirmation of an earlier one counts."""
+    """A state that gives each evacuation the number 1, so that a confirmation of an earlier one counts."""
 
     def _with_next_evacuation(self, backends: Mapping[str, BackendObservation]) -> MaintenanceState | None:
         granted = super()._with_next_evacuation(backends)
@@ -185,7 +185,7 @@
 
 
 class ExceedsUnavailableLimit(MaintenanceState, frozen=True):
-    """Evacuates one backend more than the limits of the request allow."""
+    """A state that evacuates one backend more than the limits of the request allow."""
 
     def _with_next_evacuation(self, backends: Mapping[str, BackendObservation]) -> MaintenanceState | None:
         requests = {
@@ -206,7 +206,7 @@
 
 
 class IgnoresZoneLimit(MaintenanceState, frozen=True):
-    """Ignores the limit per zone: each backend counts as in a zone of its own."""
+    """A state that ignores the limit per zone: each backend counts as in a zone of its own."""
 
     def _with_next_evacuation(self, backends: Mapping[str, BackendObservation]) -> MaintenanceState | None:
         return super()._with_next_evacuation(
@@ -218,7 +218,7 @@
 
 
 class InheritsConfirmations(MaintenanceState, frozen=True):
-    """Keeps the confirmations of earlier evacuations for a new one."""
+    """A state that keeps the confirmations of earlier evacuations for a new one."""
 
     def _with_next_evacuation(self, backends: Mapping[str, BackendObservation]) -> MaintenanceState | None:
         granted = super()._with_next_evacuation(backends)
@@ -238,7 +238,7 @@
 
 
 class ConfirmsWhileUsed(MaintenanceCoordinator):
-    """Confirms an evacuation while it still has connections to the backend."""
+    """A coordinator that confirms an evacuation while it still has connections to the backend."""
 
     def _releases(self) -> dict[str, int]:
         return (
@@ -253,7 +253,7 @@
 
 
 class ConfirmsFromOldObservation(MaintenanceCoordinator):
-    """Confirms an evacuation by an observation that it made before it adopted the evacuation."""
+    """A coordinator that confirms an evacuation by an observation that it made before it adopted the evacuation."""
 
     def _adopt(self) -> None:
         observed = self.observed_since_adoption
@@ -262,7 +262,7 @@
 
 
 class ConfirmsBeforeAdoption(MaintenanceCoordinator):
-    """Confirms an evacuation of a state that it has read but not adopted yet."""
+    """A coordinator that confirms an evacuation of a state that it has read but not adopted yet."""
 
     def _confirm_own_releases(self, state: MaintenanceState) -> MaintenanceState | None:
         releases = {
@@ -274,7 +274,7 @@
 
 
 class AdoptsOlderStates(MaintenanceCoordinator):
-    """Adopts the last state that it receives, even if it is older than the adopted one."""
+    """A coordinator that adopts the last state that it receives, even if it is older than the adopted one."""
 
     def _adopt(self) -> None:
         if self.state.version != self.adopted.version:
@@ -283,7 +283,7 @@
 
 
 class PlacesBeforeRegistration(MaintenanceCoordinator):
-    """Places connections before it is registered, when it may not know the evacuations."""
+    """A coordinator that places connections before it is registered, when it may not know the evacuations."""
 
     def may_place(self, backend: str) -> bool:
         return not self.state.excludes(backend)
--- a/yarrowspindle/lab/processes/checker.py
+++ b/yarrowspindle/lab/processes/checker.py
@@ -72,7 +72,7 @@
 
 
 class Checker:
-    """Records what happens on the network and reports violations of the rules.
+    """A checker that records what happens on the network and reports violations of the rules.
 
     Args:
         now: clock; seconds since the start of the run.
--- a/yarrowspindle/lab/processes/fleet.py
+++ b/yarrowspindle/lab/processes/fleet.py
@@ -41,7 +41,7 @@
 
 
 class FleetClient:
-    """Controls the process that runs the backends and their proxies.
+    """Control client of the process that runs the backends and their proxies.
 
     Attributes:
         on_request: called with each connection on which a relay has sent a request.
--- a/yarrowspindle/lab/processes/proxy.py
+++ b/yarrowspindle/lab/processes/proxy.py
@@ -17,7 +17,7 @@
 
 
 class DatagramProxy(asyncio.DatagramProtocol):
-    """Forwards datagrams to one relay. Other participants reach the relay only at the proxy's address.
+    """A proxy that forwards datagrams to one relay. Other participants reach the relay only at the proxy's address.
 
     A participant sends from the address that it listens at, which identifies the source of a datagram.
 
@@ -77,7 +77,7 @@
 
 
 class DigestReader:
-    """Reads the digest of members from datagrams that contain one."""
+    """Reader of the digest of members in datagrams that contain one."""
 
     def __init__(self) -> None:
         self.decode_checksummed = msgspec.msgpack.Decoder(ChecksummedDatagram).decode
@@ -114,7 +114,7 @@
 
 
 class TcpProxy:
-    """Forwards connections from a relay to a server: a backend or the endpoint list.
+    """A proxy that forwards connections from a relay to a server: a backend or the endpoint list.
 
     During a partition, established connections carry no data and new ones are accepted but not forwarded. Data sent
     during a partition is lost, so that direction of the connection forwards nothing more after the partition either.
--- a/yarrowspindle/lab/processes/stand_ins.py
+++ b/yarrowspindle/lab/processes/stand_ins.py
@@ -90,7 +90,7 @@
 
 
 class EndpointListServer:
-    """Serves the endpoint list.
+    """Server of the endpoint list.
 
     Each relay has its own listening address, as it reaches the backends at its own proxies' addresses.
 
--- a/yarrowspindle/membership/codec.py
+++ b/yarrowspindle/membership/codec.py
@@ -39,7 +39,7 @@
 
 
 class Codec:
-    """Encodes and decodes the datagrams of one cluster."""
+    """Encoder and decoder of the datagrams of one cluster."""
 
     def __init__(self, cluster: str) -> None:
         self.cluster = cluster
--- a/yarrowspindle/membership/full_sync.py
+++ b/yarrowspindle/membership/full_sync.py
@@ -24,7 +24,7 @@
 
 
 class FullSync:
-    """Joins the cluster through the seeds, and exchanges whole membership tables with peers."""
+    """The component that joins the cluster through the seeds, and exchanges whole membership tables with peers."""
 
     def __init__(self, context: MembershipContext, limiter: FullSyncLimiter) -> None:
         self._context = context
--- a/yarrowspindle/membership/load_dissemination.py
+++ b/yarrowspindle/membership/load_dissemination.py
@@ -24,7 +24,7 @@
 
 
 class LoadDissemination:
-    """Exchanges load signals with the peers, and passes the peers' load to the balancer."""
+    """The component that exchanges load signals with the peers, and passes the peers' load to the balancer."""
 
     def __init__(self, context: MembershipContext, limiter: FullSyncLimiter) -> None:
         self._context = context
--- a/yarrowspindle/membership/probing.py
+++ b/yarrowspindle/membership/probing.py
@@ -35,7 +35,7 @@
 
 
 class Probing:
-    """Pings peers, and answers their pings and ping requests.
+    """The component that pings peers, and answers their pings and ping requests.
 
     Attributes:
         pings: Pings that await an answer, by number.
--- a/yarrowspindle/membership/rate_limits.py
+++ b/yarrowspindle/membership/rate_limits.py
@@ -15,7 +15,7 @@
 
 
 class SourceLimiter:
-    """Limits the datagrams accepted per second from each source address, and the number of source addresses."""
+    """Limiter of the datagrams accepted per second from each source address, and of the number of source addresses."""
 
     def __init__(self, now: float) -> None:
         self._window_start = now
--- a/yarrowspindle/membership/update_dissemination.py
+++ b/yarrowspindle/membership/update_dissemination.py
@@ -16,7 +16,7 @@
 
 
 class UpdateDissemination:
-    """Passes updates to the membership table, the failure detector and the load signals."""
+    """Dispatcher of updates to the membership table, the failure detector and the load signals."""
 
     def __init__(self, context: MembershipContext) -> None:
         self._context = context
--- a/yarrowspindle/protocol/fragments.py
+++ b/yarrowspindle/protocol/fragments.py
@@ -69,7 +69,7 @@
 
 
 class Fragmenter:
-    """Splits messages into fragments and reassembles received messages.
+    """Splitter of messages into fragments, which also reassembles received messages.
 
     Args:
         first_number: The number before that of the first message; an earlier process of the same name must not have
--- a/yarrowspindle/protocol/lines.py
+++ b/yarrowspindle/protocol/lines.py
@@ -198,7 +198,7 @@
 
 
 class LineSplitter:
-    """Splits a byte stream into lines without their CRLF; the incomplete last line is kept in `rest`."""
+    """Splitter of a byte stream into lines without their CRLF; the incomplete last line is kept in `rest`."""
 
     __slots__ = ("rest",)
 
--- a/yarrowspindle/protocol/message_codec.py
+++ b/yarrowspindle/protocol/message_codec.py
@@ -28,7 +28,7 @@
 
 
 class MessageCodec:
-    """Encodes and decodes a fixed set of message types.
+    """Encoder and decoder of a fixed set of message types.
 
     Args:
         version: The version of the messages' form; messages of another version are rejected.
--- a/yarrowspindle/protocol/quic.py
+++ b/yarrowspindle/protocol/quic.py
@@ -125,7 +125,7 @@
 
 
 class ConnectionIdCodec:
-    """Encodes connection ids like QUIC-LB's single-pass encryption, with a key that backends and relays share.
+    """Encoder of connection ids like QUIC-LB's single-pass encryption, with a key that backends and relays share.
 
     The encrypted block holds the server id and a nonce, unique among the ids of that server: the connection's number
     and a sequence number. The connection's number lets a relay count connections by their ids.
--- a/yarrowspindle/rebalancing/migration_monitor.py
+++ b/yarrowspindle/rebalancing/migration_monitor.py
@@ -47,7 +47,7 @@
 
 
 class MigrationMonitor:
-    """Tracks the outcome of migrations, and pauses them if they are ineffective or harmful.
+    """Monitor of the outcome of migrations, which pauses them if they are ineffective or harmful.
 
     Attributes:
         migrated: Clients that this relay migrated.
--- a/yarrowspindle/rebalancing/planner.py
+++ b/yarrowspindle/rebalancing/planner.py
@@ -122,7 +122,7 @@
 
 
 class Planner:
-    """Plans rounds, and keeps the rest of a partly migrated group for the next round.
+    """Planner of rounds, which keeps the rest of a partly migrated group for the next round.
 
     Attributes:
         pending: Request ids of the remaining members of a partly migrated group; they are migrated first.
--- a/yarrowspindle/rebalancing/rebalancer.py
+++ b/yarrowspindle/rebalancing/rebalancer.py
@@ -24,7 +24,7 @@
 
 
 class Rebalancer:
-    """Selects a limited number of connections to migrate in each round. Times are in milliseconds.
+    """The component that selects a limited number of connections to migrate in each round. Times are in milliseconds.
 
     `plan_round` is to be called every `round_interval_ms`; the `on_...` methods only record events.
 
--- a/yarrowspindle/rebalancing/sliding_window.py
+++ b/yarrowspindle/rebalancing/sliding_window.py
@@ -10,7 +10,7 @@
 
 
 class SlidingWindow:
-    """Counts events in slots of one second.
+    """Counter of events in slots of one second.
 
     Args:
         span_ms: Length of the window in milliseconds.
--- a/yarrowspindle/rebalancing/token_bucket.py
+++ b/yarrowspindle/rebalancing/token_bucket.py
@@ -7,7 +7,7 @@
 
 
 class TokenBucket:
-    """Limits a rate: at most `rate * t + burst` tokens can be taken in any `t` seconds.
+    """Limiter of a rate: at most `rate * t + burst` tokens can be taken in any `t` seconds.
 
     Args:
         rate: Tokens added per second.
--- a/yarrowspindle/routing/attempts.py
+++ b/yarrowspindle/routing/attempts.py
@@ -41,7 +41,7 @@
 
 
 class Attempts:
-    """Notifies the balancer of events and carries out the actions that it returns."""
+    """The component that notifies the balancer of events and carries out the actions that it returns."""
 
     __slots__ = ("_context", "_requests", "_backends_by_number")
 
--- a/yarrowspindle/routing/draining.py
+++ b/yarrowspindle/routing/draining.py
@@ -19,7 +19,7 @@
 
 
 class DrainHandlers:
-    """Handles shutdowns and drains; after a drain the process keeps running."""
+    """Handlers of shutdowns and drains; after a drain the process keeps running."""
 
     __slots__ = ("_context", "_attempts", "_request_handlers")
 
--- a/yarrowspindle/routing/endpoints.py
+++ b/yarrowspindle/routing/endpoints.py
@@ -41,7 +41,7 @@
 
 
 class EndpointHandlers:
-    """Handles updates of the endpoint list, changes of the discovery address, and steps of the wall clock."""
+    """Handlers of updates of the endpoint list, changes of the discovery address, and steps of the wall clock."""
 
     __slots__ = ("_context", "_attempts")
 
--- a/yarrowspindle/routing/evacuation.py
+++ b/yarrowspindle/routing/evacuation.py
@@ -16,7 +16,7 @@
 
 
 class EvacuationHandlers:
-    """Handles new maintenance plans and migrates connections away from backends in maintenance."""
+    """Handlers of new maintenance plans, which migrate connections away from backends in maintenance."""
 
     __slots__ = ("_context", "_attempts", "_endpoint_handlers")
 
--- a/yarrowspindle/routing/health.py
+++ b/yarrowspindle/routing/health.py
@@ -28,7 +28,7 @@
 
 
 class HealthHandlers:
-    """Handles the events that show the health of backends, on connections and in health checks."""
+    """Handlers of the events that show the health of backends, on connections and in health checks."""
 
     __slots__ = ("_context", "_attempts", "_requests")
 
--- a/yarrowspindle/routing/load_reports.py
+++ b/yarrowspindle/routing/load_reports.py
@@ -35,7 +35,7 @@
 
 
 class LoadReportClassifier:
-    """Classifies the reports that this relay receives from one backend.
+    """Classifier of the reports that this relay receives from one backend.
 
     Times are in milliseconds on the caller's clock.
 
--- a/yarrowspindle/routing/rebalancing.py
+++ b/yarrowspindle/routing/rebalancing.py
@@ -17,7 +17,7 @@
 
 
 class RebalancingHandlers:
-    """Starts, configures and stops the rebalancer, and carries out its migrations."""
+    """Handlers that start, configure and stop the rebalancer, and carry out its migrations."""
 
     __slots__ = ("_context", "_attempts", "_target")
 
--- a/yarrowspindle/routing/requests.py
+++ b/yarrowspindle/routing/requests.py
@@ -38,7 +38,7 @@
 
 
 class RequestHandlers:
-    """Handles the events of requests from arrival to their final answer."""
+    """Handlers of the events of requests from arrival to their final answer."""
 
     __slots__ = ("_context", "_attempts", "_requests")
 
--- a/yarrowspindle/runtime/runtime.py
+++ b/yarrowspindle/runtime/runtime.py
@@ -37,7 +37,7 @@
 
 
 class Front(Protocol):
-    """Carries out the effects on the requests that it receives."""
+    """A front, which carries out the effects on the requests that it receives."""
 
     def carry_out(self, effect: Effect) -> None:
         """Carry out one effect; called in the order in which the reducer returned the effects."""
--- a/yarrowspindle/transport/connector.py
+++ b/yarrowspindle/transport/connector.py
@@ -75,7 +75,7 @@
 
 
 class LocalNetworkMonitor:
-    """Distinguishes a single backend without a route from an outage of this host's own network.
+    """A monitor that distinguishes a single backend without a route from an outage of this host's own network.
 
     Of several backends that fail for lack of a route, with no connection established in between, only the first counts
     as failed.
@@ -105,7 +105,7 @@
 
 
 class PendingProtocol(asyncio.Protocol):
-    """Replaces the protocol until the connection is established; closes a late connection without sending a byte."""
+    """The protocol until the connection is established; closes a late connection without sending a byte."""
 
     def __init__(self, connector: Connector) -> None:
         self.connector = connector
--- a/yarrowspindle/transport/inactivity_timer.py
+++ b/yarrowspindle/transport/inactivity_timer.py
@@ -76,7 +76,7 @@
 
 
 class InactivityTimer:
-    """Calls `callback(*args)` once `delay_s` seconds have passed and the sockets have been read since.
+    """A timer that calls `callback(*args)` once `delay_s` seconds have passed and the sockets have been read since.
 
     The receiver of the expected data cancels the timer, so the callback means that the data had not arrived in time. If
     the event loop was stalled when the time-out fell due, the peer gets STALL_EXTENSION_S more, once: an exchange of
--- a/yarrowspindle/transport/listener.py
+++ b/yarrowspindle/transport/listener.py
@@ -47,7 +47,7 @@
 
 
 class Listener:
-    """Listens and accepts connections, from its construction on.
+    """A listening socket that accepts connections, from its construction on.
 
     Args:
         address: The host and port to listen on.
--- a/yarrowspindle/transport/metrics_senders.py
+++ b/yarrowspindle/transport/metrics_senders.py
@@ -17,7 +17,7 @@
 
 
 class TcpMetricsSender(asyncio.Protocol):
-    """Sends reports over TCP; connects when there is something to send, with a backoff after a failure.
+    """Sender of reports over TCP; connects when there is something to send, with a backoff after a failure.
 
     Attributes:
         retry_at: The earliest time of the next connect, in seconds of the event loop's clock.
@@ -62,7 +62,7 @@
 
 
 class UdpMetricsSender(asyncio.DatagramProtocol):
-    """Sends reports over UDP."""
+    """Sender of reports over UDP."""
 
     def __init__(self) -> None:
         self.transport: asyncio.DatagramTransport | None = None
